--- a/apps/entry/src/AttemptRunner.test.ts
+++ b/apps/entry/src/AttemptRunner.test.ts
@@ -4,7 +4,7 @@
 import { test } from 'node:test';
 import { setImmediate as nextTurn } from 'node:timers/promises';
 import { RelayAdapter, type RelayResponse } from '@hornbeampond/adapters';
-import type { EntryOccurrence } from '@hornbeampond/entry-core';
+import type { EntryEventPayload } from '@hornbeampond/entry-core';
 import { TimerService } from '@hornbeampond/runtime';
 import { AdapterDirectory } from './AdapterDirectory.js';
 import { AttemptRunner, type StartAttempt } from './AttemptRunner.js';
@@ -76,13 +76,13 @@
   priority: 0,
   sendOnce: false,
   firstByteTimeout: 500,
-  silenceTimeout: 500,
+  streamIdleTimeout: 500,
 };
 
 function makeRunner() {
   const timers = new HeldTimers();
   const adapter = new HeldAdapter();
-  const seen: EntryOccurrence[] = [];
+  const seen: EntryEventPayload[] = [];
   const response = new ServerResponse(new IncomingMessage(new Socket()));
   const answer = new RelayAnswer('one', response, new NoProtocol(), undefined);
   const runner = new AttemptRunner({
@@ -97,7 +97,7 @@
         digest: 'd',
         prefixDigests: [],
         promptTokens: 0,
-        mostTokens: 0,
+        maxTokens: 0,
       },
       headers: {},
       relayed: [],
--- a/apps/entry/src/AttemptRunner.ts
+++ b/apps/entry/src/AttemptRunner.ts
@@ -4,7 +4,7 @@
  * that no caller is ever given bytes of two attempts at once.
  */
 import { BackendServerFailure, type RelayResponse } from '@hornbeampond/adapters';
-import type { AttemptFailure, EntryEffect, EntryOccurrence } from '@hornbeampond/entry-core';
+import type { AttemptFailure, EntryEffect, EntryEventPayload } from '@hornbeampond/entry-core';
 import type { TimerService, Unsubscribe } from '@hornbeampond/runtime';
 import type { Milliseconds } from '@hornbeampond/schema';
 import type { AdapterDirectory } from './AdapterDirectory.js';
@@ -46,7 +46,7 @@
   readonly timers: TimerService;
   readonly adapters: AdapterDirectory;
   findExchange(requestId: string): CallerExchange | undefined;
-  dispatch(occurrence: EntryOccurrence): void;
+  dispatch(occurrence: EntryEventPayload): void;
 }
 
 /** Turns of the event loop in which bytes that are there reach the attempt: head, then body. */
@@ -213,7 +213,7 @@
     exchange: CallerExchange,
     answer: CompletionAnswer,
   ): Promise<void> {
-    const { attemptId, target, priority, silenceTimeout } = attempt.start;
+    const { attemptId, target, priority, streamIdleTimeout: silenceTimeout } = attempt.start;
     const { dispatch, timers, adapters } = this.options;
     const { generatedText, generatedTokens } = answer;
     const stream = await adapters.engine(target).startCompletion({
@@ -249,7 +249,7 @@
     exchange: CallerExchange,
     answer: PlainAnswer,
   ): Promise<void> {
-    const { attemptId, target, sendOnce, silenceTimeout } = attempt.start;
+    const { attemptId, target, sendOnce, streamIdleTimeout: silenceTimeout } = attempt.start;
     const { dispatch, adapters } = this.options;
     const { method, path } = exchange.request;
     const received = await adapters.plainService(target).send({
@@ -283,7 +283,7 @@
     exchange: CallerExchange,
     answer: RelayAnswer,
   ): Promise<void> {
-    const { attemptId, target, workspace, timeLeft, priority, silenceTimeout } = attempt.start;
+    const { attemptId, target, workspace, timeLeft, priority, streamIdleTimeout: silenceTimeout } = attempt.start;
     const { dispatch, adapters, timers } = this.options;
     const { method, path } = exchange.request;
     const continueFrom = this.movedCaches.get(attemptId);
--- a/apps/entry/src/BackendServerWatcher.ts
+++ b/apps/entry/src/BackendServerWatcher.ts
@@ -7,7 +7,7 @@
  * off, and tells what it has read; entries wait by lot, so that mostly one of them reads.
  */
 import type { PlatformAdapter } from '@hornbeampond/adapters';
-import type { AttemptTarget, EntryOccurrence } from '@hornbeampond/entry-core';
+import type { AttemptTarget, EntryEventPayload } from '@hornbeampond/entry-core';
 import type { Logger, TimerService, Unsubscribe } from '@hornbeampond/runtime';
 import type {
   Configuration,
@@ -25,7 +25,7 @@
   readonly logger: Logger;
   readonly pollMilliseconds: Milliseconds;
   readConfiguration(): Configuration;
-  dispatch(occurrence: EntryOccurrence): void;
+  dispatch(occurrence: EntryEventPayload): void;
   /** Tells the others what was read; without it this entry reads at every interval. */
   readonly share?: (instances: readonly PlatformInstance[]) => void;
   /** Entries that may read in place of one that does no longer. */
--- a/apps/entry/src/EntryProcess.ts
+++ b/apps/entry/src/EntryProcess.ts
@@ -5,11 +5,11 @@
 import {
   makeEntryState,
   reduceEntry,
-  reportDemand,
+  buildDemandReports,
   type ClaimAnswer,
   type EntryEffect,
   type EntryEvent,
-  type EntryOccurrence,
+  type EntryEventPayload,
   type EntryState,
 } from '@hornbeampond/entry-core';
 import {
@@ -138,7 +138,7 @@
         instance,
         dataCentre,
         incarnation: this.incarnation,
-        queuedRequests,
+        maxQueuedRequests: queuedRequests,
         usageWindow: boundary.opaqueCalls?.usageWindow,
       }),
       reduceEntry,
@@ -146,7 +146,7 @@
       (error, event) => this.reportError(error, event.type),
     );
     this.adapters = new AdapterDirectory(boundary.makeAdapter);
-    const dispatch = (occurrence: EntryOccurrence) => this.dispatch(occurrence);
+    const dispatch = (occurrence: EntryEventPayload) => this.dispatch(occurrence);
     const readConfiguration = () => this.loop.state.configuration;
     this.attempts = new AttemptRunner({
       timers,
@@ -178,7 +178,7 @@
       settings,
       context,
       readConfiguration,
-      readDemand: () => reportDemand(this.loop.state, timers.monotonicNow()),
+      readDemand: () => buildDemandReports(this.loop.state, timers.monotonicNow()),
       onReport: (report) => this.receiveReport(report),
       onDrains: (drains) => dispatch({ type: 'drainsReceived', drains }),
     });
@@ -300,7 +300,7 @@
     await this.adapters.close();
   }
 
-  private dispatch(occurrence: EntryOccurrence): void {
+  private dispatch(occurrence: EntryEventPayload): void {
     const now = this.timers.monotonicNow();
     this.loop.dispatch({ ...occurrence, now, wallNow: this.timers.wallNow() });
   }
--- a/measure/src/admission/measureCost.ts
+++ b/measure/src/admission/measureCost.ts
@@ -5,7 +5,7 @@
   makeEntryState,
   reduceEntry,
   RouteIndex,
-  type EntryOccurrence,
+  type EntryEventPayload,
   type EntryState,
 } from '@hornbeampond/entry-core';
 import { examplePool, exampleRequest, exampleRoute } from '@hornbeampond/entry-core/testing';
@@ -40,7 +40,7 @@
     instance: 'entry-0',
     dataCentre: 'dc-a',
     incarnation: 1,
-    queuedRequests: 1000,
+    maxQueuedRequests: 1000,
   });
 
   constructor(servers: number) {
@@ -90,7 +90,7 @@
     this.send({ type: 'requestArrived', request });
   }
 
-  private send(event: EntryOccurrence): void {
+  private send(event: EntryEventPayload): void {
     this.now += 1;
     reduceEntry(this.state, { ...event, now: this.now, wallNow: this.now });
   }
--- a/packages/entry-core/src/EntryState.ts
+++ b/packages/entry-core/src/EntryState.ts
@@ -4,7 +4,7 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
 import { emptyConfiguration, type Configuration, type FleetDrains } from '@hornbeampond/schema';
-import type { UnconfiguredRequest } from './admission/awaitConfiguration.js';
+import type { RequestAwaitingConfiguration } from './admission/awaitConfiguration.js';
 import { makeAdmissionState, type AdmissionState } from './admission/AdmissionState.js';
 import type { AttemptState } from './attempts/AttemptState.js';
 import { makeRetryState, type RetryState } from './attempts/RetryState.js';
@@ -13,7 +13,7 @@
 import type { CallClaim } from './claims/CallClaim.js';
 import { DemandMeter } from './demand/DemandMeter.js';
 import { UsageMeter } from './demand/UsageMeter.js';
-import type { Timed } from './entryEvents.js';
+import type { Timestamps } from './entryEvents.js';
 import { makeLimitState, type LimitState } from './limits/LimitState.js';
 import { PeerWork } from './backendServers/PeerWork.js';
 import { RouteIndex } from './routing/RouteIndex.js';
@@ -30,7 +30,7 @@
   /** Wall clock at process start, in epoch milliseconds. */
   readonly incarnation: number;
   /** Most requests that may wait for a backend server. */
-  readonly queuedRequests: number;
+  readonly maxQueuedRequests: number;
   /** Length of the windows in which requests are counted for the usage report, if there is one. */
   readonly usageWindow?: number;
 }
@@ -41,7 +41,7 @@
   /** By instance. */
   readonly backendServers: Map<string, BackendServerState>;
   /** Requests that came before the configuration, by request id. */
-  readonly unconfigured: Map<string, UnconfiguredRequest>;
+  readonly requestsAwaitingConfiguration: Map<string, RequestAwaitingConfiguration>;
   /** Requests without a final answer, by request id. */
   readonly requests: Map<string, RequestState>;
   /** Attempts without an end, by attempt id. */
@@ -58,17 +58,17 @@
   readonly membership: MembershipState;
   readonly peerWork: PeerWork;
   /** Prompt prefixes that a store remembers of backend servers that are not listed here yet. */
-  readonly rememberedPrefixes: Map<string, readonly string[]>;
+  readonly persistedPrefixes: Map<string, readonly string[]>;
   readonly shutdown: ShutdownState;
   /** True once no new request is accepted; see `shutdown`. */
   shuttingDown: boolean;
   /** The clocks at the event that is being handled. */
-  clocks: Timed;
+  clocks: Timestamps;
   /** Advances with each draw; two entries that start together draw differently. */
   readonly random: RandomGenerator;
   routeIndex: RouteIndex;
   /** By pool. */
-  readonly poolBalances: Map<string, PoolBalance>;
+  readonly poolStates: Map<string, PoolBalance>;
   readonly admission: AdmissionState;
   readonly limits: LimitState;
 }
@@ -88,7 +88,7 @@
     identity,
     configuration: emptyConfiguration,
     backendServers: new Map(),
-    unconfigured: new Map(),
+    requestsAwaitingConfiguration: new Map(),
     requests: new Map(),
     attempts: new Map(),
     claims: new Map(),
@@ -100,13 +100,13 @@
     reclaims: makeReclaimState(),
     membership: makeMembershipState(),
     peerWork: new PeerWork(),
-    rememberedPrefixes: new Map(),
+    persistedPrefixes: new Map(),
     shutdown: makeShutdownState(),
     shuttingDown: false,
     clocks: { now: 0, wallNow: 0 },
     random: xoroshiro128plus(seedOf(identity)),
     routeIndex: new RouteIndex(emptyConfiguration),
-    poolBalances: new Map(),
+    poolStates: new Map(),
     admission: makeAdmissionState(),
     limits: makeLimitState(),
   };
--- a/packages/entry-core/src/admission/AdmissionState.ts
+++ b/packages/entry-core/src/admission/AdmissionState.ts
@@ -7,11 +7,11 @@
   /** By pool. */
   readonly queues: Map<string, PoolQueue>;
   /** The latest time that refused callers were asked to come back at, by what refused them. */
-  readonly promises: Map<string, MonotonicMilliseconds>;
+  readonly retryTimes: Map<string, MonotonicMilliseconds>;
 }
 
 export function makeAdmissionState(): AdmissionState {
-  return { queues: new Map(), promises: new Map() };
+  return { queues: new Map(), retryTimes: new Map() };
 }
 
 export function poolQueueOf(state: EntryState, pool: string): PoolQueue {
@@ -23,7 +23,7 @@
 }
 
 /** Requests that wait at this entry, over all pools. */
-export function countWaiting(state: EntryState): number {
+export function countQueuedRequests(state: EntryState): number {
   let waiting = 0;
   for (const queue of state.admission.queues.values()) waiting += queue.size;
   return waiting;
--- a/packages/entry-core/src/admission/FairQueue.ts
+++ b/packages/entry-core/src/admission/FairQueue.ts
@@ -14,12 +14,12 @@
 const QUANTUM_REQUESTS = 2;
 
 /** One waiting request. */
-export interface Waiting {
+export interface QueuedRequest {
   readonly accepted: RequestState;
   /** When its next token is due; the queue's order. */
   readonly dueAt: MonotonicMilliseconds;
   /** When an answer is of no more use: a stream that has begun outlasts a pause that is too long. */
-  readonly endsAt: MonotonicMilliseconds;
+  readonly expiresAt: MonotonicMilliseconds;
   /** How long it is expected to keep one place of a backend server busy. */
   readonly cost: Milliseconds;
 }
@@ -28,14 +28,14 @@
 export interface WorkspaceQueue {
   readonly workspace: string;
   /** Earliest deadline first. */
-  readonly waiting: Waiting[];
+  readonly waiting: QueuedRequest[];
   /** Sum of the costs of all that wait. */
   backlog: Milliseconds;
   /** Work that this workspace has been served, as far as it counts for fairness. */
   virtualTime: Milliseconds;
 }
 
-function placeOf(waiting: readonly Waiting[], dueAt: MonotonicMilliseconds): number {
+function placeOf(waiting: readonly QueuedRequest[], dueAt: MonotonicMilliseconds): number {
   let low = 0;
   let high = waiting.length;
   while (low < high) {
@@ -73,7 +73,7 @@
     return this.workspaces.get(workspace);
   }
 
-  add(waiting: Waiting): void {
+  add(waiting: QueuedRequest): void {
     const { workspace } = waiting.accepted.request;
     const queue = this.workspaces.get(workspace) ?? {
       workspace,
@@ -87,7 +87,7 @@
   }
 
   /** Takes a request out without counting it as served. */
-  remove(waiting: Waiting): void {
+  remove(waiting: QueuedRequest): void {
     const queue = this.workspaces.get(waiting.accepted.request.workspace);
     const index = queue?.waiting.indexOf(waiting) ?? -1;
     if (queue === undefined || index < 0) return;
@@ -97,8 +97,8 @@
   }
 
   /** The request to be served next. */
-  peek(): Waiting | undefined {
-    let next: Waiting | undefined;
+  peek(): QueuedRequest | undefined {
+    let next: QueuedRequest | undefined;
     for (const { waiting } of this.eligible()) {
       const [first] = waiting;
       if (first !== undefined && (next === undefined || first.dueAt < next.dueAt)) next = first;
@@ -107,12 +107,12 @@
   }
 
   /** The first few requests of each workspace that may be served next. */
-  *peekFew(mostOfEach: number): Generator<Waiting> {
+  *peekPerWorkspace(mostOfEach: number): Generator<QueuedRequest> {
     for (const { waiting } of this.eligible()) yield* waiting.slice(0, mostOfEach);
   }
 
   /** Takes a request out as served and charges its workspace. */
-  serve(waiting: Waiting): void {
+  serve(waiting: QueuedRequest): void {
     const queue = this.workspaces.get(waiting.accepted.request.workspace);
     if (queue === undefined) return;
     this.virtualTime = Math.max(this.virtualTime, this.findLeastServed());
@@ -121,18 +121,18 @@
   }
 
   /** Work that is served before this request, which may wait already or not yet. */
-  workAhead({ accepted, dueAt, cost }: Waiting): Milliseconds {
+  workAhead({ accepted, dueAt, cost }: QueuedRequest): Milliseconds {
     const { workspace } = accepted.request;
     let own = 0;
     for (const waiting of this.workspaces.get(workspace)?.waiting ?? []) {
       if (waiting.dueAt > dueAt) break;
       if (waiting.accepted !== accepted) own += waiting.cost;
     }
-    return own + this.workOfOthers(workspace, own + cost);
+    return own + this.workOfOtherWorkspaces(workspace, own + cost);
   }
 
   /** What others are served while this workspace is served `own`. */
-  workOfOthers(workspace: string, own: Milliseconds): Milliseconds {
+  workOfOtherWorkspaces(workspace: string, own: Milliseconds): Milliseconds {
     const virtualTime = this.workspaces.get(workspace)?.virtualTime ?? this.startOf(workspace);
     let others = 0;
     for (const queue of this.workspaces.values()) {
--- a/packages/entry-core/src/admission/PoolQueue.ts
+++ b/packages/entry-core/src/admission/PoolQueue.ts
@@ -4,7 +4,7 @@
  * after an outage, and everyone who has just come would be late as well.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
-import { FairQueue, type Waiting } from './FairQueue.js';
+import { FairQueue, type QueuedRequest } from './FairQueue.js';
 
 /** 0 is served first, 9 last. */
 const PRIORITIES = 10;
@@ -12,7 +12,7 @@
 const LATE_LEVEL = PRIORITIES;
 
 /** Levels with a lower number are served first. */
-export function levelNumber({ accepted }: Pick<Waiting, 'accepted'>): number {
+export function levelIndexOf({ accepted }: Pick<QueuedRequest, 'accepted'>): number {
   return accepted.isLate === true ? LATE_LEVEL : accepted.route.priority;
 }
 
@@ -23,38 +23,38 @@
   );
 
   /** Requests that wait, by request id. */
-  readonly waiting = new Map<string, Waiting>();
+  readonly waiting = new Map<string, QueuedRequest>();
 
   get size(): number {
     return this.waiting.size;
   }
 
-  add(waiting: Waiting): void {
+  add(waiting: QueuedRequest): void {
     this.waiting.set(waiting.accepted.request.requestId, waiting);
     this.levelOf(waiting)?.add(waiting);
   }
 
-  remove(waiting: Waiting): void {
+  remove(waiting: QueuedRequest): void {
     this.waiting.delete(waiting.accepted.request.requestId);
     this.levelOf(waiting)?.remove(waiting);
   }
 
-  serve(waiting: Waiting): void {
+  serve(waiting: QueuedRequest): void {
     this.waiting.delete(waiting.accepted.request.requestId);
     this.levelOf(waiting)?.serve(waiting);
   }
 
-  peek(): Waiting | undefined {
+  peek(): QueuedRequest | undefined {
     return this.levels.find((level) => !level.isEmpty)?.peek();
   }
 
   /** The first few requests of each workspace that may be served next. */
-  peekFew(mostOfEach: number): Iterable<Waiting> {
-    return this.levels.find((level) => !level.isEmpty)?.peekFew(mostOfEach) ?? [];
+  peekPerWorkspace(mostOfEach: number): Iterable<QueuedRequest> {
+    return this.levels.find((level) => !level.isEmpty)?.peekPerWorkspace(mostOfEach) ?? [];
   }
 
   /** Requests of one workspace that wait, over all priorities. */
-  countOf(workspace: string): number {
+  countForWorkspace(workspace: string): number {
     let count = 0;
     for (const level of this.levels) count += level.workspaceQueue(workspace)?.waiting.length ?? 0;
     return count;
@@ -70,9 +70,9 @@
   }
 
   /** Work that is served before this request. */
-  workAhead(waiting: Waiting): Milliseconds {
+  workAhead(waiting: QueuedRequest): Milliseconds {
     let ahead = this.levelOf(waiting)?.workAhead(waiting) ?? 0;
-    for (const level of this.levels.slice(0, levelNumber(waiting))) ahead += level.backlog;
+    for (const level of this.levels.slice(0, levelIndexOf(waiting))) ahead += level.backlog;
     return ahead;
   }
 
@@ -83,7 +83,7 @@
     return count;
   }
 
-  private levelOf(waiting: Waiting): FairQueue | undefined {
-    return this.levels[levelNumber(waiting)];
+  private levelOf(waiting: QueuedRequest): FairQueue | undefined {
+    return this.levels[levelIndexOf(waiting)];
   }
 }
--- a/packages/entry-core/src/admission/admitUnconfigured.ts
+++ b/packages/entry-core/src/admission/admitAfterConfiguration.ts
@@ -5,13 +5,13 @@
  */
 import { observeStarts } from '../backendServers/observeAttempt.js';
 import type { EntryEffect } from '../entryEffects.js';
-import type { Timed } from '../entryEvents.js';
+import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import { admitRequest } from './admitRequest.js';
-import { takeUnconfigured } from './awaitConfiguration.js';
+import { takeAwaitingConfiguration } from './awaitConfiguration.js';
 
-export function admitUnconfigured(state: EntryState, timed: Timed): EntryEffect[] {
-  return takeUnconfigured(state).flatMap(({ request, arrivedAt }) => {
+export function admitAfterConfiguration(state: EntryState, timed: Timestamps): EntryEffect[] {
+  return takeAwaitingConfiguration(state).flatMap(({ request, arrivedAt }) => {
     const admitted = admitRequest(state, request, timed, arrivedAt);
     observeStarts(state, admitted, timed.now);
     return admitted;
--- a/packages/entry-core/src/admission/admitRequest.ts
+++ b/packages/entry-core/src/admission/admitRequest.ts
@@ -11,11 +11,11 @@
   type Route,
 } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
-import type { CallerRequest, Timed } from '../entryEvents.js';
+import type { CallerRequest, Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import { startAttempt } from '../attempts/startAttempt.js';
 import { beginClaim } from '../claims/beginClaim.js';
-import { refuse } from '../requests/endRequest.js';
+import { refuseRequest } from '../requests/endRequest.js';
 import type { RequestState } from '../requests/RequestState.js';
 import { choosePool } from '../routing/choosePool.js';
 import { deadlineAt } from '../routing/deadlineAt.js';
@@ -24,8 +24,8 @@
 import { acquire } from '../limits/releaseEnded.js';
 import { spendAllowance } from '../limits/refuseOverAllowance.js';
 import { awaitConfiguration } from './awaitConfiguration.js';
-import { makeLate } from './serveLate.js';
-import { decideAdmission, type Admission } from './refuseEarly.js';
+import { markLate } from './serveLate.js';
+import { decideAdmission, type AdmissionDecision } from './decideAdmission.js';
 
 /** Where a route does not say which pause its callers take for none. */
 const DEFAULT_PAUSE_MILLISECONDS: Milliseconds = 1000;
@@ -49,13 +49,16 @@
     const { route } = found;
     const isKnown = route.public === true || request.workspace !== '';
     if (isKnown) return { type: 'found', route, request };
-    return { type: 'refused', effects: refuse(request, 'unauthorized', 'The key is not known') };
+    return {
+      type: 'refused',
+      effects: refuseRequest(request, 'unauthorized', 'The key is not known'),
+    };
   }
   const detail =
     found.type === 'forbidden'
       ? `Workspace "${request.workspace}" may not use this route`
       : `No route matches ${request.path}`;
-  return { type: 'refused', effects: refuse(request, found.type, detail) };
+  return { type: 'refused', effects: refuseRequest(request, found.type, detail) };
 }
 
 /** Bounds the route's deadline by what the caller says of its patience. */
@@ -79,9 +82,9 @@
     pool,
     arrivedAt,
     firstTokenDueAt: arrivedAt + Math.min(firstTokenMilliseconds, patience),
-    lateUntil: arrivedAt + Math.min(lateFirstTokenMilliseconds, patience),
+    lateFirstTokenDueAt: arrivedAt + Math.min(lateFirstTokenMilliseconds, patience),
     wholeAnswerDueAt: arrivedAt + Math.min(deadline.wholeAnswerMilliseconds, patience),
-    longestPause: deadline.pauseMilliseconds ?? DEFAULT_PAUSE_MILLISECONDS,
+    maxPause: deadline.pauseMilliseconds ?? DEFAULT_PAUSE_MILLISECONDS,
     attemptId: undefined,
     attemptsStarted: 0,
     triedInstances: new Set(),
@@ -95,19 +98,24 @@
  * workspace's allowance. Those are refused whatever the size, and one workspace that sends six times
  * its usual would have engines bought for it that nobody may use.
  */
-function noteDemand(state: EntryState, route: Route, admission: Admission, { now }: Timed): void {
+function noteDemand(
+  state: EntryState,
+  route: Route,
+  admission: AdmissionDecision,
+  { now }: Timestamps,
+): void {
   const isBeyond = admission.type === 'refused' && admission.refusal.kind === 'allowanceSpent';
-  if (!isBeyond) state.demand.note(route.name, now);
+  if (!isBeyond) state.demand.record(route.name, now);
 }
 
 export function admitRequest(
   state: EntryState,
   arrived: CallerRequest,
-  timed: Timed,
+  timed: Timestamps,
   arrivedAt = timed.now,
 ): EntryEffect[] {
   if (state.shuttingDown) {
-    return refuse(arrived, 'draining', 'This instance is shutting down');
+    return refuseRequest(arrived, 'draining', 'This instance is shutting down');
   }
   if (state.configuration.revision === 0) return awaitConfiguration(state, arrived, timed);
   const resolved = resolve(state, arrived);
@@ -116,10 +124,14 @@
   const poolName = choosePool(route, state.random);
   const pool = routeIndexOf(state).pool(poolName);
   if (pool === undefined) {
-    return refuse(request, 'noBackendServer', `Pool "${poolName}" is not there`);
+    return refuseRequest(request, 'noBackendServer', `Pool "${poolName}" is not there`);
   }
   if (isClaimed(route) && request.idempotencyKey === undefined) {
-    return refuse(request, 'idempotencyKeyMissing', `Route "${route.name}" needs the header`);
+    return refuseRequest(
+      request,
+      'idempotencyKeyMissing',
+      `Route "${route.name}" needs the header`,
+    );
   }
   const accepted = accept(state, request, route, pool, arrivedAt, timed.wallNow);
   const admission = decideAdmission(state, accepted, timed.now);
@@ -127,9 +139,9 @@
   if (admission.type === 'refused') {
     const { kind, detail, retryAfterMilliseconds, facts } = admission.refusal;
     const known = { route: route.name, retryAfterMilliseconds, ...facts };
-    return refuse(request, kind, detail, { ran: 'no', retryAfterMilliseconds }, known);
+    return refuseRequest(request, kind, detail, { ran: 'no', retryAfterMilliseconds }, known);
   }
-  const late = admission.type === 'late' ? makeLate(accepted) : [];
+  const late = admission.type === 'late' ? markLate(accepted) : [];
   const server = admission.type === 'admitted' ? admission.server : undefined;
   state.requests.set(request.requestId, accepted);
   acquire(state, request.requestId, route.name, request.workspace);
--- a/packages/entry-core/src/admission/retryAfter.ts
+++ b/packages/entry-core/src/admission/assignRetryAfter.ts
@@ -7,7 +7,7 @@
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 
-export const LONGEST_RETRY_AFTER_MILLISECONDS: Milliseconds = 60_000;
+export const MAX_RETRY_AFTER_MILLISECONDS: Milliseconds = 60_000;
 const SHORTEST_RETRY_AFTER_MILLISECONDS: Milliseconds = 50;
 
 /**
@@ -15,23 +15,23 @@
  * @param wait - Predicted time until there is room for one.
  * @param interval - Predicted time from then on between two that find room.
  */
-export function promiseRetry(
+export function assignRetryAfter(
   state: EntryState,
   key: string,
   wait: Milliseconds,
   interval: Milliseconds,
   now: MonotonicMilliseconds,
 ): Milliseconds {
-  const last = state.admission.promises.get(key) ?? Number.NEGATIVE_INFINITY;
+  const last = state.admission.retryTimes.get(key) ?? Number.NEGATIVE_INFINITY;
   const wanted = Math.max(now + wait, last + interval);
-  const latest = now + LONGEST_RETRY_AFTER_MILLISECONDS;
+  const latest = now + MAX_RETRY_AFTER_MILLISECONDS;
   const promised = Math.min(wanted, latest);
-  state.admission.promises.set(key, promised);
+  state.admission.retryTimes.set(key, promised);
   return Math.ceil(Math.max(SHORTEST_RETRY_AFTER_MILLISECONDS, promised - now));
 }
 
-export function forgetKeptPromises(state: EntryState, now: MonotonicMilliseconds): void {
-  for (const [key, promised] of state.admission.promises) {
-    if (promised < now) state.admission.promises.delete(key);
+export function expireRetryTimes(state: EntryState, now: MonotonicMilliseconds): void {
+  for (const [key, promised] of state.admission.retryTimes) {
+    if (promised < now) state.admission.retryTimes.delete(key);
   }
 }
--- a/packages/entry-core/src/admission/awaitConfiguration.ts
+++ b/packages/entry-core/src/admission/awaitConfiguration.ts
@@ -7,9 +7,9 @@
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
-import type { CallerRequest, Timed } from '../entryEvents.js';
+import type { CallerRequest, Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
-import { refuse } from '../requests/endRequest.js';
+import { refuseRequest } from '../requests/endRequest.js';
 
 /** An entry waits for stores that start with it; these serve within two seconds of their start. */
 const STARTING_MILLISECONDS: Milliseconds = 2000;
@@ -27,7 +27,7 @@
 const NOT_CONFIGURED_RETRY_MILLISECONDS: Milliseconds = 500;
 
 /** A request that waits for the configuration. */
-export interface UnconfiguredRequest {
+export interface RequestAwaitingConfiguration {
   readonly request: CallerRequest;
   readonly arrivedAt: MonotonicMilliseconds;
   readonly waitsUntil: MonotonicMilliseconds;
@@ -35,20 +35,20 @@
 
 function refuseUnconfigured(request: CallerRequest): EntryEffect[] {
   const problem = { retryAfterMilliseconds: NOT_CONFIGURED_RETRY_MILLISECONDS };
-  return refuse(request, 'notConfigured', 'No configuration is known here yet', problem);
+  return refuseRequest(request, 'notConfigured', 'No configuration is known here yet', problem);
 }
 
 /** Keeps the request for a while, or refuses it. */
 export function awaitConfiguration(
   state: EntryState,
   request: CallerRequest,
-  { now, wallNow }: Timed,
+  { now, wallNow }: Timestamps,
 ): EntryEffect[] {
-  const { unconfigured, identity } = state;
+  const { requestsAwaitingConfiguration: unconfigured, identity } = state;
   const startingFor = STARTING_MILLISECONDS - (wallNow - identity.incarnation);
   const patience = (request.patience ?? Infinity) * WAIT_SHARE;
   const wait = Math.min(startingFor, LONGEST_WAIT_MILLISECONDS, patience);
-  const hasRoom = unconfigured.size < identity.queuedRequests;
+  const hasRoom = unconfigured.size < identity.maxQueuedRequests;
   if (wait <= 0 || !hasRoom) return refuseUnconfigured(request);
   const { requestId } = request;
   unconfigured.set(requestId, { request, arrivedAt: now, waitsUntil: now + wait });
@@ -56,8 +56,11 @@
 }
 
 /** Refuses those that have waited long enough, and all of them once the entry shuts down. */
-export function advanceUnconfigured(state: EntryState, now: MonotonicMilliseconds): EntryEffect[] {
-  const { unconfigured, shuttingDown } = state;
+export function expireAwaitingConfiguration(
+  state: EntryState,
+  now: MonotonicMilliseconds,
+): EntryEffect[] {
+  const { requestsAwaitingConfiguration: unconfigured, shuttingDown } = state;
   const over = [...unconfigured.values()].filter(
     ({ waitsUntil }) => shuttingDown || waitsUntil <= now,
   );
@@ -68,8 +71,8 @@
 }
 
 /** Takes out all that wait, in order of arrival, now that there is a configuration. */
-export function takeUnconfigured(state: EntryState): UnconfiguredRequest[] {
-  const waiting = [...state.unconfigured.values()];
-  state.unconfigured.clear();
+export function takeAwaitingConfiguration(state: EntryState): RequestAwaitingConfiguration[] {
+  const waiting = [...state.requestsAwaitingConfiguration.values()];
+  state.requestsAwaitingConfiguration.clear();
   return waiting;
 }
--- a/packages/entry-core/src/admission/refuseEarly.ts
+++ b/packages/entry-core/src/admission/decideAdmission.ts
@@ -20,11 +20,16 @@
 import { findAllowanceExceeded } from '../limits/refuseOverAllowance.js';
 import { limitKey, limitOf } from '../limits/limitOf.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { countWaiting, poolQueueOf } from './AdmissionState.js';
+import { countQueuedRequests, poolQueueOf } from './AdmissionState.js';
 import { placeRequest } from './placeRequest.js';
-import { countPlaces, makeWaiting, predictWait, usualDelay } from './predictWait.js';
-import { LONGEST_RETRY_AFTER_MILLISECONDS, promiseRetry } from './retryAfter.js';
-import { isWorthServingLate } from './serveLate.js';
+import {
+  estimateSlots,
+  makeQueuedRequest,
+  predictWait,
+  expectedFirstTokenDelay,
+} from './predictWait.js';
+import { MAX_RETRY_AFTER_MILLISECONDS, assignRetryAfter } from './assignRetryAfter.js';
+import { canServeLate } from './serveLate.js';
 
 export interface EarlyRefusal {
   readonly kind: ErrorKind;
@@ -61,9 +66,9 @@
   const serviceTime = poolBalanceOf(state, pool.name).serviceTime(route.name);
   const interval =
     limit === 0
-      ? LONGEST_RETRY_AFTER_MILLISECONDS
+      ? MAX_RETRY_AFTER_MILLISECONDS
       : serviceTime / Math.max(1, ledger.ownInProgress(key));
-  const retryAfterMilliseconds = promiseRetry(state, `limit/${key}`, interval, interval, now);
+  const retryAfterMilliseconds = assignRetryAfter(state, `limit/${key}`, interval, interval, now);
   const facts = { limit, inProgress: ledger.ownInProgress(key) };
   return { kind: 'limitReached', detail, retryAfterMilliseconds, facts };
 }
@@ -80,15 +85,15 @@
 ): EarlyRefusal | undefined {
   const { workspace } = accepted.request;
   const queue = poolQueueOf(state, accepted.pool.name);
-  const free = state.identity.queuedRequests - countWaiting(state);
-  const own = queue.countOf(workspace);
+  const free = state.identity.maxQueuedRequests - countQueuedRequests(state);
+  const own = queue.countForWorkspace(workspace);
   const excess = own + 1 - Math.min(own + free, QUEUE_SHARE_FACTOR * free);
   if (excess <= 0) return undefined;
-  const { cost } = makeWaiting(state, accepted);
+  const { cost } = makeQueuedRequest(state, accepted);
   const workspaces = Math.max(1, queue.countWorkspaces());
-  const interval = (cost * workspaces) / countPlaces(state, accepted.pool.name);
+  const interval = (cost * workspaces) / estimateSlots(state, accepted.pool.name);
   const key = `queue/${accepted.pool.name}/${workspace}`;
-  const retryAfterMilliseconds = promiseRetry(state, key, interval * excess, interval, now);
+  const retryAfterMilliseconds = assignRetryAfter(state, key, interval * excess, interval, now);
   const facts = { waiting: own, free, workspaces };
   return { kind: 'overloaded', detail: 'Too many requests wait', retryAfterMilliseconds, facts };
 }
@@ -98,19 +103,19 @@
   accepted: RequestState,
   now: MonotonicMilliseconds,
 ): EarlyRefusal | undefined {
-  const waiting = makeWaiting(state, accepted);
+  const waiting = makeQueuedRequest(state, accepted);
   const wait = predictWait(state, waiting);
-  const usual = usualDelay(state, accepted);
+  const usual = expectedFirstTokenDelay(state, accepted);
   const predicted = wait + usual;
   const late = predicted - (waiting.dueAt - now);
   if (late <= 0) return undefined;
   const pool = accepted.pool.name;
   const workspaces = Math.max(1, poolQueueOf(state, pool).countWorkspaces());
-  const interval = (waiting.cost * workspaces) / countPlaces(state, pool);
+  const interval = (waiting.cost * workspaces) / estimateSlots(state, pool);
   const key = `queue/${pool}/${accepted.request.workspace}`;
-  const retryAfterMilliseconds = promiseRetry(state, key, late + interval, interval, now);
+  const retryAfterMilliseconds = assignRetryAfter(state, key, late + interval, interval, now);
   const detail = `The first token is predicted in ${Math.round(predicted)} ms`;
-  const places = countPlaces(state, pool);
+  const places = estimateSlots(state, pool);
   const facts = { wait, usual, places, patience: waiting.dueAt - now };
   return { kind: 'deadlineUnreachable', detail, retryAfterMilliseconds, facts };
 }
@@ -128,17 +133,17 @@
   if (predicted <= patience || !isPredictionTrusted(balance, server, patience, now)) {
     return undefined;
   }
-  const interval = makeWaiting(state, accepted).cost / countPlaces(state, pool.name);
+  const interval = makeQueuedRequest(state, accepted).cost / estimateSlots(state, pool.name);
   const key = `server/${pool.name}/${request.workspace}`;
   const wait = predicted - patience;
-  const retryAfterMilliseconds = promiseRetry(state, key, wait, interval, now);
+  const retryAfterMilliseconds = assignRetryAfter(state, key, wait, interval, now);
   const detail = `The first token is predicted in ${Math.round(predicted)} ms`;
   const facts = { patience, ...describePrediction(state, balance, server, accepted) };
   return { kind: 'deadlineUnreachable', detail, retryAfterMilliseconds, facts };
 }
 
 /** The refusal, or where the request goes. */
-export type Admission =
+export type AdmissionDecision =
   | { readonly type: 'refused'; readonly refusal: EarlyRefusal }
   | { readonly type: 'admitted'; readonly server: BackendServerState | undefined }
   /** It will be late and goes behind those that can be in time. */
@@ -147,7 +152,7 @@
 function toAdmission(
   refusal: EarlyRefusal | undefined,
   server?: BackendServerState,
-): Exclude<Admission, { type: 'late' }> {
+): Exclude<AdmissionDecision, { type: 'late' }> {
   return refusal === undefined ? { type: 'admitted', server } : { type: 'refused', refusal };
 }
 
@@ -155,7 +160,7 @@
   state: EntryState,
   accepted: RequestState,
   now: MonotonicMilliseconds,
-): Exclude<Admission, { type: 'late' }> {
+): Exclude<AdmissionDecision, { type: 'late' }> {
   const overAllowance = refuseOverAllowance(state, accepted);
   if (overAllowance !== undefined) return toAdmission(overAllowance);
   const overLimit = refuseOverLimit(state, accepted, now);
@@ -175,7 +180,7 @@
   }
   const overQueue = refuseOverQueue(state, accepted, now);
   if (overQueue !== undefined) return toAdmission(overQueue);
-  const { room } = placement;
+  const { availableServer: room } = placement;
   // While a server has room, those that wait do so for another one by choice and not for long.
   if (room !== undefined) return toAdmission(refuseLateAt(state, accepted, room, now));
   return toAdmission(refuseLateInQueue(state, accepted, now));
@@ -186,10 +191,10 @@
   state: EntryState,
   accepted: RequestState,
   now: MonotonicMilliseconds,
-): Admission {
+): AdmissionDecision {
   const admission = decideInTime(state, accepted, now);
   if (admission.type === 'admitted' || admission.refusal.kind !== 'deadlineUnreachable') {
     return admission;
   }
-  return isWorthServingLate(state, accepted, now) ? { type: 'late' } : admission;
+  return canServeLate(state, accepted, now) ? { type: 'late' } : admission;
 }
--- a/packages/entry-core/src/admission/drainQueues.ts
+++ b/packages/entry-core/src/admission/drainQueues.ts
@@ -9,16 +9,16 @@
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryEvent } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
-import { countWaiting } from './AdmissionState.js';
-import { isLateAfter, leaveBehind } from './dropUnreachable.js';
-import type { Waiting } from './FairQueue.js';
-import { isLateAtHome } from './placeRequest.js';
-import { isWorthHolding } from './isWorthHolding.js';
-import { orderForServer } from './orderForServer.js';
+import { countQueuedRequests } from './AdmissionState.js';
+import { missesDeadlineAfter, serveLateOrFail } from './failUnreachableDeadlines.js';
+import type { QueuedRequest } from './FairQueue.js';
+import { isLocalWaitTooLong } from './placeRequest.js';
+import { shouldWaitForCache } from './shouldWaitForCache.js';
+import { orderQueueForServer } from './orderQueueForServer.js';
 import type { PoolQueue } from './PoolQueue.js';
 
 /** False for a request that has ended or is being served another way. */
-function stillWaits(state: EntryState, { accepted }: Waiting): boolean {
+function stillWaits(state: EntryState, { accepted }: QueuedRequest): boolean {
   return (
     state.requests.get(accepted.request.requestId) === accepted && accepted.attemptId === undefined
   );
@@ -26,19 +26,19 @@
 
 function findServer(
   state: EntryState,
-  { accepted }: Waiting,
+  { accepted }: QueuedRequest,
   freed: BackendServerState | undefined,
   now: number,
 ): BackendServerState | undefined {
   const local = chooseBackendServer(state, accepted, { freed });
-  if (local !== undefined || !isLateAtHome(state, accepted, now)) return local;
+  if (local !== undefined || !isLocalWaitTooLong(state, accepted, now)) return local;
   return chooseBackendServer(state, accepted, { where: 'remote', freed });
 }
 
 function serve(
   state: EntryState,
   queue: PoolQueue,
-  waiting: Waiting,
+  waiting: QueuedRequest,
   server: BackendServerState,
   now: number,
 ): EntryEffect[] {
@@ -56,16 +56,16 @@
   freed: BackendServerState | undefined,
   now: number,
 ): EntryEffect[] | undefined {
-  for (const waiting of orderForServer(state, queue, freed, now)) {
+  for (const waiting of orderQueueForServer(state, queue, freed, now)) {
     if (!stillWaits(state, waiting)) {
       queue.remove(waiting);
       return [];
     }
-    if (isLateAfter(state, waiting, 0, now)) {
-      return leaveBehind(state, queue, waiting, now);
+    if (missesDeadlineAfter(state, waiting, 0, now)) {
+      return serveLateOrFail(state, queue, waiting, now);
     }
     const server = findServer(state, waiting, freed, now);
-    if (server !== undefined && !isWorthHolding(state, waiting.accepted, server, now)) {
+    if (server !== undefined && !shouldWaitForCache(state, waiting.accepted, server, now)) {
       return serve(state, queue, waiting, server, now);
     }
   }
@@ -124,5 +124,8 @@
     }
   }
   if (effects.length === 0) return [];
-  return [...effects, { type: 'setGauge', metric: 'queuedRequests', value: countWaiting(state) }];
+  return [
+    ...effects,
+    { type: 'setGauge', metric: 'queuedRequests', value: countQueuedRequests(state) },
+  ];
 }
--- a/packages/entry-core/src/admission/enqueue.ts
+++ b/packages/entry-core/src/admission/enqueue.ts
@@ -3,8 +3,8 @@
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { countWaiting, poolQueueOf } from './AdmissionState.js';
-import { makeWaiting } from './predictWait.js';
+import { countQueuedRequests, poolQueueOf } from './AdmissionState.js';
+import { makeQueuedRequest } from './predictWait.js';
 
 export function enqueue(
   state: EntryState,
@@ -13,11 +13,11 @@
 ): EntryEffect[] {
   const queue = poolQueueOf(state, accepted.pool.name);
   const { requestId } = accepted.request;
-  const waiting = makeWaiting(state, accepted);
+  const waiting = makeQueuedRequest(state, accepted);
   if (!queue.waiting.has(requestId)) queue.add(waiting);
   const dueInMilliseconds = Math.round(waiting.dueAt - now);
   return [
-    { type: 'setGauge', metric: 'queuedRequests', value: countWaiting(state) },
+    { type: 'setGauge', metric: 'queuedRequests', value: countQueuedRequests(state) },
     {
       type: 'log',
       event: 'requestQueued',
--- a/packages/entry-core/src/admission/dropUnreachable.ts
+++ b/packages/entry-core/src/admission/failUnreachableDeadlines.ts
@@ -8,11 +8,11 @@
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
 import { failRequest } from '../requests/endRequest.js';
-import type { FairQueue, Waiting, WorkspaceQueue } from './FairQueue.js';
+import type { FairQueue, QueuedRequest, WorkspaceQueue } from './FairQueue.js';
 import type { PoolQueue } from './PoolQueue.js';
-import { countPlaces, usualDelay } from './predictWait.js';
-import { promiseRetry } from './retryAfter.js';
-import { isWorthServingLate, moveBehind } from './serveLate.js';
+import { estimateSlots, expectedFirstTokenDelay } from './predictWait.js';
+import { assignRetryAfter } from './assignRetryAfter.js';
+import { canServeLate, requeueAsLate } from './serveLate.js';
 
 /**
  * A predicted wait must miss the deadline by this share of the wait before it is acted on:
@@ -22,7 +22,7 @@
 
 /** Walks the queue of one pool. */
 class UnreachableSearch {
-  readonly found: Waiting[] = [];
+  readonly found: QueuedRequest[] = [];
 
   private readonly places: number;
 
@@ -34,7 +34,7 @@
     pool: string,
     private readonly now: MonotonicMilliseconds,
   ) {
-    this.places = countPlaces(state, pool);
+    this.places = estimateSlots(state, pool);
   }
 
   walk(queue: PoolQueue): void {
@@ -55,39 +55,39 @@
   ): void {
     let own = 0;
     for (const one of waiting) {
-      const others = level.workOfOthers(workspace, own + one.cost);
+      const others = level.workOfOtherWorkspaces(workspace, own + one.cost);
       const wait = (higher + own + others) / this.places;
       if (this.isUnreachable(one, wait)) this.found.push(one);
       else own += one.cost;
     }
   }
 
-  private isUnreachable(waiting: Waiting, wait: Milliseconds): boolean {
+  private isUnreachable(waiting: QueuedRequest, wait: Milliseconds): boolean {
     const predicted = this.isBlocked ? wait * (1 - PREDICTION_TOLERANCE) : 0;
-    return isLateAfter(this.state, waiting, predicted, this.now);
+    return missesDeadlineAfter(this.state, waiting, predicted, this.now);
   }
 }
 
 /** True if the deadline is missed when the request is sent after so long. */
-export function isLateAfter(
+export function missesDeadlineAfter(
   state: EntryState,
-  { accepted, endsAt }: Waiting,
+  { accepted, expiresAt: endsAt }: QueuedRequest,
   wait: Milliseconds,
   now: MonotonicMilliseconds,
 ): boolean {
-  return now + wait + usualDelay(state, accepted) > endsAt;
+  return now + wait + expectedFirstTokenDelay(state, accepted) > endsAt;
 }
 
 /** Ends a request that has left the queue because it would be late. */
 export function giveUp(
   state: EntryState,
-  { accepted, cost }: Waiting,
+  { accepted, cost }: QueuedRequest,
   now: MonotonicMilliseconds,
 ): EntryEffect[] {
   const { pool, request } = accepted;
-  const interval = cost / countPlaces(state, pool.name);
+  const interval = cost / estimateSlots(state, pool.name);
   const key = `queue/${pool.name}/${request.workspace}`;
-  const retryAfterMilliseconds = promiseRetry(state, key, interval, interval, now);
+  const retryAfterMilliseconds = assignRetryAfter(state, key, interval, interval, now);
   const ran = accepted.attemptsStarted === 0 ? 'no' : 'unknown';
   const detail = 'The deadline can no longer be met';
   const problem = { ran, retryAfterMilliseconds } as const;
@@ -95,24 +95,28 @@
 }
 
 /** Serves a request late that cannot be in time any more, or else gives it up. */
-export function leaveBehind(
+export function serveLateOrFail(
   state: EntryState,
   queue: PoolQueue,
-  waiting: Waiting,
+  waiting: QueuedRequest,
   now: MonotonicMilliseconds,
 ): EntryEffect[] {
-  if (isWorthServingLate(state, waiting.accepted, now)) return moveBehind(state, waiting);
+  if (canServeLate(state, waiting.accepted, now)) return requeueAsLate(state, waiting);
   queue.remove(waiting);
   return giveUp(state, waiting, now);
 }
 
-export function dropUnreachable(state: EntryState, now: MonotonicMilliseconds): EntryEffect[] {
+export function failUnreachableDeadlines(
+  state: EntryState,
+  now: MonotonicMilliseconds,
+): EntryEffect[] {
   const effects: EntryEffect[] = [];
   for (const [pool, queue] of state.admission.queues) {
     if (queue.size === 0) continue;
     const search = new UnreachableSearch(state, pool, now);
     search.walk(queue);
-    for (const waiting of search.found) effects.push(...leaveBehind(state, queue, waiting, now));
+    for (const waiting of search.found)
+      effects.push(...serveLateOrFail(state, queue, waiting, now));
   }
   return effects;
 }
--- a/packages/entry-core/src/admission/interruptedStreams.test.ts
+++ b/packages/entry-core/src/admission/interruptedStreams.test.ts
@@ -6,9 +6,9 @@
 import { makeRequest, World } from '../driver/index.js';
 import { nextTokenDueAt } from '../backendServers/chooseBackendServer.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { isLateAfter } from './dropUnreachable.js';
+import { missesDeadlineAfter } from './failUnreachableDeadlines.js';
 import { FairQueue } from './FairQueue.js';
-import { makeWaiting } from './predictWait.js';
+import { makeQueuedRequest } from './predictWait.js';
 
 const FIRST_TOKEN_MILLISECONDS = 5000;
 const WHOLE_ANSWER_MILLISECONDS = 25_000;
@@ -29,8 +29,8 @@
     arrivedAt: 0,
     firstTokenDueAt: FIRST_TOKEN_MILLISECONDS,
     wholeAnswerDueAt: WHOLE_ANSWER_MILLISECONDS,
-    lateUntil: FIRST_TOKEN_MILLISECONDS,
-    longestPause: 500,
+    lateFirstTokenDueAt: FIRST_TOKEN_MILLISECONDS,
+    maxPause: 500,
     attemptId: undefined,
     attemptsStarted: 0,
     triedInstances: new Set(),
@@ -53,8 +53,8 @@
   const world = makeWorld();
   const { state } = world.entry;
   const queue = new FairQueue();
-  queue.add(makeWaiting(state, accepted(world, 'new', {})));
-  queue.add(makeWaiting(state, accepted(world, 'stream', begun)));
+  queue.add(makeQueuedRequest(state, accepted(world, 'new', {})));
+  queue.add(makeQueuedRequest(state, accepted(world, 'stream', begun)));
   assert.equal(queue.peek()?.accepted.request.requestId, 'stream');
 });
 
@@ -64,11 +64,11 @@
   const { state } = world.entry;
   const stream = accepted(world, 'stream', begun);
   assert.equal(nextTokenDueAt(stream), 3500);
-  assert.equal(isLateAfter(state, makeWaiting(state, stream), 0, 6000), false);
+  assert.equal(missesDeadlineAfter(state, makeQueuedRequest(state, stream), 0, 6000), false);
   assert.equal(
-    isLateAfter(state, makeWaiting(state, stream), 0, WHOLE_ANSWER_MILLISECONDS + 1),
+    missesDeadlineAfter(state, makeQueuedRequest(state, stream), 0, WHOLE_ANSWER_MILLISECONDS + 1),
     true,
   );
   const fresh = accepted(world, 'new', {});
-  assert.equal(isLateAfter(state, makeWaiting(state, fresh), 0, 6000), true);
+  assert.equal(missesDeadlineAfter(state, makeQueuedRequest(state, fresh), 0, 6000), true);
 });
--- a/packages/entry-core/src/admission/orderForServer.ts
+++ b/packages/entry-core/src/admission/orderQueueForServer.ts
@@ -9,8 +9,8 @@
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
 import { poolBalanceOf } from '../backendServers/poolBalanceOf.js';
 import type { EntryState } from '../EntryState.js';
-import { isLateAfter } from './dropUnreachable.js';
-import type { Waiting } from './FairQueue.js';
+import { missesDeadlineAfter } from './failUnreachableDeadlines.js';
+import type { QueuedRequest } from './FairQueue.js';
 import type { PoolQueue } from './PoolQueue.js';
 
 /** How many of each workspace are looked at, and of all. */
@@ -20,24 +20,24 @@
 /** The first request may be passed while so much of its patience is left. */
 const PATIENCE_SHARE = 0.3;
 
-function canWait(state: EntryState, first: Waiting, now: MonotonicMilliseconds): boolean {
+function canWait(state: EntryState, first: QueuedRequest, now: MonotonicMilliseconds): boolean {
   const patience = first.dueAt - first.accepted.arrivedAt;
-  return !isLateAfter(state, first, patience * PATIENCE_SHARE, now);
+  return !missesDeadlineAfter(state, first, patience * PATIENCE_SHARE, now);
 }
 
-export function orderForServer(
+export function orderQueueForServer(
   state: EntryState,
   queue: PoolQueue,
   freed: BackendServerState | undefined,
   now: MonotonicMilliseconds,
-): readonly Waiting[] {
-  const waiting = [...queue.peekFew(MOST_OF_EACH)].sort((a, b) => a.dueAt - b.dueAt);
+): readonly QueuedRequest[] {
+  const waiting = [...queue.peekPerWorkspace(MOST_OF_EACH)].sort((a, b) => a.dueAt - b.dueAt);
   const [first] = waiting;
   if (first === undefined || freed === undefined || !canWait(state, first, now)) {
     return waiting.slice(0, MOST_TRIED);
   }
   const { beliefs } = poolBalanceOf(state, first.accepted.pool.name);
-  const known = ({ accepted }: Waiting) =>
+  const known = ({ accepted }: QueuedRequest) =>
     beliefs.shareAt(freed, accepted.request, now) >= LEAST_SHARE;
   const [fit, rest] = [waiting.filter(known), waiting.filter((one) => !known(one))];
   return [...fit, ...rest].slice(0, MOST_TRIED);
--- a/packages/entry-core/src/admission/placeRequest.ts
+++ b/packages/entry-core/src/admission/placeRequest.ts
@@ -13,14 +13,14 @@
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
 import { poolQueueOf } from './AdmissionState.js';
-import { isWorthHolding } from './isWorthHolding.js';
-import { levelNumber } from './PoolQueue.js';
-import { makeWaiting, predictWait, usualDelay } from './predictWait.js';
+import { shouldWaitForCache } from './shouldWaitForCache.js';
+import { levelIndexOf } from './PoolQueue.js';
+import { makeQueuedRequest, predictWait, expectedFirstTokenDelay } from './predictWait.js';
 
 export type Placement =
   | { readonly type: 'start'; readonly server: BackendServerState }
   /** `room`: a server that could take the request now, were it not for those that wait already. */
-  | { readonly type: 'wait'; readonly room: BackendServerState | undefined }
+  | { readonly type: 'wait'; readonly availableServer: BackendServerState | undefined }
   | { readonly type: 'none' };
 
 /** Other data centres are used when the wait at home would take so much of the patience left. */
@@ -28,17 +28,17 @@
 
 function isQueueAhead(state: EntryState, accepted: RequestState): boolean {
   const { levels } = poolQueueOf(state, accepted.pool.name);
-  return levels.slice(0, levelNumber({ accepted }) + 1).some((level) => !level.isEmpty);
+  return levels.slice(0, levelIndexOf({ accepted }) + 1).some((level) => !level.isEmpty);
 }
 
 /** True if the wait at home endangers the deadline, so that other data centres are worth it. */
-export function isLateAtHome(
+export function isLocalWaitTooLong(
   state: EntryState,
   accepted: RequestState,
   now: MonotonicMilliseconds,
 ): boolean {
-  const wait = predictWait(state, makeWaiting(state, accepted));
-  const patience = nextTokenDueAt(accepted) - now - usualDelay(state, accepted);
+  const wait = predictWait(state, makeQueuedRequest(state, accepted));
+  const patience = nextTokenDueAt(accepted) - now - expectedFirstTokenDelay(state, accepted);
   return wait > patience * HOME_PATIENCE_SHARE;
 }
 
@@ -50,13 +50,13 @@
   if (!hasUntried(state, accepted)) return { type: 'none' };
   const local = chooseBackendServer(state, accepted);
   if (local !== undefined) {
-    const waits = isQueueAhead(state, accepted) || isWorthHolding(state, accepted, local, now);
-    return waits ? { type: 'wait', room: local } : { type: 'start', server: local };
+    const waits = isQueueAhead(state, accepted) || shouldWaitForCache(state, accepted, local, now);
+    return waits ? { type: 'wait', availableServer: local } : { type: 'start', server: local };
   }
-  const remote = isLateAtHome(state, accepted, now)
+  const remote = isLocalWaitTooLong(state, accepted, now)
     ? chooseBackendServer(state, accepted, { where: 'remote' })
     : undefined;
   return remote === undefined
-    ? { type: 'wait', room: undefined }
+    ? { type: 'wait', availableServer: undefined }
     : { type: 'start', server: remote };
 }
--- a/packages/entry-core/src/admission/predictWait.ts
+++ b/packages/entry-core/src/admission/predictWait.ts
@@ -11,35 +11,38 @@
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
 import { poolQueueOf } from './AdmissionState.js';
-import type { Waiting } from './FairQueue.js';
+import type { QueuedRequest } from './FairQueue.js';
 
 /** Places of backend servers that serve this entry while requests wait. */
-export function countPlaces(state: EntryState, pool: string): number {
+export function estimateSlots(state: EntryState, pool: string): number {
   const { local, remote, peak } = poolBalanceOf(state, pool);
   // Attempts at servers that are lost but not yet known to be are no places any more.
   const most = (local.limitSum + remote.limitSum) / state.limits.ledger.entries;
   return Math.max(1, Math.min(peak.value(state.clocks.now), most));
 }
 
-export function makeWaiting(state: EntryState, accepted: RequestState): Waiting {
+export function makeQueuedRequest(state: EntryState, accepted: RequestState): QueuedRequest {
   const cost = poolBalanceOf(state, accepted.pool.name).serviceTime(accepted.route.name);
   const dueAt = nextTokenDueAt(accepted);
   const endsAt = accepted.firstTokenAt === undefined ? dueAt : accepted.wholeAnswerDueAt;
-  return { accepted, dueAt, endsAt, cost };
+  return { accepted, dueAt, expiresAt: endsAt, cost };
 }
 
 /** Wait in the queue until a backend server can be given the request. */
-export function predictWait(state: EntryState, waiting: Waiting): Milliseconds {
+export function predictWait(state: EntryState, waiting: QueuedRequest): Milliseconds {
   const pool = waiting.accepted.pool.name;
   const ahead = poolQueueOf(state, pool).workAhead(waiting);
-  return (ahead + waiting.cost) / countPlaces(state, pool);
+  return (ahead + waiting.cost) / estimateSlots(state, pool);
 }
 
 /**
  * Time from being sent to the first token when no other prompt is in front, where most of the prompt
  * is cached. Until that is known none is counted on, or the first callers would be given up by guess.
  */
-export function usualDelay(state: EntryState, { pool, request }: RequestState): Milliseconds {
+export function expectedFirstTokenDelay(
+  state: EntryState,
+  { pool, request }: RequestState,
+): Milliseconds {
   const { now } = state.clocks;
   const { beliefs, firstToken } = poolBalanceOf(state, pool.name);
   if (!firstToken.isTrusted(now)) return 0;
--- a/packages/entry-core/src/admission/reduceAdmission.ts
+++ b/packages/entry-core/src/admission/reduceAdmission.ts
@@ -8,17 +8,17 @@
 import type { EntryState } from '../EntryState.js';
 import { releaseEnded, requestIdOf } from '../limits/releaseEnded.js';
 import { drainQueues } from './drainQueues.js';
-import { dropUnreachable } from './dropUnreachable.js';
+import { failUnreachableDeadlines } from './failUnreachableDeadlines.js';
 import { leaveQueue } from './leaveQueue.js';
-import { forgetKeptPromises } from './retryAfter.js';
+import { expireRetryTimes } from './assignRetryAfter.js';
 
 /** What an event is about, to be found before the event is handled. */
-export interface Concerned {
+export interface AffectedIds {
   readonly requestId: string | undefined;
   readonly instance: string | undefined;
 }
 
-export function findConcerned(state: EntryState, event: EntryEvent): Concerned {
+export function findAffectedIds(state: EntryState, event: EntryEvent): AffectedIds {
   const requestId = requestIdOf(state, event);
   const attemptId =
     'attemptId' in event ? event.attemptId : state.requests.get(requestId ?? '')?.attemptId;
@@ -26,15 +26,15 @@
 }
 
 function passTime(state: EntryState, now: number): EntryEffect[] {
-  for (const pool of state.poolBalances.values()) endEjections(pool, now);
-  forgetKeptPromises(state, now);
-  return dropUnreachable(state, now);
+  for (const pool of state.poolStates.values()) endEjections(pool, now);
+  expireRetryTimes(state, now);
+  return failUnreachableDeadlines(state, now);
 }
 
 export function reduceAdmission(
   state: EntryState,
   event: EntryEvent,
-  { requestId, instance }: Concerned,
+  { requestId, instance }: AffectedIds,
 ): EntryEffect[] {
   releaseEnded(state, event, requestId);
   leaveQueue(state, requestId);
--- a/packages/entry-core/src/admission/serveLate.ts
+++ b/packages/entry-core/src/admission/serveLate.ts
@@ -9,8 +9,8 @@
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
 import { poolQueueOf } from './AdmissionState.js';
-import type { Waiting } from './FairQueue.js';
-import { makeWaiting, predictWait, usualDelay } from './predictWait.js';
+import type { QueuedRequest } from './FairQueue.js';
+import { makeQueuedRequest, predictWait, expectedFirstTokenDelay } from './predictWait.js';
 
 /** Late requests that may wait at this entry, for each backend server of the pool. */
 const MOST_LATE_FOR_EACH = 4;
@@ -19,15 +19,15 @@
 const WAIT_SHARE = 0.5;
 
 /** True if a request that will be late can still be of use. */
-export function isWorthServingLate(
+export function canServeLate(
   state: EntryState,
   accepted: RequestState,
   now: MonotonicMilliseconds,
 ): boolean {
   if (accepted.isLate === true || accepted.firstTokenAt !== undefined) return false;
-  const { pool, lateUntil } = accepted;
-  const left = lateUntil - now - usualDelay(state, accepted);
-  const waiting = makeWaiting(state, { ...accepted, isLate: true });
+  const { pool, lateFirstTokenDueAt: lateUntil } = accepted;
+  const left = lateUntil - now - expectedFirstTokenDelay(state, accepted);
+  const waiting = makeQueuedRequest(state, { ...accepted, isLate: true });
   if (predictWait(state, waiting) > left * WAIT_SHARE) return false;
   const { local, remote } = poolBalanceOf(state, pool.name);
   const servers = local.candidates.length + remote.candidates.length;
@@ -35,7 +35,7 @@
 }
 
 /** Puts a request behind all that can be in time. */
-export function makeLate(accepted: RequestState): EntryEffect[] {
+export function markLate(accepted: RequestState): EntryEffect[] {
   accepted.isLate = true;
   const { request, route } = accepted;
   const { requestId, workspace } = request;
@@ -45,11 +45,11 @@
 }
 
 /** The same for one that waits already. */
-export function moveBehind(state: EntryState, waiting: Waiting): EntryEffect[] {
+export function requeueAsLate(state: EntryState, waiting: QueuedRequest): EntryEffect[] {
   const { accepted } = waiting;
   const queue = poolQueueOf(state, accepted.pool.name);
   queue.remove(waiting);
-  const effects = makeLate(accepted);
-  queue.add(makeWaiting(state, accepted));
+  const effects = markLate(accepted);
+  queue.add(makeQueuedRequest(state, accepted));
   return effects;
 }
--- a/packages/entry-core/src/admission/isWorthHolding.ts
+++ b/packages/entry-core/src/admission/shouldWaitForCache.ts
@@ -20,7 +20,7 @@
 /** Share of the patience that may be spent on waiting for a server with the prefix. */
 const HOLD_SHARE = 0.3;
 
-export function isWorthHolding(
+export function shouldWaitForCache(
   state: EntryState,
   accepted: RequestState,
   server: BackendServerState,
--- a/packages/entry-core/src/advanceEntry.ts
+++ b/packages/entry-core/src/advanceEntry.ts
@@ -2,10 +2,10 @@
  * Looks at everything that waits for time to pass. Deadlines go first, so that nothing is started
  * for a request that is out of time; what was lost is judged before work is placed anew.
  */
-import { advanceUnconfigured } from './admission/awaitConfiguration.js';
+import { expireAwaitingConfiguration } from './admission/awaitConfiguration.js';
 import { advanceRetries } from './attempts/advanceRetries.js';
 import type { EntryEffect } from './entryEffects.js';
-import type { Timed } from './entryEvents.js';
+import type { Timestamps } from './entryEvents.js';
 import type { EntryState } from './EntryState.js';
 import { advanceWork } from './backendServers/shareWork.js';
 import { markSilentPeers } from './membership/livePeers.js';
@@ -18,13 +18,13 @@
 import { enforceDeadlines } from './requests/enforceDeadlines.js';
 import { advanceShutdown } from './shutdown/advanceShutdown.js';
 
-export function advanceEntry(state: EntryState, timed: Timed): EntryEffect[] {
+export function advanceEntry(state: EntryState, timed: Timestamps): EntryEffect[] {
   state.membership.wallOffset = timed.wallNow - timed.now;
   markSilentPeers(state, timed.now);
   advanceSuspects(state, timed.now);
   return [
     ...enforceDeadlines(state, timed.now),
-    ...advanceUnconfigured(state, timed.now),
+    ...expireAwaitingConfiguration(state, timed.now),
     ...advanceLosses(state, timed),
     ...probeStalled(state, timed.now),
     ...advanceMoves(state, timed),
--- a/packages/entry-core/src/attempts/chooseForAttempt.ts
+++ b/packages/entry-core/src/attempts/chooseForAttempt.ts
@@ -59,6 +59,6 @@
 ): boolean {
   if (hasRuledOut(state, accepted, now)) return true;
   if (accepted.attemptsStarted === 0) return false;
-  accepted.waitsSince ??= now;
-  return hasAny(state, accepted) || now - accepted.waitsSince < MOST_WAIT_MILLISECONDS;
+  accepted.waitingForServerSince ??= now;
+  return hasAny(state, accepted) || now - accepted.waitingForServerSince < MOST_WAIT_MILLISECONDS;
 }
--- a/packages/entry-core/src/attempts/failAttempt.ts
+++ b/packages/entry-core/src/attempts/failAttempt.ts
@@ -7,7 +7,7 @@
 import type { EntryState } from '../EntryState.js';
 import { noteLoss } from '../quarantine/noteLoss.js';
 import { failRequest } from '../requests/endRequest.js';
-import { ranOf } from '../requests/ranOf.js';
+import { determineRan } from '../requests/determineRan.js';
 import type { RequestState } from '../requests/RequestState.js';
 import type { AttemptState } from './AttemptState.js';
 import { forgetAttempt, forgetMove } from './releaseAttempts.js';
@@ -45,8 +45,8 @@
 function isFreeRecovery(accepted: RequestState, { failure, tokens }: AttemptFailed): boolean {
   if (failure !== 'connectionLost' && failure !== 'silent') return false;
   if (failure === 'silent' && tokens === 0) return false;
-  accepted.losses = (accepted.losses ?? 0) + 1;
-  return accepted.losses <= MOST_FREE_RECOVERIES;
+  accepted.lossCount = (accepted.lossCount ?? 0) + 1;
+  return accepted.lossCount <= MOST_FREE_RECOVERIES;
 }
 
 /**
@@ -63,7 +63,7 @@
   if (!accepted.route.idempotent) return;
   attempt.givenUp = true;
   state.attempts.set(attempt.attemptId, attempt);
-  (accepted.givenUpAttemptIds ??= []).push(attempt.attemptId);
+  (accepted.abandonedAttemptIds ??= []).push(attempt.attemptId);
 }
 
 function unbind(accepted: RequestState, attempt: AttemptState, event: AttemptFailed): void {
@@ -92,7 +92,9 @@
 ): EntryEffect[] {
   if (event.failure === 'clientError') {
     const detail = 'The backend server refused the request';
-    return failRequest(state, accepted, 'backendServerFailed', detail, { ran: ranOf(accepted) });
+    return failRequest(state, accepted, 'backendServerFailed', detail, {
+      ran: determineRan(accepted),
+    });
   }
   if (event.answerStarted) return refuseCutAnswer(state, accepted);
   keepGivenUp(state, accepted, attempt, event);
--- a/packages/entry-core/src/attempts/interleavings.test.ts
+++ b/packages/entry-core/src/attempts/interleavings.test.ts
@@ -39,7 +39,7 @@
   switch (kind) {
     case 'arrive':
     case 'bad':
-      world.entry.arrive(makeRequest(`request-${number}`, { mostTokens: tokens, digest }));
+      world.entry.arrive(makeRequest(`request-${number}`, { maxTokens: tokens, digest }));
       return;
     case 'die':
       engine.die();
--- a/packages/entry-core/src/attempts/launchAttempt.ts
+++ b/packages/entry-core/src/attempts/launchAttempt.ts
@@ -71,7 +71,7 @@
   const attemptId = attemptIdOf(requestId, accepted.attemptsStarted);
   const resumeFromTokens = state.retries.policy.resume ? accepted.tokens : 0;
   accepted.attemptId = attemptId;
-  accepted.waitsSince = undefined;
+  accepted.waitingForServerSince = undefined;
   // Peers must know where a suspect runs before they place their own.
   if (isSuspect(state, accepted.request.digest)) reportSoon(state);
   // Kept in the order of trying, so that the last one tried is known.
@@ -104,7 +104,7 @@
       priority: accepted.isLate === true ? LEAST_URGENT : accepted.route.priority,
       sendOnce: !accepted.route.idempotent,
       firstByteTimeout: firstByteTimeout(accepted, now),
-      silenceTimeout: SILENCE_TIMEOUT_MILLISECONDS,
+      streamIdleTimeout: SILENCE_TIMEOUT_MILLISECONDS,
     },
     {
       type: 'log',
--- a/packages/entry-core/src/attempts/loss.test.ts
+++ b/packages/entry-core/src/attempts/loss.test.ts
@@ -80,7 +80,7 @@
 test('a late whole answer that comes first is used', () => {
   const world = new World({ engines });
   const { entry } = world;
-  const caller = entry.arrive(makeRequest('one', { mostTokens: 0 }));
+  const caller = entry.arrive(makeRequest('one', { maxTokens: 0 }));
   entry.send({ type: 'attemptSent', attemptId: 'one.1' });
   const failed = { type: 'attemptFailed', attemptId: 'one.1', failure: 'silent' } as const;
   entry.send({ ...failed, sent: 'maybe', tokens: 0, answerStarted: false });
--- a/packages/entry-core/src/attempts/opaqueCalls.test.ts
+++ b/packages/entry-core/src/attempts/opaqueCalls.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Allowance } from '@hornbeampond/schema';
-import type { AttemptFailure, CallerRequest, EntryOccurrence } from '../entryEvents.js';
+import type { AttemptFailure, CallerRequest, EntryEventPayload } from '../entryEvents.js';
 import type { EntryEffect } from '../entryEffects.js';
 import { makeEntryState } from '../EntryState.js';
 import { reduceEntry } from '../reduceEntry.js';
@@ -22,11 +22,11 @@
     instance: 'entry-1',
     dataCentre: 'dc-a',
     incarnation,
-    queuedRequests: 100,
+    maxQueuedRequests: 100,
     usageWindow: 5000,
   });
   let now = 1000;
-  const send = (event: EntryOccurrence): EntryEffect[] =>
+  const send = (event: EntryEventPayload): EntryEffect[] =>
     reduceEntry(state, { ...event, now, wallNow: 1_000_000 + now }).filter(
       ({ type }) => !['log', 'count', 'setGauge', 'observe', 'reportToEntries'].includes(type),
     );
@@ -169,7 +169,7 @@
   const rates = [...entry.state.demand.read(2000).values()];
   assert.ok(refused.length >= 30, `${refused.length}`);
   assert.ok(
-    rates.every(({ steady }) => steady * 10 <= 40 - refused.length),
+    rates.every(({ requestsPerSecond: steady }) => steady * 10 <= 40 - refused.length),
     `${rates}`,
   );
 });
--- a/packages/entry-core/src/attempts/plainService.test.ts
+++ b/packages/entry-core/src/attempts/plainService.test.ts
@@ -7,7 +7,12 @@
 }
 
 function makeCall(path: string, mostTokens: number) {
-  return makeRequest('one', { path, promptTokens: 0, mostTokens, idempotencyKey: 'seat-12' });
+  return makeRequest('one', {
+    path,
+    promptTokens: 0,
+    maxTokens: mostTokens,
+    idempotencyKey: 'seat-12',
+  });
 }
 
 function timesReceived(world: World): number {
--- a/packages/entry-core/src/attempts/reduceAttempts.ts
+++ b/packages/entry-core/src/attempts/reduceAttempts.ts
@@ -41,7 +41,7 @@
   attempt: AttemptState,
   { now, wallNow }: EntryEvent,
 ): EntryEffect[] {
-  if (attempt.firstTokenAt === undefined) state.usage.note(accepted.request.workspace, wallNow);
+  if (attempt.firstTokenAt === undefined) state.usage.record(accepted.request.workspace, wallNow);
   attempt.firstTokenAt ??= now;
   if (accepted.firstTokenAt !== undefined) return [];
   accepted.firstTokenAt = now;
--- a/packages/entry-core/src/attempts/releaseAttempts.ts
+++ b/packages/entry-core/src/attempts/releaseAttempts.ts
@@ -50,7 +50,7 @@
   state.retries.waiting.delete(requestId);
   forgetMove(state, requestId);
   const effects = isClaimed(accepted.route) ? [] : cancelAttempt(state, accepted);
-  accepted.givenUpAttemptIds?.forEach((attemptId) => {
+  accepted.abandonedAttemptIds?.forEach((attemptId) => {
     if (state.attempts.delete(attemptId)) effects.push({ type: 'cancelAttempt', attemptId });
   });
   return effects;
--- a/packages/entry-core/src/attempts/retryRequest.ts
+++ b/packages/entry-core/src/attempts/retryRequest.ts
@@ -14,7 +14,7 @@
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
 import { failRequest } from '../requests/endRequest.js';
-import { ranOf } from '../requests/ranOf.js';
+import { determineRan } from '../requests/determineRan.js';
 import type { RequestState } from '../requests/RequestState.js';
 import { drawBackOff } from './backOff.js';
 import { spendRetry } from './retryBudget.js';
@@ -46,7 +46,7 @@
   return [
     { type: 'count', metric: 'retriesRefused', label: reason },
     ...failRequest(state, accepted, kind, detail, {
-      ran: ranOf(accepted),
+      ran: determineRan(accepted),
       retryAfterMilliseconds: REFUSED_RETRY_AFTER_MILLISECONDS,
     }),
   ];
--- a/packages/entry-core/src/attempts/startAttempt.ts
+++ b/packages/entry-core/src/attempts/startAttempt.ts
@@ -10,7 +10,7 @@
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
 import { isHeld } from '../quarantine/suspects.js';
 import { failRequest } from '../requests/endRequest.js';
-import { ranOf } from '../requests/ranOf.js';
+import { determineRan } from '../requests/determineRan.js';
 import type { RequestState } from '../requests/RequestState.js';
 import { chooseForAttempt, isWorthWaiting } from './chooseForAttempt.js';
 import { launchAttempt } from './launchAttempt.js';
@@ -32,7 +32,7 @@
   return [
     ...(accepted.attemptsStarted === 0 ? [] : countRefusal('quarantined')),
     ...failRequest(state, accepted, 'quarantined', detail, {
-      ran: ranOf(accepted),
+      ran: determineRan(accepted),
       retryAfterMilliseconds: quarantined.endsAt - now,
     }),
   ];
@@ -47,7 +47,7 @@
   return [
     ...(accepted.attemptsStarted === 0 ? [] : countRefusal('noOtherBackendServer')),
     ...failRequest(state, accepted, 'noBackendServer', detail, {
-      ran: ranOf(accepted),
+      ran: determineRan(accepted),
       retryAfterMilliseconds: NO_SERVER_RETRY_AFTER_MILLISECONDS,
     }),
   ];
--- a/packages/entry-core/src/backendServers/backendServers.test.ts
+++ b/packages/entry-core/src/backendServers/backendServers.test.ts
@@ -41,7 +41,7 @@
 }
 
 function poolOf(harness: EntryHarness): PoolBalance {
-  const pool = harness.entries[0]?.poolBalances.get('engines');
+  const pool = harness.entries[0]?.poolStates.get('engines');
   assert.ok(pool);
   return pool;
 }
--- a/packages/entry-core/src/backendServers/chooseBackendServer.ts
+++ b/packages/entry-core/src/backendServers/chooseBackendServer.ts
@@ -42,9 +42,9 @@
 
 /** When the request's next token is due. */
 export function nextTokenDueAt(accepted: RequestState): MonotonicMilliseconds {
-  const { firstTokenAt, interruptedAt, longestPause } = accepted;
+  const { firstTokenAt, interruptedAt, maxPause: longestPause } = accepted;
   if (firstTokenAt === undefined) {
-    return accepted.isLate === true ? accepted.lateUntil : accepted.firstTokenDueAt;
+    return accepted.isLate === true ? accepted.lateFirstTokenDueAt : accepted.firstTokenDueAt;
   }
   const paused = (interruptedAt ?? firstTokenAt) + longestPause;
   return Math.min(accepted.wholeAnswerDueAt, paused);
--- a/packages/entry-core/src/backendServers/indexCandidates.ts
+++ b/packages/entry-core/src/backendServers/indexCandidates.ts
@@ -10,7 +10,7 @@
 import { poolBalanceOf } from './poolBalanceOf.js';
 
 function emptyGroups(state: EntryState): void {
-  for (const pool of state.poolBalances.values()) {
+  for (const pool of state.poolStates.values()) {
     for (const group of pool.groups) group.clear();
   }
 }
@@ -30,7 +30,7 @@
     if (servers === undefined) serversByPool.set(pool, [server]);
     else servers.push(server);
   }
-  for (const pool of state.poolBalances.values()) {
+  for (const pool of state.poolStates.values()) {
     pool.homes.setServers(serversByPool.get(pool) ?? []);
     pool.groups.forEach(keepFloor);
   }
--- a/packages/entry-core/src/backendServers/observeAttempt.ts
+++ b/packages/entry-core/src/backendServers/observeAttempt.ts
@@ -147,7 +147,7 @@
 
 /** Lets go of attempts that ended without an edge of their own, as when they were cancelled. */
 export function forgetEnded(state: EntryState): void {
-  for (const pool of state.poolBalances.values()) {
+  for (const pool of state.poolStates.values()) {
     for (const attemptId of pool.attemptIds) {
       if (!state.attempts.has(attemptId)) pool.attemptIds.delete(attemptId);
     }
--- a/packages/entry-core/src/backendServers/poolBalanceOf.ts
+++ b/packages/entry-core/src/backendServers/poolBalanceOf.ts
@@ -3,9 +3,9 @@
 import { PoolBalance } from './PoolBalance.js';
 
 export function poolBalanceOf(state: EntryState, pool: string): PoolBalance {
-  const known = state.poolBalances.get(pool);
+  const known = state.poolStates.get(pool);
   if (known !== undefined) return known;
   const made = new PoolBalance();
-  state.poolBalances.set(pool, made);
+  state.poolStates.set(pool, made);
   return made;
 }
--- a/packages/entry-core/src/claims/beginClaim.ts
+++ b/packages/entry-core/src/claims/beginClaim.ts
@@ -5,7 +5,7 @@
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
-import type { Timed } from '../entryEvents.js';
+import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import { failRequest } from '../requests/endRequest.js';
 import type { RequestState } from '../requests/RequestState.js';
@@ -29,7 +29,11 @@
   return waiting.length >= MOST_WAITING_RELEASES;
 }
 
-export function beginClaim(state: EntryState, accepted: RequestState, timed: Timed): EntryEffect[] {
+export function beginClaim(
+  state: EntryState,
+  accepted: RequestState,
+  timed: Timestamps,
+): EntryEffect[] {
   const { requestId, workspace, idempotencyKey, digest } = accepted.request;
   if (idempotencyKey === undefined) throw new TypeError(`${requestId} has no key to claim`);
   if (isLogSilent(state)) {
--- a/packages/entry-core/src/claims/carryOutClaim.ts
+++ b/packages/entry-core/src/claims/carryOutClaim.ts
@@ -7,7 +7,7 @@
 import { releaseAttempts } from '../attempts/releaseAttempts.js';
 import { startAttempt } from '../attempts/startAttempt.js';
 import type { EntryEffect } from '../entryEffects.js';
-import type { Timed } from '../entryEvents.js';
+import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import { failRequest } from '../requests/endRequest.js';
 import type { CallClaim } from './CallClaim.js';
@@ -29,7 +29,7 @@
   state: EntryState,
   claim: CallClaim,
   event: ClaimedCallEvent,
-  timed: Timed,
+  timed: Timestamps,
 ): EntryEffect[] {
   const effects = reduceClaimedCall(claim.call, event);
   claim.accepted.mayRunElsewhere = claim.call.heldElsewhere;
@@ -40,7 +40,7 @@
   state: EntryState,
   claim: CallClaim,
   effect: ClaimedCallEffect,
-  timed: Timed,
+  timed: Timestamps,
 ): EntryEffect[] {
   const { accepted } = claim;
   const { requestId } = accepted.request;
@@ -73,7 +73,7 @@
 }
 
 /** The claim is held: the call is sent, unless its caller has had its final answer meanwhile. */
-function sendCall(state: EntryState, claim: CallClaim, timed: Timed): EntryEffect[] {
+function sendCall(state: EntryState, claim: CallClaim, timed: Timestamps): EntryEffect[] {
   if (state.requests.has(claim.accepted.request.requestId)) {
     return startAttempt(state, claim.accepted, timed.now);
   }
--- a/packages/entry-core/src/demand/DemandMeter.test.ts
+++ b/packages/entry-core/src/demand/DemandMeter.test.ts
@@ -4,7 +4,7 @@
 
 test('the rate is that of the last ten whole seconds', () => {
   const meter = new DemandMeter();
-  for (let now = 0; now < 20_000; now += 100) meter.note('offers', now);
+  for (let now = 0; now < 20_000; now += 100) meter.record('offers', now);
   assert.deepEqual(meter.read(20_050).get('offers'), { steady: 10, recent: 10 });
   assert.deepEqual(meter.read(25_050).get('offers'), { steady: 5, recent: 0 });
 });
@@ -13,13 +13,13 @@
 // when half of the rush is over.
 test('the recent rate shows a rush within four seconds', () => {
   const meter = new DemandMeter();
-  for (let now = 0; now < 20_000; now += 100) meter.note('offers', now);
-  for (let now = 20_000; now < 24_000; now += 20) meter.note('offers', now);
+  for (let now = 0; now < 20_000; now += 100) meter.record('offers', now);
+  for (let now = 20_000; now < 24_000; now += 20) meter.record('offers', now);
   assert.deepEqual(meter.read(24_050).get('offers'), { steady: 26, recent: 50 });
 });
 
 test('a route that nobody uses any more is forgotten', () => {
   const meter = new DemandMeter();
-  meter.note('offers', 0);
+  meter.record('offers', 0);
   assert.equal(meter.read(60_000).size, 0);
 });
--- a/packages/entry-core/src/demand/DemandMeter.ts
+++ b/packages/entry-core/src/demand/DemandMeter.ts
@@ -14,8 +14,8 @@
 
 /** Requests a second on one route. */
 export interface DemandRate {
-  readonly steady: number;
-  readonly recent: number;
+  readonly requestsPerSecond: number;
+  readonly recentPerSecond: number;
 }
 
 interface RouteCount {
@@ -37,7 +37,7 @@
 export class DemandMeter {
   private readonly counts = new Map<string, RouteCount>();
 
-  note(route: string, now: MonotonicMilliseconds): void {
+  record(route: string, now: MonotonicMilliseconds): void {
     const count = this.advance(route, now);
     const slot = count.second % count.bySecond.length;
     count.bySecond[slot] = (count.bySecond[slot] ?? 0) + 1;
@@ -55,7 +55,7 @@
         return;
       }
       const recent = countBack(count, RECENT_SECONDS) / RECENT_SECONDS;
-      rates.set(route, { steady: arrived / WINDOW_SECONDS, recent });
+      rates.set(route, { requestsPerSecond: arrived / WINDOW_SECONDS, recentPerSecond: recent });
     });
     return rates;
   }
--- a/packages/entry-core/src/demand/UsageMeter.ts
+++ b/packages/entry-core/src/demand/UsageMeter.ts
@@ -15,7 +15,7 @@
   /** @param length - Length of a window; 0 counts nothing. */
   constructor(private readonly length: Milliseconds) {}
 
-  note(workspace: string, wallNow: EpochMilliseconds): void {
+  record(workspace: string, wallNow: EpochMilliseconds): void {
     if (this.length <= 0 || workspace === '') return;
     const number = Math.floor(wallNow / this.length);
     const counts = this.windows.get(number) ?? {};
--- a/packages/entry-core/src/demand/reportDemand.ts
+++ b/packages/entry-core/src/demand/buildDemandReports.ts
@@ -4,7 +4,10 @@
 import type { EntryState } from '../EntryState.js';
 import { routeIndexOf } from '../routing/routeIndexOf.js';
 
-export function reportDemand(state: EntryState, now: MonotonicMilliseconds): RouteDemandReport[] {
+export function buildDemandReports(
+  state: EntryState,
+  now: MonotonicMilliseconds,
+): RouteDemandReport[] {
   const poolByRoute = new Map(
     state.configuration.routes.rows.map((route) => [route.name, route.pool]),
   );
@@ -19,8 +22,8 @@
       {
         route,
         pool: pool.name,
-        requestsPerSecond: rate.steady,
-        recentPerSecond: rate.recent,
+        requestsPerSecond: rate.requestsPerSecond,
+        recentPerSecond: rate.recentPerSecond,
         serviceMilliseconds,
         promptMilliseconds,
       },
--- a/packages/entry-core/src/driver/EntryShell.ts
+++ b/packages/entry-core/src/driver/EntryShell.ts
@@ -4,7 +4,7 @@
  */
 import type { ReportCrashCommand } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
-import type { CallerRequest, EntryOccurrence, Timed } from '../entryEvents.js';
+import type { CallerRequest, EntryEventPayload, Timestamps } from '../entryEvents.js';
 import { makeEntryState, type EntryState } from '../EntryState.js';
 import { reduceEntry } from '../reduceEntry.js';
 import type { EngineListener } from './FakeEngine.js';
@@ -79,12 +79,12 @@
     dataCentre: string,
   ) {
     const incarnation = world.clock().wallNow;
-    this.state = makeEntryState({ instance, dataCentre, incarnation, queuedRequests: 1000 });
+    this.state = makeEntryState({ instance, dataCentre, incarnation, maxQueuedRequests: 1000 });
   }
 
-  send(occurrence: EntryOccurrence): void {
+  send(occurrence: EntryEventPayload): void {
     if (!this.alive) return;
-    const timed: Timed = this.world.clock();
+    const timed: Timestamps = this.world.clock();
     reduceEntry(this.state, { ...occurrence, ...timed }).forEach((effect) => this.perform(effect));
   }
 
@@ -189,7 +189,7 @@
       own: [],
       heardAt: this.world.clock().now,
       timeout: effect.firstByteTimeout,
-      silenceTimeout: effect.silenceTimeout,
+      silenceTimeout: effect.streamIdleTimeout,
       firstHeard: false,
       progressAt: 0,
       gaveUp: false,
--- a/packages/entry-core/src/driver/FakeEngine.ts
+++ b/packages/entry-core/src/driver/FakeEngine.ts
@@ -33,7 +33,7 @@
 /** When a request crashes the engine that runs it: at this token of its answer. */
 export type Poison = ReadonlyMap<string, number>;
 
-export function answerLength({ mostTokens, digest }: CallerRequest): number {
+export function answerLength({ maxTokens: mostTokens, digest }: CallerRequest): number {
   const early = digest.endsWith('early') ? 2 : 1;
   return Math.ceil(mostTokens / early);
 }
--- a/packages/entry-core/src/driver/World.ts
+++ b/packages/entry-core/src/driver/World.ts
@@ -8,7 +8,7 @@
   ReportCrashCommand,
   WorkReport,
 } from '@hornbeampond/schema';
-import type { CallerRequest, Timed } from '../entryEvents.js';
+import type { CallerRequest, Timestamps } from '../entryEvents.js';
 import { EntryShell, type Caller } from './EntryShell.js';
 import { FakeEngine, wholeAnswer, type EngineRates, type Poison } from './FakeEngine.js';
 import { makeConfiguration, standardRates } from './fixtures.js';
@@ -121,7 +121,7 @@
     return engine;
   }
 
-  clock(): Timed {
+  clock(): Timestamps {
     return { now: this.now, wallNow: this.startedAt + this.now };
   }
 
@@ -271,7 +271,7 @@
     digest: `digest-${name}`,
     prefixDigests: [],
     promptTokens: 400,
-    mostTokens: 200,
+    maxTokens: 200,
     ...fields,
   };
 }
--- a/packages/entry-core/src/driver/waves.ts
+++ b/packages/entry-core/src/driver/waves.ts
@@ -35,7 +35,7 @@
   return makeRequest(`request-${number}`, {
     digest: `digest-${number}-${early}`,
     promptTokens: uniformInt(random, 200, 3000),
-    mostTokens: uniformInt(random, 100, 800),
+    maxTokens: uniformInt(random, 100, 800),
   });
 }
 
--- a/packages/entry-core/src/entryEffects.ts
+++ b/packages/entry-core/src/entryEffects.ts
@@ -51,7 +51,7 @@
       /** The attempt fails as `silent` if nothing has come back for so long. */
       readonly firstByteTimeout: Milliseconds;
       /** The attempt fails as `silent` if the stream pauses for so long. */
-      readonly silenceTimeout: Milliseconds;
+      readonly streamIdleTimeout: Milliseconds;
     }
   /** Gives an attempt up; whatever still comes from it is dropped. */
   | { readonly type: 'cancelAttempt'; readonly attemptId: string }
--- a/packages/entry-core/src/entryEvents.ts
+++ b/packages/entry-core/src/entryEvents.ts
@@ -48,7 +48,7 @@
   /** Estimated tokens of the prompt; 0 for plain services. */
   readonly promptTokens: number;
   /** Most tokens the caller wants generated; 0 for plain services. */
-  readonly mostTokens: number;
+  readonly maxTokens: number;
 }
 
 /** Why an attempt at a backend server ended without a whole answer. */
@@ -72,12 +72,12 @@
   | { readonly type: 'unsure' };
 
 /** The clocks of this process at the event. */
-export interface Timed {
+export interface Timestamps {
   readonly now: MonotonicMilliseconds;
   readonly wallNow: EpochMilliseconds;
 }
 
-export type EntryOccurrence =
+export type EntryEventPayload =
   /** Sent often; everything that waits for time to pass is looked at. */
   | { readonly type: 'tick' }
   | { readonly type: 'configurationReceived'; readonly configuration: Configuration }
@@ -158,4 +158,4 @@
       readonly endAt?: MonotonicMilliseconds;
     };
 
-export type EntryEvent = EntryOccurrence & Timed;
+export type EntryEvent = EntryEventPayload & Timestamps;
--- a/packages/entry-core/src/index.ts
+++ b/packages/entry-core/src/index.ts
@@ -9,4 +9,4 @@
 export * from './routing/findRoute.js';
 export { fullRecoveryPolicy, type RecoveryPolicy } from './attempts/RetryState.js';
 export { livePeers } from './membership/livePeers.js';
-export * from './demand/reportDemand.js';
+export * from './demand/buildDemandReports.js';
--- a/packages/entry-core/src/membership/membership.test.ts
+++ b/packages/entry-core/src/membership/membership.test.ts
@@ -81,7 +81,7 @@
 // complete, with what it has so far and when to come back. The entry ends inside the limit.
 test('a stop at the limit hands callers a resumable end', () => {
   const world = new World({ engines: { 'wien-a': 2 } });
-  const caller = world.entry.arrive(makeRequest('long', { mostTokens: 2000 }));
+  const caller = world.entry.arrive(makeRequest('long', { maxTokens: 2000 }));
   world.advance(500);
   const { now } = world.clock();
   world.entry.send({ type: 'shutdownStarted', acceptUntil: now + 1000, endAt: now + 5000 });
--- a/packages/entry-core/src/membership/receiveReport.ts
+++ b/packages/entry-core/src/membership/receiveReport.ts
@@ -4,7 +4,7 @@
  */
 import type { EntryReport } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
-import type { Timed } from '../entryEvents.js';
+import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import { receiveQuarantine } from '../quarantine/quarantineDigest.js';
 import { noticeReclaim } from '../reclaims/noticeReclaim.js';
@@ -17,7 +17,11 @@
   );
 }
 
-export function receiveReport(state: EntryState, report: EntryReport, timed: Timed): EntryEffect[] {
+export function receiveReport(
+  state: EntryState,
+  report: EntryReport,
+  timed: Timestamps,
+): EntryEffect[] {
   if (report.instance === state.identity.instance) return [];
   const known = state.membership.peers.get(report.instance);
   if (!isNewer(report, known?.report)) return [];
--- a/packages/entry-core/src/membership/reportToEntries.ts
+++ b/packages/entry-core/src/membership/reportToEntries.ts
@@ -4,8 +4,8 @@
  */
 import type { EntryReport, LearntDelay, PeerSuspect } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
-import type { Timed } from '../entryEvents.js';
-import { reportDemand } from '../demand/reportDemand.js';
+import type { Timestamps } from '../entryEvents.js';
+import { buildDemandReports } from '../demand/buildDemandReports.js';
 import type { EntryState } from '../EntryState.js';
 import type { Suspect } from '../quarantine/QuarantineState.js';
 
@@ -61,7 +61,7 @@
 
 function describeDelays(state: EntryState): Record<string, LearntDelay> {
   const delays: Record<string, LearntDelay> = {};
-  state.poolBalances.forEach(({ firstToken }, pool) => {
+  state.poolStates.forEach(({ firstToken }, pool) => {
     const delay = firstToken.describe();
     if (delay !== undefined) delays[pool] = delay;
   });
@@ -82,7 +82,7 @@
     entries: state.limits.allowances.entries,
     delays: describeDelays(state),
     begun: state.usage.read(),
-    demand: reportDemand(state, state.clocks.now),
+    demand: buildDemandReports(state, state.clocks.now),
   };
 }
 
@@ -109,7 +109,7 @@
   state.membership.reportDueAt = 0;
 }
 
-export function advanceReports(state: EntryState, { now }: Timed): EntryEffect[] {
+export function advanceReports(state: EntryState, { now }: Timestamps): EntryEffect[] {
   if (state.membership.reportDueAt > now) return [];
   state.membership.reportDueAt = now + REPORT_MILLISECONDS;
   return [{ type: 'reportToEntries', report: makeReport(state) }];
--- a/packages/entry-core/src/membership/takeRemembered.ts
+++ b/packages/entry-core/src/membership/takeRemembered.ts
@@ -2,13 +2,13 @@
 import type { MonotonicMilliseconds, RememberedEntries } from '@hornbeampond/schema';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
 import { poolBalanceOf } from '../backendServers/poolBalanceOf.js';
-import type { Timed } from '../entryEvents.js';
+import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 
 export function takeRemembered(
   state: EntryState,
   { spending, delays, computed }: RememberedEntries,
-  { now, wallNow }: Timed,
+  { now, wallNow }: Timestamps,
 ): void {
   if (spending !== undefined) {
     state.limits.allowances.remember(spending, state.identity.instance, now, wallNow);
@@ -17,7 +17,7 @@
     poolBalanceOf(state, pool).firstToken.adopt(delay);
   });
   Object.entries(computed).forEach(([instance, digests]) => {
-    state.rememberedPrefixes.set(instance, digests);
+    state.persistedPrefixes.set(instance, digests);
   });
   state.backendServers.forEach((server) => believeRemembered(state, server, now));
 }
@@ -29,8 +29,8 @@
   now: MonotonicMilliseconds,
 ): void {
   const { instance, pool } = server.listed;
-  const digests = state.rememberedPrefixes.get(instance);
+  const digests = state.persistedPrefixes.get(instance);
   if (digests === undefined) return;
-  state.rememberedPrefixes.delete(instance);
+  state.persistedPrefixes.delete(instance);
   poolBalanceOf(state, pool).beliefs.believe(server, digests, now);
 }
--- a/packages/entry-core/src/quarantine/blame.ts
+++ b/packages/entry-core/src/quarantine/blame.ts
@@ -7,7 +7,7 @@
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
-import type { Timed } from '../entryEvents.js';
+import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import { quarantineDigest } from './quarantineDigest.js';
 import type { Loss } from './QuarantineState.js';
@@ -62,7 +62,12 @@
 }
 
 /** Draws what follows for the requests that were in progress at a crash. */
-export function blame(state: EntryState, loss: Loss, crashId: string, timed: Timed): EntryEffect[] {
+export function blame(
+  state: EntryState,
+  loss: Loss,
+  crashId: string,
+  timed: Timestamps,
+): EntryEffect[] {
   const prior = priorSuspects(state, loss, crashId);
   clearProvisional(state, loss.instance);
   const culprit = prior[0];
--- a/packages/entry-core/src/quarantine/crashIdOf.ts
+++ b/packages/entry-core/src/quarantine/crashIdOf.ts
@@ -1,7 +1,7 @@
 /**
  * Names of crashes.
  */
-import type { Timed } from '../entryEvents.js';
+import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import type { Loss } from './QuarantineState.js';
 
@@ -19,7 +19,7 @@
 export function crashIdOf(
   state: EntryState,
   { instance, openedAt }: Loss,
-  { now, wallNow }: Timed,
+  { now, wallNow }: Timestamps,
 ): string {
   const last = state.quarantine.lastCrashes.get(instance);
   if (last !== undefined && openedAt - last.judgedAt <= SAME_CRASH_MILLISECONDS) {
--- a/packages/entry-core/src/quarantine/failAttemptsAt.ts
+++ b/packages/entry-core/src/quarantine/failAttemptsAt.ts
@@ -3,7 +3,7 @@
  * a host that vanished would take their whole time-out to be noticed.
  */
 import type { EntryEffect } from '../entryEffects.js';
-import type { Timed } from '../entryEvents.js';
+import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import type { AttemptState } from '../attempts/AttemptState.js';
 import { failAttempt } from '../attempts/failAttempt.js';
@@ -14,7 +14,7 @@
   return accepted?.pool.kind === 'plainService' && attempt.firstTokenAt !== undefined;
 }
 
-function failAsLost(state: EntryState, attempt: AttemptState, timed: Timed): EntryEffect[] {
+function failAsLost(state: EntryState, attempt: AttemptState, timed: Timestamps): EntryEffect[] {
   const { attemptId, tokens } = attempt;
   const { now, wallNow } = timed;
   const failed = {
@@ -31,7 +31,11 @@
 }
 
 /** A call that may not be repeated is left to its own connection, which alone can tell its outcome. */
-export function failAttemptsAt(state: EntryState, instance: string, timed: Timed): EntryEffect[] {
+export function failAttemptsAt(
+  state: EntryState,
+  instance: string,
+  timed: Timestamps,
+): EntryEffect[] {
   const attemptIds = [...(state.backendServers.get(instance)?.attemptIds ?? [])];
   return attemptIds.flatMap((attemptId) => {
     const attempt = state.attempts.get(attemptId);
--- a/packages/entry-core/src/quarantine/judgeLoss.ts
+++ b/packages/entry-core/src/quarantine/judgeLoss.ts
@@ -5,7 +5,7 @@
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import { hastenWaiting } from '../attempts/advanceRetries.js';
 import type { EntryEffect } from '../entryEffects.js';
-import type { Timed } from '../entryEvents.js';
+import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import { reportSoon } from '../membership/reportToEntries.js';
 import { blame, clearProvisional } from './blame.js';
@@ -45,7 +45,7 @@
   state: EntryState,
   loss: Loss,
   result: ProbeResult,
-  timed: Timed,
+  timed: Timestamps,
 ): EntryEffect[] {
   const { instance } = loss;
   state.quarantine.losses.delete(instance);
@@ -83,7 +83,7 @@
   state: EntryState,
   instance: string,
   result: ProbeResult,
-  timed: Timed,
+  timed: Timestamps,
 ): EntryEffect[] {
   const loss = state.quarantine.losses.get(instance);
   const effects = loss === undefined ? [] : judgeLoss(state, loss, result, timed);
@@ -94,7 +94,7 @@
 }
 
 /** Judges losses whose probe is overdue, and probes again what is down. */
-export function advanceLosses(state: EntryState, timed: Timed): EntryEffect[] {
+export function advanceLosses(state: EntryState, timed: Timestamps): EntryEffect[] {
   const overdue = [...state.quarantine.losses.values()].filter(
     ({ openedAt }) => openedAt + PROBE_TIMEOUT_MILLISECONDS <= timed.now,
   );
--- a/packages/entry-core/src/quarantine/poison.test.ts
+++ b/packages/entry-core/src/quarantine/poison.test.ts
@@ -63,7 +63,7 @@
   const poison = new Map([[BAD_DIGEST, crashAt]]);
   const world = new World({ engines: { 'wien-a': 6 }, poison, entries: 3 });
   for (let number = 1; number < BATCH; number += 1) {
-    world.entryAt(number % 3).arrive(makeRequest(`request-${number}`, { mostTokens: 400 }));
+    world.entryAt(number % 3).arrive(makeRequest(`request-${number}`, { maxTokens: 400 }));
   }
   world.entryAt(0).arrive(makeRequest('bad', { digest: BAD_DIGEST }));
   while (world.lostEngines() === 0) world.advance(10);
@@ -94,7 +94,7 @@
 // The answer had run well past the point of the first one, so the second does not name it.
 test('a request that is lost twice by chance is not refused', () => {
   const world = new World({ engines: { 'wien-a': 6 } });
-  const caller = world.entry.arrive(makeRequest('unlucky', { mostTokens: 800 }));
+  const caller = world.entry.arrive(makeRequest('unlucky', { maxTokens: 800 }));
   [3000, 6000].forEach((span) => {
     world.advance(span);
     world.engines.forEach((engine) => {
--- a/packages/entry-core/src/quarantine/quarantineDigest.ts
+++ b/packages/entry-core/src/quarantine/quarantineDigest.ts
@@ -4,11 +4,11 @@
 import type { QuarantineEntry } from '@hornbeampond/schema';
 import { cancelAttempt } from '../attempts/releaseAttempts.js';
 import type { EntryEffect } from '../entryEffects.js';
-import type { Timed } from '../entryEvents.js';
+import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import { reportSoon } from '../membership/reportToEntries.js';
 import { failRequest } from '../requests/endRequest.js';
-import { ranOf } from '../requests/ranOf.js';
+import { determineRan } from '../requests/determineRan.js';
 import type { RequestState } from '../requests/RequestState.js';
 import { clearExplained, crashesOf } from './suspects.js';
 
@@ -19,21 +19,35 @@
  * Ends a request that is quarantined now. What runs is cancelled: it may take down its backend
  * server at any moment.
  */
-function endQuarantined(state: EntryState, accepted: RequestState, endsAt: number, { now }: Timed) {
+function endQuarantined(
+  state: EntryState,
+  accepted: RequestState,
+  endsAt: number,
+  { now }: Timestamps,
+) {
   const refusal = { type: 'count', metric: 'retriesRefused', label: 'quarantined' } as const;
   const detail = 'This request crashed backend servers and is kept from them for a while';
   const cancelled = accepted.route.idempotent ? cancelAttempt(state, accepted) : [];
-  const problem = { ran: ranOf(accepted), retryAfterMilliseconds: endsAt - now };
+  const problem = { ran: determineRan(accepted), retryAfterMilliseconds: endsAt - now };
   return [refusal, ...cancelled, ...failRequest(state, accepted, 'quarantined', detail, problem)];
 }
 
-function endAllOf(state: EntryState, digest: string, endsAt: number, timed: Timed): EntryEffect[] {
+function endAllOf(
+  state: EntryState,
+  digest: string,
+  endsAt: number,
+  timed: Timestamps,
+): EntryEffect[] {
   return [...state.requests.values()]
     .filter(({ request }) => request.digest === digest)
     .flatMap((accepted) => endQuarantined(state, accepted, endsAt, timed));
 }
 
-export function quarantineDigest(state: EntryState, digest: string, timed: Timed): EntryEffect[] {
+export function quarantineDigest(
+  state: EntryState,
+  digest: string,
+  timed: Timestamps,
+): EntryEffect[] {
   const endsAt = timed.now + OWN_QUARANTINE_MILLISECONDS;
   const until = timed.wallNow + OWN_QUARANTINE_MILLISECONDS;
   state.quarantine.quarantined.set(digest, { until, endsAt });
@@ -49,7 +63,7 @@
 export function receiveQuarantine(
   state: EntryState,
   entries: readonly QuarantineEntry[],
-  timed: Timed,
+  timed: Timestamps,
 ): EntryEffect[] {
   return entries.flatMap(({ digest, until }) => {
     const endsAt = timed.now + until - timed.wallNow;
--- a/packages/entry-core/src/quarantine/slowCaller.test.ts
+++ b/packages/entry-core/src/quarantine/slowCaller.test.ts
@@ -11,7 +11,7 @@
 /** A stream that runs at one of two engines; `stall` has that engine give nothing more, nor answer. */
 function startStream() {
   const world = new World({ engines: { 'wien-a': 2 } });
-  world.entry.arrive(makeRequest('slow', { mostTokens: 5000 }));
+  world.entry.arrive(makeRequest('slow', { maxTokens: 5000 }));
   world.advance(300);
   const [attempt] = world.entry.state.attempts.values();
   assert.ok(attempt !== undefined);
--- a/packages/entry-core/src/reclaims/costs.ts
+++ b/packages/entry-core/src/reclaims/costs.ts
@@ -68,7 +68,7 @@
 ): boolean {
   const rate = measuredRate(attempt);
   if (rate === undefined) return left > TIME_TO_MEASURE_MILLISECONDS;
-  if (rate <= 0 || accepted.request.mostTokens <= 0) return false;
-  const remaining = Math.max(0, accepted.request.mostTokens - accepted.tokens);
+  if (rate <= 0 || accepted.request.maxTokens <= 0) return false;
+  const remaining = Math.max(0, accepted.request.maxTokens - accepted.tokens);
   return (remaining / rate) * FINISH_SAFETY + NOTICE_MARGIN_MILLISECONDS <= left;
 }
--- a/packages/entry-core/src/reclaims/handOnStreams.ts
+++ b/packages/entry-core/src/reclaims/handOnStreams.ts
@@ -14,7 +14,7 @@
 import { isClaimed, type Milliseconds } from '@hornbeampond/schema';
 import type { AttemptState } from '../attempts/AttemptState.js';
 import type { EntryEffect } from '../entryEffects.js';
-import type { Timed } from '../entryEvents.js';
+import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
 import {
@@ -98,11 +98,11 @@
 }
 
 /** Resumes streams that run on until their turn: the one with most left to do goes first. */
-function resumeDue(state: EntryState, streams: Stream[], left: Milliseconds, timed: Timed) {
+function resumeDue(state: EntryState, streams: Stream[], left: Milliseconds, timed: Timestamps) {
   const first = streams[0];
   if (first === undefined) return [];
   const targets = countTargets(state, first);
-  const remaining = ({ accepted }: Stream) => accepted.request.mostTokens - accepted.tokens;
+  const remaining = ({ accepted }: Stream) => accepted.request.maxTokens - accepted.tokens;
   const ordered = streams.sort((a, b) => remaining(b) - remaining(a));
   return ordered.flatMap(({ accepted }, position) => {
     if (left > resumeReserve(ordered.slice(position), targets)) return [];
@@ -125,7 +125,11 @@
   return accepted.route.idempotent;
 }
 
-export function handOnStreams(state: EntryState, instance: string, timed: Timed): EntryEffect[] {
+export function handOnStreams(
+  state: EntryState,
+  instance: string,
+  timed: Timestamps,
+): EntryEffect[] {
   if (!state.retries.policy.handOn) return [];
   const left = (state.reclaims.leaving.get(instance) ?? Infinity) - timed.wallNow;
   const streams = streamsAt(state, instance).filter(
--- a/packages/entry-core/src/reclaims/moveCache.ts
+++ b/packages/entry-core/src/reclaims/moveCache.ts
@@ -13,7 +13,7 @@
 import { forgetMove, reservationOf } from '../attempts/releaseAttempts.js';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
 import type { EntryEffect } from '../entryEffects.js';
-import type { EntryEvent, Timed } from '../entryEvents.js';
+import type { EntryEvent, Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
 import { moveDuration } from './costs.js';
@@ -36,7 +36,7 @@
   state: EntryState,
   accepted: RequestState,
   { attemptId, instance }: AttemptState,
-  { now }: Timed,
+  { now }: Timestamps,
 ): EntryEffect[] {
   const { requestId } = accepted.request;
   const source = state.backendServers.get(instance);
@@ -66,7 +66,7 @@
   state: EntryState,
   move: CacheMove,
   outcome: CacheMoveOutcome,
-  timed: Timed,
+  timed: Timestamps,
 ): EntryEffect[] {
   const accepted = state.requests.get(move.requestId);
   forgetMove(state, move.requestId);
@@ -96,7 +96,7 @@
 }
 
 /** Abandons moves that are overdue, or whose target is leaving or lost. */
-export function advanceMoves(state: EntryState, timed: Timed): EntryEffect[] {
+export function advanceMoves(state: EntryState, timed: Timestamps): EntryEffect[] {
   return [...state.reclaims.moves.values()].flatMap((move) => {
     if (isUsable(state, move.to) === undefined) {
       return abandonMove(state, move, 'targetLost', timed);
--- a/packages/entry-core/src/reclaims/noticeReclaim.ts
+++ b/packages/entry-core/src/reclaims/noticeReclaim.ts
@@ -4,7 +4,7 @@
  */
 import type { EpochMilliseconds, PlatformInstance } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
-import type { Timed } from '../entryEvents.js';
+import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import { reportSoon } from '../membership/reportToEntries.js';
 import { handOnStreams } from './handOnStreams.js';
@@ -26,7 +26,7 @@
   state: EntryState,
   instance: string,
   goneAt: EpochMilliseconds,
-  timed: Timed,
+  timed: Timestamps,
 ): EntryEffect[] {
   if (goneAt + FORGOTTEN_MILLISECONDS <= timed.wallNow) return [];
   if (!noteLeaving(state, instance, goneAt)) return [];
@@ -45,7 +45,7 @@
 export function noticeListed(
   state: EntryState,
   instances: readonly PlatformInstance[],
-  timed: Timed,
+  timed: Timestamps,
 ): EntryEffect[] {
   // All of a wave is noted before any stream is handed on, or streams would be sent into it.
   const fresh = instances.flatMap(({ instance, goneAt }) => {
@@ -67,7 +67,7 @@
 }
 
 /** Hands on what still runs on backend servers on notice, as time and the link allow. */
-export function advanceReclaims(state: EntryState, timed: Timed): EntryEffect[] {
+export function advanceReclaims(state: EntryState, timed: Timestamps): EntryEffect[] {
   return [...state.reclaims.leaving].flatMap(([instance, goneAt]) => {
     if (goneAt + FORGOTTEN_MILLISECONDS > timed.wallNow) {
       return handOnStreams(state, instance, timed);
--- a/packages/entry-core/src/reclaims/reclaims.test.ts
+++ b/packages/entry-core/src/reclaims/reclaims.test.ts
@@ -67,7 +67,7 @@
 // Callers are refused once no replacement has come for thirty seconds, long before their deadline.
 test('a pool that stays empty ends what waits for it', () => {
   const world = new World({ engines: { 'wien-a': 1 }, wholeAnswerMilliseconds: 600_000 });
-  const caller = world.entry.arrive(makeRequest('one', { mostTokens: 400 }));
+  const caller = world.entry.arrive(makeRequest('one', { maxTokens: 400 }));
   world.advance(1000);
   world.reclaimListed(['wien-a-engine-1'], 1000);
   world.advance(2000);
@@ -97,7 +97,7 @@
 // while its first one still runs.
 test('the target is lost in the middle of a move', () => {
   const world = new World({ engines: { 'wien-a': 1, 'wien-b': 1, stpoelten: 1 } });
-  const caller = world.entry.arrive(makeRequest('one', { promptTokens: 4000, mostTokens: 400 }));
+  const caller = world.entry.arrive(makeRequest('one', { promptTokens: 4000, maxTokens: 400 }));
   world.advance(3000);
   world.reclaim(['wien-a-engine-1'], 3000);
   const move = [...world.entry.state.reclaims.moves.values()][0];
@@ -116,7 +116,7 @@
 // announced. The move's late answer finds no move and changes nothing.
 test('the source is lost in the middle of a move', () => {
   const world = new World({ engines: { 'wien-a': 1, 'wien-b': 2 } });
-  world.entry.arrive(makeRequest('one', { promptTokens: 4000, mostTokens: 400 }));
+  world.entry.arrive(makeRequest('one', { promptTokens: 4000, maxTokens: 400 }));
   world.advance(3000);
   world.reclaim(['wien-a-engine-1'], 3000);
   assert.equal(world.entry.state.reclaims.moves.size, 1);
@@ -145,7 +145,7 @@
 // longest answer it may get ends in time, so nothing is moved and nothing is computed again.
 test('a stream that fits the notice is let finish', () => {
   const world = new World({ engines: { 'wien-a': 1, 'wien-b': 1 } });
-  world.entry.arrive(makeRequest('one', { mostTokens: 100 }));
+  world.entry.arrive(makeRequest('one', { maxTokens: 100 }));
   world.advance(1500);
   world.reclaim(['wien-a-engine-1'], 2000);
   world.settle();
--- a/packages/entry-core/src/reclaims/resumeElsewhere.ts
+++ b/packages/entry-core/src/reclaims/resumeElsewhere.ts
@@ -8,7 +8,7 @@
 import { cancelAttempt, forgetMove } from '../attempts/releaseAttempts.js';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
 import type { EntryEffect } from '../entryEffects.js';
-import type { Timed } from '../entryEvents.js';
+import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
 import { redoTokens } from './costs.js';
@@ -41,7 +41,7 @@
   state: EntryState,
   accepted: RequestState,
   reason: RetryReason,
-  { now }: Timed,
+  { now }: Timestamps,
 ): EntryEffect[] {
   const server = chooseForAttempt(state, accepted, { spread: true });
   if (server === undefined) return [];
--- a/packages/entry-core/src/reclaims/stories.test.ts
+++ b/packages/entry-core/src/reclaims/stories.test.ts
@@ -12,8 +12,8 @@
 /** The one stream that provably ends in time stays; the other moves and goes on at the target. */
 function noticeStory(): World {
   const world = new World({ engines: { 'wien-a': 1, 'wien-b': 1 } });
-  world.entry.arrive(makeRequest('short', { mostTokens: 100 }));
-  world.entry.arrive(makeRequest('long', { mostTokens: 400 }));
+  world.entry.arrive(makeRequest('short', { maxTokens: 100 }));
+  world.entry.arrive(makeRequest('long', { maxTokens: 400 }));
   world.advance(1500);
   world.reclaim(['wien-a-engine-1'], 2000);
   world.settle();
--- a/packages/entry-core/src/reduceEntry.ts
+++ b/packages/entry-core/src/reduceEntry.ts
@@ -4,9 +4,9 @@
 import { assertNever, type Configuration } from '@hornbeampond/schema';
 import { advanceEntry } from './advanceEntry.js';
 import { admitRequest } from './admission/admitRequest.js';
-import { admitUnconfigured } from './admission/admitUnconfigured.js';
+import { admitAfterConfiguration } from './admission/admitAfterConfiguration.js';
 import { reduceAttempts } from './attempts/reduceAttempts.js';
-import { findConcerned, reduceAdmission } from './admission/reduceAdmission.js';
+import { findAffectedIds, reduceAdmission } from './admission/reduceAdmission.js';
 import { receiveLoadReport } from './backendServers/estimateInProgress.js';
 import { listInstances, refreshLimits } from './backendServers/listInstances.js';
 import { observeAttempt, observeStarts } from './backendServers/observeAttempt.js';
@@ -15,7 +15,7 @@
 import { receiveWork } from './backendServers/shareWork.js';
 import { receiveDrains } from './backendServers/receiveDrains.js';
 import type { EntryEffect } from './entryEffects.js';
-import type { EntryEvent, Timed } from './entryEvents.js';
+import type { EntryEvent, Timestamps } from './entryEvents.js';
 import type { EntryState } from './EntryState.js';
 import { receiveEntryReport, receiveSpendingReport } from './limits/receiveEntryReport.js';
 import { takeRemembered } from './membership/takeRemembered.js';
@@ -25,12 +25,12 @@
 import { receiveQuarantine } from './quarantine/quarantineDigest.js';
 import { noticeListed, noticeReclaim } from './reclaims/noticeReclaim.js';
 import { receiveCacheMoved } from './reclaims/receiveCacheMoved.js';
-import { callerGone } from './requests/callerGone.js';
+import { handleCallerDisconnect } from './requests/handleCallerDisconnect.js';
 import { startShutdown } from './shutdown/advanceShutdown.js';
 
 export function reduceEntry(state: EntryState, event: EntryEvent): EntryEffect[] {
   state.clocks = { now: event.now, wallNow: event.wallNow };
-  const concerned = findConcerned(state, event);
+  const concerned = findAffectedIds(state, event);
   const observed = observeAttempt(state, event);
   const ending = findEndingClaim(state, event);
   const effects = [...observed, ...reduceConcern(state, event)];
@@ -43,7 +43,7 @@
 function receiveConfiguration(
   state: EntryState,
   configuration: Configuration,
-  timed: Timed,
+  timed: Timestamps,
 ): EntryEffect[] {
   const { revision } = configuration;
   if (revision <= state.configuration.revision) return [];
@@ -55,7 +55,7 @@
     { type: 'configurationApplied', revision },
     { type: 'setGauge', metric: 'configurationRevision', value: revision },
     { type: 'log', event: 'configurationApplied', fields: { revision } },
-    ...admitUnconfigured(state, timed),
+    ...admitAfterConfiguration(state, timed),
   ];
 }
 
@@ -80,7 +80,7 @@
     case 'requestArrived':
       return admitRequest(state, event.request, event);
     case 'callerGone':
-      return callerGone(state, event.requestId);
+      return handleCallerDisconnect(state, event.requestId);
     case 'attemptSent':
     case 'firstTokenReceived':
     case 'attemptProgressed':
--- a/packages/entry-core/src/requests/RequestState.ts
+++ b/packages/entry-core/src/requests/RequestState.ts
@@ -16,11 +16,11 @@
   readonly firstTokenDueAt: MonotonicMilliseconds;
   readonly wholeAnswerDueAt: MonotonicMilliseconds;
   /** Until when a first token is of use that misses the time it is due at. */
-  readonly lateUntil: MonotonicMilliseconds;
+  readonly lateFirstTokenDueAt: MonotonicMilliseconds;
   /** True once its first token cannot be in time any more: it goes behind those that can. */
   isLate?: boolean;
   /** The longest pause between two tokens that the caller takes for none. */
-  readonly longestPause: Milliseconds;
+  readonly maxPause: Milliseconds;
   /** The attempt that the caller's answer is bound to now. */
   attemptId: string | undefined;
   attemptsStarted: number;
@@ -36,11 +36,11 @@
   /** True while another attempt holds the claim of this call; see `ranOf`. */
   mayRunElsewhere?: boolean;
   /** Times that this request lost its backend server or its connection. */
-  losses?: number;
+  lossCount?: number;
   /** Attempts that fell silent and may still bring the first whole answer. */
-  givenUpAttemptIds?: string[];
+  abandonedAttemptIds?: string[];
   /** Since when it has found no backend server, if it waits for one. */
-  waitsSince?: MonotonicMilliseconds;
+  waitingForServerSince?: MonotonicMilliseconds;
   /** What the next attempt has to compute again. */
   recompute?: { readonly reason: RecomputeReason; readonly tokens: number };
 }
--- a/packages/entry-core/src/requests/endRequest.ts
+++ b/packages/entry-core/src/requests/endRequest.ts
@@ -20,7 +20,7 @@
  *
  * @param facts - What it was decided by.
  */
-export function refuse(
+export function refuseRequest(
   request: CallerRequest,
   kind: ErrorKind,
   detail: string,
--- a/packages/entry-core/src/requests/enforceDeadlines.ts
+++ b/packages/entry-core/src/requests/enforceDeadlines.ts
@@ -5,7 +5,7 @@
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
 import { failRequest } from './endRequest.js';
-import { ranOf } from './ranOf.js';
+import { determineRan } from './determineRan.js';
 
 /** When a caller whose deadline has passed may come back. */
 const RETRY_AFTER_MILLISECONDS = 1000;
@@ -16,7 +16,7 @@
   );
   return overdue.flatMap((accepted) =>
     failRequest(state, accepted, 'deadlineExceeded', 'The whole answer did not come in time', {
-      ran: ranOf(accepted),
+      ran: determineRan(accepted),
       retryAfterMilliseconds: RETRY_AFTER_MILLISECONDS,
     }),
   );
--- a/packages/entry-core/src/requests/callerGone.ts
+++ b/packages/entry-core/src/requests/handleCallerDisconnect.ts
@@ -7,8 +7,8 @@
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
 
-export function callerGone(state: EntryState, requestId: string): EntryEffect[] {
-  state.unconfigured.delete(requestId);
+export function handleCallerDisconnect(state: EntryState, requestId: string): EntryEffect[] {
+  state.requestsAwaitingConfiguration.delete(requestId);
   const accepted = state.requests.get(requestId);
   if (accepted === undefined || isClaimed(accepted.route)) return [];
   state.requests.delete(requestId);
--- a/packages/entry-core/src/shutdown/ShutdownState.ts
+++ b/packages/entry-core/src/shutdown/ShutdownState.ts
@@ -8,9 +8,9 @@
   acceptUntil: MonotonicMilliseconds;
   /** When the last requests get their final answer, ahead of the platform's limit. */
   endAt: MonotonicMilliseconds;
-  readyGiven: boolean;
+  readyReported: boolean;
 }
 
 export function makeShutdownState(): ShutdownState {
-  return { started: false, acceptUntil: 0, endAt: Number.POSITIVE_INFINITY, readyGiven: false };
+  return { started: false, acceptUntil: 0, endAt: Number.POSITIVE_INFINITY, readyReported: false };
 }
--- a/packages/entry-core/src/shutdown/advanceShutdown.ts
+++ b/packages/entry-core/src/shutdown/advanceShutdown.ts
@@ -5,11 +5,11 @@
  * in progress shortly before the platform's limit gets a final answer that tells where to go on.
  */
 import type { EntryEffect } from '../entryEffects.js';
-import type { EntryEvent, Timed } from '../entryEvents.js';
+import type { EntryEvent, Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import { reportSoon } from '../membership/reportToEntries.js';
 import { failRequest } from '../requests/endRequest.js';
-import { ranOf } from '../requests/ranOf.js';
+import { determineRan } from '../requests/determineRan.js';
 import type { RequestState } from '../requests/RequestState.js';
 
 /** A caller cut off by the limit may come back at once: another entry serves it. */
@@ -27,7 +27,7 @@
 }
 
 function endAtLimit(state: EntryState, accepted: RequestState): EntryEffect[] {
-  const ran = ranOf(accepted);
+  const ran = determineRan(accepted);
   const detail = 'This instance has to stop now; send the request again to go on';
   const kind = ran === 'no' ? 'draining' : 'answerCut';
   const problem = { ran, retryAfterMilliseconds: RETRY_AFTER_MILLISECONDS };
@@ -43,7 +43,7 @@
   ];
 }
 
-export function advanceShutdown(state: EntryState, { now }: Timed): EntryEffect[] {
+export function advanceShutdown(state: EntryState, { now }: Timestamps): EntryEffect[] {
   const { shutdown } = state;
   if (!shutdown.started) return [];
   state.shuttingDown = shutdown.acceptUntil <= now;
@@ -51,7 +51,7 @@
   // A claim whose end is not in the log yet would read `unknown` to a caller that sends it again.
   const claimsOpen = state.claims.size > 0 && now < shutdown.endAt;
   const inProgress = state.requests.size > 0 || claimsOpen;
-  if (!state.shuttingDown || inProgress || shutdown.readyGiven) return effects;
-  shutdown.readyGiven = true;
+  if (!state.shuttingDown || inProgress || shutdown.readyReported) return effects;
+  shutdown.readyReported = true;
   return [...effects, { type: 'shutdownReady' }];
 }
--- a/packages/entry-core/src/testing/EntryHarness.ts
+++ b/packages/entry-core/src/testing/EntryHarness.ts
@@ -6,7 +6,7 @@
 import type { EntryReport, ErrorKind, Milliseconds, Pool, Route } from '@hornbeampond/schema';
 import { EngineModel, VirtualTimeline, type EngineSpeed } from '@hornbeampond/testing';
 import type { EntryEffect } from '../entryEffects.js';
-import type { AttemptFailure, CallerRequest, EntryOccurrence } from '../entryEvents.js';
+import type { AttemptFailure, CallerRequest, EntryEventPayload } from '../entryEvents.js';
 import { makeEntryState, type EntryState } from '../EntryState.js';
 import { reduceEntry } from '../reduceEntry.js';
 
@@ -84,7 +84,7 @@
         instance: `entry-${number}`,
         dataCentre: 'dc-a',
         incarnation: STARTED_AT,
-        queuedRequests: options.queuedRequests ?? 1000,
+        maxQueuedRequests: options.queuedRequests ?? 1000,
       }),
     );
     this.configure();
@@ -92,7 +92,7 @@
   }
 
   /** Sends an event to one entry, or to all. */
-  send(event: EntryOccurrence, entry?: number): void {
+  send(event: EntryEventPayload, entry?: number): void {
     this.entries.forEach((state, number) => {
       if (entry !== undefined && entry !== number) return;
       const { now } = this.timeline;
@@ -235,7 +235,7 @@
     const engine = this.engines.get(instance);
     if (outcome === undefined || engine === undefined) return;
     const failure = this.failing.get(instance);
-    const send = (event: EntryOccurrence) => this.send(event, entry);
+    const send = (event: EntryEventPayload) => this.send(event, entry);
     const submit = () => {
       if (failure !== undefined) {
         send({
--- a/packages/entry-core/src/testing/examples.ts
+++ b/packages/entry-core/src/testing/examples.ts
@@ -53,7 +53,7 @@
     digest: requestId,
     prefixDigests: [],
     promptTokens: 100,
-    mostTokens: 100,
+    maxTokens: 100,
     ...request,
   };
 }
--- a/packages/entry-core/src/testing/makeArrivals.ts
+++ b/packages/entry-core/src/testing/makeArrivals.ts
@@ -93,7 +93,7 @@
       path,
       prefixDigests,
       promptTokens,
-      mostTokens: MOST_ANSWER_TOKENS,
+      maxTokens: MOST_ANSWER_TOKENS,
     });
     arrivals.push({ at, request, answerTokens });
   }
