--- a/measure/src/machineModels/tables.test.ts
+++ b/measure/src/machineModels/tables.test.ts
@@ -1,5 +1,5 @@
 import { test } from 'node:test';
-import { reduceConfigurationStart, type ConfigurationState } from '@hornbeampond/entry-core';
+import { reduceConfigurationBootstrap, type ConfigurationState } from '@hornbeampond/entry-core';
 import type { Configuration, PutTableCommand } from '@hornbeampond/schema';
 import { takeSnapshot } from '@hornbeampond/store-core';
 import { expectCaught, expectHolds } from './expectModel.js';
@@ -109,10 +109,10 @@
 // A cut-off data centre has a new price in force; one of its entries restarts, the first peer to
 // answer lags, and callers who reach the restarted entry are back at the old price.
 test('tables mutation: a cut-off instance starts with the first answer', (context) => {
-  const reduceStart: typeof reduceConfigurationStart = (start, event) => {
-    const started = reduceConfigurationStart(start, event);
+  const reduceStart: typeof reduceConfigurationBootstrap = (start, event) => {
+    const started = reduceConfigurationBootstrap(start, event);
     if (event.type !== 'peerAnswered' || started.length > 0) return started;
-    return reduceConfigurationStart(start, { type: 'waitOver' });
+    return reduceConfigurationBootstrap(start, { type: 'waitOver' });
   };
   const model = makeTablesModel(cutOff, { ...realTablesParts, reduceStart });
   expectCaught(context, model, 'a cut-off instance starts behind a peer');
--- a/measure/src/machineModels/tablesModel.ts
+++ b/measure/src/machineModels/tablesModel.ts
@@ -7,10 +7,10 @@
  */
 import { isDeepStrictEqual } from 'node:util';
 import {
-  offerConfiguration,
-  offerDelta,
-  reduceConfigurationStart,
-  startConfiguration,
+  applyConfiguration,
+  applyConfigurationDelta,
+  reduceConfigurationBootstrap,
+  makeConfigurationBootstrap,
   type ConfigurationState,
 } from '@hornbeampond/entry-core';
 import {
@@ -31,14 +31,14 @@
 
 export interface TablesParts {
   readonly takeSnapshot: typeof takeSnapshot;
-  readonly offerConfiguration: typeof offerConfiguration;
-  readonly reduceStart: typeof reduceConfigurationStart;
+  readonly offerConfiguration: typeof applyConfiguration;
+  readonly reduceStart: typeof reduceConfigurationBootstrap;
 }
 
 export const realTablesParts: TablesParts = {
   takeSnapshot,
-  offerConfiguration,
-  reduceStart: reduceConfigurationStart,
+  offerConfiguration: applyConfiguration,
+  reduceStart: reduceConfigurationBootstrap,
 };
 
 export interface TablesBounds {
@@ -155,7 +155,7 @@
     const before = next.instances[position] ?? emptyConfiguration;
     const own: ConfigurationState = { configuration: before };
     if (update.type === 'whole') parts.offerConfiguration(own, update.configuration);
-    else offerDelta(own, update.delta);
+    else applyConfigurationDelta(own, update.delta);
     if (own.configuration.revision < before.revision) {
       next.wrong = 'a revision in force went back';
     }
@@ -172,7 +172,7 @@
 
   /** Restarts an instance that only these peers answer, in this order. */
   function restartCutOff(next: TablesState, position: number, answering: readonly number[]): void {
-    const start = startConfiguration(peersOf(next, position).map(String));
+    const start = makeConfigurationBootstrap(peersOf(next, position).map(String));
     next.cutOffStarts += 1;
     parts.reduceStart(start, { type: 'quorumFailed' });
     answering.forEach((peer) => {
--- a/packages/entry-core/src/admission/admitRequest.ts
+++ b/packages/entry-core/src/admission/admitRequest.ts
@@ -21,8 +21,8 @@
 import { deadlineAt } from '../routing/deadlineAt.js';
 import { findRoute } from '../routing/findRoute.js';
 import { routeIndexOf } from '../routing/routeIndexOf.js';
-import { acquire } from '../limits/releaseEnded.js';
-import { spendAllowance } from '../limits/refuseOverAllowance.js';
+import { acquireLimit } from '../limits/releaseEndedRequests.js';
+import { spendAllowance } from '../limits/checkAllowance.js';
 import { awaitConfiguration } from './awaitConfiguration.js';
 import { markLate } from './serveLate.js';
 import { decideAdmission, type AdmissionDecision } from './decideAdmission.js';
@@ -144,7 +144,7 @@
   const late = admission.type === 'late' ? markLate(accepted) : [];
   const server = admission.type === 'admitted' ? admission.server : undefined;
   state.requests.set(request.requestId, accepted);
-  acquire(state, request.requestId, route.name, request.workspace);
+  acquireLimit(state, request.requestId, route.name, request.workspace);
   return [
     ...spendAllowance(state, accepted),
     ...late,
--- a/packages/entry-core/src/admission/decideAdmission.ts
+++ b/packages/entry-core/src/admission/decideAdmission.ts
@@ -17,7 +17,7 @@
 } from '../backendServers/predictFirstToken.js';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
 import type { EntryState } from '../EntryState.js';
-import { findAllowanceExceeded } from '../limits/refuseOverAllowance.js';
+import { checkAllowance } from '../limits/checkAllowance.js';
 import { limitKey, limitOf } from '../limits/limitOf.js';
 import type { RequestState } from '../requests/RequestState.js';
 import { countQueuedRequests, poolQueueOf } from './AdmissionState.js';
@@ -46,7 +46,7 @@
 const QUEUE_SHARE_FACTOR = 2;
 
 function refuseOverAllowance(state: EntryState, accepted: RequestState): EarlyRefusal | undefined {
-  const exceeded = findAllowanceExceeded(state, accepted);
+  const exceeded = checkAllowance(state, accepted);
   if (exceeded === undefined) return undefined;
   const detail = `Workspace "${accepted.request.workspace}" has spent its allowance`;
   const { retryAfterMilliseconds, facts } = exceeded;
@@ -60,8 +60,8 @@
 ): EarlyRefusal | undefined {
   const limit = limitOf(route, request.workspace);
   const key = limitKey(route.name, request.workspace);
-  const { ledger } = state.limits;
-  if (ledger.hasRoom(key, limit, now)) return undefined;
+  const { concurrencyLimiter: ledger } = state.limits;
+  if (ledger.hasCapacity(key, limit, now)) return undefined;
   const detail = `Workspace "${request.workspace}" has ${limit} requests in progress`;
   const serviceTime = poolBalanceOf(state, pool.name).serviceTime(route.name);
   const interval =
--- a/packages/entry-core/src/admission/predictWait.ts
+++ b/packages/entry-core/src/admission/predictWait.ts
@@ -17,7 +17,7 @@
 export function estimateSlots(state: EntryState, pool: string): number {
   const { local, remote, peak } = poolBalanceOf(state, pool);
   // Attempts at servers that are lost but not yet known to be are no places any more.
-  const most = (local.limitSum + remote.limitSum) / state.limits.ledger.entries;
+  const most = (local.limitSum + remote.limitSum) / state.limits.concurrencyLimiter.entryCount;
   return Math.max(1, Math.min(peak.value(state.clocks.now), most));
 }
 
--- a/packages/entry-core/src/admission/reduceAdmission.ts
+++ b/packages/entry-core/src/admission/reduceAdmission.ts
@@ -6,7 +6,7 @@
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryEvent } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
-import { releaseEnded, requestIdOf } from '../limits/releaseEnded.js';
+import { releaseEndedRequests, requestIdOf } from '../limits/releaseEndedRequests.js';
 import { drainQueues } from './drainQueues.js';
 import { failUnreachableDeadlines } from './failUnreachableDeadlines.js';
 import { leaveQueue } from './leaveQueue.js';
@@ -36,7 +36,7 @@
   event: EntryEvent,
   { requestId, instance }: AffectedIds,
 ): EntryEffect[] {
-  releaseEnded(state, event, requestId);
+  releaseEndedRequests(state, event, requestId);
   leaveQueue(state, requestId);
   const dropped = event.type === 'tick' ? passTime(state, event.now) : [];
   return [...dropped, ...drainQueues(state, event, instance)];
--- a/packages/entry-core/src/advanceEntry.ts
+++ b/packages/entry-core/src/advanceEntry.ts
@@ -8,8 +8,8 @@
 import type { Timestamps } from './entryEvents.js';
 import type { EntryState } from './EntryState.js';
 import { advanceWork } from './backendServers/shareWork.js';
-import { markSilentPeers } from './membership/livePeers.js';
-import { advanceReports } from './membership/reportToEntries.js';
+import { updatePeerLiveness } from './membership/livePeers.js';
+import { advanceReports } from './membership/advanceReports.js';
 import { advanceSuspects } from './quarantine/advanceSuspects.js';
 import { advanceLosses } from './quarantine/judgeLoss.js';
 import { probeStalled } from './quarantine/probeStalled.js';
@@ -20,7 +20,7 @@
 
 export function advanceEntry(state: EntryState, timed: Timestamps): EntryEffect[] {
   state.membership.wallOffset = timed.wallNow - timed.now;
-  markSilentPeers(state, timed.now);
+  updatePeerLiveness(state, timed.now);
   advanceSuspects(state, timed.now);
   return [
     ...enforceDeadlines(state, timed.now),
--- a/packages/entry-core/src/attempts/launchAttempt.ts
+++ b/packages/entry-core/src/attempts/launchAttempt.ts
@@ -5,7 +5,7 @@
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
-import { reportSoon } from '../membership/reportToEntries.js';
+import { reportSoon } from '../membership/advanceReports.js';
 import { poolBalanceOf } from '../backendServers/poolBalanceOf.js';
 import { describePrediction } from '../backendServers/predictFirstToken.js';
 import { targetAt } from '../backendServers/targetAt.js';
--- a/packages/entry-core/src/backendServers/estimateInProgress.ts
+++ b/packages/entry-core/src/backendServers/estimateInProgress.ts
@@ -80,6 +80,6 @@
   const { now } = state.clocks;
   const believed = measuredAt !== undefined && now - measuredAt <= STALE_LOAD_MILLISECONDS;
   const ownGrowth = Math.max(0, own - (believed ? ownAtMeasurement : 0));
-  const peers = state.limits.ledger.entries - 1;
+  const peers = state.limits.concurrencyLimiter.entryCount - 1;
   return own + (believed ? othersInProgress : 0) + peers * ownGrowth;
 }
--- a/packages/entry-core/src/backendServers/listInstances.ts
+++ b/packages/entry-core/src/backendServers/listInstances.ts
@@ -5,7 +5,7 @@
 import type { MonotonicMilliseconds, PlatformInstance } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 import { routeIndexOf } from '../routing/routeIndexOf.js';
-import { believeRemembered } from '../membership/takeRemembered.js';
+import { restoreCachedPrefixes } from '../membership/restorePersistedState.js';
 import type { BackendServerState } from './BackendServerState.js';
 import { indexCandidates } from './indexCandidates.js';
 import { makeServerBalance } from './ServerBalance.js';
@@ -59,7 +59,11 @@
   instances.forEach((instance) => {
     const known = state.backendServers.get(instance.instance);
     if (known === undefined) {
-      believeRemembered(state, addInstance(state, instance, isFirstList ? undefined : now), now);
+      restoreCachedPrefixes(
+        state,
+        addInstance(state, instance, isFirstList ? undefined : now),
+        now,
+      );
       return;
     }
     if (known.listed.state === 'starting' && instance.state === 'live') {
--- a/packages/entry-core/src/configuration/ConfigurationStart.ts
+++ b/packages/entry-core/src/configuration/ConfigurationBootstrap.ts
@@ -7,7 +7,7 @@
  */
 import type { Configuration } from '@hornbeampond/schema';
 
-export interface ConfigurationStart {
+export interface ConfigurationBootstrap {
   /** Peers whose answer is still awaited. */
   readonly awaited: Set<string>;
   newest: Configuration | undefined;
@@ -16,7 +16,7 @@
   started: boolean;
 }
 
-export type ConfigurationStartEvent =
+export type ConfigurationBootstrapEvent =
   | { readonly type: 'quorumRead'; readonly configuration: Configuration }
   | { readonly type: 'quorumFailed' }
   | { readonly type: 'peerAnswered'; readonly peer: string; readonly configuration: Configuration }
@@ -32,14 +32,14 @@
 }
 
 /** Starts to ask these peers. */
-export function startConfiguration(peers: readonly string[]): ConfigurationStart {
+export function makeConfigurationBootstrap(peers: readonly string[]): ConfigurationBootstrap {
   return { awaited: new Set(peers), newest: undefined, quorumFailed: false, started: false };
 }
 
 /** Notes an answer; the one effect comes once it is known what to start with. */
-export function reduceConfigurationStart(
-  start: ConfigurationStart,
-  event: ConfigurationStartEvent,
+export function reduceConfigurationBootstrap(
+  start: ConfigurationBootstrap,
+  event: ConfigurationBootstrapEvent,
 ): StartedEffect[] {
   if (start.started) return [];
   noteEvent(start, event);
@@ -48,20 +48,20 @@
   return isComplete ? begin(start, true) : [];
 }
 
-function noteEvent(start: ConfigurationStart, event: ConfigurationStartEvent): void {
+function noteEvent(start: ConfigurationBootstrap, event: ConfigurationBootstrapEvent): void {
   if ('configuration' in event) keepNewest(start, event.configuration);
   if ('peer' in event) start.awaited.delete(event.peer);
   if (event.type === 'quorumFailed' || event.type === 'waitOver') start.quorumFailed = true;
   if (event.type === 'waitOver') start.awaited.clear();
 }
 
-function keepNewest(start: ConfigurationStart, configuration: Configuration): void {
+function keepNewest(start: ConfigurationBootstrap, configuration: Configuration): void {
   const isNewer = start.newest === undefined || configuration.revision > start.newest.revision;
   if (isNewer) start.newest = configuration;
 }
 
 /** With no answer at all the instance goes on waiting: it must not serve from empty tables. */
-function begin(start: ConfigurationStart, cutOff: boolean): StartedEffect[] {
+function begin(start: ConfigurationBootstrap, cutOff: boolean): StartedEffect[] {
   if (start.newest === undefined) return [];
   start.started = true;
   return [{ type: 'started', configuration: start.newest, cutOff }];
--- a/packages/entry-core/src/configuration/ConfigurationApplier.ts
+++ b/packages/entry-core/src/configuration/applyConfiguration.ts
@@ -15,7 +15,7 @@
   | { readonly type: 'askWholeConfiguration' };
 
 /** Applies a whole configuration if it is newer than the one in force. */
-export function offerConfiguration(
+export function applyConfiguration(
   state: ConfigurationState,
   offered: Configuration,
 ): ConfigurationEffect[] {
@@ -25,12 +25,12 @@
 }
 
 /** Applies a delta if it starts from the revision in force; one that is behind it is passed over. */
-export function offerDelta(
+export function applyConfigurationDelta(
   state: ConfigurationState,
   delta: ConfigurationDelta,
 ): ConfigurationEffect[] {
   if (delta.toRevision <= state.configuration.revision) return [];
   const changed = applyDelta(state.configuration, delta);
   if (changed === undefined) return [{ type: 'askWholeConfiguration' }];
-  return offerConfiguration(state, changed);
+  return applyConfiguration(state, changed);
 }
--- a/packages/entry-core/src/configuration/configuration.test.ts
+++ b/packages/entry-core/src/configuration/configuration.test.ts
@@ -1,27 +1,27 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { emptyConfiguration, type Configuration } from '@hornbeampond/schema';
-import { offerConfiguration, offerDelta } from './ConfigurationApplier.js';
+import { applyConfiguration, applyConfigurationDelta } from './applyConfiguration.js';
 import {
-  reduceConfigurationStart,
-  startConfiguration,
-  type ConfigurationStartEvent,
-} from './ConfigurationStart.js';
+  reduceConfigurationBootstrap,
+  makeConfigurationBootstrap,
+  type ConfigurationBootstrapEvent,
+} from './ConfigurationBootstrap.js';
 
 function revision(number: number): Configuration {
   return { ...emptyConfiguration, revision: number };
 }
 
-function start(events: readonly ConfigurationStartEvent[]): string[] {
-  const starting = startConfiguration(['store-1', 'entry-2', 'entry-3']);
+function start(events: readonly ConfigurationBootstrapEvent[]): string[] {
+  const starting = makeConfigurationBootstrap(['store-1', 'entry-2', 'entry-3']);
   return events.flatMap((event) =>
-    reduceConfigurationStart(starting, event).map(
+    reduceConfigurationBootstrap(starting, event).map(
       ({ configuration, cutOff }) => `${configuration.revision}${cutOff ? ' cut off' : ''}`,
     ),
   );
 }
 
-const fromPeer = (peer: string, number: number): ConfigurationStartEvent => ({
+const fromPeer = (peer: string, number: number): ConfigurationBootstrapEvent => ({
   type: 'peerAnswered',
   peer,
   configuration: revision(number),
@@ -29,7 +29,7 @@
 
 test('configuration: only newer revisions are applied', () => {
   const state = { configuration: revision(4) };
-  const applied = [3, 4, 6, 5].map((number) => offerConfiguration(state, revision(number)).length);
+  const applied = [3, 4, 6, 5].map((number) => applyConfiguration(state, revision(number)).length);
   assert.deepEqual(applied, [0, 0, 1, 0]);
   assert.equal(state.configuration.revision, 6);
 });
@@ -37,9 +37,9 @@
 test('configuration: a delta that does not fit asks for everything', () => {
   const state = { configuration: revision(4) };
   const effects = [
-    offerDelta(state, { fromRevision: 2, toRevision: 4 }),
-    offerDelta(state, { fromRevision: 5, toRevision: 6 }),
-    offerDelta(state, { fromRevision: 4, toRevision: 5 }),
+    applyConfigurationDelta(state, { fromRevision: 2, toRevision: 4 }),
+    applyConfigurationDelta(state, { fromRevision: 5, toRevision: 6 }),
+    applyConfigurationDelta(state, { fromRevision: 4, toRevision: 5 }),
   ].map((each) => each.map(({ type }) => type).join());
   assert.deepEqual(effects, ['', 'askWholeConfiguration', 'configurationInForce']);
 });
@@ -52,7 +52,7 @@
 // The data centre is cut off and one of its entries restarts. The first peer to answer lags; were
 // its revision taken, prices that this data centre had left behind would be in force again.
 test('configuration: cut off, the newest of all peers that answer is taken', () => {
-  const events: ConfigurationStartEvent[] = [
+  const events: ConfigurationBootstrapEvent[] = [
     fromPeer('entry-2', 5),
     { type: 'quorumFailed' },
     { type: 'peerFailed', peer: 'store-1' },
--- a/packages/entry-core/src/configuration/index.ts
+++ b/packages/entry-core/src/configuration/index.ts
@@ -1,2 +1,2 @@
-export * from './ConfigurationApplier.js';
-export * from './ConfigurationStart.js';
+export * from './applyConfiguration.js';
+export * from './ConfigurationBootstrap.js';
--- a/packages/entry-core/src/limits/AllowanceLedger.test.ts
+++ b/packages/entry-core/src/limits/AllowanceLimiter.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Allowance, EntryReport } from '@hornbeampond/schema';
-import { AllowanceLedger } from './AllowanceLedger.js';
+import { AllowanceLimiter } from './AllowanceLimiter.js';
 
 const allowance: Allowance = {
   unit: 'tokens',
@@ -32,17 +32,17 @@
 }
 
 /** The ledger of an entry that was started a while ago. */
-function makeLedger(): AllowanceLedger {
-  const ledger = new AllowanceLedger();
-  ledger.ask('laden', allowance, 1, -10_000);
+function makeLedger(): AllowanceLimiter {
+  const ledger = new AllowanceLimiter();
+  ledger.check('laden', allowance, 1, -10_000);
   return ledger;
 }
 
 /** Spends in steps of 10 as long as it is allowed, and returns how much. */
-function spendAll(ledger: AllowanceLedger, now: number): number {
+function spendAll(ledger: AllowanceLimiter, now: number): number {
   let spent = 0;
-  while (spent < 10 * MOST && ledger.ask('laden', allowance, 10, now).type === 'allowed') {
-    if (ledger.spend('laden', allowance, 10, now)) ledger.tell('laden');
+  while (spent < 10 * MOST && ledger.check('laden', allowance, 10, now).type === 'allowed') {
+    if (ledger.spend('laden', allowance, 10, now)) ledger.reportTotal('laden');
     spent += 10;
   }
   return spent;
@@ -63,11 +63,11 @@
 test('one that comes back when it was told to is allowed', () => {
   const ledger = makeLedger();
   spendAll(ledger, 0);
-  const refused = ledger.ask('laden', allowance, 10, 500);
+  const refused = ledger.check('laden', allowance, 10, 500);
   assert.ok(refused.type === 'exceeded');
   const later = 500 + refused.retryAfterMilliseconds;
-  assert.equal(ledger.ask('laden', allowance, 10, later - 300).type, 'exceeded');
-  assert.equal(ledger.ask('laden', allowance, 10, later + 1).type, 'allowed');
+  assert.equal(ledger.check('laden', allowance, 10, later - 300).type, 'exceeded');
+  assert.equal(ledger.check('laden', allowance, 10, later + 1).type, 'allowed');
 });
 
 test('what other entries spend counts once, also after they restart', () => {
@@ -76,8 +76,8 @@
   ledger.receive(report('entry-2', 5600), 100);
   ledger.receive(report('entry-2', 5600), 200);
   ledger.receive(report('entry-2', 100, 2), 300);
-  assert.equal(ledger.ask('laden', allowance, MOST - 700, 400).type, 'allowed');
-  assert.equal(ledger.ask('laden', allowance, MOST - 699, 400).type, 'exceeded');
+  assert.equal(ledger.check('laden', allowance, MOST - 700, 400).type, 'allowed');
+  assert.equal(ledger.check('laden', allowance, MOST - 699, 400).type, 'exceeded');
 });
 
 // Half of the entries are killed while a workspace sends many times its usual. Started again, each of
@@ -85,21 +85,21 @@
 test('an entry that has just started takes over what the window holds already', () => {
   const old = makeLedger();
   spendAll(old, 0);
-  const ledger = new AllowanceLedger();
+  const ledger = new AllowanceLimiter();
   assert.ok(spendAll(ledger, 900) <= MOST / 10);
   const windowSpent = old.windowSpent(1000);
   ledger.receive({ ...report('entry-2', MOST), windowSpent }, 1000);
-  assert.equal(ledger.ask('laden', allowance, 10, 1100).type, 'exceeded');
-  assert.equal(ledger.ask('laden', allowance, 10, 9500).type, 'allowed');
+  assert.equal(ledger.check('laden', allowance, 10, 1100).type, 'exceeded');
+  assert.equal(ledger.check('laden', allowance, 10, 9500).type, 'allowed');
 });
 
 // An entry that starts beside others that have run for long takes over what they know.
 test('one entry that starts anew is not held to the rate', () => {
   const old = makeLedger();
-  const ledger = new AllowanceLedger();
-  const windowReach = old.reach(0);
+  const ledger = new AllowanceLimiter();
+  const windowReach = old.historyLength(0);
   ledger.receive({ ...report('entry-2', 0), windowSpent: {}, windowReach }, 0);
-  assert.equal(ledger.ask('laden', allowance, MOST / 2, 100).type, 'allowed');
+  assert.equal(ledger.check('laden', allowance, MOST / 2, 100).type, 'allowed');
 });
 
 // Callers of a workspace on both sides of a network partition would together be let run twice what
@@ -113,7 +113,7 @@
 
 test('a request above the whole allowance may run while nothing else has', () => {
   const ledger = makeLedger();
-  assert.equal(ledger.ask('laden', allowance, 5 * MOST, 0).type, 'allowed');
+  assert.equal(ledger.check('laden', allowance, 5 * MOST, 0).type, 'allowed');
   ledger.spend('laden', allowance, 5 * MOST, 0);
-  assert.equal(ledger.ask('laden', allowance, 1, 0).type, 'exceeded');
+  assert.equal(ledger.check('laden', allowance, 1, 0).type, 'exceeded');
 });
--- a/packages/entry-core/src/limits/AllowanceLedger.ts
+++ b/packages/entry-core/src/limits/AllowanceLimiter.ts
@@ -93,7 +93,7 @@
 }
 
 /** Whether a request may be run, and if not, when to come back. */
-export type Spending =
+export type AllowanceDecision =
   | { readonly type: 'allowed' }
   | {
       readonly type: 'exceeded';
@@ -101,7 +101,7 @@
       readonly facts: SpendingFacts;
     };
 
-export class AllowanceLedger {
+export class AllowanceLimiter {
   /** Spending of all entries, as far as it is known here. */
   private readonly all = new SpendingWindow();
 
@@ -126,13 +126,13 @@
   private startedAt: MonotonicMilliseconds | undefined;
 
   /** What each workspace has spent here since the process started; it counts as told from now on. */
-  tellAll(): Readonly<Record<string, number>> {
+  reportTotals(): Readonly<Record<string, number>> {
     Object.assign(this.told, this.ownTotals);
     return { ...this.ownTotals };
   }
 
   /** The same of one workspace. */
-  tell(workspace: string): Readonly<Record<string, number>> {
+  reportTotal(workspace: string): Readonly<Record<string, number>> {
     const total = this.ownTotals[workspace] ?? 0;
     this.told[workspace] = total;
     return { [workspace]: total };
@@ -143,35 +143,35 @@
     // An entry that has no caller of a workspace knows of its spending all the same.
     const spent = [...this.all.workspaces].map((workspace) => {
       const length = this.windows.get(workspace) ?? FORGOTTEN_MILLISECONDS;
-      this.all.forgetBefore(workspace, now - length);
-      return [workspace, this.all.bySecond(workspace, now)] as const;
+      this.all.evictBefore(workspace, now - length);
+      return [workspace, this.all.sumBySecond(workspace, now)] as const;
     });
     return Object.fromEntries(spent.filter(([, amounts]) => amounts.length > 0));
   }
 
   /** How many entries this one has heard lately, itself included. */
-  get entries(): number {
+  get entryCount(): number {
     return this.peers.size + 1;
   }
 
   /** How far back spending is known here. */
-  reach(now: MonotonicMilliseconds): Milliseconds {
+  historyLength(now: MonotonicMilliseconds): Milliseconds {
     this.knownSince ??= now;
     return now - this.knownSince;
   }
 
   /** Asks whether `amount` may be spent now; nothing is spent by asking. */
-  ask(
+  check(
     workspace: string,
     allowance: Allowance,
     amount: number,
     now: MonotonicMilliseconds,
-  ): Spending {
+  ): AllowanceDecision {
     const { windowMilliseconds } = allowance;
     this.startedAt ??= now;
     this.windows.set(workspace, windowMilliseconds);
     [this.all, this.own].forEach((spending) =>
-      spending.forgetBefore(workspace, now - windowMilliseconds),
+      spending.evictBefore(workspace, now - windowMilliseconds),
     );
     const limit = this.limitNow(allowance, now);
     const known = this.all.sumSince(workspace, now - windowMilliseconds);
@@ -204,8 +204,8 @@
     now: MonotonicMilliseconds,
   ): boolean {
     this.ownTotals[workspace] = (this.ownTotals[workspace] ?? 0) + amount;
-    this.all.note(workspace, amount, now);
-    this.own.note(workspace, amount, now);
+    this.all.record(workspace, amount, now);
+    this.own.record(workspace, amount, now);
     const { windowMilliseconds } = allowance;
     const known = this.all.sumSince(workspace, now - windowMilliseconds);
     const untold = this.untoldTotal(workspace);
@@ -232,7 +232,7 @@
    *
    * @param self - The name of this entry, whose earlier lives the store may know.
    */
-  remember(
+  restore(
     { at, windowSpent, windowReach, entries }: RememberedSpending,
     self: string,
     now: MonotonicMilliseconds,
@@ -244,7 +244,7 @@
     this.takeWindow(windowSpent, reach, now - age);
     // What was spent between the last write and the loss of power is taken to be as much as before.
     Object.entries(windowSpent).forEach(([workspace, [lately = 0]]) => {
-      this.all.noteBack(workspace, lately * UNWRITTEN_SHARE, now - age);
+      this.all.recordAt(workspace, lately * UNWRITTEN_SHARE, now - age);
     });
     Object.entries(entries).forEach(([instance, { incarnation, spent }]) => {
       if (instance === self || this.peers.has(instance)) return;
@@ -267,7 +267,7 @@
       // Reports that come through two stores may overtake each other.
       if (more <= 0) return;
       after[workspace] = amount;
-      this.all.note(workspace, more, now);
+      this.all.record(workspace, more, now);
     });
     const { entries } = known;
     this.peers.set(instance, { incarnation, spent: after, heardAt: now, leaving, entries });
@@ -291,7 +291,7 @@
       amounts.forEach((amount, second) => {
         const taken = Math.min(missing, amount);
         missing -= taken;
-        this.all.noteBack(workspace, taken, at - second * MILLISECONDS_PER_SECOND);
+        this.all.recordAt(workspace, taken, at - second * MILLISECONDS_PER_SECOND);
       });
     });
   }
@@ -299,12 +299,12 @@
   /** What may be spent in a window of which only the last part may be known. */
   private limitNow(allowance: Allowance, now: MonotonicMilliseconds): number {
     const { perSecond, burst, windowMilliseconds, tolerated } = allowance;
-    const reach = this.reach(now);
+    const reach = this.historyLength(now);
     const known = (perSecond * Math.min(reach, windowMilliseconds)) / MILLISECONDS_PER_SECOND;
     const whole = (perSecond * windowMilliseconds) / MILLISECONDS_PER_SECOND + burst;
     const spare = Math.max(burst, known + tolerated * UNKNOWN_TOLERANCE_SHARE);
     const limit = reach < windowMilliseconds ? Math.min(whole, spare) : whole;
-    const share = this.ownShare(now);
+    const share = this.reachableFraction(now);
     const isExact = share === 1 && reach >= windowMilliseconds && !this.isAnyOverdue(now);
     return limit * share + (isExact ? tolerated * KNOWING_SHARE : 0);
   }
@@ -324,7 +324,7 @@
    */
   private isStarting(now: MonotonicMilliseconds, windowMilliseconds: Milliseconds): boolean {
     if (now - (this.startedAt ?? now) >= ROUND_MILLISECONDS) return false;
-    return this.peers.size === 0 || this.reach(now) < windowMilliseconds;
+    return this.peers.size === 0 || this.historyLength(now) < windowMilliseconds;
   }
 
   private untoldTotal(workspace: string): number {
@@ -354,7 +354,7 @@
    */
   private countEntries(now: MonotonicMilliseconds): { all: number; heard: number } {
     let heard = 1;
-    let all = this.entries;
+    let all = this.entryCount;
     this.peers.forEach(({ heardAt, entries }) => {
       if (now - heardAt >= SILENT_MILLISECONDS) return;
       heard += 1;
@@ -364,7 +364,7 @@
   }
 
   /** The part of the allowance that is not left to entries that have fallen silent. */
-  protected ownShare(now: MonotonicMilliseconds): number {
+  protected reachableFraction(now: MonotonicMilliseconds): number {
     this.peers.forEach(({ heardAt, leaving }, instance) => {
       const silence = now - heardAt;
       const isGone = leaving && silence >= SILENT_MILLISECONDS;
@@ -392,14 +392,14 @@
     { known, amount, excess }: { known: number; amount: number; excess: number },
     now: MonotonicMilliseconds,
   ): Milliseconds {
-    const reach = this.reach(now);
+    const reach = this.historyLength(now);
     if (reach < windowMilliseconds) {
       const above = known + amount - tolerated * UNKNOWN_TOLERANCE_SHARE;
       const enoughAt = (above / Math.max(1, perSecond)) * MILLISECONDS_PER_SECOND;
       const wait = Math.min(enoughAt, windowMilliseconds) - reach;
       return Math.max(SLICE_MILLISECONDS, wait);
     }
-    const freeAt = this.all.freeAt(workspace, excess, windowMilliseconds);
+    const freeAt = this.all.findExpiryTime(workspace, excess, windowMilliseconds);
     return Math.max(0, (freeAt ?? now) - now);
   }
 }
--- a/packages/entry-core/src/limits/LimitLedger.test.ts
+++ b/packages/entry-core/src/limits/ConcurrencyLimiter.test.ts
@@ -3,7 +3,11 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import type { EntryReport } from '@hornbeampond/schema';
-import { FORGOTTEN_MILLISECONDS, LimitLedger, SILENT_MILLISECONDS } from './LimitLedger.js';
+import {
+  PEER_EXPIRY_MILLISECONDS,
+  ConcurrencyLimiter,
+  PEER_TIMEOUT_MILLISECONDS,
+} from './ConcurrencyLimiter.js';
 
 const KEY = 'appraisals/kartenwerk-a';
 const REPORT_INTERVAL = 500;
@@ -14,7 +18,7 @@
 
   highestSum = 0;
 
-  readonly ledgers: LimitLedger[];
+  readonly ledgers: ConcurrencyLimiter[];
 
   private readonly held: string[][];
 
@@ -24,7 +28,7 @@
     entries: number,
     private readonly limit: number,
   ) {
-    this.ledgers = Array.from({ length: entries }, () => new LimitLedger());
+    this.ledgers = Array.from({ length: entries }, () => new ConcurrencyLimiter());
     this.held = this.ledgers.map(() => []);
   }
 
@@ -39,7 +43,7 @@
   /** Has an entry take up to `wanted` more. */
   take(entry: number, wanted: number): void {
     for (let taken = 0; taken < wanted; taken += 1) {
-      if (this.ledgers[entry]?.hasRoom(KEY, this.limit, this.now) !== true) return;
+      if (this.ledgers[entry]?.hasCapacity(KEY, this.limit, this.now) !== true) return;
       this.sequence += 1;
       const requestId = `request-${this.sequence}`;
       this.ledgers[entry]?.acquire(KEY, requestId);
@@ -80,10 +84,10 @@
 
   pass(span: number): void {
     this.now += span;
-    this.ledgers.forEach((ledger) => ledger.forgetGonePeers(this.now));
+    this.ledgers.forEach((ledger) => ledger.removeExpiredPeers(this.now));
   }
 
-  private makeReport(ledger: LimitLedger, entry: number): EntryReport {
+  private makeReport(ledger: ConcurrencyLimiter, entry: number): EntryReport {
     return {
       type: 'entryReport',
       instance: `entry-${entry}`,
@@ -92,7 +96,7 @@
       sequence: this.sequence,
       leaving: false,
       revision: 1,
-      inProgress: ledger.countAll(),
+      inProgress: ledger.countOwnByKey(),
       leavingBackendServers: {},
       suspects: [],
     };
@@ -176,13 +180,13 @@
         greedy.end(entry, uniformInt(random, 0, limit / 4));
         greedy.take(entry, uniformInt(random, 0, 1) * limit);
       }
-      if (round < 100 + FORGOTTEN_MILLISECONDS / REPORT_INTERVAL) greedy.pass(REPORT_INTERVAL);
+      if (round < 100 + PEER_EXPIRY_MILLISECONDS / REPORT_INTERVAL) greedy.pass(REPORT_INTERVAL);
     }
     assert.ok(greedy.highestSum <= 2 * limit + entries, `${entries}: ${greedy.highestSum}`);
     for (let entry = 0; entry < entries; entry += 1) greedy.end(entry, limit);
     const silent = new GreedyEntries(entries, limit);
     silent.report();
-    silent.pass(SILENT_MILLISECONDS + 1);
+    silent.pass(PEER_TIMEOUT_MILLISECONDS + 1);
     for (let turn = 0; turn < 50; turn += 1) {
       for (let entry = 0; entry < entries; entry += 1) silent.take(entry, limit);
       silent.pass(REPORT_INTERVAL);
@@ -199,7 +203,7 @@
   greedy.take(1, 10);
   greedy.report();
   for (let turn = 0; turn < 10; turn += 1) {
-    greedy.pass(FORGOTTEN_MILLISECONDS / 10);
+    greedy.pass(PEER_EXPIRY_MILLISECONDS / 10);
     greedy.take(0, 10);
   }
   assert.equal(greedy.countAt(0), 5);
@@ -211,7 +215,7 @@
 // Reports overtake each other on the way. A caller must not be refused, or let in, by an old one:
 // the higher sequence of the newest incarnation stays.
 test('a late report does not replace a newer one', () => {
-  const ledger = new LimitLedger();
+  const ledger = new ConcurrencyLimiter();
   const report = (incarnation: number, sequence: number, count: number): EntryReport => ({
     type: 'entryReport',
     instance: 'peer',
@@ -226,7 +230,7 @@
   });
   ledger.receive(report(1, 7, 0), 0);
   ledger.receive(report(1, 6, 1), 0);
-  assert.equal(ledger.hasRoom(KEY, 1, 0), true);
+  assert.equal(ledger.hasCapacity(KEY, 1, 0), true);
   ledger.receive(report(2, 1, 1), 0);
-  assert.equal(ledger.hasRoom(KEY, 1, 0), false);
+  assert.equal(ledger.hasCapacity(KEY, 1, 0), false);
 });
--- a/packages/entry-core/src/limits/LimitLedger.ts
+++ b/packages/entry-core/src/limits/ConcurrencyLimiter.ts
@@ -19,8 +19,8 @@
  */
 import type { EntryReport, Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 
-export const SILENT_MILLISECONDS: Milliseconds = 3000;
-export const FORGOTTEN_MILLISECONDS: Milliseconds = 60_000;
+export const PEER_TIMEOUT_MILLISECONDS: Milliseconds = 3000;
+export const PEER_EXPIRY_MILLISECONDS: Milliseconds = 60_000;
 
 /** What a peer said last, and when it was heard. */
 interface Peer {
@@ -35,7 +35,7 @@
   lowest: number;
 }
 
-export class LimitLedger {
+export class ConcurrencyLimiter {
   private readonly own = new Map<string, OwnCount>();
 
   private readonly peers = new Map<string, Peer>();
@@ -63,7 +63,7 @@
   }
 
   /** Own requests in progress by key, for this entry's report to its peers. */
-  countAll(): Record<string, number> {
+  countOwnByKey(): Record<string, number> {
     return Object.fromEntries([...this.own].map(([key, { requestIds }]) => [key, requestIds.size]));
   }
 
@@ -81,22 +81,22 @@
   }
 
   /** Entries that share the limits: this one and its peers that are not leaving. */
-  get entries(): number {
+  get entryCount(): number {
     return 1 + this.stayingPeers;
   }
 
   /** True if one more request under this key is within this entry's part of the limit. */
-  hasRoom(key: string, limit: number, now: MonotonicMilliseconds): boolean {
-    const { entries } = this;
+  hasCapacity(key: string, limit: number, now: MonotonicMilliseconds): boolean {
+    const { entryCount: entries } = this;
     const own = this.own.get(key);
     const lowest = own?.lowest ?? 0;
     const free = limit - this.heldByPeers(key, limit, now) - lowest;
     return (own?.requestIds.size ?? 0) < lowest + Math.ceil(Math.max(0, free) / entries);
   }
 
-  forgetGonePeers(now: MonotonicMilliseconds): void {
+  removeExpiredPeers(now: MonotonicMilliseconds): void {
     for (const [instance, peer] of this.peers) {
-      if (now - peer.heardAt > FORGOTTEN_MILLISECONDS) {
+      if (now - peer.heardAt > PEER_EXPIRY_MILLISECONDS) {
         this.peers.delete(instance);
         this.heardInRound.delete(instance);
       }
@@ -115,8 +115,8 @@
     for (const { report, heardAt } of this.peers.values()) {
       const said = report.inProgress[key] ?? 0;
       const age = now - heardAt;
-      const isSilent = age > SILENT_MILLISECONDS && !report.leaving;
-      held += isSilent ? Math.max(said, limit / this.entries) : said;
+      const isSilent = age > PEER_TIMEOUT_MILLISECONDS && !report.leaving;
+      held += isSilent ? Math.max(said, limit / this.entryCount) : said;
     }
     return held;
   }
@@ -124,7 +124,7 @@
   /** Once every peer in contact was heard, what this entry took is known to be known. */
   private endRound(now: MonotonicMilliseconds): void {
     for (const [instance, { heardAt }] of this.peers) {
-      if (now - heardAt <= SILENT_MILLISECONDS && !this.heardInRound.has(instance)) return;
+      if (now - heardAt <= PEER_TIMEOUT_MILLISECONDS && !this.heardInRound.has(instance)) return;
     }
     this.heardInRound.clear();
     for (const own of this.own.values()) own.lowest = own.requestIds.size;
--- a/packages/entry-core/src/limits/LimitState.ts
+++ b/packages/entry-core/src/limits/LimitState.ts
@@ -1,22 +1,22 @@
 /** What an entry knows of the requests in progress that count towards limits. */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
-import { AllowanceLedger } from './AllowanceLedger.js';
-import { LimitLedger } from './LimitLedger.js';
+import { AllowanceLimiter } from './AllowanceLimiter.js';
+import { ConcurrencyLimiter } from './ConcurrencyLimiter.js';
 
 export interface LimitState {
-  readonly ledger: LimitLedger;
-  readonly allowances: AllowanceLedger;
+  readonly concurrencyLimiter: ConcurrencyLimiter;
+  readonly allowanceLimiter: AllowanceLimiter;
   /** Key that each counted request is counted under, by request id. */
-  readonly keys: Map<string, string>;
+  readonly keysByRequestId: Map<string, string>;
   /** When all of them were last compared with the requests that are there. */
   sweptAt: MonotonicMilliseconds;
 }
 
 export function makeLimitState(): LimitState {
   return {
-    ledger: new LimitLedger(),
-    allowances: new AllowanceLedger(),
-    keys: new Map(),
+    concurrencyLimiter: new ConcurrencyLimiter(),
+    allowanceLimiter: new AllowanceLimiter(),
+    keysByRequestId: new Map(),
     sweptAt: 0,
   };
 }
--- a/packages/entry-core/src/limits/SpendingWindow.ts
+++ b/packages/entry-core/src/limits/SpendingWindow.ts
@@ -23,7 +23,7 @@
     return this.slices.keys();
   }
 
-  note(workspace: string, amount: number, now: MonotonicMilliseconds): void {
+  record(workspace: string, amount: number, now: MonotonicMilliseconds): void {
     if (amount === 0) return;
     const slices = this.slices.get(workspace) ?? [];
     this.slices.set(workspace, slices);
@@ -33,7 +33,7 @@
   }
 
   /** Takes in what was spent at a moment that may be past; it counts from the end of that second. */
-  noteBack(workspace: string, amount: number, at: MonotonicMilliseconds): void {
+  recordAt(workspace: string, amount: number, at: MonotonicMilliseconds): void {
     if (amount === 0) return;
     const slices = this.slices.get(workspace) ?? [];
     slices.push({ at, amount });
@@ -42,7 +42,7 @@
   }
 
   /** What was spent in each second back, as far as anything was. */
-  bySecond(workspace: string, now: MonotonicMilliseconds): number[] {
+  sumBySecond(workspace: string, now: MonotonicMilliseconds): number[] {
     const amounts: number[] = [];
     this.slices.get(workspace)?.forEach(({ at, amount }) => {
       const second = Math.floor(Math.max(0, now - at) / MILLISECONDS_PER_SECOND);
@@ -53,7 +53,7 @@
   }
 
   /** Forgets what was spent before. */
-  forgetBefore(workspace: string, since: MonotonicMilliseconds): void {
+  evictBefore(workspace: string, since: MonotonicMilliseconds): void {
     const slices = this.slices.get(workspace) ?? [];
     const first = slices.findIndex(({ at }) => at + SLICE_MILLISECONDS > since);
     slices.splice(0, first < 0 ? slices.length : first);
@@ -69,7 +69,7 @@
   }
 
   /** When so much of what is kept will have left a window of this length. */
-  freeAt(
+  findExpiryTime(
     workspace: string,
     amount: number,
     window: Milliseconds,
--- a/packages/entry-core/src/limits/allowanceFloods.test.ts
+++ b/packages/entry-core/src/limits/allowanceFloods.test.ts
@@ -6,7 +6,7 @@
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { Allowance, Milliseconds } from '@hornbeampond/schema';
-import { AllowanceEntries } from './testing/AllowanceEntries.js';
+import { AllowanceSimulation } from './testing/AllowanceSimulation.js';
 
 const ENTRIES = 8;
 
@@ -36,7 +36,7 @@
   private readonly random;
 
   constructor(
-    private readonly entries: AllowanceEntries,
+    private readonly entries: AllowanceSimulation,
     private readonly tokensPerSecond: number,
     seed: number,
   ) {
@@ -55,7 +55,7 @@
     // Six in ten callers meet the same entry.
     const number = this.draw() < 0.6 ? 0 : Math.floor(this.draw() * ENTRIES);
     this.asked += 1;
-    const asked = this.entries.ask(number, amount);
+    const asked = this.entries.trySpend(number, amount);
     if (asked?.type !== 'exceeded') return;
     this.refusedAmount += amount;
     if (asked.facts.bound === 'part') this.refusedForPart += 1;
@@ -70,7 +70,7 @@
 // one entry would have of it between two reports. Held to such a part, one in seven was refused.
 test('long prompts at unequal entries are not refused within the allowance', () => {
   [1, 2, 3, 4, 5].forEach((seed) => {
-    const entries = new AllowanceEntries(ENTRIES, allowance);
+    const entries = new AllowanceSimulation(ENTRIES, allowance);
     entries.advance(10_000);
     const callers = new Callers(entries, 24_000, seed);
     callers.run(60_000);
@@ -83,13 +83,13 @@
 // whole window.
 test('a flood of long prompts gets the allowance and no more than is tolerated', () => {
   [1, 2, 3].forEach((seed) => {
-    const entries = new AllowanceEntries(ENTRIES, allowance);
+    const entries = new AllowanceSimulation(ENTRIES, allowance);
     entries.advance(10_000);
     new Callers(entries, 160_000, seed).run(64_000);
-    const most = entries.mostInWindow();
+    const most = entries.maxInWindow();
     assert.ok(most <= ACCEPTED, `${most} of ${ACCEPTED}`);
     // Eight windows, less what has to leave a window slice by slice.
-    const passed = entries.between(10_000, 74_000);
+    const passed = entries.allowedBetween(10_000, 74_000);
     assert.ok(passed >= 8 * MOST * 0.85, String(passed));
   });
 });
@@ -98,24 +98,24 @@
 // be too much, and that is one prompt for each of them at most.
 test('a flood is held as exactly as messages travel where nothing is tolerated', () => {
   const exact = { ...allowance, tolerated: 0, burst: 470_000 };
-  const entries = new AllowanceEntries(ENTRIES, exact);
+  const entries = new AllowanceSimulation(ENTRIES, exact);
   entries.advance(10_000);
   new Callers(entries, 160_000, 7).run(30_000);
-  const most = entries.mostInWindow();
+  const most = entries.maxInWindow();
   assert.ok(most <= 8 * 47_000 + exact.burst + ENTRIES * 4000, String(most));
 });
 
 // Two entries of eight are cut off from the others in the middle of a flood, and come back.
 test('both sides of a network partition together keep to what is tolerated', () => {
-  const entries = new AllowanceEntries(ENTRIES, allowance);
+  const entries = new AllowanceSimulation(ENTRIES, allowance);
   entries.advance(10_000);
   const callers = new Callers(entries, 160_000, 11);
   callers.run(6000);
-  [1, 2].forEach((number) => entries.cut(number, 1));
+  [1, 2].forEach((number) => entries.setPartition(number, 1));
   callers.run(9000);
-  [1, 2].forEach((number) => entries.cut(number, 0));
+  [1, 2].forEach((number) => entries.setPartition(number, 0));
   callers.run(12_000);
-  const most = entries.mostInWindow();
+  const most = entries.maxInWindow();
   assert.ok(most <= ACCEPTED, `${most} of ${ACCEPTED}`);
 });
 
@@ -123,13 +123,13 @@
 // spent before; taken for nothing, the whole window would be spent again.
 test('a window is not spent again after all entries have lost what they knew', () => {
   [1, 2, 3, 4, 5].forEach((seed) => {
-    const entries = new AllowanceEntries(ENTRIES, allowance);
+    const entries = new AllowanceSimulation(ENTRIES, allowance);
     entries.advance(10_000);
     const callers = new Callers(entries, 160_000, seed);
     callers.run(16_000);
     entries.losePower(1000);
     callers.run(20_000);
-    const most = entries.mostInWindow();
+    const most = entries.maxInWindow();
     assert.ok(most <= ACCEPTED, `${most} of ${ACCEPTED}`);
   });
 });
@@ -140,7 +140,7 @@
   const seeds = [1, 2, 3, 4, 5];
   let refused = 0;
   seeds.forEach((seed) => {
-    const entries = new AllowanceEntries(ENTRIES, allowance);
+    const entries = new AllowanceSimulation(ENTRIES, allowance);
     entries.advance(10_000);
     const callers = new Callers(entries, 24_000, seed);
     callers.run(16_000);
@@ -156,7 +156,7 @@
 // Guards against a window that is overspent by callers who waited for a loss of power to end, all at once.
 test('callers who come back together after a loss of power get no more than is tolerated', () => {
   let delay = 3;
-  const entries = new AllowanceEntries(ENTRIES, allowance, { delay: () => delay });
+  const entries = new AllowanceSimulation(ENTRIES, allowance, { delay: () => delay });
   entries.advance(26_000);
   entries.losePower(1000);
   // Stores that have just started themselves hand messages on late.
@@ -165,7 +165,7 @@
   press(entries, 6000, 300, 5);
   delay = 3;
   press(entries, 4000, 9000);
-  const most = entries.mostInWindow();
+  const most = entries.maxInWindow();
   assert.ok(most <= ACCEPTED, `${most} of ${ACCEPTED}`);
 });
 
@@ -173,29 +173,29 @@
 
 /** Callers that ask each entry for a small amount at every step. */
 function press(
-  entries: AllowanceEntries,
+  entries: AllowanceSimulation,
   amount: number,
   span: Milliseconds,
   step: Milliseconds = 50,
 ): void {
   for (const end = entries.now + span; entries.now < end; entries.advance(step)) {
-    for (let number = 0; number < ENTRIES; number += 1) entries.ask(number, amount);
+    for (let number = 0; number < ENTRIES; number += 1) entries.trySpend(number, amount);
   }
 }
 
 // A workspace sends twice its rate in small requests through all entries at once, and nothing is
 // tolerated. Together they keep to the allowance, but for what is on its way.
 test('entries keep to the allowance together in a flood of small requests', () => {
-  const entries = new AllowanceEntries(ENTRIES, small);
+  const entries = new AllowanceSimulation(ENTRIES, small);
   press(entries, 1, 30_000);
-  const most = entries.mostInWindow();
+  const most = entries.maxInWindow();
   assert.ok(most > 1000 * 0.9 && most <= 1000 * 1.1, String(most));
 });
 
 // Eight times the rate, and all entries lose power. The rate goes on at once and no faster, and all of
 // the window is there again once it is known.
 test('after a loss of power a flood of small requests gets the rate at first', () => {
-  const entries = new AllowanceEntries(ENTRIES, small);
+  const entries = new AllowanceSimulation(ENTRIES, small);
   const amount = 5;
   press(entries, amount, 20_000);
   entries.losePower(1000);
@@ -203,9 +203,9 @@
   const restart = 21_000;
   for (let span = 1000; span < small.windowMilliseconds; span += 1000) {
     const rate = (small.perSecond * span) / 1000;
-    const spent = entries.between(restart, restart + span);
+    const spent = entries.allowedBetween(restart, restart + span);
     assert.ok(spent <= small.burst + 2 * rate + 8 * amount, `${spent} in ${span} ms`);
   }
-  assert.ok(entries.between(restart, restart + 8000) >= 1000 * 0.5);
-  assert.ok(entries.between(36_000, 44_000) >= 1000 * 0.9);
+  assert.ok(entries.allowedBetween(restart, restart + 8000) >= 1000 * 0.5);
+  assert.ok(entries.allowedBetween(36_000, 44_000) >= 1000 * 0.9);
 });
--- a/packages/entry-core/src/limits/allowanceSchedules.test.ts
+++ b/packages/entry-core/src/limits/allowanceSchedules.test.ts
@@ -9,8 +9,11 @@
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { Allowance } from '@hornbeampond/schema';
-import { AllowanceLedger } from './AllowanceLedger.js';
-import { AllowanceEntries, type AllowanceParts } from './testing/AllowanceEntries.js';
+import { AllowanceLimiter } from './AllowanceLimiter.js';
+import {
+  AllowanceSimulation,
+  type AllowanceSimulationOptions,
+} from './testing/AllowanceSimulation.js';
 
 const allowance: Allowance = {
   unit: 'tokens',
@@ -32,7 +35,7 @@
 type Fault = 'partitions' | 'powerLoss';
 
 /** Plays one schedule and returns the most that was let through in a window. */
-function play(seed: number, fault: Fault, parts: Partial<AllowanceParts> = {}): number {
+function play(seed: number, fault: Fault, parts: Partial<AllowanceSimulationOptions> = {}): number {
   const random = xoroshiro128plus(seed);
   const draw = () => uniformFloat64(random);
   const count = 2 + Math.floor(draw() * 8);
@@ -44,19 +47,19 @@
   const powerLossAt = 1400 + Math.floor(draw() * 1500);
   let now = 0;
   const isOutage = () => now >= outageFrom && now < outageFrom + OUTAGE_MILLISECONDS;
-  const entries = new AllowanceEntries(count, allowance, { delay, isOutage, ...parts });
+  const entries = new AllowanceSimulation(count, allowance, { delay, isOutage, ...parts });
   entries.advance(9000);
   for (let step = 0; step < 3000; step += 1) {
     entries.advance(10);
     now = entries.now;
     if (fault === 'powerLoss' && step === powerLossAt) entries.losePower(1000);
-    if (draw() < flood * 0.05) entries.ask(Math.floor(draw() * count), 40 + 400 * draw() ** 4);
+    if (draw() < flood * 0.05) entries.trySpend(Math.floor(draw() * count), 40 + 400 * draw() ** 4);
     if (draw() < 0.0015) entries.kill(Math.floor(draw() * count), 500 + 2000 * draw());
     if (fault === 'partitions' && draw() < 0.002) {
-      entries.cut(Math.floor(draw() * count), draw() < 0.6 ? 0 : 1);
+      entries.setPartition(Math.floor(draw() * count), draw() < 0.6 ? 0 : 1);
     }
   }
-  return entries.mostInWindow();
+  return entries.maxInWindow();
 }
 
 const faults: readonly Fault[] = ['partitions', 'powerLoss'];
@@ -70,47 +73,47 @@
   });
 });
 
-function isCaught(parts: Partial<AllowanceParts>): boolean {
+function isCaught(parts: Partial<AllowanceSimulationOptions>): boolean {
   const seeds = Array.from({ length: SCHEDULES }, (_, index) => index + 1);
   return seeds.some((seed) => faults.some((fault) => play(seed, fault, parts) > ACCEPTED));
 }
 
 /** Lets all through that the known spending allows, also where nobody hears of it. */
-class WithoutParts extends AllowanceLedger {
-  override ask(...question: Parameters<AllowanceLedger['ask']>) {
-    const asked = super.ask(...question);
+class WithoutParts extends AllowanceLimiter {
+  override check(...question: Parameters<AllowanceLimiter['check']>) {
+    const asked = super.check(...question);
     const isPart = asked.type === 'exceeded' && asked.facts.bound === 'part';
     return isPart ? ({ type: 'allowed' } as const) : asked;
   }
 }
 
 /** Tells nothing between two reports. */
-class WithoutTelling extends AllowanceLedger {
-  override spend(...spending: Parameters<AllowanceLedger['spend']>) {
+class WithoutTelling extends AllowanceLimiter {
+  override spend(...spending: Parameters<AllowanceLimiter['spend']>) {
     super.spend(...spending);
     return false;
   }
 }
 
 /** Leaves nothing to peers that have fallen silent. */
-class WithoutShares extends AllowanceLedger {
-  protected override ownShare() {
+class WithoutShares extends AllowanceLimiter {
+  protected override reachableFraction() {
     return 1;
   }
 }
 
 test('mutation: nothing is held back while nobody can be told', () => {
-  assert.ok(isCaught({ makeLedger: () => new WithoutParts() }));
+  assert.ok(isCaught({ makeLimiter: () => new WithoutParts() }));
 });
 
 test('mutation: stores keep nothing over a loss of power', () => {
-  assert.ok(isCaught({ isKept: false }));
+  assert.ok(isCaught({ isPersisted: false }));
 });
 
 test('mutation: nothing is told between two reports', () => {
-  assert.ok(isCaught({ makeLedger: () => new WithoutTelling() }));
+  assert.ok(isCaught({ makeLimiter: () => new WithoutTelling() }));
 });
 
 test('mutation: both sides of a partition spend the whole', () => {
-  assert.ok(isCaught({ makeLedger: () => new WithoutShares() }));
+  assert.ok(isCaught({ makeLimiter: () => new WithoutShares() }));
 });
--- a/packages/entry-core/src/limits/refuseOverAllowance.ts
+++ b/packages/entry-core/src/limits/checkAllowance.ts
@@ -4,7 +4,7 @@
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
 import { routeIndexOf } from '../routing/routeIndexOf.js';
-import type { SpendingFacts } from './AllowanceLedger.js';
+import type { SpendingFacts } from './AllowanceLimiter.js';
 
 /** A bucket that fills slowly is looked at again after this long by callers that came too early. */
 const LONGEST_RETRY_MILLISECONDS: Milliseconds = 10_000;
@@ -25,7 +25,7 @@
 }
 
 /** Says if the request is beyond its workspace's allowance; undefined if it is not. */
-export function findAllowanceExceeded(
+export function checkAllowance(
   state: EntryState,
   accepted: RequestState,
 ): AllowanceExceeded | undefined {
@@ -33,7 +33,7 @@
   const allowance = allowanceOf(state, workspace);
   if (allowance === undefined) return undefined;
   const amount = amountOf(accepted, allowance);
-  const asked = state.limits.allowances.ask(workspace, allowance, amount, state.clocks.now);
+  const asked = state.limits.allowanceLimiter.check(workspace, allowance, amount, state.clocks.now);
   if (asked.type === 'allowed') return undefined;
   const { facts } = asked;
   const wait = Math.min(asked.retryAfterMilliseconds, LONGEST_RETRY_MILLISECONDS);
@@ -44,11 +44,11 @@
   const { workspace } = accepted.request;
   const allowance = allowanceOf(state, workspace);
   if (allowance === undefined) return [];
-  const { allowances } = state.limits;
+  const { allowanceLimiter: allowances } = state.limits;
   const amount = amountOf(accepted, allowance);
   if (!allowances.spend(workspace, allowance, amount, state.clocks.now)) return [];
   const { instance, incarnation } = state.identity;
-  const spent = allowances.tell(workspace);
+  const spent = allowances.reportTotal(workspace);
   const leaving = state.shutdown.started;
   const spending = { type: 'spendingReport', instance, incarnation, spent, leaving } as const;
   return [{ type: 'tellSpending', spending }];
--- a/packages/entry-core/src/limits/receiveEntryReport.ts
+++ b/packages/entry-core/src/limits/receivePeerUsage.ts
@@ -2,16 +2,16 @@
 import type { EntryReport, MonotonicMilliseconds, SpendingReport } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 
-export function receiveEntryReport(
+export function receivePeerUsage(
   state: EntryState,
   report: EntryReport,
   now: MonotonicMilliseconds,
 ): void {
   const { dataCentre, instance } = state.identity;
   if (report.instance === instance) return;
-  state.limits.allowances.receive(report, now);
+  state.limits.allowanceLimiter.receive(report, now);
   if (report.dataCentre !== dataCentre) return;
-  state.limits.ledger.receive(report, now);
+  state.limits.concurrencyLimiter.receive(report, now);
 }
 
 export function receiveSpendingReport(
@@ -20,5 +20,5 @@
   now: MonotonicMilliseconds,
 ): void {
   if (spending.instance === state.identity.instance) return;
-  state.limits.allowances.receiveSpending(spending, now);
+  state.limits.allowanceLimiter.receiveSpending(spending, now);
 }
--- a/packages/entry-core/src/limits/releaseEnded.ts
+++ b/packages/entry-core/src/limits/releaseEndedRequests.ts
@@ -21,19 +21,24 @@
 }
 
 function release(state: EntryState, requestId: string): void {
-  const key = state.limits.keys.get(requestId);
+  const key = state.limits.keysByRequestId.get(requestId);
   if (key === undefined || state.requests.has(requestId)) return;
-  state.limits.keys.delete(requestId);
-  state.limits.ledger.release(key, requestId);
+  state.limits.keysByRequestId.delete(requestId);
+  state.limits.concurrencyLimiter.release(key, requestId);
 }
 
-export function acquire(state: EntryState, requestId: string, route: string, workspace: string) {
+export function acquireLimit(
+  state: EntryState,
+  requestId: string,
+  route: string,
+  workspace: string,
+) {
   const key = limitKey(route, workspace);
-  state.limits.keys.set(requestId, key);
-  state.limits.ledger.acquire(key, requestId);
+  state.limits.keysByRequestId.set(requestId, key);
+  state.limits.concurrencyLimiter.acquire(key, requestId);
 }
 
-export function releaseEnded(
+export function releaseEndedRequests(
   state: EntryState,
   event: EntryEvent,
   requestId: string | undefined,
@@ -41,7 +46,7 @@
   if (requestId !== undefined) release(state, requestId);
   if (event.type !== 'tick' || event.now - state.limits.sweptAt < SWEEP_MILLISECONDS) return;
   state.limits.sweptAt = event.now;
-  for (const held of [...state.limits.keys.keys()]) release(state, held);
+  for (const held of [...state.limits.keysByRequestId.keys()]) release(state, held);
   forgetEnded(state);
-  state.limits.ledger.forgetGonePeers(event.now);
+  state.limits.concurrencyLimiter.removeExpiredPeers(event.now);
 }
--- a/packages/entry-core/src/limits/testing/AllowanceEntries.ts
+++ b/packages/entry-core/src/limits/testing/AllowanceSimulation.ts
@@ -11,13 +11,13 @@
   RememberedSpending,
   SpendingReport,
 } from '@hornbeampond/schema';
-import { AllowanceLedger, type Spending } from '../AllowanceLedger.js';
+import { AllowanceLimiter, type AllowanceDecision } from '../AllowanceLimiter.js';
 
 const WORKSPACE = 'laden';
 const REPORT_MILLISECONDS: Milliseconds = 1000;
 
 interface Entry {
-  ledger: AllowanceLedger;
+  ledger: AllowanceLimiter;
   incarnation: number;
   /** The side of a network partition that it is on. */
   side: number;
@@ -28,7 +28,7 @@
 interface Message {
   readonly at: Milliseconds;
   readonly to: number;
-  deliver(ledger: AllowanceLedger): void;
+  deliver(ledger: AllowanceLimiter): void;
 }
 
 /** One request that was let through. */
@@ -38,14 +38,14 @@
 }
 
 /** What a trial may replace: by default the real ledger, and a network of 3 ms. */
-export interface AllowanceParts {
-  readonly makeLedger: () => AllowanceLedger;
+export interface AllowanceSimulationOptions {
+  readonly makeLimiter: () => AllowanceLimiter;
   /** Delay of a message. */
   readonly delay: () => Milliseconds;
   /** True while stores are down: nothing is told, and an entry that starts has no configuration. */
   readonly isOutage: () => boolean;
   /** True if stores keep on disk what entries report, and tell it to those that start. */
-  readonly isKept: boolean;
+  readonly isPersisted: boolean;
 }
 
 const DELAY: Milliseconds = 3;
@@ -53,14 +53,14 @@
 /** Stores write so often. */
 const KEPT_MILLISECONDS: Milliseconds = 250;
 
-const usualParts: AllowanceParts = {
-  makeLedger: () => new AllowanceLedger(),
+const usualParts: AllowanceSimulationOptions = {
+  makeLimiter: () => new AllowanceLimiter(),
   delay: () => DELAY,
   isOutage: () => false,
-  isKept: true,
+  isPersisted: true,
 };
 
-export class AllowanceEntries {
+export class AllowanceSimulation {
   now: Milliseconds = 0;
 
   readonly passed: Passed[] = [];
@@ -76,16 +76,16 @@
 
   private readonly totals = new Map<string, EntrySpending>();
 
-  private readonly parts: AllowanceParts;
+  private readonly parts: AllowanceSimulationOptions;
 
   constructor(
     count: number,
     private readonly allowance: Allowance,
-    parts: Partial<AllowanceParts> = {},
+    parts: Partial<AllowanceSimulationOptions> = {},
   ) {
     this.parts = { ...usualParts, ...parts };
     this.entries = Array.from({ length: count }, () => ({
-      ledger: this.parts.makeLedger(),
+      ledger: this.parts.makeLimiter(),
       incarnation: 1,
       side: 0,
       downUntil: undefined,
@@ -98,10 +98,10 @@
   }
 
   /** Asks an entry for an amount, and spends it if that is allowed. */
-  ask(number: number, amount: number): Spending | undefined {
+  trySpend(number: number, amount: number): AllowanceDecision | undefined {
     const entry = this.entries[number % this.entries.length];
     if (entry === undefined || entry.downUntil !== undefined) return undefined;
-    const asked = entry.ledger.ask(WORKSPACE, this.allowance, amount, this.now);
+    const asked = entry.ledger.check(WORKSPACE, this.allowance, amount, this.now);
     if (asked.type === 'exceeded') return asked;
     this.passed.push({ at: this.now, amount });
     if (entry.ledger.spend(WORKSPACE, this.allowance, amount, this.now)) this.tell(number, entry);
@@ -116,7 +116,7 @@
   /** Takes all down together, and the stores with them: these come back with what is on their disks. */
   losePower(down: Milliseconds): void {
     this.entries.forEach((_, number) => this.kill(number, down));
-    this.reported = this.parts.isKept ? this.kept : undefined;
+    this.reported = this.parts.isPersisted ? this.kept : undefined;
     this.totals.clear();
     Object.entries(this.reported?.entries ?? {}).forEach(([name, entry]) => {
       this.totals.set(name, entry);
@@ -127,13 +127,13 @@
    * Puts an entry on a side; messages pass only within one. Side 0 has the quorum of stores: an entry
    * that starts elsewhere is told no configuration, and serves nothing until it is back.
    */
-  cut(number: number, side: number): void {
+  setPartition(number: number, side: number): void {
     const entry = this.entries[number % this.entries.length];
     if (entry !== undefined) entry.side = side;
   }
 
   /** The most that was let through in any window. */
-  mostInWindow(): number {
+  maxInWindow(): number {
     let most = 0;
     let sum = 0;
     let first = 0;
@@ -153,7 +153,7 @@
   }
 
   /** What was let through from one moment on until before another. */
-  between(from: Milliseconds, to: Milliseconds): number {
+  allowedBetween(from: Milliseconds, to: Milliseconds): number {
     return this.passed
       .filter(({ at }) => at >= from && at < to)
       .reduce((sum, { amount }) => sum + amount, 0);
@@ -178,17 +178,17 @@
   }
 
   private restart(number: number, entry: Entry): void {
-    entry.ledger = this.parts.makeLedger();
+    entry.ledger = this.parts.makeLimiter();
     entry.incarnation += 1;
     entry.downUntil = undefined;
     const { reported } = this;
     if (reported !== undefined) {
-      entry.ledger.remember(reported, `entry-${number}`, this.now, this.now);
+      entry.ledger.restore(reported, `entry-${number}`, this.now, this.now);
     }
     this.report(number, entry);
   }
 
-  private send(from: number, deliver: (ledger: AllowanceLedger) => void): void {
+  private send(from: number, deliver: (ledger: AllowanceLimiter) => void): void {
     const { side } = this.entries[from] ?? {};
     this.entries.forEach((entry, to) => {
       const delay = this.parts.delay();
@@ -209,10 +209,10 @@
       inProgress: {},
       leavingBackendServers: {},
       suspects: [],
-      spent: ledger.tellAll(),
+      spent: ledger.reportTotals(),
       windowSpent: ledger.windowSpent(this.now),
-      windowReach: ledger.reach(this.now),
-      entries: ledger.entries,
+      windowReach: ledger.historyLength(this.now),
+      entries: ledger.entryCount,
     };
     this.remember(number, report);
     // The stores keep the window to themselves, but for entries that start.
@@ -237,7 +237,7 @@
       type: 'spendingReport',
       instance: `entry-${number}`,
       incarnation,
-      spent: ledger.tell(WORKSPACE),
+      spent: ledger.reportTotal(WORKSPACE),
       leaving: false,
     };
     const { instance } = spending;
--- a/packages/entry-core/src/membership/reportToEntries.ts
+++ b/packages/entry-core/src/membership/advanceReports.ts
@@ -76,10 +76,10 @@
   'spent' | 'windowSpent' | 'windowReach' | 'entries' | 'delays' | 'begun' | 'demand'
 > {
   return {
-    spent: state.limits.allowances.tellAll(),
-    windowSpent: state.limits.allowances.windowSpent(state.clocks.now),
-    windowReach: state.limits.allowances.reach(state.clocks.now),
-    entries: state.limits.allowances.entries,
+    spent: state.limits.allowanceLimiter.reportTotals(),
+    windowSpent: state.limits.allowanceLimiter.windowSpent(state.clocks.now),
+    windowReach: state.limits.allowanceLimiter.historyLength(state.clocks.now),
+    entries: state.limits.allowanceLimiter.entryCount,
     delays: describeDelays(state),
     begun: state.usage.read(),
     demand: buildDemandReports(state, state.clocks.now),
--- a/packages/entry-core/src/membership/livePeers.ts
+++ b/packages/entry-core/src/membership/livePeers.ts
@@ -15,7 +15,7 @@
   return [...state.membership.peers.values()].filter(({ live, report }) => live && !report.leaving);
 }
 
-export function markSilentPeers(state: EntryState, now: MonotonicMilliseconds): void {
+export function updatePeerLiveness(state: EntryState, now: MonotonicMilliseconds): void {
   state.membership.peers.forEach((peer, instance) => {
     const silence = now - peer.receivedAt;
     peer.live = silence < PEER_SILENCE_MILLISECONDS;
--- a/packages/entry-core/src/membership/receiveReport.ts
+++ b/packages/entry-core/src/membership/receivePeerReport.ts
@@ -17,7 +17,7 @@
   );
 }
 
-export function receiveReport(
+export function receivePeerReport(
   state: EntryState,
   report: EntryReport,
   timed: Timestamps,
--- a/packages/entry-core/src/membership/takeRemembered.ts
+++ b/packages/entry-core/src/membership/restorePersistedState.ts
@@ -5,13 +5,13 @@
 import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 
-export function takeRemembered(
+export function restorePersistedState(
   state: EntryState,
   { spending, delays, computed }: RememberedEntries,
   { now, wallNow }: Timestamps,
 ): void {
   if (spending !== undefined) {
-    state.limits.allowances.remember(spending, state.identity.instance, now, wallNow);
+    state.limits.allowanceLimiter.restore(spending, state.identity.instance, now, wallNow);
   }
   Object.entries(delays).forEach(([pool, delay]) => {
     poolBalanceOf(state, pool).firstToken.adopt(delay);
@@ -19,11 +19,11 @@
   Object.entries(computed).forEach(([instance, digests]) => {
     state.persistedPrefixes.set(instance, digests);
   });
-  state.backendServers.forEach((server) => believeRemembered(state, server, now));
+  state.backendServers.forEach((server) => restoreCachedPrefixes(state, server, now));
 }
 
 /** Believes what was computed at a backend server once it is listed: the list may come later. */
-export function believeRemembered(
+export function restoreCachedPrefixes(
   state: EntryState,
   server: BackendServerState,
   now: MonotonicMilliseconds,
--- a/packages/entry-core/src/quarantine/judgeLoss.ts
+++ b/packages/entry-core/src/quarantine/judgeLoss.ts
@@ -7,7 +7,7 @@
 import type { EntryEffect } from '../entryEffects.js';
 import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
-import { reportSoon } from '../membership/reportToEntries.js';
+import { reportSoon } from '../membership/advanceReports.js';
 import { blame, clearProvisional } from './blame.js';
 import { crashIdOf } from './crashIdOf.js';
 import { failAttemptsAt } from './failAttemptsAt.js';
--- a/packages/entry-core/src/quarantine/noteLoss.ts
+++ b/packages/entry-core/src/quarantine/noteLoss.ts
@@ -9,7 +9,7 @@
 import type { EntryEffect } from '../entryEffects.js';
 import type { AttemptFailure } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
-import { reportSoon } from '../membership/reportToEntries.js';
+import { reportSoon } from '../membership/advanceReports.js';
 import { openLoss } from './openLoss.js';
 import { probeOf } from './probeOf.js';
 import { SUSPICION_MILLISECONDS } from './suspects.js';
--- a/packages/entry-core/src/quarantine/suspects.ts
+++ b/packages/entry-core/src/quarantine/suspects.ts
@@ -5,7 +5,7 @@
 import type { Milliseconds, MonotonicMilliseconds, PeerSuspect } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 import { livePeers } from '../membership/livePeers.js';
-import { reportSoon } from '../membership/reportToEntries.js';
+import { reportSoon } from '../membership/advanceReports.js';
 import type { Loss, Suspect } from './QuarantineState.js';
 
 /** Suspicion ends after this, if the caller does not send the request again. */
--- a/packages/entry-core/src/reclaims/noticeReclaim.ts
+++ b/packages/entry-core/src/reclaims/noticeReclaim.ts
@@ -6,7 +6,7 @@
 import type { EntryEffect } from '../entryEffects.js';
 import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
-import { reportSoon } from '../membership/reportToEntries.js';
+import { reportSoon } from '../membership/advanceReports.js';
 import { handOnStreams } from './handOnStreams.js';
 
 /** What is known of a backend server's end is forgotten this long after it. */
--- a/packages/entry-core/src/reduceEntry.ts
+++ b/packages/entry-core/src/reduceEntry.ts
@@ -17,10 +17,10 @@
 import type { EntryEffect } from './entryEffects.js';
 import type { EntryEvent, Timestamps } from './entryEvents.js';
 import type { EntryState } from './EntryState.js';
-import { receiveEntryReport, receiveSpendingReport } from './limits/receiveEntryReport.js';
-import { takeRemembered } from './membership/takeRemembered.js';
-import { receiveReport } from './membership/receiveReport.js';
-import { reportSoon } from './membership/reportToEntries.js';
+import { receivePeerUsage, receiveSpendingReport } from './limits/receivePeerUsage.js';
+import { restorePersistedState } from './membership/restorePersistedState.js';
+import { receivePeerReport } from './membership/receivePeerReport.js';
+import { reportSoon } from './membership/advanceReports.js';
 import { takeProbeAnswer } from './quarantine/judgeLoss.js';
 import { receiveQuarantine } from './quarantine/quarantineDigest.js';
 import { noticeListed, noticeReclaim } from './reclaims/noticeReclaim.js';
@@ -95,10 +95,10 @@
     case 'quarantineReceived':
       return receiveQuarantine(state, event.quarantine, event);
     case 'entryReported':
-      receiveEntryReport(state, event.report, event.now);
-      return receiveReport(state, event.report, event);
+      receivePeerUsage(state, event.report, event.now);
+      return receivePeerReport(state, event.report, event);
     case 'knowledgeRemembered':
-      takeRemembered(state, event.remembered, event);
+      restorePersistedState(state, event.remembered, event);
       return [];
     case 'workReported':
       receiveWork(state, event.work, event.now);
--- a/packages/entry-core/src/shutdown/advanceShutdown.ts
+++ b/packages/entry-core/src/shutdown/advanceShutdown.ts
@@ -7,7 +7,7 @@
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryEvent, Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
-import { reportSoon } from '../membership/reportToEntries.js';
+import { reportSoon } from '../membership/advanceReports.js';
 import { failRequest } from '../requests/endRequest.js';
 import { determineRan } from '../requests/determineRan.js';
 import type { RequestState } from '../requests/RequestState.js';
--- a/packages/entry-core/src/testing/EntryHarness.ts
+++ b/packages/entry-core/src/testing/EntryHarness.ts
@@ -176,7 +176,7 @@
         sequence,
         leaving: false,
         revision: 1,
-        inProgress: state.limits.ledger.countAll(),
+        inProgress: state.limits.concurrencyLimiter.countOwnByKey(),
         leavingBackendServers: {},
         suspects: [],
       };
