--- a/apps/entry/src/EntryProcess.ts
+++ b/apps/entry/src/EntryProcess.ts
@@ -485,7 +485,7 @@
       cutOff: this.cutOff,
       configurationRevision: this.revision,
       openStreams: this.exchanges.size,
-      backendServers: [...state.backendServers.values()].map(({ listed, goneAt, attemptIds }) => ({
+      backendServers: [...state.backendServers.values()].map(({ platformInstance: listed, goneAt, attemptIds }) => ({
         instance: listed.instance,
         pool: listed.pool,
         dataCentre: listed.dataCentre,
--- a/packages/entry-core/src/EntryState.ts
+++ b/packages/entry-core/src/EntryState.ts
@@ -9,7 +9,7 @@
 import type { AttemptState } from './attempts/AttemptState.js';
 import { makeRetryState, type RetryState } from './attempts/RetryState.js';
 import type { BackendServerState } from './backendServers/BackendServerState.js';
-import type { PoolBalance } from './backendServers/PoolBalance.js';
+import type { PoolState } from './backendServers/PoolState.js';
 import type { CallClaim } from './claims/CallClaim.js';
 import { DemandMeter } from './demand/DemandMeter.js';
 import { UsageMeter } from './demand/UsageMeter.js';
@@ -68,7 +68,7 @@
   readonly random: RandomGenerator;
   routeIndex: RouteIndex;
   /** By pool. */
-  readonly poolStates: Map<string, PoolBalance>;
+  readonly poolStates: Map<string, PoolState>;
   readonly admission: AdmissionState;
   readonly limits: LimitState;
 }
--- a/packages/entry-core/src/admission/admitAfterConfiguration.ts
+++ b/packages/entry-core/src/admission/admitAfterConfiguration.ts
@@ -3,7 +3,7 @@
  * noted at its engine before the next is placed: otherwise all of them go to the engines that look idle,
  * a dozen long prompts one behind the other, while the others stay idle.
  */
-import { observeStarts } from '../backendServers/observeAttempt.js';
+import { observeAttemptStarts } from '../backendServers/observeAttempt.js';
 import type { EntryEffect } from '../entryEffects.js';
 import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
@@ -13,7 +13,7 @@
 export function admitAfterConfiguration(state: EntryState, timed: Timestamps): EntryEffect[] {
   return takeAwaitingConfiguration(state).flatMap(({ request, arrivedAt }) => {
     const admitted = admitRequest(state, request, timed, arrivedAt);
-    observeStarts(state, admitted, timed.now);
+    observeAttemptStarts(state, admitted, timed.now);
     return admitted;
   });
 }
--- a/packages/entry-core/src/admission/decideAdmission.ts
+++ b/packages/entry-core/src/admission/decideAdmission.ts
@@ -9,12 +9,12 @@
   MonotonicMilliseconds,
 } from '@hornbeampond/schema';
 import { nextTokenDueAt } from '../backendServers/chooseBackendServer.js';
-import { poolBalanceOf } from '../backendServers/poolBalanceOf.js';
+import { getPoolState } from '../backendServers/getPoolState.js';
 import {
   describePrediction,
   isPredictionTrusted,
-  predictFirstToken,
-} from '../backendServers/predictFirstToken.js';
+  predictFirstTokenDelay,
+} from '../backendServers/predictFirstTokenDelay.js';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
 import type { EntryState } from '../EntryState.js';
 import { checkAllowance } from '../limits/checkAllowance.js';
@@ -63,7 +63,7 @@
   const { concurrencyLimiter: ledger } = state.limits;
   if (ledger.hasCapacity(key, limit, now)) return undefined;
   const detail = `Workspace "${request.workspace}" has ${limit} requests in progress`;
-  const serviceTime = poolBalanceOf(state, pool.name).serviceTime(route.name);
+  const serviceTime = getPoolState(state, pool.name).estimateServiceTime(route.name);
   const interval =
     limit === 0
       ? MAX_RETRY_AFTER_MILLISECONDS
@@ -127,8 +127,8 @@
   now: MonotonicMilliseconds,
 ): EarlyRefusal | undefined {
   const { request, pool } = accepted;
-  const balance = poolBalanceOf(state, pool.name);
-  const predicted = predictFirstToken(state, balance, server, accepted);
+  const balance = getPoolState(state, pool.name);
+  const predicted = predictFirstTokenDelay(state, balance, server, accepted);
   const patience = nextTokenDueAt(accepted) - now;
   if (predicted <= patience || !isPredictionTrusted(balance, server, patience, now)) {
     return undefined;
--- a/packages/entry-core/src/admission/drainQueues.ts
+++ b/packages/entry-core/src/admission/drainQueues.ts
@@ -5,7 +5,7 @@
 import { startAttempt } from '../attempts/startAttempt.js';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
 import { chooseBackendServer } from '../backendServers/chooseBackendServer.js';
-import { observeStarts } from '../backendServers/observeAttempt.js';
+import { observeAttemptStarts } from '../backendServers/observeAttempt.js';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryEvent } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
@@ -30,9 +30,9 @@
   freed: BackendServerState | undefined,
   now: number,
 ): BackendServerState | undefined {
-  const local = chooseBackendServer(state, accepted, { freed });
+  const local = chooseBackendServer(state, accepted, { freedServer: freed });
   if (local !== undefined || !isLocalWaitTooLong(state, accepted, now)) return local;
-  return chooseBackendServer(state, accepted, { where: 'remote', freed });
+  return chooseBackendServer(state, accepted, { where: 'remote', freedServer: freed });
 }
 
 function serve(
@@ -45,7 +45,7 @@
   queue.serve(waiting);
   const started = startAttempt(state, waiting.accepted, now, server);
   // At once, so that the next choice of this very event already counts it.
-  observeStarts(state, started, now);
+  observeAttemptStarts(state, started, now);
   return started;
 }
 
@@ -118,7 +118,7 @@
   const freed = freedServer(state, event, instance);
   const effects: EntryEffect[] = [];
   for (const [pool, queue] of state.admission.queues) {
-    const isConcerned = freed === undefined || freed.listed.pool === pool;
+    const isConcerned = freed === undefined || freed.platformInstance.pool === pool;
     if (queue.size > 0 && isConcerned) {
       effects.push(...drainPool(state, queue, freed, event.now));
     }
--- a/packages/entry-core/src/admission/orderQueueForServer.ts
+++ b/packages/entry-core/src/admission/orderQueueForServer.ts
@@ -7,7 +7,7 @@
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
-import { poolBalanceOf } from '../backendServers/poolBalanceOf.js';
+import { getPoolState } from '../backendServers/getPoolState.js';
 import type { EntryState } from '../EntryState.js';
 import { missesDeadlineAfter } from './failUnreachableDeadlines.js';
 import type { QueuedRequest } from './FairQueue.js';
@@ -36,9 +36,9 @@
   if (first === undefined || freed === undefined || !canWait(state, first, now)) {
     return waiting.slice(0, MOST_TRIED);
   }
-  const { beliefs } = poolBalanceOf(state, first.accepted.pool.name);
+  const { prefixCacheIndex: beliefs } = getPoolState(state, first.accepted.pool.name);
   const known = ({ accepted }: QueuedRequest) =>
-    beliefs.shareAt(freed, accepted.request, now) >= LEAST_SHARE;
+    beliefs.cachedFractionAt(freed, accepted.request, now) >= LEAST_SHARE;
   const [fit, rest] = [waiting.filter(known), waiting.filter((one) => !known(one))];
   return [...fit, ...rest].slice(0, MOST_TRIED);
 }
--- a/packages/entry-core/src/admission/placeRequest.ts
+++ b/packages/entry-core/src/admission/placeRequest.ts
@@ -7,7 +7,7 @@
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
 import {
   chooseBackendServer,
-  hasUntried,
+  hasUntriedServer,
   nextTokenDueAt,
 } from '../backendServers/chooseBackendServer.js';
 import type { EntryState } from '../EntryState.js';
@@ -47,7 +47,7 @@
   accepted: RequestState,
   now: MonotonicMilliseconds,
 ): Placement {
-  if (!hasUntried(state, accepted)) return { type: 'none' };
+  if (!hasUntriedServer(state, accepted)) return { type: 'none' };
   const local = chooseBackendServer(state, accepted);
   if (local !== undefined) {
     const waits = isQueueAhead(state, accepted) || shouldWaitForCache(state, accepted, local, now);
--- a/packages/entry-core/src/admission/predictWait.ts
+++ b/packages/entry-core/src/admission/predictWait.ts
@@ -7,7 +7,7 @@
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 import { nextTokenDueAt } from '../backendServers/chooseBackendServer.js';
-import { poolBalanceOf } from '../backendServers/poolBalanceOf.js';
+import { getPoolState } from '../backendServers/getPoolState.js';
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
 import { poolQueueOf } from './AdmissionState.js';
@@ -15,14 +15,14 @@
 
 /** Places of backend servers that serve this entry while requests wait. */
 export function estimateSlots(state: EntryState, pool: string): number {
-  const { local, remote, peak } = poolBalanceOf(state, pool);
+  const { local, remote, peakInProgress: peak } = getPoolState(state, pool);
   // Attempts at servers that are lost but not yet known to be are no places any more.
   const most = (local.limitSum + remote.limitSum) / state.limits.concurrencyLimiter.entryCount;
-  return Math.max(1, Math.min(peak.value(state.clocks.now), most));
+  return Math.max(1, Math.min(peak.valueAt(state.clocks.now), most));
 }
 
 export function makeQueuedRequest(state: EntryState, accepted: RequestState): QueuedRequest {
-  const cost = poolBalanceOf(state, accepted.pool.name).serviceTime(accepted.route.name);
+  const cost = getPoolState(state, accepted.pool.name).estimateServiceTime(accepted.route.name);
   const dueAt = nextTokenDueAt(accepted);
   const endsAt = accepted.firstTokenAt === undefined ? dueAt : accepted.wholeAnswerDueAt;
   return { accepted, dueAt, expiresAt: endsAt, cost };
@@ -44,8 +44,11 @@
   { pool, request }: RequestState,
 ): Milliseconds {
   const { now } = state.clocks;
-  const { beliefs, firstToken } = poolBalanceOf(state, pool.name);
+  const { prefixCacheIndex: beliefs, firstTokenRegression: firstToken } = getPoolState(
+    state,
+    pool.name,
+  );
   if (!firstToken.isTrusted(now)) return 0;
-  const [holder] = beliefs.find(request, now);
-  return firstToken.predict(request.promptTokens * (1 - (holder?.share ?? 0)));
+  const [holder] = beliefs.findHolders(request, now);
+  return firstToken.predict(request.promptTokens * (1 - (holder?.cachedFraction ?? 0)));
 }
--- a/packages/entry-core/src/admission/reduceAdmission.ts
+++ b/packages/entry-core/src/admission/reduceAdmission.ts
@@ -2,7 +2,7 @@
  * What admission does after any event: it lets go of what has ended, gives up what can no longer
  * be in time, and sends on what waits.
  */
-import { endEjections } from '../backendServers/ejectOutliers.js';
+import { endExpiredEjections } from '../backendServers/ejectOutliers.js';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryEvent } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
@@ -26,7 +26,7 @@
 }
 
 function passTime(state: EntryState, now: number): EntryEffect[] {
-  for (const pool of state.poolStates.values()) endEjections(pool, now);
+  for (const pool of state.poolStates.values()) endExpiredEjections(pool, now);
   expireRetryTimes(state, now);
   return failUnreachableDeadlines(state, now);
 }
--- a/packages/entry-core/src/admission/serveLate.ts
+++ b/packages/entry-core/src/admission/serveLate.ts
@@ -4,7 +4,7 @@
  * instead, their callers would come again, even later, and long prompts would hardly ever be served.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
-import { poolBalanceOf } from '../backendServers/poolBalanceOf.js';
+import { getPoolState } from '../backendServers/getPoolState.js';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
@@ -29,7 +29,7 @@
   const left = lateUntil - now - expectedFirstTokenDelay(state, accepted);
   const waiting = makeQueuedRequest(state, { ...accepted, isLate: true });
   if (predictWait(state, waiting) > left * WAIT_SHARE) return false;
-  const { local, remote } = poolBalanceOf(state, pool.name);
+  const { local, remote } = getPoolState(state, pool.name);
   const servers = local.candidates.length + remote.candidates.length;
   return poolQueueOf(state, pool.name).lateCount < servers * MOST_LATE_FOR_EACH;
 }
--- a/packages/entry-core/src/admission/shouldWaitForCache.ts
+++ b/packages/entry-core/src/admission/shouldWaitForCache.ts
@@ -6,12 +6,12 @@
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import { ruledOut } from '../attempts/ruledOut.js';
-import { takesNewWork, type BackendServerState } from '../backendServers/BackendServerState.js';
+import { acceptsNewWork, type BackendServerState } from '../backendServers/BackendServerState.js';
 import { nextTokenDueAt } from '../backendServers/chooseBackendServer.js';
-import { hasRoom } from '../backendServers/hasRoom.js';
-import type { PoolBalance } from '../backendServers/PoolBalance.js';
-import { poolBalanceOf } from '../backendServers/poolBalanceOf.js';
-import type { PrefixHolder } from '../backendServers/PrefixBeliefs.js';
+import { hasCapacity } from '../backendServers/hasCapacity.js';
+import type { PoolState } from '../backendServers/PoolState.js';
+import { getPoolState } from '../backendServers/getPoolState.js';
+import type { PrefixHolder } from '../backendServers/PrefixCacheIndex.js';
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
 
@@ -30,27 +30,30 @@
   if (accepted.attemptsStarted > 0) return false;
   const patience = nextTokenDueAt(accepted) - accepted.arrivedAt;
   if (now - accepted.arrivedAt >= patience * HOLD_SHARE) return false;
-  const pool = poolBalanceOf(state, accepted.pool.name);
+  const pool = getPoolState(state, accepted.pool.name);
   const { request } = accepted;
   const holder = findHolder(state, pool, accepted, server);
   // One that has room was not chosen for other reasons; waiting would not change them.
-  if (holder === undefined || hasRoom(state, pool, holder.server, accepted)) return false;
-  const more = holder.share - pool.beliefs.shareAt(server, request, now);
-  return pool.firstToken.predictGrowth(more * request.promptTokens) >= LEAST_SAVING_MILLISECONDS;
+  if (holder === undefined || hasCapacity(state, pool, holder.server, accepted)) return false;
+  const more = holder.cachedFraction - pool.prefixCacheIndex.cachedFractionAt(server, request, now);
+  return (
+    pool.firstTokenRegression.predictMarginalDelay(more * request.promptTokens) >=
+    LEAST_SAVING_MILLISECONDS
+  );
 }
 
 /** The server near `server` that is believed to have the longest prefix. */
 function findHolder(
   state: EntryState,
-  pool: PoolBalance,
+  pool: PoolState,
   accepted: RequestState,
   server: BackendServerState,
 ): PrefixHolder | undefined {
   const { now } = state.clocks;
   const group = pool.groupOf(server);
   const excluded = ruledOut(state, accepted, now);
-  return pool.beliefs
-    .find(accepted.request, now)
-    .filter((held) => group.has(held.server) && takesNewWork(held.server))
-    .find((held) => !excluded.has(held.server.listed.instance));
+  return pool.prefixCacheIndex
+    .findHolders(accepted.request, now)
+    .filter((held) => group.has(held.server) && acceptsNewWork(held.server))
+    .find((held) => !excluded.has(held.server.platformInstance.instance));
 }
--- a/packages/entry-core/src/advanceEntry.ts
+++ b/packages/entry-core/src/advanceEntry.ts
@@ -7,7 +7,7 @@
 import type { EntryEffect } from './entryEffects.js';
 import type { Timestamps } from './entryEvents.js';
 import type { EntryState } from './EntryState.js';
-import { advanceWork } from './backendServers/shareWork.js';
+import { advanceWorkReports } from './backendServers/shareWork.js';
 import { updatePeerLiveness } from './membership/livePeers.js';
 import { advanceReports } from './membership/advanceReports.js';
 import { advanceSuspects } from './quarantine/advanceSuspects.js';
@@ -31,7 +31,7 @@
     ...advanceReclaims(state, timed),
     ...advanceRetries(state, timed.now),
     ...advanceReports(state, timed),
-    ...advanceWork(state, timed.now),
+    ...advanceWorkReports(state, timed.now),
     ...advanceShutdown(state, timed),
   ];
 }
--- a/packages/entry-core/src/attempts/chooseForAttempt.ts
+++ b/packages/entry-core/src/attempts/chooseForAttempt.ts
@@ -29,7 +29,8 @@
 /** True if the pool has a backend server that is not just gone or on its way out. */
 function hasAny(state: EntryState, accepted: RequestState): boolean {
   return [...state.backendServers.values()].some(
-    ({ listed, goneAt }) => listed.pool === accepted.pool.name && goneAt === undefined,
+    ({ platformInstance: listed, goneAt }) =>
+      listed.pool === accepted.pool.name && goneAt === undefined,
   );
 }
 
@@ -41,7 +42,7 @@
 ): boolean {
   const ruledOut = ruledOutForNow(state, accepted, now);
   return [...state.backendServers.values()].some(
-    ({ listed, goneAt }) =>
+    ({ platformInstance: listed, goneAt }) =>
       listed.pool === accepted.pool.name && goneAt === undefined && ruledOut.has(listed.instance),
   );
 }
--- a/packages/entry-core/src/attempts/launchAttempt.ts
+++ b/packages/entry-core/src/attempts/launchAttempt.ts
@@ -6,9 +6,9 @@
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
 import { reportSoon } from '../membership/advanceReports.js';
-import { poolBalanceOf } from '../backendServers/poolBalanceOf.js';
-import { describePrediction } from '../backendServers/predictFirstToken.js';
-import { targetAt } from '../backendServers/targetAt.js';
+import { getPoolState } from '../backendServers/getPoolState.js';
+import { describePrediction } from '../backendServers/predictFirstTokenDelay.js';
+import { makeAttemptTarget } from '../backendServers/makeAttemptTarget.js';
 import { attemptIdOf } from './AttemptState.js';
 import { isSuspect } from '../quarantine/suspects.js';
 import { prefillDuration } from '../reclaims/costs.js';
@@ -64,8 +64,8 @@
   now: MonotonicMilliseconds,
 ): EntryEffect[] {
   const { requestId } = accepted.request;
-  const { instance } = server.listed;
-  const pool = poolBalanceOf(state, accepted.pool.name);
+  const { instance } = server.platformInstance;
+  const pool = getPoolState(state, accepted.pool.name);
   if (accepted.attemptsStarted === 0) earnRetries(state.retries, accepted.route.name, instance);
   accepted.attemptsStarted += 1;
   const attemptId = attemptIdOf(requestId, accepted.attemptsStarted);
@@ -97,7 +97,7 @@
       type: 'startAttempt',
       requestId,
       attemptId,
-      target: targetAt(server, accepted.pool),
+      target: makeAttemptTarget(server, accepted.pool),
       workspace: accepted.request.workspace,
       timeLeft: Math.max(1, accepted.wholeAnswerDueAt - now),
       resumeFromTokens,
--- a/packages/entry-core/src/attempts/releaseAttempts.ts
+++ b/packages/entry-core/src/attempts/releaseAttempts.ts
@@ -13,8 +13,8 @@
   state.attempts.delete(attempt.attemptId);
   const server = state.backendServers.get(attempt.instance);
   server?.attemptIds.delete(attempt.attemptId);
-  server?.balance.pendingPrompts.delete(attempt.attemptId);
-  state.peerWork.noteChange(attempt.instance);
+  server?.balancing.pendingPrompts.delete(attempt.attemptId);
+  state.peerWork.markChanged(attempt.instance);
 }
 
 /** Gives up the attempt that the request is bound to. It may have sent bytes, so it counts so. */
--- a/packages/entry-core/src/backendServers/BackendServerState.ts
+++ b/packages/entry-core/src/backendServers/BackendServerState.ts
@@ -5,11 +5,11 @@
   MonotonicMilliseconds,
   PlatformInstance,
 } from '@hornbeampond/schema';
-import type { ServerBalance } from './ServerBalance.js';
+import type { BalancingState } from './BalancingState.js';
 
 export interface BackendServerState {
   /** The platform's newest word on it. */
-  listed: PlatformInstance;
+  platformInstance: PlatformInstance;
   /** When it will be gone; from notice on it gets no new work. */
   goneAt: EpochMilliseconds | undefined;
   /** Attempts of this entry that are in progress there. */
@@ -17,10 +17,10 @@
   load: LoadReport | undefined;
   loadReceivedAt: MonotonicMilliseconds | undefined;
   /** What the choice of a backend server is made from. */
-  readonly balance: ServerBalance;
+  readonly balancing: BalancingState;
 }
 
 /** True if the platform and the reclaim notices let it have new work. */
-export function takesNewWork(server: BackendServerState): boolean {
-  return server.listed.state === 'live' && server.goneAt === undefined;
+export function acceptsNewWork(server: BackendServerState): boolean {
+  return server.platformInstance.state === 'live' && server.goneAt === undefined;
 }
--- a/packages/entry-core/src/backendServers/ServerBalance.ts
+++ b/packages/entry-core/src/backendServers/BalancingState.ts
@@ -10,23 +10,23 @@
 /** One prompt that is waiting for its first token. */
 export interface PendingPrompt {
   /** Its tokens that are believed not to be in the cache. */
-  readonly tokens: number;
+  readonly uncachedTokens: number;
   /** These, and those of the prompts that were pending there when it was sent. */
-  readonly tokensUntilFirst: number;
+  readonly tokensUntilFirstToken: number;
 }
 
-export interface ServerBalance {
+export interface BalancingState {
   /** Requests that its class runs at full speed; the adaptive limit never goes above. */
-  fullLimit: number;
+  maxLimit: number;
   /** Adaptive limit of requests in progress, of all entries together. */
   limit: number;
   limitLoweredAt: MonotonicMilliseconds;
   /** When slow start began, or undefined for a server that was there before this entry. */
   slowStartAt: MonotonicMilliseconds | undefined;
   /** Requests of other entries in progress when load was measured last. */
-  othersInProgress: number;
+  otherEntriesInProgress: number;
   /** Own requests in progress when load was measured last. */
-  ownAtMeasurement: number;
+  ownInProgressAtMeasurement: number;
   /** When load was measured last, by the clock of this entry. */
   measuredAt: MonotonicMilliseconds | undefined;
   /** Own attempts that ended lately, oldest first. */
@@ -35,44 +35,44 @@
   readonly pendingPrompts: Map<string, PendingPrompt>;
   /** Its first-token delay relative to what is usual in its pool. */
   slowness: number;
-  slownessLearntAt: MonotonicMilliseconds;
+  slownessUpdatedAt: MonotonicMilliseconds;
   consecutiveFailures: number;
   /** Outcomes that still count, halved now and then so that old ones fade. */
   successes: number;
   failures: number;
   ejectedUntil: MonotonicMilliseconds | undefined;
   /** Ejections in a row; each one lasts longer. */
-  ejections: number;
+  consecutiveEjections: number;
   /** Highest sequence of cache events taken in. */
-  cacheSequence: number | undefined;
+  lastCacheSequence: number | undefined;
   /** Beliefs about its cache count only if they were made in this generation. */
   cacheGeneration: number;
   /** Its place in the candidates of its pool, or undefined if it is not among them. */
   candidateIndex: number | undefined;
 }
 
-export function makeServerBalance(
+export function makeBalancingState(
   fullLimit: number,
   slowStartAt: MonotonicMilliseconds | undefined,
-): ServerBalance {
+): BalancingState {
   return {
-    fullLimit,
+    maxLimit: fullLimit,
     limit: fullLimit,
     limitLoweredAt: Number.NEGATIVE_INFINITY,
     slowStartAt,
-    othersInProgress: 0,
-    ownAtMeasurement: 0,
+    otherEntriesInProgress: 0,
+    ownInProgressAtMeasurement: 0,
     measuredAt: undefined,
     endedAttempts: [],
     pendingPrompts: new Map(),
     slowness: 1,
-    slownessLearntAt: 0,
+    slownessUpdatedAt: 0,
     consecutiveFailures: 0,
     successes: 0,
     failures: 0,
     ejectedUntil: undefined,
-    ejections: 0,
-    cacheSequence: undefined,
+    consecutiveEjections: 0,
+    lastCacheSequence: undefined,
     cacheGeneration: 0,
     candidateIndex: undefined,
   };
@@ -86,7 +86,7 @@
  * may still be loading: without slow start it looks idle, draws the whole rush in one moment and
  * is late for all of it. Ten seconds let its own delays show before it gets its full share.
  */
-export function limitNow(balance: ServerBalance, now: MonotonicMilliseconds): number {
+export function currentLimit(balance: BalancingState, now: MonotonicMilliseconds): number {
   const { slowStartAt, limit } = balance;
   if (slowStartAt === undefined) return limit;
   const share = Math.min(1, Math.max(0, now - slowStartAt) / SLOW_START_MILLISECONDS);
@@ -99,7 +99,7 @@
  * First-token delay relative to the pool's, as far as it is still believed. It fades: a slow server
  * is passed over, so nothing would ever show that it is well again.
  */
-export function slownessNow(balance: ServerBalance, now: MonotonicMilliseconds): number {
-  const age = now - balance.slownessLearntAt;
+export function currentSlowness(balance: BalancingState, now: MonotonicMilliseconds): number {
+  const age = now - balance.slownessUpdatedAt;
   return 1 + (balance.slowness - 1) * 0.5 ** (age / SLOWNESS_HALF_LIFE_MILLISECONDS);
 }
--- a/packages/entry-core/src/backendServers/FadingPeak.ts
+++ b/packages/entry-core/src/backendServers/DecayingPeak.ts
@@ -3,18 +3,18 @@
 
 const HALF_LIFE_MILLISECONDS: Milliseconds = 10_000;
 
-export class FadingPeak {
+export class DecayingPeak {
   private peak = 0;
 
   private seenAt: MonotonicMilliseconds = 0;
 
-  see(count: number, now: MonotonicMilliseconds): void {
-    if (count < this.value(now)) return;
+  record(count: number, now: MonotonicMilliseconds): void {
+    if (count < this.valueAt(now)) return;
     this.peak = count;
     this.seenAt = now;
   }
 
-  value(now: MonotonicMilliseconds): number {
+  valueAt(now: MonotonicMilliseconds): number {
     return this.peak * 0.5 ** ((now - this.seenAt) / HALF_LIFE_MILLISECONDS);
   }
 }
--- a/packages/entry-core/src/backendServers/LearntLine.ts
+++ b/packages/entry-core/src/backendServers/DelayRegression.ts
@@ -12,7 +12,7 @@
 /** After so many samples the first belief has less than half of the say. */
 const SETTLED_SAMPLES = 14;
 
-export class LearntLine {
+export class DelayRegression {
   private meanX: number;
 
   private meanY: number;
@@ -42,7 +42,7 @@
   }
 
   /** What was learnt, for entries that start; undefined while the first belief has much of the say. */
-  describe(): LearntDelay | undefined {
+  toLearntDelay(): LearntDelay | undefined {
     const { samples, meanX, meanY, meanXX, meanXY } = this;
     if (samples < SETTLED_SAMPLES) return undefined;
     return { samples, meanX, meanY, meanXX, meanXY };
@@ -63,16 +63,16 @@
 
   predict(work: number): Milliseconds {
     const base = Math.max(0, this.meanY - this.slope() * this.meanX);
-    return base + this.predictGrowth(work);
+    return base + this.predictMarginalDelay(work);
   }
 
   /** The part of the delay that is due to the work. */
-  predictGrowth(work: number): Milliseconds {
+  predictMarginalDelay(work: number): Milliseconds {
     return work * this.slope();
   }
 
   /** @param weight - Less than 1 for a sample that may not be typical. */
-  learn(work: number, delay: Milliseconds, now: MonotonicMilliseconds, weight = 1): void {
+  addSample(work: number, delay: Milliseconds, now: MonotonicMilliseconds, weight = 1): void {
     const share = SAMPLE_SHARE * weight;
     this.meanX += (work - this.meanX) * share;
     this.meanY += (delay - this.meanY) * share;
--- a/packages/entry-core/src/backendServers/LearntMean.ts
+++ b/packages/entry-core/src/backendServers/MovingAverage.ts
@@ -3,7 +3,7 @@
 
 const SAMPLE_SHARE = 0.1;
 
-export class LearntMean {
+export class MovingAverage {
   private mean: Milliseconds | undefined;
 
   /** @param prior - What is believed before the first sample. */
@@ -13,7 +13,7 @@
     return this.mean ?? this.prior;
   }
 
-  learn(sample: Milliseconds): void {
+  addSample(sample: Milliseconds): void {
     this.mean = this.mean === undefined ? sample : this.mean + (sample - this.mean) * SAMPLE_SHARE;
   }
 }
--- a/packages/entry-core/src/backendServers/PeerWork.test.ts
+++ b/packages/entry-core/src/backendServers/PeerWork.test.ts
@@ -14,10 +14,10 @@
   const work = new PeerWork();
   work.receive(report('entry-2', { engine: busy }));
   work.receive(report('entry-3', { engine: { inProgress: 1, promptTokens: 0 } }));
-  assert.deepEqual(work.at('engine'), { inProgress: 3, promptTokens: 5000 });
+  assert.deepEqual(work.workAt('engine'), { inProgress: 3, promptTokens: 5000 });
   work.receive(report('entry-2', { engine: idle }));
-  assert.deepEqual(work.at('engine'), { inProgress: 1, promptTokens: 0 });
-  assert.deepEqual(work.at('another'), idle);
+  assert.deepEqual(work.workAt('engine'), { inProgress: 1, promptTokens: 0 });
+  assert.deepEqual(work.workAt('another'), idle);
 });
 
 // An entry is killed with calls in progress and started again. What it told before is gone with it;
@@ -26,22 +26,22 @@
   const work = new PeerWork();
   work.receive(report('entry-2', { engine: busy }));
   work.receive(report('entry-2', { other: busy }, 2));
-  assert.deepEqual(work.at('engine'), idle);
+  assert.deepEqual(work.workAt('engine'), idle);
   work.receive(report('entry-2', { engine: busy }, 1));
-  assert.deepEqual(work.at('engine'), idle);
-  work.forget('entry-2');
-  assert.deepEqual(work.at('other'), idle);
+  assert.deepEqual(work.workAt('engine'), idle);
+  work.removePeer('entry-2');
+  assert.deepEqual(work.workAt('other'), idle);
 });
 
 test('what has changed is told together, and no faster at many entries than at few', () => {
   const work = new PeerWork();
-  const take = (entries: number, now: number) => work.takeDue(entries, now, () => busy);
+  const take = (entries: number, now: number) => work.takeDueReport(entries, now, () => busy);
   assert.equal(take(8, 0), undefined);
-  work.noteChange('engine');
-  work.noteComputed('engine', ['a', 'b']);
-  work.noteComputed('engine', ['b']);
+  work.markChanged('engine');
+  work.recordComputedPrefixes('engine', ['a', 'b']);
+  work.recordComputedPrefixes('engine', ['b']);
   assert.deepEqual(take(8, 0), { work: { engine: busy }, computed: { engine: ['a', 'b'] } });
-  work.noteChange('engine');
+  work.markChanged('engine');
   assert.equal(take(8, 40), undefined);
   assert.equal(take(80, 400), undefined);
   assert.deepEqual(take(80, 500), { work: { engine: busy }, computed: {} });
--- a/packages/entry-core/src/backendServers/PeerWork.ts
+++ b/packages/entry-core/src/backendServers/PeerWork.ts
@@ -34,15 +34,15 @@
   private toldAt: MonotonicMilliseconds = Number.NEGATIVE_INFINITY;
 
   /** What all peers have at a backend server. */
-  at(instance: string): ServerWork {
+  workAt(instance: string): ServerWork {
     return this.sums.get(instance) ?? NO_WORK;
   }
 
-  noteChange(instance: string): void {
+  markChanged(instance: string): void {
     this.changed.add(instance);
   }
 
-  noteComputed(instance: string, digests: readonly string[]): void {
+  recordComputedPrefixes(instance: string, digests: readonly string[]): void {
     if (digests.length === 0) return;
     const known = this.computed.get(instance) ?? new Set();
     digests.forEach((digest) => known.add(digest));
@@ -50,7 +50,7 @@
   }
 
   /** What is to be told now, if anything is due. */
-  takeDue(
+  takeDueReport(
     entries: number,
     now: MonotonicMilliseconds,
     readOwn: (instance: string) => ServerWork,
@@ -71,7 +71,7 @@
   receive({ instance, incarnation, work }: WorkReport): void {
     const known = this.peers.get(instance);
     if (known !== undefined && incarnation < known.incarnation) return;
-    if (known !== undefined && incarnation > known.incarnation) this.forget(instance);
+    if (known !== undefined && incarnation > known.incarnation) this.removePeer(instance);
     const share = this.peers.get(instance) ?? { incarnation, work: new Map<string, ServerWork>() };
     this.peers.set(instance, share);
     Object.entries(work).forEach(([server, told]) => {
@@ -82,7 +82,7 @@
   }
 
   /** Lets go of a peer that is silent or gone: its calls have been cut. */
-  forget(instance: string): void {
+  removePeer(instance: string): void {
     this.peers.get(instance)?.work.forEach((told, server) => this.add(server, NO_WORK, told));
     this.peers.delete(instance);
   }
--- a/packages/entry-core/src/backendServers/PoolBalance.ts
+++ b/packages/entry-core/src/backendServers/PoolState.ts
@@ -4,12 +4,12 @@
  * servers and at ten thousand; and what all of them have taught about delays.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
-import { FadingPeak } from './FadingPeak.js';
-import { LearntLine } from './LearntLine.js';
-import { LearntMean } from './LearntMean.js';
-import { takesNewWork, type BackendServerState } from './BackendServerState.js';
-import { PrefixBeliefs } from './PrefixBeliefs.js';
-import { PrefixHomes } from './PrefixHomes.js';
+import { DecayingPeak } from './DecayingPeak.js';
+import { DelayRegression } from './DelayRegression.js';
+import { MovingAverage } from './MovingAverage.js';
+import { acceptsNewWork, type BackendServerState } from './BackendServerState.js';
+import { PrefixCacheIndex } from './PrefixCacheIndex.js';
+import { PrefixHashRing } from './PrefixHashRing.js';
 
 /** Servers of one pool in one group of data centres. */
 export class CandidateGroup {
@@ -28,32 +28,32 @@
   }
 
   add(server: BackendServerState): void {
-    server.balance.candidateIndex = this.candidates.length;
+    server.balancing.candidateIndex = this.candidates.length;
     this.candidates.push(server);
-    this.limitSum += server.balance.limit;
+    this.limitSum += server.balancing.limit;
   }
 
   /** Takes a server out by putting the last one in its place. */
   remove(server: BackendServerState): void {
-    const index = server.balance.candidateIndex;
+    const index = server.balancing.candidateIndex;
     if (index === undefined || this.candidates[index] !== server) return;
     const last = this.candidates.pop();
     if (last !== undefined && last !== server) {
       this.candidates[index] = last;
-      last.balance.candidateIndex = index;
+      last.balancing.candidateIndex = index;
     }
-    server.balance.candidateIndex = undefined;
-    this.limitSum -= server.balance.limit;
+    server.balancing.candidateIndex = undefined;
+    this.limitSum -= server.balancing.limit;
   }
 
   has(server: BackendServerState): boolean {
-    return this.candidates[server.balance.candidateIndex ?? -1] === server;
+    return this.candidates[server.balancing.candidateIndex ?? -1] === server;
   }
 
   /** The server at a place, unless it has stopped taking new work; then it is taken out. */
   at(index: number): BackendServerState | undefined {
     const server = this.candidates[index];
-    if (server === undefined || takesNewWork(server)) return server;
+    if (server === undefined || acceptsNewWork(server)) return server;
     this.remove(server);
     return undefined;
   }
@@ -65,32 +65,35 @@
 const FIRST_TOKEN_PRIOR: Milliseconds = 50;
 const FIRST_TOKEN_PRIOR_PER_TOKEN: Milliseconds = 0.1;
 
-export class PoolBalance {
+export class PoolState {
   readonly local = new CandidateGroup();
 
   readonly remote = new CandidateGroup();
 
   /** First-token delay by prompt tokens that are to be computed until then. */
-  readonly firstToken = new LearntLine(FIRST_TOKEN_PRIOR, FIRST_TOKEN_PRIOR_PER_TOKEN);
+  readonly firstTokenRegression = new DelayRegression(
+    FIRST_TOKEN_PRIOR,
+    FIRST_TOKEN_PRIOR_PER_TOKEN,
+  );
 
   /** Time from the start of an attempt to its end at servers that were little filled, by route. */
-  private readonly serviceTimes = new Map<string, LearntMean>();
+  private readonly serviceTimes = new Map<string, MovingAverage>();
 
   /** The same at servers that were well filled. */
-  private readonly filledServiceTimes = new Map<string, LearntMean>();
+  private readonly filledServiceTimes = new Map<string, MovingAverage>();
 
   /** Tokens of prompts that had to be computed, by route. */
-  private readonly uncachedTokens = new Map<string, LearntMean>();
+  private readonly uncachedTokens = new Map<string, MovingAverage>();
 
   /** Attempts of this entry in progress at the pool's servers. */
   readonly attemptIds = new Set<string>();
 
   /** Most attempts that were in progress lately. */
-  readonly peak = new FadingPeak();
+  readonly peakInProgress = new DecayingPeak();
 
-  readonly beliefs = new PrefixBeliefs();
+  readonly prefixCacheIndex = new PrefixCacheIndex();
 
-  readonly homes = new PrefixHomes();
+  readonly prefixHashRing = new PrefixHashRing();
 
   get groups(): readonly CandidateGroup[] {
     return [this.local, this.remote];
@@ -102,7 +105,7 @@
   }
 
   /** The group whose servers do the usual work of this entry. */
-  get home(): CandidateGroup {
+  get primaryGroup(): CandidateGroup {
     return this.local.candidates.length > 0 ? this.local : this.remote;
   }
 
@@ -112,7 +115,7 @@
 
   /** Sets a server's adaptive limit and keeps its group's sum right. */
   changeLimit(server: BackendServerState, limit: number): void {
-    const { balance } = server;
+    const { balancing: balance } = server;
     if (balance.candidateIndex !== undefined) {
       this.groupOf(server).limitSum += limit - balance.limit;
     }
@@ -120,7 +123,7 @@
   }
 
   /** How long an answer of the route lasts in a well filled batch, as there is in a rush. */
-  serviceTime(route: string): Milliseconds {
+  estimateServiceTime(route: string): Milliseconds {
     const filled = this.filledServiceTimes.get(route)?.value;
     if (filled !== undefined) return filled;
     const quiet = this.serviceTimes.get(route)?.value;
@@ -128,21 +131,23 @@
   }
 
   /** How long an engine computes the prompt of one of the route's requests. */
-  promptTime(route: string): Milliseconds {
-    return this.firstToken.predictGrowth(this.uncachedTokens.get(route)?.value ?? 0);
+  estimatePrefillTime(route: string): Milliseconds {
+    return this.firstTokenRegression.predictMarginalDelay(
+      this.uncachedTokens.get(route)?.value ?? 0,
+    );
   }
 
   /** Takes in how many tokens of a prompt were not in the cache of where it was sent. */
-  learnPrompt(route: string, tokens: number): void {
-    const known = this.uncachedTokens.get(route) ?? new LearntMean(tokens);
-    known.learn(tokens);
+  recordUncachedTokens(route: string, tokens: number): void {
+    const known = this.uncachedTokens.get(route) ?? new MovingAverage(tokens);
+    known.addSample(tokens);
     this.uncachedTokens.set(route, known);
   }
 
-  learnServiceTime(route: string, sample: Milliseconds, isFilled: boolean): void {
+  recordServiceTime(route: string, sample: Milliseconds, isFilled: boolean): void {
     const means = isFilled ? this.filledServiceTimes : this.serviceTimes;
-    const known = means.get(route) ?? new LearntMean(SERVICE_PRIOR);
-    known.learn(sample);
+    const known = means.get(route) ?? new MovingAverage(SERVICE_PRIOR);
+    known.addSample(sample);
     means.set(route, known);
   }
 }
--- a/packages/entry-core/src/backendServers/PrefixBeliefs.ts
+++ b/packages/entry-core/src/backendServers/PrefixCacheIndex.ts
@@ -21,36 +21,39 @@
 /** A server believed to have a prefix, and which share of the prompt that prefix is. */
 export interface PrefixHolder {
   readonly server: BackendServerState;
-  readonly share: number;
+  readonly cachedFraction: number;
 }
 
 /** The parts of a request's prompt that may be cached. */
-export type Prompt = Pick<CallerRequest, 'prefixDigests' | 'prefixTokens' | 'promptTokens'>;
+export type PromptPrefixes = Pick<CallerRequest, 'prefixDigests' | 'prefixTokens' | 'promptTokens'>;
 
 /**
  * Which share of the prompt its first prefixes are, by tokens. Where they are not told, all parts
  * are taken to be equally long.
  */
-function shareOf({ prefixDigests, prefixTokens, promptTokens }: Prompt, length: number): number {
+function shareOf(
+  { prefixDigests, prefixTokens, promptTokens }: PromptPrefixes,
+  length: number,
+): number {
   const tokens = prefixTokens?.[length - 1];
   if (tokens === undefined || promptTokens <= 0) return length / prefixDigests.length;
   return Math.min(1, tokens / promptTokens);
 }
 
 function stillHolds({ server, generation, until }: Belief, now: MonotonicMilliseconds): boolean {
-  return now < until && generation === server.balance.cacheGeneration;
+  return now < until && generation === server.balancing.cacheGeneration;
 }
 
-export class PrefixBeliefs {
+export class PrefixCacheIndex {
   private readonly byDigest = new Map<string, readonly Belief[]>();
 
   /** Believes that the server has these prefixes from now on. */
-  believe(
+  recordCached(
     server: BackendServerState,
     digests: readonly string[],
     now: MonotonicMilliseconds,
   ): void {
-    const generation = server.balance.cacheGeneration;
+    const generation = server.balancing.cacheGeneration;
     const belief = { server, generation, until: now + BELIEVED_MILLISECONDS };
     for (const digest of digests) {
       const others = this.holders(digest, now).filter((held) => held.server !== server);
@@ -62,7 +65,7 @@
   }
 
   /** Servers that are believed to have the longest known prefix of the prompt. */
-  find(prompt: Prompt, now: MonotonicMilliseconds): PrefixHolder[] {
+  findHolders(prompt: PromptPrefixes, now: MonotonicMilliseconds): PrefixHolder[] {
     const { prefixDigests: digests } = prompt;
     for (let { length } = digests; length > 0; length -= 1) {
       const held = this.holders(digests[length - 1] ?? '', now);
@@ -75,7 +78,11 @@
   }
 
   /** The share of the prompt that one server is believed to have. */
-  shareAt(server: BackendServerState, prompt: Prompt, now: MonotonicMilliseconds): number {
+  cachedFractionAt(
+    server: BackendServerState,
+    prompt: PromptPrefixes,
+    now: MonotonicMilliseconds,
+  ): number {
     const { prefixDigests: digests } = prompt;
     for (let { length } = digests; length > 0; length -= 1) {
       const held = this.holders(digests[length - 1] ?? '', now);
@@ -85,20 +92,20 @@
   }
 
   /** True if any server is believed to have this very prefix. */
-  isHeld(digest: string, now: MonotonicMilliseconds): boolean {
+  isCachedAnywhere(digest: string, now: MonotonicMilliseconds): boolean {
     return this.holders(digest, now).length > 0;
   }
 
   /** Takes in one cache event of a server of this pool. */
-  receive(server: BackendServerState, event: CacheEvent, now: MonotonicMilliseconds): void {
-    const { balance } = server;
-    if (event.sequence === balance.cacheSequence) return;
-    const isNext = (balance.cacheSequence ?? event.sequence - 1) + 1 === event.sequence;
-    balance.cacheSequence = event.sequence;
+  applyCacheEvent(server: BackendServerState, event: CacheEvent, now: MonotonicMilliseconds): void {
+    const { balancing: balance } = server;
+    if (event.sequence === balance.lastCacheSequence) return;
+    const isNext = (balance.lastCacheSequence ?? event.sequence - 1) + 1 === event.sequence;
+    balance.lastCacheSequence = event.sequence;
     // A missing event may have been an eviction: requests would be sent after a cache that is
     // gone. Dropping every belief about this server is enough, since no belief is ever needed.
     if (!isNext || event.change === 'cleared') balance.cacheGeneration += 1;
-    if (event.change === 'stored') this.believe(server, event.prefixDigests, now);
+    if (event.change === 'stored') this.recordCached(server, event.prefixDigests, now);
     if (event.change === 'evicted') this.disbelieve(server, event.prefixDigests, now);
   }
 
--- a/packages/entry-core/src/backendServers/PrefixHomes.test.ts
+++ b/packages/entry-core/src/backendServers/PrefixHashRing.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { BackendServerState } from './BackendServerState.js';
-import { PrefixHomes } from './PrefixHomes.js';
-import { makeServerBalance } from './ServerBalance.js';
+import { PrefixHashRing } from './PrefixHashRing.js';
+import { makeBalancingState } from './BalancingState.js';
 
 function makeServer(number: number): BackendServerState {
   return {
@@ -16,18 +16,18 @@
       port: number,
     },
     attemptIds: new Set(),
-    balance: makeServerBalance(8, undefined),
+    balance: makeBalancingState(8, undefined),
   } as unknown as BackendServerState;
 }
 
 const digests = Array.from({ length: 600 }, (_, number) => `conversation-${number}`);
 
-function homesOf(homes: PrefixHomes): (string | undefined)[] {
-  return digests.map((digest) => homes.find(digest)?.listed.instance);
+function homesOf(homes: PrefixHashRing): (string | undefined)[] {
+  return digests.map((digest) => homes.findServer(digest)?.platformInstance.instance);
 }
 
 test('conversations spread over the servers', () => {
-  const homes = new PrefixHomes();
+  const homes = new PrefixHashRing();
   homes.setServers([1, 2, 3, 4, 5, 6].map(makeServer));
   const counts = new Map<string, number>();
   homesOf(homes).forEach((home = '') => counts.set(home, (counts.get(home) ?? 0) + 1));
@@ -39,7 +39,7 @@
 // cache would be of no use at the moment when capacity is shortest.
 test('only the conversations of a lost server move', () => {
   const servers = [1, 2, 3, 4, 5, 6].map(makeServer);
-  const homes = new PrefixHomes();
+  const homes = new PrefixHashRing();
   homes.setServers(servers);
   const before = homesOf(homes);
   homes.setServers(servers.slice(1));
@@ -52,14 +52,14 @@
 // The server is still listed, but rests after failures: the next one on the ring stands in.
 test('a server that rests is no home, and has its conversations back afterwards', () => {
   const servers = [1, 2, 3].map(makeServer);
-  const homes = new PrefixHomes();
+  const homes = new PrefixHashRing();
   homes.setServers(servers);
   const before = homesOf(homes);
   const [first] = servers;
   assert.ok(first !== undefined);
-  first.balance.ejectedUntil = 1000;
+  first.balancing.ejectedUntil = 1000;
   assert.ok(!homesOf(homes).includes('engine-1'));
-  first.balance.ejectedUntil = undefined;
+  first.balancing.ejectedUntil = undefined;
   assert.deepEqual(homesOf(homes), before);
-  assert.equal(new PrefixHomes().find('any'), undefined);
+  assert.equal(new PrefixHashRing().findServer('any'), undefined);
 });
--- a/packages/entry-core/src/backendServers/PrefixHomes.ts
+++ b/packages/entry-core/src/backendServers/PrefixHashRing.ts
@@ -4,7 +4,7 @@
  * that each begin it where they like compute it once each, and fill as many caches with it.
  */
 import { createHash } from 'node:crypto';
-import { takesNewWork, type BackendServerState } from './BackendServerState.js';
+import { acceptsNewWork, type BackendServerState } from './BackendServerState.js';
 
 /** With so many points on the ring the busiest of six servers has 1.3 times its share (median of 50 rings). */
 const POINTS_PER_SERVER = 16;
@@ -19,7 +19,7 @@
 }
 
 function pointsOf(server: BackendServerState): Point[] {
-  const { instance } = server.listed;
+  const { instance } = server.platformInstance;
   return Array.from({ length: POINTS_PER_SERVER }, (_, number) => ({
     position: positionOf(`${instance}/${number}`),
     server,
@@ -27,10 +27,10 @@
 }
 
 function isAvailable(server: BackendServerState): boolean {
-  return takesNewWork(server) && server.balance.ejectedUntil === undefined;
+  return acceptsNewWork(server) && server.balancing.ejectedUntil === undefined;
 }
 
-export class PrefixHomes {
+export class PrefixHashRing {
   private servers: readonly BackendServerState[] = [];
 
   /** By position. */
@@ -48,7 +48,7 @@
   }
 
   /** The home of a prefix; the next one on the ring stands in for a server that is not available. */
-  find(digest: string): BackendServerState | undefined {
+  findServer(digest: string): BackendServerState | undefined {
     const { ring } = this;
     const start = this.firstAfter(positionOf(digest));
     for (let step = 0; step < ring.length; step += 1) {
--- a/packages/entry-core/src/backendServers/adaptConcurrency.ts
+++ b/packages/entry-core/src/backendServers/adaptConcurrency.ts
@@ -7,11 +7,11 @@
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { BackendServerState } from './BackendServerState.js';
-import type { PoolBalance } from './PoolBalance.js';
-import { slownessNow } from './ServerBalance.js';
+import type { PoolState } from './PoolState.js';
+import { currentSlowness } from './BalancingState.js';
 
 /** A delay above so many times the usual one shows a crowded or slow server. */
-export const TOLERATED_SLOWNESS = 3;
+export const TOLERATED_SLOWDOWN_FACTOR = 3;
 /** Prompts of other entries that are computed before, and that nothing tells of, take so long. */
 const TOLERATED_DELAY: Milliseconds = 200;
 const DECREASE_FACTOR = 0.8;
@@ -27,25 +27,25 @@
  * @returns False if the server was far slower than that.
  */
 export function adaptConcurrency(
-  pool: PoolBalance,
+  pool: PoolState,
   server: BackendServerState,
   delay: Milliseconds,
   usual: Milliseconds,
   now: MonotonicMilliseconds,
 ): boolean {
-  const { balance } = server;
+  const { balancing: balance } = server;
   const slowness = delay / Math.max(1, usual);
-  const known = slownessNow(balance, now);
+  const known = currentSlowness(balance, now);
   balance.slowness = known + (Math.min(slowness, MOST_SLOWNESS) - known) * SLOWNESS_SHARE;
-  balance.slownessLearntAt = now;
-  if (delay <= TOLERATED_SLOWNESS * usual + TOLERATED_DELAY) {
+  balance.slownessUpdatedAt = now;
+  if (delay <= TOLERATED_SLOWDOWN_FACTOR * usual + TOLERATED_DELAY) {
     const raised = balance.limit + 1 / balance.limit;
-    pool.changeLimit(server, Math.min(balance.fullLimit, raised));
+    pool.changeLimit(server, Math.min(balance.maxLimit, raised));
     return true;
   }
   // Delays of requests that were sent before the last decrease say nothing about its effect.
   if (now - balance.limitLoweredAt < delay) return false;
-  const least = Math.max(1, balance.fullLimit * LEAST_SHARE_OF_CLASS);
+  const least = Math.max(1, balance.maxLimit * LEAST_SHARE_OF_CLASS);
   pool.changeLimit(server, Math.max(least, balance.limit * DECREASE_FACTOR));
   balance.limitLoweredAt = now;
   return false;
@@ -53,11 +53,11 @@
 
 /** A server that says it is busy is full now, whatever its class allows. */
 export function lowerConcurrency(
-  pool: PoolBalance,
+  pool: PoolState,
   server: BackendServerState,
   now: MonotonicMilliseconds,
 ): void {
-  const { balance, attemptIds } = server;
+  const { balancing: balance, attemptIds } = server;
   const lowered = Math.min(balance.limit * DECREASE_FACTOR, attemptIds.size);
   pool.changeLimit(server, Math.max(1, lowered));
   balance.limitLoweredAt = now;
--- a/packages/entry-core/src/backendServers/listInstances.ts
+++ b/packages/entry-core/src/backendServers/applyInstanceList.ts
@@ -8,7 +8,7 @@
 import { restoreCachedPrefixes } from '../membership/restorePersistedState.js';
 import type { BackendServerState } from './BackendServerState.js';
 import { indexCandidates } from './indexCandidates.js';
-import { makeServerBalance } from './ServerBalance.js';
+import { makeBalancingState } from './BalancingState.js';
 
 /** For an instance whose class the pools table does not name (yet). */
 const DEFAULT_CONCURRENCY = 8;
@@ -26,28 +26,28 @@
   slowStartAt: MonotonicMilliseconds | undefined,
 ): BackendServerState {
   const server: BackendServerState = {
-    listed,
+    platformInstance: listed,
     goneAt: listed.goneAt,
     attemptIds: new Set(),
     load: undefined,
     loadReceivedAt: undefined,
-    balance: makeServerBalance(concurrencyOf(state, listed), slowStartAt),
+    balancing: makeBalancingState(concurrencyOf(state, listed), slowStartAt),
   };
   state.backendServers.set(listed.instance, server);
   return server;
 }
 
 /** Takes the concurrency of the classes anew, when the list or the configuration has changed. */
-export function refreshLimits(state: EntryState): void {
-  for (const { balance, listed } of state.backendServers.values()) {
+export function refreshConcurrencyLimits(state: EntryState): void {
+  for (const { balancing: balance, platformInstance: listed } of state.backendServers.values()) {
     const fullLimit = concurrencyOf(state, listed);
-    if (fullLimit === balance.fullLimit) continue;
-    balance.limit = Math.max(1, (balance.limit * fullLimit) / balance.fullLimit);
-    balance.fullLimit = fullLimit;
+    if (fullLimit === balance.maxLimit) continue;
+    balance.limit = Math.max(1, (balance.limit * fullLimit) / balance.maxLimit);
+    balance.maxLimit = fullLimit;
   }
 }
 
-export function listInstances(
+export function applyInstanceList(
   state: EntryState,
   instances: readonly PlatformInstance[],
   now: MonotonicMilliseconds,
@@ -66,18 +66,18 @@
       );
       return;
     }
-    if (known.listed.state === 'starting' && instance.state === 'live') {
-      known.balance.slowStartAt = now;
+    if (known.platformInstance.state === 'starting' && instance.state === 'live') {
+      known.balancing.slowStartAt = now;
     }
-    known.listed = instance;
+    known.platformInstance = instance;
     known.goneAt ??= instance.goneAt;
   });
   state.backendServers.forEach((server, instance) => {
     if (listed.has(instance)) return;
     if (server.attemptIds.size === 0) state.backendServers.delete(instance);
     // Its answers in progress may still come, but an instance that is off the list is going.
-    else server.listed = { ...server.listed, state: 'leaving' };
+    else server.platformInstance = { ...server.platformInstance, state: 'leaving' };
   });
-  refreshLimits(state);
+  refreshConcurrencyLimits(state);
   indexCandidates(state);
 }
--- a/packages/entry-core/src/backendServers/backendServers.test.ts
+++ b/packages/entry-core/src/backendServers/backendServers.test.ts
@@ -11,9 +11,9 @@
   firstTokenWithin,
 } from '../testing/examples.js';
 import { chooseBackendServer } from './chooseBackendServer.js';
-import { noteFailure } from './ejectOutliers.js';
-import type { PoolBalance } from './PoolBalance.js';
-import type { Prompt } from './PrefixBeliefs.js';
+import { recordFailure } from './ejectOutliers.js';
+import type { PoolState } from './PoolState.js';
+import type { PromptPrefixes } from './PrefixCacheIndex.js';
 
 const CONCURRENCY = 8;
 const SECOND = 1000;
@@ -40,7 +40,7 @@
   });
 }
 
-function poolOf(harness: EntryHarness): PoolBalance {
+function poolOf(harness: EntryHarness): PoolState {
   const pool = harness.entries[0]?.poolStates.get('engines');
   assert.ok(pool);
   return pool;
@@ -121,7 +121,7 @@
         };
         for (const { server } of failures) {
           const found = harness.entries[0]?.backendServers.get(`engine-${server % servers}`);
-          if (found !== undefined) noteFailure(pool, found, harness.timeline.now);
+          if (found !== undefined) recordFailure(pool, found, harness.timeline.now);
           checkFloor(servers);
         }
         harness.listEngines(Math.min(left, servers));
@@ -132,7 +132,7 @@
   );
 });
 
-function prompt(...prefixDigests: string[]): Prompt {
+function prompt(...prefixDigests: string[]): PromptPrefixes {
   return { prefixDigests, promptTokens: 0 };
 }
 
@@ -151,7 +151,7 @@
     harness.send({ type: 'cacheEventsReceived', events: [event] });
   };
   const isBelieved = () =>
-    poolOf(harness).beliefs.find(prompt('a', 'b'), harness.timeline.now).length > 0;
+    poolOf(harness).prefixCacheIndex.findHolders(prompt('a', 'b'), harness.timeline.now).length > 0;
   tell(1);
   tell(2);
   assert.ok(isBelieved(), 'events without a gap keep it');
@@ -169,15 +169,15 @@
 test('a cached prefix counts by its tokens', () => {
   const harness = makeHarness();
   const home = askFor(harness, 'turn-1', ['system', 'conversation']);
-  const { beliefs } = poolOf(harness);
+  const { prefixCacheIndex: beliefs } = poolOf(harness);
   const share = (prefixDigests: string[]) =>
-    beliefs.find(
+    beliefs.findHolders(
       { prefixDigests, prefixTokens: [500, 5500, 12_000], promptTokens: 12_000 },
       harness.timeline.now,
     )[0];
-  assert.equal(share(['system', 'conversation', 'turn-2'])?.server.listed.instance, home);
-  assert.equal(share(['system', 'conversation', 'turn-2'])?.share, 5500 / 12_000);
-  assert.equal(share(['system', 'another', 'turn-3'])?.share, 500 / 12_000);
+  assert.equal(share(['system', 'conversation', 'turn-2'])?.server.platformInstance.instance, home);
+  assert.equal(share(['system', 'conversation', 'turn-2'])?.cachedFraction, 5500 / 12_000);
+  assert.equal(share(['system', 'another', 'turn-3'])?.cachedFraction, 500 / 12_000);
 });
 
 // Callers of two data centres take turns in one conversation. Its long prompt has been computed in
@@ -190,9 +190,9 @@
   });
   const far = harness.entries[0]?.backendServers.get('engine-1');
   assert.ok(far);
-  const { beliefs } = poolOf(harness);
-  beliefs.believe(far, ['long'], harness.timeline.now);
-  beliefs.believe(far, ['short'], harness.timeline.now);
+  const { prefixCacheIndex: beliefs } = poolOf(harness);
+  beliefs.recordCached(far, ['long'], harness.timeline.now);
+  beliefs.recordCached(far, ['short'], harness.timeline.now);
   harness.arrive(
     exampleRequest('first', { prefixDigests: ['long', 'own'], promptTokens: 4000 }),
     5,
@@ -234,7 +234,8 @@
 test('a belief expires', () => {
   const harness = makeHarness();
   askFor(harness, 'turn-1', ['a']);
-  const believedAt = (now: number) => poolOf(harness).beliefs.find(prompt('a'), now).length > 0;
+  const believedAt = (now: number) =>
+    poolOf(harness).prefixCacheIndex.findHolders(prompt('a'), now).length > 0;
   assert.ok(believedAt(100 * SECOND));
   assert.ok(!believedAt(130 * SECOND));
 });
@@ -307,7 +308,7 @@
   harness.timeline.runUntil(5 * SECOND);
   slow.speed = { ...usual, prefillMillisecondsPerToken: 5 };
   harness.timeline.runUntil(20 * SECOND);
-  const balance = harness.entries[0]?.backendServers.get('engine-1')?.balance;
+  const balance = harness.entries[0]?.backendServers.get('engine-1')?.balancing;
   assert.ok((balance?.limit ?? 0) < 0.5 * CONCURRENCY, `limit ${balance?.limit}`);
   slow.speed = usual;
   harness.timeline.runUntil(59 * SECOND);
--- a/packages/entry-core/src/backendServers/chooseBackendServer.ts
+++ b/packages/entry-core/src/backendServers/chooseBackendServer.ts
@@ -10,13 +10,13 @@
 import { ruledOut } from '../attempts/ruledOut.js';
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { takesNewWork, type BackendServerState } from './BackendServerState.js';
+import { acceptsNewWork, type BackendServerState } from './BackendServerState.js';
 import { estimateInProgress } from './estimateInProgress.js';
-import { hasRoom } from './hasRoom.js';
-import type { CandidateGroup, PoolBalance } from './PoolBalance.js';
-import { poolBalanceOf } from './poolBalanceOf.js';
-import { predictFirstToken, uncachedTokens } from './predictFirstToken.js';
-import { limitNow } from './ServerBalance.js';
+import { hasCapacity } from './hasCapacity.js';
+import type { CandidateGroup, PoolState } from './PoolState.js';
+import { getPoolState } from './getPoolState.js';
+import { predictFirstTokenDelay, estimateUncachedTokens } from './predictFirstTokenDelay.js';
+import { currentLimit } from './BalancingState.js';
 
 /** Groups up to this size are looked at whole. */
 const WHOLE_GROUP_SIZE = 8;
@@ -77,7 +77,7 @@
  * request's own. There is none once a server is believed to have computed it.
  */
 function findHome(
-  pool: PoolBalance,
+  pool: PoolState,
   { request }: RequestState,
   now: MonotonicMilliseconds,
 ): Home | undefined {
@@ -85,8 +85,8 @@
   const digest = prefixDigests.at(-2);
   const tokens = prefixTokens?.at(-2);
   if (digest === undefined || tokens === undefined) return undefined;
-  if (pool.beliefs.isHeld(digest, now)) return undefined;
-  const server = pool.homes.find(digest);
+  if (pool.prefixCacheIndex.isCachedAnywhere(digest, now)) return undefined;
+  const server = pool.prefixHashRing.findServer(digest);
   return server === undefined ? undefined : { server, tokens };
 }
 
@@ -100,7 +100,7 @@
 
   constructor(
     private readonly state: EntryState,
-    private readonly pool: PoolBalance,
+    private readonly pool: PoolState,
     private readonly accepted: RequestState,
     private readonly now: MonotonicMilliseconds,
     private readonly home: Home | undefined,
@@ -112,10 +112,11 @@
   look(server: BackendServerState | undefined): void {
     if (server === undefined || this.seen.has(server)) return;
     this.seen.add(server);
-    const { instance } = server.listed;
+    const { instance } = server.platformInstance;
     if (this.accepted.triedInstances.has(instance) || this.ruledOut.has(instance)) return;
-    if (!takesNewWork(server) || !hasRoom(this.state, this.pool, server, this.accepted)) return;
-    const firstTokenIn = predictFirstToken(this.state, this.pool, server, this.accepted);
+    if (!acceptsNewWork(server) || !hasCapacity(this.state, this.pool, server, this.accepted))
+      return;
+    const firstTokenIn = predictFirstTokenDelay(this.state, this.pool, server, this.accepted);
     const promptTime = this.promptTime(server);
     const rank = this.spread
       ? this.fullness(server)
@@ -130,19 +131,22 @@
    * workspace would follow its system prompt to one server, and the others be idle until the rush.
    */
   private crowding(server: BackendServerState): Milliseconds {
-    const serviceTime = this.pool.serviceTime(this.accepted.route.name);
+    const serviceTime = this.pool.estimateServiceTime(this.accepted.route.name);
     return serviceTime * this.fullness(server) * CROWDING_SHARE;
   }
 
   private promptTime(server: BackendServerState): Milliseconds {
-    const uncached = uncachedTokens(this.pool, server, this.accepted.request, this.now);
+    const uncached = estimateUncachedTokens(this.pool, server, this.accepted.request, this.now);
     const saved = this.home?.server === server ? this.home.tokens : 0;
-    return this.pool.firstToken.predictGrowth(uncached - saved);
+    return this.pool.firstTokenRegression.predictMarginalDelay(uncached - saved);
   }
 
   lookAtHolders(group: CandidateGroup): void {
     if (this.home !== undefined && group.has(this.home.server)) this.look(this.home.server);
-    for (const { server } of this.pool.beliefs.find(this.accepted.request, this.now)) {
+    for (const { server } of this.pool.prefixCacheIndex.findHolders(
+      this.accepted.request,
+      this.now,
+    )) {
       if (group.has(server)) this.look(server);
     }
   }
@@ -164,7 +168,7 @@
   }
 
   private fullness(server: BackendServerState): number {
-    return estimateInProgress(this.state, server) / limitNow(server.balance, this.now);
+    return estimateInProgress(this.state, server) / currentLimit(server.balancing, this.now);
   }
 }
 
@@ -173,12 +177,12 @@
   /** `remote`: only in other data centres. */
   readonly where?: 'nearest' | 'remote';
   /** A server that has just got room: at thousands of servers samples may miss it. */
-  readonly freed?: BackendServerState | undefined;
+  readonly freedServer?: BackendServerState | undefined;
   /**
    * For streams of a wave that are all placed at one moment: the emptiest server wins. Predictions
    * come from first tokens seen before the wave, so all of it would go to the one that was fastest.
    */
-  readonly spread?: boolean;
+  readonly spreadEvenly?: boolean;
 }
 
 /** The home is the same for every group that is searched, so it is looked up once. */
@@ -190,10 +194,10 @@
   state: EntryState,
   accepted: RequestState,
   group: CandidateGroup,
-  { freed, home, spread = false }: SearchOptions,
+  { freedServer: freed, home, spreadEvenly: spread = false }: SearchOptions,
 ): Choice | undefined {
   const { now } = state.clocks;
-  const pool = poolBalanceOf(state, accepted.pool.name);
+  const pool = getPoolState(state, accepted.pool.name);
   const one = new ServerSearch(state, pool, accepted, now, home, spread);
   if (freed !== undefined && group.has(freed)) one.look(freed);
   one.lookAtHolders(group);
@@ -224,7 +228,7 @@
   accepted: RequestState,
   options: ChoiceOptions = {},
 ): BackendServerState | undefined {
-  const pool = poolBalanceOf(state, accepted.pool.name);
+  const pool = getPoolState(state, accepted.pool.name);
   const { local, remote } = pool;
   const searched = { ...options, home: findHome(pool, accepted, state.clocks.now) };
   if (options.where === 'remote') return search(state, accepted, remote, searched)?.server;
@@ -245,16 +249,16 @@
 function isFreeFor(state: EntryState, accepted: RequestState) {
   const excluded = ruledOut(state, accepted, state.clocks.now);
   return (server: BackendServerState) => {
-    const { instance } = server.listed;
+    const { instance } = server.platformInstance;
     return (
-      takesNewWork(server) && !accepted.triedInstances.has(instance) && !excluded.has(instance)
+      acceptsNewWork(server) && !accepted.triedInstances.has(instance) && !excluded.has(instance)
     );
   };
 }
 
 /** True if some backend server that was not tried yet can take the request, now or later. */
-export function hasUntried(state: EntryState, accepted: RequestState): boolean {
-  const pool = poolBalanceOf(state, accepted.pool.name);
+export function hasUntriedServer(state: EntryState, accepted: RequestState): boolean {
+  const pool = getPoolState(state, accepted.pool.name);
   const isFree = isFreeFor(state, accepted);
   return pool.groups.some(
     (group) => group.candidates.some(isFree) || [...group.ejected].some(isFree),
--- a/packages/entry-core/src/backendServers/ejectOutliers.ts
+++ b/packages/entry-core/src/backendServers/ejectOutliers.ts
@@ -6,7 +6,7 @@
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { BackendServerState } from './BackendServerState.js';
-import type { CandidateGroup, PoolBalance } from './PoolBalance.js';
+import type { CandidateGroup, PoolState } from './PoolState.js';
 
 const MOST_CONSECUTIVE_FAILURES = 3;
 const MOST_ERROR_SHARE = 0.5;
@@ -26,13 +26,13 @@
   return group.candidates.length - 1 >= Math.max(1, floorOf(group));
 }
 
-function isOutlier({ balance }: BackendServerState): boolean {
+function isOutlier({ balancing: balance }: BackendServerState): boolean {
   if (balance.consecutiveFailures >= MOST_CONSECUTIVE_FAILURES) return true;
   const outcomes = balance.successes + balance.failures;
   return outcomes >= LEAST_OUTCOMES && balance.failures / outcomes > MOST_ERROR_SHARE;
 }
 
-function forgetOutcomes({ balance }: BackendServerState): void {
+function forgetOutcomes({ balancing: balance }: BackendServerState): void {
   balance.consecutiveFailures = 0;
   balance.successes = 0;
   balance.failures = 0;
@@ -44,14 +44,14 @@
   now: MonotonicMilliseconds | undefined,
 ): void {
   group.ejected.delete(server);
-  server.balance.ejectedUntil = undefined;
-  if (now !== undefined) server.balance.slowStartAt = now;
+  server.balancing.ejectedUntil = undefined;
+  if (now !== undefined) server.balancing.slowStartAt = now;
   forgetOutcomes(server);
   group.add(server);
 }
 
 /** Brings ejected servers back while fewer than the floor are in use, as when others have left. */
-export function keepFloor(group: CandidateGroup): void {
+export function enforceMinServersInUse(group: CandidateGroup): void {
   for (const server of group.ejected) {
     if (group.candidates.length >= floorOf(group)) return;
     reinstate(group, server, undefined);
@@ -59,43 +59,43 @@
 }
 
 /** Brings back those whose time is over; they start slowly. */
-export function endEjections(pool: PoolBalance, now: MonotonicMilliseconds): void {
+export function endExpiredEjections(pool: PoolState, now: MonotonicMilliseconds): void {
   for (const group of pool.groups) {
     for (const server of group.ejected) {
-      if ((server.balance.ejectedUntil ?? 0) <= now) reinstate(group, server, now);
+      if ((server.balancing.ejectedUntil ?? 0) <= now) reinstate(group, server, now);
     }
-    keepFloor(group);
+    enforceMinServersInUse(group);
   }
 }
 
-function halveOldOutcomes({ balance }: BackendServerState): void {
+function halveOldOutcomes({ balancing: balance }: BackendServerState): void {
   if (balance.successes + balance.failures < MOST_OUTCOMES) return;
   balance.successes /= 2;
   balance.failures /= 2;
 }
 
-export function noteSuccess(server: BackendServerState): void {
-  const { balance } = server;
+export function recordSuccess(server: BackendServerState): void {
+  const { balancing: balance } = server;
   halveOldOutcomes(server);
   balance.consecutiveFailures = 0;
   balance.successes += 1;
-  if (balance.successes >= LEAST_OUTCOMES) balance.ejections = 0;
+  if (balance.successes >= LEAST_OUTCOMES) balance.consecutiveEjections = 0;
 }
 
 /** Counts a failure; true if the server was ejected for it. */
-export function noteFailure(
-  pool: PoolBalance,
+export function recordFailure(
+  pool: PoolState,
   server: BackendServerState,
   now: MonotonicMilliseconds,
 ): boolean {
-  const { balance } = server;
+  const { balancing: balance } = server;
   halveOldOutcomes(server);
   balance.consecutiveFailures += 1;
   balance.failures += 1;
   const group = pool.groupOf(server);
   if (balance.candidateIndex === undefined || !isOutlier(server) || !mayEject(group)) return false;
-  const span = FIRST_EJECTION_MILLISECONDS * 2 ** balance.ejections;
-  balance.ejections += 1;
+  const span = FIRST_EJECTION_MILLISECONDS * 2 ** balance.consecutiveEjections;
+  balance.consecutiveEjections += 1;
   balance.ejectedUntil = now + Math.min(span, LONGEST_EJECTION_MILLISECONDS);
   group.remove(server);
   group.ejected.add(server);
--- a/packages/entry-core/src/backendServers/estimateInProgress.ts
+++ b/packages/entry-core/src/backendServers/estimateInProgress.ts
@@ -7,7 +7,7 @@
 import type { EpochMilliseconds, LoadReport, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 import type { BackendServerState } from './BackendServerState.js';
-import type { EndedAttempt } from './ServerBalance.js';
+import type { EndedAttempt } from './BalancingState.js';
 
 /** Own attempts of the last seconds that are remembered for one server; older ones are let go. */
 const MOST_ENDED_ATTEMPTS = 512;
@@ -15,8 +15,8 @@
 /** A load report that says nothing about now. */
 const STALE_LOAD_MILLISECONDS = 15_000;
 
-export function rememberEnded(server: BackendServerState, ended: EndedAttempt): void {
-  const { endedAttempts } = server.balance;
+export function recordEndedAttempt(server: BackendServerState, ended: EndedAttempt): void {
+  const { endedAttempts } = server.balancing;
   endedAttempts.push(ended);
   if (endedAttempts.length > MOST_ENDED_ATTEMPTS) {
     endedAttempts.splice(0, MOST_ENDED_ATTEMPTS / 2);
@@ -28,7 +28,7 @@
   server: BackendServerState,
   measuredAt: MonotonicMilliseconds,
 ): number {
-  let own = server.balance.endedAttempts.filter((ended) => ended.startedAt <= measuredAt).length;
+  let own = server.balancing.endedAttempts.filter((ended) => ended.startedAt <= measuredAt).length;
   for (const attemptId of server.attemptIds) {
     const attempt = state.attempts.get(attemptId);
     if (attempt !== undefined && attempt.startedAt <= measuredAt) own += 1;
@@ -46,7 +46,7 @@
   const server = state.backendServers.get(report.instance);
   if (server === undefined) return;
   const measuredAt = now - Math.max(0, wallNow - report.measuredAt);
-  const { balance } = server;
+  const { balancing: balance } = server;
   if (balance.measuredAt !== undefined && measuredAt < balance.measuredAt) return;
   server.load = report;
   server.loadReceivedAt = now;
@@ -54,8 +54,8 @@
   const kept = balance.endedAttempts.filter((ended) => ended.endedAt > measuredAt);
   balance.endedAttempts.splice(0, balance.endedAttempts.length, ...kept);
   const own = countOwnAt(state, server, measuredAt);
-  balance.ownAtMeasurement = own;
-  balance.othersInProgress = Math.max(0, report.running + report.queued - own);
+  balance.ownInProgressAtMeasurement = own;
+  balance.otherEntriesInProgress = Math.max(0, report.running + report.queued - own);
 }
 
 /** True while all other entries that are known tell what they have in progress. */
@@ -73,9 +73,15 @@
  */
 export function estimateInProgress(state: EntryState, server: BackendServerState): number {
   if (isToldAll(state)) {
-    return server.attemptIds.size + state.peerWork.at(server.listed.instance).inProgress;
+    return (
+      server.attemptIds.size + state.peerWork.workAt(server.platformInstance.instance).inProgress
+    );
   }
-  const { measuredAt, othersInProgress, ownAtMeasurement } = server.balance;
+  const {
+    measuredAt,
+    otherEntriesInProgress: othersInProgress,
+    ownInProgressAtMeasurement: ownAtMeasurement,
+  } = server.balancing;
   const own = server.attemptIds.size;
   const { now } = state.clocks;
   const believed = measuredAt !== undefined && now - measuredAt <= STALE_LOAD_MILLISECONDS;
--- a/packages/entry-core/src/backendServers/poolBalanceOf.ts
+++ b/packages/entry-core/src/backendServers/getPoolState.ts
@@ -1,11 +1,11 @@
 /** The balance of a pool, made when it is first asked for. */
 import type { EntryState } from '../EntryState.js';
-import { PoolBalance } from './PoolBalance.js';
+import { PoolState } from './PoolState.js';
 
-export function poolBalanceOf(state: EntryState, pool: string): PoolBalance {
+export function getPoolState(state: EntryState, pool: string): PoolState {
   const known = state.poolStates.get(pool);
   if (known !== undefined) return known;
-  const made = new PoolBalance();
+  const made = new PoolState();
   state.poolStates.set(pool, made);
   return made;
 }
--- a/packages/entry-core/src/backendServers/hasRoom.ts
+++ b/packages/entry-core/src/backendServers/hasCapacity.ts
@@ -3,22 +3,22 @@
 import type { RequestState } from '../requests/RequestState.js';
 import type { BackendServerState } from './BackendServerState.js';
 import { estimateInProgress } from './estimateInProgress.js';
-import type { PoolBalance } from './PoolBalance.js';
-import { hasPromptsEnough } from './predictFirstToken.js';
-import { limitNow } from './ServerBalance.js';
+import type { PoolState } from './PoolState.js';
+import { isPrefillQueueFull } from './predictFirstTokenDelay.js';
+import { currentLimit } from './BalancingState.js';
 
 /** Requests that will be late get no more of a server than this: a full one is slower for all. */
 const LATE_SHARE = 0.5;
 
-export function hasRoom(
+export function hasCapacity(
   state: EntryState,
-  pool: PoolBalance,
+  pool: PoolState,
   server: BackendServerState,
   accepted: RequestState,
 ): boolean {
-  const limit = limitNow(server.balance, state.clocks.now);
+  const limit = currentLimit(server.balancing, state.clocks.now);
   const share = accepted.isLate === true ? LATE_SHARE : 1;
   const room = Math.max(1, Math.floor(limit * share));
   if (estimateInProgress(state, server) >= room) return false;
-  return !hasPromptsEnough(state, pool, server, accepted);
+  return !isPrefillQueueFull(state, pool, server, accepted);
 }
--- a/packages/entry-core/src/backendServers/indexCandidates.ts
+++ b/packages/entry-core/src/backendServers/indexCandidates.ts
@@ -4,10 +4,10 @@
  * taking new work in between is taken out when a choice meets it.
  */
 import type { EntryState } from '../EntryState.js';
-import { takesNewWork, type BackendServerState } from './BackendServerState.js';
-import { keepFloor } from './ejectOutliers.js';
-import type { PoolBalance } from './PoolBalance.js';
-import { poolBalanceOf } from './poolBalanceOf.js';
+import { acceptsNewWork, type BackendServerState } from './BackendServerState.js';
+import { enforceMinServersInUse } from './ejectOutliers.js';
+import type { PoolState } from './PoolState.js';
+import { getPoolState } from './getPoolState.js';
 
 function emptyGroups(state: EntryState): void {
   for (const pool of state.poolStates.values()) {
@@ -17,21 +17,21 @@
 
 export function indexCandidates(state: EntryState): void {
   emptyGroups(state);
-  const serversByPool = new Map<PoolBalance, BackendServerState[]>();
+  const serversByPool = new Map<PoolState, BackendServerState[]>();
   for (const server of state.backendServers.values()) {
-    server.balance.candidateIndex = undefined;
-    if (!takesNewWork(server)) continue;
-    const pool = poolBalanceOf(state, server.listed.pool);
-    const isLocal = server.listed.dataCentre === state.identity.dataCentre;
+    server.balancing.candidateIndex = undefined;
+    if (!acceptsNewWork(server)) continue;
+    const pool = getPoolState(state, server.platformInstance.pool);
+    const isLocal = server.platformInstance.dataCentre === state.identity.dataCentre;
     const group = isLocal ? pool.local : pool.remote;
-    if (server.balance.ejectedUntil === undefined) group.add(server);
+    if (server.balancing.ejectedUntil === undefined) group.add(server);
     else group.ejected.add(server);
     const servers = serversByPool.get(pool);
     if (servers === undefined) serversByPool.set(pool, [server]);
     else servers.push(server);
   }
   for (const pool of state.poolStates.values()) {
-    pool.homes.setServers(serversByPool.get(pool) ?? []);
-    pool.groups.forEach(keepFloor);
+    pool.prefixHashRing.setServers(serversByPool.get(pool) ?? []);
+    pool.groups.forEach(enforceMinServersInUse);
   }
 }
--- a/packages/entry-core/src/backendServers/targetAt.ts
+++ b/packages/entry-core/src/backendServers/makeAttemptTarget.ts
@@ -3,7 +3,10 @@
 import type { AttemptTarget } from '../entryEffects.js';
 import type { BackendServerState } from './BackendServerState.js';
 
-export function targetAt({ listed }: BackendServerState, pool: Pool | undefined): AttemptTarget {
+export function makeAttemptTarget(
+  { platformInstance: listed }: BackendServerState,
+  pool: Pool | undefined,
+): AttemptTarget {
   const { instance, host, port } = listed;
   return {
     instance,
--- a/packages/entry-core/src/backendServers/observeAttempt.ts
+++ b/packages/entry-core/src/backendServers/observeAttempt.ts
@@ -8,21 +8,25 @@
 import type { EntryState } from '../EntryState.js';
 import type { AttemptState } from '../attempts/AttemptState.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { adaptConcurrency, lowerConcurrency, TOLERATED_SLOWNESS } from './adaptConcurrency.js';
+import {
+  adaptConcurrency,
+  lowerConcurrency,
+  TOLERATED_SLOWDOWN_FACTOR,
+} from './adaptConcurrency.js';
 import type { BackendServerState } from './BackendServerState.js';
-import { noteFailure, noteSuccess } from './ejectOutliers.js';
-import { estimateInProgress, rememberEnded } from './estimateInProgress.js';
-import type { PoolBalance } from './PoolBalance.js';
-import { poolBalanceOf } from './poolBalanceOf.js';
-import { pendingTokens, uncachedTokens } from './predictFirstToken.js';
-import { limitNow } from './ServerBalance.js';
+import { recordFailure, recordSuccess } from './ejectOutliers.js';
+import { estimateInProgress, recordEndedAttempt } from './estimateInProgress.js';
+import type { PoolState } from './PoolState.js';
+import { getPoolState } from './getPoolState.js';
+import { countPendingTokens, estimateUncachedTokens } from './predictFirstTokenDelay.js';
+import { currentLimit } from './BalancingState.js';
 
 /** All that one edge of an attempt is about. */
 interface Observed {
   readonly attempt: AttemptState;
   readonly accepted: RequestState;
   readonly server: BackendServerState;
-  readonly pool: PoolBalance;
+  readonly pool: PoolState;
   readonly now: MonotonicMilliseconds;
 }
 
@@ -44,7 +48,13 @@
   const accepted = attempt && state.requests.get(attempt.requestId);
   const server = attempt && state.backendServers.get(attempt.instance);
   if (attempt === undefined || accepted === undefined || server === undefined) return undefined;
-  return { attempt, accepted, server, pool: poolBalanceOf(state, server.listed.pool), now };
+  return {
+    attempt,
+    accepted,
+    server,
+    pool: getPoolState(state, server.platformInstance.pool),
+    now,
+  };
 }
 
 /**
@@ -57,41 +67,47 @@
   state: EntryState,
   { attempt, accepted, server, pool, now }: Observed,
 ): void {
-  const pending = server.balance.pendingPrompts.get(attempt.attemptId);
+  const pending = server.balancing.pendingPrompts.get(attempt.attemptId);
   if (pending === undefined) return;
-  server.balance.pendingPrompts.delete(attempt.attemptId);
+  server.balancing.pendingPrompts.delete(attempt.attemptId);
   const delay = now - attempt.startedAt;
-  const usual = pool.firstToken.predict(pending.tokensUntilFirst);
+  const usual = pool.firstTokenRegression.predict(pending.tokensUntilFirstToken);
   const isUsual = adaptConcurrency(pool, server, delay, usual, now);
   const weight = isUsual ? 1 : CROWDED_WEIGHT;
-  const learnt = Math.min(delay, TOLERATED_SLOWNESS * usual);
-  pool.firstToken.learn(pending.tokensUntilFirst, learnt, now, weight);
+  const learnt = Math.min(delay, TOLERATED_SLOWDOWN_FACTOR * usual);
+  pool.firstTokenRegression.addSample(pending.tokensUntilFirstToken, learnt, now, weight);
   // The prompt has been computed here, so its prefixes are cached here; the engine's own event
   // will say so only later.
   const { prefixDigests } = accepted.request;
-  pool.beliefs.believe(server, prefixDigests, now);
-  state.peerWork.noteChange(server.listed.instance);
+  pool.prefixCacheIndex.recordCached(server, prefixDigests, now);
+  state.peerWork.markChanged(server.platformInstance.instance);
   // The last part of a prompt is its own; no other entry is asked for it.
-  state.peerWork.noteComputed(server.listed.instance, prefixDigests.slice(0, -1));
+  state.peerWork.recordComputedPrefixes(
+    server.platformInstance.instance,
+    prefixDigests.slice(0, -1),
+  );
 }
 
 function observeStart(state: EntryState, attemptId: string, now: MonotonicMilliseconds): void {
   const edge = observed(state, attemptId, now);
-  if (edge === undefined || edge.server.balance.pendingPrompts.has(attemptId)) return;
+  if (edge === undefined || edge.server.balancing.pendingPrompts.has(attemptId)) return;
   const { accepted, server, pool } = edge;
   pool.attemptIds.add(attemptId);
-  pool.peak.see(pool.attemptIds.size, now);
-  const tokens = uncachedTokens(pool, server, accepted.request, now);
-  const tokensUntilFirst = pendingTokens(state, server) + tokens;
-  pool.learnPrompt(accepted.route.name, tokens);
-  server.balance.pendingPrompts.set(attemptId, { tokens, tokensUntilFirst });
-  state.peerWork.noteChange(server.listed.instance);
+  pool.peakInProgress.record(pool.attemptIds.size, now);
+  const tokens = estimateUncachedTokens(pool, server, accepted.request, now);
+  const tokensUntilFirst = countPendingTokens(state, server) + tokens;
+  pool.recordUncachedTokens(accepted.route.name, tokens);
+  server.balancing.pendingPrompts.set(attemptId, {
+    uncachedTokens: tokens,
+    tokensUntilFirstToken: tokensUntilFirst,
+  });
+  state.peerWork.markChanged(server.platformInstance.instance);
 }
 
 function observeEnd({ attempt, server, pool, now }: Observed): void {
   pool.attemptIds.delete(attempt.attemptId);
-  server.balance.pendingPrompts.delete(attempt.attemptId);
-  rememberEnded(server, { startedAt: attempt.startedAt, endedAt: now });
+  server.balancing.pendingPrompts.delete(attempt.attemptId);
+  recordEndedAttempt(server, { startedAt: attempt.startedAt, endedAt: now });
 }
 
 /** A server with this share of its limit in progress is nearly as slow as in a rush. */
@@ -100,10 +116,10 @@
 function observeFinish(state: EntryState, edge: Observed): void {
   const { attempt, accepted, server, pool, now } = edge;
   observeEnd(edge);
-  noteSuccess(server);
-  const fullness = estimateInProgress(state, server) / limitNow(server.balance, now);
+  recordSuccess(server);
+  const fullness = estimateInProgress(state, server) / currentLimit(server.balancing, now);
   const isFilled = fullness >= FILLED_SHARE;
-  pool.learnServiceTime(accepted.route.name, now - attempt.startedAt, isFilled);
+  pool.recordServiceTime(accepted.route.name, now - attempt.startedAt, isFilled);
 }
 
 function observeFailure(edge: Observed, failure: AttemptFailure): EntryEffect[] {
@@ -111,9 +127,9 @@
   observeEnd(edge);
   if (failure === 'busy') lowerConcurrency(pool, server, now);
   if (!serversOwnFailures.includes(failure)) return [];
-  if (!noteFailure(pool, server, now)) return [];
-  const { instance } = server.listed;
-  const { ejectedUntil } = server.balance;
+  if (!recordFailure(pool, server, now)) return [];
+  const { instance } = server.platformInstance;
+  const { ejectedUntil } = server.balancing;
   return [
     { type: 'count', metric: 'ejections', label: failure },
     {
@@ -135,7 +151,7 @@
 }
 
 /** Takes note of the attempts that the reducer has just started. */
-export function observeStarts(
+export function observeAttemptStarts(
   state: EntryState,
   effects: readonly EntryEffect[],
   now: MonotonicMilliseconds,
@@ -146,7 +162,7 @@
 }
 
 /** Lets go of attempts that ended without an edge of their own, as when they were cancelled. */
-export function forgetEnded(state: EntryState): void {
+export function pruneEndedAttempts(state: EntryState): void {
   for (const pool of state.poolStates.values()) {
     for (const attemptId of pool.attemptIds) {
       if (!state.attempts.has(attemptId)) pool.attemptIds.delete(attemptId);
--- a/packages/entry-core/src/backendServers/predictFirstToken.ts
+++ b/packages/entry-core/src/backendServers/predictFirstTokenDelay.ts
@@ -9,31 +9,34 @@
 import type { RequestState } from '../requests/RequestState.js';
 import type { BackendServerState } from './BackendServerState.js';
 import { estimateInProgress } from './estimateInProgress.js';
-import type { PoolBalance } from './PoolBalance.js';
-import { limitNow, slownessNow } from './ServerBalance.js';
+import type { PoolState } from './PoolState.js';
+import { currentLimit, currentSlowness } from './BalancingState.js';
 
 /** How much later a first token is on a full server than on an idle one. */
 const FULL_SLOWDOWN = 0.5;
 
 /** Tokens of the prompt that the server is believed to have to compute. */
-export function uncachedTokens(
-  pool: PoolBalance,
+export function estimateUncachedTokens(
+  pool: PoolState,
   server: BackendServerState,
   request: CallerRequest,
   now: MonotonicMilliseconds,
 ): number {
-  return request.promptTokens * (1 - pool.beliefs.shareAt(server, request, now));
+  return request.promptTokens * (1 - pool.prefixCacheIndex.cachedFractionAt(server, request, now));
 }
 
 /** Tokens of prompts that all entries have sent there and that have no first token yet. */
-export function pendingTokens(state: EntryState, server: BackendServerState): number {
-  return ownPendingTokens(server) + state.peerWork.at(server.listed.instance).promptTokens;
+export function countPendingTokens(state: EntryState, server: BackendServerState): number {
+  return (
+    countOwnPendingTokens(server) +
+    state.peerWork.workAt(server.platformInstance.instance).promptTokens
+  );
 }
 
 /** The same of this entry's own prompts. */
-export function ownPendingTokens({ balance }: BackendServerState): number {
+export function countOwnPendingTokens({ balancing: balance }: BackendServerState): number {
   let tokens = 0;
-  for (const pending of balance.pendingPrompts.values()) tokens += pending.tokens;
+  for (const pending of balance.pendingPrompts.values()) tokens += pending.uncachedTokens;
   return tokens;
 }
 
@@ -48,62 +51,63 @@
  * True if the prompts that are pending at the server leave no use for this one there. One whose
  * prefix the server has may wait longer by as much as it saves.
  */
-export function hasPromptsEnough(
+export function isPrefillQueueFull(
   state: EntryState,
-  pool: PoolBalance,
+  pool: PoolState,
   server: BackendServerState,
   { request, isLate = false }: RequestState,
 ): boolean {
-  const waiting = pendingTokens(state, server);
+  const waiting = countPendingTokens(state, server);
   if (waiting === 0) return false;
   if (isLate) return true;
-  const uncached = uncachedTokens(pool, server, request, state.clocks.now);
-  const saved = pool.firstToken.predictGrowth(request.promptTokens - uncached);
-  const pending = pool.firstToken.predictGrowth(waiting);
+  const uncached = estimateUncachedTokens(pool, server, request, state.clocks.now);
+  const saved = pool.firstTokenRegression.predictMarginalDelay(request.promptTokens - uncached);
+  const pending = pool.firstTokenRegression.predictMarginalDelay(waiting);
   return pending > LONGEST_PENDING_MILLISECONDS + saved;
 }
 
 /** What is left of the wait that the server's last report predicted. */
 function reportedDelay(server: BackendServerState, now: MonotonicMilliseconds): Milliseconds {
-  const { measuredAt } = server.balance;
+  const { measuredAt } = server.balancing;
   if (measuredAt === undefined) return 0;
   return Math.max(0, (server.load?.firstTokenDelay ?? 0) - (now - measuredAt));
 }
 
-export function predictFirstToken(
+export function predictFirstTokenDelay(
   state: EntryState,
-  pool: PoolBalance,
+  pool: PoolState,
   server: BackendServerState,
   { request, route }: RequestState,
 ): Milliseconds {
   const { now } = state.clocks;
-  const limit = limitNow(server.balance, now);
+  const limit = currentLimit(server.balancing, now);
   const inProgress = estimateInProgress(state, server);
-  const tokens = pendingTokens(state, server) + uncachedTokens(pool, server, request, now);
-  const usual = pool.firstToken.predict(tokens) * slownessNow(server.balance, now);
+  const tokens =
+    countPendingTokens(state, server) + estimateUncachedTokens(pool, server, request, now);
+  const usual = pool.firstTokenRegression.predict(tokens) * currentSlowness(server.balancing, now);
   const crowded = usual * (1 + FULL_SLOWDOWN * Math.min(1, inProgress / limit));
   const above = Math.max(0, inProgress + 1 - limit);
-  const queued = (above * pool.serviceTime(route.name)) / limit;
+  const queued = (above * pool.estimateServiceTime(route.name)) / limit;
   return Math.max(crowded, reportedDelay(server, now)) + queued;
 }
 
 /** What a prediction goes by, for the log of a decision. */
 export function describePrediction(
   state: EntryState,
-  pool: PoolBalance,
+  pool: PoolState,
   server: BackendServerState,
   { request }: RequestState,
 ): LogFields {
   const { now } = state.clocks;
-  const { measuredAt } = server.balance;
+  const { measuredAt } = server.balancing;
   return {
-    backendServer: server.listed.instance,
+    backendServer: server.platformInstance.instance,
     promptTokens: request.promptTokens,
-    uncachedTokens: Math.round(uncachedTokens(pool, server, request, now)),
-    pendingTokens: Math.round(pendingTokens(state, server)),
+    uncachedTokens: Math.round(estimateUncachedTokens(pool, server, request, now)),
+    pendingTokens: Math.round(countPendingTokens(state, server)),
     inProgress: estimateInProgress(state, server),
-    limit: limitNow(server.balance, now),
-    slowness: slownessNow(server.balance, now),
+    limit: currentLimit(server.balancing, now),
+    slowness: currentSlowness(server.balancing, now),
     ...(measuredAt === undefined ? {} : { loadAge: now - measuredAt }),
   };
 }
@@ -114,10 +118,10 @@
  * everything learns nothing, and one slow moment would close it for good. So after a few seconds without a sample a request is let through to find out.
  */
 export function isPredictionTrusted(
-  pool: PoolBalance,
+  pool: PoolState,
   server: BackendServerState,
   patience: Milliseconds,
   now: MonotonicMilliseconds,
 ): boolean {
-  return pool.firstToken.isTrusted(now) || reportedDelay(server, now) > patience;
+  return pool.firstTokenRegression.isTrusted(now) || reportedDelay(server, now) > patience;
 }
--- a/packages/entry-core/src/backendServers/receiveCacheEvents.ts
+++ b/packages/entry-core/src/backendServers/receiveCacheEvents.ts
@@ -1,7 +1,7 @@
 /** Takes in the engines' late word on their prefix caches. */
 import type { CacheEvent, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
-import { poolBalanceOf } from './poolBalanceOf.js';
+import { getPoolState } from './getPoolState.js';
 
 export function receiveCacheEvents(
   state: EntryState,
@@ -11,7 +11,11 @@
   for (const event of events) {
     const server = state.backendServers.get(event.instance);
     if (server !== undefined) {
-      poolBalanceOf(state, server.listed.pool).beliefs.receive(server, event, now);
+      getPoolState(state, server.platformInstance.pool).prefixCacheIndex.applyCacheEvent(
+        server,
+        event,
+        now,
+      );
     }
   }
 }
--- a/packages/entry-core/src/backendServers/shareWork.ts
+++ b/packages/entry-core/src/backendServers/shareWork.ts
@@ -2,32 +2,32 @@
 import type { MonotonicMilliseconds, ServerWork, WorkReport } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
-import { poolBalanceOf } from './poolBalanceOf.js';
-import { ownPendingTokens } from './predictFirstToken.js';
+import { getPoolState } from './getPoolState.js';
+import { countOwnPendingTokens } from './predictFirstTokenDelay.js';
 
 function readOwn(state: EntryState, instance: string): ServerWork {
   const server = state.backendServers.get(instance);
   if (server === undefined) return { inProgress: 0, promptTokens: 0 };
   return {
     inProgress: server.attemptIds.size,
-    promptTokens: Math.round(ownPendingTokens(server)),
+    promptTokens: Math.round(countOwnPendingTokens(server)),
   };
 }
 
-export function advanceWork(state: EntryState, now: MonotonicMilliseconds): EntryEffect[] {
+export function advanceWorkReports(state: EntryState, now: MonotonicMilliseconds): EntryEffect[] {
   const { instance, incarnation } = state.identity;
   state.membership.peers.forEach(({ live }, name) => {
-    if (!live) state.peerWork.forget(name);
+    if (!live) state.peerWork.removePeer(name);
   });
   const entries = state.membership.peers.size + 1;
-  const due = state.peerWork.takeDue(entries, now, (name) => readOwn(state, name));
+  const due = state.peerWork.takeDueReport(entries, now, (name) => readOwn(state, name));
   if (due === undefined) return [];
   const begun = state.usage.takeChanged();
   const work = { type: 'workReport', instance, incarnation, ...due } as const;
   return [{ type: 'tellWork', work: begun === undefined ? work : { ...work, begun } }];
 }
 
-export function receiveWork(
+export function receiveWorkReport(
   state: EntryState,
   report: WorkReport,
   now: MonotonicMilliseconds,
@@ -37,6 +37,10 @@
   Object.entries(report.computed).forEach(([instance, digests]) => {
     const server = state.backendServers.get(instance);
     if (server === undefined) return;
-    poolBalanceOf(state, server.listed.pool).beliefs.believe(server, digests, now);
+    getPoolState(state, server.platformInstance.pool).prefixCacheIndex.recordCached(
+      server,
+      digests,
+      now,
+    );
   });
 }
--- a/packages/entry-core/src/demand/buildDemandReports.ts
+++ b/packages/entry-core/src/demand/buildDemandReports.ts
@@ -1,6 +1,6 @@
 /** What controllers are told of the demand at this entry. */
 import type { MonotonicMilliseconds, RouteDemandReport } from '@hornbeampond/schema';
-import { poolBalanceOf } from '../backendServers/poolBalanceOf.js';
+import { getPoolState } from '../backendServers/getPoolState.js';
 import type { EntryState } from '../EntryState.js';
 import { routeIndexOf } from '../routing/routeIndexOf.js';
 
@@ -15,9 +15,9 @@
   return [...state.demand.read(now)].flatMap(([route, rate]) => {
     const pool = index.pool(poolByRoute.get(route) ?? '');
     if (pool === undefined) return [];
-    const balance = poolBalanceOf(state, pool.name);
-    const serviceMilliseconds = balance.serviceTime(route);
-    const promptMilliseconds = balance.promptTime(route);
+    const balance = getPoolState(state, pool.name);
+    const serviceMilliseconds = balance.estimateServiceTime(route);
+    const promptMilliseconds = balance.estimatePrefillTime(route);
     return [
       {
         route,
--- a/packages/entry-core/src/limits/releaseEndedRequests.ts
+++ b/packages/entry-core/src/limits/releaseEndedRequests.ts
@@ -6,7 +6,7 @@
  * the process restarts.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
-import { forgetEnded } from '../backendServers/observeAttempt.js';
+import { pruneEndedAttempts } from '../backendServers/observeAttempt.js';
 import type { EntryEvent } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import { limitKey } from './limitOf.js';
@@ -47,6 +47,6 @@
   if (event.type !== 'tick' || event.now - state.limits.sweptAt < SWEEP_MILLISECONDS) return;
   state.limits.sweptAt = event.now;
   for (const held of [...state.limits.keysByRequestId.keys()]) release(state, held);
-  forgetEnded(state);
+  pruneEndedAttempts(state);
   state.limits.concurrencyLimiter.removeExpiredPeers(event.now);
 }
--- a/packages/entry-core/src/membership/advanceReports.ts
+++ b/packages/entry-core/src/membership/advanceReports.ts
@@ -61,8 +61,8 @@
 
 function describeDelays(state: EntryState): Record<string, LearntDelay> {
   const delays: Record<string, LearntDelay> = {};
-  state.poolStates.forEach(({ firstToken }, pool) => {
-    const delay = firstToken.describe();
+  state.poolStates.forEach(({ firstTokenRegression: firstToken }, pool) => {
+    const delay = firstToken.toLearntDelay();
     if (delay !== undefined) delays[pool] = delay;
   });
   return delays;
--- a/packages/entry-core/src/membership/restart.test.ts
+++ b/packages/entry-core/src/membership/restart.test.ts
@@ -75,6 +75,6 @@
   listEngines(state);
   configure(state);
   assert.deepEqual(targetsOf(arrive(state, 'request', ['terms', 'terms/own'])), ['engine-2']);
-  const { firstToken } = state.poolStates.get('engines') ?? {};
+  const { firstTokenRegression: firstToken } = state.poolStates.get('engines') ?? {};
   assert.equal(Math.round(firstToken?.predict(5000) ?? 0), 150);
 });
--- a/packages/entry-core/src/membership/restorePersistedState.ts
+++ b/packages/entry-core/src/membership/restorePersistedState.ts
@@ -1,7 +1,7 @@
 /** Takes over what a store has kept of what entries knew, at a start. */
 import type { MonotonicMilliseconds, RememberedEntries } from '@hornbeampond/schema';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
-import { poolBalanceOf } from '../backendServers/poolBalanceOf.js';
+import { getPoolState } from '../backendServers/getPoolState.js';
 import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 
@@ -14,7 +14,7 @@
     state.limits.allowanceLimiter.restore(spending, state.identity.instance, now, wallNow);
   }
   Object.entries(delays).forEach(([pool, delay]) => {
-    poolBalanceOf(state, pool).firstToken.adopt(delay);
+    getPoolState(state, pool).firstTokenRegression.adopt(delay);
   });
   Object.entries(computed).forEach(([instance, digests]) => {
     state.persistedPrefixes.set(instance, digests);
@@ -28,9 +28,9 @@
   server: BackendServerState,
   now: MonotonicMilliseconds,
 ): void {
-  const { instance, pool } = server.listed;
+  const { instance, pool } = server.platformInstance;
   const digests = state.persistedPrefixes.get(instance);
   if (digests === undefined) return;
   state.persistedPrefixes.delete(instance);
-  poolBalanceOf(state, pool).beliefs.believe(server, digests, now);
+  getPoolState(state, pool).prefixCacheIndex.recordCached(server, digests, now);
 }
--- a/packages/entry-core/src/quarantine/isMassLoss.ts
+++ b/packages/entry-core/src/quarantine/isMassLoss.ts
@@ -45,12 +45,13 @@
 }
 
 function dataCentreOf(state: EntryState, instance: string): string | undefined {
-  return state.backendServers.get(instance)?.listed.dataCentre;
+  return state.backendServers.get(instance)?.platformInstance.dataCentre;
 }
 
 function sizeOf(state: EntryState, dataCentre: string | undefined): number {
-  return [...state.backendServers.values()].filter(({ listed }) => listed.dataCentre === dataCentre)
-    .length;
+  return [...state.backendServers.values()].filter(
+    ({ platformInstance: listed }) => listed.dataCentre === dataCentre,
+  ).length;
 }
 
 /** True if a request is known that may have caused the loss. */
--- a/packages/entry-core/src/quarantine/probeOf.ts
+++ b/packages/entry-core/src/quarantine/probeOf.ts
@@ -1,5 +1,5 @@
 /** Asks a backend server for a sign of life. */
-import { targetAt } from '../backendServers/targetAt.js';
+import { makeAttemptTarget } from '../backendServers/makeAttemptTarget.js';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
 import { routeIndexOf } from '../routing/routeIndexOf.js';
@@ -7,6 +7,6 @@
 export function probeOf(state: EntryState, instance: string): EntryEffect[] {
   const server = state.backendServers.get(instance);
   if (server === undefined) return [];
-  const pool = routeIndexOf(state).pool(server.listed.pool);
-  return [{ type: 'probe', target: targetAt(server, pool) }];
+  const pool = routeIndexOf(state).pool(server.platformInstance.pool);
+  return [{ type: 'probe', target: makeAttemptTarget(server, pool) }];
 }
--- a/packages/entry-core/src/reclaims/handOnStreams.ts
+++ b/packages/entry-core/src/reclaims/handOnStreams.ts
@@ -70,7 +70,7 @@
 
 function countTargets(state: EntryState, { accepted }: Stream): number {
   return [...state.backendServers.values()].filter(
-    ({ listed, goneAt }) =>
+    ({ platformInstance: listed, goneAt }) =>
       listed.pool === accepted.pool.name && listed.state === 'live' && goneAt === undefined,
   ).length;
 }
--- a/packages/entry-core/src/reclaims/moveCache.ts
+++ b/packages/entry-core/src/reclaims/moveCache.ts
@@ -9,7 +9,7 @@
 import type { CacheMoveOutcome } from '@hornbeampond/schema';
 import { attemptIdOf, type AttemptState } from '../attempts/AttemptState.js';
 import { chooseForAttempt } from '../attempts/chooseForAttempt.js';
-import { targetAt } from '../backendServers/targetAt.js';
+import { makeAttemptTarget } from '../backendServers/makeAttemptTarget.js';
 import { forgetMove, reservationOf } from '../attempts/releaseAttempts.js';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
 import type { EntryEffect } from '../entryEffects.js';
@@ -40,17 +40,17 @@
 ): EntryEffect[] {
   const { requestId } = accepted.request;
   const source = state.backendServers.get(instance);
-  const target = chooseForAttempt(state, accepted, { spread: true });
+  const target = chooseForAttempt(state, accepted, { spreadEvenly: true });
   if (source === undefined || target === undefined) return [];
   const wait = Math.max(LEAST_WAIT_MILLISECONDS, moveDuration(accepted) * OVERDUE_FACTOR);
-  const to = target.listed.instance;
+  const to = target.platformInstance.instance;
   const { tokens } = accepted;
   const move: CacheMove = { requestId, attemptId, from: instance, to, tokens, dueAt: now + wait };
   state.reclaims.moves.set(requestId, move);
   target.attemptIds.add(reservationOf(requestId));
-  const from = targetAt(source, accepted.pool);
+  const from = makeAttemptTarget(source, accepted.pool);
   const nextAttemptId = attemptIdOf(requestId, accepted.attemptsStarted + 1);
-  const toTarget = targetAt(target, accepted.pool);
+  const toTarget = makeAttemptTarget(target, accepted.pool);
   return [{ type: 'moveCache', requestId, attemptId, nextAttemptId, from, to: toTarget }];
 }
 
--- a/packages/entry-core/src/reclaims/noticeReclaim.ts
+++ b/packages/entry-core/src/reclaims/noticeReclaim.ts
@@ -63,7 +63,7 @@
 function forgetNotice(state: EntryState, instance: string): void {
   state.reclaims.leaving.delete(instance);
   const server = state.backendServers.get(instance);
-  if (server?.listed.state === 'live') server.goneAt = server.listed.goneAt;
+  if (server?.platformInstance.state === 'live') server.goneAt = server.platformInstance.goneAt;
 }
 
 /** Hands on what still runs on backend servers on notice, as time and the link allow. */
--- a/packages/entry-core/src/reclaims/resumeElsewhere.ts
+++ b/packages/entry-core/src/reclaims/resumeElsewhere.ts
@@ -22,7 +22,7 @@
   now: MonotonicMilliseconds,
 ): EntryEffect[] {
   const { requestId } = accepted.request;
-  const { instance } = server.listed;
+  const { instance } = server.platformInstance;
   forgetMove(state, requestId);
   const cancelled = cancelAttempt(state, accepted);
   accepted.recompute = { reason: 'reclaimResume', tokens };
@@ -43,7 +43,7 @@
   reason: RetryReason,
   { now }: Timestamps,
 ): EntryEffect[] {
-  const server = chooseForAttempt(state, accepted, { spread: true });
+  const server = chooseForAttempt(state, accepted, { spreadEvenly: true });
   if (server === undefined) return [];
   return [
     { type: 'count', metric: 'retries', label: reason },
--- a/packages/entry-core/src/reduceEntry.ts
+++ b/packages/entry-core/src/reduceEntry.ts
@@ -8,11 +8,11 @@
 import { reduceAttempts } from './attempts/reduceAttempts.js';
 import { findAffectedIds, reduceAdmission } from './admission/reduceAdmission.js';
 import { receiveLoadReport } from './backendServers/estimateInProgress.js';
-import { listInstances, refreshLimits } from './backendServers/listInstances.js';
-import { observeAttempt, observeStarts } from './backendServers/observeAttempt.js';
+import { applyInstanceList, refreshConcurrencyLimits } from './backendServers/applyInstanceList.js';
+import { observeAttempt, observeAttemptStarts } from './backendServers/observeAttempt.js';
 import { receiveCacheEvents } from './backendServers/receiveCacheEvents.js';
 import { findEndingClaim, followClaims } from './claims/followClaims.js';
-import { receiveWork } from './backendServers/shareWork.js';
+import { receiveWorkReport } from './backendServers/shareWork.js';
 import { receiveDrains } from './backendServers/receiveDrains.js';
 import type { EntryEffect } from './entryEffects.js';
 import type { EntryEvent, Timestamps } from './entryEvents.js';
@@ -36,7 +36,7 @@
   const effects = [...observed, ...reduceConcern(state, event)];
   effects.push(...reduceAdmission(state, event, concerned));
   effects.push(...followClaims(state, event, ending, effects));
-  observeStarts(state, effects, event.now);
+  observeAttemptStarts(state, effects, event.now);
   return effects;
 }
 
@@ -50,7 +50,7 @@
   // Entries that start together learn of each other's spending with the first report only.
   if (state.configuration.revision === 0) reportSoon(state);
   state.configuration = configuration;
-  refreshLimits(state);
+  refreshConcurrencyLimits(state);
   return [
     { type: 'configurationApplied', revision },
     { type: 'setGauge', metric: 'configurationRevision', value: revision },
@@ -64,7 +64,7 @@
     case 'configurationReceived':
       return receiveConfiguration(state, event.configuration, event);
     case 'instancesListed':
-      listInstances(state, event.instances, event.now);
+      applyInstanceList(state, event.instances, event.now);
       return noticeListed(state, event.instances, event);
     case 'reclaimNoticed':
       return noticeReclaim(state, event.instance, event.goneAt, event);
@@ -101,7 +101,7 @@
       restorePersistedState(state, event.remembered, event);
       return [];
     case 'workReported':
-      receiveWork(state, event.work, event.now);
+      receiveWorkReport(state, event.work, event.now);
       return [];
     case 'spendingReported':
       receiveSpendingReport(state, event.spending, event.now);
