--- a/measure/src/streams.ts
+++ b/measure/src/streams.ts
@@ -23,15 +23,15 @@
 
 const wavePolicies: Readonly<Record<string, RecoveryPolicy>> = {
   full: fullRecoveryPolicy,
-  'resume, no move': { ...fullRecoveryPolicy, moves: false },
-  'resume, notices ignored': { ...fullRecoveryPolicy, moves: false, handOn: false },
-  'redo from the start': { ...fullRecoveryPolicy, moves: false, handOn: false, resume: false },
+  'resume, no move': { ...fullRecoveryPolicy, moveCaches: false },
+  'resume, notices ignored': { ...fullRecoveryPolicy, moveCaches: false, migrateOnNotice: false },
+  'redo from the start': { ...fullRecoveryPolicy, moveCaches: false, migrateOnNotice: false, resumeFromOffset: false },
   'redo, no budget': {
-    budgets: false,
-    handOn: false,
-    moves: false,
-    resume: false,
-    suspectsApart: false,
+    limitRetries: false,
+    migrateOnNotice: false,
+    moveCaches: false,
+    resumeFromOffset: false,
+    isolateSuspects: false,
   },
 };
 
--- a/packages/entry-core/src/EntryState.ts
+++ b/packages/entry-core/src/EntryState.ts
@@ -10,7 +10,7 @@
 import { makeRetryState, type RetryState } from './attempts/RetryState.js';
 import type { BackendServerState } from './backendServers/BackendServerState.js';
 import type { PoolState } from './backendServers/PoolState.js';
-import type { CallClaim } from './claims/CallClaim.js';
+import type { RequestClaim } from './claims/RequestClaim.js';
 import { DemandMeter } from './demand/DemandMeter.js';
 import { UsageMeter } from './demand/UsageMeter.js';
 import type { Timestamps } from './entryEvents.js';
@@ -47,7 +47,7 @@
   /** Attempts without an end, by attempt id. */
   readonly attempts: Map<string, AttemptState>;
   /** Claimed calls whose end is not in the log yet, by request id. */
-  readonly claims: Map<string, CallClaim>;
+  readonly claims: Map<string, RequestClaim>;
   readonly demand: DemandMeter;
   readonly usage: UsageMeter;
   /** By data centre. */
--- a/packages/entry-core/src/admission/shouldWaitForCache.ts
+++ b/packages/entry-core/src/admission/shouldWaitForCache.ts
@@ -5,7 +5,7 @@
  * use. Waiting is bounded by a share of the patience, so that it never costs a deadline.
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
-import { ruledOut } from '../attempts/ruledOut.js';
+import { findExcludedInstances } from '../attempts/findExcludedInstances.js';
 import { acceptsNewWork, type BackendServerState } from '../backendServers/BackendServerState.js';
 import { nextTokenDueAt } from '../backendServers/chooseBackendServer.js';
 import { hasCapacity } from '../backendServers/hasCapacity.js';
@@ -51,7 +51,7 @@
 ): PrefixHolder | undefined {
   const { now } = state.clocks;
   const group = pool.groupOf(server);
-  const excluded = ruledOut(state, accepted, now);
+  const excluded = findExcludedInstances(state, accepted, now);
   return pool.prefixCacheIndex
     .findHolders(accepted.request, now)
     .filter((held) => group.has(held.server) && acceptsNewWork(held.server))
--- a/packages/entry-core/src/attempts/AttemptState.ts
+++ b/packages/entry-core/src/attempts/AttemptState.ts
@@ -13,9 +13,9 @@
   firstTokenAt: MonotonicMilliseconds | undefined;
   /** Tokens of the whole answer so far, by the newest edge. */
   tokens: number;
-  tokensAt: MonotonicMilliseconds | undefined;
+  tokensUpdatedAt: MonotonicMilliseconds | undefined;
   /** True while its caller, and not its backend server, holds it up. */
-  heldByCaller?: boolean;
+  pausedByCaller?: boolean;
   /** When its backend server was last probed because this stream had stalled. */
   stallProbedAt?: MonotonicMilliseconds;
   /** True for an attempt that fell silent; its whole answer may still come first. */
--- a/packages/entry-core/src/attempts/RetryState.ts
+++ b/packages/entry-core/src/attempts/RetryState.ts
@@ -18,30 +18,30 @@
 /** Switches that only measurements and mutation tests turn. */
 export interface RecoveryPolicy {
   /** Retries are bounded by the budgets. */
-  readonly budgets: boolean;
+  readonly limitRetries: boolean;
   /** Streams on notice are handed on before their backend server is gone. */
-  readonly handOn: boolean;
+  readonly migrateOnNotice: boolean;
   /** Streams on notice may be moved with their cache. */
-  readonly moves: boolean;
+  readonly moveCaches: boolean;
   /** Streams go on from their offset instead of from the start. */
-  readonly resume: boolean;
+  readonly resumeFromOffset: boolean;
   /** Suspects of a crash are kept apart. */
-  readonly suspectsApart: boolean;
+  readonly isolateSuspects: boolean;
 }
 
 export const fullRecoveryPolicy: RecoveryPolicy = {
-  budgets: true,
-  handOn: true,
-  moves: true,
-  resume: true,
-  suspectsApart: true,
+  limitRetries: true,
+  migrateOnNotice: true,
+  moveCaches: true,
+  resumeFromOffset: true,
+  isolateSuspects: true,
 };
 
 export interface RetryState {
   policy: RecoveryPolicy;
   readonly generator: RandomGenerator;
-  readonly byRoute: Map<string, RetryBudget>;
-  readonly byInstance: Map<string, RetryBudget>;
+  readonly budgetsByRoute: Map<string, RetryBudget>;
+  readonly budgetsByInstance: Map<string, RetryBudget>;
   /** By request id. */
   readonly waiting: Map<string, WaitingRetry>;
 }
@@ -60,8 +60,8 @@
   return {
     policy: fullRecoveryPolicy,
     generator: xoroshiro128plus(seedOf(seedName)),
-    byRoute: new Map(),
-    byInstance: new Map(),
+    budgetsByRoute: new Map(),
+    budgetsByInstance: new Map(),
     waiting: new Map(),
   };
 }
--- a/packages/entry-core/src/attempts/advanceRetries.ts
+++ b/packages/entry-core/src/attempts/advanceRetries.ts
@@ -19,7 +19,10 @@
 }
 
 /** Looks again at once at all that wait for a backend server, as there may be one now. */
-export function hastenWaiting(state: EntryState, now: MonotonicMilliseconds): EntryEffect[] {
+export function startRetriesAwaitingServer(
+  state: EntryState,
+  now: MonotonicMilliseconds,
+): EntryEffect[] {
   return startWaiting(state, now, ({ waitsFor }) => waitsFor === 'backendServer');
 }
 
--- a/packages/entry-core/src/attempts/chooseForAttempt.ts
+++ b/packages/entry-core/src/attempts/chooseServerForAttempt.ts
@@ -7,10 +7,10 @@
 import { chooseBackendServer, type ChoiceOptions } from '../backendServers/chooseBackendServer.js';
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { ruledOutForNow } from './ruledOut.js';
+import { findTemporarilyExcludedInstances } from './findExcludedInstances.js';
 
 /** Prefers a backend server that was not tried, then one other than the last that was. */
-export function chooseForAttempt(
+export function chooseServerForAttempt(
   state: EntryState,
   accepted: RequestState,
   options: ChoiceOptions = {},
@@ -40,7 +40,7 @@
   accepted: RequestState,
   now: MonotonicMilliseconds,
 ): boolean {
-  const ruledOut = ruledOutForNow(state, accepted, now);
+  const ruledOut = findTemporarilyExcludedInstances(state, accepted, now);
   return [...state.backendServers.values()].some(
     ({ platformInstance: listed, goneAt }) =>
       listed.pool === accepted.pool.name && goneAt === undefined && ruledOut.has(listed.instance),
@@ -53,7 +53,7 @@
  * where a replacement may be on its way. To refuse it would lose an accepted request to the
  * reclaim of its whole pool.
  */
-export function isWorthWaiting(
+export function canWaitForBackendServer(
   state: EntryState,
   accepted: RequestState,
   now: MonotonicMilliseconds,
--- a/packages/entry-core/src/attempts/failAttempt.ts
+++ b/packages/entry-core/src/attempts/failAttempt.ts
@@ -10,10 +10,10 @@
 import { determineRan } from '../requests/determineRan.js';
 import type { RequestState } from '../requests/RequestState.js';
 import type { AttemptState } from './AttemptState.js';
-import { forgetAttempt, forgetMove } from './releaseAttempts.js';
-import { refuseCutAnswer, retryRequest } from './retryRequest.js';
+import { removeAttempt, removeCacheMove } from './releaseAttempts.js';
+import { failInterruptedAnswer, retryRequest } from './retryRequest.js';
 
-export type AttemptFailed = Extract<EntryEvent, { type: 'attemptFailed' }>;
+export type AttemptFailedEvent = Extract<EntryEvent, { type: 'attemptFailed' }>;
 
 /** Losses of one request that are made good without spending from the budget. */
 const MOST_FREE_RECOVERIES = 2;
@@ -42,7 +42,7 @@
  * requests were accepted would be refused. It cannot become a storm: it needs a lost server or
  * connection each time, and each request has a bound.
  */
-function isFreeRecovery(accepted: RequestState, { failure, tokens }: AttemptFailed): boolean {
+function isFreeRecovery(accepted: RequestState, { failure, tokens }: AttemptFailedEvent): boolean {
   if (failure !== 'connectionLost' && failure !== 'silent') return false;
   if (failure === 'silent' && tokens === 0) return false;
   accepted.lossCount = (accepted.lossCount ?? 0) + 1;
@@ -57,7 +57,7 @@
   state: EntryState,
   accepted: RequestState,
   attempt: AttemptState,
-  event: AttemptFailed,
+  event: AttemptFailedEvent,
 ): void {
   if (event.failure !== 'silent' || accepted.tokens > 0 || event.answerStarted) return;
   if (!accepted.route.idempotent) return;
@@ -66,14 +66,14 @@
   (accepted.abandonedAttemptIds ??= []).push(attempt.attemptId);
 }
 
-function unbind(accepted: RequestState, attempt: AttemptState, event: AttemptFailed): void {
+function unbind(accepted: RequestState, attempt: AttemptState, event: AttemptFailedEvent): void {
   accepted.attemptId = undefined;
   accepted.tokens = Math.max(accepted.tokens, event.tokens);
   if (accepted.firstTokenAt !== undefined) accepted.interruptedAt = event.now;
   if (event.sent === 'maybe' || attempt.sent) accepted.maybeSent = true;
 }
 
-function logFailure(attempt: AttemptState, event: AttemptFailed): EntryEffect {
+function logFailure(attempt: AttemptState, event: AttemptFailedEvent): EntryEffect {
   const { requestId, instance, attemptId } = attempt;
   const { failure, sent } = event;
   return {
@@ -88,7 +88,7 @@
   state: EntryState,
   accepted: RequestState,
   attempt: AttemptState,
-  event: AttemptFailed,
+  event: AttemptFailedEvent,
 ): EntryEffect[] {
   if (event.failure === 'clientError') {
     const detail = 'The backend server refused the request';
@@ -96,12 +96,12 @@
       ran: determineRan(accepted),
     });
   }
-  if (event.answerStarted) return refuseCutAnswer(state, accepted);
+  if (event.answerStarted) return failInterruptedAnswer(state, accepted);
   keepGivenUp(state, accepted, attempt, event);
   const cause = {
     reason: retryReasonByFailure[event.failure],
     instance: attempt.instance,
-    free: isFreeRecovery(accepted, event),
+    exemptFromBudget: isFreeRecovery(accepted, event),
     retryAfter: event.retryAfter,
     recompute: accepted.maybeSent === true ? recomputeByFailure[event.failure] : undefined,
   };
@@ -111,16 +111,16 @@
 export function failAttempt(
   state: EntryState,
   attempt: AttemptState,
-  event: AttemptFailed,
+  event: AttemptFailedEvent,
 ): EntryEffect[] {
   const accepted = state.requests.get(attempt.requestId);
   if (accepted === undefined || accepted.attemptId !== attempt.attemptId) {
-    forgetAttempt(state, attempt);
+    removeAttempt(state, attempt);
     return [];
   }
   const lossEffects = noteLoss(state, accepted, attempt, event);
-  forgetAttempt(state, attempt);
-  forgetMove(state, attempt.requestId);
+  removeAttempt(state, attempt);
+  removeCacheMove(state, attempt.requestId);
   unbind(accepted, attempt, event);
   return [logFailure(attempt, event), ...lossEffects, ...decide(state, accepted, attempt, event)];
 }
--- a/packages/entry-core/src/attempts/ruledOut.ts
+++ b/packages/entry-core/src/attempts/findExcludedInstances.ts
@@ -9,14 +9,14 @@
 import type { RequestState } from '../requests/RequestState.js';
 
 /** Those that may take the request again soon. */
-export function ruledOutForNow(
+export function findTemporarilyExcludedInstances(
   state: EntryState,
   accepted: RequestState,
   now: MonotonicMilliseconds,
 ): Set<string> {
   const instances = new Set(state.quarantine.losses.keys());
   const { digest, requestId } = accepted.request;
-  if (state.retries.policy.suspectsApart && isSuspect(state, digest)) {
+  if (state.retries.policy.isolateSuspects && isSuspect(state, digest)) {
     suspectHosts(state, requestId).forEach((instance) => instances.add(instance));
     outOfTurn(state, now).forEach((instance) => instances.add(instance));
   }
@@ -24,12 +24,12 @@
 }
 
 /** Those, and the ones that are known to be down or were taken out of service. */
-export function ruledOut(
+export function findExcludedInstances(
   state: EntryState,
   accepted: RequestState,
   now: MonotonicMilliseconds,
 ): Set<string> {
-  const instances = ruledOutForNow(state, accepted, now);
+  const instances = findTemporarilyExcludedInstances(state, accepted, now);
   state.quarantine.down.forEach((_, instance) => instances.add(instance));
   state.drains.forEach((drains) => drains.instances.forEach((instance) => instances.add(instance)));
   return instances;
--- a/packages/entry-core/src/attempts/launchAttempt.ts
+++ b/packages/entry-core/src/attempts/launchAttempt.ts
@@ -69,7 +69,7 @@
   if (accepted.attemptsStarted === 0) earnRetries(state.retries, accepted.route.name, instance);
   accepted.attemptsStarted += 1;
   const attemptId = attemptIdOf(requestId, accepted.attemptsStarted);
-  const resumeFromTokens = state.retries.policy.resume ? accepted.tokens : 0;
+  const resumeFromTokens = state.retries.policy.resumeFromOffset ? accepted.tokens : 0;
   accepted.attemptId = attemptId;
   accepted.waitingForServerSince = undefined;
   // Peers must know where a suspect runs before they place their own.
@@ -88,7 +88,7 @@
     sent: false,
     firstTokenAt: undefined,
     tokens: resumeFromTokens,
-    tokensAt: undefined,
+    tokensUpdatedAt: undefined,
     givenUp: false,
   });
   return [
--- a/packages/entry-core/src/attempts/reduceAttempts.ts
+++ b/packages/entry-core/src/attempts/reduceAttempts.ts
@@ -11,9 +11,9 @@
 import type { RequestState } from '../requests/RequestState.js';
 import type { AttemptState } from './AttemptState.js';
 import { failAttempt } from './failAttempt.js';
-import { forgetAttempt } from './releaseAttempts.js';
+import { removeAttempt } from './releaseAttempts.js';
 
-export { forgetAttempt } from './releaseAttempts.js';
+export { removeAttempt as forgetAttempt } from './releaseAttempts.js';
 
 type AttemptEvent = Extract<
   EntryEvent,
@@ -62,7 +62,7 @@
 ): void {
   attempt.firstTokenAt ??= event.now;
   attempt.tokens = Math.max(attempt.tokens, event.tokens);
-  attempt.tokensAt = event.now;
+  attempt.tokensUpdatedAt = event.now;
   accepted.tokens = Math.max(accepted.tokens, event.tokens);
 }
 
@@ -89,7 +89,7 @@
 ): EntryEffect[] {
   const accepted = state.requests.get(attempt.requestId);
   if (attempt.givenUp) return finishGivenUp(state, accepted, event);
-  forgetAttempt(state, attempt);
+  removeAttempt(state, attempt);
   if (accepted === undefined || accepted.attemptId !== attempt.attemptId) return dropLate();
   accepted.attemptId = undefined;
   accepted.maybeSent = true;
@@ -114,8 +114,8 @@
       noteProgress(accepted, attempt, event);
       return [];
     case 'attemptHeld':
-      attempt.heldByCaller = event.held;
-      if (!event.held) attempt.tokensAt = event.now;
+      attempt.pausedByCaller = event.held;
+      if (!event.held) attempt.tokensUpdatedAt = event.now;
       return [];
     default:
       return assertNever(event);
--- a/packages/entry-core/src/attempts/releaseAttempts.ts
+++ b/packages/entry-core/src/attempts/releaseAttempts.ts
@@ -9,7 +9,7 @@
 import type { AttemptState } from './AttemptState.js';
 
 /** Ends an attempt's own record. Its request goes on, or not, as the caller of this decides. */
-export function forgetAttempt(state: EntryState, attempt: AttemptState): void {
+export function removeAttempt(state: EntryState, attempt: AttemptState): void {
   state.attempts.delete(attempt.attemptId);
   const server = state.backendServers.get(attempt.instance);
   server?.attemptIds.delete(attempt.attemptId);
@@ -22,22 +22,22 @@
   const { attemptId } = accepted;
   if (attemptId === undefined) return [];
   const attempt = state.attempts.get(attemptId);
-  if (attempt !== undefined) forgetAttempt(state, attempt);
+  if (attempt !== undefined) removeAttempt(state, attempt);
   accepted.attemptId = undefined;
   accepted.maybeSent = true;
   return [{ type: 'cancelAttempt', attemptId }];
 }
 
 /** Ends a move of the request's KV cache, if one is under way, and frees its target's place. */
-export function forgetMove(state: EntryState, requestId: string): void {
+export function removeCacheMove(state: EntryState, requestId: string): void {
   const move = state.reclaims.moves.get(requestId);
   if (move === undefined) return;
   state.reclaims.moves.delete(requestId);
-  state.backendServers.get(move.to)?.attemptIds.delete(reservationOf(requestId));
+  state.backendServers.get(move.to)?.attemptIds.delete(reservationIdOf(requestId));
 }
 
 /** Stands among a target's attempts for a stream on its way, so that no wave floods it. */
-export function reservationOf(requestId: string): string {
+export function reservationIdOf(requestId: string): string {
   return `reserved:${requestId}`;
 }
 
@@ -48,7 +48,7 @@
 export function releaseAttempts(state: EntryState, accepted: RequestState): EntryEffect[] {
   const { requestId } = accepted.request;
   state.retries.waiting.delete(requestId);
-  forgetMove(state, requestId);
+  removeCacheMove(state, requestId);
   const effects = isClaimed(accepted.route) ? [] : cancelAttempt(state, accepted);
   accepted.abandonedAttemptIds?.forEach((attemptId) => {
     if (state.attempts.delete(attemptId)) effects.push({ type: 'cancelAttempt', attemptId });
--- a/packages/entry-core/src/attempts/retryBudget.ts
+++ b/packages/entry-core/src/attempts/retryBudget.ts
@@ -9,29 +9,34 @@
 import type { RetryBudget, RetryState } from './RetryState.js';
 
 /** Retries earned by each first attempt. */
-export const RETRY_SHARE = 0.1;
+export const RETRIES_PER_FIRST_ATTEMPT = 0.1;
 
 /** Retries that a route or a backend server may save up; also what each starts with. */
-export const MOST_SAVED_RETRIES = 10;
+export const MAX_SAVED_RETRIES = 10;
 
 function budgetOf(budgets: Map<string, RetryBudget>, name: string): RetryBudget {
   const known = budgets.get(name);
   if (known !== undefined) return known;
-  const made = { tokens: MOST_SAVED_RETRIES };
+  const made = { tokens: MAX_SAVED_RETRIES };
   budgets.set(name, made);
   return made;
 }
 
 export function earnRetries(retries: RetryState, route: string, instance: string): void {
-  [budgetOf(retries.byRoute, route), budgetOf(retries.byInstance, instance)].forEach((budget) => {
-    budget.tokens = Math.min(MOST_SAVED_RETRIES, budget.tokens + RETRY_SHARE);
-  });
+  [budgetOf(retries.budgetsByRoute, route), budgetOf(retries.budgetsByInstance, instance)].forEach(
+    (budget) => {
+      budget.tokens = Math.min(MAX_SAVED_RETRIES, budget.tokens + RETRIES_PER_FIRST_ATTEMPT);
+    },
+  );
 }
 
 /** Spends one retry caused by a failure at `instance`; false if one of the budgets is spent. */
 export function spendRetry(retries: RetryState, route: string, instance: string): boolean {
-  if (!retries.policy.budgets) return true;
-  const budgets = [budgetOf(retries.byRoute, route), budgetOf(retries.byInstance, instance)];
+  if (!retries.policy.limitRetries) return true;
+  const budgets = [
+    budgetOf(retries.budgetsByRoute, route),
+    budgetOf(retries.budgetsByInstance, instance),
+  ];
   if (budgets.some((budget) => budget.tokens < 1)) return false;
   budgets.forEach((budget) => {
     budget.tokens -= 1;
--- a/packages/entry-core/src/attempts/retryRequest.ts
+++ b/packages/entry-core/src/attempts/retryRequest.ts
@@ -16,7 +16,7 @@
 import { failRequest } from '../requests/endRequest.js';
 import { determineRan } from '../requests/determineRan.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { drawBackOff } from './backOff.js';
+import { drawBackOff } from './drawBackOff.js';
 import { spendRetry } from './retryBudget.js';
 import { startAttempt } from './startAttempt.js';
 
@@ -29,7 +29,7 @@
   /** Where the attempt failed. */
   readonly instance: string;
   /** True if the retry needs no budget and no wait: see `isFreeRecovery`. */
-  readonly free: boolean;
+  readonly exemptFromBudget: boolean;
   /** What the backend server asked to wait. */
   readonly retryAfter?: Milliseconds;
   /** Set if tokens were computed and are lost. */
@@ -52,7 +52,7 @@
   ];
 }
 
-export function refuseCutAnswer(state: EntryState, accepted: RequestState): EntryEffect[] {
+export function failInterruptedAnswer(state: EntryState, accepted: RequestState): EntryEffect[] {
   const detail = 'The backend server was lost in the middle of the answer';
   return refuseRetry(state, accepted, 'answerStarted', 'answerCut', detail);
 }
@@ -78,13 +78,13 @@
     const detail = `The route allows ${accepted.attemptsStarted} attempts`;
     return refuseRetry(state, accepted, 'attemptsUsedUp', 'backendServerFailed', detail);
   }
-  const backOff = cause.free ? 0 : drawBackOff(state.retries, accepted.attemptsStarted);
+  const backOff = cause.exemptFromBudget ? 0 : drawBackOff(state.retries, accepted.attemptsStarted);
   const delay = Math.max(backOff, cause.retryAfter ?? 0);
   if (now + delay >= accepted.wholeAnswerDueAt) {
     const detail = 'No attempt can be made before the deadline';
     return refuseRetry(state, accepted, 'deadlineTooNear', 'deadlineExceeded', detail);
   }
-  if (!cause.free && !spendRetry(state.retries, accepted.route.name, cause.instance)) {
+  if (!cause.exemptFromBudget && !spendRetry(state.retries, accepted.route.name, cause.instance)) {
     const detail = 'The backend server failed and the retry budget is spent';
     return refuseRetry(state, accepted, 'budgetSpent', 'backendServerFailed', detail);
   }
--- a/packages/entry-core/src/attempts/startAttempt.ts
+++ b/packages/entry-core/src/attempts/startAttempt.ts
@@ -12,7 +12,7 @@
 import { failRequest } from '../requests/endRequest.js';
 import { determineRan } from '../requests/determineRan.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { chooseForAttempt, isWorthWaiting } from './chooseForAttempt.js';
+import { chooseServerForAttempt, canWaitForBackendServer } from './chooseServerForAttempt.js';
 import { launchAttempt } from './launchAttempt.js';
 
 /** How soon a request that waits for a backend server looks again. */
@@ -75,7 +75,7 @@
 ): EntryEffect[] {
   const refused = refuseQuarantined(state, accepted, now);
   if (refused !== undefined) return refused;
-  if (state.retries.policy.suspectsApart && isHeld(state, accepted.request.digest, now)) {
+  if (state.retries.policy.isolateSuspects && isHeld(state, accepted.request.digest, now)) {
     waitForBackendServer(state, accepted, now);
     return [];
   }
@@ -83,9 +83,9 @@
   const placement = placeRequest(state, accepted, now);
   if (placement.type === 'start') return launchAttempt(state, accepted, placement.server, now);
   if (placement.type === 'wait') return enqueue(state, accepted, now);
-  const again = chooseForAttempt(state, accepted);
+  const again = chooseServerForAttempt(state, accepted);
   if (again !== undefined) return launchAttempt(state, accepted, again, now);
-  if (!isWorthWaiting(state, accepted, now)) return failWithoutServer(state, accepted);
+  if (!canWaitForBackendServer(state, accepted, now)) return failWithoutServer(state, accepted);
   waitForBackendServer(state, accepted, now);
   return [];
 }
--- a/packages/entry-core/src/backendServers/chooseBackendServer.ts
+++ b/packages/entry-core/src/backendServers/chooseBackendServer.ts
@@ -7,7 +7,7 @@
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
-import { ruledOut } from '../attempts/ruledOut.js';
+import { findExcludedInstances } from '../attempts/findExcludedInstances.js';
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
 import { acceptsNewWork, type BackendServerState } from './BackendServerState.js';
@@ -106,7 +106,7 @@
     private readonly home: Home | undefined,
     private readonly spread: boolean,
   ) {
-    this.ruledOut = ruledOut(state, accepted, now);
+    this.ruledOut = findExcludedInstances(state, accepted, now);
   }
 
   look(server: BackendServerState | undefined): void {
@@ -247,7 +247,7 @@
 
 /** Tells of which backend servers the request can still be sent to, now or once they have room. */
 function isFreeFor(state: EntryState, accepted: RequestState) {
-  const excluded = ruledOut(state, accepted, state.clocks.now);
+  const excluded = findExcludedInstances(state, accepted, state.clocks.now);
   return (server: BackendServerState) => {
     const { instance } = server.platformInstance;
     return (
--- a/packages/entry-core/src/claims/CallClaim.ts
+++ b/packages/entry-core/src/claims/RequestClaim.ts
@@ -3,7 +3,7 @@
 import type { RequestState } from '../requests/RequestState.js';
 import type { ClaimedCall } from './ClaimedCall.js';
 
-export interface CallClaim {
+export interface RequestClaim {
   readonly call: ClaimedCall;
   /** It may have its final answer already; the claim lives on until the log has its end. */
   readonly accepted: RequestState;
--- a/packages/entry-core/src/claims/carryOutClaim.ts
+++ b/packages/entry-core/src/claims/applyClaimEffect.ts
@@ -10,7 +10,7 @@
 import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import { failRequest } from '../requests/endRequest.js';
-import type { CallClaim } from './CallClaim.js';
+import type { RequestClaim } from './RequestClaim.js';
 import type { ClaimedCallEffect, ClaimedCallEvent } from './ClaimedCall.js';
 import { reduceClaimedCall } from './reduceClaimedCall.js';
 
@@ -25,20 +25,20 @@
   claimsUnavailable: 'No quorum of stores can be reached, so the call was not sent',
 };
 
-export function feedClaim(
+export function handleClaimEvent(
   state: EntryState,
-  claim: CallClaim,
+  claim: RequestClaim,
   event: ClaimedCallEvent,
   timed: Timestamps,
 ): EntryEffect[] {
   const effects = reduceClaimedCall(claim.call, event);
   claim.accepted.mayRunElsewhere = claim.call.heldElsewhere;
-  return effects.flatMap((effect) => carryOutClaim(state, claim, effect, timed));
+  return effects.flatMap((effect) => applyClaimEffect(state, claim, effect, timed));
 }
 
-export function carryOutClaim(
+export function applyClaimEffect(
   state: EntryState,
-  claim: CallClaim,
+  claim: RequestClaim,
   effect: ClaimedCallEffect,
   timed: Timestamps,
 ): EntryEffect[] {
@@ -73,17 +73,17 @@
 }
 
 /** The claim is held: the call is sent, unless its caller has had its final answer meanwhile. */
-function sendCall(state: EntryState, claim: CallClaim, timed: Timestamps): EntryEffect[] {
+function sendCall(state: EntryState, claim: RequestClaim, timed: Timestamps): EntryEffect[] {
   if (state.requests.has(claim.accepted.request.requestId)) {
     return startAttempt(state, claim.accepted, timed.now);
   }
-  return feedClaim(state, claim, { type: 'sendFailed', beforeFirstByte: true }, timed);
+  return handleClaimEvent(state, claim, { type: 'sendFailed', beforeFirstByte: true }, timed);
 }
 
 /** Gives the caller the answer of the first run. */
 function replay(
   state: EntryState,
-  { accepted }: CallClaim,
+  { accepted }: RequestClaim,
   { answer, replayed }: Extract<ClaimedCallEffect, { type: 'answer' }>,
 ): EntryEffect[] {
   const { requestId } = accepted.request;
--- a/packages/entry-core/src/claims/beginClaim.ts
+++ b/packages/entry-core/src/claims/beginClaim.ts
@@ -9,8 +9,8 @@
 import type { EntryState } from '../EntryState.js';
 import { failRequest } from '../requests/endRequest.js';
 import type { RequestState } from '../requests/RequestState.js';
-import type { CallClaim } from './CallClaim.js';
-import { carryOutClaim } from './carryOutClaim.js';
+import type { RequestClaim } from './RequestClaim.js';
+import { applyClaimEffect } from './applyClaimEffect.js';
 import { startClaimedCall } from './reduceClaimedCall.js';
 
 /** Time past the deadline in which a late outcome is still learnt before the claim expires. */
@@ -44,7 +44,7 @@
   const intent = { workspace, key: idempotencyKey, digest, holder };
   const expiresAfter = accepted.wholeAnswerDueAt - timed.now + EXPIRY_MARGIN;
   const { call, effects } = startClaimedCall(intent, requestId, timed.now, expiresAfter);
-  const claim: CallClaim = { call, accepted, resendAt: timed.now };
+  const claim: RequestClaim = { call, accepted, resendAt: timed.now };
   state.claims.set(requestId, claim);
-  return effects.flatMap((effect) => carryOutClaim(state, claim, effect, timed));
+  return effects.flatMap((effect) => applyClaimEffect(state, claim, effect, timed));
 }
--- a/packages/entry-core/src/claims/reduceClaimedCall.ts
+++ b/packages/entry-core/src/claims/reduceClaimedCall.ts
@@ -24,20 +24,20 @@
  * Copies of `openClaim` that are sent before the attempt is given up: 2.8 seconds with the waits
  * below, in which the stores can elect another leader.
  */
-export const MOST_OPEN_TRIES = 3;
+export const MAX_OPEN_TRIES = 3;
 
 /** Wait before the first resend; it doubles with each. */
-export const FIRST_RESEND_AFTER: Milliseconds = 400;
+export const FIRST_RESEND_DELAY_MILLISECONDS: Milliseconds = 400;
 
 /** Waits before the log is asked again for the outcome of another attempt's run. */
-export const FIRST_OUTCOME_AFTER: Milliseconds = 50;
-export const MOST_OUTCOME_AFTER: Milliseconds = 1000;
+export const MIN_OUTCOME_POLL_DELAY_MILLISECONDS: Milliseconds = 50;
+export const MAX_OUTCOME_POLL_DELAY_MILLISECONDS: Milliseconds = 1000;
 
 /** Longest wait between resends. */
-export const MOST_RESEND_AFTER: Milliseconds = 5000;
+export const MAX_RESEND_DELAY_MILLISECONDS: Milliseconds = 5000;
 
 /** How long after its claim's expiry a settlement is still resent, so that a resend learns it. */
-export const SETTLE_AFTER_EXPIRY: Milliseconds = 10 * 60 * 1000;
+export const SETTLE_RESEND_AFTER_EXPIRY_MILLISECONDS: Milliseconds = 10 * 60 * 1000;
 
 type EventOf<Type extends ClaimedCallEvent['type']> = Extract<ClaimedCallEvent, { type: Type }>;
 
@@ -85,7 +85,10 @@
 }
 
 function resendAfter(tries: number): Milliseconds {
-  return Math.min(FIRST_RESEND_AFTER * 2 ** (tries - 1), MOST_RESEND_AFTER);
+  return Math.min(
+    FIRST_RESEND_DELAY_MILLISECONDS * 2 ** (tries - 1),
+    MAX_RESEND_DELAY_MILLISECONDS,
+  );
 }
 
 function propose(call: ClaimedCall, command: ClaimCommand): ClaimedCallEffect[] {
@@ -147,7 +150,10 @@
   call.heldElsewhere = true;
   call.tries = 0;
   const waited = now - call.startedAt;
-  const after = Math.min(MOST_OUTCOME_AFTER, Math.max(FIRST_OUTCOME_AFTER, waited / 2));
+  const after = Math.min(
+    MAX_OUTCOME_POLL_DELAY_MILLISECONDS,
+    Math.max(MIN_OUTCOME_POLL_DELAY_MILLISECONDS, waited / 2),
+  );
   return [{ type: 'startResendTimer', after }];
 }
 
@@ -221,7 +227,7 @@
 function onResendDue(call: ClaimedCall, now: MonotonicMilliseconds): ClaimedCallEffect[] {
   const { pending } = call;
   if (pending === undefined) return [];
-  if (pending.type === 'openClaim' && call.tries >= MOST_OPEN_TRIES) {
+  if (pending.type === 'openClaim' && call.tries >= MAX_OPEN_TRIES) {
     return giveUp(call, 'claimsUnavailable');
   }
   if (now - call.startedAt >= resendSpan(call)) {
@@ -237,7 +243,7 @@
  */
 function resendSpan(call: ClaimedCall): Milliseconds {
   if (call.phase === 'releasing') return Number.POSITIVE_INFINITY;
-  if (call.phase === 'settling') return call.expiresAfter + SETTLE_AFTER_EXPIRY;
+  if (call.phase === 'settling') return call.expiresAfter + SETTLE_RESEND_AFTER_EXPIRY_MILLISECONDS;
   return call.expiresAfter;
 }
 
--- a/packages/entry-core/src/claims/followClaims.ts
+++ b/packages/entry-core/src/claims/updateClaims.ts
@@ -6,8 +6,8 @@
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryEvent } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
-import type { CallClaim } from './CallClaim.js';
-import { feedClaim } from './carryOutClaim.js';
+import type { RequestClaim } from './RequestClaim.js';
+import { handleClaimEvent } from './applyClaimEffect.js';
 import type { ClaimedCallEvent } from './ClaimedCall.js';
 
 type AttemptEnd = Extract<EntryEvent, { type: 'attemptFinished' | 'attemptFailed' }>;
@@ -17,7 +17,10 @@
 }
 
 /** The claim whose attempt has ended; to be found before the event is handled. */
-export function findEndingClaim(state: EntryState, event: EntryEvent): CallClaim | undefined {
+export function findClaimOfEndedAttempt(
+  state: EntryState,
+  event: EntryEvent,
+): RequestClaim | undefined {
   if (state.claims.size === 0 || !isAttemptEnd(event)) return undefined;
   return state.claims.get(state.attempts.get(event.attemptId)?.requestId ?? '');
 }
@@ -30,7 +33,7 @@
 }
 
 /** What the end of a request says of its claim, or undefined if its attempt still runs. */
-function outcomeOfProblem(state: EntryState, { call, accepted }: CallClaim) {
+function outcomeOfProblem(state: EntryState, { call, accepted }: RequestClaim) {
   if (call.phase === 'opening') return { type: 'deadlineReached' } as const;
   const attemptRuns = accepted.attemptId !== undefined && state.attempts.has(accepted.attemptId);
   if (attemptRuns) return undefined;
@@ -47,18 +50,18 @@
     effect.type === 'finishAnswer' && isAttemptEnd(event)
       ? toOutcome(event)
       : outcomeOfProblem(state, claim);
-  return outcome === undefined ? [] : feedClaim(state, claim, outcome, event);
+  return outcome === undefined ? [] : handleClaimEvent(state, claim, outcome, event);
 }
 
 /** An attempt that ends after its caller was answered still has an outcome to store. */
 function followLateEnd(
   state: EntryState,
-  claim: CallClaim | undefined,
+  claim: RequestClaim | undefined,
   event: EntryEvent,
 ): EntryEffect[] {
   if (claim === undefined || !isAttemptEnd(event)) return [];
   if (!claim.call.answered || claim.call.phase !== 'sending') return [];
-  return feedClaim(state, claim, toOutcome(event), event);
+  return handleClaimEvent(state, claim, toOutcome(event), event);
 }
 
 function takeClaimAnswer(state: EntryState, event: EntryEvent): EntryEffect[] {
@@ -70,24 +73,26 @@
     answer.type === 'result'
       ? { type: 'claimResult', now, command, result: answer.result }
       : { type: 'storeFailed', now, command, nothingDone: answer.type === 'unavailable' };
-  return feedClaim(state, claim, told, event);
+  return handleClaimEvent(state, claim, told, event);
 }
 
 function resendDue(state: EntryState, event: EntryEvent): EntryEffect[] {
   if (event.type !== 'tick') return [];
   return [...state.claims.values()]
     .filter(({ resendAt }) => resendAt <= event.now)
-    .flatMap((claim) => feedClaim(state, claim, { type: 'resendDue', now: event.now }, event));
+    .flatMap((claim) =>
+      handleClaimEvent(state, claim, { type: 'resendDue', now: event.now }, event),
+    );
 }
 
 /**
  * @param ending - What `findEndingClaim` found before the event was handled.
  * @param effects - What the event has led to so far.
  */
-export function followClaims(
+export function updateClaims(
   state: EntryState,
   event: EntryEvent,
-  ending: CallClaim | undefined,
+  ending: RequestClaim | undefined,
   effects: readonly EntryEffect[],
 ): EntryEffect[] {
   if (state.claims.size === 0) return [];
--- a/packages/entry-core/src/driver/batches.ts
+++ b/packages/entry-core/src/driver/batches.ts
@@ -40,7 +40,7 @@
     engine.restarts = batch.restarts;
   });
   const { suspectsApart } = batch;
-  world.entry.state.retries.policy = { ...fullRecoveryPolicy, suspectsApart };
+  world.entry.state.retries.policy = { ...fullRecoveryPolicy, isolateSuspects: suspectsApart };
   for (let number = 1; number < batch.size; number += 1) {
     world.entry.arrive(makeRequest(`request-${number}`));
     world.advance(50);
@@ -61,7 +61,7 @@
 /** Sends `requests` at a steady pace to engines that are all busy. */
 export function runRetryStorm(requests: number, budgets: boolean): World {
   const world = new World({ engines: { 'wien-a': 3, 'wien-b': 3 } });
-  world.entry.state.retries.policy = { ...fullRecoveryPolicy, budgets };
+  world.entry.state.retries.policy = { ...fullRecoveryPolicy, limitRetries: budgets };
   world.engines.forEach((engine) => {
     engine.busy = true;
   });
--- a/packages/entry-core/src/driver/waves.test.ts
+++ b/packages/entry-core/src/driver/waves.test.ts
@@ -10,8 +10,13 @@
 // one that is redone from the start misses it, and one that is moved is hardly computed again.
 test('the recovery of streams beats plain baselines under the same waves', () => {
   const full = runWaves(fullRecoveryPolicy, SEED);
-  const unmoved = runWaves({ ...fullRecoveryPolicy, moves: false }, SEED);
-  const redone = { ...fullRecoveryPolicy, moves: false, handOn: false, resume: false };
+  const unmoved = runWaves({ ...fullRecoveryPolicy, moveCaches: false }, SEED);
+  const redone = {
+    ...fullRecoveryPolicy,
+    moveCaches: false,
+    migrateOnNotice: false,
+    resumeFromOffset: false,
+  };
   const plain = runWaves(redone, SEED);
   assert.equal(full.violations + unmoved.violations + plain.violations, 0);
   assert.equal(full.whole >= full.requests * 0.99, true, `${full.whole} whole`);
--- a/packages/entry-core/src/quarantine/judgeLoss.ts
+++ b/packages/entry-core/src/quarantine/judgeLoss.ts
@@ -3,7 +3,7 @@
  * connection, a mass loss of many backend servers, or a crash that one request may have caused.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
-import { hastenWaiting } from '../attempts/advanceRetries.js';
+import { startRetriesAwaitingServer } from '../attempts/advanceRetries.js';
 import type { EntryEffect } from '../entryEffects.js';
 import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
@@ -37,7 +37,7 @@
 function givesTokens(state: EntryState, { instance, openedAt }: Loss): boolean {
   return [...(state.backendServers.get(instance)?.attemptIds ?? [])].some((attemptId) => {
     const attempt = state.attempts.get(attemptId);
-    return attempt?.heldByCaller === true || (attempt?.tokensAt ?? openedAt) > openedAt;
+    return attempt?.pausedByCaller === true || (attempt?.tokensUpdatedAt ?? openedAt) > openedAt;
   });
 }
 
@@ -90,7 +90,9 @@
   const { incarnation } = result;
   if (incarnation !== undefined) state.quarantine.incarnations.set(instance, incarnation);
   if (loss === undefined && result.answered) state.quarantine.down.delete(instance);
-  return loss === undefined ? effects : [...effects, ...hastenWaiting(state, timed.now)];
+  return loss === undefined
+    ? effects
+    : [...effects, ...startRetriesAwaitingServer(state, timed.now)];
 }
 
 /** Judges losses whose probe is overdue, and probes again what is down. */
--- a/packages/entry-core/src/quarantine/noteLoss.ts
+++ b/packages/entry-core/src/quarantine/noteLoss.ts
@@ -5,7 +5,7 @@
  * again beside the others; if the probe is answered they are cleared at once.
  */
 import type { AttemptState } from '../attempts/AttemptState.js';
-import type { AttemptFailed } from '../attempts/failAttempt.js';
+import type { AttemptFailedEvent } from '../attempts/failAttempt.js';
 import type { EntryEffect } from '../entryEffects.js';
 import type { AttemptFailure } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
@@ -43,7 +43,7 @@
   state: EntryState,
   accepted: RequestState,
   attempt: AttemptState,
-  event: AttemptFailed,
+  event: AttemptFailedEvent,
 ): EntryEffect[] {
   if (!needsProbe(event.failure)) return [];
   const { instance } = attempt;
--- a/packages/entry-core/src/quarantine/probeStalled.ts
+++ b/packages/entry-core/src/quarantine/probeStalled.ts
@@ -20,8 +20,13 @@
 const STALL_MILLISECONDS = 1500;
 
 function isStalled(attempt: AttemptState, now: MonotonicMilliseconds): boolean {
-  const { firstTokenAt, tokensAt = firstTokenAt, stallProbedAt = 0, givenUp } = attempt;
-  if (tokensAt === undefined || givenUp || attempt.heldByCaller === true) return false;
+  const {
+    firstTokenAt,
+    tokensUpdatedAt: tokensAt = firstTokenAt,
+    stallProbedAt = 0,
+    givenUp,
+  } = attempt;
+  if (tokensAt === undefined || givenUp || attempt.pausedByCaller === true) return false;
   return now - Math.max(tokensAt, stallProbedAt) >= STALL_MILLISECONDS;
 }
 
--- a/packages/entry-core/src/reclaims/costs.ts
+++ b/packages/entry-core/src/reclaims/costs.ts
@@ -47,7 +47,12 @@
 }
 
 /** Tokens a millisecond that this attempt has given so far; undefined while not measured. */
-function measuredRate({ firstTokenAt, tokens, tokensAt, resumedFromTokens }: AttemptState) {
+function measuredRate({
+  firstTokenAt,
+  tokens,
+  tokensUpdatedAt: tokensAt,
+  resumedFromTokens,
+}: AttemptState) {
   if (firstTokenAt === undefined || tokensAt === undefined) return undefined;
   const span = tokensAt - firstTokenAt;
   if (span < LEAST_MEASURED_MILLISECONDS) return undefined;
--- a/packages/entry-core/src/reclaims/handOnStreams.ts
+++ b/packages/entry-core/src/reclaims/handOnStreams.ts
@@ -130,7 +130,7 @@
   instance: string,
   timed: Timestamps,
 ): EntryEffect[] {
-  if (!state.retries.policy.handOn) return [];
+  if (!state.retries.policy.migrateOnNotice) return [];
   const left = (state.reclaims.leaving.get(instance) ?? Infinity) - timed.wallNow;
   const streams = streamsAt(state, instance).filter(
     ({ accepted, attempt }) =>
@@ -138,7 +138,7 @@
   );
   if (streams.length === 0) return [];
   const { unbegun, begun, plain } = partByProgress(streams);
-  const { moved, resumed } = state.retries.policy.moves
+  const { moved, resumed } = state.retries.policy.moveCaches
     ? fillLink(begun, left)
     : { moved: [], resumed: begun };
   const next = hasMoveFrom(state, instance) ? undefined : moved[0];
--- a/packages/entry-core/src/reclaims/moveCache.ts
+++ b/packages/entry-core/src/reclaims/moveCache.ts
@@ -8,9 +8,9 @@
  */
 import type { CacheMoveOutcome } from '@hornbeampond/schema';
 import { attemptIdOf, type AttemptState } from '../attempts/AttemptState.js';
-import { chooseForAttempt } from '../attempts/chooseForAttempt.js';
+import { chooseServerForAttempt } from '../attempts/chooseServerForAttempt.js';
 import { makeAttemptTarget } from '../backendServers/makeAttemptTarget.js';
-import { forgetMove, reservationOf } from '../attempts/releaseAttempts.js';
+import { removeCacheMove, reservationIdOf } from '../attempts/releaseAttempts.js';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryEvent, Timestamps } from '../entryEvents.js';
@@ -40,14 +40,14 @@
 ): EntryEffect[] {
   const { requestId } = accepted.request;
   const source = state.backendServers.get(instance);
-  const target = chooseForAttempt(state, accepted, { spreadEvenly: true });
+  const target = chooseServerForAttempt(state, accepted, { spreadEvenly: true });
   if (source === undefined || target === undefined) return [];
   const wait = Math.max(LEAST_WAIT_MILLISECONDS, moveDuration(accepted) * OVERDUE_FACTOR);
   const to = target.platformInstance.instance;
   const { tokens } = accepted;
   const move: CacheMove = { requestId, attemptId, from: instance, to, tokens, dueAt: now + wait };
   state.reclaims.moves.set(requestId, move);
-  target.attemptIds.add(reservationOf(requestId));
+  target.attemptIds.add(reservationIdOf(requestId));
   const from = makeAttemptTarget(source, accepted.pool);
   const nextAttemptId = attemptIdOf(requestId, accepted.attemptsStarted + 1);
   const toTarget = makeAttemptTarget(target, accepted.pool);
@@ -69,7 +69,7 @@
   timed: Timestamps,
 ): EntryEffect[] {
   const accepted = state.requests.get(move.requestId);
-  forgetMove(state, move.requestId);
+  removeCacheMove(state, move.requestId);
   if (accepted === undefined) return [];
   // The next place is sought elsewhere first: the target may be what failed.
   accepted.triedInstances.add(move.to);
--- a/packages/entry-core/src/reclaims/resumeElsewhere.ts
+++ b/packages/entry-core/src/reclaims/resumeElsewhere.ts
@@ -3,9 +3,9 @@
  * when there is a backend server to take the stream; else it runs on for as long as it can.
  */
 import type { MonotonicMilliseconds, RetryReason } from '@hornbeampond/schema';
-import { chooseForAttempt } from '../attempts/chooseForAttempt.js';
+import { chooseServerForAttempt } from '../attempts/chooseServerForAttempt.js';
 import { launchAttempt } from '../attempts/launchAttempt.js';
-import { cancelAttempt, forgetMove } from '../attempts/releaseAttempts.js';
+import { cancelAttempt, removeCacheMove } from '../attempts/releaseAttempts.js';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
 import type { EntryEffect } from '../entryEffects.js';
 import type { Timestamps } from '../entryEvents.js';
@@ -23,7 +23,7 @@
 ): EntryEffect[] {
   const { requestId } = accepted.request;
   const { instance } = server.platformInstance;
-  forgetMove(state, requestId);
+  removeCacheMove(state, requestId);
   const cancelled = cancelAttempt(state, accepted);
   accepted.recompute = { reason: 'reclaimResume', tokens };
   return [
@@ -43,7 +43,7 @@
   reason: RetryReason,
   { now }: Timestamps,
 ): EntryEffect[] {
-  const server = chooseForAttempt(state, accepted, { spreadEvenly: true });
+  const server = chooseServerForAttempt(state, accepted, { spreadEvenly: true });
   if (server === undefined) return [];
   return [
     { type: 'count', metric: 'retries', label: reason },
--- a/packages/entry-core/src/reduceEntry.ts
+++ b/packages/entry-core/src/reduceEntry.ts
@@ -11,7 +11,7 @@
 import { applyInstanceList, refreshConcurrencyLimits } from './backendServers/applyInstanceList.js';
 import { observeAttempt, observeAttemptStarts } from './backendServers/observeAttempt.js';
 import { receiveCacheEvents } from './backendServers/receiveCacheEvents.js';
-import { findEndingClaim, followClaims } from './claims/followClaims.js';
+import { findClaimOfEndedAttempt, updateClaims } from './claims/updateClaims.js';
 import { receiveWorkReport } from './backendServers/shareWork.js';
 import { receiveDrains } from './backendServers/receiveDrains.js';
 import type { EntryEffect } from './entryEffects.js';
@@ -32,10 +32,10 @@
   state.clocks = { now: event.now, wallNow: event.wallNow };
   const concerned = findAffectedIds(state, event);
   const observed = observeAttempt(state, event);
-  const ending = findEndingClaim(state, event);
+  const ending = findClaimOfEndedAttempt(state, event);
   const effects = [...observed, ...reduceConcern(state, event)];
   effects.push(...reduceAdmission(state, event, concerned));
-  effects.push(...followClaims(state, event, ending, effects));
+  effects.push(...updateClaims(state, event, ending, effects));
   observeAttemptStarts(state, effects, event.now);
   return effects;
 }
