--- a/measure/src/streams.ts
+++ b/measure/src/streams.ts
@@ -4,11 +4,11 @@
  */
 import { fullRecoveryPolicy, type RecoveryPolicy } from '@hornbeampond/entry-core';
 import {
-  refusedInnocents,
+  findFailedHarmlessCallers,
   runPoisonBatch,
   runRetryStorm,
-  runWaves,
-  type WaveOutcome,
+  runFaultScenario,
+  type FaultScenarioOutcome,
 } from '@hornbeampond/entry-core/driver';
 
 const SEEDS = [1, 2, 3, 4, 5, 6];
@@ -35,7 +35,7 @@
   },
 };
 
-function total(outcomes: readonly WaveOutcome[], of: (outcome: WaveOutcome) => number): number {
+function total(outcomes: readonly FaultScenarioOutcome[], of: (outcome: FaultScenarioOutcome) => number): number {
   return outcomes.reduce((sum, outcome) => sum + of(outcome), 0);
 }
 
@@ -44,22 +44,22 @@
 }
 
 function measureWaves(policy: string, recovery: RecoveryPolicy, vanish: boolean): StreamsRow {
-  const outcomes = SEEDS.map((seed) => runWaves(recovery, seed, vanish));
+  const outcomes = SEEDS.map((seed) => runFaultScenario(recovery, seed, vanish));
   const requests = total(outcomes, (outcome) => outcome.requests);
-  const recomputed = total(outcomes, (outcome) => outcome.prefilledAgain + outcome.decodedAgain);
-  const shares = outcomes.map((outcome) => outcome.whole / outcome.requests);
+  const recomputed = total(outcomes, (outcome) => outcome.extraPrefilledTokens + outcome.extraDecodedTokens);
+  const shares = outcomes.map((outcome) => outcome.completed / outcome.requests);
   return {
     scenario: vanish ? 'waves, hosts vanish' : 'waves',
     policy,
     figures: {
       requests,
-      wholeOnTimeShare: round(total(outcomes, (outcome) => outcome.whole) / requests),
+      wholeOnTimeShare: round(total(outcomes, (outcome) => outcome.completed) / requests),
       worstSeedShare: round(Math.min(...shares)),
-      prefilledAgain: total(outcomes, (outcome) => outcome.prefilledAgain),
-      decodedAgain: total(outcomes, (outcome) => outcome.decodedAgain),
-      recomputedShare: round(recomputed / total(outcomes, (outcome) => outcome.needed)),
+      prefilledAgain: total(outcomes, (outcome) => outcome.extraPrefilledTokens),
+      decodedAgain: total(outcomes, (outcome) => outcome.extraDecodedTokens),
+      recomputedShare: round(recomputed / total(outcomes, (outcome) => outcome.requiredTokens)),
       meanWholeMilliseconds: Math.round(
-        total(outcomes, (outcome) => outcome.meanWholeAnswer) / SEEDS.length,
+        total(outcomes, (outcome) => outcome.meanCompletionMilliseconds) / SEEDS.length,
       ),
       violations: total(outcomes, (outcome) => outcome.violations),
     },
@@ -67,14 +67,14 @@
 }
 
 function measurePoison(engines: number, suspectsApart: boolean): StreamsRow {
-  const world = runPoisonBatch({ engines, suspectsApart });
+  const world = runPoisonBatch({ engines, isolateSuspects: suspectsApart });
   return {
     scenario: 'poison',
     policy: `suspects ${suspectsApart ? 'apart' : 'together'}, ${engines} engines`,
     figures: {
-      enginesLost: world.lostEngines(),
-      innocentsRefused: refusedInnocents(world).length,
-      violations: world.violations().length,
+      enginesLost: world.countLostEngines(),
+      innocentsRefused: findFailedHarmlessCallers(world).length,
+      violations: world.findViolations().length,
     },
   };
 }
--- a/packages/entry-core/src/admission/admission.test.ts
+++ b/packages/entry-core/src/admission/admission.test.ts
@@ -48,7 +48,7 @@
     const entry = number % harness.entries.length;
     const at = uniformInt(random, from, to - 1);
     harness.timeline.after(at - harness.timeline.now, () => {
-      harness.arrive(request, ANSWER_TOKENS, entry);
+      harness.submitRequest(request, ANSWER_TOKENS, entry);
     });
   }
 }
@@ -119,13 +119,13 @@
   });
   for (let number = 0; number < 200; number += 1) {
     const request = exampleRequest(`flood-${number}`, { workspace: 'flood' });
-    harness.arrive(request, ANSWER_TOKENS);
+    harness.submitRequest(request, ANSWER_TOKENS);
   }
   const refused = outcomesOf(harness, 'flood').filter(({ problem }) => problem !== undefined);
   assert.ok(refused.every(({ problem }) => problem?.kind === 'overloaded'));
   assert.ok(refused.every(({ problem }) => (problem?.retryAfterMilliseconds ?? 0) > 0));
   assert.equal(refused.length, 200 - CONCURRENCY - 40);
-  const small = harness.arrive(exampleRequest('one', { workspace: 'small' }), ANSWER_TOKENS);
+  const small = harness.submitRequest(exampleRequest('one', { workspace: 'small' }), ANSWER_TOKENS);
   harness.timeline.runUntil(60_000);
   assert.ok((small.firstTokenAt ?? Infinity) <= 3000, JSON.stringify(small));
 });
@@ -138,7 +138,7 @@
   const harness = makeHarness({ servers: 1, entries: 4 });
   harness.timeline.runUntil(3000);
   for (let number = 0; number < 4 * CONCURRENCY; number += 1) {
-    harness.arrive(exampleRequest(`burst-${number}`), ANSWER_TOKENS, number % 4);
+    harness.submitRequest(exampleRequest(`burst-${number}`), ANSWER_TOKENS, number % 4);
     harness.timeline.runUntil(harness.timeline.now + 5);
   }
   const engine = harness.engines.get('engine-0');
@@ -156,9 +156,9 @@
   sendSteadily(harness, 'teacher', 10, [100, 5000]);
   harness.timeline.runUntil(6000);
   for (let number = 0; number < 100; number += 1) {
-    harness.arrive(exampleRequest(`burst-${number}`), ANSWER_TOKENS);
+    harness.submitRequest(exampleRequest(`burst-${number}`), ANSWER_TOKENS);
   }
-  const refused = harness.arrive(exampleRequest('first-try'), ANSWER_TOKENS);
+  const refused = harness.submitRequest(exampleRequest('first-try'), ANSWER_TOKENS);
   const { problem } = refused;
   assert.equal(problem?.kind, 'deadlineUnreachable');
   assert.equal(problem.ran, 'no');
@@ -166,7 +166,7 @@
   const wait = problem.retryAfterMilliseconds ?? 0;
   assert.ok(wait > 0 && wait < 10_000, `asked to come back in ${wait} ms`);
   harness.timeline.runUntil(6000 + wait);
-  const again = harness.arrive(exampleRequest('second-try'), ANSWER_TOKENS);
+  const again = harness.submitRequest(exampleRequest('second-try'), ANSWER_TOKENS);
   harness.timeline.runUntil(30_000);
   assert.ok(isOnTime(again), JSON.stringify(again));
 });
@@ -183,7 +183,7 @@
   let refusedAgain = 0;
   const come = (caller: number, attempt: number) => {
     const request = exampleRequest(`caller-${caller}-${attempt}`);
-    const { problem } = harness.arrive(request, ANSWER_TOKENS);
+    const { problem } = harness.submitRequest(request, ANSWER_TOKENS);
     if (attempt > 0) returned += 1;
     if (problem === undefined) return;
     if (attempt > 0) refusedAgain += 1;
@@ -204,7 +204,7 @@
   sendSteadily(harness, 'teacher', 8, [100, 4000]);
   harness.timeline.runUntil(6000);
   for (let number = 0; number < 80; number += 1) {
-    harness.arrive(exampleRequest(`burst-${number}`), ANSWER_TOKENS);
+    harness.submitRequest(exampleRequest(`burst-${number}`), ANSWER_TOKENS);
   }
   const before = accepted(outcomesOf(harness, 'kartenwerk-a')).length;
   harness.listEngines(1);
@@ -229,9 +229,12 @@
   ];
   const harness = makeHarness({ servers: 1, routes });
   const plans = Array.from({ length: 16 }, (_, number) =>
-    harness.arrive(exampleRequest(`plan-${number}`, { path: '/plans' }), ANSWER_TOKENS),
+    harness.submitRequest(exampleRequest(`plan-${number}`, { path: '/plans' }), ANSWER_TOKENS),
+  );
+  const counter = harness.submitRequest(
+    exampleRequest('counter', { path: '/counter' }),
+    ANSWER_TOKENS,
   );
-  const counter = harness.arrive(exampleRequest('counter', { path: '/counter' }), ANSWER_TOKENS);
   harness.timeline.runUntil(60_000);
   const waited = plans.slice(CONCURRENCY);
   assert.ok(waited.every((plan) => (plan.firstTokenAt ?? 0) > (counter.firstTokenAt ?? Infinity)));
@@ -249,10 +252,13 @@
   const harness = makeHarness({ servers: 1, routes, speed: { ...speed, concurrency: 16 } });
   for (let number = 0; number < 10; number += 1) {
     const request = exampleRequest(`plan-${number}`, { path: '/plans', promptTokens: 2000 });
-    harness.arrive(request, ANSWER_TOKENS);
+    harness.submitRequest(request, ANSWER_TOKENS);
   }
   harness.timeline.runUntil(10);
-  const counter = harness.arrive(exampleRequest('counter', { path: '/counter' }), ANSWER_TOKENS);
+  const counter = harness.submitRequest(
+    exampleRequest('counter', { path: '/counter' }),
+    ANSWER_TOKENS,
+  );
   harness.timeline.runUntil(30_000);
   assert.equal(counter.problem, undefined);
   assert.ok((counter.firstTokenAt ?? Infinity) - counter.arrivedAt <= 1500);
@@ -269,8 +275,8 @@
     routes: [exampleRoute(firstTokenWithin(5000))],
   });
   harness.timeline.runUntil(7);
-  const first = harness.arrive(exampleRequest('first'), ANSWER_TOKENS);
-  const second = harness.arrive(exampleRequest('second'), ANSWER_TOKENS);
+  const first = harness.submitRequest(exampleRequest('first'), ANSWER_TOKENS);
+  const second = harness.submitRequest(exampleRequest('second'), ANSWER_TOKENS);
   harness.timeline.runUntil(5000);
   const prefillAndNetwork = 21;
   assert.equal((second.firstTokenAt ?? 0) - (first.finishedAt ?? 0), prefillAndNetwork);
@@ -281,17 +287,17 @@
 test('a limit refuses what is above it and lets in what comes after an end', () => {
   const routes = [exampleRoute({ limits: { inProgressPerWorkspace: 2 } })];
   const harness = makeHarness({ routes });
-  const tries = ['one', 'two', 'three'].map((id) => harness.arrive(exampleRequest(id), 40));
+  const tries = ['one', 'two', 'three'].map((id) => harness.submitRequest(exampleRequest(id), 40));
   assert.deepEqual(
     tries.map(({ problem }) => problem?.kind),
     [undefined, undefined, 'limitReached'],
   );
   harness.timeline.runUntil(tries[2]?.problem?.retryAfterMilliseconds ?? 0);
   harness.timeline.runUntil(2000);
-  assert.equal(harness.arrive(exampleRequest('four'), 40).problem, undefined);
+  assert.equal(harness.submitRequest(exampleRequest('four'), 40).problem, undefined);
   harness.send({ type: 'callerGone', requestId: 'four' });
-  harness.arrive(exampleRequest('five'), 40);
-  assert.equal(harness.arrive(exampleRequest('six'), 40).problem, undefined);
+  harness.submitRequest(exampleRequest('five'), 40);
+  assert.equal(harness.submitRequest(exampleRequest('six'), 40).problem, undefined);
 });
 
 // The own data centre's engine is full with long answers when a counter's request comes that
@@ -303,12 +309,12 @@
     dataCentreOf: (server) => (server === 0 ? 'dc-a' : 'dc-b'),
   });
   for (let number = 0; number < CONCURRENCY; number += 1) {
-    harness.arrive(exampleRequest(`long-${number}`), 1000);
+    harness.submitRequest(exampleRequest(`long-${number}`), 1000);
   }
   harness.timeline.runUntil(500);
   assert.equal(harness.engines.get('engine-1')?.running, 0);
   for (let number = 0; number < CONCURRENCY; number += 1) {
-    harness.arrive(exampleRequest(`counter-${number}`), ANSWER_TOKENS);
+    harness.submitRequest(exampleRequest(`counter-${number}`), ANSWER_TOKENS);
   }
   harness.timeline.runUntil(1500);
   const outcomes = [...harness.outcomes.values()];
--- a/packages/entry-core/src/admission/interruptedStreams.test.ts
+++ b/packages/entry-core/src/admission/interruptedStreams.test.ts
@@ -3,7 +3,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { makeRequest, World } from '../driver/index.js';
+import { makeRequest, SimulatedCluster } from '../driver/index.js';
 import { nextTokenDueAt } from '../backendServers/chooseBackendServer.js';
 import type { RequestState } from '../requests/RequestState.js';
 import { missesDeadlineAfter } from './failUnreachableDeadlines.js';
@@ -13,11 +13,15 @@
 const FIRST_TOKEN_MILLISECONDS = 5000;
 const WHOLE_ANSWER_MILLISECONDS = 25_000;
 
-function makeWorld(): World {
-  return new World({ engines: { 'wien-a': 1 } });
+function makeWorld(): SimulatedCluster {
+  return new SimulatedCluster({ engines: { 'wien-a': 1 } });
 }
 
-function accepted(world: World, name: string, fields: Partial<RequestState>): RequestState {
+function accepted(
+  world: SimulatedCluster,
+  name: string,
+  fields: Partial<RequestState>,
+): RequestState {
   const { configuration } = world.entry.state;
   const [route] = configuration.routes.rows;
   const [pool] = configuration.pools.rows;
--- a/packages/entry-core/src/admission/serveLate.test.ts
+++ b/packages/entry-core/src/admission/serveLate.test.ts
@@ -44,7 +44,7 @@
   });
   const arrive = (number: number, at: number) => {
     const request = exampleRequest(`request-${number}`, { promptTokens: 1000 });
-    harness.timeline.after(at, () => harness.arrive(request, 10));
+    harness.timeline.after(at, () => harness.submitRequest(request, 10));
   };
   // Before the outage, so that the entry knows how long prompts take.
   for (let number = 0; number < 40; number += 1) arrive(number, number * 80);
--- a/packages/entry-core/src/advanceEntry.ts
+++ b/packages/entry-core/src/advanceEntry.ts
@@ -11,10 +11,10 @@
 import { updatePeerLiveness } from './membership/livePeers.js';
 import { advanceReports } from './membership/advanceReports.js';
 import { advanceSuspects } from './quarantine/advanceSuspects.js';
-import { advanceLosses } from './quarantine/judgeLoss.js';
-import { probeStalled } from './quarantine/probeStalled.js';
-import { advanceMoves } from './reclaims/moveCache.js';
-import { advanceReclaims } from './reclaims/noticeReclaim.js';
+import { advanceLosses } from './quarantine/classifyLoss.js';
+import { probeStalledServers } from './quarantine/probeStalledServers.js';
+import { advanceCacheMoves } from './reclaims/moveCache.js';
+import { advanceReclaims } from './reclaims/recordReclaimNotice.js';
 import { enforceDeadlines } from './requests/enforceDeadlines.js';
 import { advanceShutdown } from './shutdown/advanceShutdown.js';
 
@@ -26,8 +26,8 @@
     ...enforceDeadlines(state, timed.now),
     ...expireAwaitingConfiguration(state, timed.now),
     ...advanceLosses(state, timed),
-    ...probeStalled(state, timed.now),
-    ...advanceMoves(state, timed),
+    ...probeStalledServers(state, timed.now),
+    ...advanceCacheMoves(state, timed),
     ...advanceReclaims(state, timed),
     ...advanceRetries(state, timed.now),
     ...advanceReports(state, timed),
--- a/packages/entry-core/src/attempts/failAttempt.ts
+++ b/packages/entry-core/src/attempts/failAttempt.ts
@@ -5,7 +5,7 @@
 import type { EntryEffect } from '../entryEffects.js';
 import type { AttemptFailure, EntryEvent } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
-import { noteLoss } from '../quarantine/noteLoss.js';
+import { recordLoss } from '../quarantine/recordLoss.js';
 import { failRequest } from '../requests/endRequest.js';
 import { determineRan } from '../requests/determineRan.js';
 import type { RequestState } from '../requests/RequestState.js';
@@ -118,7 +118,7 @@
     removeAttempt(state, attempt);
     return [];
   }
-  const lossEffects = noteLoss(state, accepted, attempt, event);
+  const lossEffects = recordLoss(state, accepted, attempt, event);
   removeAttempt(state, attempt);
   removeCacheMove(state, attempt.requestId);
   unbind(accepted, attempt, event);
--- a/packages/entry-core/src/attempts/findExcludedInstances.ts
+++ b/packages/entry-core/src/attempts/findExcludedInstances.ts
@@ -4,8 +4,8 @@
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
-import { isSuspect, suspectHosts } from '../quarantine/suspects.js';
-import { outOfTurn } from '../quarantine/suspectTurns.js';
+import { isSuspect, listInstancesRunningSuspects } from '../quarantine/suspects.js';
+import { listInstancesOutsideSlot } from '../quarantine/listInstancesOutsideSlot.js';
 import type { RequestState } from '../requests/RequestState.js';
 
 /** Those that may take the request again soon. */
@@ -14,11 +14,11 @@
   accepted: RequestState,
   now: MonotonicMilliseconds,
 ): Set<string> {
-  const instances = new Set(state.quarantine.losses.keys());
+  const instances = new Set(state.quarantine.unresolvedLosses.keys());
   const { digest, requestId } = accepted.request;
   if (state.retries.policy.isolateSuspects && isSuspect(state, digest)) {
-    suspectHosts(state, requestId).forEach((instance) => instances.add(instance));
-    outOfTurn(state, now).forEach((instance) => instances.add(instance));
+    listInstancesRunningSuspects(state, requestId).forEach((instance) => instances.add(instance));
+    listInstancesOutsideSlot(state, now).forEach((instance) => instances.add(instance));
   }
   return instances;
 }
--- a/packages/entry-core/src/attempts/interleavings.test.ts
+++ b/packages/entry-core/src/attempts/interleavings.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { makeRequest, World } from '../driver/index.js';
+import { makeRequest, SimulatedCluster } from '../driver/index.js';
 
 const engineNames = ['wien-a-engine-1', 'wien-a-engine-2', 'wien-b-engine-1', 'wien-b-engine-2'];
 
@@ -22,7 +22,7 @@
 type Action = typeof actions extends fc.Arbitrary<readonly (infer One)[]> ? One : never;
 
 /** Sends edges of attempts again that have ended long ago, as a confused network would. */
-function duplicateEdges(world: World): void {
+function duplicateEdges(world: SimulatedCluster): void {
   world.callers().forEach(({ request: { requestId } }) => {
     ['1', '2', '3'].forEach((number) => {
       const attemptId = `${requestId}.${number}`;
@@ -33,30 +33,34 @@
   });
 }
 
-function takeAction(world: World, { kind, engine: name, tokens }: Action, number: number): void {
+function takeAction(
+  world: SimulatedCluster,
+  { kind, engine: name, tokens }: Action,
+  number: number,
+): void {
   const engine = world.engine(name);
   const digest = kind === 'bad' ? 'digest-bad' : `digest-${number}`;
   switch (kind) {
     case 'arrive':
     case 'bad':
-      world.entry.arrive(makeRequest(`request-${number}`, { maxTokens: tokens, digest }));
+      world.entry.submitRequest(makeRequest(`request-${number}`, { maxTokens: tokens, digest }));
       return;
     case 'die':
       engine.die();
       return;
     case 'vanish':
-      engine.vanishes = true;
+      engine.omitsReset = true;
       engine.unreachable = true;
       engine.die();
       return;
     case 'revive':
-      engine.vanishes = false;
+      engine.omitsReset = false;
       engine.unreachable = false;
       engine.alive = true;
       return;
     case 'silence':
       engine.streams.forEach((stream) => {
-        stream.silent = true;
+        stream.stalled = true;
       });
       return;
     case 'reclaim':
@@ -73,19 +77,23 @@
       duplicateEdges(world);
       return;
     default:
-      world.callerGone(0);
+      world.disconnectCaller(0);
   }
 }
 
-function play(steps: readonly Action[]): World {
+function play(steps: readonly Action[]): SimulatedCluster {
   const poison = new Map([['digest-bad', 3]]);
   const engines = { 'wien-a': 2, 'wien-b': 2 };
-  const world = new World({ engines, poison, wholeAnswerMilliseconds: 8000 });
+  const world = new SimulatedCluster({
+    engines,
+    crashTokenByDigest: poison,
+    wholeAnswerMilliseconds: 8000,
+  });
   steps.forEach((action, number) => {
     takeAction(world, action, number);
     world.advance(action.span * 10);
   });
-  world.settle(10_000);
+  world.runUntilAnswered(10_000);
   return world;
 }
 
@@ -96,7 +104,7 @@
   fc.assert(
     fc.property(actions, (steps) => {
       const world = play(steps);
-      assert.deepEqual(world.violations(), []);
+      assert.deepEqual(world.findViolations(), []);
       assert.equal(world.entry.state.requests.size, 0);
       assert.equal(world.entry.state.attempts.size, 0);
       assert.equal(world.entry.state.retries.waiting.size, 0);
@@ -112,9 +120,9 @@
 // Shows that the check above can fail: a reducer that takes the edges of an attempt for those of
 // another, as if answers were not bound to attempts, gives callers wrong answers.
 test('a shell that confuses attempts is found out', () => {
-  const world = new World({ engines: { 'wien-a': 2 } });
-  world.entry.arrive(makeRequest('one'));
+  const world = new SimulatedCluster({ engines: { 'wien-a': 2 } });
+  world.entry.submitRequest(makeRequest('one'));
   world.advance(1000);
   world.entry.send({ type: 'attemptFinished', attemptId: 'one.1', tokens: 20 });
-  assert.equal(world.violations().length > 0, true);
+  assert.equal(world.findViolations().length > 0, true);
 });
--- a/packages/entry-core/src/attempts/launchAttempt.ts
+++ b/packages/entry-core/src/attempts/launchAttempt.ts
@@ -11,7 +11,7 @@
 import { makeAttemptTarget } from '../backendServers/makeAttemptTarget.js';
 import { attemptIdOf } from './AttemptState.js';
 import { isSuspect } from '../quarantine/suspects.js';
-import { prefillDuration } from '../reclaims/costs.js';
+import { estimatePrefillDuration } from '../reclaims/recoveryCosts.js';
 import type { RequestState } from '../requests/RequestState.js';
 import { earnRetries } from './retryBudget.js';
 
@@ -40,7 +40,8 @@
   const isLast = accepted.attemptsStarted >= (accepted.route.mostAttempts ?? Infinity);
   if (!accepted.route.idempotent || isLast) return wholeAnswer;
   const share = (accepted.firstTokenDueAt - now) * FIRST_BYTE_SHARE;
-  const least = LEAST_FIRST_BYTE_MILLISECONDS + prefillDuration(accepted) * PREFILL_PATIENCE;
+  const least =
+    LEAST_FIRST_BYTE_MILLISECONDS + estimatePrefillDuration(accepted) * PREFILL_PATIENCE;
   return Math.min(wholeAnswer, Math.max(least, share));
 }
 
--- a/packages/entry-core/src/attempts/retryStorm.test.ts
+++ b/packages/entry-core/src/attempts/retryStorm.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { makeRequest, runRetryStorm, World } from '../driver/index.js';
+import { makeRequest, runRetryStorm, SimulatedCluster } from '../driver/index.js';
 
 const FIRST_ATTEMPTS = 300;
 
@@ -10,10 +10,10 @@
 test('a retry storm is bounded by the budget', () => {
   const world = runRetryStorm(FIRST_ATTEMPTS, true);
   const retries = world.entry.count('retries/backendServerBusy');
-  assert.deepEqual(world.violations(), []);
+  assert.deepEqual(world.findViolations(), []);
   assert.equal(retries <= 10 + FIRST_ATTEMPTS * 0.1, true, `${retries} retries`);
   assert.equal(world.entry.count('retriesRefused/budgetSpent') > FIRST_ATTEMPTS / 2, true);
-  world.callers().forEach(({ finals }) => {
+  world.callers().forEach(({ finalAnswers: finals }) => {
     const final = finals[0];
     assert.equal(final?.type === 'problem' && final.retryAfterMilliseconds !== undefined, true);
   });
@@ -28,11 +28,11 @@
 // The caller gets its final answer at the deadline, not after it, and is told `ran: unknown`, as the
 // engine had the request. No retry is started that could not end in time.
 test('a deadline that passes gives the final answer at that moment', () => {
-  const world = new World({ engines: { 'wien-a': 1 }, wholeAnswerMilliseconds: 2000 });
-  const caller = world.entry.arrive(makeRequest('one'));
-  world.settle();
+  const world = new SimulatedCluster({ engines: { 'wien-a': 1 }, wholeAnswerMilliseconds: 2000 });
+  const caller = world.entry.submitRequest(makeRequest('one'));
+  world.runUntilAnswered();
   assert.deepEqual(
-    caller.finals.map(({ at, ...rest }) => ({ ...rest, late: at - 2000 })),
+    caller.finalAnswers.map(({ at, ...rest }) => ({ ...rest, late: at - 2000 })),
     [
       {
         type: 'problem',
@@ -48,11 +48,11 @@
 // The caller is told `ran: no`, and it is true: every engine refused the connection, so
 // not one byte of the call was sent.
 test('a request that no engine took did not run', () => {
-  const world = new World({ engines: { 'wien-a': 2 }, wholeAnswerMilliseconds: 3000 });
+  const world = new SimulatedCluster({ engines: { 'wien-a': 2 }, wholeAnswerMilliseconds: 3000 });
   world.engines.forEach((engine) => engine.die());
-  const caller = world.entry.arrive(makeRequest('one'));
-  world.settle();
-  const final = caller.finals[0];
+  const caller = world.entry.submitRequest(makeRequest('one'));
+  world.runUntilAnswered();
+  const final = caller.finalAnswers[0];
   assert.equal(final?.type === 'problem' && final.ran, 'no');
-  assert.deepEqual(world.violations(), []);
+  assert.deepEqual(world.findViolations(), []);
 });
--- a/packages/entry-core/src/attempts/startAttempt.ts
+++ b/packages/entry-core/src/attempts/startAttempt.ts
@@ -8,7 +8,7 @@
 import { enqueue } from '../admission/enqueue.js';
 import { placeRequest } from '../admission/placeRequest.js';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
-import { isHeld } from '../quarantine/suspects.js';
+import { mustDelaySuspect } from '../quarantine/suspects.js';
 import { failRequest } from '../requests/endRequest.js';
 import { determineRan } from '../requests/determineRan.js';
 import type { RequestState } from '../requests/RequestState.js';
@@ -75,7 +75,10 @@
 ): EntryEffect[] {
   const refused = refuseQuarantined(state, accepted, now);
   if (refused !== undefined) return refused;
-  if (state.retries.policy.isolateSuspects && isHeld(state, accepted.request.digest, now)) {
+  if (
+    state.retries.policy.isolateSuspects &&
+    mustDelaySuspect(state, accepted.request.digest, now)
+  ) {
     waitForBackendServer(state, accepted, now);
     return [];
   }
--- a/packages/entry-core/src/backendServers/backendServers.test.ts
+++ b/packages/entry-core/src/backendServers/backendServers.test.ts
@@ -52,7 +52,7 @@
   harness.timeline.every(span, () => {
     if (harness.timeline.now > until) return;
     number += 1;
-    harness.arrive(exampleRequest(`steady-${number}`), 20);
+    harness.submitRequest(exampleRequest(`steady-${number}`), 20);
   });
 }
 
@@ -63,7 +63,7 @@
 function askFor(harness: EntryHarness, requestId: string, prefixDigests: string[]): string {
   const [state] = harness.entries;
   assert.ok(state);
-  harness.arrive(exampleRequest(requestId, { prefixDigests, promptTokens: 4000 }), 20);
+  harness.submitRequest(exampleRequest(requestId, { prefixDigests, promptTokens: 4000 }), 20);
   const attempt = state.attempts.get(`${requestId}.1`);
   assert.ok(attempt, `${requestId} was not sent`);
   harness.timeline.runUntil(harness.timeline.now + 5 * SECOND);
@@ -75,12 +75,12 @@
 // three failures in a row the engine is let rest, and is asked again only now and then.
 test('an outlier that fails fast does not draw the work', () => {
   const harness = makeHarness();
-  harness.failing.set('engine-2', 'serverError');
+  harness.failureByInstance.set('engine-2', 'serverError');
   sendEvery(harness, 50, 20 * SECOND);
   harness.timeline.runUntil(30 * SECOND);
   const outcomes = [...harness.outcomes.values()];
   assert.ok(outcomes.every(({ finishedAt }) => finishedAt !== undefined));
-  const wasted = harness.counted.get('retries/backendServerError') ?? 0;
+  const wasted = harness.counts.get('retries/backendServerError') ?? 0;
   assert.ok(wasted <= 0.05 * outcomes.length, `${wasted} of ${outcomes.length} failed first`);
   assert.ok(wasted > 3, 'it is asked again after a while');
 });
@@ -90,11 +90,11 @@
 test('a mended outlier gets work again', () => {
   const harness = makeHarness();
   // Failed connections are probed, and keep work away before they could make an outlier.
-  harness.failing.set('engine-2', 'serverError');
+  harness.failureByInstance.set('engine-2', 'serverError');
   sendEvery(harness, 50, 60 * SECOND);
   harness.timeline.runUntil(10 * SECOND);
   assert.equal(poolOf(harness).local.ejected.size, 1);
-  harness.failing.clear();
+  harness.failureByInstance.clear();
   harness.timeline.runUntil(59 * SECOND);
   assert.equal(poolOf(harness).local.ejected.size, 0);
   assert.ok(inProgressAt(harness, 'engine-2') > 0);
@@ -193,11 +193,11 @@
   const { prefixCacheIndex: beliefs } = poolOf(harness);
   beliefs.recordCached(far, ['long'], harness.timeline.now);
   beliefs.recordCached(far, ['short'], harness.timeline.now);
-  harness.arrive(
+  harness.submitRequest(
     exampleRequest('first', { prefixDigests: ['long', 'own'], promptTokens: 4000 }),
     5,
   );
-  harness.arrive(
+  harness.submitRequest(
     exampleRequest('second', { prefixDigests: ['short', 'own'], promptTokens: 40 }),
     5,
   );
@@ -218,7 +218,7 @@
     };
     const places = [0, 1, 2].map((entry) => {
       const requestId = `${conversation}-${entry}`;
-      harness.arrive(exampleRequest(requestId, request), 20, entry);
+      harness.submitRequest(exampleRequest(requestId, request), 20, entry);
       const attempt = harness.entries[entry]?.attempts.get(`${requestId}.1`);
       harness.timeline.runUntil(harness.timeline.now + 5 * SECOND);
       return attempt?.instance;
@@ -249,12 +249,12 @@
   const other = home === 'engine-0' ? 'engine-1' : 'engine-0';
   for (let number = 0; number < CONCURRENCY; number += 1) {
     const request = exampleRequest(`full-${number}`, { prefixDigests: ['a'], promptTokens: 4000 });
-    harness.arrive(request, 4000);
+    harness.submitRequest(request, 4000);
     harness.timeline.runUntil(harness.timeline.now + 100);
   }
   assert.equal(inProgressAt(harness, home), CONCURRENCY);
   const request = exampleRequest('turn-2', { prefixDigests: ['a'], promptTokens: 4000 });
-  const turn = harness.arrive(request, 20);
+  const turn = harness.submitRequest(request, 20);
   assert.equal(inProgressAt(harness, other), 0);
   harness.timeline.runUntil(turn.arrivedAt + 700);
   assert.equal(inProgressAt(harness, other), 1);
@@ -269,7 +269,10 @@
   const harness = makeHarness();
   for (let number = 0; number < 12; number += 1) {
     const prefixDigests = ['system', `seller-${number}`];
-    harness.arrive(exampleRequest(`turn-${number}`, { prefixDigests, promptTokens: 500 }), 1000);
+    harness.submitRequest(
+      exampleRequest(`turn-${number}`, { prefixDigests, promptTokens: 500 }),
+      1000,
+    );
     harness.timeline.runUntil(harness.timeline.now + 300);
   }
   const loads = [...harness.engines.keys()].map((instance) => inProgressAt(harness, instance));
@@ -285,13 +288,13 @@
   harness.timeline.runUntil(SECOND);
   harness.listEngines(5);
   for (let number = 0; number < 40; number += 1) {
-    harness.arrive(exampleRequest(`rush-${number}`), 1000);
+    harness.submitRequest(exampleRequest(`rush-${number}`), 1000);
   }
   assert.ok(inProgressAt(harness, 'engine-4') <= 2);
   assert.ok(inProgressAt(harness, 'engine-4') >= 1);
   harness.timeline.runUntil(11 * SECOND + 100);
   for (let number = 40; number < 80; number += 1) {
-    harness.arrive(exampleRequest(`rush-${number}`), 1000);
+    harness.submitRequest(exampleRequest(`rush-${number}`), 1000);
   }
   assert.equal(inProgressAt(harness, 'engine-4'), CONCURRENCY);
 });
@@ -341,7 +344,7 @@
 test('two choices keep a thousand engines even', () => {
   const harness = makeHarness({ servers: 1000 });
   for (let number = 0; number < 2000; number += 1) {
-    harness.arrive(exampleRequest(`request-${number}`), 1000);
+    harness.submitRequest(exampleRequest(`request-${number}`), 1000);
   }
   const loads = [...harness.engines.keys()].map((instance) => inProgressAt(harness, instance));
   assert.ok(Math.max(...loads) <= 4, `${Math.max(...loads)} on one engine`);
@@ -359,7 +362,7 @@
   for (let server = 0; server < 19; server += 1) {
     harness.send({ type: 'reclaimNoticed', instance: `engine-${server}`, goneAt: NEXT_CENTURY });
   }
-  harness.arrive(exampleRequest('one'), 20);
+  harness.submitRequest(exampleRequest('one'), 20);
   harness.timeline.runUntil(SECOND);
   assert.ok(harness.outcomes.get('one')?.finishedAt !== undefined);
   const [accepted] = state.requests.values();
--- a/packages/entry-core/src/backendServers/sharedPrompts.test.ts
+++ b/packages/entry-core/src/backendServers/sharedPrompts.test.ts
@@ -61,7 +61,7 @@
     });
     const at = uniformInt(random, 0, SECONDS * 1000);
     const entry = uniformInt(random, 0, ENTRIES - 1);
-    harness.timeline.after(at, () => harness.arrive(request, 20, entry));
+    harness.timeline.after(at, () => harness.submitRequest(request, 20, entry));
   }
   harness.timeline.runUntil((SECONDS + 10) * 1000);
   const outcomes = [...harness.outcomes.values()];
@@ -84,7 +84,7 @@
 test('what entries tell each other keeps long prompts apart and shared parts in one place', () => {
   seeds.forEach((seed) => {
     const told = play(seed, {});
-    const untold = play(seed, { losesWork: true });
+    const untold = play(seed, { losesWorkReports: true });
     const shown = JSON.stringify({ told, untold });
     assert.ok(told.recomputed < untold.recomputed * 0.5, shown);
     assert.ok(told.late + told.refused < (untold.late + untold.refused) * 0.5, shown);
--- a/packages/entry-core/src/claims/updateClaims.test.ts
+++ b/packages/entry-core/src/claims/updateClaims.test.ts
@@ -1,16 +1,16 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { makeRequest, World } from '../driver/index.js';
+import { makeRequest, SimulatedCluster } from '../driver/index.js';
 import type { EntryEffect } from '../entryEffects.js';
 import { reduceEntry } from '../reduceEntry.js';
 
 const clocks = { now: 10, wallNow: Date.UTC(2026, 0, 15, 11) };
 
-function makeWorld(): World {
-  return new World({ engines: { 'wien-a': 2 }, pool: 'bookings' });
+function makeWorld(): SimulatedCluster {
+  return new SimulatedCluster({ engines: { 'wien-a': 2 }, pool: 'bookings' });
 }
 
-function arrive(world: World, key: string): EntryEffect[] {
+function arrive(world: SimulatedCluster, key: string): EntryEffect[] {
   const request = makeRequest(key, { path: '/reservations', idempotencyKey: key, promptTokens: 0 });
   return reduceEntry(world.entry.state, { type: 'requestArrived', request, ...clocks });
 }
--- a/packages/entry-core/src/driver/World.ts
+++ b/packages/entry-core/src/driver/SimulatedCluster.ts
@@ -9,25 +9,30 @@
   WorkReport,
 } from '@hornbeampond/schema';
 import type { CallerRequest, Timestamps } from '../entryEvents.js';
-import { EntryShell, type Caller } from './EntryShell.js';
-import { FakeEngine, wholeAnswer, type EngineRates, type Poison } from './FakeEngine.js';
-import { makeConfiguration, standardRates } from './fixtures.js';
+import { SimulatedEntry, type CallerRecord } from './SimulatedEntry.js';
+import {
+  SimulatedEngine,
+  expectedAnswer,
+  type EngineRates,
+  type CrashTokenByDigest,
+} from './SimulatedEngine.js';
+import { makeConfiguration, defaultEngineRates } from './fixtures.js';
 
 const STEP_MILLISECONDS = 10;
 const TICK_MILLISECONDS = 50;
 
-export interface WorldOptions {
+export interface SimulatedClusterOptions {
   /** Engines by data centre. */
   readonly engines: Readonly<Record<string, number>>;
   /** Entries, one after the other in each data centre. */
   readonly entries?: number;
-  readonly poison?: Poison;
+  readonly crashTokenByDigest?: CrashTokenByDigest;
   readonly rates?: Partial<EngineRates>;
   readonly wholeAnswerMilliseconds?: number;
   /** Pool that the engines belong to; those of `bookings` play plain services. */
   readonly pool?: 'engines' | 'bookings';
   /** True if engines that die are gone without a word, instead of resetting their connections. */
-  readonly vanish?: boolean;
+  readonly losesHost?: boolean;
 }
 
 interface Task {
@@ -35,10 +40,10 @@
   readonly run: () => void;
 }
 
-export class World {
-  readonly engines = new Map<string, FakeEngine>();
+export class SimulatedCluster {
+  readonly engines = new Map<string, SimulatedEngine>();
 
-  readonly entries: EntryShell[] = [];
+  readonly entries: SimulatedEntry[] = [];
 
   movesFail = false;
 
@@ -50,7 +55,7 @@
 
   private readonly rates: EngineRates;
 
-  private readonly poison: Poison;
+  private readonly poison: CrashTokenByDigest;
 
   private readonly pool: string;
 
@@ -66,11 +71,11 @@
 
   private readonly crashes = new Map<string, Set<string>>();
 
-  constructor(options: WorldOptions) {
-    this.rates = { ...standardRates, ...options.rates };
-    this.poison = options.poison ?? new Map();
+  constructor(options: SimulatedClusterOptions) {
+    this.rates = { ...defaultEngineRates, ...options.rates };
+    this.poison = options.crashTokenByDigest ?? new Map();
     this.pool = options.pool ?? 'engines';
-    this.vanish = options.vanish ?? false;
+    this.vanish = options.losesHost ?? false;
     Object.entries(options.engines).forEach(([dataCentre, count]) => {
       for (let number = 1; number <= count; number += 1) {
         this.addEngine(`${dataCentre}-engine-${number}`, dataCentre);
@@ -80,7 +85,7 @@
     const configuration = makeConfiguration(options.wholeAnswerMilliseconds ?? 60_000);
     for (let number = 1; number <= (options.entries ?? 1); number += 1) {
       const dataCentre = dataCentres[(number - 1) % dataCentres.length] ?? '';
-      const entry = new EntryShell(this, `entry-${number}`, dataCentre);
+      const entry = new SimulatedEntry(this, `entry-${number}`, dataCentre);
       this.entries.push(entry);
       entry.send({ type: 'configurationReceived', configuration });
       entry.send({ type: 'instancesListed', instances: this.listed });
@@ -89,33 +94,33 @@
 
   /** A new engine; entries learn of it from the platform's list. */
   addEngine(instance: string, dataCentre: string): void {
-    const engine = new FakeEngine(instance, dataCentre, this.rates, this.poison);
-    engine.vanishes = this.vanish;
+    const engine = new SimulatedEngine(instance, dataCentre, this.rates, this.poison);
+    engine.omitsReset = this.vanish;
     engine.unreachable = this.vanish;
     this.engines.set(instance, engine);
     this.listed.push(this.list(engine));
-    this.listAlive();
+    this.listAliveEngines();
   }
 
   /** The platform's list shows what is alive, and nothing else. */
-  listAlive(): void {
+  listAliveEngines(): void {
     this.listed = this.listed.filter((listed) => this.engines.get(listed.instance)?.alive);
     this.entries.forEach((entry) =>
       entry.send({ type: 'instancesListed', instances: this.listed }),
     );
   }
 
-  get entry(): EntryShell {
+  get entry(): SimulatedEntry {
     return this.entryAt(0);
   }
 
-  entryAt(position: number): EntryShell {
+  entryAt(position: number): SimulatedEntry {
     const entry = this.entries[position];
     if (entry === undefined) throw new Error(`no entry ${position}`);
     return entry;
   }
 
-  engine(instance: string): FakeEngine {
+  engine(instance: string): SimulatedEngine {
     const engine = this.engines.get(instance);
     if (engine === undefined) throw new Error(`no engine ${instance}`);
     return engine;
@@ -125,7 +130,7 @@
     return { now: this.now, wallNow: this.startedAt + this.now };
   }
 
-  later(delay: number, run: () => void): void {
+  schedule(delay: number, run: () => void): void {
     this.tasks.push({ dueAt: this.now + delay, run });
   }
 
@@ -135,27 +140,28 @@
   }
 
   /** Runs until every caller has a final answer, or the time is up. */
-  settle(most = 120_000): void {
+  runUntilAnswered(most = 120_000): void {
     const end = this.now + most;
-    while (this.now < end && this.callers().some(({ finals }) => finals.length === 0)) this.step();
+    while (this.now < end && this.callers().some(({ finalAnswers: finals }) => finals.length === 0))
+      this.step();
     this.advance(STEP_MILLISECONDS);
   }
 
-  callers(): Caller[] {
+  callers(): CallerRecord[] {
     return this.entries.flatMap((entry) => [...entry.callers.values()]);
   }
 
   /** Gives notice to these engines at one entry; they die when it ends. */
-  reclaim(instances: readonly string[], notice: number, entry: EntryShell = this.entry): void {
+  reclaim(instances: readonly string[], notice: number, entry: SimulatedEntry = this.entry): void {
     const goneAt = this.clock().wallNow + notice;
     instances.forEach((instance) => {
       entry.send({ type: 'reclaimNoticed', instance, goneAt });
-      this.later(notice, () => this.engine(instance).die());
+      this.schedule(notice, () => this.engine(instance).die());
     });
   }
 
   /** The platform's list says at once that these are leaving, as one wave. */
-  reclaimListed(instances: readonly string[], notice: number): void {
+  reclaimByPlatformList(instances: readonly string[], notice: number): void {
     const goneAt = this.clock().wallNow + notice;
     const leaving = new Set(instances);
     this.listed = this.listed.map((listed) =>
@@ -164,18 +170,20 @@
     this.entries.forEach((entry) =>
       entry.send({ type: 'instancesListed', instances: this.listed }),
     );
-    instances.forEach((instance) => this.later(notice, () => this.engine(instance).die()));
+    instances.forEach((instance) => this.schedule(notice, () => this.engine(instance).die()));
   }
 
-  lostEngines(): number {
+  countLostEngines(): number {
     return [...this.engines.values()].filter(({ alive }) => !alive).length;
   }
 
   /** The caller at this position among those still waiting closes its connection. */
-  callerGone(position: number): void {
-    const caller = this.callers().filter(({ finals }) => finals.length === 0)[position];
+  disconnectCaller(position: number): void {
+    const caller = this.callers().filter(({ finalAnswers: finals }) => finals.length === 0)[
+      position
+    ];
     if (caller === undefined) return;
-    caller.finals.push({ type: 'gone', at: this.now });
+    caller.finalAnswers.push({ type: 'gone', at: this.now });
     const { requestId } = caller.request;
     this.entries.forEach((entry) => entry.send({ type: 'callerGone', requestId }));
   }
@@ -184,20 +192,20 @@
     return 50 + tokens / 8;
   }
 
-  deliverReport(from: EntryShell, report: EntryReport): void {
+  deliverReport(from: SimulatedEntry, report: EntryReport): void {
     this.entries
       .filter((entry) => entry !== from)
-      .forEach((entry) => this.later(1, () => entry.send({ type: 'entryReported', report })));
+      .forEach((entry) => this.schedule(1, () => entry.send({ type: 'entryReported', report })));
   }
 
-  deliverWork(from: EntryShell, work: WorkReport): void {
+  deliverWorkReport(from: SimulatedEntry, work: WorkReport): void {
     this.entries
       .filter((entry) => entry !== from)
-      .forEach((entry) => this.later(1, () => entry.send({ type: 'workReported', work })));
+      .forEach((entry) => this.schedule(1, () => entry.send({ type: 'workReported', work })));
   }
 
   /** A store that counts crashes by digest and quarantines at the second. */
-  propose({ crashId, digests }: ReportCrashCommand): void {
+  applyCrashReport({ crashId, digests }: ReportCrashCommand): void {
     if (!this.storeReachable) return;
     const until = this.clock().wallNow + 600_000;
     const quarantine = digests
@@ -209,18 +217,18 @@
       .map((digest) => ({ digest, until }));
     if (quarantine.length === 0) return;
     this.entries.forEach((entry) =>
-      this.later(20, () => entry.send({ type: 'quarantineReceived', quarantine })),
+      this.schedule(20, () => entry.send({ type: 'quarantineReceived', quarantine })),
     );
   }
 
   /** What is wrong with what callers have seen; empty if nothing is. */
-  violations(): string[] {
+  findViolations(): string[] {
     return this.callers().flatMap((caller) => this.violationsOf(caller));
   }
 
-  private violationsOf({ request, finals, tokens }: Caller): string[] {
+  private violationsOf({ request, finalAnswers: finals, tokens }: CallerRecord): string[] {
     const found: string[] = [];
-    const expected = wholeAnswer(request);
+    const expected = expectedAnswer(request);
     const name = request.requestId;
     if (finals.length !== 1) found.push(`${name} got ${finals.length} final answers`);
     if (!expected.startsWith(tokens.join(''))) found.push(`${name} got a mixed answer`);
@@ -236,7 +244,7 @@
     return found;
   }
 
-  private list(engine: FakeEngine): PlatformInstance {
+  private list(engine: SimulatedEngine): PlatformInstance {
     const { instance, dataCentre } = engine;
     const base = { instance, dataCentre, instanceClass: 'gpu', pool: this.pool };
     return { ...base, state: 'live', host: '127.0.0.1', port: 1 };
@@ -246,7 +254,7 @@
     this.now += STEP_MILLISECONDS;
     this.runDue();
     this.engines.forEach((engine) => engine.advance(STEP_MILLISECONDS));
-    this.entries.forEach((entry) => entry.checkSilence());
+    this.entries.forEach((entry) => entry.failStalledConnections());
     this.runDue();
     if (this.now % TICK_MILLISECONDS !== 0) return;
     this.entries.forEach((entry) => entry.send({ type: 'tick' }));
--- a/packages/entry-core/src/driver/FakeEngine.ts
+++ b/packages/entry-core/src/driver/SimulatedEngine.ts
@@ -16,11 +16,11 @@
   readonly request: CallerRequest;
   readonly listener: EngineListener;
   position: number;
-  prefillLeft: number;
+  remainingPrefillMilliseconds: number;
   /** Part of the next token that is done already. */
-  fraction: number;
+  nextTokenProgress: number;
   /** True if the way back has lost track of the connection. */
-  silent: boolean;
+  stalled: boolean;
 }
 
 export interface EngineRates {
@@ -31,7 +31,7 @@
 }
 
 /** When a request crashes the engine that runs it: at this token of its answer. */
-export type Poison = ReadonlyMap<string, number>;
+export type CrashTokenByDigest = ReadonlyMap<string, number>;
 
 export function answerLength({ maxTokens: mostTokens, digest }: CallerRequest): number {
   const early = digest.endsWith('early') ? 2 : 1;
@@ -42,25 +42,25 @@
   return `${digest}#${position} `;
 }
 
-export function wholeAnswer(request: CallerRequest): string {
+export function expectedAnswer(request: CallerRequest): string {
   return Array.from({ length: answerLength(request) }, (_, position) =>
     tokenAt(request.digest, position),
   ).join('');
 }
 
-export class FakeEngine {
+export class SimulatedEngine {
   alive = true;
 
   /** Refuses all new work with "busy". */
   busy = false;
 
   /** True if its process is started again at once when it dies. */
-  restarts = false;
+  restartsImmediately = false;
 
   deaths = 0;
 
   /** True if its connections are not even reset when it dies. */
-  vanishes = false;
+  omitsReset = false;
 
   /** True if a dead host does not even refuse connections. */
   unreachable = false;
@@ -78,7 +78,7 @@
     readonly instance: string,
     readonly dataCentre: string,
     private readonly rates: EngineRates,
-    private readonly poison: Poison,
+    private readonly poison: CrashTokenByDigest,
   ) {}
 
   /** `cachedTokens` of prompt and answer are in the KV cache already. */
@@ -86,7 +86,7 @@
     const context = stream.request.promptTokens + stream.position;
     const prefill = Math.max(0, context - cachedTokens);
     this.prefilledTokens += prefill;
-    stream.prefillLeft = prefill / this.rates.prefillTokensPerMillisecond;
+    stream.remainingPrefillMilliseconds = prefill / this.rates.prefillTokensPerMillisecond;
     const { requestId } = stream.request;
     this.received.set(requestId, (this.received.get(requestId) ?? 0) + 1);
     this.streams.set(stream.attemptId, stream);
@@ -94,37 +94,39 @@
 
   die(): void {
     this.deaths += 1;
-    this.alive = this.restarts;
+    this.alive = this.restartsImmediately;
     const lost = [...this.streams.values()];
     this.streams.clear();
-    if (this.vanishes) return;
-    lost.filter(({ silent }) => !silent).forEach(({ listener }) => listener.lost());
+    if (this.omitsReset) return;
+    lost.filter(({ stalled: silent }) => !silent).forEach(({ listener }) => listener.lost());
   }
 
   advance(span: number): void {
     const load = Math.max(1, this.streams.size / this.rates.concurrency);
     [...this.streams.values()].forEach((stream) => {
       if (!this.alive) return;
-      if (stream.prefillLeft > 0) stream.prefillLeft -= span / load;
+      if (stream.remainingPrefillMilliseconds > 0)
+        stream.remainingPrefillMilliseconds -= span / load;
       else this.decode(stream, (span * this.rates.tokensPerMillisecond) / load);
     });
   }
 
   private decode(stream: EngineStream, tokens: number): void {
     const { request, listener } = stream;
-    stream.fraction += tokens;
-    while (stream.fraction >= 1 && stream.position < answerLength(request)) {
+    stream.nextTokenProgress += tokens;
+    while (stream.nextTokenProgress >= 1 && stream.position < answerLength(request)) {
       if (stream.position >= (this.poison.get(request.digest) ?? Infinity)) {
         this.die();
         return;
       }
-      stream.fraction -= 1;
+      stream.nextTokenProgress -= 1;
       this.decodedTokens += 1;
-      if (!stream.silent) listener.token(stream.position, tokenAt(request.digest, stream.position));
+      if (!stream.stalled)
+        listener.token(stream.position, tokenAt(request.digest, stream.position));
       stream.position += 1;
     }
     if (stream.position < answerLength(request)) return;
     this.streams.delete(stream.attemptId);
-    if (!stream.silent) listener.finished();
+    if (!stream.stalled) listener.finished();
   }
 }
--- a/packages/entry-core/src/driver/EntryShell.ts
+++ b/packages/entry-core/src/driver/SimulatedEntry.ts
@@ -7,13 +7,13 @@
 import type { CallerRequest, EntryEventPayload, Timestamps } from '../entryEvents.js';
 import { makeEntryState, type EntryState } from '../EntryState.js';
 import { reduceEntry } from '../reduceEntry.js';
-import type { EngineListener } from './FakeEngine.js';
-import type { World } from './World.js';
+import type { EngineListener } from './SimulatedEngine.js';
+import type { SimulatedCluster } from './SimulatedCluster.js';
 
 type Effect<Type extends EntryEffect['type']> = Extract<EntryEffect, { type: Type }>;
 
 /** How a request ended for its caller. */
-export type Final =
+export type FinalAnswer =
   | { readonly type: 'whole'; readonly at: number; readonly text: string }
   /** The caller closed its connection. */
   | { readonly type: 'gone'; readonly at: number }
@@ -26,17 +26,17 @@
     };
 
 /** What one caller has seen. */
-export interface Caller {
+export interface CallerRecord {
   readonly request: CallerRequest;
   readonly arrivedAt: number;
   readonly tokens: string[];
-  readonly finals: Final[];
+  readonly finalAnswers: FinalAnswer[];
   firstTokenAt?: number;
 }
 
 interface Connection {
   readonly attemptId: string;
-  readonly caller: Caller;
+  readonly caller: CallerRecord;
   readonly instance: string;
   /** True if what it has given cannot be resumed. */
   readonly plain: boolean;
@@ -52,10 +52,10 @@
 
 const PROGRESS_MILLISECONDS = 100;
 
-export class EntryShell {
+export class SimulatedEntry {
   readonly state: EntryState;
 
-  readonly callers = new Map<string, Caller>();
+  readonly callers = new Map<string, CallerRecord>();
 
   /** Sums of `count` effects, keyed `metric/label`. */
   readonly counts = new Map<string, number>();
@@ -74,7 +74,7 @@
   private readonly movedCache = new Map<string, number>();
 
   constructor(
-    private readonly world: World,
+    private readonly world: SimulatedCluster,
     readonly instance: string,
     dataCentre: string,
   ) {
@@ -88,15 +88,15 @@
     reduceEntry(this.state, { ...occurrence, ...timed }).forEach((effect) => this.perform(effect));
   }
 
-  arrive(request: CallerRequest): Caller {
-    const caller = { request, arrivedAt: this.world.clock().now, tokens: [], finals: [] };
+  submitRequest(request: CallerRequest): CallerRecord {
+    const caller = { request, arrivedAt: this.world.clock().now, tokens: [], finalAnswers: [] };
     this.callers.set(request.requestId, caller);
     this.send({ type: 'requestArrived', request });
     return caller;
   }
 
   /** Fails connections that have been silent for too long. */
-  checkSilence(): void {
+  failStalledConnections(): void {
     const { now } = this.world.clock();
     [...this.connections.values()]
       .filter(({ gaveUp, heardAt, timeout }) => !gaveUp && now - heardAt >= timeout)
@@ -134,10 +134,10 @@
         this.world.deliverReport(this, effect.report);
         return;
       case 'tellWork':
-        this.world.deliverWork(this, effect.work);
+        this.world.deliverWorkReport(this, effect.work);
         return;
       case 'proposeCommand':
-        this.world.propose(effect.command as ReportCrashCommand);
+        this.world.applyCrashReport(effect.command as ReportCrashCommand);
         return;
       case 'proposeClaim':
         this.answerClaim(effect);
@@ -167,7 +167,7 @@
     } as const;
     const type = types[command.type];
     const answer = { type: 'result', result: { type } } as const;
-    this.world.later(1, () => {
+    this.world.schedule(1, () => {
       this.send({ type: 'claimAnswered', requestId, command: command.type, answer });
     });
   }
@@ -196,7 +196,7 @@
     };
     this.connections.set(effect.attemptId, connection);
     this.current.set(effect.requestId, effect.attemptId);
-    this.world.later(1, () => this.connect(connection, effect));
+    this.world.schedule(1, () => this.connect(connection, effect));
   }
 
   private connect(connection: Connection, effect: Effect<'startAttempt'>): void {
@@ -217,15 +217,22 @@
     const position = resumes ? caller.tokens.length : 0;
     const cached = this.movedCache.get(`${request.requestId}@${connection.instance}`) ?? 0;
     const listener = this.listen(connection);
-    const base = { attemptId, request, listener, position, prefillLeft: 0, fraction: 0 };
-    engine.open({ ...base, silent: false }, cached);
+    const base = {
+      attemptId,
+      request,
+      listener,
+      position,
+      remainingPrefillMilliseconds: 0,
+      nextTokenProgress: 0,
+    };
+    engine.open({ ...base, stalled: false }, cached);
   }
 
   private listen(connection: Connection): EngineListener {
     return {
       token: (position, token) => this.takeToken(connection, position, token),
       finished: () => this.takeEnd(connection),
-      lost: () => this.world.later(1, () => this.fail(connection, 'connectionLost', 'maybe')),
+      lost: () => this.world.schedule(1, () => this.fail(connection, 'connectionLost', 'maybe')),
     };
   }
 
@@ -242,7 +249,8 @@
       caller.firstTokenAt ??= now;
       this.send({ type: 'firstTokenReceived', attemptId });
     }
-    if (position >= caller.tokens.length && caller.finals.length === 0) caller.tokens.push(token);
+    if (position >= caller.tokens.length && caller.finalAnswers.length === 0)
+      caller.tokens.push(token);
     if (now - connection.progressAt < PROGRESS_MILLISECONDS) return;
     connection.progressAt = now;
     this.send({ type: 'attemptProgressed', attemptId, tokens: caller.tokens.length });
@@ -275,7 +283,7 @@
     this.connections.delete(attemptId);
     const { streams } = this.world.engines.get(connection.instance) ?? {};
     // A cancel does not reach the engine over a connection that has lost track of its ends.
-    if (streams?.get(attemptId)?.silent !== true) streams?.delete(attemptId);
+    if (streams?.get(attemptId)?.stalled !== true) streams?.delete(attemptId);
   }
 
   private moveCache({ requestId, attemptId, from, to }: Effect<'moveCache'>): void {
@@ -283,7 +291,7 @@
     if (caller === undefined) return;
     const tokens = caller.tokens.length;
     const held = caller.request.promptTokens + tokens;
-    this.world.later(this.world.moveDuration(held), () => {
+    this.world.schedule(this.world.moveDuration(held), () => {
       const alive = (instance: string) => this.world.engines.get(instance)?.alive === true;
       const moved = !this.world.movesFail && alive(from.instance) && alive(to.instance);
       if (moved) this.movedCache.set(`${requestId}@${to.instance}`, held);
@@ -295,7 +303,7 @@
     const engine = this.world.engines.get(instance);
     if (!this.world.probesAnswered) return;
     if (engine !== undefined && !engine.alive && engine.unreachable) return;
-    this.world.later(2, () => {
+    this.world.schedule(2, () => {
       this.send({ type: 'probeAnswered', instance, answered: engine?.alive === true });
     });
   }
@@ -305,13 +313,13 @@
     if (caller === undefined) throw new Error(`no caller for ${requestId}`);
     const isCurrent = this.current.get(requestId) === attemptId;
     const tokens = isCurrent ? caller.tokens : (this.connections.get(attemptId)?.own ?? []);
-    caller.finals.push({ type: 'whole', at: this.world.clock().now, text: tokens.join('') });
+    caller.finalAnswers.push({ type: 'whole', at: this.world.clock().now, text: tokens.join('') });
   }
 
   private answerProblem(effect: Effect<'answerProblem'>): void {
     const { kind, ran, retryAfterMilliseconds } = effect;
     const at = this.world.clock().now;
     const final = { type: 'problem', at, kind, ran, retryAfterMilliseconds } as const;
-    this.callers.get(effect.requestId)?.finals.push(final);
+    this.callers.get(effect.requestId)?.finalAnswers.push(final);
   }
 }
--- a/packages/entry-core/src/driver/fixtures.ts
+++ b/packages/entry-core/src/driver/fixtures.ts
@@ -5,9 +5,9 @@
   type Configuration,
   type Milliseconds,
 } from '@hornbeampond/schema';
-import type { EngineRates } from './FakeEngine.js';
+import type { EngineRates } from './SimulatedEngine.js';
 
-export const standardRates: EngineRates = {
+export const defaultEngineRates: EngineRates = {
   tokensPerMillisecond: 0.05,
   prefillTokensPerMillisecond: 4,
   concurrency: 32,
--- a/packages/entry-core/src/driver/waves.test.ts
+++ b/packages/entry-core/src/driver/runFaultScenario.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { fullRecoveryPolicy } from '../index.js';
-import { runWaves } from './waves.js';
+import { runFaultScenario } from './runFaultScenario.js';
 
 const SEED = 2;
 
@@ -9,18 +9,18 @@
 // and the same faults, so the difference is the policy's: a stream that is resumed keeps its deadline where
 // one that is redone from the start misses it, and one that is moved is hardly computed again.
 test('the recovery of streams beats plain baselines under the same waves', () => {
-  const full = runWaves(fullRecoveryPolicy, SEED);
-  const unmoved = runWaves({ ...fullRecoveryPolicy, moveCaches: false }, SEED);
+  const full = runFaultScenario(fullRecoveryPolicy, SEED);
+  const unmoved = runFaultScenario({ ...fullRecoveryPolicy, moveCaches: false }, SEED);
   const redone = {
     ...fullRecoveryPolicy,
     moveCaches: false,
     migrateOnNotice: false,
     resumeFromOffset: false,
   };
-  const plain = runWaves(redone, SEED);
+  const plain = runFaultScenario(redone, SEED);
   assert.equal(full.violations + unmoved.violations + plain.violations, 0);
-  assert.equal(full.whole >= full.requests * 0.99, true, `${full.whole} whole`);
-  assert.equal(plain.whole < full.whole, true, `${plain.whole} whole when redone`);
-  assert.equal(full.prefilledAgain < unmoved.prefilledAgain * 0.85, true);
-  assert.equal(full.decodedAgain < plain.decodedAgain * 0.5, true);
+  assert.equal(full.completed >= full.requests * 0.99, true, `${full.completed} whole`);
+  assert.equal(plain.completed < full.completed, true, `${plain.completed} whole when redone`);
+  assert.equal(full.extraPrefilledTokens < unmoved.extraPrefilledTokens * 0.85, true);
+  assert.equal(full.extraDecodedTokens < plain.extraDecodedTokens * 0.5, true);
 });
--- a/packages/entry-core/src/membership/advanceReports.ts
+++ b/packages/entry-core/src/membership/advanceReports.ts
@@ -39,7 +39,7 @@
   }));
 }
 
-function isUnderSuspicion({ paroled }: Suspect): boolean {
+function isUnderSuspicion({ isolationLifted: paroled }: Suspect): boolean {
   return paroled !== true;
 }
 
@@ -47,7 +47,7 @@
   const suspects = [...state.quarantine.suspects.values()];
   return suspects
     .filter(isUnderSuspicion)
-    .map(({ digest, crashIds, exposure, tokens, lossOf }) => ({
+    .map(({ digest, crashIds, exposure, tokens, lossInstance: lossOf }) => ({
       digest,
       crashes: crashIds.size,
       crashIds: [...crashIds],
--- a/packages/entry-core/src/membership/receivePeerReport.ts
+++ b/packages/entry-core/src/membership/receivePeerReport.ts
@@ -7,7 +7,7 @@
 import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import { receiveQuarantine } from '../quarantine/quarantineDigest.js';
-import { noticeReclaim } from '../reclaims/noticeReclaim.js';
+import { recordReclaimNotice } from '../reclaims/recordReclaimNotice.js';
 
 function isNewer(report: EntryReport, known: EntryReport | undefined): boolean {
   if (known === undefined) return true;
@@ -30,7 +30,7 @@
     until === undefined ? [] : [{ digest, until }],
   );
   const leaving = Object.entries(report.leavingBackendServers).flatMap(([instance, goneAt]) =>
-    noticeReclaim(state, instance, goneAt, timed),
+    recordReclaimNotice(state, instance, goneAt, timed),
   );
   return [...leaving, ...receiveQuarantine(state, quarantine, timed)];
 }
--- a/packages/entry-core/src/quarantine/QuarantineState.ts
+++ b/packages/entry-core/src/quarantine/QuarantineState.ts
@@ -7,7 +7,7 @@
   /** Crashes that it was in; empty while the loss is still being probed. */
   readonly crashIds: Set<string>;
   /** The loss that is still being probed, by instance. */
-  lossOf: string | undefined;
+  lossInstance: string | undefined;
   /** How long it had run on the backend server that was lost. */
   exposure: Milliseconds;
   /** Tokens of its answer when the backend server was lost. */
@@ -17,13 +17,13 @@
   /** Not run before this, so that peers can learn first that it is pending here. */
   readonly heldUntil?: MonotonicMilliseconds;
   /** True once it has run past the point of its crash elsewhere; see `advanceSuspects`. */
-  paroled?: boolean;
+  isolationLifted?: boolean;
   /** True if its connection was reset once before, at a backend server that answered its probe. */
   resetBefore?: boolean;
 }
 
 /** The loss of a connection to a backend server, until a probe tells what was lost. */
-export interface Loss {
+export interface ConnectionLoss {
   readonly instance: string;
   readonly openedAt: MonotonicMilliseconds;
   /** Digests in progress there when the loss was seen. */
@@ -53,16 +53,16 @@
   /** By digest. */
   readonly suspects: Map<string, Suspect>;
   /** Losses being probed, by instance. */
-  readonly losses: Map<string, Loss>;
+  readonly unresolvedLosses: Map<string, ConnectionLoss>;
   /** Backend servers that did not answer a probe, by instance. */
   readonly down: Map<string, DownServer>;
   /** The last crash of each backend server, by instance. */
   readonly lastCrashes: Map<
     string,
-    { readonly crashId: string; readonly judgedAt: MonotonicMilliseconds }
+    { readonly crashId: string; readonly confirmedAt: MonotonicMilliseconds }
   >;
   /** Digests that were in a mass loss, until when that is remembered. */
-  readonly massLost: Map<string, MonotonicMilliseconds>;
+  readonly massLossDigests: Map<string, MonotonicMilliseconds>;
   /** What backend servers last called themselves, where their probe tells. */
   readonly incarnations: Map<string, string>;
 }
@@ -71,10 +71,10 @@
   return {
     quarantined: new Map(),
     suspects: new Map(),
-    losses: new Map(),
+    unresolvedLosses: new Map(),
     down: new Map(),
     lastCrashes: new Map(),
-    massLost: new Map(),
+    massLossDigests: new Map(),
     incarnations: new Map(),
   };
 }
--- a/packages/entry-core/src/quarantine/advanceSuspects.ts
+++ b/packages/entry-core/src/quarantine/advanceSuspects.ts
@@ -41,10 +41,10 @@
 }
 
 export function advanceSuspects(state: EntryState, now: MonotonicMilliseconds): void {
-  const { suspects, quarantined, massLost } = state.quarantine;
+  const { suspects, quarantined, massLossDigests: massLost } = state.quarantine;
   suspects.forEach((suspect, digest) => {
     if (suspect.until <= now) suspects.delete(digest);
-    else if (hasPassed(state, suspect, now)) suspect.paroled = true;
+    else if (hasPassed(state, suspect, now)) suspect.isolationLifted = true;
   });
   massLost.forEach((until, digest) => {
     if (until <= now) massLost.delete(digest);
--- a/packages/entry-core/src/quarantine/blame.ts
+++ b/packages/entry-core/src/quarantine/attributeCrash.ts
@@ -10,21 +10,23 @@
 import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import { quarantineDigest } from './quarantineDigest.js';
-import type { Loss } from './QuarantineState.js';
+import type { ConnectionLoss } from './QuarantineState.js';
 import {
-  announceSpan,
-  clearExplained,
-  crashesOf,
+  announcementDelay,
+  exonerateSuspectsOf,
+  collectCrashIds,
   peerHasSuspectAt,
-  priorSuspects,
-  SUSPICION_MILLISECONDS,
+  findPriorSuspects,
+  SUSPECT_LIFETIME_MILLISECONDS,
 } from './suspects.js';
 
 /** Clears those that were suspects only for the time of the probe, and tells how many lost theirs. */
-export function clearProvisional(state: EntryState, instance: string): number {
-  const lost = [...state.quarantine.suspects.values()].filter(({ lossOf }) => lossOf === instance);
+export function removeProvisionalSuspects(state: EntryState, instance: string): number {
+  const lost = [...state.quarantine.suspects.values()].filter(
+    ({ lossInstance: lossOf }) => lossOf === instance,
+  );
   lost.forEach((suspect) => {
-    suspect.lossOf = undefined;
+    suspect.lossInstance = undefined;
     const isKept = suspect.crashIds.size > 0 || suspect.resetBefore === true;
     if (!isKept) state.quarantine.suspects.delete(suspect.digest);
   });
@@ -33,17 +35,25 @@
 
 function suspectAll(
   state: EntryState,
-  loss: Loss,
+  loss: ConnectionLoss,
   digests: string[],
   crashId: string,
   now: MonotonicMilliseconds,
 ): void {
-  const until = loss.openedAt + SUSPICION_MILLISECONDS;
-  const heldUntil = now + announceSpan(state);
+  const until = loss.openedAt + SUSPECT_LIFETIME_MILLISECONDS;
+  const heldUntil = now + announcementDelay(state);
   digests.forEach((digest) => {
-    const crashIds = crashesOf(state, digest).add(crashId);
+    const crashIds = collectCrashIds(state, digest).add(crashId);
     const { exposure = 0, tokens = 0 } = loss.members.get(digest) ?? {};
-    const suspect = { digest, crashIds, lossOf: undefined, exposure, tokens, until, heldUntil };
+    const suspect = {
+      digest,
+      crashIds,
+      lossInstance: undefined,
+      exposure,
+      tokens,
+      until,
+      heldUntil,
+    };
     state.quarantine.suspects.set(digest, suspect);
   });
 }
@@ -62,14 +72,14 @@
 }
 
 /** Draws what follows for the requests that were in progress at a crash. */
-export function blame(
+export function attributeCrash(
   state: EntryState,
-  loss: Loss,
+  loss: ConnectionLoss,
   crashId: string,
   timed: Timestamps,
 ): EntryEffect[] {
-  const prior = priorSuspects(state, loss, crashId);
-  clearProvisional(state, loss.instance);
+  const prior = findPriorSuspects(state, loss, crashId);
+  removeProvisionalSuspects(state, loss.instance);
   const culprit = prior[0];
   // A peer's suspect ran there: the crash is that one's, as the peer will find.
   if (culprit === undefined && peerHasSuspectAt(state, loss.instance)) return [];
@@ -81,7 +91,7 @@
     suspectAll(state, loss, prior, crashId, timed.now);
     return [];
   }
-  const crashIds = crashesOf(state, culprit).add(crashId);
-  clearExplained(state, crashIds);
+  const crashIds = collectCrashIds(state, culprit).add(crashId);
+  exonerateSuspectsOf(state, crashIds);
   return [...reportCulprit(culprit, crashIds), ...quarantineDigest(state, culprit, timed)];
 }
--- a/packages/entry-core/src/quarantine/judgeLoss.ts
+++ b/packages/entry-core/src/quarantine/classifyLoss.ts
@@ -8,13 +8,13 @@
 import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import { reportSoon } from '../membership/advanceReports.js';
-import { blame, clearProvisional } from './blame.js';
+import { attributeCrash, removeProvisionalSuspects } from './attributeCrash.js';
 import { crashIdOf } from './crashIdOf.js';
 import { failAttemptsAt } from './failAttemptsAt.js';
-import { hasRestarted, rememberReset, type ProbeResult } from './hasRestarted.js';
-import { isMassLoss } from './isMassLoss.js';
-import { probeOf } from './probeOf.js';
-import type { Loss } from './QuarantineState.js';
+import { hasRestarted, recordResets, type ProbeResult } from './hasRestarted.js';
+import { detectMassLoss } from './detectMassLoss.js';
+import { probeBackendServer } from './probeBackendServer.js';
+import type { ConnectionLoss } from './QuarantineState.js';
 
 /** How long a probe may go unanswered before its backend server is taken for dead. */
 export const PROBE_TIMEOUT_MILLISECONDS = 1000;
@@ -22,7 +22,12 @@
 /** How often a backend server that is down is probed again. */
 const DOWN_PROBE_MILLISECONDS = 2000;
 
-function markDown(state: EntryState, loss: Loss, crashId: string, now: MonotonicMilliseconds) {
+function markDown(
+  state: EntryState,
+  loss: ConnectionLoss,
+  crashId: string,
+  now: MonotonicMilliseconds,
+) {
   const probeDueAt = now + DOWN_PROBE_MILLISECONDS;
   const digests = new Set(loss.members.keys());
   const since = loss.openedAt;
@@ -34,38 +39,38 @@
  * unanswered probe would cut streams that are well. So would one that went out just before a caller
  * began to hold its stream up: the engine gave more than the caller could take.
  */
-function givesTokens(state: EntryState, { instance, openedAt }: Loss): boolean {
+function givesTokens(state: EntryState, { instance, openedAt }: ConnectionLoss): boolean {
   return [...(state.backendServers.get(instance)?.attemptIds ?? [])].some((attemptId) => {
     const attempt = state.attempts.get(attemptId);
     return attempt?.pausedByCaller === true || (attempt?.tokensUpdatedAt ?? openedAt) > openedAt;
   });
 }
 
-export function judgeLoss(
+export function classifyLoss(
   state: EntryState,
-  loss: Loss,
+  loss: ConnectionLoss,
   result: ProbeResult,
   timed: Timestamps,
 ): EntryEffect[] {
   const { instance } = loss;
-  state.quarantine.losses.delete(instance);
+  state.quarantine.unresolvedLosses.delete(instance);
   reportSoon(state);
   const alive = result.answered || givesTokens(state, loss);
   if (alive && !(result.answered && hasRestarted(state, loss, result))) {
-    rememberReset(state, loss);
-    const lost = clearProvisional(state, instance);
+    recordResets(state, loss);
+    const lost = removeProvisionalSuspects(state, instance);
     if (lost === 0) return [];
     return [
       { type: 'log', event: 'connectionOnlyLost', fields: { backendServer: instance, lost } },
     ];
   }
   const crashId = crashIdOf(state, loss, timed);
-  state.quarantine.lastCrashes.set(instance, { crashId, judgedAt: timed.now });
-  const mass = !result.answered && isMassLoss(state, loss);
+  state.quarantine.lastCrashes.set(instance, { crashId, confirmedAt: timed.now });
+  const mass = !result.answered && detectMassLoss(state, loss);
   // Also if it is back already: its suspects must not go there again before the next probe.
   markDown(state, loss, crashId, timed.now);
-  const blamed = mass ? [] : blame(state, loss, crashId, timed);
-  if (mass) clearProvisional(state, instance);
+  const blamed = mass ? [] : attributeCrash(state, loss, crashId, timed);
+  if (mass) removeProvisionalSuspects(state, instance);
   const members = loss.members.size;
   return [
     {
@@ -79,14 +84,14 @@
 }
 
 /** A probe has come back, for a loss or for a backend server that was down. */
-export function takeProbeAnswer(
+export function receiveProbeAnswer(
   state: EntryState,
   instance: string,
   result: ProbeResult,
   timed: Timestamps,
 ): EntryEffect[] {
-  const loss = state.quarantine.losses.get(instance);
-  const effects = loss === undefined ? [] : judgeLoss(state, loss, result, timed);
+  const loss = state.quarantine.unresolvedLosses.get(instance);
+  const effects = loss === undefined ? [] : classifyLoss(state, loss, result, timed);
   const { incarnation } = result;
   if (incarnation !== undefined) state.quarantine.incarnations.set(instance, incarnation);
   if (loss === undefined && result.answered) state.quarantine.down.delete(instance);
@@ -97,15 +102,15 @@
 
 /** Judges losses whose probe is overdue, and probes again what is down. */
 export function advanceLosses(state: EntryState, timed: Timestamps): EntryEffect[] {
-  const overdue = [...state.quarantine.losses.values()].filter(
+  const overdue = [...state.quarantine.unresolvedLosses.values()].filter(
     ({ openedAt }) => openedAt + PROBE_TIMEOUT_MILLISECONDS <= timed.now,
   );
-  const judged = overdue.flatMap((loss) => judgeLoss(state, loss, { answered: false }, timed));
+  const judged = overdue.flatMap((loss) => classifyLoss(state, loss, { answered: false }, timed));
   const probes = [...state.quarantine.down].flatMap(([instance, down]) => {
     if (!state.backendServers.has(instance)) state.quarantine.down.delete(instance);
     if (down.probeDueAt > timed.now) return [];
     down.probeDueAt = timed.now + DOWN_PROBE_MILLISECONDS;
-    return probeOf(state, instance);
+    return probeBackendServer(state, instance);
   });
   return [...judged, ...probes];
 }
--- a/packages/entry-core/src/quarantine/crashIdOf.ts
+++ b/packages/entry-core/src/quarantine/crashIdOf.ts
@@ -3,7 +3,7 @@
  */
 import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
-import type { Loss } from './QuarantineState.js';
+import type { ConnectionLoss } from './QuarantineState.js';
 
 /** Crashes without a name of their own are told apart by their time; see `crashIdOf`. */
 const CRASH_SPAN_MILLISECONDS = 1000;
@@ -18,11 +18,11 @@
  */
 export function crashIdOf(
   state: EntryState,
-  { instance, openedAt }: Loss,
+  { instance, openedAt }: ConnectionLoss,
   { now, wallNow }: Timestamps,
 ): string {
   const last = state.quarantine.lastCrashes.get(instance);
-  if (last !== undefined && openedAt - last.judgedAt <= SAME_CRASH_MILLISECONDS) {
+  if (last !== undefined && openedAt - last.confirmedAt <= SAME_CRASH_MILLISECONDS) {
     return last.crashId;
   }
   const incarnation =
--- a/packages/entry-core/src/quarantine/isMassLoss.ts
+++ b/packages/entry-core/src/quarantine/detectMassLoss.ts
@@ -10,12 +10,12 @@
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
-import type { Loss } from './QuarantineState.js';
+import type { ConnectionLoss } from './QuarantineState.js';
 import {
-  clearExplained,
+  exonerateSuspectsOf,
   peerHasSuspectAt,
-  priorSuspects,
-  SUSPICION_MILLISECONDS,
+  findPriorSuspects,
+  SUSPECT_LIFETIME_MILLISECONDS,
 } from './suspects.js';
 
 /** Losses so close together have one cause. */
@@ -36,11 +36,13 @@
     digests: [...digests],
     crashId,
   }));
-  const open = [...state.quarantine.losses.values()].map(({ instance, openedAt, members }) => ({
-    instance,
-    lostAt: openedAt,
-    digests: [...members.keys()],
-  }));
+  const open = [...state.quarantine.unresolvedLosses.values()].map(
+    ({ instance, openedAt, members }) => ({
+      instance,
+      lostAt: openedAt,
+      digests: [...members.keys()],
+    }),
+  );
   return [...down, ...open];
 }
 
@@ -55,22 +57,22 @@
 }
 
 /** True if a request is known that may have caused the loss. */
-function hasKnownSuspect(state: EntryState, loss: Loss): boolean {
-  const { massLost } = state.quarantine;
+function hasKnownSuspect(state: EntryState, loss: ConnectionLoss): boolean {
+  const { massLossDigests: massLost } = state.quarantine;
   return (
-    priorSuspects(state, loss).length > 0 ||
+    findPriorSuspects(state, loss).length > 0 ||
     peerHasSuspectAt(state, loss.instance) ||
     [...loss.members.keys()].some((digest) => massLost.has(digest))
   );
 }
 
-function rememberMembers(state: EntryState, loss: Loss): void {
-  const until = loss.openedAt + SUSPICION_MILLISECONDS;
-  loss.members.forEach((_, digest) => state.quarantine.massLost.set(digest, until));
+function rememberMembers(state: EntryState, loss: ConnectionLoss): void {
+  const until = loss.openedAt + SUSPECT_LIFETIME_MILLISECONDS;
+  loss.members.forEach((_, digest) => state.quarantine.massLossDigests.set(digest, until));
 }
 
 /** Also takes back the suspicions of an earlier loss that has proved to be part of the same. */
-export function isMassLoss(state: EntryState, loss: Loss): boolean {
+export function detectMassLoss(state: EntryState, loss: ConnectionLoss): boolean {
   const dataCentre = dataCentreOf(state, loss.instance);
   const near = listNeighbours(state).filter(
     ({ instance, lostAt, digests }) =>
@@ -82,7 +84,7 @@
   const isMost = (near.length + 1) * 2 > sizeOf(state, dataCentre);
   if (near.length === 0 || !isMost || hasKnownSuspect(state, loss)) return false;
   near.forEach(({ crashId }) => {
-    if (crashId !== undefined) clearExplained(state, new Set([crashId]));
+    if (crashId !== undefined) exonerateSuspectsOf(state, new Set([crashId]));
   });
   rememberMembers(state, loss);
   return true;
--- a/packages/entry-core/src/quarantine/hasRestarted.ts
+++ b/packages/entry-core/src/quarantine/hasRestarted.ts
@@ -2,8 +2,8 @@
  * Tells a backend server that lost a connection from one that crashed and is back already.
  */
 import type { EntryState } from '../EntryState.js';
-import type { Loss } from './QuarantineState.js';
-import { priorSuspects } from './suspects.js';
+import type { ConnectionLoss } from './QuarantineState.js';
+import { findPriorSuspects } from './suspects.js';
 
 /** What a probe's answer says. */
 export interface ProbeResult {
@@ -17,7 +17,11 @@
  * or if one that was reset carried a suspect of an earlier crash, or was reset once before. A bad
  * request that is alone on engines that restart at once costs one more of them for that.
  */
-export function hasRestarted(state: EntryState, loss: Loss, { incarnation }: ProbeResult): boolean {
+export function hasRestarted(
+  state: EntryState,
+  loss: ConnectionLoss,
+  { incarnation }: ProbeResult,
+): boolean {
   const before = state.quarantine.incarnations.get(loss.instance);
   if (before !== undefined && incarnation !== undefined) return before !== incarnation;
   if (loss.reset.size === 0) return false;
@@ -25,15 +29,15 @@
   const again = [...loss.reset].some(
     (digest) => state.quarantine.suspects.get(digest)?.resetBefore === true,
   );
-  return mostReset || again || priorSuspects(state, loss).length > 0;
+  return mostReset || again || findPriorSuspects(state, loss).length > 0;
 }
 
 /** Remembers whose connection was reset although the backend server answers. */
-export function rememberReset(state: EntryState, loss: Loss): void {
+export function recordResets(state: EntryState, loss: ConnectionLoss): void {
   loss.reset.forEach((digest) => {
     const suspect = state.quarantine.suspects.get(digest);
     if (suspect === undefined) return;
-    suspect.paroled = true;
+    suspect.isolationLifted = true;
     suspect.resetBefore = true;
   });
 }
--- a/packages/entry-core/src/quarantine/suspectTurns.ts
+++ b/packages/entry-core/src/quarantine/listInstancesOutsideSlot.ts
@@ -26,7 +26,7 @@
 }
 
 /** Backend servers at which this entry may not start a suspect now. */
-export function outOfTurn(state: EntryState, now: MonotonicMilliseconds): string[] {
+export function listInstancesOutsideSlot(state: EntryState, now: MonotonicMilliseconds): string[] {
   const entries = livePeers(state)
     .filter(({ report }) => report.suspects.some(({ pending }) => pending === true))
     .map(({ report }) => report.instance);
--- a/packages/entry-core/src/quarantine/openLoss.ts
+++ b/packages/entry-core/src/quarantine/openLoss.ts
@@ -1,15 +1,15 @@
 /** Begins to find out what became of a backend server: who is in progress there is kept. */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
-import type { Loss } from './QuarantineState.js';
+import type { ConnectionLoss } from './QuarantineState.js';
 
 function membersAt(
   state: EntryState,
   instance: string,
   now: MonotonicMilliseconds,
   exceptAttemptId: string | undefined,
-): Loss['members'] {
-  const members: Loss['members'] = new Map();
+): ConnectionLoss['members'] {
+  const members: ConnectionLoss['members'] = new Map();
   state.backendServers.get(instance)?.attemptIds.forEach((attemptId) => {
     const attempt = state.attempts.get(attemptId);
     const request = attempt && state.requests.get(attempt.requestId)?.request;
@@ -25,9 +25,9 @@
   instance: string,
   now: MonotonicMilliseconds,
   exceptAttemptId?: string,
-): Loss {
+): ConnectionLoss {
   const members = membersAt(state, instance, now, exceptAttemptId);
   const loss = { instance, openedAt: now, members, reset: new Set<string>() };
-  state.quarantine.losses.set(instance, loss);
+  state.quarantine.unresolvedLosses.set(instance, loss);
   return loss;
 }
--- a/packages/entry-core/src/quarantine/probeOf.ts
+++ b/packages/entry-core/src/quarantine/probeBackendServer.ts
@@ -4,7 +4,7 @@
 import type { EntryState } from '../EntryState.js';
 import { routeIndexOf } from '../routing/routeIndexOf.js';
 
-export function probeOf(state: EntryState, instance: string): EntryEffect[] {
+export function probeBackendServer(state: EntryState, instance: string): EntryEffect[] {
   const server = state.backendServers.get(instance);
   if (server === undefined) return [];
   const pool = routeIndexOf(state).pool(server.platformInstance.pool);
--- a/packages/entry-core/src/quarantine/probeStalled.ts
+++ b/packages/entry-core/src/quarantine/probeStalledServers.ts
@@ -14,7 +14,7 @@
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
 import { openLoss } from './openLoss.js';
-import { probeOf } from './probeOf.js';
+import { probeBackendServer } from './probeBackendServer.js';
 
 /** A stream that has given nothing for so long has stalled. */
 const STALL_MILLISECONDS = 1500;
@@ -32,7 +32,7 @@
 
 /** Backend servers with a stalled stream, of which nothing is known yet. */
 function stalledInstances(state: EntryState, now: MonotonicMilliseconds): Set<string> {
-  const { losses, down } = state.quarantine;
+  const { unresolvedLosses: losses, down } = state.quarantine;
   const instances = new Set<string>();
   state.attempts.forEach((attempt) => {
     const { instance } = attempt;
@@ -43,9 +43,9 @@
   return instances;
 }
 
-export function probeStalled(state: EntryState, now: MonotonicMilliseconds): EntryEffect[] {
+export function probeStalledServers(state: EntryState, now: MonotonicMilliseconds): EntryEffect[] {
   return [...stalledInstances(state, now)].flatMap((instance) => {
     openLoss(state, instance, now);
-    return probeOf(state, instance);
+    return probeBackendServer(state, instance);
   });
 }
--- a/packages/entry-core/src/quarantine/quarantineDigest.ts
+++ b/packages/entry-core/src/quarantine/quarantineDigest.ts
@@ -10,7 +10,7 @@
 import { failRequest } from '../requests/endRequest.js';
 import { determineRan } from '../requests/determineRan.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { clearExplained, crashesOf } from './suspects.js';
+import { exonerateSuspectsOf, collectCrashIds } from './suspects.js';
 
 /** Until the store's own word on it comes, this entry keeps the digest out for so long. */
 const OWN_QUARANTINE_MILLISECONDS = 600_000;
@@ -70,7 +70,7 @@
     const known = state.quarantine.quarantined.get(digest);
     if (endsAt <= timed.now || (known !== undefined && known.endsAt >= endsAt)) return [];
     state.quarantine.quarantined.set(digest, { until, endsAt });
-    clearExplained(state, crashesOf(state, digest));
+    exonerateSuspectsOf(state, collectCrashIds(state, digest));
     return endAllOf(state, digest, endsAt, timed);
   });
 }
--- a/packages/entry-core/src/quarantine/randomBatches.test.ts
+++ b/packages/entry-core/src/quarantine/randomPoisonBatches.test.ts
@@ -1,7 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { BAD_DIGEST, makeRequest, refusedInnocents, World } from '../driver/index.js';
+import {
+  POISON_DIGEST,
+  makeRequest,
+  findFailedHarmlessCallers,
+  SimulatedCluster,
+} from '../driver/index.js';
 
 const SIZE = 30;
 
@@ -29,31 +34,31 @@
   ),
 });
 
-function countDeaths(world: World): number {
+function countDeaths(world: SimulatedCluster): number {
   return [...world.engines.values()].reduce((sum, { deaths }) => sum + deaths, 0);
 }
 
-function makeWorld(batch: Batch, restarts: boolean): World {
-  const world = new World({
+function makeWorld(batch: Batch, restarts: boolean): SimulatedCluster {
+  const world = new SimulatedCluster({
     engines: { 'wien-a': batch.engines },
     entries: batch.entries,
-    poison: new Map([[BAD_DIGEST, batch.crashAt]]),
+    crashTokenByDigest: new Map([[POISON_DIGEST, batch.crashAt]]),
   });
   world.engines.forEach((engine) => {
     engine.unreachable = batch.unreachable;
-    engine.restarts = restarts;
+    engine.restartsImmediately = restarts;
   });
   // The entries have heard each other before the batch comes.
   world.advance(1200);
   return world;
 }
 
-function sendBatch(world: World, batch: Batch): void {
+function sendBatch(world: SimulatedCluster, batch: Batch): void {
   for (let number = 0; number < SIZE; number += 1) {
     const isBad = number === batch.badAt;
     const name = isBad ? 'bad' : `request-${number}`;
-    const fields = isBad ? { digest: BAD_DIGEST } : { mostTokens: 100 + ((number * 37) % 300) };
-    world.entryAt(number % batch.entries).arrive(makeRequest(name, fields));
+    const fields = isBad ? { digest: POISON_DIGEST } : { mostTokens: 100 + ((number * 37) % 300) };
+    world.entryAt(number % batch.entries).submitRequest(makeRequest(name, fields));
     world.advance(batch.spacing);
   }
 }
@@ -61,29 +66,29 @@
 /** The caller learns of a failure no sooner than this after the first crash. */
 const RESEND_DELAY_MILLISECONDS = 300;
 
-function sendAgain(world: World, batch: Batch): void {
+function sendAgain(world: SimulatedCluster, batch: Batch): void {
   for (let waited = 0; countDeaths(world) === 0 && waited < 15_000; waited += 10) world.advance(10);
   world.advance(RESEND_DELAY_MILLISECONDS);
   batch.resends.forEach(({ after, entry }, position) => {
-    const request = makeRequest(`bad-${position}`, { digest: BAD_DIGEST });
-    world.later(after, () => world.entryAt(entry % batch.entries).arrive(request));
+    const request = makeRequest(`bad-${position}`, { digest: POISON_DIGEST });
+    world.schedule(after, () => world.entryAt(entry % batch.entries).submitRequest(request));
   });
 }
 
-function run(batch: Batch, restarts: boolean): World {
+function run(batch: Batch, restarts: boolean): SimulatedCluster {
   const world = makeWorld(batch, restarts);
   sendBatch(world, batch);
   sendAgain(world, batch);
-  world.settle();
+  world.runUntilAnswered();
   world.advance(4000);
-  world.settle();
+  world.runUntilAnswered();
   return world;
 }
 
 function assertBound(batch: Batch, restarts: boolean, mostDeaths: number): void {
   const world = run(batch, restarts);
-  assert.deepEqual(world.violations(), []);
-  assert.deepEqual(refusedInnocents(world), []);
+  assert.deepEqual(world.findViolations(), []);
+  assert.deepEqual(findFailedHarmlessCallers(world), []);
   assert.equal(countDeaths(world) <= mostDeaths, true, `${countDeaths(world)} engines crashed`);
 }
 
--- a/packages/entry-core/src/quarantine/noteLoss.ts
+++ b/packages/entry-core/src/quarantine/recordLoss.ts
@@ -11,23 +11,35 @@
 import type { EntryState } from '../EntryState.js';
 import { reportSoon } from '../membership/advanceReports.js';
 import { openLoss } from './openLoss.js';
-import { probeOf } from './probeOf.js';
-import { SUSPICION_MILLISECONDS } from './suspects.js';
-import type { Loss } from './QuarantineState.js';
+import { probeBackendServer } from './probeBackendServer.js';
+import { SUSPECT_LIFETIME_MILLISECONDS } from './suspects.js';
+import type { ConnectionLoss } from './QuarantineState.js';
 import type { RequestState } from '../requests/RequestState.js';
 
 /** Suspects the request for the time of the probe. */
-function suspect(state: EntryState, { digest }: RequestState['request'], loss: Loss, now: number) {
+function suspect(
+  state: EntryState,
+  { digest }: RequestState['request'],
+  loss: ConnectionLoss,
+  now: number,
+) {
   const { suspects } = state.quarantine;
   const known = suspects.get(digest);
   if (known !== undefined) {
-    known.lossOf = loss.instance;
+    known.lossInstance = loss.instance;
     return;
   }
   const { exposure, tokens } = loss.members.get(digest) ?? { exposure: 0, tokens: 0 };
-  const until = now + SUSPICION_MILLISECONDS;
+  const until = now + SUSPECT_LIFETIME_MILLISECONDS;
   const lossOf = loss.instance;
-  suspects.set(digest, { digest, crashIds: new Set(), lossOf, exposure, tokens, until });
+  suspects.set(digest, {
+    digest,
+    crashIds: new Set(),
+    lossInstance: lossOf,
+    exposure,
+    tokens,
+    until,
+  });
 }
 
 /**
@@ -39,7 +51,7 @@
 }
 
 /** Call it before the attempt is forgotten, while it still counts among those in progress. */
-export function noteLoss(
+export function recordLoss(
   state: EntryState,
   accepted: RequestState,
   attempt: AttemptState,
@@ -49,7 +61,7 @@
   const { instance } = attempt;
   // Its end was announced: nothing to find out, and no request to suspect.
   if (state.reclaims.leaving.has(instance) || state.quarantine.down.has(instance)) return [];
-  const known = state.quarantine.losses.get(instance);
+  const known = state.quarantine.unresolvedLosses.get(instance);
   // A refused connection names no member: nothing of its request was sent.
   const except = event.failure === 'connectFailed' ? attempt.attemptId : undefined;
   const loss = known ?? openLoss(state, instance, event.now, except);
@@ -58,5 +70,5 @@
   if (event.failure !== 'connectFailed') suspect(state, accepted.request, loss, event.now);
   // A resend through another entry must not run while the probe is out.
   reportSoon(state);
-  return known === undefined ? probeOf(state, instance) : [];
+  return known === undefined ? probeBackendServer(state, instance) : [];
 }
--- a/packages/entry-core/src/quarantine/slowCaller.test.ts
+++ b/packages/entry-core/src/quarantine/slowCaller.test.ts
@@ -1,17 +1,17 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { makeRequest, World } from '../driver/index.js';
+import { makeRequest, SimulatedCluster } from '../driver/index.js';
 
 /** True if the engine was put in doubt, or given up already. */
-function isInDoubt(world: World): boolean {
-  const { losses, down } = world.entry.state.quarantine;
+function isInDoubt(world: SimulatedCluster): boolean {
+  const { unresolvedLosses: losses, down } = world.entry.state.quarantine;
   return losses.size + down.size > 0;
 }
 
 /** A stream that runs at one of two engines; `stall` has that engine give nothing more, nor answer. */
 function startStream() {
-  const world = new World({ engines: { 'wien-a': 2 } });
-  world.entry.arrive(makeRequest('slow', { maxTokens: 5000 }));
+  const world = new SimulatedCluster({ engines: { 'wien-a': 2 } });
+  world.entry.submitRequest(makeRequest('slow', { maxTokens: 5000 }));
   world.advance(300);
   const [attempt] = world.entry.state.attempts.values();
   assert.ok(attempt !== undefined);
@@ -19,7 +19,7 @@
   const stall = () => {
     world.probesAnswered = false;
     world.engine(instance).streams.forEach((stream) => {
-      stream.silent = true;
+      stream.stalled = true;
     });
   };
   return { world, attemptId, stall };
--- a/packages/entry-core/src/quarantine/suspects.ts
+++ b/packages/entry-core/src/quarantine/suspects.ts
@@ -6,16 +6,16 @@
 import type { EntryState } from '../EntryState.js';
 import { livePeers } from '../membership/livePeers.js';
 import { reportSoon } from '../membership/advanceReports.js';
-import type { Loss, Suspect } from './QuarantineState.js';
+import type { ConnectionLoss, Suspect } from './QuarantineState.js';
 
 /** Suspicion ends after this, if the caller does not send the request again. */
-export const SUSPICION_MILLISECONDS = 600_000;
+export const SUSPECT_LIFETIME_MILLISECONDS = 600_000;
 
 /** By then a report sent with the next tick has reached the peers. */
 const ANNOUNCE_MILLISECONDS = 250;
 
 /** How long a new suspect waits for peers to learn of it; not at all if there are none. */
-export function announceSpan(state: EntryState): Milliseconds {
+export function announcementDelay(state: EntryState): Milliseconds {
   return livePeers(state).length === 0 ? 0 : ANNOUNCE_MILLISECONDS;
 }
 
@@ -29,7 +29,7 @@
 }
 
 /** The crashes that a digest was in progress at, by what this entry and its peers saw. */
-export function crashesOf(state: EntryState, digest: string): Set<string> {
+export function collectCrashIds(state: EntryState, digest: string): Set<string> {
   const crashes = new Set(state.quarantine.suspects.get(digest)?.crashIds);
   peerSuspects(state)
     .filter((suspect) => suspect.digest === digest && suspect.crashes > 0)
@@ -40,7 +40,7 @@
 export function isSuspect(state: EntryState, digest: string): boolean {
   const own = state.quarantine.suspects.get(digest);
   return (
-    (own !== undefined && (own.paroled !== true || own.lossOf !== undefined)) ||
+    (own !== undefined && (own.isolationLifted !== true || own.lossInstance !== undefined)) ||
     peerSuspects(state).some((suspect) => suspect.digest === digest)
   );
 }
@@ -55,12 +55,12 @@
   const told = peerSuspects(state).filter((suspect) => suspect.digest === digest);
   const adopted = {
     digest,
-    crashIds: crashesOf(state, digest),
-    lossOf: undefined,
+    crashIds: collectCrashIds(state, digest),
+    lossInstance: undefined,
     exposure: Math.max(...told.map(({ exposure = 0 }) => exposure)),
     tokens: Math.max(...told.map(({ tokens = 0 }) => tokens)),
-    until: now + SUSPICION_MILLISECONDS,
-    heldUntil: now + announceSpan(state),
+    until: now + SUSPECT_LIFETIME_MILLISECONDS,
+    heldUntil: now + announcementDelay(state),
   };
   state.quarantine.suspects.set(digest, adopted);
   reportSoon(state);
@@ -92,10 +92,14 @@
  * one backend server after the other before the first crash is judged, and one that its caller
  * sends again would run beside itself.
  */
-export function isHeld(state: EntryState, digest: string, now: MonotonicMilliseconds): boolean {
+export function mustDelaySuspect(
+  state: EntryState,
+  digest: string,
+  now: MonotonicMilliseconds,
+): boolean {
   if (!isSuspect(state, digest)) return false;
-  const { lossOf, heldUntil = 0 } = adoptSuspect(state, digest, now);
-  if (lossOf !== undefined && state.quarantine.losses.has(lossOf)) return true;
+  const { lossInstance: lossOf, heldUntil = 0 } = adoptSuspect(state, digest, now);
+  if (lossOf !== undefined && state.quarantine.unresolvedLosses.has(lossOf)) return true;
   if (heldUntil > now || isPendingAtEarlierPeer(state, digest)) return true;
   if (isProbedByPeer(state, digest)) return true;
   const runsHere = [...state.attempts.values()].some(
@@ -109,7 +113,10 @@
 }
 
 /** Where suspects other than this request run now, here and by the peers' reports. */
-export function suspectHosts(state: EntryState, exceptRequestId: string): Set<string> {
+export function listInstancesRunningSuspects(
+  state: EntryState,
+  exceptRequestId: string,
+): Set<string> {
   const hosts = new Set<string>();
   state.attempts.forEach(({ requestId, instance }) => {
     const digest = state.requests.get(requestId)?.request.digest;
@@ -123,12 +130,12 @@
 }
 
 /** A suspect that ran whole is none any more. */
-export function clearSuspect(state: EntryState, digest: string): void {
+export function exonerateSuspect(state: EntryState, digest: string): void {
   state.quarantine.suspects.delete(digest);
 }
 
 /** Once a crash has its culprit, all others that were in it, and in no other, are cleared. */
-export function clearExplained(state: EntryState, crashIds: ReadonlySet<string>): void {
+export function exonerateSuspectsOf(state: EntryState, crashIds: ReadonlySet<string>): void {
   state.quarantine.suspects.forEach((suspect, digest) => {
     const explained = [...suspect.crashIds].every((crashId) => crashIds.has(crashId));
     if (suspect.crashIds.size > 0 && explained) state.quarantine.suspects.delete(digest);
@@ -136,14 +143,18 @@
 }
 
 function isParoled(state: EntryState, digest: string): boolean {
-  return state.quarantine.suspects.get(digest)?.paroled === true;
+  return state.quarantine.suspects.get(digest)?.isolationLifted === true;
 }
 
 /** Members of the loss that were in progress at an earlier crash, one other than `crashId`. */
-export function priorSuspects(state: EntryState, loss: Loss, crashId?: string): string[] {
+export function findPriorSuspects(
+  state: EntryState,
+  loss: ConnectionLoss,
+  crashId?: string,
+): string[] {
   const isOther = (other: string) => other !== crashId;
   return [...loss.members.keys()].filter(
-    (digest) => !isParoled(state, digest) && [...crashesOf(state, digest)].some(isOther),
+    (digest) => !isParoled(state, digest) && [...collectCrashIds(state, digest)].some(isOther),
   );
 }
 
--- a/packages/entry-core/src/reclaims/handOnStreams.ts
+++ b/packages/entry-core/src/reclaims/migrateStreams.ts
@@ -18,14 +18,14 @@
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
 import {
-  canMove,
-  fitsNotice,
-  moveDuration,
+  canMoveCache,
+  canFinishWithinNotice,
+  estimateMoveDuration,
   NOTICE_MARGIN_MILLISECONDS,
-  prefillDuration,
-  redoTokens,
-} from './costs.js';
-import { startMove } from './moveCache.js';
+  estimatePrefillDuration,
+  countTokensToRecompute,
+} from './recoveryCosts.js';
+import { startCacheMove } from './moveCache.js';
 import { resumeElsewhere } from './resumeElsewhere.js';
 
 interface Stream {
@@ -51,7 +51,9 @@
 function canBeHandedOn(accepted: RequestState, attempt: AttemptState): boolean {
   if (accepted.attemptId !== attempt.attemptId) return false;
   if (!accepted.route.idempotent) {
-    return !isClaimed(accepted.route) && canMove(accepted) && attempt.firstTokenAt !== undefined;
+    return (
+      !isClaimed(accepted.route) && canMoveCache(accepted) && attempt.firstTokenAt !== undefined
+    );
   }
   return accepted.pool.kind === 'modelEngine' || attempt.firstTokenAt === undefined;
 }
@@ -64,7 +66,7 @@
  * end by itself; the spread keeps a wave's prefills from reaching the targets all at once.
  */
 function resumeReserve(streams: readonly Stream[], targets: number): Milliseconds {
-  const prefill = streams.reduce((sum, { accepted }) => sum + prefillDuration(accepted), 0);
+  const prefill = streams.reduce((sum, { accepted }) => sum + estimatePrefillDuration(accepted), 0);
   return NOTICE_MARGIN_MILLISECONDS + (prefill * SPREAD_SHARE) / Math.max(1, targets);
 }
 
@@ -77,12 +79,14 @@
 
 /** Parts the streams into those that the link can move within `left`, dearest redo first. */
 function fillLink(streams: readonly Stream[], left: Milliseconds) {
-  const byCost = [...streams].sort((a, b) => redoTokens(b.accepted) - redoTokens(a.accepted));
+  const byCost = [...streams].sort(
+    (a, b) => countTokensToRecompute(b.accepted) - countTokensToRecompute(a.accepted),
+  );
   let room = left - NOTICE_MARGIN_MILLISECONDS;
   const moved: Stream[] = [];
   const resumed: Stream[] = [];
   byCost.forEach((stream) => {
-    const duration = moveDuration(stream.accepted);
+    const duration = estimateMoveDuration(stream.accepted);
     if (duration > room) {
       resumed.push(stream);
       return;
@@ -125,7 +129,7 @@
   return accepted.route.idempotent;
 }
 
-export function handOnStreams(
+export function migrateStreams(
   state: EntryState,
   instance: string,
   timed: Timestamps,
@@ -134,7 +138,8 @@
   const left = (state.reclaims.leaving.get(instance) ?? Infinity) - timed.wallNow;
   const streams = streamsAt(state, instance).filter(
     ({ accepted, attempt }) =>
-      !fitsNotice(accepted, attempt, left) && !state.reclaims.moves.has(accepted.request.requestId),
+      !canFinishWithinNotice(accepted, attempt, left) &&
+      !state.reclaims.moves.has(accepted.request.requestId),
   );
   if (streams.length === 0) return [];
   const { unbegun, begun, plain } = partByProgress(streams);
@@ -144,7 +149,7 @@
   const next = hasMoveFrom(state, instance) ? undefined : moved[0];
   return [
     ...unbegun.flatMap(({ accepted }) => resumeElsewhere(state, accepted, 'reclaimNotice', timed)),
-    ...(next === undefined ? [] : startMove(state, next.accepted, next.attempt, timed)),
+    ...(next === undefined ? [] : startCacheMove(state, next.accepted, next.attempt, timed)),
     ...resumeDue(state, [...resumed, ...plain].filter(isRepeatable), left, timed),
   ];
 }
--- a/packages/entry-core/src/reclaims/moveCache.ts
+++ b/packages/entry-core/src/reclaims/moveCache.ts
@@ -16,8 +16,8 @@
 import type { EntryEvent, Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { moveDuration } from './costs.js';
-import { handOnTo, resumeElsewhere } from './resumeElsewhere.js';
+import { estimateMoveDuration } from './recoveryCosts.js';
+import { migrateToServer, resumeElsewhere } from './resumeElsewhere.js';
 import type { CacheMove } from './ReclaimState.js';
 
 /** A move that takes this many times its costed span is taken for failed. */
@@ -26,13 +26,13 @@
 /** Fewest milliseconds that a move is waited for. */
 const LEAST_WAIT_MILLISECONDS = 250;
 
-export type CacheMoved = Extract<EntryEvent, { type: 'cacheMoved' }>;
+export type CacheMovedEvent = Extract<EntryEvent, { type: 'cacheMoved' }>;
 
 function countMove(outcome: CacheMoveOutcome): EntryEffect {
   return { type: 'count', metric: 'cacheMoves', label: outcome };
 }
 
-export function startMove(
+export function startCacheMove(
   state: EntryState,
   accepted: RequestState,
   { attemptId, instance }: AttemptState,
@@ -42,7 +42,7 @@
   const source = state.backendServers.get(instance);
   const target = chooseServerForAttempt(state, accepted, { spreadEvenly: true });
   if (source === undefined || target === undefined) return [];
-  const wait = Math.max(LEAST_WAIT_MILLISECONDS, moveDuration(accepted) * OVERDUE_FACTOR);
+  const wait = Math.max(LEAST_WAIT_MILLISECONDS, estimateMoveDuration(accepted) * OVERDUE_FACTOR);
   const to = target.platformInstance.instance;
   const { tokens } = accepted;
   const move: CacheMove = { requestId, attemptId, from: instance, to, tokens, dueAt: now + wait };
@@ -56,7 +56,7 @@
 
 function isUsable(state: EntryState, instance: string): BackendServerState | undefined {
   const server = state.backendServers.get(instance);
-  const { down, losses } = state.quarantine;
+  const { down, unresolvedLosses: losses } = state.quarantine;
   const usable = server?.goneAt === undefined && !down.has(instance) && !losses.has(instance);
   return usable ? server : undefined;
 }
@@ -79,7 +79,7 @@
 }
 
 /** An answer to a move that was abandoned meanwhile finds none, or another, and is dropped. */
-export function finishMove(state: EntryState, event: CacheMoved): EntryEffect[] {
+export function finishCacheMove(state: EntryState, event: CacheMovedEvent): EntryEffect[] {
   const move = state.reclaims.moves.get(event.requestId);
   const accepted = state.requests.get(event.requestId);
   if (move === undefined || accepted === undefined) return [];
@@ -91,12 +91,12 @@
   return [
     { type: 'count', metric: 'retries', label: 'reclaimNotice' },
     countMove('moved'),
-    ...handOnTo(state, accepted, target, since, event.now),
+    ...migrateToServer(state, accepted, target, since, event.now),
   ];
 }
 
 /** Abandons moves that are overdue, or whose target is leaving or lost. */
-export function advanceMoves(state: EntryState, timed: Timestamps): EntryEffect[] {
+export function advanceCacheMoves(state: EntryState, timed: Timestamps): EntryEffect[] {
   return [...state.reclaims.moves.values()].flatMap((move) => {
     if (isUsable(state, move.to) === undefined) {
       return abandonMove(state, move, 'targetLost', timed);
--- a/packages/entry-core/src/reclaims/receiveCacheMoved.ts
+++ b/packages/entry-core/src/reclaims/receiveCacheMoved.ts
@@ -4,11 +4,11 @@
  */
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
-import { handOnStreams } from './handOnStreams.js';
-import { finishMove, type CacheMoved } from './moveCache.js';
+import { migrateStreams } from './migrateStreams.js';
+import { finishCacheMove, type CacheMovedEvent } from './moveCache.js';
 
-export function receiveCacheMoved(state: EntryState, event: CacheMoved): EntryEffect[] {
+export function receiveCacheMoved(state: EntryState, event: CacheMovedEvent): EntryEffect[] {
   const from = state.reclaims.moves.get(event.requestId)?.from;
-  const finished = finishMove(state, event);
-  return from === undefined ? finished : [...finished, ...handOnStreams(state, from, event)];
+  const finished = finishCacheMove(state, event);
+  return from === undefined ? finished : [...finished, ...migrateStreams(state, from, event)];
 }
--- a/packages/entry-core/src/reclaims/noticeReclaim.ts
+++ b/packages/entry-core/src/reclaims/recordReclaimNotice.ts
@@ -7,7 +7,7 @@
 import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import { reportSoon } from '../membership/advanceReports.js';
-import { handOnStreams } from './handOnStreams.js';
+import { migrateStreams } from './migrateStreams.js';
 
 /** What is known of a backend server's end is forgotten this long after it. */
 const FORGOTTEN_MILLISECONDS = 60_000;
@@ -22,7 +22,7 @@
   return earliest < known;
 }
 
-export function noticeReclaim(
+export function recordReclaimNotice(
   state: EntryState,
   instance: string,
   goneAt: EpochMilliseconds,
@@ -34,7 +34,7 @@
   const notice = goneAt - timed.wallNow;
   return [
     { type: 'log', event: 'reclaimNoticed', fields: { backendServer: instance, goneAt, notice } },
-    ...handOnStreams(state, instance, timed),
+    ...migrateStreams(state, instance, timed),
   ];
 }
 
@@ -42,7 +42,7 @@
  * Takes the notices out of the platform's list. A backend server that is listed only after its
  * notice came another way is on notice from its first listing on.
  */
-export function noticeListed(
+export function recordListedReclaimNotices(
   state: EntryState,
   instances: readonly PlatformInstance[],
   timed: Timestamps,
@@ -55,7 +55,7 @@
   if (fresh.length > 0) reportSoon(state);
   return fresh.flatMap((instance) => [
     { type: 'log', event: 'reclaimNoticed', fields: { backendServer: instance } } as const,
-    ...handOnStreams(state, instance, timed),
+    ...migrateStreams(state, instance, timed),
   ]);
 }
 
@@ -70,7 +70,7 @@
 export function advanceReclaims(state: EntryState, timed: Timestamps): EntryEffect[] {
   return [...state.reclaims.leaving].flatMap(([instance, goneAt]) => {
     if (goneAt + FORGOTTEN_MILLISECONDS > timed.wallNow) {
-      return handOnStreams(state, instance, timed);
+      return migrateStreams(state, instance, timed);
     }
     forgetNotice(state, instance);
     return [];
--- a/packages/entry-core/src/reclaims/costs.ts
+++ b/packages/entry-core/src/reclaims/recoveryCosts.ts
@@ -10,7 +10,7 @@
  * Tokens of KV cache that an engine exports over its link in a millisecond: about 128 KiB a token
  * over 10 Gbit/s.
  */
-export const MOVED_TOKENS_PER_MILLISECOND = 8;
+export const DEFAULT_MOVED_TOKENS_PER_MILLISECOND = 8;
 
 /** What a move takes besides its bytes. */
 const MOVE_OVERHEAD_MILLISECONDS: Milliseconds = 50;
@@ -28,22 +28,23 @@
 const LEAST_MEASURED_MILLISECONDS: Milliseconds = 200;
 
 /** Tokens that an engine would have to compute again if the stream were redone elsewhere. */
-export function redoTokens(accepted: RequestState): number {
+export function countTokensToRecompute(accepted: RequestState): number {
   return accepted.request.promptTokens + accepted.tokens;
 }
 
-export function moveDuration(accepted: RequestState): Milliseconds {
-  const rate = accepted.pool.streams?.movedTokensPerMillisecond ?? MOVED_TOKENS_PER_MILLISECOND;
-  return rate > 0 ? MOVE_OVERHEAD_MILLISECONDS + redoTokens(accepted) / rate : Infinity;
+export function estimateMoveDuration(accepted: RequestState): Milliseconds {
+  const rate =
+    accepted.pool.streams?.movedTokensPerMillisecond ?? DEFAULT_MOVED_TOKENS_PER_MILLISECOND;
+  return rate > 0 ? MOVE_OVERHEAD_MILLISECONDS + countTokensToRecompute(accepted) / rate : Infinity;
 }
 
 /** True if the engines of its pool can hand the request's KV cache to each other. */
-export function canMove({ pool }: RequestState): boolean {
+export function canMoveCache({ pool }: RequestState): boolean {
   return pool.kind === 'modelEngine' && pool.streams?.movedTokensPerMillisecond !== 0;
 }
 
-export function prefillDuration(accepted: RequestState): Milliseconds {
-  return redoTokens(accepted) / PREFILL_TOKENS_PER_MILLISECOND;
+export function estimatePrefillDuration(accepted: RequestState): Milliseconds {
+  return countTokensToRecompute(accepted) / PREFILL_TOKENS_PER_MILLISECOND;
 }
 
 /** Tokens a millisecond that this attempt has given so far; undefined while not measured. */
@@ -66,7 +67,7 @@
  * True if even the longest answer that the caller allows ends within `left`, or if there is time to
  * find out: to restart a prompt elsewhere at the start of a long notice would compute it twice.
  */
-export function fitsNotice(
+export function canFinishWithinNotice(
   accepted: RequestState,
   attempt: AttemptState,
   left: Milliseconds,
--- a/packages/entry-core/src/reclaims/resumeElsewhere.ts
+++ b/packages/entry-core/src/reclaims/resumeElsewhere.ts
@@ -11,10 +11,10 @@
 import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { redoTokens } from './costs.js';
+import { countTokensToRecompute } from './recoveryCosts.js';
 
 /** Gives up the attempt that runs and goes on at `server`, where `tokens` are computed again. */
-export function handOnTo(
+export function migrateToServer(
   state: EntryState,
   accepted: RequestState,
   server: BackendServerState,
@@ -47,6 +47,6 @@
   if (server === undefined) return [];
   return [
     { type: 'count', metric: 'retries', label: reason },
-    ...handOnTo(state, accepted, server, redoTokens(accepted), now),
+    ...migrateToServer(state, accepted, server, countTokensToRecompute(accepted), now),
   ];
 }
--- a/packages/entry-core/src/reclaims/stories.test.ts
+++ b/packages/entry-core/src/reclaims/stories.test.ts
@@ -1,33 +1,33 @@
 import { test } from 'node:test';
 import { matchSnapshot } from '@hornbeampond/testing';
-import { makeRequest, World } from '../driver/index.js';
+import { makeRequest, SimulatedCluster } from '../driver/index.js';
 
 /** What the entry logged of a story, without what every request logs. */
-function logOf(world: World): string {
+function logOf(world: SimulatedCluster): string {
   return world.entry.log
     .filter((line) => !/configurationApplied|requestAccepted/.test(line))
     .join('\n');
 }
 
 /** The one stream that provably ends in time stays; the other moves and goes on at the target. */
-function noticeStory(): World {
-  const world = new World({ engines: { 'wien-a': 1, 'wien-b': 1 } });
-  world.entry.arrive(makeRequest('short', { maxTokens: 100 }));
-  world.entry.arrive(makeRequest('long', { maxTokens: 400 }));
+function noticeStory(): SimulatedCluster {
+  const world = new SimulatedCluster({ engines: { 'wien-a': 1, 'wien-b': 1 } });
+  world.entry.submitRequest(makeRequest('short', { maxTokens: 100 }));
+  world.entry.submitRequest(makeRequest('long', { maxTokens: 400 }));
   world.advance(1500);
   world.reclaim(['wien-a-engine-1'], 2000);
-  world.settle();
+  world.runUntilAnswered();
   return world;
 }
 
 /** The probe is refused, so both streams are suspects and go on apart from each other. */
-function deathStory(): World {
-  const world = new World({ engines: { 'wien-a': 1, 'wien-b': 2 } });
-  world.entry.arrive(makeRequest('first'));
-  world.entry.arrive(makeRequest('second'));
+function deathStory(): SimulatedCluster {
+  const world = new SimulatedCluster({ engines: { 'wien-a': 1, 'wien-b': 2 } });
+  world.entry.submitRequest(makeRequest('first'));
+  world.entry.submitRequest(makeRequest('second'));
   world.advance(1500);
   world.engine('wien-a-engine-1').die();
-  world.settle();
+  world.runUntilAnswered();
   return world;
 }
 
--- a/packages/entry-core/src/reduceEntry.ts
+++ b/packages/entry-core/src/reduceEntry.ts
@@ -21,9 +21,9 @@
 import { restorePersistedState } from './membership/restorePersistedState.js';
 import { receivePeerReport } from './membership/receivePeerReport.js';
 import { reportSoon } from './membership/advanceReports.js';
-import { takeProbeAnswer } from './quarantine/judgeLoss.js';
+import { receiveProbeAnswer } from './quarantine/classifyLoss.js';
 import { receiveQuarantine } from './quarantine/quarantineDigest.js';
-import { noticeListed, noticeReclaim } from './reclaims/noticeReclaim.js';
+import { recordListedReclaimNotices, recordReclaimNotice } from './reclaims/recordReclaimNotice.js';
 import { receiveCacheMoved } from './reclaims/receiveCacheMoved.js';
 import { handleCallerDisconnect } from './requests/handleCallerDisconnect.js';
 import { startShutdown } from './shutdown/advanceShutdown.js';
@@ -65,9 +65,9 @@
       return receiveConfiguration(state, event.configuration, event);
     case 'instancesListed':
       applyInstanceList(state, event.instances, event.now);
-      return noticeListed(state, event.instances, event);
+      return recordListedReclaimNotices(state, event.instances, event);
     case 'reclaimNoticed':
-      return noticeReclaim(state, event.instance, event.goneAt, event);
+      return recordReclaimNotice(state, event.instance, event.goneAt, event);
     case 'loadReported':
       receiveLoadReport(state, event.report, event.now, event.wallNow);
       return [];
@@ -91,7 +91,7 @@
     case 'cacheMoved':
       return receiveCacheMoved(state, event);
     case 'probeAnswered':
-      return takeProbeAnswer(state, event.instance, event, event);
+      return receiveProbeAnswer(state, event.instance, event, event);
     case 'quarantineReceived':
       return receiveQuarantine(state, event.quarantine, event);
     case 'entryReported':
--- a/packages/entry-core/src/requests/endRequest.ts
+++ b/packages/entry-core/src/requests/endRequest.ts
@@ -6,7 +6,7 @@
 import type { EntryEffect } from '../entryEffects.js';
 import type { CallerRequest } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
-import { clearSuspect } from '../quarantine/suspects.js';
+import { exonerateSuspect } from '../quarantine/suspects.js';
 import type { RequestState } from './RequestState.js';
 
 /** What a final answer adds to its error kind. */
@@ -80,7 +80,7 @@
 ): EntryEffect[] {
   const { requestId, digest } = accepted.request;
   state.requests.delete(requestId);
-  clearSuspect(state, digest);
+  exonerateSuspect(state, digest);
   return [
     ...releaseAttempts(state, accepted),
     { type: 'finishAnswer', requestId, attemptId },
--- a/packages/entry-core/src/testing/EntryHarness.ts
+++ b/packages/entry-core/src/testing/EntryHarness.ts
@@ -42,7 +42,7 @@
   /** Data centre of the server with this number; `dc-a`, the entries' own, by default. */
   readonly dataCentreOf?: (server: number) => string;
   /** True if nothing comes of what entries tell each other of their work. */
-  readonly losesWork?: boolean;
+  readonly losesWorkReports?: boolean;
   /** Kept from the reducer, so that it has no affinity to choose by. */
   readonly hidePrefixes?: boolean;
 }
@@ -61,10 +61,10 @@
   readonly outcomes = new Map<string, CallerOutcome>();
 
   /** Instances that fail each attempt at once, and how. */
-  readonly failing = new Map<string, AttemptFailure>();
+  readonly failureByInstance = new Map<string, AttemptFailure>();
 
   /** Effects of every kind, counted by type and metric label. */
-  readonly counted = new Map<string, number>();
+  readonly counts = new Map<string, number>();
 
   private readonly answerTokens = new Map<string, number>();
 
@@ -102,7 +102,7 @@
   }
 
   /** A caller's request arrives now. */
-  arrive(request: CallerRequest, answerTokens: number, entry = 0): CallerOutcome {
+  submitRequest(request: CallerRequest, answerTokens: number, entry = 0): CallerOutcome {
     const outcome: CallerOutcome = { request, arrivedAt: this.timeline.now };
     this.outcomes.set(request.requestId, outcome);
     this.answerTokens.set(request.requestId, answerTokens);
@@ -206,14 +206,14 @@
         break;
       }
       case 'tellWork': {
-        if (this.options.losesWork === true) break;
+        if (this.options.losesWorkReports === true) break;
         const { work } = effect;
         this.timeline.after(NETWORK_MILLISECONDS, () => this.send({ type: 'workReported', work }));
         break;
       }
       case 'count': {
         const key = `${effect.metric}/${effect.label ?? ''}`;
-        this.counted.set(key, (this.counted.get(key) ?? 0) + (effect.amount ?? 1));
+        this.counts.set(key, (this.counts.get(key) ?? 0) + (effect.amount ?? 1));
         break;
       }
       default:
@@ -234,7 +234,7 @@
     const outcome = this.outcomes.get(requestId);
     const engine = this.engines.get(instance);
     if (outcome === undefined || engine === undefined) return;
-    const failure = this.failing.get(instance);
+    const failure = this.failureByInstance.get(instance);
     const send = (event: EntryEventPayload) => this.send(event, entry);
     const submit = () => {
       if (failure !== undefined) {
