--- a/apps/entry/src/AttemptRunner.ts
+++ b/apps/entry/src/AttemptRunner.ts
@@ -283,7 +283,14 @@
     exchange: CallerExchange,
     answer: RelayAnswer,
   ): Promise<void> {
-    const { attemptId, target, workspace, timeLeft, priority, streamIdleTimeout: silenceTimeout } = attempt.start;
+    const {
+      attemptId,
+      target,
+      workspace,
+      timeLeft,
+      priority,
+      streamIdleTimeout: silenceTimeout,
+    } = attempt.start;
     const { dispatch, adapters, timers } = this.options;
     const { method, path } = exchange.request;
     const continueFrom = this.movedCaches.get(attemptId);
--- a/apps/entry/src/CallProtocol.ts
+++ b/apps/entry/src/CallProtocol.ts
@@ -17,7 +17,7 @@
   | 'prefixDigests'
   | 'prefixTokens'
   | 'promptTokens'
-  | 'mostTokens'
+  | 'maxTokens'
   | 'countedTokens'
 >;
 
--- a/apps/entry/src/CallerServer.ts
+++ b/apps/entry/src/CallerServer.ts
@@ -174,7 +174,7 @@
     const { answerBytes } = this.options.settings.limits;
     const { headers } = message;
     if (url.pathname !== COMPLETIONS_PATH) {
-      const request = { ...shared, prefixDigests: [], promptTokens: 0, mostTokens: 0 };
+      const request = { ...shared, prefixDigests: [], promptTokens: 0, maxTokens: 0 };
       const shape = { held: idempotencyKey !== undefined, mostBytes: answerBytes };
       const answer = new PlainAnswer(requestId, response, shape);
       return { request, headers, body, completion: undefined, answer };
@@ -188,7 +188,7 @@
       ...(completion.model === undefined ? {} : { model: completion.model }),
       prefixDigests: digestPrefixes(completion.messages),
       promptTokens: splitPrompt(completion.messages).length,
-      mostTokens: completion.max_tokens ?? DEFAULT_MOST_TOKENS,
+      maxTokens: completion.max_tokens ?? DEFAULT_MOST_TOKENS,
     };
     const answer = new CompletionAnswer(requestId, response, {
       model: completion.model ?? '',
--- a/measure/src/admission/comparePolicies.ts
+++ b/measure/src/admission/comparePolicies.ts
@@ -106,7 +106,9 @@
     ...products[product],
   });
   arrivals.forEach(({ at, request, answerTokens }, number) => {
-    harness.timeline.after(at, () => harness.submitRequest(request, answerTokens, number % ENTRIES));
+    harness.timeline.after(at, () =>
+      harness.submitRequest(request, answerTokens, number % ENTRIES),
+    );
   });
   harness.timeline.runUntil(SPAN_MILLISECONDS + REST_MILLISECONDS);
   const engines = [...harness.engines.values()];
--- a/measure/src/streams.ts
+++ b/measure/src/streams.ts
@@ -25,7 +25,12 @@
   full: fullRecoveryPolicy,
   'resume, no move': { ...fullRecoveryPolicy, moveCaches: false },
   'resume, notices ignored': { ...fullRecoveryPolicy, moveCaches: false, migrateOnNotice: false },
-  'redo from the start': { ...fullRecoveryPolicy, moveCaches: false, migrateOnNotice: false, resumeFromOffset: false },
+  'redo from the start': {
+    ...fullRecoveryPolicy,
+    moveCaches: false,
+    migrateOnNotice: false,
+    resumeFromOffset: false,
+  },
   'redo, no budget': {
     limitRetries: false,
     migrateOnNotice: false,
@@ -35,7 +40,10 @@
   },
 };
 
-function total(outcomes: readonly FaultScenarioOutcome[], of: (outcome: FaultScenarioOutcome) => number): number {
+function total(
+  outcomes: readonly FaultScenarioOutcome[],
+  of: (outcome: FaultScenarioOutcome) => number,
+): number {
   return outcomes.reduce((sum, outcome) => sum + of(outcome), 0);
 }
 
@@ -46,7 +54,10 @@
 function measureWaves(policy: string, recovery: RecoveryPolicy, vanish: boolean): StreamsRow {
   const outcomes = SEEDS.map((seed) => runFaultScenario(recovery, seed, vanish));
   const requests = total(outcomes, (outcome) => outcome.requests);
-  const recomputed = total(outcomes, (outcome) => outcome.extraPrefilledTokens + outcome.extraDecodedTokens);
+  const recomputed = total(
+    outcomes,
+    (outcome) => outcome.extraPrefilledTokens + outcome.extraDecodedTokens,
+  );
   const shares = outcomes.map((outcome) => outcome.completed / outcome.requests);
   return {
     scenario: vanish ? 'waves, hosts vanish' : 'waves',
--- a/packages/entry-core/src/backendServers/PrefixCacheIndex.ts
+++ b/packages/entry-core/src/backendServers/PrefixCacheIndex.ts
@@ -71,7 +71,7 @@
       const held = this.holders(digests[length - 1] ?? '', now);
       if (held.length > 0) {
         const share = shareOf(prompt, length);
-        return held.map(({ server }) => ({ server, share }));
+        return held.map(({ server }) => ({ server, cachedFraction: share }));
       }
     }
     return [];
