--- a/packages/entry-core/src/admission/AdmissionState.ts
+++ b/packages/entry-core/src/admission/AdmissionState.ts
@@ -15,16 +15,16 @@
 }
 
 export function poolQueueOf(state: EntryState, pool: string): PoolQueue {
-  const known = state.admission.queues.get(pool);
-  if (known !== undefined) return known;
-  const made = new PoolQueue();
-  state.admission.queues.set(pool, made);
-  return made;
+  const existing = state.admission.queues.get(pool);
+  if (existing !== undefined) return existing;
+  const created = new PoolQueue();
+  state.admission.queues.set(pool, created);
+  return created;
 }
 
 /** Requests that wait at this entry, over all pools. */
 export function countQueuedRequests(state: EntryState): number {
-  let waiting = 0;
-  for (const queue of state.admission.queues.values()) waiting += queue.size;
-  return waiting;
+  let count = 0;
+  for (const queue of state.admission.queues.values()) count += queue.size;
+  return count;
 }
--- a/packages/entry-core/src/admission/FairQueue.ts
+++ b/packages/entry-core/src/admission/FairQueue.ts
@@ -35,7 +35,10 @@
   virtualTime: Milliseconds;
 }
 
-function placeOf(waiting: readonly QueuedRequest[], dueAt: MonotonicMilliseconds): number {
+function findInsertionIndex(
+  waiting: readonly QueuedRequest[],
+  dueAt: MonotonicMilliseconds,
+): number {
   let low = 0;
   let high = waiting.length;
   while (low < high) {
@@ -50,7 +53,7 @@
   private readonly workspaces = new Map<string, WorkspaceQueue>();
 
   /** Virtual times of workspaces that wait for nothing now but have had more than others. */
-  private readonly aheadWhenIdle = new Map<string, Milliseconds>();
+  private readonly idleVirtualTimes = new Map<string, Milliseconds>();
 
   /** Virtual time of the least served workspace. */
   private virtualTime: Milliseconds = 0;
@@ -73,33 +76,33 @@
     return this.workspaces.get(workspace);
   }
 
-  add(waiting: QueuedRequest): void {
-    const { workspace } = waiting.accepted.request;
+  add(queued: QueuedRequest): void {
+    const { workspace } = queued.accepted.request;
     const queue = this.workspaces.get(workspace) ?? {
       workspace,
       waiting: [],
       backlog: 0,
-      virtualTime: this.startOf(workspace),
+      virtualTime: this.startVirtualTimeOf(workspace),
     };
-    queue.waiting.splice(placeOf(queue.waiting, waiting.dueAt), 0, waiting);
-    queue.backlog += waiting.cost;
+    queue.waiting.splice(findInsertionIndex(queue.waiting, queued.dueAt), 0, queued);
+    queue.backlog += queued.cost;
     this.workspaces.set(workspace, queue);
   }
 
   /** Takes a request out without counting it as served. */
-  remove(waiting: QueuedRequest): void {
-    const queue = this.workspaces.get(waiting.accepted.request.workspace);
-    const index = queue?.waiting.indexOf(waiting) ?? -1;
+  remove(queued: QueuedRequest): void {
+    const queue = this.workspaces.get(queued.accepted.request.workspace);
+    const index = queue?.waiting.indexOf(queued) ?? -1;
     if (queue === undefined || index < 0) return;
     queue.waiting.splice(index, 1);
-    queue.backlog -= waiting.cost;
-    if (queue.waiting.length === 0) this.becomeIdle(queue);
+    queue.backlog -= queued.cost;
+    if (queue.waiting.length === 0) this.recordIdle(queue);
   }
 
   /** The request to be served next. */
   peek(): QueuedRequest | undefined {
     let next: QueuedRequest | undefined;
-    for (const { waiting } of this.eligible()) {
+    for (const { waiting } of this.eligibleWorkspaces()) {
       const [first] = waiting;
       if (first !== undefined && (next === undefined || first.dueAt < next.dueAt)) next = first;
     }
@@ -107,68 +110,69 @@
   }
 
   /** The first few requests of each workspace that may be served next. */
-  *peekPerWorkspace(mostOfEach: number): Generator<QueuedRequest> {
-    for (const { waiting } of this.eligible()) yield* waiting.slice(0, mostOfEach);
+  *peekPerWorkspace(maxPerWorkspace: number): Generator<QueuedRequest> {
+    for (const { waiting } of this.eligibleWorkspaces()) yield* waiting.slice(0, maxPerWorkspace);
   }
 
   /** Takes a request out as served and charges its workspace. */
-  serve(waiting: QueuedRequest): void {
-    const queue = this.workspaces.get(waiting.accepted.request.workspace);
+  serve(queued: QueuedRequest): void {
+    const queue = this.workspaces.get(queued.accepted.request.workspace);
     if (queue === undefined) return;
-    this.virtualTime = Math.max(this.virtualTime, this.findLeastServed());
-    queue.virtualTime += waiting.cost;
-    this.remove(waiting);
+    this.virtualTime = Math.max(this.virtualTime, this.findMinVirtualTime());
+    queue.virtualTime += queued.cost;
+    this.remove(queued);
   }
 
   /** Work that is served before this request, which may wait already or not yet. */
   workAhead({ accepted, dueAt, cost }: QueuedRequest): Milliseconds {
     const { workspace } = accepted.request;
-    let own = 0;
-    for (const waiting of this.workspaces.get(workspace)?.waiting ?? []) {
-      if (waiting.dueAt > dueAt) break;
-      if (waiting.accepted !== accepted) own += waiting.cost;
+    let ownWork = 0;
+    for (const queued of this.workspaces.get(workspace)?.waiting ?? []) {
+      if (queued.dueAt > dueAt) break;
+      if (queued.accepted !== accepted) ownWork += queued.cost;
     }
-    return own + this.workOfOtherWorkspaces(workspace, own + cost);
+    return ownWork + this.workOfOtherWorkspaces(workspace, ownWork + cost);
   }
 
   /** What others are served while this workspace is served `own`. */
-  workOfOtherWorkspaces(workspace: string, own: Milliseconds): Milliseconds {
-    const virtualTime = this.workspaces.get(workspace)?.virtualTime ?? this.startOf(workspace);
-    let others = 0;
+  workOfOtherWorkspaces(workspace: string, ownWork: Milliseconds): Milliseconds {
+    const virtualTime =
+      this.workspaces.get(workspace)?.virtualTime ?? this.startVirtualTimeOf(workspace);
+    let otherWork = 0;
     for (const queue of this.workspaces.values()) {
       if (queue.workspace !== workspace) {
-        const share = Math.max(0, virtualTime + own - queue.virtualTime);
-        others += Math.min(queue.backlog, share);
+        const lag = Math.max(0, virtualTime + ownWork - queue.virtualTime);
+        otherWork += Math.min(queue.backlog, lag);
       }
     }
-    return others;
+    return otherWork;
   }
 
   /** Workspaces that are not too far ahead of the least served one. */
-  private *eligible(): Generator<WorkspaceQueue> {
-    const leastServed = this.findLeastServed();
+  private *eligibleWorkspaces(): Generator<WorkspaceQueue> {
+    const minVirtualTime = this.findMinVirtualTime();
     for (const queue of this.workspaces.values()) {
       const quantum = QUANTUM_REQUESTS * (queue.waiting[0]?.cost ?? 0);
-      if (queue.virtualTime - leastServed <= quantum) yield queue;
+      if (queue.virtualTime - minVirtualTime <= quantum) yield queue;
     }
   }
 
-  private findLeastServed(): Milliseconds {
-    let least = Number.POSITIVE_INFINITY;
-    for (const { virtualTime } of this.workspaces.values()) least = Math.min(least, virtualTime);
-    return Number.isFinite(least) ? least : this.virtualTime;
+  private findMinVirtualTime(): Milliseconds {
+    let min = Number.POSITIVE_INFINITY;
+    for (const { virtualTime } of this.workspaces.values()) min = Math.min(min, virtualTime);
+    return Number.isFinite(min) ? min : this.virtualTime;
   }
 
   /** The virtual time that an idle workspace would come back with. */
-  private startOf(workspace: string): Milliseconds {
-    return Math.max(this.virtualTime, this.aheadWhenIdle.get(workspace) ?? 0);
+  private startVirtualTimeOf(workspace: string): Milliseconds {
+    return Math.max(this.virtualTime, this.idleVirtualTimes.get(workspace) ?? 0);
   }
 
-  private becomeIdle({ workspace, virtualTime }: WorkspaceQueue): void {
+  private recordIdle({ workspace, virtualTime }: WorkspaceQueue): void {
     this.workspaces.delete(workspace);
-    this.aheadWhenIdle.set(workspace, virtualTime);
-    for (const [idle, ahead] of this.aheadWhenIdle) {
-      if (ahead <= this.virtualTime) this.aheadWhenIdle.delete(idle);
+    this.idleVirtualTimes.set(workspace, virtualTime);
+    for (const [idle, idleVirtualTime] of this.idleVirtualTimes) {
+      if (idleVirtualTime <= this.virtualTime) this.idleVirtualTimes.delete(idle);
     }
   }
 }
--- a/packages/entry-core/src/admission/PoolQueue.ts
+++ b/packages/entry-core/src/admission/PoolQueue.ts
@@ -7,9 +7,9 @@
 import { FairQueue, type QueuedRequest } from './FairQueue.js';
 
 /** 0 is served first, 9 last. */
-const PRIORITIES = 10;
+const PRIORITY_COUNT = 10;
 
-const LATE_LEVEL = PRIORITIES;
+const LATE_LEVEL = PRIORITY_COUNT;
 
 /** Levels with a lower number are served first. */
 export function levelIndexOf({ accepted }: Pick<QueuedRequest, 'accepted'>): number {
@@ -18,7 +18,7 @@
 
 export class PoolQueue {
   readonly levels: readonly FairQueue[] = Array.from(
-    { length: PRIORITIES + 1 },
+    { length: PRIORITY_COUNT + 1 },
     () => new FairQueue(),
   );
 
@@ -29,19 +29,19 @@
     return this.waiting.size;
   }
 
-  add(waiting: QueuedRequest): void {
-    this.waiting.set(waiting.accepted.request.requestId, waiting);
-    this.levelOf(waiting)?.add(waiting);
+  add(queued: QueuedRequest): void {
+    this.waiting.set(queued.accepted.request.requestId, queued);
+    this.levelOf(queued)?.add(queued);
   }
 
-  remove(waiting: QueuedRequest): void {
-    this.waiting.delete(waiting.accepted.request.requestId);
-    this.levelOf(waiting)?.remove(waiting);
+  remove(queued: QueuedRequest): void {
+    this.waiting.delete(queued.accepted.request.requestId);
+    this.levelOf(queued)?.remove(queued);
   }
 
-  serve(waiting: QueuedRequest): void {
-    this.waiting.delete(waiting.accepted.request.requestId);
-    this.levelOf(waiting)?.serve(waiting);
+  serve(queued: QueuedRequest): void {
+    this.waiting.delete(queued.accepted.request.requestId);
+    this.levelOf(queued)?.serve(queued);
   }
 
   peek(): QueuedRequest | undefined {
@@ -49,8 +49,8 @@
   }
 
   /** The first few requests of each workspace that may be served next. */
-  peekPerWorkspace(mostOfEach: number): Iterable<QueuedRequest> {
-    return this.levels.find((level) => !level.isEmpty)?.peekPerWorkspace(mostOfEach) ?? [];
+  peekPerWorkspace(maxPerWorkspace: number): Iterable<QueuedRequest> {
+    return this.levels.find((level) => !level.isEmpty)?.peekPerWorkspace(maxPerWorkspace) ?? [];
   }
 
   /** Requests of one workspace that wait, over all priorities. */
@@ -70,9 +70,9 @@
   }
 
   /** Work that is served before this request. */
-  workAhead(waiting: QueuedRequest): Milliseconds {
-    let ahead = this.levelOf(waiting)?.workAhead(waiting) ?? 0;
-    for (const level of this.levels.slice(0, levelIndexOf(waiting))) ahead += level.backlog;
+  workAhead(queued: QueuedRequest): Milliseconds {
+    let ahead = this.levelOf(queued)?.workAhead(queued) ?? 0;
+    for (const level of this.levels.slice(0, levelIndexOf(queued))) ahead += level.backlog;
     return ahead;
   }
 
@@ -83,7 +83,7 @@
     return count;
   }
 
-  private levelOf(waiting: QueuedRequest): FairQueue | undefined {
-    return this.levels[levelIndexOf(waiting)];
+  private levelOf(queued: QueuedRequest): FairQueue | undefined {
+    return this.levels[levelIndexOf(queued)];
   }
 }
--- a/packages/entry-core/src/admission/admission.test.ts
+++ b/packages/entry-core/src/admission/admission.test.ts
@@ -61,11 +61,11 @@
   return problem === undefined && firstTokenAt !== undefined && firstTokenAt - arrivedAt <= 1000;
 }
 
-function shareOf(outcomes: readonly CallerOutcome[], is: (outcome: CallerOutcome) => boolean) {
+function fractionOf(outcomes: readonly CallerOutcome[], is: (outcome: CallerOutcome) => boolean) {
   return outcomes.filter(is).length / outcomes.length;
 }
 
-function accepted(outcomes: readonly CallerOutcome[]): CallerOutcome[] {
+function excludeRefused(outcomes: readonly CallerOutcome[]): CallerOutcome[] {
   return outcomes.filter(({ problem }) => problem?.ran !== 'no');
 }
 
@@ -83,8 +83,8 @@
   });
   harness.timeline.runUntil(20_000);
   const all = outcomesOf(harness, 'kartenwerk-a');
-  const admitted = accepted(all);
-  assert.ok(shareOf(admitted, isOnTime) >= 0.95, `${shareOf(admitted, isOnTime)} in time`);
+  const admitted = excludeRefused(all);
+  assert.ok(fractionOf(admitted, isOnTime) >= 0.95, `${fractionOf(admitted, isOnTime)} in time`);
   assert.ok(admitted.length >= 0.55 * all.length, `${admitted.length} of ${all.length} admitted`);
   assert.ok(longestEngineQueue <= CONCURRENCY, `${longestEngineQueue} wait in one engine`);
   const refused = all.filter(({ problem }) => problem !== undefined);
@@ -100,9 +100,9 @@
   sendSteadily(harness, 'small', 1, [2000, 20_000]);
   harness.timeline.runUntil(30_000);
   const small = outcomesOf(harness, 'small');
-  assert.ok(shareOf(small, isOnTime) === 1, `small: ${shareOf(small, isOnTime)} in time`);
+  assert.ok(fractionOf(small, isOnTime) === 1, `small: ${fractionOf(small, isOnTime)} in time`);
   const flood = outcomesOf(harness, 'flood');
-  assert.ok(shareOf(accepted(flood), isOnTime) >= 0.95);
+  assert.ok(fractionOf(excludeRefused(flood), isOnTime) >= 0.95);
   assert.ok(flood.filter(isOnTime).length >= 18 * 20, `${flood.filter(isOnTime).length} served`);
 });
 
@@ -179,19 +179,21 @@
   const harness = makeHarness();
   sendSteadily(harness, 'quiet', 10, [0, 5000]);
   harness.timeline.runUntil(6000);
-  let returned = 0;
-  let refusedAgain = 0;
-  const come = (caller: number, attempt: number) => {
+  let retries = 0;
+  let refusedRetries = 0;
+  const trySending = (caller: number, attempt: number) => {
     const request = exampleRequest(`caller-${caller}-${attempt}`);
     const { problem } = harness.submitRequest(request, ANSWER_TOKENS);
-    if (attempt > 0) returned += 1;
+    if (attempt > 0) retries += 1;
     if (problem === undefined) return;
-    if (attempt > 0) refusedAgain += 1;
-    harness.timeline.after(problem.retryAfterMilliseconds ?? 0, () => come(caller, attempt + 1));
+    if (attempt > 0) refusedRetries += 1;
+    harness.timeline.after(problem.retryAfterMilliseconds ?? 0, () =>
+      trySending(caller, attempt + 1),
+    );
   };
-  for (let caller = 0; caller < 300; caller += 1) come(caller, 0);
+  for (let caller = 0; caller < 300; caller += 1) trySending(caller, 0);
   harness.timeline.runUntil(60_000);
-  assert.ok(refusedAgain <= 0.1 * returned, `${refusedAgain} of ${returned} refused again`);
+  assert.ok(refusedRetries <= 0.1 * retries, `${refusedRetries} of ${retries} refused again`);
   const served = outcomesOf(harness, 'kartenwerk-a').filter(isOnTime);
   assert.ok(served.length >= 0.95 * 300, `${served.length} of 300 in time`);
 });
@@ -206,13 +208,15 @@
   for (let number = 0; number < 80; number += 1) {
     harness.submitRequest(exampleRequest(`burst-${number}`), ANSWER_TOKENS);
   }
-  const before = accepted(outcomesOf(harness, 'kartenwerk-a')).length;
+  const before = excludeRefused(outcomesOf(harness, 'kartenwerk-a')).length;
   harness.listEngines(1);
   harness.timeline.runUntil(6110);
-  const told = outcomesOf(harness, 'kartenwerk-a').filter(({ problem }) => problem?.at !== 6000);
-  const given = told.filter(({ problem }) => problem !== undefined);
-  assert.ok(given.length > 0, `none of ${before} was told`);
-  for (const { problem, arrivedAt } of given) {
+  const answered = outcomesOf(harness, 'kartenwerk-a').filter(
+    ({ problem }) => problem?.at !== 6000,
+  );
+  const failed = answered.filter(({ problem }) => problem !== undefined);
+  assert.ok(failed.length > 0, `none of ${before} was told`);
+  for (const { problem, arrivedAt } of failed) {
     assert.equal(problem?.kind, 'deadlineUnreachable');
     assert.equal(problem.ran, 'no');
     assert.ok(problem.at - arrivedAt <= 700);
--- a/packages/entry-core/src/admission/admitAfterConfiguration.ts
+++ b/packages/entry-core/src/admission/admitAfterConfiguration.ts
@@ -10,10 +10,10 @@
 import { admitRequest } from './admitRequest.js';
 import { takeAwaitingConfiguration } from './awaitConfiguration.js';
 
-export function admitAfterConfiguration(state: EntryState, timed: Timestamps): EntryEffect[] {
+export function admitAfterConfiguration(state: EntryState, timestamps: Timestamps): EntryEffect[] {
   return takeAwaitingConfiguration(state).flatMap(({ request, arrivedAt }) => {
-    const admitted = admitRequest(state, request, timed, arrivedAt);
-    observeAttemptStarts(state, admitted, timed.now);
+    const admitted = admitRequest(state, request, timestamps, arrivedAt);
+    observeAttemptStarts(state, admitted, timestamps.now);
     return admitted;
   });
 }
--- a/packages/entry-core/src/admission/admitRequest.ts
+++ b/packages/entry-core/src/admission/admitRequest.ts
@@ -28,10 +28,10 @@
 import { decideAdmission, type AdmissionDecision } from './decideAdmission.js';
 
 /** Where a route does not say which pause its callers take for none. */
-const DEFAULT_PAUSE_MILLISECONDS: Milliseconds = 1000;
+const DEFAULT_MAX_PAUSE_MILLISECONDS: Milliseconds = 1000;
 
 /** The route and the workspace that a request has the right to use it as, or the refusal. */
-type Resolved =
+type Resolution =
   | { readonly type: 'found'; readonly route: Route; readonly request: CallerRequest }
   | { readonly type: 'refused'; readonly effects: EntryEffect[] };
 
@@ -42,13 +42,13 @@
   return { ...request, workspace };
 }
 
-function resolve(state: EntryState, arrived: CallerRequest): Resolved {
+function resolveRoute(state: EntryState, arrived: CallerRequest): Resolution {
   const request = resolveWorkspace(state, arrived);
   const found = findRoute(routeIndexOf(state), request);
   if (found.type === 'found') {
     const { route } = found;
-    const isKnown = route.public === true || request.workspace !== '';
-    if (isKnown) return { type: 'found', route, request };
+    const isAuthorized = route.public === true || request.workspace !== '';
+    if (isAuthorized) return { type: 'found', route, request };
     return {
       type: 'refused',
       effects: refuseRequest(request, 'unauthorized', 'The key is not known'),
@@ -62,7 +62,7 @@
 }
 
 /** Bounds the route's deadline by what the caller says of its patience. */
-function accept(
+function makeRequestState(
   state: EntryState,
   request: CallerRequest,
   route: Route,
@@ -84,7 +84,7 @@
     firstTokenDueAt: arrivedAt + Math.min(firstTokenMilliseconds, patience),
     lateFirstTokenDueAt: arrivedAt + Math.min(lateFirstTokenMilliseconds, patience),
     wholeAnswerDueAt: arrivedAt + Math.min(deadline.wholeAnswerMilliseconds, patience),
-    maxPause: deadline.pauseMilliseconds ?? DEFAULT_PAUSE_MILLISECONDS,
+    maxPause: deadline.pauseMilliseconds ?? DEFAULT_MAX_PAUSE_MILLISECONDS,
     attemptId: undefined,
     attemptsStarted: 0,
     triedInstances: new Set(),
@@ -98,27 +98,27 @@
  * workspace's allowance. Those are refused whatever the size, and one workspace that sends six times
  * its usual would have engines bought for it that nobody may use.
  */
-function noteDemand(
+function recordDemand(
   state: EntryState,
   route: Route,
-  admission: AdmissionDecision,
+  decision: AdmissionDecision,
   { now }: Timestamps,
 ): void {
-  const isBeyond = admission.type === 'refused' && admission.refusal.kind === 'allowanceSpent';
-  if (!isBeyond) state.demand.record(route.name, now);
+  const isOverAllowance = decision.type === 'refused' && decision.refusal.kind === 'allowanceSpent';
+  if (!isOverAllowance) state.demand.record(route.name, now);
 }
 
 export function admitRequest(
   state: EntryState,
   arrived: CallerRequest,
-  timed: Timestamps,
-  arrivedAt = timed.now,
+  timestamps: Timestamps,
+  arrivedAt = timestamps.now,
 ): EntryEffect[] {
   if (state.shuttingDown) {
     return refuseRequest(arrived, 'draining', 'This instance is shutting down');
   }
-  if (state.configuration.revision === 0) return awaitConfiguration(state, arrived, timed);
-  const resolved = resolve(state, arrived);
+  if (state.configuration.revision === 0) return awaitConfiguration(state, arrived, timestamps);
+  const resolved = resolveRoute(state, arrived);
   if (resolved.type === 'refused') return resolved.effects;
   const { route, request } = resolved;
   const poolName = choosePool(route, state.random);
@@ -133,21 +133,21 @@
       `Route "${route.name}" needs the header`,
     );
   }
-  const accepted = accept(state, request, route, pool, arrivedAt, timed.wallNow);
-  const admission = decideAdmission(state, accepted, timed.now);
-  noteDemand(state, route, admission, timed);
-  if (admission.type === 'refused') {
-    const { kind, detail, retryAfterMilliseconds, facts } = admission.refusal;
-    const known = { route: route.name, retryAfterMilliseconds, ...facts };
-    return refuseRequest(request, kind, detail, { ran: 'no', retryAfterMilliseconds }, known);
+  const accepted = makeRequestState(state, request, route, pool, arrivedAt, timestamps.wallNow);
+  const decision = decideAdmission(state, accepted, timestamps.now);
+  recordDemand(state, route, decision, timestamps);
+  if (decision.type === 'refused') {
+    const { kind, detail, retryAfterMilliseconds, facts } = decision.refusal;
+    const logFields = { route: route.name, retryAfterMilliseconds, ...facts };
+    return refuseRequest(request, kind, detail, { ran: 'no', retryAfterMilliseconds }, logFields);
   }
-  const late = admission.type === 'late' ? markLate(accepted) : [];
-  const server = admission.type === 'admitted' ? admission.server : undefined;
+  const lateEffects = decision.type === 'late' ? markLate(accepted) : [];
+  const server = decision.type === 'admitted' ? decision.server : undefined;
   state.requests.set(request.requestId, accepted);
   acquireLimit(state, request.requestId, route.name, request.workspace);
   return [
     ...spendAllowance(state, accepted),
-    ...late,
+    ...lateEffects,
     { type: 'count', metric: 'requestsAccepted', label: route.name },
     {
       type: 'log',
@@ -161,7 +161,7 @@
       },
     },
     ...(isClaimed(route)
-      ? beginClaim(state, accepted, timed)
-      : startAttempt(state, accepted, timed.now, server)),
+      ? beginClaim(state, accepted, timestamps)
+      : startAttempt(state, accepted, timestamps.now, server)),
   ];
 }
--- a/packages/entry-core/src/admission/assignRetryAfter.ts
+++ b/packages/entry-core/src/admission/assignRetryAfter.ts
@@ -8,7 +8,7 @@
 import type { EntryState } from '../EntryState.js';
 
 export const MAX_RETRY_AFTER_MILLISECONDS: Milliseconds = 60_000;
-const SHORTEST_RETRY_AFTER_MILLISECONDS: Milliseconds = 50;
+const MIN_RETRY_AFTER_MILLISECONDS: Milliseconds = 50;
 
 /**
  * @param key - What refused the caller.
@@ -23,15 +23,15 @@
   now: MonotonicMilliseconds,
 ): Milliseconds {
   const last = state.admission.retryTimes.get(key) ?? Number.NEGATIVE_INFINITY;
-  const wanted = Math.max(now + wait, last + interval);
+  const earliest = Math.max(now + wait, last + interval);
   const latest = now + MAX_RETRY_AFTER_MILLISECONDS;
-  const promised = Math.min(wanted, latest);
-  state.admission.retryTimes.set(key, promised);
-  return Math.ceil(Math.max(SHORTEST_RETRY_AFTER_MILLISECONDS, promised - now));
+  const retryAt = Math.min(earliest, latest);
+  state.admission.retryTimes.set(key, retryAt);
+  return Math.ceil(Math.max(MIN_RETRY_AFTER_MILLISECONDS, retryAt - now));
 }
 
 export function expireRetryTimes(state: EntryState, now: MonotonicMilliseconds): void {
-  for (const [key, promised] of state.admission.retryTimes) {
-    if (promised < now) state.admission.retryTimes.delete(key);
+  for (const [key, retryAt] of state.admission.retryTimes) {
+    if (retryAt < now) state.admission.retryTimes.delete(key);
   }
 }
--- a/packages/entry-core/src/admission/awaitConfiguration.ts
+++ b/packages/entry-core/src/admission/awaitConfiguration.ts
@@ -12,19 +12,19 @@
 import { refuseRequest } from '../requests/endRequest.js';
 
 /** An entry waits for stores that start with it; these serve within two seconds of their start. */
-const STARTING_MILLISECONDS: Milliseconds = 2000;
+const STARTUP_PERIOD_MILLISECONDS: Milliseconds = 2000;
 
 /**
  * Longest wait of one request. Callers that wait three seconds in all are still served in time
  * after it, and those that wait longer in good time.
  */
-const LONGEST_WAIT_MILLISECONDS: Milliseconds = 700;
+const MAX_WAIT_MILLISECONDS: Milliseconds = 700;
 
 /** Of the caller's patience, the share that may be spent waiting. */
-const WAIT_SHARE = 1 / 3;
+const MAX_WAIT_FRACTION_OF_PATIENCE = 1 / 3;
 
 /** When a caller may come back to an entry that has not been told a configuration yet. */
-const NOT_CONFIGURED_RETRY_MILLISECONDS: Milliseconds = 500;
+const NOT_CONFIGURED_RETRY_AFTER_MILLISECONDS: Milliseconds = 500;
 
 /** A request that waits for the configuration. */
 export interface RequestAwaitingConfiguration {
@@ -33,8 +33,8 @@
   readonly waitsUntil: MonotonicMilliseconds;
 }
 
-function refuseUnconfigured(request: CallerRequest): EntryEffect[] {
-  const problem = { retryAfterMilliseconds: NOT_CONFIGURED_RETRY_MILLISECONDS };
+function refuseNotConfigured(request: CallerRequest): EntryEffect[] {
+  const problem = { retryAfterMilliseconds: NOT_CONFIGURED_RETRY_AFTER_MILLISECONDS };
   return refuseRequest(request, 'notConfigured', 'No configuration is known here yet', problem);
 }
 
@@ -44,14 +44,14 @@
   request: CallerRequest,
   { now, wallNow }: Timestamps,
 ): EntryEffect[] {
-  const { requestsAwaitingConfiguration: unconfigured, identity } = state;
-  const startingFor = STARTING_MILLISECONDS - (wallNow - identity.incarnation);
-  const patience = (request.patience ?? Infinity) * WAIT_SHARE;
-  const wait = Math.min(startingFor, LONGEST_WAIT_MILLISECONDS, patience);
-  const hasRoom = unconfigured.size < identity.maxQueuedRequests;
-  if (wait <= 0 || !hasRoom) return refuseUnconfigured(request);
+  const { requestsAwaitingConfiguration: pending, identity } = state;
+  const startupTimeLeft = STARTUP_PERIOD_MILLISECONDS - (wallNow - identity.incarnation);
+  const maxWaitForCaller = (request.patience ?? Infinity) * MAX_WAIT_FRACTION_OF_PATIENCE;
+  const wait = Math.min(startupTimeLeft, MAX_WAIT_MILLISECONDS, maxWaitForCaller);
+  const hasCapacity = pending.size < identity.maxQueuedRequests;
+  if (wait <= 0 || !hasCapacity) return refuseNotConfigured(request);
   const { requestId } = request;
-  unconfigured.set(requestId, { request, arrivedAt: now, waitsUntil: now + wait });
+  pending.set(requestId, { request, arrivedAt: now, waitsUntil: now + wait });
   return [{ type: 'log', event: 'requestAwaitsConfiguration', fields: { requestId, wait } }];
 }
 
@@ -60,19 +60,19 @@
   state: EntryState,
   now: MonotonicMilliseconds,
 ): EntryEffect[] {
-  const { requestsAwaitingConfiguration: unconfigured, shuttingDown } = state;
-  const over = [...unconfigured.values()].filter(
+  const { requestsAwaitingConfiguration: pending, shuttingDown } = state;
+  const expired = [...pending.values()].filter(
     ({ waitsUntil }) => shuttingDown || waitsUntil <= now,
   );
-  return over.flatMap(({ request }) => {
-    unconfigured.delete(request.requestId);
-    return refuseUnconfigured(request);
+  return expired.flatMap(({ request }) => {
+    pending.delete(request.requestId);
+    return refuseNotConfigured(request);
   });
 }
 
 /** Takes out all that wait, in order of arrival, now that there is a configuration. */
 export function takeAwaitingConfiguration(state: EntryState): RequestAwaitingConfiguration[] {
-  const waiting = [...state.requestsAwaitingConfiguration.values()];
+  const pending = [...state.requestsAwaitingConfiguration.values()];
   state.requestsAwaitingConfiguration.clear();
-  return waiting;
+  return pending;
 }
--- a/packages/entry-core/src/admission/decideAdmission.ts
+++ b/packages/entry-core/src/admission/decideAdmission.ts
@@ -43,7 +43,7 @@
 const NO_BACKEND_SERVER_RETRY_MILLISECONDS: Milliseconds = 5000;
 
 /** One workspace may have waiting so many times the room that is left in the queue. */
-const QUEUE_SHARE_FACTOR = 2;
+const MAX_QUEUED_PER_FREE_POSITION = 2;
 
 function refuseOverAllowance(state: EntryState, accepted: RequestState): EarlyRefusal | undefined {
   const exceeded = checkAllowance(state, accepted);
@@ -60,16 +60,16 @@
 ): EarlyRefusal | undefined {
   const limit = limitOf(route, request.workspace);
   const key = limitKey(route.name, request.workspace);
-  const { concurrencyLimiter: ledger } = state.limits;
-  if (ledger.hasCapacity(key, limit, now)) return undefined;
+  const { concurrencyLimiter: limiter } = state.limits;
+  if (limiter.hasCapacity(key, limit, now)) return undefined;
   const detail = `Workspace "${request.workspace}" has ${limit} requests in progress`;
   const serviceTime = getPoolState(state, pool.name).estimateServiceTime(route.name);
   const interval =
     limit === 0
       ? MAX_RETRY_AFTER_MILLISECONDS
-      : serviceTime / Math.max(1, ledger.ownInProgress(key));
+      : serviceTime / Math.max(1, limiter.ownInProgress(key));
   const retryAfterMilliseconds = assignRetryAfter(state, `limit/${key}`, interval, interval, now);
-  const facts = { limit, inProgress: ledger.ownInProgress(key) };
+  const facts = { limit, inProgress: limiter.ownInProgress(key) };
   return { kind: 'limitReached', detail, retryAfterMilliseconds, facts };
 }
 
@@ -86,15 +86,15 @@
   const { workspace } = accepted.request;
   const queue = poolQueueOf(state, accepted.pool.name);
   const free = state.identity.maxQueuedRequests - countQueuedRequests(state);
-  const own = queue.countForWorkspace(workspace);
-  const excess = own + 1 - Math.min(own + free, QUEUE_SHARE_FACTOR * free);
+  const ownQueued = queue.countForWorkspace(workspace);
+  const excess = ownQueued + 1 - Math.min(ownQueued + free, MAX_QUEUED_PER_FREE_POSITION * free);
   if (excess <= 0) return undefined;
   const { cost } = makeQueuedRequest(state, accepted);
   const workspaces = Math.max(1, queue.countWorkspaces());
   const interval = (cost * workspaces) / estimateSlots(state, accepted.pool.name);
   const key = `queue/${accepted.pool.name}/${workspace}`;
   const retryAfterMilliseconds = assignRetryAfter(state, key, interval * excess, interval, now);
-  const facts = { waiting: own, free, workspaces };
+  const facts = { waiting: ownQueued, free, workspaces };
   return { kind: 'overloaded', detail: 'Too many requests wait', retryAfterMilliseconds, facts };
 }
 
@@ -103,34 +103,34 @@
   accepted: RequestState,
   now: MonotonicMilliseconds,
 ): EarlyRefusal | undefined {
-  const waiting = makeQueuedRequest(state, accepted);
-  const wait = predictWait(state, waiting);
-  const usual = expectedFirstTokenDelay(state, accepted);
-  const predicted = wait + usual;
-  const late = predicted - (waiting.dueAt - now);
-  if (late <= 0) return undefined;
+  const queued = makeQueuedRequest(state, accepted);
+  const wait = predictWait(state, queued);
+  const firstTokenDelay = expectedFirstTokenDelay(state, accepted);
+  const predicted = wait + firstTokenDelay;
+  const lateBy = predicted - (queued.dueAt - now);
+  if (lateBy <= 0) return undefined;
   const pool = accepted.pool.name;
   const workspaces = Math.max(1, poolQueueOf(state, pool).countWorkspaces());
-  const interval = (waiting.cost * workspaces) / estimateSlots(state, pool);
+  const interval = (queued.cost * workspaces) / estimateSlots(state, pool);
   const key = `queue/${pool}/${accepted.request.workspace}`;
-  const retryAfterMilliseconds = assignRetryAfter(state, key, late + interval, interval, now);
+  const retryAfterMilliseconds = assignRetryAfter(state, key, lateBy + interval, interval, now);
   const detail = `The first token is predicted in ${Math.round(predicted)} ms`;
-  const places = estimateSlots(state, pool);
-  const facts = { wait, usual, places, patience: waiting.dueAt - now };
+  const slots = estimateSlots(state, pool);
+  const facts = { wait, usual: firstTokenDelay, places: slots, patience: queued.dueAt - now };
   return { kind: 'deadlineUnreachable', detail, retryAfterMilliseconds, facts };
 }
 
-function refuseLateAt(
+function refuseLateAtServer(
   state: EntryState,
   accepted: RequestState,
   server: BackendServerState,
   now: MonotonicMilliseconds,
 ): EarlyRefusal | undefined {
   const { request, pool } = accepted;
-  const balance = getPoolState(state, pool.name);
-  const predicted = predictFirstTokenDelay(state, balance, server, accepted);
+  const poolState = getPoolState(state, pool.name);
+  const predicted = predictFirstTokenDelay(state, poolState, server, accepted);
   const patience = nextTokenDueAt(accepted) - now;
-  if (predicted <= patience || !isPredictionTrusted(balance, server, patience, now)) {
+  if (predicted <= patience || !isPredictionTrusted(poolState, server, patience, now)) {
     return undefined;
   }
   const interval = makeQueuedRequest(state, accepted).cost / estimateSlots(state, pool.name);
@@ -138,7 +138,7 @@
   const wait = predicted - patience;
   const retryAfterMilliseconds = assignRetryAfter(state, key, wait, interval, now);
   const detail = `The first token is predicted in ${Math.round(predicted)} ms`;
-  const facts = { patience, ...describePrediction(state, balance, server, accepted) };
+  const facts = { patience, ...describePrediction(state, poolState, server, accepted) };
   return { kind: 'deadlineUnreachable', detail, retryAfterMilliseconds, facts };
 }
 
@@ -149,25 +149,25 @@
   /** It will be late and goes behind those that can be in time. */
   | { readonly type: 'late' };
 
-function toAdmission(
+function toDecision(
   refusal: EarlyRefusal | undefined,
   server?: BackendServerState,
 ): Exclude<AdmissionDecision, { type: 'late' }> {
   return refusal === undefined ? { type: 'admitted', server } : { type: 'refused', refusal };
 }
 
-function decideInTime(
+function decideWithoutLateService(
   state: EntryState,
   accepted: RequestState,
   now: MonotonicMilliseconds,
 ): Exclude<AdmissionDecision, { type: 'late' }> {
   const overAllowance = refuseOverAllowance(state, accepted);
-  if (overAllowance !== undefined) return toAdmission(overAllowance);
+  if (overAllowance !== undefined) return toDecision(overAllowance);
   const overLimit = refuseOverLimit(state, accepted, now);
-  if (overLimit !== undefined) return toAdmission(overLimit);
+  if (overLimit !== undefined) return toDecision(overLimit);
   const placement = placeRequest(state, accepted, now);
   if (placement.type === 'none') {
-    return toAdmission({
+    return toDecision({
       kind: 'noBackendServer',
       detail: `Pool "${accepted.pool.name}" has no backend server`,
       retryAfterMilliseconds: NO_BACKEND_SERVER_RETRY_MILLISECONDS,
@@ -176,14 +176,15 @@
   }
   if (placement.type === 'start') {
     const { server } = placement;
-    return toAdmission(refuseLateAt(state, accepted, server, now), server);
+    return toDecision(refuseLateAtServer(state, accepted, server, now), server);
   }
   const overQueue = refuseOverQueue(state, accepted, now);
-  if (overQueue !== undefined) return toAdmission(overQueue);
-  const { availableServer: room } = placement;
+  if (overQueue !== undefined) return toDecision(overQueue);
+  const { availableServer } = placement;
   // While a server has room, those that wait do so for another one by choice and not for long.
-  if (room !== undefined) return toAdmission(refuseLateAt(state, accepted, room, now));
-  return toAdmission(refuseLateInQueue(state, accepted, now));
+  if (availableServer !== undefined)
+    return toDecision(refuseLateAtServer(state, accepted, availableServer, now));
+  return toDecision(refuseLateInQueue(state, accepted, now));
 }
 
 /** The same, but that a request which will be late is admitted behind those that will not be. */
@@ -192,9 +193,9 @@
   accepted: RequestState,
   now: MonotonicMilliseconds,
 ): AdmissionDecision {
-  const admission = decideInTime(state, accepted, now);
-  if (admission.type === 'admitted' || admission.refusal.kind !== 'deadlineUnreachable') {
-    return admission;
+  const decision = decideWithoutLateService(state, accepted, now);
+  if (decision.type === 'admitted' || decision.refusal.kind !== 'deadlineUnreachable') {
+    return decision;
   }
-  return canServeLate(state, accepted, now) ? { type: 'late' } : admission;
+  return canServeLate(state, accepted, now) ? { type: 'late' } : decision;
 }
--- a/packages/entry-core/src/admission/drainQueues.ts
+++ b/packages/entry-core/src/admission/drainQueues.ts
@@ -18,7 +18,7 @@
 import type { PoolQueue } from './PoolQueue.js';
 
 /** False for a request that has ended or is being served another way. */
-function stillWaits(state: EntryState, { accepted }: QueuedRequest): boolean {
+function isStillQueued(state: EntryState, { accepted }: QueuedRequest): boolean {
   return (
     state.requests.get(accepted.request.requestId) === accepted && accepted.attemptId === undefined
   );
@@ -27,46 +27,46 @@
 function findServer(
   state: EntryState,
   { accepted }: QueuedRequest,
-  freed: BackendServerState | undefined,
+  freedServer: BackendServerState | undefined,
   now: number,
 ): BackendServerState | undefined {
-  const local = chooseBackendServer(state, accepted, { freedServer: freed });
+  const local = chooseBackendServer(state, accepted, { freedServer });
   if (local !== undefined || !isLocalWaitTooLong(state, accepted, now)) return local;
-  return chooseBackendServer(state, accepted, { where: 'remote', freedServer: freed });
+  return chooseBackendServer(state, accepted, { where: 'remote', freedServer });
 }
 
-function serve(
+function startQueued(
   state: EntryState,
   queue: PoolQueue,
-  waiting: QueuedRequest,
+  queued: QueuedRequest,
   server: BackendServerState,
   now: number,
 ): EntryEffect[] {
-  queue.serve(waiting);
-  const started = startAttempt(state, waiting.accepted, now, server);
+  queue.serve(queued);
+  const started = startAttempt(state, queued.accepted, now, server);
   // At once, so that the next choice of this very event already counts it.
   observeAttemptStarts(state, started, now);
   return started;
 }
 
 /** Takes one request out of the queue, or returns undefined if none can leave it now. */
-function takeOne(
+function dequeueOne(
   state: EntryState,
   queue: PoolQueue,
-  freed: BackendServerState | undefined,
+  freedServer: BackendServerState | undefined,
   now: number,
 ): EntryEffect[] | undefined {
-  for (const waiting of orderQueueForServer(state, queue, freed, now)) {
-    if (!stillWaits(state, waiting)) {
-      queue.remove(waiting);
+  for (const queued of orderQueueForServer(state, queue, freedServer, now)) {
+    if (!isStillQueued(state, queued)) {
+      queue.remove(queued);
       return [];
     }
-    if (missesDeadlineAfter(state, waiting, 0, now)) {
-      return serveLateOrFail(state, queue, waiting, now);
+    if (missesDeadlineAfter(state, queued, 0, now)) {
+      return serveLateOrFail(state, queue, queued, now);
     }
-    const server = findServer(state, waiting, freed, now);
-    if (server !== undefined && !shouldWaitForCache(state, waiting.accepted, server, now)) {
-      return serve(state, queue, waiting, server, now);
+    const server = findServer(state, queued, freedServer, now);
+    if (server !== undefined && !shouldWaitForCache(state, queued.accepted, server, now)) {
+      return startQueued(state, queue, queued, server, now);
     }
   }
   return undefined;
@@ -75,16 +75,17 @@
 function drainPool(
   state: EntryState,
   queue: PoolQueue,
-  freed: BackendServerState | undefined,
+  freedServer: BackendServerState | undefined,
   now: number,
 ): EntryEffect[] {
   const effects: EntryEffect[] = [];
-  const take = () => takeOne(state, queue, freed, now);
-  for (let taken = take(); taken !== undefined; taken = take()) effects.push(...taken);
+  const dequeue = () => dequeueOne(state, queue, freedServer, now);
+  for (let dequeued = dequeue(); dequeued !== undefined; dequeued = dequeue())
+    effects.push(...dequeued);
   return effects;
 }
 
-function freedServer(
+function findFreedServer(
   state: EntryState,
   event: EntryEvent,
   instance: string | undefined,
@@ -94,7 +95,7 @@
 }
 
 /** Events after which a backend server may have room that had none before. */
-const drainingEvents: ReadonlySet<EntryEvent['type']> = new Set<EntryEvent['type']>([
+const capacityEvents: ReadonlySet<EntryEvent['type']> = new Set<EntryEvent['type']>([
   'tick',
   'configurationReceived',
   'instancesListed',
@@ -114,13 +115,13 @@
   event: EntryEvent,
   instance: string | undefined,
 ): EntryEffect[] {
-  if (!drainingEvents.has(event.type)) return [];
-  const freed = freedServer(state, event, instance);
+  if (!capacityEvents.has(event.type)) return [];
+  const freedServer = findFreedServer(state, event, instance);
   const effects: EntryEffect[] = [];
   for (const [pool, queue] of state.admission.queues) {
-    const isConcerned = freed === undefined || freed.platformInstance.pool === pool;
-    if (queue.size > 0 && isConcerned) {
-      effects.push(...drainPool(state, queue, freed, event.now));
+    const mayHaveCapacity = freedServer === undefined || freedServer.platformInstance.pool === pool;
+    if (queue.size > 0 && mayHaveCapacity) {
+      effects.push(...drainPool(state, queue, freedServer, event.now));
     }
   }
   if (effects.length === 0) return [];
--- a/packages/entry-core/src/admission/enqueue.ts
+++ b/packages/entry-core/src/admission/enqueue.ts
@@ -13,9 +13,9 @@
 ): EntryEffect[] {
   const queue = poolQueueOf(state, accepted.pool.name);
   const { requestId } = accepted.request;
-  const waiting = makeQueuedRequest(state, accepted);
-  if (!queue.waiting.has(requestId)) queue.add(waiting);
-  const dueInMilliseconds = Math.round(waiting.dueAt - now);
+  const queued = makeQueuedRequest(state, accepted);
+  if (!queue.waiting.has(requestId)) queue.add(queued);
+  const dueInMilliseconds = Math.round(queued.dueAt - now);
   return [
     { type: 'setGauge', metric: 'queuedRequests', value: countQueuedRequests(state) },
     {
--- a/packages/entry-core/src/admission/failUnreachableDeadlines.ts
+++ b/packages/entry-core/src/admission/failUnreachableDeadlines.ts
@@ -21,65 +21,66 @@
 const PREDICTION_TOLERANCE = 0.25;
 
 /** Walks the queue of one pool. */
-class UnreachableSearch {
-  readonly found: QueuedRequest[] = [];
+class UnreachableDeadlineSearch {
+  readonly unreachable: QueuedRequest[] = [];
 
-  private readonly places: number;
+  private readonly slots: number;
 
   /** False while a server has room: what waits then waits for another one by choice. */
-  private isBlocked = false;
+  private areServersFull = false;
 
   constructor(
     private readonly state: EntryState,
     pool: string,
     private readonly now: MonotonicMilliseconds,
   ) {
-    this.places = estimateSlots(state, pool);
+    this.slots = estimateSlots(state, pool);
   }
 
   walk(queue: PoolQueue): void {
     const first = queue.peek();
-    this.isBlocked =
+    this.areServersFull =
       first !== undefined && chooseBackendServer(this.state, first.accepted) === undefined;
-    let higher = 0;
+    let higherPriorityWork = 0;
     for (const level of queue.levels) {
-      for (const workspace of level.backlogged) this.walkWorkspace(level, workspace, higher);
-      higher += level.backlog;
+      for (const workspace of level.backlogged)
+        this.walkWorkspace(level, workspace, higherPriorityWork);
+      higherPriorityWork += level.backlog;
     }
   }
 
   private walkWorkspace(
     level: FairQueue,
     { workspace, waiting }: WorkspaceQueue,
-    higher: Milliseconds,
+    higherPriorityWork: Milliseconds,
   ): void {
-    let own = 0;
-    for (const one of waiting) {
-      const others = level.workOfOtherWorkspaces(workspace, own + one.cost);
-      const wait = (higher + own + others) / this.places;
-      if (this.isUnreachable(one, wait)) this.found.push(one);
-      else own += one.cost;
+    let ownWork = 0;
+    for (const queued of waiting) {
+      const otherWork = level.workOfOtherWorkspaces(workspace, ownWork + queued.cost);
+      const wait = (higherPriorityWork + ownWork + otherWork) / this.slots;
+      if (this.isUnreachable(queued, wait)) this.unreachable.push(queued);
+      else ownWork += queued.cost;
     }
   }
 
-  private isUnreachable(waiting: QueuedRequest, wait: Milliseconds): boolean {
-    const predicted = this.isBlocked ? wait * (1 - PREDICTION_TOLERANCE) : 0;
-    return missesDeadlineAfter(this.state, waiting, predicted, this.now);
+  private isUnreachable(queued: QueuedRequest, wait: Milliseconds): boolean {
+    const predicted = this.areServersFull ? wait * (1 - PREDICTION_TOLERANCE) : 0;
+    return missesDeadlineAfter(this.state, queued, predicted, this.now);
   }
 }
 
 /** True if the deadline is missed when the request is sent after so long. */
 export function missesDeadlineAfter(
   state: EntryState,
-  { accepted, expiresAt: endsAt }: QueuedRequest,
+  { accepted, expiresAt }: QueuedRequest,
   wait: Milliseconds,
   now: MonotonicMilliseconds,
 ): boolean {
-  return now + wait + expectedFirstTokenDelay(state, accepted) > endsAt;
+  return now + wait + expectedFirstTokenDelay(state, accepted) > expiresAt;
 }
 
 /** Ends a request that has left the queue because it would be late. */
-export function giveUp(
+export function failQueuedRequest(
   state: EntryState,
   { accepted, cost }: QueuedRequest,
   now: MonotonicMilliseconds,
@@ -98,12 +99,12 @@
 export function serveLateOrFail(
   state: EntryState,
   queue: PoolQueue,
-  waiting: QueuedRequest,
+  queued: QueuedRequest,
   now: MonotonicMilliseconds,
 ): EntryEffect[] {
-  if (canServeLate(state, waiting.accepted, now)) return requeueAsLate(state, waiting);
-  queue.remove(waiting);
-  return giveUp(state, waiting, now);
+  if (canServeLate(state, queued.accepted, now)) return requeueAsLate(state, queued);
+  queue.remove(queued);
+  return failQueuedRequest(state, queued, now);
 }
 
 export function failUnreachableDeadlines(
@@ -113,10 +114,10 @@
   const effects: EntryEffect[] = [];
   for (const [pool, queue] of state.admission.queues) {
     if (queue.size === 0) continue;
-    const search = new UnreachableSearch(state, pool, now);
+    const search = new UnreachableDeadlineSearch(state, pool, now);
     search.walk(queue);
-    for (const waiting of search.found)
-      effects.push(...serveLateOrFail(state, queue, waiting, now));
+    for (const queued of search.unreachable)
+      effects.push(...serveLateOrFail(state, queue, queued, now));
   }
   return effects;
 }
--- a/packages/entry-core/src/admission/interruptedStreams.test.ts
+++ b/packages/entry-core/src/admission/interruptedStreams.test.ts
@@ -17,7 +17,7 @@
   return new SimulatedCluster({ engines: { 'wien-a': 1 } });
 }
 
-function accepted(
+function makeAccepted(
   world: SimulatedCluster,
   name: string,
   fields: Partial<RequestState>,
@@ -44,7 +44,7 @@
   };
 }
 
-const begun: Partial<RequestState> = {
+const interrupted: Partial<RequestState> = {
   attemptsStarted: 1,
   tokens: 40,
   firstTokenAt: 800,
@@ -57,8 +57,8 @@
   const world = makeWorld();
   const { state } = world.entry;
   const queue = new FairQueue();
-  queue.add(makeQueuedRequest(state, accepted(world, 'new', {})));
-  queue.add(makeQueuedRequest(state, accepted(world, 'stream', begun)));
+  queue.add(makeQueuedRequest(state, makeAccepted(world, 'new', {})));
+  queue.add(makeQueuedRequest(state, makeAccepted(world, 'stream', interrupted)));
   assert.equal(queue.peek()?.accepted.request.requestId, 'stream');
 });
 
@@ -66,13 +66,13 @@
 test('a stream whose pause is too long is not given up before its deadline', () => {
   const world = makeWorld();
   const { state } = world.entry;
-  const stream = accepted(world, 'stream', begun);
+  const stream = makeAccepted(world, 'stream', interrupted);
   assert.equal(nextTokenDueAt(stream), 3500);
   assert.equal(missesDeadlineAfter(state, makeQueuedRequest(state, stream), 0, 6000), false);
   assert.equal(
     missesDeadlineAfter(state, makeQueuedRequest(state, stream), 0, WHOLE_ANSWER_MILLISECONDS + 1),
     true,
   );
-  const fresh = accepted(world, 'new', {});
+  const fresh = makeAccepted(world, 'new', {});
   assert.equal(missesDeadlineAfter(state, makeQueuedRequest(state, fresh), 0, 6000), true);
 });
--- a/packages/entry-core/src/admission/leaveQueue.ts
+++ b/packages/entry-core/src/admission/leaveQueue.ts
@@ -4,7 +4,7 @@
 export function leaveQueue(state: EntryState, requestId: string | undefined): void {
   if (requestId === undefined || state.requests.has(requestId)) return;
   for (const queue of state.admission.queues.values()) {
-    const waiting = queue.waiting.get(requestId);
-    if (waiting !== undefined) queue.remove(waiting);
+    const queued = queue.waiting.get(requestId);
+    if (queued !== undefined) queue.remove(queued);
   }
 }
--- a/packages/entry-core/src/admission/orderQueueForServer.ts
+++ b/packages/entry-core/src/admission/orderQueueForServer.ts
@@ -14,31 +14,37 @@
 import type { PoolQueue } from './PoolQueue.js';
 
 /** How many of each workspace are looked at, and of all. */
-const MOST_OF_EACH = 8;
-const MOST_TRIED = 12;
-const LEAST_SHARE = 0.3;
+const MAX_CANDIDATES_PER_WORKSPACE = 8;
+const MAX_CANDIDATES = 12;
+const MIN_CACHED_FRACTION_OF_PROMPT = 0.3;
 /** The first request may be passed while so much of its patience is left. */
-const PATIENCE_SHARE = 0.3;
+const MIN_REMAINING_FRACTION_OF_PATIENCE = 0.3;
 
 function canWait(state: EntryState, first: QueuedRequest, now: MonotonicMilliseconds): boolean {
   const patience = first.dueAt - first.accepted.arrivedAt;
-  return !missesDeadlineAfter(state, first, patience * PATIENCE_SHARE, now);
+  return !missesDeadlineAfter(state, first, patience * MIN_REMAINING_FRACTION_OF_PATIENCE, now);
 }
 
 export function orderQueueForServer(
   state: EntryState,
   queue: PoolQueue,
-  freed: BackendServerState | undefined,
+  freedServer: BackendServerState | undefined,
   now: MonotonicMilliseconds,
 ): readonly QueuedRequest[] {
-  const waiting = [...queue.peekPerWorkspace(MOST_OF_EACH)].sort((a, b) => a.dueAt - b.dueAt);
-  const [first] = waiting;
-  if (first === undefined || freed === undefined || !canWait(state, first, now)) {
-    return waiting.slice(0, MOST_TRIED);
+  const candidates = [...queue.peekPerWorkspace(MAX_CANDIDATES_PER_WORKSPACE)].sort(
+    (a, b) => a.dueAt - b.dueAt,
+  );
+  const [first] = candidates;
+  if (first === undefined || freedServer === undefined || !canWait(state, first, now)) {
+    return candidates.slice(0, MAX_CANDIDATES);
   }
-  const { prefixCacheIndex: beliefs } = getPoolState(state, first.accepted.pool.name);
-  const known = ({ accepted }: QueuedRequest) =>
-    beliefs.cachedFractionAt(freed, accepted.request, now) >= LEAST_SHARE;
-  const [fit, rest] = [waiting.filter(known), waiting.filter((one) => !known(one))];
-  return [...fit, ...rest].slice(0, MOST_TRIED);
+  const { prefixCacheIndex } = getPoolState(state, first.accepted.pool.name);
+  const isCached = ({ accepted }: QueuedRequest) =>
+    prefixCacheIndex.cachedFractionAt(freedServer, accepted.request, now) >=
+    MIN_CACHED_FRACTION_OF_PROMPT;
+  const [cached, rest] = [
+    candidates.filter(isCached),
+    candidates.filter((candidate) => !isCached(candidate)),
+  ];
+  return [...cached, ...rest].slice(0, MAX_CANDIDATES);
 }
--- a/packages/entry-core/src/admission/placeRequest.ts
+++ b/packages/entry-core/src/admission/placeRequest.ts
@@ -24,7 +24,7 @@
   | { readonly type: 'none' };
 
 /** Other data centres are used when the wait at home would take so much of the patience left. */
-const HOME_PATIENCE_SHARE = 0.5;
+const MAX_LOCAL_WAIT_FRACTION_OF_PATIENCE = 0.5;
 
 function isQueueAhead(state: EntryState, accepted: RequestState): boolean {
   const { levels } = poolQueueOf(state, accepted.pool.name);
@@ -39,7 +39,7 @@
 ): boolean {
   const wait = predictWait(state, makeQueuedRequest(state, accepted));
   const patience = nextTokenDueAt(accepted) - now - expectedFirstTokenDelay(state, accepted);
-  return wait > patience * HOME_PATIENCE_SHARE;
+  return wait > patience * MAX_LOCAL_WAIT_FRACTION_OF_PATIENCE;
 }
 
 export function placeRequest(
--- a/packages/entry-core/src/admission/predictWait.ts
+++ b/packages/entry-core/src/admission/predictWait.ts
@@ -15,24 +15,24 @@
 
 /** Places of backend servers that serve this entry while requests wait. */
 export function estimateSlots(state: EntryState, pool: string): number {
-  const { local, remote, peakInProgress: peak } = getPoolState(state, pool);
+  const { local, remote, peakInProgress } = getPoolState(state, pool);
   // Attempts at servers that are lost but not yet known to be are no places any more.
-  const most = (local.limitSum + remote.limitSum) / state.limits.concurrencyLimiter.entryCount;
-  return Math.max(1, Math.min(peak.valueAt(state.clocks.now), most));
+  const maxSlots = (local.limitSum + remote.limitSum) / state.limits.concurrencyLimiter.entryCount;
+  return Math.max(1, Math.min(peakInProgress.valueAt(state.clocks.now), maxSlots));
 }
 
 export function makeQueuedRequest(state: EntryState, accepted: RequestState): QueuedRequest {
   const cost = getPoolState(state, accepted.pool.name).estimateServiceTime(accepted.route.name);
   const dueAt = nextTokenDueAt(accepted);
-  const endsAt = accepted.firstTokenAt === undefined ? dueAt : accepted.wholeAnswerDueAt;
-  return { accepted, dueAt, expiresAt: endsAt, cost };
+  const expiresAt = accepted.firstTokenAt === undefined ? dueAt : accepted.wholeAnswerDueAt;
+  return { accepted, dueAt, expiresAt, cost };
 }
 
 /** Wait in the queue until a backend server can be given the request. */
-export function predictWait(state: EntryState, waiting: QueuedRequest): Milliseconds {
-  const pool = waiting.accepted.pool.name;
-  const ahead = poolQueueOf(state, pool).workAhead(waiting);
-  return (ahead + waiting.cost) / estimateSlots(state, pool);
+export function predictWait(state: EntryState, queued: QueuedRequest): Milliseconds {
+  const pool = queued.accepted.pool.name;
+  const ahead = poolQueueOf(state, pool).workAhead(queued);
+  return (ahead + queued.cost) / estimateSlots(state, pool);
 }
 
 /**
@@ -44,11 +44,9 @@
   { pool, request }: RequestState,
 ): Milliseconds {
   const { now } = state.clocks;
-  const { prefixCacheIndex: beliefs, firstTokenRegression: firstToken } = getPoolState(
-    state,
-    pool.name,
-  );
-  if (!firstToken.isTrusted(now)) return 0;
-  const [holder] = beliefs.findHolders(request, now);
-  return firstToken.predict(request.promptTokens * (1 - (holder?.cachedFraction ?? 0)));
+  const { prefixCacheIndex, firstTokenRegression } =
+    getPoolState(state, pool.name);
+  if (!firstTokenRegression.isTrusted(now)) return 0;
+  const [holder] = prefixCacheIndex.findHolders(request, now);
+  return firstTokenRegression.predict(request.promptTokens * (1 - (holder?.cachedFraction ?? 0)));
 }
--- a/packages/entry-core/src/admission/reduceAdmission.ts
+++ b/packages/entry-core/src/admission/reduceAdmission.ts
@@ -25,7 +25,7 @@
   return { requestId, instance: state.attempts.get(attemptId ?? '')?.instance };
 }
 
-function passTime(state: EntryState, now: number): EntryEffect[] {
+function handleTick(state: EntryState, now: number): EntryEffect[] {
   for (const pool of state.poolStates.values()) endExpiredEjections(pool, now);
   expireRetryTimes(state, now);
   return failUnreachableDeadlines(state, now);
@@ -38,6 +38,6 @@
 ): EntryEffect[] {
   releaseEndedRequests(state, event, requestId);
   leaveQueue(state, requestId);
-  const dropped = event.type === 'tick' ? passTime(state, event.now) : [];
-  return [...dropped, ...drainQueues(state, event, instance)];
+  const failed = event.type === 'tick' ? handleTick(state, event.now) : [];
+  return [...failed, ...drainQueues(state, event, instance)];
 }
--- a/packages/entry-core/src/admission/serveLate.test.ts
+++ b/packages/entry-core/src/admission/serveLate.test.ts
@@ -30,7 +30,7 @@
 }
 
 /** Forty callers at once, then twelve a second before two engines that can begin twenty. */
-function play(lateFirstTokenMilliseconds?: number): Outcome {
+function runScenario(lateFirstTokenMilliseconds?: number): Outcome {
   const deadline = {
     firstTokenMilliseconds: FIRST_TOKEN_MILLISECONDS,
     wholeAnswerMilliseconds: 30_000,
@@ -60,8 +60,8 @@
 // Those who cannot be in time are refused, come again when they are later still, and are refused again.
 // Served by their deadlines they would go first, and make late everyone who has just come.
 test('those who cannot be in time are served behind those who can', () => {
-  const refusing = play();
-  const serving = play(4000);
+  const refusing = runScenario();
+  const serving = runScenario(4000);
   const shown = JSON.stringify({ refusing, serving });
   assert.ok(refusing.refused >= 20, shown);
   assert.ok(serving.refused <= refusing.refused * 0.8, shown);
--- a/packages/entry-core/src/admission/serveLate.ts
+++ b/packages/entry-core/src/admission/serveLate.ts
@@ -13,10 +13,10 @@
 import { makeQueuedRequest, predictWait, expectedFirstTokenDelay } from './predictWait.js';
 
 /** Late requests that may wait at this entry, for each backend server of the pool. */
-const MOST_LATE_FOR_EACH = 4;
+const MAX_LATE_REQUESTS_PER_SERVER = 4;
 
 /** Of the time that is left, the most that a late request is predicted to wait: some wait longer. */
-const WAIT_SHARE = 0.5;
+const MAX_WAIT_FRACTION_OF_TIME_LEFT = 0.5;
 
 /** True if a request that will be late can still be of use. */
 export function canServeLate(
@@ -25,13 +25,13 @@
   now: MonotonicMilliseconds,
 ): boolean {
   if (accepted.isLate === true || accepted.firstTokenAt !== undefined) return false;
-  const { pool, lateFirstTokenDueAt: lateUntil } = accepted;
-  const left = lateUntil - now - expectedFirstTokenDelay(state, accepted);
-  const waiting = makeQueuedRequest(state, { ...accepted, isLate: true });
-  if (predictWait(state, waiting) > left * WAIT_SHARE) return false;
+  const { pool, lateFirstTokenDueAt } = accepted;
+  const timeLeft = lateFirstTokenDueAt - now - expectedFirstTokenDelay(state, accepted);
+  const queued = makeQueuedRequest(state, { ...accepted, isLate: true });
+  if (predictWait(state, queued) > timeLeft * MAX_WAIT_FRACTION_OF_TIME_LEFT) return false;
   const { local, remote } = getPoolState(state, pool.name);
   const servers = local.candidates.length + remote.candidates.length;
-  return poolQueueOf(state, pool.name).lateCount < servers * MOST_LATE_FOR_EACH;
+  return poolQueueOf(state, pool.name).lateCount < servers * MAX_LATE_REQUESTS_PER_SERVER;
 }
 
 /** Puts a request behind all that can be in time. */
@@ -45,10 +45,10 @@
 }
 
 /** The same for one that waits already. */
-export function requeueAsLate(state: EntryState, waiting: QueuedRequest): EntryEffect[] {
-  const { accepted } = waiting;
+export function requeueAsLate(state: EntryState, queued: QueuedRequest): EntryEffect[] {
+  const { accepted } = queued;
   const queue = poolQueueOf(state, accepted.pool.name);
-  queue.remove(waiting);
+  queue.remove(queued);
   const effects = markLate(accepted);
   queue.add(makeQueuedRequest(state, accepted));
   return effects;
--- a/packages/entry-core/src/admission/shouldWaitForCache.ts
+++ b/packages/entry-core/src/admission/shouldWaitForCache.ts
@@ -16,9 +16,9 @@
 import type { RequestState } from '../requests/RequestState.js';
 
 /** Computing less than this anew is not worth any wait. */
-const LEAST_SAVING_MILLISECONDS: Milliseconds = 20;
+const MIN_SAVING_MILLISECONDS: Milliseconds = 20;
 /** Share of the patience that may be spent on waiting for a server with the prefix. */
-const HOLD_SHARE = 0.3;
+const MAX_WAIT_FRACTION_OF_PATIENCE = 0.3;
 
 export function shouldWaitForCache(
   state: EntryState,
@@ -29,31 +29,33 @@
   // A stream that goes on elsewhere must not pause for a cache.
   if (accepted.attemptsStarted > 0) return false;
   const patience = nextTokenDueAt(accepted) - accepted.arrivedAt;
-  if (now - accepted.arrivedAt >= patience * HOLD_SHARE) return false;
-  const pool = getPoolState(state, accepted.pool.name);
+  if (now - accepted.arrivedAt >= patience * MAX_WAIT_FRACTION_OF_PATIENCE) return false;
+  const poolState = getPoolState(state, accepted.pool.name);
   const { request } = accepted;
-  const holder = findHolder(state, pool, accepted, server);
+  const holder = findHolder(state, poolState, accepted, server);
   // One that has room was not chosen for other reasons; waiting would not change them.
-  if (holder === undefined || hasCapacity(state, pool, holder.server, accepted)) return false;
-  const more = holder.cachedFraction - pool.prefixCacheIndex.cachedFractionAt(server, request, now);
+  if (holder === undefined || hasCapacity(state, poolState, holder.server, accepted)) return false;
+  const additionalFraction =
+    holder.cachedFraction - poolState.prefixCacheIndex.cachedFractionAt(server, request, now);
   return (
-    pool.firstTokenRegression.predictMarginalDelay(more * request.promptTokens) >=
-    LEAST_SAVING_MILLISECONDS
+    poolState.firstTokenRegression.predictMarginalDelay(
+      additionalFraction * request.promptTokens,
+    ) >= MIN_SAVING_MILLISECONDS
   );
 }
 
 /** The server near `server` that is believed to have the longest prefix. */
 function findHolder(
   state: EntryState,
-  pool: PoolState,
+  poolState: PoolState,
   accepted: RequestState,
   server: BackendServerState,
 ): PrefixHolder | undefined {
   const { now } = state.clocks;
-  const group = pool.groupOf(server);
+  const group = poolState.groupOf(server);
   const excluded = findExcludedInstances(state, accepted, now);
-  return pool.prefixCacheIndex
+  return poolState.prefixCacheIndex
     .findHolders(accepted.request, now)
-    .filter((held) => group.has(held.server) && acceptsNewWork(held.server))
-    .find((held) => !excluded.has(held.server.platformInstance.instance));
+    .filter((holder) => group.has(holder.server) && acceptsNewWork(holder.server))
+    .find((holder) => !excluded.has(holder.server.platformInstance.instance));
 }
--- a/packages/entry-core/src/advanceEntry.ts
+++ b/packages/entry-core/src/advanceEntry.ts
@@ -18,20 +18,20 @@
 import { enforceDeadlines } from './requests/enforceDeadlines.js';
 import { advanceShutdown } from './shutdown/advanceShutdown.js';
 
-export function advanceEntry(state: EntryState, timed: Timestamps): EntryEffect[] {
-  state.membership.wallOffset = timed.wallNow - timed.now;
-  updatePeerLiveness(state, timed.now);
-  advanceSuspects(state, timed.now);
+export function advanceEntry(state: EntryState, timestamps: Timestamps): EntryEffect[] {
+  state.membership.wallOffset = timestamps.wallNow - timestamps.now;
+  updatePeerLiveness(state, timestamps.now);
+  advanceSuspects(state, timestamps.now);
   return [
-    ...enforceDeadlines(state, timed.now),
-    ...expireAwaitingConfiguration(state, timed.now),
-    ...advanceLosses(state, timed),
-    ...probeStalledServers(state, timed.now),
-    ...advanceCacheMoves(state, timed),
-    ...advanceReclaims(state, timed),
-    ...advanceRetries(state, timed.now),
-    ...advanceReports(state, timed),
-    ...advanceWorkReports(state, timed.now),
-    ...advanceShutdown(state, timed),
+    ...enforceDeadlines(state, timestamps.now),
+    ...expireAwaitingConfiguration(state, timestamps.now),
+    ...advanceLosses(state, timestamps),
+    ...probeStalledServers(state, timestamps.now),
+    ...advanceCacheMoves(state, timestamps),
+    ...advanceReclaims(state, timestamps),
+    ...advanceRetries(state, timestamps.now),
+    ...advanceReports(state, timestamps),
+    ...advanceWorkReports(state, timestamps.now),
+    ...advanceShutdown(state, timestamps),
   ];
 }
--- a/packages/entry-core/src/demand/DemandMeter.ts
+++ b/packages/entry-core/src/demand/DemandMeter.ts
@@ -18,24 +18,24 @@
   readonly recentPerSecond: number;
 }
 
-interface RouteCount {
+interface ArrivalCounter {
   /** Arrivals by second, modulo the window and the second that is being counted. */
   readonly bySecond: number[];
   second: number;
 }
 
 /** Arrivals of the last whole seconds, without the second that is being counted. */
-function countBack({ bySecond, second }: RouteCount, seconds: number): number {
+function sumLastSeconds({ bySecond, second }: ArrivalCounter, seconds: number): number {
   const { length } = bySecond;
   let arrived = 0;
-  for (let back = 1; back <= seconds; back += 1) {
-    arrived += bySecond[(second - back + length) % length] ?? 0;
+  for (let offset = 1; offset <= seconds; offset += 1) {
+    arrived += bySecond[(second - offset + length) % length] ?? 0;
   }
   return arrived;
 }
 
 export class DemandMeter {
-  private readonly counts = new Map<string, RouteCount>();
+  private readonly counts = new Map<string, ArrivalCounter>();
 
   record(route: string, now: MonotonicMilliseconds): void {
     const count = this.advance(route, now);
@@ -48,26 +48,29 @@
     const rates = new Map<string, DemandRate>();
     this.counts.forEach((_, route) => {
       const count = this.advance(route, now);
-      const arrived = countBack(count, WINDOW_SECONDS);
+      const arrived = sumLastSeconds(count, WINDOW_SECONDS);
       const current = count.bySecond[count.second % count.bySecond.length] ?? 0;
       if (arrived + current === 0) {
         this.counts.delete(route);
         return;
       }
-      const recent = countBack(count, RECENT_SECONDS) / RECENT_SECONDS;
-      rates.set(route, { requestsPerSecond: arrived / WINDOW_SECONDS, recentPerSecond: recent });
+      const recentPerSecond = sumLastSeconds(count, RECENT_SECONDS) / RECENT_SECONDS;
+      rates.set(route, {
+        requestsPerSecond: arrived / WINDOW_SECONDS,
+        recentPerSecond,
+      });
     });
     return rates;
   }
 
-  private advance(route: string, now: MonotonicMilliseconds): RouteCount {
+  private advance(route: string, now: MonotonicMilliseconds): ArrivalCounter {
     const second = Math.floor(now / MILLISECONDS_PER_SECOND);
-    const known = this.counts.get(route);
-    const count = known ?? { bySecond: new Array<number>(WINDOW_SECONDS + 1).fill(0), second };
-    if (known === undefined) this.counts.set(route, count);
+    const existing = this.counts.get(route);
+    const count = existing ?? { bySecond: new Array<number>(WINDOW_SECONDS + 1).fill(0), second };
+    if (existing === undefined) this.counts.set(route, count);
     const { length } = count.bySecond;
-    const passed = Math.min(second - count.second, length);
-    for (let step = 1; step <= passed; step += 1) count.bySecond[(second - step + 1) % length] = 0;
+    const elapsed = Math.min(second - count.second, length);
+    for (let step = 1; step <= elapsed; step += 1) count.bySecond[(second - step + 1) % length] = 0;
     count.second = second;
     return count;
   }
--- a/packages/entry-core/src/demand/UsageMeter.ts
+++ b/packages/entry-core/src/demand/UsageMeter.ts
@@ -5,25 +5,25 @@
 import type { BegunCounts, EpochMilliseconds, Milliseconds } from '@hornbeampond/schema';
 
 /** Windows that are kept: late enough for a holder of the duty that has just taken over. */
-const KEPT_WINDOWS = 6;
+const RETAINED_WINDOW_COUNT = 6;
 
 export class UsageMeter {
   private readonly windows = new Map<number, Record<string, number>>();
 
   private readonly changed = new Set<number>();
 
-  /** @param length - Length of a window; 0 counts nothing. */
-  constructor(private readonly length: Milliseconds) {}
+  /** @param windowMilliseconds - Length of a window; 0 counts nothing. */
+  constructor(private readonly windowMilliseconds: Milliseconds) {}
 
   record(workspace: string, wallNow: EpochMilliseconds): void {
-    if (this.length <= 0 || workspace === '') return;
-    const number = Math.floor(wallNow / this.length);
-    const counts = this.windows.get(number) ?? {};
+    if (this.windowMilliseconds <= 0 || workspace === '') return;
+    const windowNumber = Math.floor(wallNow / this.windowMilliseconds);
+    const counts = this.windows.get(windowNumber) ?? {};
     counts[workspace] = (counts[workspace] ?? 0) + 1;
-    this.changed.add(number);
-    this.windows.set(number, counts);
-    this.windows.forEach((_, known) => {
-      if (known <= number - KEPT_WINDOWS) this.windows.delete(known);
+    this.changed.add(windowNumber);
+    this.windows.set(windowNumber, counts);
+    this.windows.forEach((_, retained) => {
+      if (retained <= windowNumber - RETAINED_WINDOW_COUNT) this.windows.delete(retained);
     });
   }
 
--- a/packages/entry-core/src/demand/buildDemandReports.ts
+++ b/packages/entry-core/src/demand/buildDemandReports.ts
@@ -15,9 +15,9 @@
   return [...state.demand.read(now)].flatMap(([route, rate]) => {
     const pool = index.pool(poolByRoute.get(route) ?? '');
     if (pool === undefined) return [];
-    const balance = getPoolState(state, pool.name);
-    const serviceMilliseconds = balance.estimateServiceTime(route);
-    const promptMilliseconds = balance.estimatePrefillTime(route);
+    const poolState = getPoolState(state, pool.name);
+    const serviceMilliseconds = poolState.estimateServiceTime(route);
+    const promptMilliseconds = poolState.estimatePrefillTime(route);
     return [
       {
         route,
--- a/packages/entry-core/src/reduceEntry.ts
+++ b/packages/entry-core/src/reduceEntry.ts
@@ -30,12 +30,12 @@
 
 export function reduceEntry(state: EntryState, event: EntryEvent): EntryEffect[] {
   state.clocks = { now: event.now, wallNow: event.wallNow };
-  const concerned = findAffectedIds(state, event);
+  const affected = findAffectedIds(state, event);
   const observed = observeAttempt(state, event);
-  const ending = findClaimOfEndedAttempt(state, event);
-  const effects = [...observed, ...reduceConcern(state, event)];
-  effects.push(...reduceAdmission(state, event, concerned));
-  effects.push(...updateClaims(state, event, ending, effects));
+  const endedClaim = findClaimOfEndedAttempt(state, event);
+  const effects = [...observed, ...dispatchEvent(state, event)];
+  effects.push(...reduceAdmission(state, event, affected));
+  effects.push(...updateClaims(state, event, endedClaim, effects));
   observeAttemptStarts(state, effects, event.now);
   return effects;
 }
@@ -43,7 +43,7 @@
 function receiveConfiguration(
   state: EntryState,
   configuration: Configuration,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
   const { revision } = configuration;
   if (revision <= state.configuration.revision) return [];
@@ -55,11 +55,11 @@
     { type: 'configurationApplied', revision },
     { type: 'setGauge', metric: 'configurationRevision', value: revision },
     { type: 'log', event: 'configurationApplied', fields: { revision } },
-    ...admitAfterConfiguration(state, timed),
+    ...admitAfterConfiguration(state, timestamps),
   ];
 }
 
-function reduceConcern(state: EntryState, event: EntryEvent): EntryEffect[] {
+function dispatchEvent(state: EntryState, event: EntryEvent): EntryEffect[] {
   switch (event.type) {
     case 'configurationReceived':
       return receiveConfiguration(state, event.configuration, event);
--- a/packages/entry-core/src/requests/endRequest.ts
+++ b/packages/entry-core/src/requests/endRequest.ts
@@ -10,7 +10,7 @@
 import type { RequestState } from './RequestState.js';
 
 /** What a final answer adds to its error kind. */
-export interface FinalProblem {
+export interface ProblemFields {
   readonly retryAfterMilliseconds?: Milliseconds;
   readonly ran?: Ran;
 }
@@ -24,7 +24,7 @@
   request: CallerRequest,
   kind: ErrorKind,
   detail: string,
-  problem: FinalProblem = {},
+  problem: ProblemFields = {},
   facts: LogFields = {},
 ): EntryEffect[] {
   const { requestId, workspace } = request;
@@ -45,7 +45,7 @@
   accepted: RequestState,
   kind: ErrorKind,
   detail: string,
-  problem: FinalProblem = {},
+  problem: ProblemFields = {},
 ): EntryEffect[] {
   const { requestId, workspace } = accepted.request;
   const { tokens } = accepted;
@@ -66,7 +66,11 @@
 }
 
 /** When its first token came, and was due, from its arrival. */
-function describeTimes({ arrivedAt, firstTokenAt, firstTokenDueAt }: RequestState): LogFields {
+function describeFirstTokenTimes({
+  arrivedAt,
+  firstTokenAt,
+  firstTokenDueAt,
+}: RequestState): LogFields {
   if (firstTokenAt === undefined) return {};
   return { firstTokenIn: firstTokenAt - arrivedAt, firstTokenDueIn: firstTokenDueAt - arrivedAt };
 }
@@ -87,7 +91,7 @@
     {
       type: 'log',
       event: 'requestFinished',
-      fields: { requestId, ...describeTimes(accepted), longestPause },
+      fields: { requestId, ...describeFirstTokenTimes(accepted), longestPause },
     },
   ];
 }
--- a/packages/entry-core/src/routing/LocalClock.ts
+++ b/packages/entry-core/src/routing/LocalClock.ts
@@ -10,13 +10,13 @@
 const MILLISECONDS_PER_MINUTE = 60_000;
 const QUARTER_HOUR_MILLISECONDS = 15 * MILLISECONDS_PER_MINUTE;
 
-interface KnownOffset {
+interface CachedOffset {
   readonly quarterHour: number;
   readonly offsetMinutes: number;
 }
 
 export class LocalClock {
-  private readonly offsets = new Map<string, KnownOffset>();
+  private readonly offsets = new Map<string, CachedOffset>();
 
   /** Minutes since local midnight as the clock on the wall shows them. */
   minuteOfDay(timeZone: string, wallNow: EpochMilliseconds): number {
@@ -27,8 +27,8 @@
 
   private offsetMinutes(timeZone: string, wallNow: EpochMilliseconds): number {
     const quarterHour = Math.floor(wallNow / QUARTER_HOUR_MILLISECONDS);
-    const known = this.offsets.get(timeZone);
-    if (known?.quarterHour === quarterHour) return known.offsetMinutes;
+    const cached = this.offsets.get(timeZone);
+    if (cached?.quarterHour === quarterHour) return cached.offsetMinutes;
     const offsetMinutes = DateTime.fromMillis(wallNow, { zone: timeZone }).offset;
     this.offsets.set(timeZone, { quarterHour, offsetMinutes });
     return offsetMinutes;
--- a/packages/entry-core/src/routing/RouteIndex.ts
+++ b/packages/entry-core/src/routing/RouteIndex.ts
@@ -7,20 +7,20 @@
 import { LocalClock } from './LocalClock.js';
 
 /** A route and its place in the table: among equally specific routes the first one wins. */
-interface Ranked {
+interface RankedRoute {
   readonly route: Route;
   readonly row: number;
 }
 
 /** The routes of one path prefix and one model. */
 class RouteGroup {
-  private open: Ranked | undefined;
+  private unrestricted: RankedRoute | undefined;
 
-  private readonly byWorkspace = new Map<string, Ranked>();
+  private readonly byWorkspace = new Map<string, RankedRoute>();
 
-  add(ranked: Ranked): void {
+  add(ranked: RankedRoute): void {
     const { workspaces } = ranked.route.match;
-    if (workspaces.length === 0) this.open ??= ranked;
+    if (workspaces.length === 0) this.unrestricted ??= ranked;
     for (const workspace of workspaces) {
       if (!this.byWorkspace.has(workspace)) this.byWorkspace.set(workspace, ranked);
     }
@@ -28,8 +28,9 @@
 
   find(workspace: string): Route | undefined {
     const named = this.byWorkspace.get(workspace);
-    if (named === undefined || this.open === undefined) return (named ?? this.open)?.route;
-    return named.row < this.open.row ? named.route : this.open.route;
+    if (named === undefined || this.unrestricted === undefined)
+      return (named ?? this.unrestricted)?.route;
+    return named.row < this.unrestricted.row ? named.route : this.unrestricted.route;
   }
 }
 
@@ -40,7 +41,7 @@
 }
 
 /** A host never holds a slash and a prefix begins with one, so no two places share a key. */
-function placeOf(host: string | undefined, pathPrefix: string): string {
+function prefixKey(host: string | undefined, pathPrefix: string): string {
   return `${host ?? ''}${pathPrefix}`;
 }
 
@@ -48,13 +49,13 @@
   const prefixes = new Map<string, PrefixRoutes>();
   rows.forEach((route, row) => {
     const { host, pathPrefix, model } = route.match;
-    const place = placeOf(host, pathPrefix);
-    const known = prefixes.get(place) ?? { byModel: new Map(), anyModel: undefined };
-    const old = model === undefined ? known.anyModel : known.byModel.get(model);
-    const group = old ?? new RouteGroup();
+    const key = prefixKey(host, pathPrefix);
+    const existing = prefixes.get(key) ?? { byModel: new Map(), anyModel: undefined };
+    const existingGroup = model === undefined ? existing.anyModel : existing.byModel.get(model);
+    const group = existingGroup ?? new RouteGroup();
     group.add({ route, row });
-    if (model !== undefined) known.byModel.set(model, group);
-    prefixes.set(place, model === undefined ? { ...known, anyModel: group } : known);
+    if (model !== undefined) existing.byModel.set(model, group);
+    prefixes.set(key, model === undefined ? { ...existing, anyModel: group } : existing);
   });
   return prefixes;
 }
@@ -101,18 +102,18 @@
 
   /** The groups that match, most specific first: a route that names the host before any other. */
   *groups(path: string, model: string | undefined, host?: string): Generator<RouteGroup> {
-    if (host !== undefined) yield* this.groupsOf(host, path, model);
-    yield* this.groupsOf(undefined, path, model);
+    if (host !== undefined) yield* this.groupsForHost(host, path, model);
+    yield* this.groupsForHost(undefined, path, model);
   }
 
-  private *groupsOf(
+  private *groupsForHost(
     host: string | undefined,
     path: string,
     model: string | undefined,
   ): Generator<RouteGroup> {
     for (const length of this.lengths) {
       if (length > path.length) continue;
-      const found = this.prefixes.get(placeOf(host, path.slice(0, length)));
+      const found = this.prefixes.get(prefixKey(host, path.slice(0, length)));
       const named = model === undefined ? undefined : found?.byModel.get(model);
       if (named !== undefined) yield named;
       if (found?.anyModel !== undefined) yield found.anyModel;
--- a/packages/entry-core/src/routing/deadlineAt.test.ts
+++ b/packages/entry-core/src/routing/deadlineAt.test.ts
@@ -6,7 +6,7 @@
 
 const MINUTE = 60_000;
 
-function span(from: string, to: string, firstTokenMilliseconds: number) {
+function makeSpan(from: string, to: string, firstTokenMilliseconds: number) {
   return { from, to, firstTokenMilliseconds, wholeAnswerMilliseconds: 60_000 };
 }
 
@@ -16,9 +16,9 @@
     timeZone,
     deadline: { firstTokenMilliseconds: 1000, wholeAnswerMilliseconds: 60_000 },
     deadlinesByHour: [
-      span('22:00', '02:00', 2000),
-      span('02:00', '03:00', 3000),
-      span('11:30', '13:30', 500),
+      makeSpan('22:00', '02:00', 2000),
+      makeSpan('02:00', '03:00', 3000),
+      makeSpan('11:30', '13:30', 500),
     ],
   });
   const clock = new LocalClock();
--- a/packages/entry-core/src/routing/deadlineAt.ts
+++ b/packages/entry-core/src/routing/deadlineAt.ts
@@ -14,7 +14,7 @@
 }
 
 /** A span whose end is not after its start runs over midnight. */
-function holds(span: DeadlineSpan, minute: number): boolean {
+function isInForce(span: DeadlineSpan, minute: number): boolean {
   const from = minuteOfDay(span.from);
   const to = minuteOfDay(span.to);
   return from < to ? minute >= from && minute < to : minute >= from || minute < to;
@@ -27,5 +27,5 @@
 ): Deadline {
   if (route.deadlinesByHour.length === 0) return route.deadline;
   const minute = clock.minuteOfDay(route.timeZone, wallNow);
-  return route.deadlinesByHour.find((span) => holds(span, minute)) ?? route.deadline;
+  return route.deadlinesByHour.find((span) => isInForce(span, minute)) ?? route.deadline;
 }
--- a/packages/entry-core/src/routing/findRoute.test.ts
+++ b/packages/entry-core/src/routing/findRoute.test.ts
@@ -6,7 +6,7 @@
 import { findRoute, type FoundRoute } from './findRoute.js';
 import { RouteIndex } from './RouteIndex.js';
 
-function indexOf(rows: readonly Route[]): RouteIndex {
+function makeIndex(rows: readonly Route[]): RouteIndex {
   return new RouteIndex({ ...emptyConfiguration, routes: { revision: 1, rows } });
 }
 
@@ -52,7 +52,7 @@
         const rows = found.map((match, number) => exampleRoute({ name: `route-${number}`, match }));
         const request = exampleRequest('one', { path, workspace, model });
         assert.deepEqual(
-          findRoute(indexOf(rows), request),
+          findRoute(makeIndex(rows), request),
           findByScan(rows, path, workspace, model),
         );
       },
--- a/packages/entry-core/src/shutdown/advanceShutdown.ts
+++ b/packages/entry-core/src/shutdown/advanceShutdown.ts
@@ -26,7 +26,7 @@
   return advanceShutdown(state, event);
 }
 
-function endAtLimit(state: EntryState, accepted: RequestState): EntryEffect[] {
+function failAtLimit(state: EntryState, accepted: RequestState): EntryEffect[] {
   const ran = determineRan(accepted);
   const detail = 'This instance has to stop now; send the request again to go on';
   const kind = ran === 'no' ? 'draining' : 'answerCut';
@@ -34,12 +34,12 @@
   return failRequest(state, accepted, kind, detail, problem);
 }
 
-function endAllAtLimit(state: EntryState): EntryEffect[] {
+function failAllAtLimit(state: EntryState): EntryEffect[] {
   const requests = [...state.requests.values()];
   if (requests.length === 0) return [];
   return [
     { type: 'log', event: 'shutdownLimitReached', fields: { requests: requests.length } },
-    ...requests.flatMap((accepted) => endAtLimit(state, accepted)),
+    ...requests.flatMap((accepted) => failAtLimit(state, accepted)),
   ];
 }
 
@@ -47,7 +47,7 @@
   const { shutdown } = state;
   if (!shutdown.started) return [];
   state.shuttingDown = shutdown.acceptUntil <= now;
-  const effects = shutdown.endAt <= now ? endAllAtLimit(state) : [];
+  const effects = shutdown.endAt <= now ? failAllAtLimit(state) : [];
   // A claim whose end is not in the log yet would read `unknown` to a caller that sends it again.
   const claimsOpen = state.claims.size > 0 && now < shutdown.endAt;
   const inProgress = state.requests.size > 0 || claimsOpen;
