--- a/packages/entry-core/src/admission/decideAdmission.ts
+++ b/packages/entry-core/src/admission/decideAdmission.ts
@@ -40,7 +40,7 @@
 }
 
 /** Without any backend server nothing can be predicted; instances start in about this time. */
-const NO_BACKEND_SERVER_RETRY_MILLISECONDS: Milliseconds = 5000;
+const NO_BACKEND_SERVER_RETRY_AFTER_MILLISECONDS: Milliseconds = 5000;
 
 /** One workspace may have waiting so many times the room that is left in the queue. */
 const MAX_QUEUED_PER_FREE_POSITION = 2;
@@ -94,7 +94,7 @@
   const interval = (cost * workspaces) / estimateSlots(state, accepted.pool.name);
   const key = `queue/${accepted.pool.name}/${workspace}`;
   const retryAfterMilliseconds = assignRetryAfter(state, key, interval * excess, interval, now);
-  const facts = { waiting: ownQueued, free, workspaces };
+  const facts = { waiting: ownQueued, free: free, workspaces };
   return { kind: 'overloaded', detail: 'Too many requests wait', retryAfterMilliseconds, facts };
 }
 
@@ -120,7 +120,7 @@
   return { kind: 'deadlineUnreachable', detail, retryAfterMilliseconds, facts };
 }
 
-function refuseLateAtServer(
+function refuseLateStart(
   state: EntryState,
   accepted: RequestState,
   server: BackendServerState,
@@ -170,20 +170,19 @@
     return toDecision({
       kind: 'noBackendServer',
       detail: `Pool "${accepted.pool.name}" has no backend server`,
-      retryAfterMilliseconds: NO_BACKEND_SERVER_RETRY_MILLISECONDS,
+      retryAfterMilliseconds: NO_BACKEND_SERVER_RETRY_AFTER_MILLISECONDS,
       facts: { pool: accepted.pool.name },
     });
   }
   if (placement.type === 'start') {
     const { server } = placement;
-    return toDecision(refuseLateAtServer(state, accepted, server, now), server);
+    return toDecision(refuseLateStart(state, accepted, server, now), server);
   }
   const overQueue = refuseOverQueue(state, accepted, now);
   if (overQueue !== undefined) return toDecision(overQueue);
-  const { availableServer } = placement;
+  const { availableServer: available } = placement;
   // While a server has room, those that wait do so for another one by choice and not for long.
-  if (availableServer !== undefined)
-    return toDecision(refuseLateAtServer(state, accepted, availableServer, now));
+  if (available !== undefined) return toDecision(refuseLateStart(state, accepted, available, now));
   return toDecision(refuseLateInQueue(state, accepted, now));
 }
 
--- a/packages/entry-core/src/admission/failUnreachableDeadlines.ts
+++ b/packages/entry-core/src/admission/failUnreachableDeadlines.ts
@@ -22,7 +22,7 @@
 
 /** Walks the queue of one pool. */
 class UnreachableDeadlineSearch {
-  readonly unreachable: QueuedRequest[] = [];
+  readonly found: QueuedRequest[] = [];
 
   private readonly slots: number;
 
@@ -58,7 +58,7 @@
     for (const queued of waiting) {
       const otherWork = level.workOfOtherWorkspaces(workspace, ownWork + queued.cost);
       const wait = (higherPriorityWork + ownWork + otherWork) / this.slots;
-      if (this.isUnreachable(queued, wait)) this.unreachable.push(queued);
+      if (this.isUnreachable(queued, wait)) this.found.push(queued);
       else ownWork += queued.cost;
     }
   }
@@ -116,8 +116,7 @@
     if (queue.size === 0) continue;
     const search = new UnreachableDeadlineSearch(state, pool, now);
     search.walk(queue);
-    for (const queued of search.unreachable)
-      effects.push(...serveLateOrFail(state, queue, queued, now));
+    for (const queued of search.found) effects.push(...serveLateOrFail(state, queue, queued, now));
   }
   return effects;
 }
--- a/packages/entry-core/src/admission/predictWait.ts
+++ b/packages/entry-core/src/admission/predictWait.ts
@@ -44,8 +44,7 @@
   { pool, request }: RequestState,
 ): Milliseconds {
   const { now } = state.clocks;
-  const { prefixCacheIndex, firstTokenRegression } =
-    getPoolState(state, pool.name);
+  const { prefixCacheIndex, firstTokenRegression } = getPoolState(state, pool.name);
   if (!firstTokenRegression.isTrusted(now)) return 0;
   const [holder] = prefixCacheIndex.findHolders(request, now);
   return firstTokenRegression.predict(request.promptTokens * (1 - (holder?.cachedFraction ?? 0)));
--- a/packages/entry-core/src/demand/DemandMeter.test.ts
+++ b/packages/entry-core/src/demand/DemandMeter.test.ts
@@ -5,8 +5,11 @@
 test('the rate is that of the last ten whole seconds', () => {
   const meter = new DemandMeter();
   for (let now = 0; now < 20_000; now += 100) meter.record('offers', now);
-  assert.deepEqual(meter.read(20_050).get('offers'), { steady: 10, recent: 10 });
-  assert.deepEqual(meter.read(25_050).get('offers'), { steady: 5, recent: 0 });
+  assert.deepEqual(meter.read(20_050).get('offers'), {
+    requestsPerSecond: 10,
+    recentPerSecond: 10,
+  });
+  assert.deepEqual(meter.read(25_050).get('offers'), { requestsPerSecond: 5, recentPerSecond: 0 });
 });
 
 // Callers come at six times their usual rate. By ten seconds the engines for them would be ordered
@@ -15,7 +18,10 @@
   const meter = new DemandMeter();
   for (let now = 0; now < 20_000; now += 100) meter.record('offers', now);
   for (let now = 20_000; now < 24_000; now += 20) meter.record('offers', now);
-  assert.deepEqual(meter.read(24_050).get('offers'), { steady: 26, recent: 50 });
+  assert.deepEqual(meter.read(24_050).get('offers'), {
+    requestsPerSecond: 26,
+    recentPerSecond: 50,
+  });
 });
 
 test('a route that nobody uses any more is forgotten', () => {
--- a/packages/entry-core/src/routing/RouteIndex.ts
+++ b/packages/entry-core/src/routing/RouteIndex.ts
@@ -14,13 +14,13 @@
 
 /** The routes of one path prefix and one model. */
 class RouteGroup {
-  private unrestricted: RankedRoute | undefined;
+  private shared: RankedRoute | undefined;
 
   private readonly byWorkspace = new Map<string, RankedRoute>();
 
   add(ranked: RankedRoute): void {
     const { workspaces } = ranked.route.match;
-    if (workspaces.length === 0) this.unrestricted ??= ranked;
+    if (workspaces.length === 0) this.shared ??= ranked;
     for (const workspace of workspaces) {
       if (!this.byWorkspace.has(workspace)) this.byWorkspace.set(workspace, ranked);
     }
@@ -28,9 +28,8 @@
 
   find(workspace: string): Route | undefined {
     const named = this.byWorkspace.get(workspace);
-    if (named === undefined || this.unrestricted === undefined)
-      return (named ?? this.unrestricted)?.route;
-    return named.row < this.unrestricted.row ? named.route : this.unrestricted.route;
+    if (named === undefined || this.shared === undefined) return (named ?? this.shared)?.route;
+    return named.row < this.shared.row ? named.route : this.shared.route;
   }
 }
 
