--- a/packages/entry-core/src/EntryState.ts
+++ b/packages/entry-core/src/EntryState.ts
@@ -1,6 +1,4 @@
-/**
- * All that an entry knows and decides from. The reducer changes it in place; nothing else does.
- */
+/** The in-memory state of an entry. Only the reducer modifies it. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
 import { emptyConfiguration, type Configuration, type FleetDrains } from '@hornbeampond/schema';
@@ -23,15 +21,15 @@
 import type { RequestState } from './requests/RequestState.js';
 import { makeShutdownState, type ShutdownState } from './shutdown/ShutdownState.js';
 
-/** What an entry is told at start. */
+/** Settings that stay fixed for the lifetime of an entry process. */
 export interface EntryIdentity {
   readonly instance: string;
   readonly dataCentre: string;
   /** Wall clock at process start, in epoch milliseconds. */
   readonly incarnation: number;
-  /** Most requests that may wait for a backend server. */
+  /** Maximum number of requests that may be queued for backend servers. */
   readonly maxQueuedRequests: number;
-  /** Length of the windows in which requests are counted for the usage report, if there is one. */
+  /** Length of one window of the usage report; undefined if usage is not reported. */
   readonly usageWindow?: number;
 }
 
@@ -40,13 +38,13 @@
   configuration: Configuration;
   /** By instance. */
   readonly backendServers: Map<string, BackendServerState>;
-  /** Requests that came before the configuration, by request id. */
+  /** Requests that arrived before the first configuration, by request id. */
   readonly requestsAwaitingConfiguration: Map<string, RequestAwaitingConfiguration>;
-  /** Requests without a final answer, by request id. */
+  /** Accepted requests without a final answer, by request id. */
   readonly requests: Map<string, RequestState>;
-  /** Attempts without an end, by attempt id. */
+  /** Attempts that have not ended, by attempt id. */
   readonly attempts: Map<string, AttemptState>;
-  /** Claimed calls whose end is not in the log yet, by request id. */
+  /** Claimed calls whose outcome is not in the log yet, by request id. */
   readonly claims: Map<string, RequestClaim>;
   readonly demand: DemandMeter;
   readonly usage: UsageMeter;
@@ -57,14 +55,16 @@
   readonly reclaims: ReclaimState;
   readonly membership: MembershipState;
   readonly peerWork: PeerWork;
-  /** Prompt prefixes that a store remembers of backend servers that are not listed here yet. */
+  /** Prompt prefixes restored from a store for backend servers that are not listed yet. */
   readonly persistedPrefixes: Map<string, readonly string[]>;
   readonly shutdown: ShutdownState;
-  /** True once no new request is accepted; see `shutdown`. */
+  /** True once new requests are refused; see `shutdown`. */
   shuttingDown: boolean;
-  /** The clocks at the event that is being handled. */
+  /** Timestamps of the event being handled. */
   clocks: Timestamps;
-  /** Advances with each draw; two entries that start together draw differently. */
+  /**
+   * Seeded by instance and incarnation, so that entries that start together draw different values.
+   */
   readonly random: RandomGenerator;
   routeIndex: RouteIndex;
   /** By pool. */
--- a/packages/entry-core/src/admission/AdmissionState.ts
+++ b/packages/entry-core/src/admission/AdmissionState.ts
@@ -1,4 +1,4 @@
-/** What waits, and what refused callers were told. */
+/** The queues of an entry by pool, and the retry times it has assigned to refused callers. */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 import { PoolQueue } from './PoolQueue.js';
@@ -6,7 +6,7 @@
 export interface AdmissionState {
   /** By pool. */
   readonly queues: Map<string, PoolQueue>;
-  /** The latest time that refused callers were asked to come back at, by what refused them. */
+  /** The latest retry time assigned to a refused caller, by reason and workspace. */
   readonly retryTimes: Map<string, MonotonicMilliseconds>;
 }
 
@@ -22,7 +22,7 @@
   return created;
 }
 
-/** Requests that wait at this entry, over all pools. */
+/** Number of requests queued at this entry, over all pools. */
 export function countQueuedRequests(state: EntryState): number {
   let count = 0;
   for (const queue of state.admission.queues.values()) count += queue.size;
--- a/packages/entry-core/src/admission/FairQueue.ts
+++ b/packages/entry-core/src/admission/FairQueue.ts
@@ -1,37 +1,34 @@
 /**
- * The requests of one pool and one priority that wait for a backend server: earliest deadline
- * first, as far as fair shares between workspaces allow. Each workspace has a virtual time, the
- * work it has been served so far; only workspaces within one quantum of the least served one may
- * be served next, and among these the earliest deadline wins. So a workspace that floods the
- * queue delays another by a quantum at most, and an urgent request passes a patient one as long as
- * its workspace has not had more than its share. A workspace that comes back from idleness starts
- * at the virtual time of the queue and has no claim on the past.
+ * A fair queue over workspaces for one pool and priority, with the earliest deadline first. The
+ * virtual time of a workspace is the work it has been served. Only workspaces at most one quantum
+ * ahead of the least served one are eligible, so one that floods the queue delays another by no
+ * more than a quantum. A workspace does not earn credit while it is idle.
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { RequestState } from '../requests/RequestState.js';
 
-/** Workspaces may run ahead of the least served one by so many requests of usual cost. */
+/** How far a workspace may be ahead of the least served one, in requests like its next one. */
 const QUANTUM_REQUESTS = 2;
 
-/** One waiting request. */
+/** A request in the queue. */
 export interface QueuedRequest {
   readonly accepted: RequestState;
-  /** When its next token is due; the queue's order. */
+  /** When its next token is due. The queue is ordered by it. */
   readonly dueAt: MonotonicMilliseconds;
-  /** When an answer is of no more use: a stream that has begun outlasts a pause that is too long. */
+  /** When an answer stops being useful. A started stream stays useful after a missed `dueAt`. */
   readonly expiresAt: MonotonicMilliseconds;
-  /** How long it is expected to keep one place of a backend server busy. */
+  /** How long it is expected to occupy one slot of a backend server. */
   readonly cost: Milliseconds;
 }
 
-/** What waits of one workspace. */
+/** The queued requests of one workspace. */
 export interface WorkspaceQueue {
   readonly workspace: string;
   /** Earliest deadline first. */
   readonly waiting: QueuedRequest[];
-  /** Sum of the costs of all that wait. */
+  /** Sum of the costs of all queued requests. */
   backlog: Milliseconds;
-  /** Work that this workspace has been served, as far as it counts for fairness. */
+  /** Work served to this workspace, as counted for fairness. */
   virtualTime: Milliseconds;
 }
 
@@ -52,10 +49,10 @@
 export class FairQueue {
   private readonly workspaces = new Map<string, WorkspaceQueue>();
 
-  /** Virtual times of workspaces that wait for nothing now but have had more than others. */
+  /** Virtual times of idle workspaces that are ahead of the queue's. */
   private readonly idleVirtualTimes = new Map<string, Milliseconds>();
 
-  /** Virtual time of the least served workspace. */
+  /** The highest virtual time that the least served workspace has had. */
   private virtualTime: Milliseconds = 0;
 
   get backlogged(): Iterable<WorkspaceQueue> {
@@ -89,7 +86,7 @@
     this.workspaces.set(workspace, queue);
   }
 
-  /** Takes a request out without counting it as served. */
+  /** Removes a request without charging its workspace. */
   remove(queued: QueuedRequest): void {
     const queue = this.workspaces.get(queued.accepted.request.workspace);
     const index = queue?.waiting.indexOf(queued) ?? -1;
@@ -99,7 +96,7 @@
     if (queue.waiting.length === 0) this.recordIdle(queue);
   }
 
-  /** The request to be served next. */
+  /** The request to serve next. */
   peek(): QueuedRequest | undefined {
     let next: QueuedRequest | undefined;
     for (const { waiting } of this.eligibleWorkspaces()) {
@@ -109,12 +106,12 @@
     return next;
   }
 
-  /** The first few requests of each workspace that may be served next. */
+  /** The first requests of each eligible workspace. */
   *peekPerWorkspace(maxPerWorkspace: number): Generator<QueuedRequest> {
     for (const { waiting } of this.eligibleWorkspaces()) yield* waiting.slice(0, maxPerWorkspace);
   }
 
-  /** Takes a request out as served and charges its workspace. */
+  /** Removes a request as served and charges its workspace. */
   serve(queued: QueuedRequest): void {
     const queue = this.workspaces.get(queued.accepted.request.workspace);
     if (queue === undefined) return;
@@ -123,7 +120,7 @@
     this.remove(queued);
   }
 
-  /** Work that is served before this request, which may wait already or not yet. */
+  /** Work that will be served before this request, whether it is queued already or not. */
   workAhead({ accepted, dueAt, cost }: QueuedRequest): Milliseconds {
     const { workspace } = accepted.request;
     let ownWork = 0;
@@ -134,7 +131,7 @@
     return ownWork + this.workOfOtherWorkspaces(workspace, ownWork + cost);
   }
 
-  /** What others are served while this workspace is served `own`. */
+  /** Work of other workspaces that will be served while this one is served `ownWork`. */
   workOfOtherWorkspaces(workspace: string, ownWork: Milliseconds): Milliseconds {
     const virtualTime =
       this.workspaces.get(workspace)?.virtualTime ?? this.startVirtualTimeOf(workspace);
@@ -148,7 +145,7 @@
     return otherWork;
   }
 
-  /** Workspaces that are not too far ahead of the least served one. */
+  /** Workspaces that are at most one quantum ahead of the least served one. */
   private *eligibleWorkspaces(): Generator<WorkspaceQueue> {
     const minVirtualTime = this.findMinVirtualTime();
     for (const queue of this.workspaces.values()) {
@@ -163,7 +160,7 @@
     return Number.isFinite(min) ? min : this.virtualTime;
   }
 
-  /** The virtual time that an idle workspace would come back with. */
+  /** The virtual time at which an idle workspace resumes. */
   private startVirtualTimeOf(workspace: string): Milliseconds {
     return Math.max(this.virtualTime, this.idleVirtualTimes.get(workspace) ?? 0);
   }
--- a/packages/entry-core/src/admission/PoolQueue.ts
+++ b/packages/entry-core/src/admission/PoolQueue.ts
@@ -1,17 +1,17 @@
 /**
- * Everything that waits for the backend servers of one pool: one fair queue for each priority, and one
- * behind all of them for requests that will be late. Served by their deadlines those would go first,
- * after an outage, and everyone who has just come would be late as well.
+ * The queue of one pool: a fair queue for each priority, and a last one for requests that will miss
+ * their deadline. If those were ordered by deadline, they would be served first after an outage and
+ * make the newer requests late too.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 import { FairQueue, type QueuedRequest } from './FairQueue.js';
 
-/** 0 is served first, 9 last. */
+/** Priorities run from 0, the most urgent, to 9. */
 const PRIORITY_COUNT = 10;
 
 const LATE_LEVEL = PRIORITY_COUNT;
 
-/** Levels with a lower number are served first. */
+/** The index of the level a request belongs to; lower levels are served first. */
 export function levelIndexOf({ accepted }: Pick<QueuedRequest, 'accepted'>): number {
   return accepted.isLate === true ? LATE_LEVEL : accepted.route.priority;
 }
@@ -22,7 +22,7 @@
     () => new FairQueue(),
   );
 
-  /** Requests that wait, by request id. */
+  /** Queued requests by request id. */
   readonly waiting = new Map<string, QueuedRequest>();
 
   get size(): number {
@@ -48,19 +48,19 @@
     return this.levels.find((level) => !level.isEmpty)?.peek();
   }
 
-  /** The first few requests of each workspace that may be served next. */
+  /** The first requests of each eligible workspace, at the most urgent level that is not empty. */
   peekPerWorkspace(maxPerWorkspace: number): Iterable<QueuedRequest> {
     return this.levels.find((level) => !level.isEmpty)?.peekPerWorkspace(maxPerWorkspace) ?? [];
   }
 
-  /** Requests of one workspace that wait, over all priorities. */
+  /** Number of queued requests of one workspace, over all levels. */
   countForWorkspace(workspace: string): number {
     let count = 0;
     for (const level of this.levels) count += level.workspaceQueue(workspace)?.waiting.length ?? 0;
     return count;
   }
 
-  /** Workspaces that have anything waiting. */
+  /** Number of workspaces with queued requests. */
   countWorkspaces(): number {
     const names = new Set<string>();
     for (const level of this.levels) {
@@ -69,14 +69,14 @@
     return names.size;
   }
 
-  /** Work that is served before this request. */
+  /** Work that will be served before this request. */
   workAhead(queued: QueuedRequest): Milliseconds {
     let ahead = this.levelOf(queued)?.workAhead(queued) ?? 0;
     for (const level of this.levels.slice(0, levelIndexOf(queued))) ahead += level.backlog;
     return ahead;
   }
 
-  /** Requests that wait although they will be late. */
+  /** Number of queued requests that will be late. */
   get lateCount(): number {
     let count = 0;
     for (const { waiting } of this.levels[LATE_LEVEL]?.backlogged ?? []) count += waiting.length;
--- a/packages/entry-core/src/admission/admission.test.ts
+++ b/packages/entry-core/src/admission/admission.test.ts
@@ -34,7 +34,7 @@
   });
 }
 
-/** Has a workspace send so many requests a second for a while, at seeded random times. */
+/** Sends requests of a workspace at a mean rate, at seeded random times. */
 function sendSteadily(
   harness: EntryHarness,
   workspace: string,
@@ -69,11 +69,9 @@
   return outcomes.filter(({ problem }) => problem?.ran !== 'no');
 }
 
-// The counters rush at once while every load report is five seconds old and shows idle engines.
-// Two entries send for ten seconds at 1.5 times what six engines can do. Who is accepted gets the
-// first token in time, because each entry counts what it has sent itself and lowers an engine's
-// limit at the first slow answer; the rest is told at once, truthfully, that it was not run.
-test('with load reports 5 s old, a rush is admitted only as far as it can be in time', () => {
+// Overload while the load reports are 5 s old and show idle engines: entries must rely on their own
+// counts and on the first slow answers, and refuse the rest immediately.
+test('with stale load reports, only requests that can be in time are admitted', () => {
   const harness = makeHarness({ servers: 6, entries: 2, loadLag: 5000 });
   sendSteadily(harness, 'kartenwerk-a', 60, [0, 10_000]);
   let longestEngineQueue = 0;
@@ -91,9 +89,8 @@
   assert.ok(refused.every(({ arrivedAt, problem }) => (problem?.at ?? 0) - arrivedAt <= 1050));
 });
 
-// One large workspace sends four times what the engines can do, a small one a request a second.
-// Every caller of the small one gets its first token in time: the large one's own queue grows, is
-// refused at its share, and a place that comes free goes to who has had less.
+// One workspace sends four times the capacity of the engines, another one request a second. The
+// requests of the small workspace must not be refused or late because of the large one.
 test('a workspace that floods does not starve a small one', () => {
   const harness = makeHarness({ queuedRequests: 60 });
   sendSteadily(harness, 'flood', 100, [0, 20_000]);
@@ -106,9 +103,9 @@
   assert.ok(flood.filter(isOnTime).length >= 18 * 20, `${flood.filter(isOnTime).length} served`);
 });
 
-// A patient workspace sends two hundred requests at once to a queue of sixty, which no deadline
-// keeps short. Its callers fill two thirds and the rest are refused; a caller of another workspace
-// still finds a place, is served before most of those, and is in time.
+// Long deadlines do not limit the queue here. A workspace that sends far more requests than the
+// queue holds must leave positions free for others, and another workspace must be served before
+// most of it.
 test('one workspace cannot fill the queue', () => {
   const harness = makeHarness({
     servers: 1,
@@ -130,11 +127,9 @@
   assert.ok((small.firstTokenAt ?? Infinity) <= 3000, JSON.stringify(small));
 });
 
-// Four entries get the same burst within one moment, and no load report tells them of each other's
-// work yet. They know of each other, though, and take it that the others have sent as much as they
-// have: the one engine gets about what it can run, and the rest waits where deadlines and fair
-// shares hold.
-test('entries leave room for what the others have sent meanwhile', () => {
+// Four entries receive a burst before any load report shows the others' work. Each must assume that
+// the others have sent as much as itself, or the engine would be overloaded fourfold.
+test('entries leave capacity for what other entries send at the same time', () => {
   const harness = makeHarness({ servers: 1, entries: 4 });
   harness.timeline.runUntil(3000);
   for (let number = 0; number < 4 * CONCURRENCY; number += 1) {
@@ -147,9 +142,8 @@
   assert.ok(sent >= CONCURRENCY - 4, `only ${sent} sent`);
 });
 
-// A burst fills the queue until the next caller's predicted wait is above its patience. It is
-// refused at once, with `ran: no` and a time. It comes back at that very time, as no one else
-// does, and gets its first token in time: the time was honest, neither early nor far too late.
+// A Retry-After that is too short would get the caller refused again; one that is too long would
+// make it wait for nothing.
 test('a caller that is refused for a long queue is admitted after its Retry-After', () => {
   const harness = makeHarness();
   harness.timeline.runUntil(100);
@@ -164,18 +158,17 @@
   assert.equal(problem.ran, 'no');
   assert.equal(problem.at, refused.arrivedAt);
   const wait = problem.retryAfterMilliseconds ?? 0;
-  assert.ok(wait > 0 && wait < 10_000, `asked to come back in ${wait} ms`);
+  assert.ok(wait > 0 && wait < 10_000, `asked to retry in ${wait} ms`);
   harness.timeline.runUntil(6000 + wait);
   const again = harness.submitRequest(exampleRequest('second-try'), ANSWER_TOKENS);
   harness.timeline.runUntil(30_000);
   assert.ok(isOnTime(again), JSON.stringify(again));
 });
 
-// Three hundred callers come in one moment after a quiet time, when answers were quick, to engines
-// that serve about 27 a second when full. Each refused one comes back when it was told to. Nine in
-// ten find a place then, since each was given a time of its own, and hardly any that were let in
-// are given up later, since waits are predicted by what answers take in a full batch.
-test('refused callers find a place when they come back as told', () => {
+// Many callers arrive together after a quiet period with fast answers. If refused callers were all
+// given the same time, or if waits were predicted from answers in small batches, most retries would
+// be refused again or be late.
+test('refused callers are admitted when they retry at their assigned time', () => {
   const harness = makeHarness();
   sendSteadily(harness, 'quiet', 10, [0, 5000]);
   harness.timeline.runUntil(6000);
@@ -198,10 +191,9 @@
   assert.ok(served.length >= 0.95 * 300, `${served.length} of 300 in time`);
 });
 
-// Requests wait for two engines when one of them vanishes from the list. Those that can no longer
-// be in time are told within a tick, 800 ms and more before their deadline, so that their callers
-// can ask elsewhere; they were never sent, and the answer says so.
-test('a waiting request whose deadline has become unreachable is told at once', () => {
+// One of two engines disappears while requests are queued. Those that can no longer be in time must
+// be ended within a tick, at least 800 ms before their deadline, as never sent.
+test('a queued request whose deadline becomes unreachable is ended immediately', () => {
   const harness = makeHarness({ servers: 2, routes: [exampleRoute(firstTokenWithin(1500))] });
   sendSteadily(harness, 'teacher', 8, [100, 4000]);
   harness.timeline.runUntil(6000);
@@ -215,7 +207,7 @@
     ({ problem }) => problem?.at !== 6000,
   );
   const failed = answered.filter(({ problem }) => problem !== undefined);
-  assert.ok(failed.length > 0, `none of ${before} was told`);
+  assert.ok(failed.length > 0, `none of ${before} was ended`);
   for (const { problem, arrivedAt } of failed) {
     assert.equal(problem?.kind, 'deadlineUnreachable');
     assert.equal(problem.ran, 'no');
@@ -223,9 +215,8 @@
   }
 });
 
-// A patient planner's requests wait for the one engine when a counter's request with a short
-// deadline arrives last. The counter is served first of them, and the planner loses nothing but
-// that one turn.
+// A request with a short deadline arrives after queued requests with long ones. It must be served
+// first, and the others must still finish.
 test('the earliest deadline is served first', () => {
   const routes = [
     exampleRoute({ name: 'plans', match: { pathPrefix: '/plans' }, ...firstTokenWithin(60_000) }),
@@ -245,9 +236,8 @@
   assert.ok(plans.every((plan) => plan.finishedAt !== undefined));
 });
 
-// A planner sends ten long prompts to an engine that computes one after the other and has places
-// for all of them in its batch. A counter's short prompt comes right after. It is in time, because
-// most long prompts still wait here, where the counter goes first, and not inside the engine.
+// The engine has slots for ten long prompts but prefills one after the other. Most of them must
+// stay in the entry's queue, where a short prompt with an earlier deadline can overtake them.
 test('long prompts do not queue inside an engine', () => {
   const routes = [
     exampleRoute({ name: 'plans', match: { pathPrefix: '/plans' }, ...firstTokenWithin(60_000) }),
@@ -269,9 +259,8 @@
   assert.ok([...harness.outcomes.values()].every(({ finishedAt }) => finishedAt !== undefined));
 });
 
-// Two callers ask for an engine that runs one request at a time. The second one's request is sent
-// at the very moment the first answer ends, not with the next tick.
-test('a waiting request is sent on when an attempt ends', () => {
+// The queued request must not wait for the next tick.
+test('a queued request is started immediately when an attempt ends', () => {
   const harness = makeHarness({
     servers: 1,
     speed: { ...speed, concurrency: 1 },
@@ -286,9 +275,9 @@
   assert.equal((second.firstTokenAt ?? 0) - (first.finishedAt ?? 0), prefillAndNetwork);
 });
 
-// A workspace may have two requests in progress in the data centre and sends a third. The third
-// caller is refused with the reason and a time; when one of the two has ended, it is let in.
-test('a limit refuses what is above it and lets in what comes after an end', () => {
+// A limit of two requests in progress must refuse a third, and admit others once requests have
+// ended.
+test('a limit refuses requests above it and admits them again after others end', () => {
   const routes = [exampleRoute({ limits: { inProgressPerWorkspace: 2 } })];
   const harness = makeHarness({ routes });
   const tries = ['one', 'two', 'three'].map((id) => harness.submitRequest(exampleRequest(id), 40));
@@ -304,10 +293,9 @@
   assert.equal(harness.submitRequest(exampleRequest('six'), 40).problem, undefined);
 });
 
-// The own data centre's engine is full with long answers when a counter's request comes that
-// cannot wait for it. The other data centre's engine has room and gets it in time; it gets nothing
-// while there is room at home.
-test('other data centres are used only when the own one cannot be in time', () => {
+// The remote engine must get nothing while the local one has capacity, and must get requests that
+// could not be in time locally.
+test('other data centres are used only when the local one cannot be in time', () => {
   const harness = makeHarness({
     servers: 2,
     dataCentreOf: (server) => (server === 0 ? 'dc-a' : 'dc-b'),
--- a/packages/entry-core/src/admission/admitAfterConfiguration.ts
+++ b/packages/entry-core/src/admission/admitAfterConfiguration.ts
@@ -1,7 +1,6 @@
 /**
- * Admits the requests that have waited for a starting entry's configuration, all in one moment. Each is
- * noted at its engine before the next is placed: otherwise all of them go to the engines that look idle,
- * a dozen long prompts one behind the other, while the others stay idle.
+ * Admits all requests that were waiting for the first configuration. Each start is counted at its
+ * backend server before the next request is placed, so that they do not all go to the same servers.
  */
 import { observeAttemptStarts } from '../backendServers/observeAttempt.js';
 import type { EntryEffect } from '../entryEffects.js';
--- a/packages/entry-core/src/admission/admitRequest.ts
+++ b/packages/entry-core/src/admission/admitRequest.ts
@@ -1,6 +1,6 @@
 /**
- * Decides on a request that has just arrived: refuse it at once with the reason, or accept it
- * and try it.
+ * Handles an arriving request: refuses it immediately with a reason, or accepts it and starts or
+ * queues its first attempt.
  */
 import {
   isClaimed,
@@ -27,15 +27,15 @@
 import { markLate } from './serveLate.js';
 import { decideAdmission, type AdmissionDecision } from './decideAdmission.js';
 
-/** Where a route does not say which pause its callers take for none. */
+/** The longest acceptable pause between two tokens, for routes that do not set one. */
 const DEFAULT_MAX_PAUSE_MILLISECONDS: Milliseconds = 1000;
 
-/** The route and the workspace that a request has the right to use it as, or the refusal. */
+/** The route that the request may use, with the request's workspace filled in, or the refusal. */
 type Resolution =
   | { readonly type: 'found'; readonly route: Route; readonly request: CallerRequest }
   | { readonly type: 'refused'; readonly effects: EntryEffect[] };
 
-/** Finds who calls, where the configuration and not the settings names the workspaces. */
+/** Fills in the workspace from the caller's key, if the configuration defines the workspaces. */
 function resolveWorkspace(state: EntryState, request: CallerRequest): CallerRequest {
   if (state.configuration.whole === undefined || request.keySha256 === undefined) return request;
   const workspace = routeIndexOf(state).workspaceOfKey(request.keySha256) ?? '';
@@ -61,7 +61,7 @@
   return { type: 'refused', effects: refuseRequest(request, found.type, detail) };
 }
 
-/** Bounds the route's deadline by what the caller says of its patience. */
+/** Sets the deadlines of an accepted request: the route's, or the caller's if it is shorter. */
 function makeRequestState(
   state: EntryState,
   request: CallerRequest,
@@ -94,9 +94,9 @@
 }
 
 /**
- * Counts what the fleet has to be large enough for: refused requests too, but not those beyond a
- * workspace's allowance. Those are refused whatever the size, and one workspace that sends six times
- * its usual would have engines bought for it that nobody may use.
+ * Counts the request as demand that the fleet is sized for, even if it is refused. Requests over a
+ * workspace's allowance do not count: they would be refused by a larger fleet too, and instances
+ * would be bought that nobody may use.
  */
 function recordDemand(
   state: EntryState,
@@ -124,13 +124,13 @@
   const poolName = choosePool(route, state.random);
   const pool = routeIndexOf(state).pool(poolName);
   if (pool === undefined) {
-    return refuseRequest(request, 'noBackendServer', `Pool "${poolName}" is not there`);
+    return refuseRequest(request, 'noBackendServer', `Pool "${poolName}" does not exist`);
   }
   if (isClaimed(route) && request.idempotencyKey === undefined) {
     return refuseRequest(
       request,
       'idempotencyKeyMissing',
-      `Route "${route.name}" needs the header`,
+      `Route "${route.name}" requires an idempotency key`,
     );
   }
   const accepted = makeRequestState(state, request, route, pool, arrivedAt, timestamps.wallNow);
--- a/packages/entry-core/src/admission/assignRetryAfter.ts
+++ b/packages/entry-core/src/admission/assignRetryAfter.ts
@@ -1,8 +1,8 @@
 /**
- * When a refused caller is asked to come back. A prediction alone would send all callers that
- * were refused in one moment back in one moment, to be refused again; so each is given a time of
- * its own, one place of the queue after the one before. Times are kept by what refused them and
- * by workspace, so that a workspace that floods only puts off itself.
+ * Assigns refused callers the time of their retry. Callers refused together would also retry
+ * together and be refused again, so each gets a time of its own, one interval after the previous.
+ * The times are kept by reason and workspace, so that a workspace that floods delays only its own
+ * callers.
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
@@ -11,9 +11,9 @@
 const MIN_RETRY_AFTER_MILLISECONDS: Milliseconds = 50;
 
 /**
- * @param key - What refused the caller.
- * @param wait - Predicted time until there is room for one.
- * @param interval - Predicted time from then on between two that find room.
+ * @param key - The reason of the refusal and the workspace.
+ * @param wait - Predicted time until one more request can be accepted.
+ * @param interval - Predicted time from then on between two requests that can be accepted.
  */
 export function assignRetryAfter(
   state: EntryState,
--- a/packages/entry-core/src/admission/awaitConfiguration.ts
+++ b/packages/entry-core/src/admission/awaitConfiguration.ts
@@ -1,9 +1,8 @@
 /**
- * Requests that reach an entry before its configuration does. After a loss of power entries and
- * stores start together, and the stores need a moment to elect a leader. A caller that is refused
- * then has often used up its one retry on the fault itself, and is lost for the sake of a few
- * hundred milliseconds. So a young entry keeps such requests for that long; one that is cut off
- * from the stores gets no configuration however long it waits, and refuses at once.
+ * Holds requests that arrive before the first configuration. After a power loss, entries and stores
+ * start together, and the stores first elect a leader. Callers have often used up their retries by
+ * then, so an entry that has just started holds requests for a short time instead of refusing them.
+ * Later it refuses them immediately: it is probably partitioned from the stores.
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -11,22 +10,18 @@
 import type { EntryState } from '../EntryState.js';
 import { refuseRequest } from '../requests/endRequest.js';
 
-/** An entry waits for stores that start with it; these serve within two seconds of their start. */
-const STARTUP_PERIOD_MILLISECONDS: Milliseconds = 2000;
-
 /**
- * Longest wait of one request. Callers that wait three seconds in all are still served in time
- * after it, and those that wait longer in good time.
+ * How long after its start an entry holds requests; stores that start with it are ready by then.
  */
+const STARTUP_PERIOD_MILLISECONDS: Milliseconds = 2000;
+
+/** Leaves a caller that waits three seconds in all enough time to be served. */
 const MAX_WAIT_MILLISECONDS: Milliseconds = 700;
 
-/** Of the caller's patience, the share that may be spent waiting. */
 const MAX_WAIT_FRACTION_OF_PATIENCE = 1 / 3;
 
-/** When a caller may come back to an entry that has not been told a configuration yet. */
 const NOT_CONFIGURED_RETRY_AFTER_MILLISECONDS: Milliseconds = 500;
 
-/** A request that waits for the configuration. */
 export interface RequestAwaitingConfiguration {
   readonly request: CallerRequest;
   readonly arrivedAt: MonotonicMilliseconds;
@@ -35,10 +30,15 @@
 
 function refuseNotConfigured(request: CallerRequest): EntryEffect[] {
   const problem = { retryAfterMilliseconds: NOT_CONFIGURED_RETRY_AFTER_MILLISECONDS };
-  return refuseRequest(request, 'notConfigured', 'No configuration is known here yet', problem);
+  return refuseRequest(
+    request,
+    'notConfigured',
+    'This entry has not received a configuration yet',
+    problem,
+  );
 }
 
-/** Keeps the request for a while, or refuses it. */
+/** Holds the request for a limited time, or refuses it. */
 export function awaitConfiguration(
   state: EntryState,
   request: CallerRequest,
@@ -55,7 +55,7 @@
   return [{ type: 'log', event: 'requestAwaitsConfiguration', fields: { requestId, wait } }];
 }
 
-/** Refuses those that have waited long enough, and all of them once the entry shuts down. */
+/** Refuses the requests held for too long, or all of them if the entry is shutting down. */
 export function expireAwaitingConfiguration(
   state: EntryState,
   now: MonotonicMilliseconds,
@@ -70,7 +70,7 @@
   });
 }
 
-/** Takes out all that wait, in order of arrival, now that there is a configuration. */
+/** Removes and returns all held requests, in order of arrival. */
 export function takeAwaitingConfiguration(state: EntryState): RequestAwaitingConfiguration[] {
   const pending = [...state.requestsAwaitingConfiguration.values()];
   state.requestsAwaitingConfiguration.clear();
--- a/packages/entry-core/src/admission/decideAdmission.ts
+++ b/packages/entry-core/src/admission/decideAdmission.ts
@@ -1,6 +1,7 @@
 /**
- * Decides whether a request that has just arrived is refused before anything is done for it, and
- * when its caller should come back. Only what is predicted to meet its deadline is accepted.
+ * Decides whether an arriving request is accepted, and when the caller of a refused one should
+ * retry. A request is accepted only if it is predicted to meet its deadline, or can still be served
+ * late.
  */
 import type {
   ErrorKind,
@@ -35,14 +36,13 @@
   readonly kind: ErrorKind;
   readonly detail: string;
   readonly retryAfterMilliseconds: Milliseconds;
-  /** What it was decided by, for the log. */
+  /** The values the decision is based on, for the log. */
   readonly facts: LogFields;
 }
 
-/** Without any backend server nothing can be predicted; instances start in about this time. */
+/** Without a backend server no wait can be predicted; a new instance starts in about this time. */
 const NO_BACKEND_SERVER_RETRY_AFTER_MILLISECONDS: Milliseconds = 5000;
 
-/** One workspace may have waiting so many times the room that is left in the queue. */
 const MAX_QUEUED_PER_FREE_POSITION = 2;
 
 function refuseOverAllowance(state: EntryState, accepted: RequestState): EarlyRefusal | undefined {
@@ -74,9 +74,9 @@
 }
 
 /**
- * A workspace may fill the queue only as far as room for others is left: it is refused once it
- * has more waiting than twice the free places. With a plain bound, one that floods would fill the
- * whole queue, and every other caller would be refused at the door, however fair the queue is.
+ * Refuses a workspace that has more requests queued than twice the free positions of the queue.
+ * With a fixed maximum alone, one workspace could fill the queue, and all other callers would be
+ * refused.
  */
 function refuseOverQueue(
   state: EntryState,
@@ -94,8 +94,13 @@
   const interval = (cost * workspaces) / estimateSlots(state, accepted.pool.name);
   const key = `queue/${accepted.pool.name}/${workspace}`;
   const retryAfterMilliseconds = assignRetryAfter(state, key, interval * excess, interval, now);
-  const facts = { waiting: ownQueued, free: free, workspaces };
-  return { kind: 'overloaded', detail: 'Too many requests wait', retryAfterMilliseconds, facts };
+  const facts = { waiting: ownQueued, free, workspaces };
+  return {
+    kind: 'overloaded',
+    detail: 'Too many requests are queued',
+    retryAfterMilliseconds,
+    facts,
+  };
 }
 
 function refuseLateInQueue(
@@ -142,11 +147,11 @@
   return { kind: 'deadlineUnreachable', detail, retryAfterMilliseconds, facts };
 }
 
-/** The refusal, or where the request goes. */
+/** The refusal, or how the request is served. */
 export type AdmissionDecision =
   | { readonly type: 'refused'; readonly refusal: EarlyRefusal }
   | { readonly type: 'admitted'; readonly server: BackendServerState | undefined }
-  /** It will be late and goes behind those that can be in time. */
+  /** It will miss its deadline and is served after the requests that can meet theirs. */
   | { readonly type: 'late' };
 
 function toDecision(
@@ -181,12 +186,15 @@
   const overQueue = refuseOverQueue(state, accepted, now);
   if (overQueue !== undefined) return toDecision(overQueue);
   const { availableServer: available } = placement;
-  // While a server has room, those that wait do so for another one by choice and not for long.
+  // While a server has capacity, the queue holds only requests that wait briefly for a cached
+  // prefix.
   if (available !== undefined) return toDecision(refuseLateStart(state, accepted, available, now));
   return toDecision(refuseLateInQueue(state, accepted, now));
 }
 
-/** The same, but that a request which will be late is admitted behind those that will not be. */
+/**
+ * Decides on a request; one that cannot meet its deadline is served late if that is still useful.
+ */
 export function decideAdmission(
   state: EntryState,
   accepted: RequestState,
--- a/packages/entry-core/src/admission/drainQueues.ts
+++ b/packages/entry-core/src/admission/drainQueues.ts
@@ -1,6 +1,6 @@
 /**
- * Sends waiting requests on as soon as backend servers have room: when an attempt has ended, when
- * instances, load or configuration have come in, and on each tick.
+ * Starts queued requests as soon as backend servers have capacity: when an attempt ends, when a
+ * list of instances, a load report or a configuration is received, and on each tick.
  */
 import { startAttempt } from '../attempts/startAttempt.js';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
@@ -17,7 +17,7 @@
 import { orderQueueForServer } from './orderQueueForServer.js';
 import type { PoolQueue } from './PoolQueue.js';
 
-/** False for a request that has ended or is being served another way. */
+/** False for a request that has ended or has an attempt in progress. */
 function isStillQueued(state: EntryState, { accepted }: QueuedRequest): boolean {
   return (
     state.requests.get(accepted.request.requestId) === accepted && accepted.attemptId === undefined
@@ -44,12 +44,12 @@
 ): EntryEffect[] {
   queue.serve(queued);
   const started = startAttempt(state, queued.accepted, now, server);
-  // At once, so that the next choice of this very event already counts it.
+  // Counted immediately, so that the next choice during the same event takes it into account.
   observeAttemptStarts(state, started, now);
   return started;
 }
 
-/** Takes one request out of the queue, or returns undefined if none can leave it now. */
+/** Removes one request from the queue, or returns undefined if none can leave it now. */
 function dequeueOne(
   state: EntryState,
   queue: PoolQueue,
@@ -94,7 +94,7 @@
   return instance === undefined ? undefined : state.backendServers.get(instance);
 }
 
-/** Events after which a backend server may have room that had none before. */
+/** Events after which a backend server may have capacity again. */
 const capacityEvents: ReadonlySet<EntryEvent['type']> = new Set<EntryEvent['type']>([
   'tick',
   'configurationReceived',
@@ -107,9 +107,7 @@
   'attemptFailed',
 ]);
 
-/**
- * @param instance - The backend server that the event's attempt was at.
- */
+/** @param instance - The backend server of the attempt that the event belongs to. */
 export function drainQueues(
   state: EntryState,
   event: EntryEvent,
--- a/packages/entry-core/src/admission/enqueue.ts
+++ b/packages/entry-core/src/admission/enqueue.ts
@@ -1,4 +1,4 @@
-/** Lets an accepted request wait until a backend server has room for it. */
+/** Queues an accepted request until a backend server has capacity for it. */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
--- a/packages/entry-core/src/admission/failUnreachableDeadlines.ts
+++ b/packages/entry-core/src/admission/failUnreachableDeadlines.ts
@@ -1,7 +1,7 @@
 /**
- * Gives requests in the queue their final answer at the moment their deadline has become
- * unreachable, as when servers were lost or slowed down after they were accepted. They are walked
- * in the order they would be served; one that is given up no longer delays those behind it.
+ * Ends queued requests as soon as their deadline becomes unreachable, for example because backend
+ * servers were lost or became slower. The queue is walked in the order of service, and a request
+ * that is ended no longer counts towards the wait of those behind it.
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import { chooseBackendServer } from '../backendServers/chooseBackendServer.js';
@@ -15,18 +15,20 @@
 import { canServeLate, requeueAsLate } from './serveLate.js';
 
 /**
- * A predicted wait must miss the deadline by this share of the wait before it is acted on:
- * predictions are noisy, and a request given up too early is a loss too.
+ * The fraction of a predicted wait that is ignored, because predictions are noisy and a request
+ * that is ended too early is lost as well.
  */
 const PREDICTION_TOLERANCE = 0.25;
 
-/** Walks the queue of one pool. */
+/** Finds the requests with an unreachable deadline in the queue of one pool. */
 class UnreachableDeadlineSearch {
   readonly found: QueuedRequest[] = [];
 
   private readonly slots: number;
 
-  /** False while a server has room: what waits then waits for another one by choice. */
+  /**
+   * While false, requests are queued only to wait for another server, such as one with their cache.
+   */
   private areServersFull = false;
 
   constructor(
@@ -41,23 +43,22 @@
     const first = queue.peek();
     this.areServersFull =
       first !== undefined && chooseBackendServer(this.state, first.accepted) === undefined;
-    let higherPriorityWork = 0;
+    let workBefore = 0;
     for (const level of queue.levels) {
-      for (const workspace of level.backlogged)
-        this.walkWorkspace(level, workspace, higherPriorityWork);
-      higherPriorityWork += level.backlog;
+      for (const workspace of level.backlogged) this.walkWorkspace(level, workspace, workBefore);
+      workBefore += level.backlog;
     }
   }
 
   private walkWorkspace(
     level: FairQueue,
     { workspace, waiting }: WorkspaceQueue,
-    higherPriorityWork: Milliseconds,
+    workBefore: Milliseconds,
   ): void {
     let ownWork = 0;
     for (const queued of waiting) {
       const otherWork = level.workOfOtherWorkspaces(workspace, ownWork + queued.cost);
-      const wait = (higherPriorityWork + ownWork + otherWork) / this.slots;
+      const wait = (workBefore + ownWork + otherWork) / this.slots;
       if (this.isUnreachable(queued, wait)) this.found.push(queued);
       else ownWork += queued.cost;
     }
@@ -69,7 +70,7 @@
   }
 }
 
-/** True if the deadline is missed when the request is sent after so long. */
+/** True if the request misses its deadline when it is sent after `wait`. */
 export function missesDeadlineAfter(
   state: EntryState,
   { accepted, expiresAt }: QueuedRequest,
@@ -79,7 +80,7 @@
   return now + wait + expectedFirstTokenDelay(state, accepted) > expiresAt;
 }
 
-/** Ends a request that has left the queue because it would be late. */
+/** Ends a request that was removed from the queue because it cannot meet its deadline. */
 export function failQueuedRequest(
   state: EntryState,
   { accepted, cost }: QueuedRequest,
@@ -95,7 +96,9 @@
   return failRequest(state, accepted, 'deadlineUnreachable', detail, problem);
 }
 
-/** Serves a request late that cannot be in time any more, or else gives it up. */
+/**
+ * Queues a request that cannot meet its deadline for late service if that is useful, or ends it.
+ */
 export function serveLateOrFail(
   state: EntryState,
   queue: PoolQueue,
--- a/packages/entry-core/src/admission/interruptedStreams.test.ts
+++ b/packages/entry-core/src/admission/interruptedStreams.test.ts
@@ -1,6 +1,4 @@
-/**
- * Streams that have lost their backend server in the middle, beside callers who have just come.
- */
+/** The order and expiry of interrupted streams in the queue, compared with new requests. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { makeRequest, SimulatedCluster } from '../driver/index.js';
@@ -51,9 +49,9 @@
   interruptedAt: 3000,
 };
 
-// An engine dies with streams on it while new callers wait. Ordered by the deadline of its whole answer,
-// a stream waited behind everyone who came after it, and its caller saw it stand still for ten seconds.
-test('a stream that was interrupted goes before callers who have just come', () => {
+// Ordered by the deadline of its whole answer, a stream would wait behind all new requests, and its
+// caller would see a long pause.
+test('an interrupted stream is served before new requests', () => {
   const world = makeWorld();
   const { state } = world.entry;
   const queue = new FairQueue();
@@ -62,8 +60,8 @@
   assert.equal(queue.peek()?.accepted.request.requestId, 'stream');
 });
 
-// Its pause is longer than its caller takes for none already. Its answer is late, but still awaited.
-test('a stream whose pause is too long is not given up before its deadline', () => {
+// The answer of a stream whose pause exceeds the limit is late but still useful to its caller.
+test('a stream with too long a pause is not ended before the deadline of its whole answer', () => {
   const world = makeWorld();
   const { state } = world.entry;
   const stream = makeAccepted(world, 'stream', interrupted);
--- a/packages/entry-core/src/admission/leaveQueue.ts
+++ b/packages/entry-core/src/admission/leaveQueue.ts
@@ -1,4 +1,4 @@
-/** Takes a request out of the queue that has ended while it waited. */
+/** Removes a request from the queue if it has ended while queued. */
 import type { EntryState } from '../EntryState.js';
 
 export function leaveQueue(state: EntryState, requestId: string | undefined): void {
--- a/packages/entry-core/src/admission/orderQueueForServer.ts
+++ b/packages/entry-core/src/admission/orderQueueForServer.ts
@@ -1,9 +1,9 @@
 /**
- * The waiting requests that a server with room may be given, in the order they are tried. That is
- * the queue's order, but for prompts whose prefix a server has that has just come free: in a rush
- * it would otherwise get whatever is first, seldom with a prompt it knows, so caches are lost just
- * when they are needed most. Those go first while the first in the queue can well wait one more
- * turn; their workspaces pay for it as for any other turn.
+ * Orders the queued requests that are tried on backend servers. If a server has just been freed,
+ * the requests whose prompt prefix it has cached go before the others: under load it would
+ * otherwise rarely get them, and caches would be evicted when they are needed most. This applies
+ * only while the first request in the queue has enough time left. Fairness is unaffected:
+ * workspaces are charged.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
@@ -13,11 +13,10 @@
 import type { QueuedRequest } from './FairQueue.js';
 import type { PoolQueue } from './PoolQueue.js';
 
-/** How many of each workspace are looked at, and of all. */
 const MAX_CANDIDATES_PER_WORKSPACE = 8;
 const MAX_CANDIDATES = 12;
 const MIN_CACHED_FRACTION_OF_PROMPT = 0.3;
-/** The first request may be passed while so much of its patience is left. */
+/** The first request may be overtaken while at least this much of its time is left. */
 const MIN_REMAINING_FRACTION_OF_PATIENCE = 0.3;
 
 function canWait(state: EntryState, first: QueuedRequest, now: MonotonicMilliseconds): boolean {
--- a/packages/entry-core/src/admission/placeRequest.ts
+++ b/packages/entry-core/src/admission/placeRequest.ts
@@ -1,7 +1,7 @@
 /**
- * Finds out whether a request can be sent to a backend server now, has to wait, or has nowhere to
- * go. Nobody passes those who wait: while there is a queue of its priority or a more urgent one,
- * a request joins it, unless the own data centre is full and another one has room in time.
+ * Determines whether a request can be sent to a backend server now, has to be queued, or has no
+ * server left to try. It does not overtake queued requests of its own or a more urgent priority,
+ * unless it goes to another data centre because the local servers are full.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
@@ -19,11 +19,13 @@
 
 export type Placement =
   | { readonly type: 'start'; readonly server: BackendServerState }
-  /** `room`: a server that could take the request now, were it not for those that wait already. */
+  /**
+   * `availableServer` has capacity, but the request waits for queued ones or for a cached prefix.
+   */
   | { readonly type: 'wait'; readonly availableServer: BackendServerState | undefined }
   | { readonly type: 'none' };
 
-/** Other data centres are used when the wait at home would take so much of the patience left. */
+/** A longer predicted wait for local servers allows the use of other data centres. */
 const MAX_LOCAL_WAIT_FRACTION_OF_PATIENCE = 0.5;
 
 function isQueueAhead(state: EntryState, accepted: RequestState): boolean {
@@ -31,7 +33,7 @@
   return levels.slice(0, levelIndexOf({ accepted }) + 1).some((level) => !level.isEmpty);
 }
 
-/** True if the wait at home endangers the deadline, so that other data centres are worth it. */
+/** True if the wait for local servers endangers the deadline. */
 export function isLocalWaitTooLong(
   state: EntryState,
   accepted: RequestState,
--- a/packages/entry-core/src/admission/predictWait.ts
+++ b/packages/entry-core/src/admission/predictWait.ts
@@ -1,9 +1,8 @@
 /**
- * Predicts how long a request waits in the queue: the work that is served before it, divided by
- * the places of backend servers that serve this entry. In a rush all places that this entry can use
- * are in use, so its own requests in progress count them, whatever keeps the servers from taking
- * more, be it their batch, their prompts or other entries. Their late peak is taken, since a
- * request may wait for one server while others have room.
+ * Predicts how long a request will be queued: the work ahead of it, divided by the number of slots
+ * that backend servers have for this entry. While requests are queued, all these slots are in use,
+ * so the entry's own requests in progress measure them, whatever limits the servers. Their recent
+ * peak is used, because some servers may have capacity while requests wait for others.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 import { nextTokenDueAt } from '../backendServers/chooseBackendServer.js';
@@ -13,10 +12,10 @@
 import { poolQueueOf } from './AdmissionState.js';
 import type { QueuedRequest } from './FairQueue.js';
 
-/** Places of backend servers that serve this entry while requests wait. */
+/** Number of slots of backend servers that serve this entry while requests are queued. */
 export function estimateSlots(state: EntryState, pool: string): number {
   const { local, remote, peakInProgress } = getPoolState(state, pool);
-  // Attempts at servers that are lost but not yet known to be are no places any more.
+  // Bounded, because the peak may still include attempts at servers that are lost by now.
   const maxSlots = (local.limitSum + remote.limitSum) / state.limits.concurrencyLimiter.entryCount;
   return Math.max(1, Math.min(peakInProgress.valueAt(state.clocks.now), maxSlots));
 }
@@ -28,7 +27,7 @@
   return { accepted, dueAt, expiresAt, cost };
 }
 
-/** Wait in the queue until a backend server can be given the request. */
+/** Predicted time until the request can be sent to a backend server. */
 export function predictWait(state: EntryState, queued: QueuedRequest): Milliseconds {
   const pool = queued.accepted.pool.name;
   const ahead = poolQueueOf(state, pool).workAhead(queued);
@@ -36,8 +35,9 @@
 }
 
 /**
- * Time from being sent to the first token when no other prompt is in front, where most of the prompt
- * is cached. Until that is known none is counted on, or the first callers would be given up by guess.
+ * Expected time from sending a request to its first token, at the server with the longest cached
+ * prefix and without other prompts ahead. It is 0 while the estimate is not reliable, because
+ * callers would otherwise be refused on a guess.
  */
 export function expectedFirstTokenDelay(
   state: EntryState,
--- a/packages/entry-core/src/admission/reduceAdmission.ts
+++ b/packages/entry-core/src/admission/reduceAdmission.ts
@@ -1,6 +1,6 @@
 /**
- * What admission does after any event: it lets go of what has ended, gives up what can no longer
- * be in time, and sends on what waits.
+ * Updates admission after each event: releases ended requests, ends queued requests that can no
+ * longer meet their deadline, and starts those that backend servers have capacity for.
  */
 import { endExpiredEjections } from '../backendServers/ejectOutliers.js';
 import type { EntryEffect } from '../entryEffects.js';
@@ -12,7 +12,9 @@
 import { leaveQueue } from './leaveQueue.js';
 import { expireRetryTimes } from './assignRetryAfter.js';
 
-/** What an event is about, to be found before the event is handled. */
+/**
+ * The request and the backend server of an event, determined before the event changes the state.
+ */
 export interface AffectedIds {
   readonly requestId: string | undefined;
   readonly instance: string | undefined;
--- a/packages/entry-core/src/admission/serveLate.test.ts
+++ b/packages/entry-core/src/admission/serveLate.test.ts
@@ -1,6 +1,6 @@
 /**
- * An outage has ended: those who have waited for it come at once, more than engines can begin in time,
- * while others go on to come as usual.
+ * Late service after an outage: the waiting callers all return together, more than the engines can
+ * start in time, while others keep arriving at the usual rate.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -29,7 +29,10 @@
   return firstTokenAt !== undefined && firstTokenAt - arrivedAt <= FIRST_TOKEN_MILLISECONDS;
 }
 
-/** Forty callers at once, then twelve a second before two engines that can begin twenty. */
+/**
+ * Sends forty requests together, then twelve a second, to two engines that can start twenty a
+ * second.
+ */
 function runScenario(lateFirstTokenMilliseconds?: number): Outcome {
   const deadline = {
     firstTokenMilliseconds: FIRST_TOKEN_MILLISECONDS,
@@ -46,7 +49,7 @@
     const request = exampleRequest(`request-${number}`, { promptTokens: 1000 });
     harness.timeline.after(at, () => harness.submitRequest(request, 10));
   };
-  // Before the outage, so that the entry knows how long prompts take.
+  // Requests before the outage, from which the entry estimates how long prompts take.
   for (let number = 0; number < 40; number += 1) arrive(number, number * 80);
   for (let number = 40; number < 80; number += 1) arrive(number, 4000);
   for (let number = 80; number < 140; number += 1) arrive(number, 4000 + (number - 80) * 83);
@@ -57,9 +60,9 @@
   return { inTime, refused, late: after.length - inTime - refused };
 }
 
-// Those who cannot be in time are refused, come again when they are later still, and are refused again.
-// Served by their deadlines they would go first, and make late everyone who has just come.
-test('those who cannot be in time are served behind those who can', () => {
+// Refused callers retry and are later still. Served by their deadlines, they would go first and
+// make the new requests late.
+test('requests that cannot be in time are served after those that can', () => {
   const refusing = runScenario();
   const serving = runScenario(4000);
   const shown = JSON.stringify({ refusing, serving });
--- a/packages/entry-core/src/admission/serveLate.ts
+++ b/packages/entry-core/src/admission/serveLate.ts
@@ -1,7 +1,7 @@
 /**
- * Requests whose first token can no longer be in time, but is still of use to their callers. They wait
- * behind all that can be in time, and are sent to engines that have nothing else to begin. Refused
- * instead, their callers would come again, even later, and long prompts would hardly ever be served.
+ * Late service: requests that cannot meet their first-token deadline but are still useful to their
+ * callers are queued behind all that can. If they were refused, their callers would retry and be
+ * later still, and long prompts would hardly ever be served after an outage.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import { getPoolState } from '../backendServers/getPoolState.js';
@@ -12,13 +12,12 @@
 import type { QueuedRequest } from './FairQueue.js';
 import { makeQueuedRequest, predictWait, expectedFirstTokenDelay } from './predictWait.js';
 
-/** Late requests that may wait at this entry, for each backend server of the pool. */
 const MAX_LATE_REQUESTS_PER_SERVER = 4;
 
-/** Of the time that is left, the most that a late request is predicted to wait: some wait longer. */
+/** Leaves a margin, because some late requests wait longer than predicted. */
 const MAX_WAIT_FRACTION_OF_TIME_LEFT = 0.5;
 
-/** True if a request that will be late can still be of use. */
+/** True if a request that will miss its deadline can still be served while that is useful. */
 export function canServeLate(
   state: EntryState,
   accepted: RequestState,
@@ -34,7 +33,7 @@
   return poolQueueOf(state, pool.name).lateCount < servers * MAX_LATE_REQUESTS_PER_SERVER;
 }
 
-/** Puts a request behind all that can be in time. */
+/** Marks a request to be served after all that can meet their deadline. */
 export function markLate(accepted: RequestState): EntryEffect[] {
   accepted.isLate = true;
   const { request, route } = accepted;
@@ -44,7 +43,7 @@
   ];
 }
 
-/** The same for one that waits already. */
+/** Marks a queued request as late and moves it to the end of the queue. */
 export function requeueAsLate(state: EntryState, queued: QueuedRequest): EntryEffect[] {
   const { accepted } = queued;
   const queue = poolQueueOf(state, accepted.pool.name);
--- a/packages/entry-core/src/admission/shouldWaitForCache.ts
+++ b/packages/entry-core/src/admission/shouldWaitForCache.ts
@@ -1,8 +1,8 @@
 /**
- * Whether a request waits for a server that has its prefix although another has room. Sent
- * elsewhere its prompt is computed anew, which costs what a few known prompts do; in a rush that
- * makes queues longer, so more requests find their own server full, and so on until no cache is of
- * use. Waiting is bounded by a share of the patience, so that it never costs a deadline.
+ * Decides whether a request waits for the server that has its prompt prefix cached, although
+ * another server has capacity. Computing prompts again makes queues longer, more requests then find
+ * their server full, and in the end the caches become useless. The wait is limited to a fraction of
+ * the time to the deadline, so that it does not make the request late.
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import { findExcludedInstances } from '../attempts/findExcludedInstances.js';
@@ -15,9 +15,8 @@
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
 
-/** Computing less than this anew is not worth any wait. */
+/** A smaller saving of prefill time does not justify waiting. */
 const MIN_SAVING_MILLISECONDS: Milliseconds = 20;
-/** Share of the patience that may be spent on waiting for a server with the prefix. */
 const MAX_WAIT_FRACTION_OF_PATIENCE = 0.3;
 
 export function shouldWaitForCache(
@@ -26,14 +25,14 @@
   server: BackendServerState,
   now: MonotonicMilliseconds,
 ): boolean {
-  // A stream that goes on elsewhere must not pause for a cache.
+  // A stream that resumes at another server must not be delayed.
   if (accepted.attemptsStarted > 0) return false;
   const patience = nextTokenDueAt(accepted) - accepted.arrivedAt;
   if (now - accepted.arrivedAt >= patience * MAX_WAIT_FRACTION_OF_PATIENCE) return false;
   const poolState = getPoolState(state, accepted.pool.name);
   const { request } = accepted;
   const holder = findHolder(state, poolState, accepted, server);
-  // One that has room was not chosen for other reasons; waiting would not change them.
+  // If the holder has capacity, it was not chosen for reasons that waiting does not change.
   if (holder === undefined || hasCapacity(state, poolState, holder.server, accepted)) return false;
   const additionalFraction =
     holder.cachedFraction - poolState.prefixCacheIndex.cachedFractionAt(server, request, now);
@@ -44,7 +43,7 @@
   );
 }
 
-/** The server near `server` that is believed to have the longest prefix. */
+/** The server in the same group as `server` that is estimated to hold the longest cached prefix. */
 function findHolder(
   state: EntryState,
   poolState: PoolState,
--- a/packages/entry-core/src/advanceEntry.ts
+++ b/packages/entry-core/src/advanceEntry.ts
@@ -1,6 +1,6 @@
 /**
- * Looks at everything that waits for time to pass. Deadlines go first, so that nothing is started
- * for a request that is out of time; what was lost is judged before work is placed anew.
+ * Handles a tick: runs every check that depends on elapsed time. Deadlines are enforced first, so
+ * that no attempt starts for an expired request, and losses are classified before retries start.
  */
 import { expireAwaitingConfiguration } from './admission/awaitConfiguration.js';
 import { advanceRetries } from './attempts/advanceRetries.js';
--- a/packages/entry-core/src/demand/DemandMeter.test.ts
+++ b/packages/entry-core/src/demand/DemandMeter.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { DemandMeter } from './DemandMeter.js';
 
-test('the rate is that of the last ten whole seconds', () => {
+test('the rate covers the last ten whole seconds', () => {
   const meter = new DemandMeter();
   for (let now = 0; now < 20_000; now += 100) meter.record('offers', now);
   assert.deepEqual(meter.read(20_050).get('offers'), {
@@ -12,9 +12,8 @@
   assert.deepEqual(meter.read(25_050).get('offers'), { requestsPerSecond: 5, recentPerSecond: 0 });
 });
 
-// Callers come at six times their usual rate. By ten seconds the engines for them would be ordered
-// when half of the rush is over.
-test('the recent rate shows a rush within four seconds', () => {
+// The ten-second rate alone would show a sudden increase too late to buy instances for it.
+test('the recent rate shows a sudden increase within four seconds', () => {
   const meter = new DemandMeter();
   for (let now = 0; now < 20_000; now += 100) meter.record('offers', now);
   for (let now = 20_000; now < 24_000; now += 20) meter.record('offers', now);
@@ -24,7 +23,7 @@
   });
 });
 
-test('a route that nobody uses any more is forgotten', () => {
+test('a route without recent requests is removed', () => {
   const meter = new DemandMeter();
   meter.record('offers', 0);
   assert.equal(meter.read(60_000).size, 0);
--- a/packages/entry-core/src/demand/DemandMeter.ts
+++ b/packages/entry-core/src/demand/DemandMeter.ts
@@ -1,30 +1,29 @@
 /**
- * Counts the requests that arrive on each route, refused ones too: they are demand that the fleet
- * was too small for. Controllers read the rate over the last seconds.
+ * Measures the rate of requests on each route, from which controllers size the fleet. Rates cover
+ * whole seconds only.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 
 const MILLISECONDS_PER_SECOND = 1000;
 
-/** Whole seconds that the rate is taken over. */
 const WINDOW_SECONDS = 10;
 
-/** Whole seconds that the recent rate is taken over. */
+/** Short, so that a sudden increase shows before it is over. */
 const RECENT_SECONDS = 4;
 
-/** Requests a second on one route. */
+/** The rates of one route, over `WINDOW_SECONDS` and `RECENT_SECONDS`. */
 export interface DemandRate {
   readonly requestsPerSecond: number;
   readonly recentPerSecond: number;
 }
 
 interface ArrivalCounter {
-  /** Arrivals by second, modulo the window and the second that is being counted. */
+  /** Ring buffer of arrivals by second: the window and the current second. */
   readonly bySecond: number[];
   second: number;
 }
 
-/** Arrivals of the last whole seconds, without the second that is being counted. */
+/** Arrivals during the last whole seconds, without the current one. */
 function sumLastSeconds({ bySecond, second }: ArrivalCounter, seconds: number): number {
   const { length } = bySecond;
   let arrived = 0;
@@ -43,7 +42,7 @@
     count.bySecond[slot] = (count.bySecond[slot] ?? 0) + 1;
   }
 
-  /** Rates by route, over whole seconds. */
+  /** The rates of all routes with arrivals in the window. */
   read(now: MonotonicMilliseconds): ReadonlyMap<string, DemandRate> {
     const rates = new Map<string, DemandRate>();
     this.counts.forEach((_, route) => {
--- a/packages/entry-core/src/demand/UsageMeter.ts
+++ b/packages/entry-core/src/demand/UsageMeter.ts
@@ -1,10 +1,10 @@
 /**
- * Counts the requests of each workspace that began to run, by window of the wall clock, so that
- * one process can add up what all entries ran and report it.
+ * Counts the requests of each workspace that have started to run, by window of the wall clock. One
+ * process adds up the counts of all entries and reports them.
  */
 import type { BegunCounts, EpochMilliseconds, Milliseconds } from '@hornbeampond/schema';
 
-/** Windows that are kept: late enough for a holder of the duty that has just taken over. */
+/** Enough for a process that has just taken over the reporting. */
 const RETAINED_WINDOW_COUNT = 6;
 
 export class UsageMeter {
@@ -12,7 +12,7 @@
 
   private readonly changed = new Set<number>();
 
-  /** @param windowMilliseconds - Length of a window; 0 counts nothing. */
+  /** @param windowMilliseconds - Length of a window; 0 disables counting. */
   constructor(private readonly windowMilliseconds: Milliseconds) {}
 
   record(workspace: string, wallNow: EpochMilliseconds): void {
@@ -27,7 +27,7 @@
     });
   }
 
-  /** Counts of the windows that have changed since this was asked last. */
+  /** Counts of the windows that have changed since the last call. */
   takeChanged(): BegunCounts | undefined {
     if (this.changed.size === 0) return undefined;
     const numbers = [...this.changed];
--- a/packages/entry-core/src/demand/buildDemandReports.ts
+++ b/packages/entry-core/src/demand/buildDemandReports.ts
@@ -1,4 +1,4 @@
-/** What controllers are told of the demand at this entry. */
+/** Builds the reports to controllers of the demand at this entry, one for each route. */
 import type { MonotonicMilliseconds, RouteDemandReport } from '@hornbeampond/schema';
 import { getPoolState } from '../backendServers/getPoolState.js';
 import type { EntryState } from '../EntryState.js';
--- a/packages/entry-core/src/entryEffects.ts
+++ b/packages/entry-core/src/entryEffects.ts
@@ -1,6 +1,4 @@
-/**
- * Everything an entry's reducer can ask its shell to do.
- */
+/** The effects that an entry's reducer returns for its shell to carry out. */
 import type {
   CountEffect,
   EntryReport,
@@ -17,15 +15,15 @@
 } from '@hornbeampond/schema';
 import type { ClaimCommand } from './claims/ClaimedCall.js';
 
-/** Where an attempt goes. */
+/** The backend server that an attempt is sent to. */
 export interface AttemptTarget {
   readonly instance: string;
   readonly kind: PoolKind;
   readonly host: string;
   readonly port: number;
-  /** Path of its health check, where the pools table names one. */
+  /** Path of the health check, if the pools table names one. */
   readonly healthPath?: string;
-  /** Tokens that one event of its streams holds. */
+  /** Number of tokens in one event of its streams. */
   readonly tokensPerEvent?: number;
 }
 
@@ -36,38 +34,40 @@
       readonly attemptId: string;
       readonly target: AttemptTarget;
       readonly workspace: string;
-      /** Time until the whole answer is due. */
+      /** Time left until the deadline of the whole answer. */
       readonly timeLeft: Milliseconds;
       /**
-       * Tokens of the answer that are there already; the engine goes on after them. It is what
-       * the last edge told. The shell, which holds the text itself, goes on from what it has
-       * relayed by the time it carries this out, after the `cancelAttempt` before it.
+       * Number of answer tokens received so far, after which the engine continues, as of the last
+       * event. The shell holds the text and may have relayed more by the time it starts the
+       * attempt; it then resumes from what it has relayed.
        */
       readonly resumeFromTokens: number;
-      /** 0 is served first, 9 last. */
+      /** From 0, the most urgent, to 9. */
       readonly priority: number;
-      /** True if the call may not be repeated: only a fresh connection, and no second send. */
+      /** True if the call must not be repeated: it uses a new connection and is sent only once. */
       readonly sendOnce: boolean;
-      /** The attempt fails as `silent` if nothing has come back for so long. */
+      /** The attempt fails as `silent` if no byte arrives within this time. */
       readonly firstByteTimeout: Milliseconds;
-      /** The attempt fails as `silent` if the stream pauses for so long. */
+      /** The attempt fails as `silent` if the stream pauses for longer than this. */
       readonly streamIdleTimeout: Milliseconds;
     }
-  /** Gives an attempt up; whatever still comes from it is dropped. */
+  /** Cancels an attempt; anything it still returns is discarded. */
   | { readonly type: 'cancelAttempt'; readonly attemptId: string }
-  /** Moves the KV cache of a running stream between engines; answered by `cacheMoved`. */
+  /** Moves the KV cache of a running stream between engines; the result is `cacheMoved`. */
   | {
       readonly type: 'moveCache';
       readonly requestId: string;
       readonly attemptId: string;
-      /** The attempt that will go on with the moved cache; the target keeps it under this name. */
+      /**
+       * The attempt that will continue with the moved cache; the target stores it under this id.
+       */
       readonly nextAttemptId: string;
       readonly from: AttemptTarget;
       readonly to: AttemptTarget;
     }
-  /** The caller's answer is whole, as this attempt brought it: the shell ends it. */
+  /** This attempt has delivered the whole answer: the shell ends the caller's response. */
   | { readonly type: 'finishAnswer'; readonly requestId: string; readonly attemptId?: string }
-  /** The caller's final answer is a problem document, or an error event in a started stream. */
+  /** Answers the caller with a problem document, or an error event if the stream has started. */
   | {
       readonly type: 'answerProblem';
       readonly requestId: string;
@@ -76,27 +76,28 @@
       readonly retryAfterMilliseconds?: Milliseconds;
       readonly ran?: Ran;
       /**
-       * Tokens of the answer that the caller has; a resend that names them as its prefix goes on
-       * from there.
+       * Number of answer tokens the caller has; a resend with them as its prefix continues there.
        */
       readonly tokensGiven?: number;
     }
   | { readonly type: 'replayAnswer'; readonly requestId: string; readonly answer: StoredAnswer }
-  /** Proposes a claim command; answered by `claimAnswered` with the same request id. */
+  /** Proposes a claim command; the result is `claimAnswered` with the same request id. */
   | { readonly type: 'proposeClaim'; readonly requestId: string; readonly command: ClaimCommand }
-  /** Proposes a command whose result nobody waits for; the shell resends it until it is taken. */
+  /**
+   * Proposes a command without waiting for its result; the shell resends it until it is accepted.
+   */
   | { readonly type: 'proposeCommand'; readonly command: StoreCommand }
-  /** Asks a backend server for a sign of life over a new connection. */
+  /** Checks over a new connection whether a backend server responds. */
   | { readonly type: 'probe'; readonly target: AttemptTarget }
   /** Sends this entry's report to all its peers. */
   | { readonly type: 'reportToEntries'; readonly report: EntryReport }
-  /** Tells all peers what was spent of an allowance, ahead of the next report. */
+  /** Sends newly spent allowance to all peers without waiting for the next report. */
   | { readonly type: 'tellSpending'; readonly spending: SpendingReport }
-  /** Tells all peers what has changed of this entry's work at backend servers. */
+  /** Sends the changes of this entry's work at backend servers to all peers. */
   | { readonly type: 'tellWork'; readonly work: WorkReport }
-  /** A newer configuration is in force. */
+  /** A newer configuration has taken effect. */
   | { readonly type: 'configurationApplied'; readonly revision: number }
-  /** Nothing is in progress any more; a graceful shutdown can end. */
+  /** Nothing is in progress any more, so a graceful shutdown can finish. */
   | { readonly type: 'shutdownReady' }
   | { readonly type: 'setGauge'; readonly metric: MetricName; readonly value: number }
   | {
--- a/packages/entry-core/src/entryEvents.ts
+++ b/packages/entry-core/src/entryEvents.ts
@@ -1,6 +1,6 @@
 /**
- * Everything that can happen to an entry, as the reducer sees it. The shell stamps each event
- * with its clocks; stream bytes never pass through here, only the edges of streams.
+ * The events that an entry's reducer handles. The shell adds timestamps to each. Streamed text does
+ * not pass through the reducer, only events such as the first token, progress, end or failure.
  */
 import type {
   CacheEvent,
@@ -21,37 +21,37 @@
 } from '@hornbeampond/schema';
 import type { ClaimCommand } from './claims/ClaimedCall.js';
 
-/** A caller's request as far as decisions need it; its body stays in the shell. */
+/** The parts of a caller's request that the reducer needs; the body stays in the shell. */
 export interface CallerRequest {
-  /** Unique for all time; it names the request in logs and answers. */
+  /** Globally unique; identifies the request in logs and answers. */
   readonly requestId: string;
-  /** Empty where the workspace is to be found from `keySha256`, or the caller sent no key. */
+  /** Empty if the workspace has to be looked up by `keySha256`, or if the caller sent no key. */
   readonly workspace: string;
-  /** SHA-256 of the caller's key, where the configuration names workspaces. */
+  /** SHA-256 of the caller's key, if the configuration defines the workspaces. */
   readonly keySha256?: string;
   readonly method: string;
-  /** The host that the caller named, in lower case, where routes may tell hosts apart. */
+  /** The requested host in lower case, if routes can match by host. */
   readonly host?: string;
   readonly path: string;
-  /** How long the caller will wait, if it says so. */
+  /** How long the caller is willing to wait for the answer, if it says so. */
   readonly patience?: Milliseconds;
-  /** What it counts against an allowance in tokens; missing if it says nothing of tokens. */
+  /** Tokens counted against the allowance; undefined if the request states no token counts. */
   readonly countedTokens?: number;
   readonly model?: string;
   readonly idempotencyKey?: string;
   /** Digest of method, path and body. */
   readonly digest: string;
-  /** Digests of the prompt's prefixes, shortest first, for cache affinity. */
+  /** Digests of the prompt's prefixes, shortest first; used for cache affinity. */
   readonly prefixDigests: readonly string[];
-  /** Tokens that each prefix holds, if the caller tells. */
+  /** Number of tokens in each prefix, if the caller states it. */
   readonly prefixTokens?: readonly number[];
-  /** Estimated tokens of the prompt; 0 for plain services. */
+  /** Estimated number of prompt tokens; 0 for plain services. */
   readonly promptTokens: number;
-  /** Most tokens the caller wants generated; 0 for plain services. */
+  /** Maximum number of tokens to generate; 0 for plain services. */
   readonly maxTokens: number;
 }
 
-/** Why an attempt at a backend server ended without a whole answer. */
+/** Why an attempt ended without a complete answer. */
 export const attemptFailures = [
   'connectFailed',
   'busy',
@@ -63,22 +63,22 @@
 ] as const;
 export type AttemptFailure = (typeof attemptFailures)[number];
 
-/** How a proposal to the store came back. */
+/** The outcome of a proposal to the store. */
 export type ClaimAnswer =
   | { readonly type: 'result'; readonly result: ClaimResult }
-  /** The command was provably not taken into the log. */
+  /** The command is certainly not in the log. */
   | { readonly type: 'unavailable' }
   /** The command may or may not be in the log. */
   | { readonly type: 'unsure' };
 
-/** The clocks of this process at the event. */
+/** The monotonic and the wall clock of this process at an event. */
 export interface Timestamps {
   readonly now: MonotonicMilliseconds;
   readonly wallNow: EpochMilliseconds;
 }
 
 export type EntryEventPayload =
-  /** Sent often; everything that waits for time to pass is looked at. */
+  /** Sent at short intervals to run the checks that depend on elapsed time. */
   | { readonly type: 'tick' }
   | { readonly type: 'configurationReceived'; readonly configuration: Configuration }
   | { readonly type: 'instancesListed'; readonly instances: readonly PlatformInstance[] }
@@ -94,37 +94,37 @@
       readonly type: 'probeAnswered';
       readonly instance: string;
       readonly answered: boolean;
-      /** What the backend server's process calls itself since its start, if its adapter tells. */
+      /** Identifies the run of the backend server's process, if the adapter reports it. */
       readonly incarnation?: string;
     }
   | { readonly type: 'requestArrived'; readonly request: CallerRequest }
   | { readonly type: 'callerGone'; readonly requestId: string }
-  /** From here on a byte of the call may have reached the backend server. */
+  /** From now on, bytes of the call may have reached the backend server. */
   | { readonly type: 'attemptSent'; readonly attemptId: string }
   | { readonly type: 'firstTokenReceived'; readonly attemptId: string }
-  /** Sent now and then while a stream runs. `tokens` counts the whole answer so far. */
+  /** Sent periodically while a stream runs. `tokens` counts the whole answer so far. */
   | { readonly type: 'attemptProgressed'; readonly attemptId: string; readonly tokens: number }
-  /** The caller reads more slowly than the backend server gives, or has caught up again. */
+  /** `held` is true while the stream is paused because the caller reads too slowly. */
   | { readonly type: 'attemptHeld'; readonly attemptId: string; readonly held: boolean }
-  /** The whole answer has come from the backend server. */
+  /** The backend server has sent the complete answer. */
   | {
       readonly type: 'attemptFinished';
       readonly attemptId: string;
       readonly tokens: number;
-      /** The longest time between two of its events, over all attempts. */
+      /** The longest time between two events of the answer, over all attempts. */
       readonly longestPause?: Milliseconds;
-      /** The answer of a call that may not be repeated, to be kept for its resends. */
+      /** The answer of a call that must not be repeated, stored to answer resends of it. */
       readonly storedAnswer?: StoredAnswer;
     }
   | {
       readonly type: 'attemptFailed';
       readonly attemptId: string;
       readonly failure: AttemptFailure;
-      /** `nothing`: provably not one byte of the call was sent. */
+      /** `nothing` means that certainly no byte of the call was sent. */
       readonly sent: 'nothing' | 'maybe';
-      /** Tokens of the whole answer that the caller can already have been given. */
+      /** Number of answer tokens that the caller may already have received. */
       readonly tokens: number;
-      /** True if bytes of an answer that cannot be resumed have reached the caller. */
+      /** True if the caller has received bytes of an answer that cannot be resumed. */
       readonly answerStarted: boolean;
       readonly retryAfter?: Milliseconds;
     }
@@ -132,29 +132,32 @@
       readonly type: 'cacheMoved';
       readonly requestId: string;
       readonly moved: boolean;
-      /** The attempt named by the `moveCache` that this answers. */
+      /** The `attemptId` of the `moveCache` effect that this is the result of. */
       readonly attemptId?: string;
-      /** Tokens of the answer that the moved cache holds, if the engine tells. */
+      /** Number of answer tokens in the moved cache, if the engine reports it. */
       readonly tokens?: number;
     }
   | {
       readonly type: 'claimAnswered';
       readonly requestId: string;
-      /** Which command this is the fate of. */
+      /** The command that this is the result of. */
       readonly command: ClaimCommand['type'];
       readonly answer: ClaimAnswer;
     }
   | { readonly type: 'quarantineReceived'; readonly quarantine: readonly QuarantineEntry[] }
   | { readonly type: 'entryReported'; readonly report: EntryReport }
-  /** What a store has kept of what entries knew. */
+  /** State of the entries that a store has persisted. */
   | { readonly type: 'knowledgeRemembered'; readonly remembered: RememberedEntries }
   | { readonly type: 'workReported'; readonly work: WorkReport }
   | { readonly type: 'spendingReported'; readonly spending: SpendingReport }
   | {
       readonly type: 'shutdownStarted';
-      /** Until when requests are still accepted: the balancer's delay. Missing means not at all. */
+      /**
+       * Until when requests are still accepted, because the load balancer needs time to stop
+       * sending them. If undefined, they are refused immediately.
+       */
       readonly acceptUntil?: MonotonicMilliseconds;
-      /** When the last requests are ended, a moment before the platform's limit. */
+      /** When the remaining requests are ended, shortly before the platform's time limit. */
       readonly endAt?: MonotonicMilliseconds;
     };
 
--- a/packages/entry-core/src/reduceEntry.ts
+++ b/packages/entry-core/src/reduceEntry.ts
@@ -1,6 +1,4 @@
-/**
- * The one reducer of an entry: it hands each event to the part whose concern it is.
- */
+/** The entry's reducer: applies one event to the state and returns the resulting effects. */
 import { assertNever, type Configuration } from '@hornbeampond/schema';
 import { advanceEntry } from './advanceEntry.js';
 import { admitRequest } from './admission/admitRequest.js';
@@ -47,7 +45,7 @@
 ): EntryEffect[] {
   const { revision } = configuration;
   if (revision <= state.configuration.revision) return [];
-  // Entries that start together learn of each other's spending with the first report only.
+  // Entries that start together do not know each other's spending until the first report.
   if (state.configuration.revision === 0) reportSoon(state);
   state.configuration = configuration;
   refreshConcurrencyLimits(state);
--- a/packages/entry-core/src/requests/RequestState.ts
+++ b/packages/entry-core/src/requests/RequestState.ts
@@ -1,4 +1,4 @@
-/** One accepted request until its final answer. */
+/** The state of an accepted request until its final answer. */
 import type {
   Milliseconds,
   MonotonicMilliseconds,
@@ -15,32 +15,32 @@
   readonly arrivedAt: MonotonicMilliseconds;
   readonly firstTokenDueAt: MonotonicMilliseconds;
   readonly wholeAnswerDueAt: MonotonicMilliseconds;
-  /** Until when a first token is of use that misses the time it is due at. */
+  /** Until when a first token that misses `firstTokenDueAt` is still useful. */
   readonly lateFirstTokenDueAt: MonotonicMilliseconds;
-  /** True once its first token cannot be in time any more: it goes behind those that can. */
+  /** True once its first token cannot be in time; it is then served after those that can. */
   isLate?: boolean;
-  /** The longest pause between two tokens that the caller takes for none. */
+  /** The longest acceptable pause between two tokens. */
   readonly maxPause: Milliseconds;
-  /** The attempt that the caller's answer is bound to now. */
+  /** The attempt that the caller's answer currently comes from. */
   attemptId: string | undefined;
   attemptsStarted: number;
-  /** Backend servers that this request was tried at. */
+  /** Instances that this request was sent to, the latest last. */
   readonly triedInstances: Set<string>;
-  /** Tokens of the answer that are there already. */
+  /** Number of answer tokens received so far. */
   tokens: number;
   firstTokenAt: MonotonicMilliseconds | undefined;
-  /** When the attempt ended that gave the newest tokens, if the answer goes on elsewhere. */
+  /** When the attempt that sent the latest tokens ended, if another attempt has to continue. */
   interruptedAt?: MonotonicMilliseconds;
-  /** True once an attempt may have sent a byte; see `ranOf`. */
+  /** True once an attempt may have sent a byte; see `determineRan`. */
   maybeSent?: boolean;
-  /** True while another attempt holds the claim of this call; see `ranOf`. */
+  /** True while another attempt holds the claim of this call; see `determineRan`. */
   mayRunElsewhere?: boolean;
-  /** Times that this request lost its backend server or its connection. */
+  /** How often this request has lost its backend server or connection. */
   lossCount?: number;
-  /** Attempts that fell silent and may still bring the first whole answer. */
+  /** Unresponsive attempts that may still deliver the answer first. */
   abandonedAttemptIds?: string[];
-  /** Since when it has found no backend server, if it waits for one. */
+  /** Since when no backend server has been available for it. */
   waitingForServerSince?: MonotonicMilliseconds;
-  /** What the next attempt has to compute again. */
+  /** The tokens that the next attempt has to compute again, and why. */
   recompute?: { readonly reason: RecomputeReason; readonly tokens: number };
 }
--- a/packages/entry-core/src/requests/determineRan.ts
+++ b/packages/entry-core/src/requests/determineRan.ts
@@ -1,7 +1,7 @@
 /**
- * Whether a request that is being given up can have run. `no` is a promise, so it needs that every
- * attempt has ended and proved that it sent nothing; an attempt that is still open may send
- * its first byte at any moment. A call sent again may have run at the entry that took it first.
+ * Determines whether a request that is being ended may have run. `no` is a guarantee: every attempt
+ * has ended, none has sent a byte, and no other entry may be running the same call. While an
+ * attempt is open, it may send its first byte at any moment.
  */
 import type { Ran } from '@hornbeampond/schema';
 import type { RequestState } from './RequestState.js';
--- a/packages/entry-core/src/requests/endRequest.ts
+++ b/packages/entry-core/src/requests/endRequest.ts
@@ -1,6 +1,4 @@
-/**
- * The ways a request gets its final answer. Each is given at the moment it is decided.
- */
+/** The ways to give a request its final answer: refuse, fail or finish it. */
 import type { ErrorKind, LogFields, Milliseconds, Ran } from '@hornbeampond/schema';
 import { releaseAttempts } from '../attempts/releaseAttempts.js';
 import type { EntryEffect } from '../entryEffects.js';
@@ -9,7 +7,7 @@
 import { exonerateSuspect } from '../quarantine/suspects.js';
 import type { RequestState } from './RequestState.js';
 
-/** What a final answer adds to its error kind. */
+/** Optional fields of a problem answer. */
 export interface ProblemFields {
   readonly retryAfterMilliseconds?: Milliseconds;
   readonly ran?: Ran;
@@ -18,7 +16,7 @@
 /**
  * Refuses a request that was not accepted.
  *
- * @param facts - What it was decided by.
+ * @param facts - The values the decision is based on, for the log.
  */
 export function refuseRequest(
   request: CallerRequest,
@@ -65,7 +63,7 @@
   ];
 }
 
-/** When its first token came, and was due, from its arrival. */
+/** When the first token arrived and when it was due, in milliseconds from the request's arrival. */
 function describeFirstTokenTimes({
   arrivedAt,
   firstTokenAt,
@@ -75,7 +73,7 @@
   return { firstTokenIn: firstTokenAt - arrivedAt, firstTokenDueIn: firstTokenDueAt - arrivedAt };
 }
 
-/** Ends an accepted request whose whole answer is there, as `attemptId` brought it. */
+/** Ends an accepted request whose answer is complete; `attemptId` delivered it. */
 export function finishRequest(
   state: EntryState,
   accepted: RequestState,
--- a/packages/entry-core/src/requests/enforceDeadlines.ts
+++ b/packages/entry-core/src/requests/enforceDeadlines.ts
@@ -1,13 +1,10 @@
-/**
- * Ends the requests whose deadline for the whole answer has passed, at that moment.
- */
+/** Ends the requests whose deadline for the whole answer has passed. */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
 import { failRequest } from './endRequest.js';
 import { determineRan } from './determineRan.js';
 
-/** When a caller whose deadline has passed may come back. */
 const RETRY_AFTER_MILLISECONDS = 1000;
 
 export function enforceDeadlines(state: EntryState, now: MonotonicMilliseconds): EntryEffect[] {
@@ -15,7 +12,7 @@
     ({ wholeAnswerDueAt }) => wholeAnswerDueAt <= now,
   );
   return overdue.flatMap((accepted) =>
-    failRequest(state, accepted, 'deadlineExceeded', 'The whole answer did not come in time', {
+    failRequest(state, accepted, 'deadlineExceeded', 'The answer was not complete in time', {
       ran: determineRan(accepted),
       retryAfterMilliseconds: RETRY_AFTER_MILLISECONDS,
     }),
--- a/packages/entry-core/src/requests/handleCallerDisconnect.ts
+++ b/packages/entry-core/src/requests/handleCallerDisconnect.ts
@@ -1,6 +1,6 @@
 /**
- * A caller that closed its connection wants no answer: its attempt is cancelled at the backend
- * server, unless the call may not be repeated, for then its outcome must still be learnt.
+ * Ends the request of a caller that has disconnected and cancels its attempts. A claimed call
+ * continues, because its outcome must still be recorded.
  */
 import { isClaimed } from '@hornbeampond/schema';
 import { releaseAttempts } from '../attempts/releaseAttempts.js';
--- a/packages/entry-core/src/routing/LocalClock.ts
+++ b/packages/entry-core/src/routing/LocalClock.ts
@@ -1,7 +1,6 @@
 /**
- * Local time of day by time zone, cheap enough for each request. Looking a zone up costs tens of
- * microseconds; its offset from UTC changes only at quarter hours of UTC, so one look-up serves
- * all requests of a quarter hour.
+ * Local time of day by time zone. Computing a zone's offset is slow, and offsets change only at
+ * quarter hours of UTC, so each offset is cached for the current quarter hour.
  */
 import { DateTime } from 'luxon';
 import type { EpochMilliseconds } from '@hornbeampond/schema';
@@ -18,7 +17,7 @@
 export class LocalClock {
   private readonly offsets = new Map<string, CachedOffset>();
 
-  /** Minutes since local midnight as the clock on the wall shows them. */
+  /** Minutes from 00:00 to the local time shown by a clock, whatever daylight saving does. */
   minuteOfDay(timeZone: string, wallNow: EpochMilliseconds): number {
     const utcMinute = Math.floor(wallNow / MILLISECONDS_PER_MINUTE);
     const local = (utcMinute + this.offsetMinutes(timeZone, wallNow)) % MINUTES_PER_DAY;
--- a/packages/entry-core/src/routing/RouteIndex.ts
+++ b/packages/entry-core/src/routing/RouteIndex.ts
@@ -1,12 +1,12 @@
 /**
- * Both tables prepared for looking up: routes by path prefix, model and workspace, and pools by
- * name. It is built once for a configuration, so that the cost of finding a route does not grow
- * with the number of routes but with the number of different prefix lengths.
+ * An index of one configuration: routes by host, path prefix, model and workspace, pools by name,
+ * and workspaces by name and key. The cost of finding a route depends on the number of different
+ * prefix lengths, not on the number of routes.
  */
 import type { Configuration, Pool, Route, WorkspaceRow } from '@hornbeampond/schema';
 import { LocalClock } from './LocalClock.js';
 
-/** A route and its place in the table: among equally specific routes the first one wins. */
+/** A route and its row in the table; among equally specific routes the first row wins. */
 interface RankedRoute {
   readonly route: Route;
   readonly row: number;
@@ -14,6 +14,7 @@
 
 /** The routes of one path prefix and one model. */
 class RouteGroup {
+  /** The first route that any workspace may use. */
   private shared: RankedRoute | undefined;
 
   private readonly byWorkspace = new Map<string, RankedRoute>();
@@ -39,7 +40,7 @@
   readonly anyModel: RouteGroup | undefined;
 }
 
-/** A host never holds a slash and a prefix begins with one, so no two places share a key. */
+/** Unambiguous, because a host never contains a slash and a path prefix starts with one. */
 function prefixKey(host: string | undefined, pathPrefix: string): string {
   return `${host ?? ''}${pathPrefix}`;
 }
@@ -64,7 +65,7 @@
 
   private readonly prefixes: Map<string, PrefixRoutes>;
 
-  /** Different lengths of prefixes, longest first. */
+  /** The distinct lengths of path prefixes, longest first. */
   private readonly lengths: readonly number[];
 
   private readonly pools: ReadonlyMap<string, Pool>;
@@ -90,7 +91,7 @@
     return this.workspaces.get(name);
   }
 
-  /** The workspace that holds a key, by the key's digest. */
+  /** The workspace that a key belongs to, by the SHA-256 of the key. */
   workspaceOfKey(keySha256: string): string | undefined {
     return this.workspaceByKey.get(keySha256);
   }
@@ -99,7 +100,9 @@
     return this.pools.get(name);
   }
 
-  /** The groups that match, most specific first: a route that names the host before any other. */
+  /**
+   * The matching groups, most specific first; those of the request's host come before all others.
+   */
   *groups(path: string, model: string | undefined, host?: string): Generator<RouteGroup> {
     if (host !== undefined) yield* this.groupsForHost(host, path, model);
     yield* this.groupsForHost(undefined, path, model);
--- a/packages/entry-core/src/routing/choosePool.ts
+++ b/packages/entry-core/src/routing/choosePool.ts
@@ -1,9 +1,11 @@
-/** Which pool a call goes to, where its route splits calls among several by weight. */
+/**
+ * Chooses the pool of a call: the route's pool, or a random one by weight if the route has a split.
+ */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
 import type { Route } from '@hornbeampond/schema';
 
-/** Steps that the weights are drawn in: finer than any split that an operator can tell apart. */
+/** Resolution of the random draw; finer than any difference in weights that matters. */
 const RANDOM_STEPS = 1_000_000;
 
 export function choosePool({ pool, split }: Route, random: RandomGenerator): string {
--- a/packages/entry-core/src/routing/deadlineAt.ts
+++ b/packages/entry-core/src/routing/deadlineAt.ts
@@ -1,7 +1,6 @@
 /**
- * The deadline that a route gives at a moment, by the local time of its zone. A span names what
- * the clock on the wall shows: an hour that daylight saving skips is never in force, and one that
- * it repeats is in force twice.
+ * Determines a route's deadline by the local time of its time zone. Spans refer to the time shown
+ * by a local clock: an hour skipped by daylight saving is never in force, a repeated one is twice.
  */
 import type { Deadline, DeadlineSpan, EpochMilliseconds, Route } from '@hornbeampond/schema';
 import { LocalClock } from './LocalClock.js';
@@ -13,7 +12,7 @@
   return hour * MINUTES_PER_HOUR + minute;
 }
 
-/** A span whose end is not after its start runs over midnight. */
+/** A span whose end is not after its start crosses midnight. */
 function isInForce(span: DeadlineSpan, minute: number): boolean {
   const from = minuteOfDay(span.from);
   const to = minuteOfDay(span.to);
--- a/packages/entry-core/src/routing/findRoute.test.ts
+++ b/packages/entry-core/src/routing/findRoute.test.ts
@@ -10,7 +10,7 @@
   return new RouteIndex({ ...emptyConfiguration, routes: { revision: 1, rows } });
 }
 
-/** The rule, written as a scan over all rows. */
+/** Reference implementation: a scan over all rows. */
 function findByScan(
   rows: readonly Route[],
   path: string,
--- a/packages/entry-core/src/routing/findRoute.ts
+++ b/packages/entry-core/src/routing/findRoute.ts
@@ -1,12 +1,12 @@
 /**
- * Finds the route of a request: of those whose path prefix and model match, the longest prefix
- * wins, and a route that names the model goes before one that takes any.
+ * Finds the route of a request among those that match its host, path prefix and model. The most
+ * specific wins: one that names the host, then the longest prefix, then one that names the model.
  */
 import type { Route } from '@hornbeampond/schema';
 import type { CallerRequest } from '../entryEvents.js';
 import type { RouteIndex } from './RouteIndex.js';
 
-/** The route, or why there is none for this workspace. */
+/** The route, or why the workspace has none: nothing matches, or all matches exclude it. */
 export type FoundRoute =
   | { readonly type: 'found'; readonly route: Route }
   | { readonly type: 'routeNotFound' }
--- a/packages/entry-core/src/routing/routeIndexOf.ts
+++ b/packages/entry-core/src/routing/routeIndexOf.ts
@@ -1,4 +1,6 @@
-/** The index of the configuration in force, built anew when another one has been taken in. */
+/**
+ * Returns the index of the current configuration, and rebuilds it after the configuration changed.
+ */
 import type { EntryState } from '../EntryState.js';
 import { RouteIndex } from './RouteIndex.js';
 
--- a/packages/entry-core/src/shutdown/ShutdownState.ts
+++ b/packages/entry-core/src/shutdown/ShutdownState.ts
@@ -1,13 +1,14 @@
-/** How far a graceful shutdown has come. */
+/** The progress of a graceful shutdown. */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 
 export interface ShutdownState {
-  /** True from the first word of the shutdown on. */
+  /** True once the shutdown has started. */
   started: boolean;
-  /** Until then the balancer may still send callers here, and they are served. */
+  /** Until when requests are accepted, because the load balancer may still send them here. */
   acceptUntil: MonotonicMilliseconds;
-  /** When the last requests get their final answer, ahead of the platform's limit. */
+  /** When the remaining requests are ended, shortly before the platform's time limit. */
   endAt: MonotonicMilliseconds;
+  /** True once `shutdownReady` has been returned. */
   readyReported: boolean;
 }
 
--- a/packages/entry-core/src/shutdown/advanceShutdown.ts
+++ b/packages/entry-core/src/shutdown/advanceShutdown.ts
@@ -1,8 +1,8 @@
 /**
- * Graceful stop. From its start the entry tells its peers that it leaves. Until `acceptUntil` it
- * still serves what the balancer sends, which has not seen the change of readiness yet: refusing
- * there would show callers a planned stop as an outage. Streams then run to their end; what is still
- * in progress shortly before the platform's limit gets a final answer that tells where to go on.
+ * Graceful shutdown. The entry reports its shutdown to its peers, and until `acceptUntil` it still
+ * accepts requests, because the load balancer has not noticed yet and callers would see a planned
+ * shutdown as an outage. Streams then run to their end. What is still in progress shortly before
+ * the platform's time limit gets a final answer with which the caller can continue elsewhere.
  */
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryEvent, Timestamps } from '../entryEvents.js';
@@ -12,7 +12,7 @@
 import { determineRan } from '../requests/determineRan.js';
 import type { RequestState } from '../requests/RequestState.js';
 
-/** A caller cut off by the limit may come back at once: another entry serves it. */
+/** Short, because another entry can serve the caller immediately. */
 const RETRY_AFTER_MILLISECONDS = 100;
 
 export function startShutdown(
@@ -28,7 +28,7 @@
 
 function failAtLimit(state: EntryState, accepted: RequestState): EntryEffect[] {
   const ran = determineRan(accepted);
-  const detail = 'This instance has to stop now; send the request again to go on';
+  const detail = 'This instance is stopping; send the request again to continue';
   const kind = ran === 'no' ? 'draining' : 'answerCut';
   const problem = { ran, retryAfterMilliseconds: RETRY_AFTER_MILLISECONDS };
   return failRequest(state, accepted, kind, detail, problem);
@@ -48,7 +48,7 @@
   if (!shutdown.started) return [];
   state.shuttingDown = shutdown.acceptUntil <= now;
   const effects = shutdown.endAt <= now ? failAllAtLimit(state) : [];
-  // A claim whose end is not in the log yet would read `unknown` to a caller that sends it again.
+  // Until the outcome of a claimed call is in the log, a resend of it would be answered `unknown`.
   const claimsOpen = state.claims.size > 0 && now < shutdown.endAt;
   const inProgress = state.requests.size > 0 || claimsOpen;
   if (!state.shuttingDown || inProgress || shutdown.readyReported) return effects;
