--- a/packages/entry-core/src/admission/decideAdmission.ts
+++ b/packages/entry-core/src/admission/decideAdmission.ts
@@ -134,16 +134,16 @@
   const { request, pool } = accepted;
   const poolState = getPoolState(state, pool.name);
   const predicted = predictFirstTokenDelay(state, poolState, server, accepted);
-  const patience = nextTokenDueAt(accepted) - now;
-  if (predicted <= patience || !isPredictionTrusted(poolState, server, patience, now)) {
+  const timeLeft = nextTokenDueAt(accepted) - now;
+  if (predicted <= timeLeft || !isPredictionTrusted(poolState, server, timeLeft, now)) {
     return undefined;
   }
   const interval = makeQueuedRequest(state, accepted).cost / estimateSlots(state, pool.name);
   const key = `server/${pool.name}/${request.workspace}`;
-  const wait = predicted - patience;
+  const wait = predicted - timeLeft;
   const retryAfterMilliseconds = assignRetryAfter(state, key, wait, interval, now);
   const detail = `The first token is predicted in ${Math.round(predicted)} ms`;
-  const facts = { patience, ...describePrediction(state, poolState, server, accepted) };
+  const facts = { patience: timeLeft, ...describePrediction(state, poolState, server, accepted) };
   return { kind: 'deadlineUnreachable', detail, retryAfterMilliseconds, facts };
 }
 
--- a/packages/entry-core/src/admission/orderQueueForServer.ts
+++ b/packages/entry-core/src/admission/orderQueueForServer.ts
@@ -3,7 +3,7 @@
  * the requests whose prompt prefix it has cached go before the others: under load it would
  * otherwise rarely get them, and caches would be evicted when they are needed most. This applies
  * only while the first request in the queue has enough time left. Fairness is unaffected:
- * workspaces are charged.
+ * their workspaces are charged as usual.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
@@ -16,12 +16,17 @@
 const MAX_CANDIDATES_PER_WORKSPACE = 8;
 const MAX_CANDIDATES = 12;
 const MIN_CACHED_FRACTION_OF_PROMPT = 0.3;
-/** The first request may be overtaken while at least this much of its time is left. */
-const MIN_REMAINING_FRACTION_OF_PATIENCE = 0.3;
+/** While less than this is left, the first request in the queue is not overtaken. */
+const MIN_REMAINING_FRACTION_OF_TIME_TO_DEADLINE = 0.3;
 
 function canWait(state: EntryState, first: QueuedRequest, now: MonotonicMilliseconds): boolean {
-  const patience = first.dueAt - first.accepted.arrivedAt;
-  return !missesDeadlineAfter(state, first, patience * MIN_REMAINING_FRACTION_OF_PATIENCE, now);
+  const timeToDeadline = first.dueAt - first.accepted.arrivedAt;
+  return !missesDeadlineAfter(
+    state,
+    first,
+    timeToDeadline * MIN_REMAINING_FRACTION_OF_TIME_TO_DEADLINE,
+    now,
+  );
 }
 
 export function orderQueueForServer(
--- a/packages/entry-core/src/admission/placeRequest.ts
+++ b/packages/entry-core/src/admission/placeRequest.ts
@@ -26,7 +26,7 @@
   | { readonly type: 'none' };
 
 /** A longer predicted wait for local servers allows the use of other data centres. */
-const MAX_LOCAL_WAIT_FRACTION_OF_PATIENCE = 0.5;
+const MAX_LOCAL_WAIT_FRACTION_OF_TIME_LEFT = 0.5;
 
 function isQueueAhead(state: EntryState, accepted: RequestState): boolean {
   const { levels } = poolQueueOf(state, accepted.pool.name);
@@ -40,8 +40,8 @@
   now: MonotonicMilliseconds,
 ): boolean {
   const wait = predictWait(state, makeQueuedRequest(state, accepted));
-  const patience = nextTokenDueAt(accepted) - now - expectedFirstTokenDelay(state, accepted);
-  return wait > patience * MAX_LOCAL_WAIT_FRACTION_OF_PATIENCE;
+  const timeLeft = nextTokenDueAt(accepted) - now - expectedFirstTokenDelay(state, accepted);
+  return wait > timeLeft * MAX_LOCAL_WAIT_FRACTION_OF_TIME_LEFT;
 }
 
 export function placeRequest(
--- a/packages/entry-core/src/admission/shouldWaitForCache.ts
+++ b/packages/entry-core/src/admission/shouldWaitForCache.ts
@@ -17,7 +17,7 @@
 
 /** A smaller saving of prefill time does not justify waiting. */
 const MIN_SAVING_MILLISECONDS: Milliseconds = 20;
-const MAX_WAIT_FRACTION_OF_PATIENCE = 0.3;
+const MAX_WAIT_FRACTION_OF_TIME_TO_DEADLINE = 0.3;
 
 export function shouldWaitForCache(
   state: EntryState,
@@ -27,8 +27,9 @@
 ): boolean {
   // A stream that resumes at another server must not be delayed.
   if (accepted.attemptsStarted > 0) return false;
-  const patience = nextTokenDueAt(accepted) - accepted.arrivedAt;
-  if (now - accepted.arrivedAt >= patience * MAX_WAIT_FRACTION_OF_PATIENCE) return false;
+  const timeToDeadline = nextTokenDueAt(accepted) - accepted.arrivedAt;
+  if (now - accepted.arrivedAt >= timeToDeadline * MAX_WAIT_FRACTION_OF_TIME_TO_DEADLINE)
+    return false;
   const poolState = getPoolState(state, accepted.pool.name);
   const { request } = accepted;
   const holder = findHolder(state, poolState, accepted, server);
