--- a/packages/entry-core/src/configuration/ConfigurationBootstrap.ts
+++ b/packages/entry-core/src/configuration/ConfigurationBootstrap.ts
@@ -9,7 +9,7 @@
 
 export interface ConfigurationBootstrap {
   /** Peers whose answer is still awaited. */
-  readonly awaited: Set<string>;
+  readonly pendingPeers: Set<string>;
   newest: Configuration | undefined;
   /** True once no linearizable read is awaited any more. */
   quorumFailed: boolean;
@@ -33,36 +33,37 @@
 
 /** Starts to ask these peers. */
 export function makeConfigurationBootstrap(peers: readonly string[]): ConfigurationBootstrap {
-  return { awaited: new Set(peers), newest: undefined, quorumFailed: false, started: false };
+  return { pendingPeers: new Set(peers), newest: undefined, quorumFailed: false, started: false };
 }
 
 /** Notes an answer; the one effect comes once it is known what to start with. */
 export function reduceConfigurationBootstrap(
-  start: ConfigurationBootstrap,
+  bootstrap: ConfigurationBootstrap,
   event: ConfigurationBootstrapEvent,
 ): StartedEffect[] {
-  if (start.started) return [];
-  noteEvent(start, event);
-  if (event.type === 'quorumRead') return begin(start, false);
-  const isComplete = start.quorumFailed && start.awaited.size === 0;
-  return isComplete ? begin(start, true) : [];
+  if (bootstrap.started) return [];
+  recordEvent(bootstrap, event);
+  if (event.type === 'quorumRead') return finish(bootstrap, false);
+  const isComplete = bootstrap.quorumFailed && bootstrap.pendingPeers.size === 0;
+  return isComplete ? finish(bootstrap, true) : [];
 }
 
-function noteEvent(start: ConfigurationBootstrap, event: ConfigurationBootstrapEvent): void {
-  if ('configuration' in event) keepNewest(start, event.configuration);
-  if ('peer' in event) start.awaited.delete(event.peer);
-  if (event.type === 'quorumFailed' || event.type === 'waitOver') start.quorumFailed = true;
-  if (event.type === 'waitOver') start.awaited.clear();
+function recordEvent(bootstrap: ConfigurationBootstrap, event: ConfigurationBootstrapEvent): void {
+  if ('configuration' in event) keepNewest(bootstrap, event.configuration);
+  if ('peer' in event) bootstrap.pendingPeers.delete(event.peer);
+  if (event.type === 'quorumFailed' || event.type === 'waitOver') bootstrap.quorumFailed = true;
+  if (event.type === 'waitOver') bootstrap.pendingPeers.clear();
 }
 
-function keepNewest(start: ConfigurationBootstrap, configuration: Configuration): void {
-  const isNewer = start.newest === undefined || configuration.revision > start.newest.revision;
-  if (isNewer) start.newest = configuration;
+function keepNewest(bootstrap: ConfigurationBootstrap, configuration: Configuration): void {
+  const isNewer =
+    bootstrap.newest === undefined || configuration.revision > bootstrap.newest.revision;
+  if (isNewer) bootstrap.newest = configuration;
 }
 
 /** With no answer at all the instance goes on waiting: it must not serve from empty tables. */
-function begin(start: ConfigurationBootstrap, cutOff: boolean): StartedEffect[] {
-  if (start.newest === undefined) return [];
-  start.started = true;
-  return [{ type: 'started', configuration: start.newest, cutOff }];
+function finish(bootstrap: ConfigurationBootstrap, cutOff: boolean): StartedEffect[] {
+  if (bootstrap.newest === undefined) return [];
+  bootstrap.started = true;
+  return [{ type: 'started', configuration: bootstrap.newest, cutOff }];
 }
--- a/packages/entry-core/src/configuration/applyConfiguration.ts
+++ b/packages/entry-core/src/configuration/applyConfiguration.ts
@@ -17,11 +17,11 @@
 /** Applies a whole configuration if it is newer than the one in force. */
 export function applyConfiguration(
   state: ConfigurationState,
-  offered: Configuration,
+  received: Configuration,
 ): ConfigurationEffect[] {
-  if (offered.revision <= state.configuration.revision) return [];
-  state.configuration = offered;
-  return [{ type: 'configurationInForce', configuration: offered }];
+  if (received.revision <= state.configuration.revision) return [];
+  state.configuration = received;
+  return [{ type: 'configurationInForce', configuration: received }];
 }
 
 /** Applies a delta if it starts from the revision in force; one that is behind it is passed over. */
@@ -30,7 +30,7 @@
   delta: ConfigurationDelta,
 ): ConfigurationEffect[] {
   if (delta.toRevision <= state.configuration.revision) return [];
-  const changed = applyDelta(state.configuration, delta);
-  if (changed === undefined) return [{ type: 'askWholeConfiguration' }];
-  return applyConfiguration(state, changed);
+  const updated = applyDelta(state.configuration, delta);
+  if (updated === undefined) return [{ type: 'askWholeConfiguration' }];
+  return applyConfiguration(state, updated);
 }
--- a/packages/entry-core/src/configuration/configuration.test.ts
+++ b/packages/entry-core/src/configuration/configuration.test.ts
@@ -12,10 +12,10 @@
   return { ...emptyConfiguration, revision: number };
 }
 
-function start(events: readonly ConfigurationBootstrapEvent[]): string[] {
-  const starting = makeConfigurationBootstrap(['store-1', 'entry-2', 'entry-3']);
+function startWith(events: readonly ConfigurationBootstrapEvent[]): string[] {
+  const bootstrap = makeConfigurationBootstrap(['store-1', 'entry-2', 'entry-3']);
   return events.flatMap((event) =>
-    reduceConfigurationBootstrap(starting, event).map(
+    reduceConfigurationBootstrap(bootstrap, event).map(
       ({ configuration, cutOff }) => `${configuration.revision}${cutOff ? ' cut off' : ''}`,
     ),
   );
@@ -46,7 +46,7 @@
 
 test('configuration: a linearizable read starts the instance at once', () => {
   const read = { type: 'quorumRead', configuration: revision(7) } as const;
-  assert.deepEqual(start([fromPeer('entry-2', 6), read, fromPeer('entry-3', 7)]), ['7']);
+  assert.deepEqual(startWith([fromPeer('entry-2', 6), read, fromPeer('entry-3', 7)]), ['7']);
 });
 
 // The data centre is cut off and one of its entries restarts. The first peer to answer lags; were
@@ -58,17 +58,17 @@
     { type: 'peerFailed', peer: 'store-1' },
     fromPeer('entry-3', 8),
   ];
-  assert.deepEqual(start(events), ['8 cut off']);
+  assert.deepEqual(startWith(events), ['8 cut off']);
 });
 
 test('configuration: a silent peer is waited for only so long', () => {
-  assert.deepEqual(start([fromPeer('entry-2', 5), { type: 'waitOver' }]), ['5 cut off']);
+  assert.deepEqual(startWith([fromPeer('entry-2', 5), { type: 'waitOver' }]), ['5 cut off']);
 });
 
 // No peer answers in time. Starting on empty tables would refuse every caller as unknown, so the
 // instance goes on asking, and the first answer then starts it.
 test('configuration: with no answer at all the instance does not start', () => {
   const late = fromPeer('entry-3', 2);
-  assert.deepEqual(start([{ type: 'waitOver' }]), []);
-  assert.deepEqual(start([{ type: 'waitOver' }, late]), ['2 cut off']);
+  assert.deepEqual(startWith([{ type: 'waitOver' }]), []);
+  assert.deepEqual(startWith([{ type: 'waitOver' }, late]), ['2 cut off']);
 });
--- a/packages/entry-core/src/limits/AllowanceLimiter.test.ts
+++ b/packages/entry-core/src/limits/AllowanceLimiter.test.ts
@@ -13,7 +13,7 @@
 };
 
 /** What may be spent in any window. */
-const MOST = 1000;
+const MAX_IN_WINDOW = 1000;
 
 function report(instance: string, spent: number, incarnation = 1): EntryReport {
   return {
@@ -32,88 +32,91 @@
 }
 
 /** The ledger of an entry that was started a while ago. */
-function makeLedger(): AllowanceLimiter {
-  const ledger = new AllowanceLimiter();
-  ledger.check('laden', allowance, 1, -10_000);
-  return ledger;
+function makeRunningLimiter(): AllowanceLimiter {
+  const limiter = new AllowanceLimiter();
+  limiter.check('laden', allowance, 1, -10_000);
+  return limiter;
 }
 
 /** Spends in steps of 10 as long as it is allowed, and returns how much. */
-function spendAll(ledger: AllowanceLimiter, now: number): number {
+function spendAll(limiter: AllowanceLimiter, now: number): number {
   let spent = 0;
-  while (spent < 10 * MOST && ledger.check('laden', allowance, 10, now).type === 'allowed') {
-    if (ledger.spend('laden', allowance, 10, now)) ledger.reportTotal('laden');
+  while (
+    spent < 10 * MAX_IN_WINDOW &&
+    limiter.check('laden', allowance, 10, now).type === 'allowed'
+  ) {
+    if (limiter.spend('laden', allowance, 10, now)) limiter.reportTotal('laden');
     spent += 10;
   }
   return spent;
 }
 
 test('a window holds the rate and the burst, wherever it begins', () => {
-  const ledger = makeLedger();
+  const limiter = makeRunningLimiter();
   const spentAt: [number, number][] = [];
-  for (let now = 0; now < 40_000; now += 100) spentAt.push([now, spendAll(ledger, now)]);
+  for (let now = 0; now < 40_000; now += 100) spentAt.push([now, spendAll(limiter, now)]);
   spentAt.forEach(([from]) => {
     const inWindow = spentAt
       .filter(([at]) => at >= from && at < from + allowance.windowMilliseconds)
       .reduce((sum, [, spent]) => sum + spent, 0);
-    assert.ok(inWindow <= MOST, `${inWindow} from ${from}`);
+    assert.ok(inWindow <= MAX_IN_WINDOW, `${inWindow} from ${from}`);
   });
 });
 
 test('one that comes back when it was told to is allowed', () => {
-  const ledger = makeLedger();
-  spendAll(ledger, 0);
-  const refused = ledger.check('laden', allowance, 10, 500);
+  const limiter = makeRunningLimiter();
+  spendAll(limiter, 0);
+  const refused = limiter.check('laden', allowance, 10, 500);
   assert.ok(refused.type === 'exceeded');
   const later = 500 + refused.retryAfterMilliseconds;
-  assert.equal(ledger.check('laden', allowance, 10, later - 300).type, 'exceeded');
-  assert.equal(ledger.check('laden', allowance, 10, later + 1).type, 'allowed');
+  assert.equal(limiter.check('laden', allowance, 10, later - 300).type, 'exceeded');
+  assert.equal(limiter.check('laden', allowance, 10, later + 1).type, 'allowed');
 });
 
 test('what other entries spend counts once, also after they restart', () => {
-  const ledger = makeLedger();
-  ledger.receive(report('entry-2', 5000), 0);
-  ledger.receive(report('entry-2', 5600), 100);
-  ledger.receive(report('entry-2', 5600), 200);
-  ledger.receive(report('entry-2', 100, 2), 300);
-  assert.equal(ledger.check('laden', allowance, MOST - 700, 400).type, 'allowed');
-  assert.equal(ledger.check('laden', allowance, MOST - 699, 400).type, 'exceeded');
+  const limiter = makeRunningLimiter();
+  limiter.receive(report('entry-2', 5000), 0);
+  limiter.receive(report('entry-2', 5600), 100);
+  limiter.receive(report('entry-2', 5600), 200);
+  limiter.receive(report('entry-2', 100, 2), 300);
+  assert.equal(limiter.check('laden', allowance, MAX_IN_WINDOW - 700, 400).type, 'allowed');
+  assert.equal(limiter.check('laden', allowance, MAX_IN_WINDOW - 699, 400).type, 'exceeded');
 });
 
 // Half of the entries are killed while a workspace sends many times its usual. Started again, each of
 // them found an unspent window, and the workspace was let run far more than it is allowed.
 test('an entry that has just started takes over what the window holds already', () => {
-  const old = makeLedger();
-  spendAll(old, 0);
-  const ledger = new AllowanceLimiter();
-  assert.ok(spendAll(ledger, 900) <= MOST / 10);
-  const windowSpent = old.windowSpent(1000);
-  ledger.receive({ ...report('entry-2', MOST), windowSpent }, 1000);
-  assert.equal(ledger.check('laden', allowance, 10, 1100).type, 'exceeded');
-  assert.equal(ledger.check('laden', allowance, 10, 9500).type, 'allowed');
+  const running = makeRunningLimiter();
+  spendAll(running, 0);
+  const limiter = new AllowanceLimiter();
+  assert.ok(spendAll(limiter, 900) <= MAX_IN_WINDOW / 10);
+  const windowSpent = running.windowSpent(1000);
+  limiter.receive({ ...report('entry-2', MAX_IN_WINDOW), windowSpent }, 1000);
+  assert.equal(limiter.check('laden', allowance, 10, 1100).type, 'exceeded');
+  assert.equal(limiter.check('laden', allowance, 10, 9500).type, 'allowed');
 });
 
 // An entry that starts beside others that have run for long takes over what they know.
 test('one entry that starts anew is not held to the rate', () => {
-  const old = makeLedger();
-  const ledger = new AllowanceLimiter();
-  const windowReach = old.historyLength(0);
-  ledger.receive({ ...report('entry-2', 0), windowSpent: {}, windowReach }, 0);
-  assert.equal(ledger.check('laden', allowance, MOST / 2, 100).type, 'allowed');
+  const running = makeRunningLimiter();
+  const limiter = new AllowanceLimiter();
+  const windowReach = running.historyLength(0);
+  limiter.receive({ ...report('entry-2', 0), windowSpent: {}, windowReach }, 0);
+  assert.equal(limiter.check('laden', allowance, MAX_IN_WINDOW / 2, 100).type, 'allowed');
 });
 
 // Callers of a workspace on both sides of a network partition would together be let run twice what
 // the operator allows. The entries of one side stop hearing the others and leave them their part.
 test('an entry that hears only half of the others spends only their half', () => {
-  const ledger = makeLedger();
-  ['entry-2', 'entry-3', 'entry-4'].forEach((name) => ledger.receive(report(name, 0), 0));
-  ledger.receive(report('entry-2', 0), 20_000);
-  assert.equal(spendAll(ledger, 20_100), MOST / 2);
+  const limiter = makeRunningLimiter();
+  ['entry-2', 'entry-3', 'entry-4'].forEach((name) => limiter.receive(report(name, 0), 0));
+  limiter.receive(report('entry-2', 0), 20_000);
+  assert.equal(spendAll(limiter, 20_100), MAX_IN_WINDOW / 2);
 });
 
 test('a request above the whole allowance may run while nothing else has', () => {
-  const ledger = makeLedger();
-  assert.equal(ledger.check('laden', allowance, 5 * MOST, 0).type, 'allowed');
-  ledger.spend('laden', allowance, 5 * MOST, 0);
-  assert.equal(ledger.check('laden', allowance, 1, 0).type, 'exceeded');
+  const limiter = makeRunningLimiter();
+  assert.equal(limiter.check('laden', allowance, 5 * MAX_IN_WINDOW, 0).type, 'allowed');
+  limiter.spend('laden', allowance, 5 * MAX_IN_WINDOW, 0);
+  assert.equal(limiter.check('laden', allowance, 1, 0).type, 'exceeded');
 });
--- a/packages/entry-core/src/limits/ConcurrencyLimiter.test.ts
+++ b/packages/entry-core/src/limits/ConcurrencyLimiter.test.ts
@@ -10,17 +10,17 @@
 } from './ConcurrencyLimiter.js';
 
 const KEY = 'appraisals/kartenwerk-a';
-const REPORT_INTERVAL = 500;
+const REPORT_INTERVAL_MILLISECONDS = 500;
 
 /** Entries that take requests as greedily as the ledger lets them. */
-class GreedyEntries {
+class GreedyCluster {
   now = 0;
 
-  highestSum = 0;
+  maxTotal = 0;
 
-  readonly ledgers: ConcurrencyLimiter[];
+  readonly limiters: ConcurrencyLimiter[];
 
-  private readonly held: string[][];
+  private readonly requestIds: string[][];
 
   private sequence = 0;
 
@@ -28,66 +28,66 @@
     entries: number,
     private readonly limit: number,
   ) {
-    this.ledgers = Array.from({ length: entries }, () => new ConcurrencyLimiter());
-    this.held = this.ledgers.map(() => []);
+    this.limiters = Array.from({ length: entries }, () => new ConcurrencyLimiter());
+    this.requestIds = this.limiters.map(() => []);
   }
 
-  get sum(): number {
-    return this.held.reduce((sum, held) => sum + held.length, 0);
+  get total(): number {
+    return this.requestIds.reduce((total, requestIds) => total + requestIds.length, 0);
   }
 
-  countAt(entry: number): number {
-    return this.held[entry]?.length ?? 0;
+  inProgressAt(entry: number): number {
+    return this.requestIds[entry]?.length ?? 0;
   }
 
   /** Has an entry take up to `wanted` more. */
-  take(entry: number, wanted: number): void {
-    for (let taken = 0; taken < wanted; taken += 1) {
-      if (this.ledgers[entry]?.hasCapacity(KEY, this.limit, this.now) !== true) return;
+  acquireUpTo(entry: number, count: number): void {
+    for (let acquired = 0; acquired < count; acquired += 1) {
+      if (this.limiters[entry]?.hasCapacity(KEY, this.limit, this.now) !== true) return;
       this.sequence += 1;
       const requestId = `request-${this.sequence}`;
-      this.ledgers[entry]?.acquire(KEY, requestId);
-      this.held[entry]?.push(requestId);
-      this.highestSum = Math.max(this.highestSum, this.sum);
+      this.limiters[entry]?.acquire(KEY, requestId);
+      this.requestIds[entry]?.push(requestId);
+      this.maxTotal = Math.max(this.maxTotal, this.total);
     }
   }
 
-  end(entry: number, count: number): void {
-    for (const requestId of this.held[entry]?.splice(0, count) ?? []) {
-      this.ledgers[entry]?.release(KEY, requestId);
+  releaseOldest(entry: number, count: number): void {
+    for (const requestId of this.requestIds[entry]?.splice(0, count) ?? []) {
+      this.limiters[entry]?.release(KEY, requestId);
     }
   }
 
   /** One entry reports now; the report arrives when what is returned is called. */
-  reportLate(from: number): () => void {
+  sendDelayedReport(from: number): () => void {
     this.sequence += 1;
-    const ledger = this.ledgers[from];
-    if (ledger === undefined) return () => {};
-    const report = this.makeReport(ledger, from);
+    const limiter = this.limiters[from];
+    if (limiter === undefined) return () => {};
+    const report = this.makeReport(limiter, from);
     return () => {
-      this.ledgers.forEach((to, entry) => {
+      this.limiters.forEach((to, entry) => {
         if (entry !== from) to.receive(report, this.now);
       });
     };
   }
 
   /** Every entry reports; `arrives` says which reports get through. */
-  report(arrives: (from: number, to: number) => boolean = () => true): void {
+  exchangeReports(arrives: (from: number, to: number) => boolean = () => true): void {
     this.sequence += 1;
-    const reports = this.ledgers.map((ledger, entry) => this.makeReport(ledger, entry));
+    const reports = this.limiters.map((limiter, entry) => this.makeReport(limiter, entry));
     reports.forEach((report, from) => {
-      this.ledgers.forEach((ledger, to) => {
-        if (from !== to && arrives(from, to)) ledger.receive(report, this.now);
+      this.limiters.forEach((limiter, to) => {
+        if (from !== to && arrives(from, to)) limiter.receive(report, this.now);
       });
     });
   }
 
-  pass(span: number): void {
+  advance(span: number): void {
     this.now += span;
-    this.ledgers.forEach((ledger) => ledger.removeExpiredPeers(this.now));
+    this.limiters.forEach((limiter) => limiter.removeExpiredPeers(this.now));
   }
 
-  private makeReport(ledger: ConcurrencyLimiter, entry: number): EntryReport {
+  private makeReport(limiter: ConcurrencyLimiter, entry: number): EntryReport {
     return {
       type: 'entryReport',
       instance: `entry-${entry}`,
@@ -96,7 +96,7 @@
       sequence: this.sequence,
       leaving: false,
       revision: 1,
-      inProgress: ledger.countOwnByKey(),
+      inProgress: limiter.countOwnByKey(),
       leavingBackendServers: {},
       suspects: [],
     };
@@ -109,23 +109,23 @@
 test('entries in contact use the whole limit and hold it', () => {
   for (const limit of [1, 3, 10, 100]) {
     for (const entries of [1, 2, 5, 8]) {
-      const greedy = new GreedyEntries(entries, limit);
+      const cluster = new GreedyCluster(entries, limit);
       const random = xoroshiro128plus(limit * 100 + entries);
-      greedy.report();
-      let lowestFull = Number.POSITIVE_INFINITY;
-      for (let round = 0; round < 200; round += 1) {
+      cluster.exchangeReports();
+      let minTotal = Number.POSITIVE_INFINITY;
+      for (let interval = 0; interval < 200; interval += 1) {
         for (let step = 0; step < 20; step += 1) {
           const entry = uniformInt(random, 0, entries - 1);
-          if (round < 100) greedy.end(entry, uniformInt(random, 0, 2));
-          greedy.take(entry, limit);
+          if (interval < 100) cluster.releaseOldest(entry, uniformInt(random, 0, 2));
+          cluster.acquireUpTo(entry, limit);
         }
-        if (round > 150) lowestFull = Math.min(lowestFull, greedy.sum);
-        greedy.pass(REPORT_INTERVAL);
-        greedy.report();
+        if (interval > 150) minTotal = Math.min(minTotal, cluster.total);
+        cluster.advance(REPORT_INTERVAL_MILLISECONDS);
+        cluster.exchangeReports();
       }
       const name = `limit ${limit}, ${entries} entries`;
-      assert.ok(greedy.highestSum <= limit + entries - 1, `${name}: ${greedy.highestSum}`);
-      assert.ok(lowestFull >= limit, `${name}: only ${lowestFull} in use`);
+      assert.ok(cluster.maxTotal <= limit + entries - 1, `${name}: ${cluster.maxTotal}`);
+      assert.ok(minTotal >= limit, `${name}: only ${minTotal} in use`);
     }
   }
 });
@@ -133,13 +133,13 @@
 // All callers of a workspace come to one entry while its peers have none of them. They see
 // nearly the whole limit there after a few reports, because what peers leave free is lent.
 test('an entry borrows what its peers leave free', () => {
-  const greedy = new GreedyEntries(4, 100);
-  for (let round = 0; round < 20; round += 1) {
-    greedy.report();
-    greedy.take(0, 100);
-    greedy.pass(REPORT_INTERVAL);
+  const cluster = new GreedyCluster(4, 100);
+  for (let interval = 0; interval < 20; interval += 1) {
+    cluster.exchangeReports();
+    cluster.acquireUpTo(0, 100);
+    cluster.advance(REPORT_INTERVAL_MILLISECONDS);
   }
-  assert.equal(greedy.countAt(0), 100);
+  assert.equal(cluster.inProgressAt(0), 100);
 });
 
 // Entries report each at its own time, and every report arrives up to half a second late, after
@@ -148,21 +148,21 @@
 test('late and crossing reports stay within the stated bound', () => {
   for (const entries of [2, 4, 8]) {
     const limit = 100;
-    const greedy = new GreedyEntries(entries, limit);
+    const cluster = new GreedyCluster(entries, limit);
     const random = xoroshiro128plus(entries);
-    greedy.report();
-    for (let round = 0; round < 300; round += 1) {
-      const late: (() => void)[] = [];
+    cluster.exchangeReports();
+    for (let interval = 0; interval < 300; interval += 1) {
+      const delayedReports: (() => void)[] = [];
       for (let entry = 0; entry < entries; entry += 1) {
-        late.push(greedy.reportLate(entry));
-        greedy.end(entry, uniformInt(random, 0, limit / 4));
-        greedy.take(uniformInt(random, 0, entries - 1), limit);
-        greedy.pass(REPORT_INTERVAL / entries);
+        delayedReports.push(cluster.sendDelayedReport(entry));
+        cluster.releaseOldest(entry, uniformInt(random, 0, limit / 4));
+        cluster.acquireUpTo(uniformInt(random, 0, entries - 1), limit);
+        cluster.advance(REPORT_INTERVAL_MILLISECONDS / entries);
       }
-      late.reverse().forEach((arrive) => arrive());
+      delayedReports.reverse().forEach((arrive) => arrive());
     }
-    assert.ok(greedy.highestSum <= 2 * limit + entries, `${entries}: ${greedy.highestSum}`);
-    assert.ok(greedy.highestSum >= 0.8 * limit, `${entries}: only ${greedy.highestSum}`);
+    assert.ok(cluster.maxTotal <= 2 * limit + entries, `${entries}: ${cluster.maxTotal}`);
+    assert.ok(cluster.maxTotal >= 0.8 * limit, `${entries}: only ${cluster.maxTotal}`);
   }
 });
 
@@ -172,50 +172,53 @@
 test('entries out of contact fall back to equal parts within the stated bound', () => {
   for (const entries of [2, 4, 8]) {
     const limit = 100;
-    const greedy = new GreedyEntries(entries, limit);
+    const cluster = new GreedyCluster(entries, limit);
     const random = xoroshiro128plus(entries);
-    for (let round = 0; round < 200; round += 1) {
-      greedy.report((from, to) => round < 100 && uniformInt(random, from + to, 20) > 4);
+    for (let interval = 0; interval < 200; interval += 1) {
+      cluster.exchangeReports(
+        (from, to) => interval < 100 && uniformInt(random, from + to, 20) > 4,
+      );
       for (let entry = 0; entry < entries; entry += 1) {
-        greedy.end(entry, uniformInt(random, 0, limit / 4));
-        greedy.take(entry, uniformInt(random, 0, 1) * limit);
+        cluster.releaseOldest(entry, uniformInt(random, 0, limit / 4));
+        cluster.acquireUpTo(entry, uniformInt(random, 0, 1) * limit);
       }
-      if (round < 100 + PEER_EXPIRY_MILLISECONDS / REPORT_INTERVAL) greedy.pass(REPORT_INTERVAL);
+      if (interval < 100 + PEER_EXPIRY_MILLISECONDS / REPORT_INTERVAL_MILLISECONDS)
+        cluster.advance(REPORT_INTERVAL_MILLISECONDS);
     }
-    assert.ok(greedy.highestSum <= 2 * limit + entries, `${entries}: ${greedy.highestSum}`);
-    for (let entry = 0; entry < entries; entry += 1) greedy.end(entry, limit);
-    const silent = new GreedyEntries(entries, limit);
-    silent.report();
-    silent.pass(PEER_TIMEOUT_MILLISECONDS + 1);
-    for (let turn = 0; turn < 50; turn += 1) {
-      for (let entry = 0; entry < entries; entry += 1) silent.take(entry, limit);
-      silent.pass(REPORT_INTERVAL);
+    assert.ok(cluster.maxTotal <= 2 * limit + entries, `${entries}: ${cluster.maxTotal}`);
+    for (let entry = 0; entry < entries; entry += 1) cluster.releaseOldest(entry, limit);
+    const partitioned = new GreedyCluster(entries, limit);
+    partitioned.exchangeReports();
+    partitioned.advance(PEER_TIMEOUT_MILLISECONDS + 1);
+    for (let interval = 0; interval < 50; interval += 1) {
+      for (let entry = 0; entry < entries; entry += 1) partitioned.acquireUpTo(entry, limit);
+      partitioned.advance(REPORT_INTERVAL_MILLISECONDS);
     }
-    assert.ok(silent.sum <= limit + entries, `${entries}: ${silent.sum} when silent`);
+    assert.ok(partitioned.total <= limit + entries, `${entries}: ${partitioned.total} when silent`);
   }
 });
 
 // A peer dies holding half of the limit. For a minute its callers' requests count as in progress,
 // since it may only be cut off; then the others get the whole limit back.
 test('what a gone peer held is free again after a minute', () => {
-  const greedy = new GreedyEntries(2, 10);
-  greedy.report();
-  greedy.take(1, 10);
-  greedy.report();
-  for (let turn = 0; turn < 10; turn += 1) {
-    greedy.pass(PEER_EXPIRY_MILLISECONDS / 10);
-    greedy.take(0, 10);
+  const cluster = new GreedyCluster(2, 10);
+  cluster.exchangeReports();
+  cluster.acquireUpTo(1, 10);
+  cluster.exchangeReports();
+  for (let interval = 0; interval < 10; interval += 1) {
+    cluster.advance(PEER_EXPIRY_MILLISECONDS / 10);
+    cluster.acquireUpTo(0, 10);
   }
-  assert.equal(greedy.countAt(0), 5);
-  greedy.pass(1);
-  greedy.take(0, 10);
-  assert.equal(greedy.countAt(0), 10);
+  assert.equal(cluster.inProgressAt(0), 5);
+  cluster.advance(1);
+  cluster.acquireUpTo(0, 10);
+  assert.equal(cluster.inProgressAt(0), 10);
 });
 
 // Reports overtake each other on the way. A caller must not be refused, or let in, by an old one:
 // the higher sequence of the newest incarnation stays.
 test('a late report does not replace a newer one', () => {
-  const ledger = new ConcurrencyLimiter();
+  const limiter = new ConcurrencyLimiter();
   const report = (incarnation: number, sequence: number, count: number): EntryReport => ({
     type: 'entryReport',
     instance: 'peer',
@@ -228,9 +231,9 @@
     leavingBackendServers: {},
     suspects: [],
   });
-  ledger.receive(report(1, 7, 0), 0);
-  ledger.receive(report(1, 6, 1), 0);
-  assert.equal(ledger.hasCapacity(KEY, 1, 0), true);
-  ledger.receive(report(2, 1, 1), 0);
-  assert.equal(ledger.hasCapacity(KEY, 1, 0), false);
+  limiter.receive(report(1, 7, 0), 0);
+  limiter.receive(report(1, 6, 1), 0);
+  assert.equal(limiter.hasCapacity(KEY, 1, 0), true);
+  limiter.receive(report(2, 1, 1), 0);
+  assert.equal(limiter.hasCapacity(KEY, 1, 0), false);
 });
--- a/packages/entry-core/src/limits/ConcurrencyLimiter.ts
+++ b/packages/entry-core/src/limits/ConcurrencyLimiter.ts
@@ -25,108 +25,110 @@
 /** What a peer said last, and when it was heard. */
 interface Peer {
   readonly report: EntryReport;
-  readonly heardAt: MonotonicMilliseconds;
+  readonly lastSeenAt: MonotonicMilliseconds;
 }
 
 /** Own requests in progress under one key. */
 interface OwnCount {
   readonly requestIds: Set<string>;
   /** Lowest count since every peer in contact was heard. */
-  lowest: number;
+  minCount: number;
 }
 
 export class ConcurrencyLimiter {
-  private readonly own = new Map<string, OwnCount>();
+  private readonly ownCounts = new Map<string, OwnCount>();
 
   private readonly peers = new Map<string, Peer>();
 
-  private stayingPeers = 0;
+  private activePeerCount = 0;
 
-  private readonly heardInRound = new Set<string>();
+  private readonly seenPeers = new Set<string>();
 
   acquire(key: string, requestId: string): void {
-    const known = this.own.get(key) ?? { requestIds: new Set(), lowest: 0 };
-    known.requestIds.add(requestId);
-    this.own.set(key, known);
+    const count = this.ownCounts.get(key) ?? { requestIds: new Set(), minCount: 0 };
+    count.requestIds.add(requestId);
+    this.ownCounts.set(key, count);
   }
 
   release(key: string, requestId: string): void {
-    const known = this.own.get(key);
-    if (known === undefined) return;
-    known.requestIds.delete(requestId);
-    known.lowest = Math.min(known.lowest, known.requestIds.size);
-    if (known.requestIds.size === 0) this.own.delete(key);
+    const count = this.ownCounts.get(key);
+    if (count === undefined) return;
+    count.requestIds.delete(requestId);
+    count.minCount = Math.min(count.minCount, count.requestIds.size);
+    if (count.requestIds.size === 0) this.ownCounts.delete(key);
   }
 
   ownInProgress(key: string): number {
-    return this.own.get(key)?.requestIds.size ?? 0;
+    return this.ownCounts.get(key)?.requestIds.size ?? 0;
   }
 
   /** Own requests in progress by key, for this entry's report to its peers. */
   countOwnByKey(): Record<string, number> {
-    return Object.fromEntries([...this.own].map(([key, { requestIds }]) => [key, requestIds.size]));
+    return Object.fromEntries(
+      [...this.ownCounts].map(([key, { requestIds }]) => [key, requestIds.size]),
+    );
   }
 
   /** Takes in the report of another entry of the own data centre. */
   receive(report: EntryReport, now: MonotonicMilliseconds): void {
-    const known = this.peers.get(report.instance)?.report;
-    if (known !== undefined) {
-      const age = report.incarnation - known.incarnation || report.sequence - known.sequence;
+    const previous = this.peers.get(report.instance)?.report;
+    if (previous !== undefined) {
+      const age = report.incarnation - previous.incarnation || report.sequence - previous.sequence;
       if (age <= 0) return;
     }
-    this.peers.set(report.instance, { report, heardAt: now });
-    this.heardInRound.add(report.instance);
-    this.countStaying();
-    this.endRound(now);
+    this.peers.set(report.instance, { report, lastSeenAt: now });
+    this.seenPeers.add(report.instance);
+    this.countActivePeers();
+    this.endReportingInterval(now);
   }
 
   /** Entries that share the limits: this one and its peers that are not leaving. */
   get entryCount(): number {
-    return 1 + this.stayingPeers;
+    return 1 + this.activePeerCount;
   }
 
   /** True if one more request under this key is within this entry's part of the limit. */
   hasCapacity(key: string, limit: number, now: MonotonicMilliseconds): boolean {
-    const { entryCount: entries } = this;
-    const own = this.own.get(key);
-    const lowest = own?.lowest ?? 0;
-    const free = limit - this.heldByPeers(key, limit, now) - lowest;
-    return (own?.requestIds.size ?? 0) < lowest + Math.ceil(Math.max(0, free) / entries);
+    const { entryCount } = this;
+    const own = this.ownCounts.get(key);
+    const minCount = own?.minCount ?? 0;
+    const free = limit - this.countInProgressAtPeers(key, limit, now) - minCount;
+    return (own?.requestIds.size ?? 0) < minCount + Math.ceil(Math.max(0, free) / entryCount);
   }
 
   removeExpiredPeers(now: MonotonicMilliseconds): void {
     for (const [instance, peer] of this.peers) {
-      if (now - peer.heardAt > PEER_EXPIRY_MILLISECONDS) {
+      if (now - peer.lastSeenAt > PEER_EXPIRY_MILLISECONDS) {
         this.peers.delete(instance);
-        this.heardInRound.delete(instance);
+        this.seenPeers.delete(instance);
       }
     }
-    this.countStaying();
-    this.endRound(now);
+    this.countActivePeers();
+    this.endReportingInterval(now);
   }
 
-  private countStaying(): void {
-    this.stayingPeers = 0;
-    for (const { report } of this.peers.values()) if (!report.leaving) this.stayingPeers += 1;
+  private countActivePeers(): void {
+    this.activePeerCount = 0;
+    for (const { report } of this.peers.values()) if (!report.leaving) this.activePeerCount += 1;
   }
 
-  private heldByPeers(key: string, limit: number, now: MonotonicMilliseconds): number {
-    let held = 0;
-    for (const { report, heardAt } of this.peers.values()) {
-      const said = report.inProgress[key] ?? 0;
-      const age = now - heardAt;
-      const isSilent = age > PEER_TIMEOUT_MILLISECONDS && !report.leaving;
-      held += isSilent ? Math.max(said, limit / this.entryCount) : said;
+  private countInProgressAtPeers(key: string, limit: number, now: MonotonicMilliseconds): number {
+    let inProgress = 0;
+    for (const { report, lastSeenAt } of this.peers.values()) {
+      const reported = report.inProgress[key] ?? 0;
+      const sinceLastSeen = now - lastSeenAt;
+      const isUnreachable = sinceLastSeen > PEER_TIMEOUT_MILLISECONDS && !report.leaving;
+      inProgress += isUnreachable ? Math.max(reported, limit / this.entryCount) : reported;
     }
-    return held;
+    return inProgress;
   }
 
   /** Once every peer in contact was heard, what this entry took is known to be known. */
-  private endRound(now: MonotonicMilliseconds): void {
-    for (const [instance, { heardAt }] of this.peers) {
-      if (now - heardAt <= PEER_TIMEOUT_MILLISECONDS && !this.heardInRound.has(instance)) return;
+  private endReportingInterval(now: MonotonicMilliseconds): void {
+    for (const [instance, { lastSeenAt }] of this.peers) {
+      if (now - lastSeenAt <= PEER_TIMEOUT_MILLISECONDS && !this.seenPeers.has(instance)) return;
     }
-    this.heardInRound.clear();
-    for (const own of this.own.values()) own.lowest = own.requestIds.size;
+    this.seenPeers.clear();
+    for (const own of this.ownCounts.values()) own.minCount = own.requestIds.size;
   }
 }
--- a/packages/entry-core/src/limits/SpendingWindow.ts
+++ b/packages/entry-core/src/limits/SpendingWindow.ts
@@ -46,7 +46,7 @@
     const amounts: number[] = [];
     this.slices.get(workspace)?.forEach(({ at, amount }) => {
       const second = Math.floor(Math.max(0, now - at) / MILLISECONDS_PER_SECOND);
-      for (let empty = amounts.length; empty <= second; empty += 1) amounts.push(0);
+      for (let index = amounts.length; index <= second; index += 1) amounts.push(0);
       amounts[second] = (amounts[second] ?? 0) + amount;
     });
     return amounts;
@@ -74,11 +74,11 @@
     amount: number,
     window: Milliseconds,
   ): MonotonicMilliseconds | undefined {
-    let left = amount;
-    const freeing = this.slices.get(workspace)?.find((slice) => {
-      left -= slice.amount;
-      return left <= 0;
+    let remaining = amount;
+    const lastExpiring = this.slices.get(workspace)?.find((slice) => {
+      remaining -= slice.amount;
+      return remaining <= 0;
     });
-    return freeing === undefined ? undefined : freeing.at + SLICE_MILLISECONDS + window;
+    return lastExpiring === undefined ? undefined : lastExpiring.at + SLICE_MILLISECONDS + window;
   }
 }
--- a/packages/entry-core/src/limits/checkAllowance.ts
+++ b/packages/entry-core/src/limits/checkAllowance.ts
@@ -7,7 +7,7 @@
 import type { SpendingFacts } from './AllowanceLimiter.js';
 
 /** A bucket that fills slowly is looked at again after this long by callers that came too early. */
-const LONGEST_RETRY_MILLISECONDS: Milliseconds = 10_000;
+const MAX_RETRY_AFTER_MILLISECONDS: Milliseconds = 10_000;
 
 function allowanceOf(state: EntryState, workspace: string): Allowance | undefined {
   const allowance = routeIndexOf(state).workspace(workspace)?.allowance;
@@ -33,10 +33,15 @@
   const allowance = allowanceOf(state, workspace);
   if (allowance === undefined) return undefined;
   const amount = amountOf(accepted, allowance);
-  const asked = state.limits.allowanceLimiter.check(workspace, allowance, amount, state.clocks.now);
-  if (asked.type === 'allowed') return undefined;
-  const { facts } = asked;
-  const wait = Math.min(asked.retryAfterMilliseconds, LONGEST_RETRY_MILLISECONDS);
+  const decision = state.limits.allowanceLimiter.check(
+    workspace,
+    allowance,
+    amount,
+    state.clocks.now,
+  );
+  if (decision.type === 'allowed') return undefined;
+  const { facts } = decision;
+  const wait = Math.min(decision.retryAfterMilliseconds, MAX_RETRY_AFTER_MILLISECONDS);
   return { retryAfterMilliseconds: wait, facts };
 }
 
@@ -44,11 +49,11 @@
   const { workspace } = accepted.request;
   const allowance = allowanceOf(state, workspace);
   if (allowance === undefined) return [];
-  const { allowanceLimiter: allowances } = state.limits;
+  const { allowanceLimiter } = state.limits;
   const amount = amountOf(accepted, allowance);
-  if (!allowances.spend(workspace, allowance, amount, state.clocks.now)) return [];
+  if (!allowanceLimiter.spend(workspace, allowance, amount, state.clocks.now)) return [];
   const { instance, incarnation } = state.identity;
-  const spent = allowances.reportTotal(workspace);
+  const spent = allowanceLimiter.reportTotal(workspace);
   const leaving = state.shutdown.started;
   const spending = { type: 'spendingReport', instance, incarnation, spent, leaving } as const;
   return [{ type: 'tellSpending', spending }];
--- a/packages/entry-core/src/limits/releaseEndedRequests.ts
+++ b/packages/entry-core/src/limits/releaseEndedRequests.ts
@@ -20,7 +20,7 @@
   return undefined;
 }
 
-function release(state: EntryState, requestId: string): void {
+function releaseIfEnded(state: EntryState, requestId: string): void {
   const key = state.limits.keysByRequestId.get(requestId);
   if (key === undefined || state.requests.has(requestId)) return;
   state.limits.keysByRequestId.delete(requestId);
@@ -43,10 +43,10 @@
   event: EntryEvent,
   requestId: string | undefined,
 ): void {
-  if (requestId !== undefined) release(state, requestId);
+  if (requestId !== undefined) releaseIfEnded(state, requestId);
   if (event.type !== 'tick' || event.now - state.limits.sweptAt < SWEEP_MILLISECONDS) return;
   state.limits.sweptAt = event.now;
-  for (const held of [...state.limits.keysByRequestId.keys()]) release(state, held);
+  for (const heldId of [...state.limits.keysByRequestId.keys()]) releaseIfEnded(state, heldId);
   pruneEndedAttempts(state);
   state.limits.concurrencyLimiter.removeExpiredPeers(event.now);
 }
--- a/packages/entry-core/src/limits/testing/AllowanceSimulation.ts
+++ b/packages/entry-core/src/limits/testing/AllowanceSimulation.ts
@@ -14,13 +14,13 @@
 import { AllowanceLimiter, type AllowanceDecision } from '../AllowanceLimiter.js';
 
 const WORKSPACE = 'laden';
-const REPORT_MILLISECONDS: Milliseconds = 1000;
+const REPORT_INTERVAL_MILLISECONDS: Milliseconds = 1000;
 
 interface Entry {
-  ledger: AllowanceLimiter;
+  limiter: AllowanceLimiter;
   incarnation: number;
   /** The side of a network partition that it is on. */
-  side: number;
+  partition: number;
   /** Undefined while it runs. */
   downUntil: Milliseconds | undefined;
 }
@@ -28,11 +28,11 @@
 interface Message {
   readonly at: Milliseconds;
   readonly to: number;
-  deliver(ledger: AllowanceLimiter): void;
+  deliver(limiter: AllowanceLimiter): void;
 }
 
 /** One request that was let through. */
-export interface Passed {
+export interface AllowedRequest {
   readonly at: Milliseconds;
   readonly amount: number;
 }
@@ -48,14 +48,14 @@
   readonly isPersisted: boolean;
 }
 
-const DELAY: Milliseconds = 3;
+const MESSAGE_DELAY_MILLISECONDS: Milliseconds = 3;
 
 /** Stores write so often. */
-const KEPT_MILLISECONDS: Milliseconds = 250;
+const PERSIST_INTERVAL_MILLISECONDS: Milliseconds = 250;
 
-const usualParts: AllowanceSimulationOptions = {
+const defaultOptions: AllowanceSimulationOptions = {
   makeLimiter: () => new AllowanceLimiter(),
-  delay: () => DELAY,
+  delay: () => MESSAGE_DELAY_MILLISECONDS,
   isOutage: () => false,
   isPersisted: true,
 };
@@ -63,31 +63,31 @@
 export class AllowanceSimulation {
   now: Milliseconds = 0;
 
-  readonly passed: Passed[] = [];
+  readonly allowedRequests: AllowedRequest[] = [];
 
   private readonly entries: Entry[];
 
   private messages: Message[] = [];
 
   /** What the stores have on disk; undefined if they keep nothing. */
-  private kept: RememberedSpending | undefined;
+  private persisted: RememberedSpending | undefined;
 
-  private reported: RememberedSpending | undefined;
+  private stored: RememberedSpending | undefined;
 
   private readonly totals = new Map<string, EntrySpending>();
 
-  private readonly parts: AllowanceSimulationOptions;
+  private readonly options: AllowanceSimulationOptions;
 
   constructor(
     count: number,
     private readonly allowance: Allowance,
-    parts: Partial<AllowanceSimulationOptions> = {},
+    options: Partial<AllowanceSimulationOptions> = {},
   ) {
-    this.parts = { ...usualParts, ...parts };
+    this.options = { ...defaultOptions, ...options };
     this.entries = Array.from({ length: count }, () => ({
-      ledger: this.parts.makeLimiter(),
+      limiter: this.options.makeLimiter(),
       incarnation: 1,
-      side: 0,
+      partition: 0,
       downUntil: undefined,
     }));
   }
@@ -101,24 +101,25 @@
   trySpend(number: number, amount: number): AllowanceDecision | undefined {
     const entry = this.entries[number % this.entries.length];
     if (entry === undefined || entry.downUntil !== undefined) return undefined;
-    const asked = entry.ledger.check(WORKSPACE, this.allowance, amount, this.now);
-    if (asked.type === 'exceeded') return asked;
-    this.passed.push({ at: this.now, amount });
-    if (entry.ledger.spend(WORKSPACE, this.allowance, amount, this.now)) this.tell(number, entry);
-    return asked;
+    const decision = entry.limiter.check(WORKSPACE, this.allowance, amount, this.now);
+    if (decision.type === 'exceeded') return decision;
+    this.allowedRequests.push({ at: this.now, amount });
+    if (entry.limiter.spend(WORKSPACE, this.allowance, amount, this.now))
+      this.broadcastSpending(number, entry);
+    return decision;
   }
 
-  kill(number: number, down: Milliseconds): void {
+  kill(number: number, duration: Milliseconds): void {
     const entry = this.entries[number % this.entries.length];
-    if (entry !== undefined) entry.downUntil = this.now + down;
+    if (entry !== undefined) entry.downUntil = this.now + duration;
   }
 
   /** Takes all down together, and the stores with them: these come back with what is on their disks. */
-  losePower(down: Milliseconds): void {
-    this.entries.forEach((_, number) => this.kill(number, down));
-    this.reported = this.parts.isPersisted ? this.kept : undefined;
+  losePower(duration: Milliseconds): void {
+    this.entries.forEach((_, number) => this.kill(number, duration));
+    this.stored = this.options.isPersisted ? this.persisted : undefined;
     this.totals.clear();
-    Object.entries(this.reported?.entries ?? {}).forEach(([name, entry]) => {
+    Object.entries(this.stored?.entries ?? {}).forEach(([name, entry]) => {
       this.totals.set(name, entry);
     });
   }
@@ -127,77 +128,77 @@
    * Puts an entry on a side; messages pass only within one. Side 0 has the quorum of stores: an entry
    * that starts elsewhere is told no configuration, and serves nothing until it is back.
    */
-  setPartition(number: number, side: number): void {
+  setPartition(number: number, partition: number): void {
     const entry = this.entries[number % this.entries.length];
-    if (entry !== undefined) entry.side = side;
+    if (entry !== undefined) entry.partition = partition;
   }
 
   /** The most that was let through in any window. */
   maxInWindow(): number {
-    let most = 0;
-    let sum = 0;
+    let max = 0;
+    let total = 0;
     let first = 0;
-    this.passed.forEach(({ at, amount }) => {
-      sum += amount;
+    this.allowedRequests.forEach(({ at, amount }) => {
+      total += amount;
       for (
-        let oldest = this.passed[first];
+        let oldest = this.allowedRequests[first];
         oldest !== undefined && oldest.at <= at - this.allowance.windowMilliseconds;
-        oldest = this.passed[first]
+        oldest = this.allowedRequests[first]
       ) {
-        sum -= oldest.amount;
+        total -= oldest.amount;
         first += 1;
       }
-      most = Math.max(most, sum);
+      max = Math.max(max, total);
     });
-    return most;
+    return max;
   }
 
   /** What was let through from one moment on until before another. */
   allowedBetween(from: Milliseconds, to: Milliseconds): number {
-    return this.passed
+    return this.allowedRequests
       .filter(({ at }) => at >= from && at < to)
       .reduce((sum, { amount }) => sum + amount, 0);
   }
 
   private step(): void {
-    if (this.now % KEPT_MILLISECONDS === 0) this.kept = this.reported;
+    if (this.now % PERSIST_INTERVAL_MILLISECONDS === 0) this.persisted = this.stored;
     this.entries.forEach((entry, number) => {
       const isDue = entry.downUntil !== undefined && entry.downUntil <= this.now;
-      if (isDue && entry.side === 0 && !this.parts.isOutage()) this.restart(number, entry);
-      const phase = Math.floor((number * REPORT_MILLISECONDS) / this.entries.length);
-      if (entry.downUntil === undefined && this.now % REPORT_MILLISECONDS === phase) {
-        this.report(number, entry);
+      if (isDue && entry.partition === 0 && !this.options.isOutage()) this.restart(number, entry);
+      const phase = Math.floor((number * REPORT_INTERVAL_MILLISECONDS) / this.entries.length);
+      if (entry.downUntil === undefined && this.now % REPORT_INTERVAL_MILLISECONDS === phase) {
+        this.broadcastReport(number, entry);
       }
     });
     const due = this.messages.filter(({ at }) => at <= this.now);
     this.messages = this.messages.filter(({ at }) => at > this.now);
     due.forEach(({ to, deliver }) => {
       const entry = this.entries[to];
-      if (entry !== undefined && entry.downUntil === undefined) deliver(entry.ledger);
+      if (entry !== undefined && entry.downUntil === undefined) deliver(entry.limiter);
     });
   }
 
   private restart(number: number, entry: Entry): void {
-    entry.ledger = this.parts.makeLimiter();
+    entry.limiter = this.options.makeLimiter();
     entry.incarnation += 1;
     entry.downUntil = undefined;
-    const { reported } = this;
-    if (reported !== undefined) {
-      entry.ledger.restore(reported, `entry-${number}`, this.now, this.now);
+    const { stored } = this;
+    if (stored !== undefined) {
+      entry.limiter.restore(stored, `entry-${number}`, this.now, this.now);
     }
-    this.report(number, entry);
+    this.broadcastReport(number, entry);
   }
 
-  private send(from: number, deliver: (ledger: AllowanceLimiter) => void): void {
-    const { side } = this.entries[from] ?? {};
+  private broadcast(from: number, deliver: (limiter: AllowanceLimiter) => void): void {
+    const { partition } = this.entries[from] ?? {};
     this.entries.forEach((entry, to) => {
-      const delay = this.parts.delay();
-      if (to === from || entry.side !== side || this.parts.isOutage()) return;
+      const delay = this.options.delay();
+      if (to === from || entry.partition !== partition || this.options.isOutage()) return;
       this.messages.push({ at: this.now + delay, to, deliver });
     });
   }
 
-  private report(number: number, { ledger, incarnation }: Entry): void {
+  private broadcastReport(number: number, { limiter, incarnation }: Entry): void {
     const report: EntryReport = {
       type: 'entryReport',
       instance: `entry-${number}`,
@@ -209,40 +210,41 @@
       inProgress: {},
       leavingBackendServers: {},
       suspects: [],
-      spent: ledger.reportTotals(),
-      windowSpent: ledger.windowSpent(this.now),
-      windowReach: ledger.historyLength(this.now),
-      entries: ledger.entryCount,
+      spent: limiter.reportTotals(),
+      windowSpent: limiter.windowSpent(this.now),
+      windowReach: limiter.historyLength(this.now),
+      entries: limiter.entryCount,
     };
-    this.remember(number, report);
+    this.storeReport(number, report);
     // The stores keep the window to themselves, but for entries that start.
-    const { windowSpent, windowReach, ...brief } = report;
-    this.send(number, (other) => other.receive(brief, this.now));
+    const { windowSpent, windowReach, ...withoutWindow } = report;
+    this.broadcast(number, (other) => other.receive(withoutWindow, this.now));
   }
 
   /** A store keeps the word of those that know most of the window. */
-  private remember(number: number, report: EntryReport): void {
-    if (this.entries[number]?.side !== 0 || this.parts.isOutage()) return;
+  private storeReport(number: number, report: EntryReport): void {
+    if (this.entries[number]?.partition !== 0 || this.options.isOutage()) return;
     const { windowSpent = {}, windowReach = 0, spent = {}, instance, incarnation } = report;
     this.totals.set(instance, { incarnation, spent });
-    const { reported } = this;
-    const isOld = reported === undefined || this.now - reported.at >= 2 * REPORT_MILLISECONDS;
-    if (!isOld && windowReach < reported.windowReach) return;
+    const { stored } = this;
+    const isOutdated =
+      stored === undefined || this.now - stored.at >= 2 * REPORT_INTERVAL_MILLISECONDS;
+    if (!isOutdated && windowReach < stored.windowReach) return;
     const entries = Object.fromEntries(this.totals);
-    this.reported = { at: this.now, windowSpent, windowReach, entries };
+    this.stored = { at: this.now, windowSpent, windowReach, entries };
   }
 
-  private tell(number: number, { ledger, incarnation }: Entry): void {
+  private broadcastSpending(number: number, { limiter, incarnation }: Entry): void {
     const spending: SpendingReport = {
       type: 'spendingReport',
       instance: `entry-${number}`,
       incarnation,
-      spent: ledger.reportTotal(WORKSPACE),
+      spent: limiter.reportTotal(WORKSPACE),
       leaving: false,
     };
     const { instance } = spending;
-    const isHeard = this.entries[number]?.side === 0 && !this.parts.isOutage();
-    if (isHeard) this.totals.set(instance, { incarnation, spent: spending.spent });
-    this.send(number, (other) => other.receiveSpending(spending, this.now));
+    const isConnected = this.entries[number]?.partition === 0 && !this.options.isOutage();
+    if (isConnected) this.totals.set(instance, { incarnation, spent: spending.spent });
+    this.broadcast(number, (other) => other.receiveSpending(spending, this.now));
   }
 }
--- a/packages/entry-core/src/membership/advanceReports.ts
+++ b/packages/entry-core/src/membership/advanceReports.ts
@@ -9,10 +9,10 @@
 import type { EntryState } from '../EntryState.js';
 import type { Suspect } from '../quarantine/QuarantineState.js';
 
-export const REPORT_MILLISECONDS = 1000;
+export const REPORT_INTERVAL_MILLISECONDS = 1000;
 
 /** A digest is quarantined at this many crashes. */
-const NAMED_CRASHES = 2;
+const QUARANTINE_CRASH_COUNT = 2;
 
 function countInProgress(state: EntryState): Record<string, number> {
   const counts: Record<string, number> = {};
@@ -23,7 +23,7 @@
   return counts;
 }
 
-function runningAt(state: EntryState, digest: string): string | undefined {
+function findRunningInstance(state: EntryState, digest: string): string | undefined {
   return [...state.attempts.values()].find(
     ({ requestId, givenUp }) =>
       !givenUp && state.requests.get(requestId)?.request.digest === digest,
@@ -33,43 +33,43 @@
 function listQuarantined(state: EntryState): PeerSuspect[] {
   return [...state.quarantine.quarantined].map(([digest, { until }]) => ({
     digest,
-    crashes: NAMED_CRASHES,
+    crashes: QUARANTINE_CRASH_COUNT,
     crashIds: [],
     quarantinedUntil: until,
   }));
 }
 
-function isUnderSuspicion({ isolationLifted: paroled }: Suspect): boolean {
-  return paroled !== true;
+function isActiveSuspect({ isolationLifted }: Suspect): boolean {
+  return isolationLifted !== true;
 }
 
 function listSuspects(state: EntryState): PeerSuspect[] {
   const suspects = [...state.quarantine.suspects.values()];
   return suspects
-    .filter(isUnderSuspicion)
-    .map(({ digest, crashIds, exposure, tokens, lossInstance: lossOf }) => ({
+    .filter(isActiveSuspect)
+    .map(({ digest, crashIds, exposure, tokens, lossInstance }) => ({
       digest,
       crashes: crashIds.size,
       crashIds: [...crashIds],
-      judging: lossOf !== undefined,
+      judging: lossInstance !== undefined,
       exposure,
       tokens,
-      runningAt: runningAt(state, digest),
+      runningAt: findRunningInstance(state, digest),
       pending: [...state.requests.values()].some(({ request }) => request.digest === digest),
     }));
 }
 
 function describeDelays(state: EntryState): Record<string, LearntDelay> {
   const delays: Record<string, LearntDelay> = {};
-  state.poolStates.forEach(({ firstTokenRegression: firstToken }, pool) => {
-    const delay = firstToken.toLearntDelay();
+  state.poolStates.forEach(({ firstTokenRegression }, pool) => {
+    const delay = firstTokenRegression.toLearntDelay();
     if (delay !== undefined) delays[pool] = delay;
   });
   return delays;
 }
 
 /** What only a configuration with workspaces of its own has a use for. */
-function describeWork(
+function describeWorkspaceUsage(
   state: EntryState,
 ): Pick<
   EntryReport,
@@ -98,7 +98,7 @@
     leaving: state.shutdown.started,
     revision: state.configuration.revision,
     inProgress: countInProgress(state),
-    ...(state.configuration.whole === undefined ? {} : describeWork(state)),
+    ...(state.configuration.whole === undefined ? {} : describeWorkspaceUsage(state)),
     leavingBackendServers: Object.fromEntries(state.reclaims.leaving),
     suspects: [...listSuspects(state), ...listQuarantined(state)],
   };
@@ -111,6 +111,6 @@
 
 export function advanceReports(state: EntryState, { now }: Timestamps): EntryEffect[] {
   if (state.membership.reportDueAt > now) return [];
-  state.membership.reportDueAt = now + REPORT_MILLISECONDS;
+  state.membership.reportDueAt = now + REPORT_INTERVAL_MILLISECONDS;
   return [{ type: 'reportToEntries', report: makeReport(state) }];
 }
--- a/packages/entry-core/src/membership/livePeers.ts
+++ b/packages/entry-core/src/membership/livePeers.ts
@@ -6,10 +6,10 @@
 import type { PeerState } from './MembershipState.js';
 
 /** A peer that was silent for so long is not counted live: three reports were lost. */
-export const PEER_SILENCE_MILLISECONDS = 3000;
+export const PEER_TIMEOUT_MILLISECONDS = 3000;
 
 /** What a silent peer told is forgotten after this. */
-const PEER_FORGOTTEN_MILLISECONDS = 600_000;
+const PEER_EXPIRY_MILLISECONDS = 600_000;
 
 export function livePeers(state: EntryState): PeerState[] {
   return [...state.membership.peers.values()].filter(({ live, report }) => live && !report.leaving);
@@ -17,8 +17,8 @@
 
 export function updatePeerLiveness(state: EntryState, now: MonotonicMilliseconds): void {
   state.membership.peers.forEach((peer, instance) => {
-    const silence = now - peer.receivedAt;
-    peer.live = silence < PEER_SILENCE_MILLISECONDS;
-    if (silence >= PEER_FORGOTTEN_MILLISECONDS) state.membership.peers.delete(instance);
+    const sinceLastReport = now - peer.receivedAt;
+    peer.live = sinceLastReport < PEER_TIMEOUT_MILLISECONDS;
+    if (sinceLastReport >= PEER_EXPIRY_MILLISECONDS) state.membership.peers.delete(instance);
   });
 }
--- a/packages/entry-core/src/membership/receivePeerReport.ts
+++ b/packages/entry-core/src/membership/receivePeerReport.ts
@@ -20,17 +20,17 @@
 export function receivePeerReport(
   state: EntryState,
   report: EntryReport,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
   if (report.instance === state.identity.instance) return [];
   const known = state.membership.peers.get(report.instance);
   if (!isNewer(report, known?.report)) return [];
-  state.membership.peers.set(report.instance, { report, receivedAt: timed.now, live: true });
+  state.membership.peers.set(report.instance, { report, receivedAt: timestamps.now, live: true });
   const quarantine = report.suspects.flatMap(({ digest, quarantinedUntil: until }) =>
     until === undefined ? [] : [{ digest, until }],
   );
   const leaving = Object.entries(report.leavingBackendServers).flatMap(([instance, goneAt]) =>
-    recordReclaimNotice(state, instance, goneAt, timed),
+    recordReclaimNotice(state, instance, goneAt, timestamps),
   );
-  return [...leaving, ...receiveQuarantine(state, quarantine, timed)];
+  return [...leaving, ...receiveQuarantine(state, quarantine, timestamps)];
 }
