--- a/packages/entry-core/src/configuration/ConfigurationBootstrap.ts
+++ b/packages/entry-core/src/configuration/ConfigurationBootstrap.ts
@@ -1,17 +1,17 @@
 /**
- * The configuration that a starting instance begins with. It asks for a linearizable read, and all
- * peers for what they know. The read settles it. Where no quorum can be reached, the instance is
- * cut off, and waits until every peer has answered or failed before it takes the newest revision:
- * the first answer alone may come from a laggard, and bring back what this data centre has left
- * behind.
+ * Decides which configuration a starting instance begins with. It requests a linearizable read, and
+ * the configurations of all peers. The read decides. If no quorum can be reached, the instance
+ * waits until every peer has answered or failed, and takes the newest revision: the first answer
+ * may be from a lagging peer, and restore a configuration that this data centre has already
+ * replaced.
  */
 import type { Configuration } from '@hornbeampond/schema';
 
 export interface ConfigurationBootstrap {
-  /** Peers whose answer is still awaited. */
+  /** Peers that have neither answered nor failed yet. */
   readonly pendingPeers: Set<string>;
   newest: Configuration | undefined;
-  /** True once no linearizable read is awaited any more. */
+  /** True once no linearizable read is expected any more. */
   quorumFailed: boolean;
   started: boolean;
 }
@@ -21,7 +21,7 @@
   | { readonly type: 'quorumFailed' }
   | { readonly type: 'peerAnswered'; readonly peer: string; readonly configuration: Configuration }
   | { readonly type: 'peerFailed'; readonly peer: string }
-  /** The longest wait for peers is over; the shell's timer sends it. */
+  /** The time to wait for peers is over; sent by the shell's timer. */
   | { readonly type: 'waitOver' };
 
 export interface StartedEffect {
@@ -31,12 +31,11 @@
   readonly cutOff: boolean;
 }
 
-/** Starts to ask these peers. */
 export function makeConfigurationBootstrap(peers: readonly string[]): ConfigurationBootstrap {
   return { pendingPeers: new Set(peers), newest: undefined, quorumFailed: false, started: false };
 }
 
-/** Notes an answer; the one effect comes once it is known what to start with. */
+/** Handles an event; returns a single effect, once the configuration to start with is decided. */
 export function reduceConfigurationBootstrap(
   bootstrap: ConfigurationBootstrap,
   event: ConfigurationBootstrapEvent,
@@ -61,7 +60,7 @@
   if (isNewer) bootstrap.newest = configuration;
 }
 
-/** With no answer at all the instance goes on waiting: it must not serve from empty tables. */
+/** Without any answer the instance keeps waiting: it must not serve from empty tables. */
 function finish(bootstrap: ConfigurationBootstrap, cutOff: boolean): StartedEffect[] {
   if (bootstrap.newest === undefined) return [];
   bootstrap.started = true;
--- a/packages/entry-core/src/configuration/applyConfiguration.ts
+++ b/packages/entry-core/src/configuration/applyConfiguration.ts
@@ -1,7 +1,7 @@
 /**
- * Which configuration an instance applies. Revisions only ever go up: pushes come from several
- * stores and relays, late and out of order, and an old one applied after a new one would put back
- * what the operators have replaced.
+ * Decides which configuration an instance applies. Revisions only go up: pushes come from several
+ * stores and relays, delayed and out of order, and an old one applied after a newer one would
+ * restore what operators have replaced.
  */
 import { applyDelta, type Configuration, type ConfigurationDelta } from '@hornbeampond/schema';
 
@@ -11,7 +11,7 @@
 
 export type ConfigurationEffect =
   | { readonly type: 'configurationInForce'; readonly configuration: Configuration }
-  /** A delta did not fit; everything has to be asked for. */
+  /** A delta starts from another revision; the whole configuration must be requested. */
   | { readonly type: 'askWholeConfiguration' };
 
 /** Applies a whole configuration if it is newer than the one in force. */
@@ -24,7 +24,7 @@
   return [{ type: 'configurationInForce', configuration: received }];
 }
 
-/** Applies a delta if it starts from the revision in force; one that is behind it is passed over. */
+/** Applies a delta if it starts from the revision in force; an outdated one is ignored. */
 export function applyConfigurationDelta(
   state: ConfigurationState,
   delta: ConfigurationDelta,
--- a/packages/entry-core/src/configuration/configuration.test.ts
+++ b/packages/entry-core/src/configuration/configuration.test.ts
@@ -34,7 +34,7 @@
   assert.equal(state.configuration.revision, 6);
 });
 
-test('configuration: a delta that does not fit asks for everything', () => {
+test('configuration: a delta from another revision requests the whole configuration', () => {
   const state = { configuration: revision(4) };
   const effects = [
     applyConfigurationDelta(state, { fromRevision: 2, toRevision: 4 }),
@@ -44,14 +44,13 @@
   assert.deepEqual(effects, ['', 'askWholeConfiguration', 'configurationInForce']);
 });
 
-test('configuration: a linearizable read starts the instance at once', () => {
+test('configuration: a linearizable read starts the instance immediately', () => {
   const read = { type: 'quorumRead', configuration: revision(7) } as const;
   assert.deepEqual(startWith([fromPeer('entry-2', 6), read, fromPeer('entry-3', 7)]), ['7']);
 });
 
-// The data centre is cut off and one of its entries restarts. The first peer to answer lags; were
-// its revision taken, prices that this data centre had left behind would be in force again.
-test('configuration: cut off, the newest of all peers that answer is taken', () => {
+// Guards against restoring prices that were already replaced because a lagging peer answers first.
+test('configuration: without a quorum the newest revision of all peers is used', () => {
   const events: ConfigurationBootstrapEvent[] = [
     fromPeer('entry-2', 5),
     { type: 'quorumFailed' },
@@ -61,13 +60,13 @@
   assert.deepEqual(startWith(events), ['8 cut off']);
 });
 
-test('configuration: a silent peer is waited for only so long', () => {
+test('configuration: an unreachable peer delays the start only for a limited time', () => {
   assert.deepEqual(startWith([fromPeer('entry-2', 5), { type: 'waitOver' }]), ['5 cut off']);
 });
 
-// No peer answers in time. Starting on empty tables would refuse every caller as unknown, so the
-// instance goes on asking, and the first answer then starts it.
-test('configuration: with no answer at all the instance does not start', () => {
+// Guards against starting with empty tables, which would refuse every caller as unknown. The first
+// answer starts the instance.
+test('configuration: without any answer the instance does not start', () => {
   const late = fromPeer('entry-3', 2);
   assert.deepEqual(startWith([{ type: 'waitOver' }]), []);
   assert.deepEqual(startWith([{ type: 'waitOver' }, late]), ['2 cut off']);
--- a/packages/entry-core/src/limits/AllowanceLimiter.test.ts
+++ b/packages/entry-core/src/limits/AllowanceLimiter.test.ts
@@ -31,14 +31,14 @@
   };
 }
 
-/** The ledger of an entry that was started a while ago. */
+/** The limiter of an entry that was started a while ago. */
 function makeRunningLimiter(): AllowanceLimiter {
   const limiter = new AllowanceLimiter();
   limiter.check('laden', allowance, 1, -10_000);
   return limiter;
 }
 
-/** Spends in steps of 10 as long as it is allowed, and returns how much. */
+/** Spends in steps of 10 as long as that is allowed, and returns how much was spent. */
 function spendAll(limiter: AllowanceLimiter, now: number): number {
   let spent = 0;
   while (
@@ -51,7 +51,7 @@
   return spent;
 }
 
-test('a window holds the rate and the burst, wherever it begins', () => {
+test('no window holds more than the rate and the burst', () => {
   const limiter = makeRunningLimiter();
   const spentAt: [number, number][] = [];
   for (let now = 0; now < 40_000; now += 100) spentAt.push([now, spendAll(limiter, now)]);
@@ -63,7 +63,7 @@
   });
 });
 
-test('one that comes back when it was told to is allowed', () => {
+test('a caller that retries after the returned delay is allowed', () => {
   const limiter = makeRunningLimiter();
   spendAll(limiter, 0);
   const refused = limiter.check('laden', allowance, 10, 500);
@@ -73,7 +73,7 @@
   assert.equal(limiter.check('laden', allowance, 10, later + 1).type, 'allowed');
 });
 
-test('what other entries spend counts once, also after they restart', () => {
+test('spending of other entries counts once, also after they restart', () => {
   const limiter = makeRunningLimiter();
   limiter.receive(report('entry-2', 5000), 0);
   limiter.receive(report('entry-2', 5600), 100);
@@ -83,9 +83,8 @@
   assert.equal(limiter.check('laden', allowance, MAX_IN_WINDOW - 699, 400).type, 'exceeded');
 });
 
-// Half of the entries are killed while a workspace sends many times its usual. Started again, each of
-// them found an unspent window, and the workspace was let run far more than it is allowed.
-test('an entry that has just started takes over what the window holds already', () => {
+// Guards against restarted entries that start with an empty window and let it be spent again.
+test('an entry that has just started gets the spending of the window from its peers', () => {
   const running = makeRunningLimiter();
   spendAll(running, 0);
   const limiter = new AllowanceLimiter();
@@ -96,8 +95,8 @@
   assert.equal(limiter.check('laden', allowance, 10, 9500).type, 'allowed');
 });
 
-// An entry that starts beside others that have run for long takes over what they know.
-test('one entry that starts anew is not held to the rate', () => {
+// Guards against an entry that is held to the rate alone although its peers know the whole window.
+test('an entry that restarts among running peers may use the burst', () => {
   const running = makeRunningLimiter();
   const limiter = new AllowanceLimiter();
   const windowReach = running.historyLength(0);
@@ -105,16 +104,15 @@
   assert.equal(limiter.check('laden', allowance, MAX_IN_WINDOW / 2, 100).type, 'allowed');
 });
 
-// Callers of a workspace on both sides of a network partition would together be let run twice what
-// the operator allows. The entries of one side stop hearing the others and leave them their part.
-test('an entry that hears only half of the others spends only their half', () => {
+// Guards against both sides of a network partition spending the whole allowance.
+test('an entry that reaches half of all entries spends half of the allowance', () => {
   const limiter = makeRunningLimiter();
   ['entry-2', 'entry-3', 'entry-4'].forEach((name) => limiter.receive(report(name, 0), 0));
   limiter.receive(report('entry-2', 0), 20_000);
   assert.equal(spendAll(limiter, 20_100), MAX_IN_WINDOW / 2);
 });
 
-test('a request above the whole allowance may run while nothing else has', () => {
+test('a request above the whole allowance is allowed while nothing is spent in the window', () => {
   const limiter = makeRunningLimiter();
   assert.equal(limiter.check('laden', allowance, 5 * MAX_IN_WINDOW, 0).type, 'allowed');
   limiter.spend('laden', allowance, 5 * MAX_IN_WINDOW, 0);
--- a/packages/entry-core/src/limits/AllowanceLimiter.ts
+++ b/packages/entry-core/src/limits/AllowanceLimiter.ts
@@ -1,23 +1,9 @@
 /**
- * Holds what a workspace may spend over all entries together: in any window a rate times its length,
- * and a burst on top. Every entry keeps the spending of the last window: its own exactly, and that of
- * the others as they tell it, once a second.
- *
- * What an entry has spent and not told yet is unknown to the others. So it tells it at once when it
- * comes near the entry's equal part of what the known spending leaves, the operators' tolerance
- * included: all parts together never pass limit and tolerance, and nobody who is within the limit is
- * refused. That is one small message for each request that is let through, and only while a workspace
- * is near its limit.
- *
- * An entry that has not heard others for a while has to take it that they do not hear it either. What
- * it has spent since is hidden, however often it was told, and is held to the entry's part. After some
- * seconds it leaves those others their equal part of the limit itself. Without that, each side of a
- * network partition would spend the whole.
- *
- * After a loss of power entries know of the window what a store has kept of it. Where that is nothing,
- * the window is taken to have been spent evenly, and only the rate and a part of the tolerance, or the burst while that is more, are let
- * through until a whole window is known again: it would otherwise be spent twice, before the fault
- * and after it.
+ * Limits what a workspace may spend at all entries together: in any window at most its rate times
+ * the length of the window, plus a burst. Each entry adds what the others report, once a second and
+ * immediately near the limit, to its own spending. Until it is reported, spending is held to an
+ * equal share per entry of the remaining allowance and tolerance, so that all entries together stay
+ * within limit and tolerance.
  */
 import type {
   Allowance,
@@ -31,68 +17,76 @@
 } from '@hornbeampond/schema';
 import { SLICE_MILLISECONDS, SpendingWindow } from './SpendingWindow.js';
 
-/** A peer that has missed three reports may be spending without being heard. */
+/** A peer that has missed three reports is unreachable; it may still be spending. */
 const PEER_TIMEOUT_MILLISECONDS: Milliseconds = 3000;
 
-/** A peer that was not heard for so long is gone. */
+/** A peer that has not been seen for this long is removed. */
 const PEER_EXPIRY_MILLISECONDS: Milliseconds = 60_000;
 
 const MILLISECONDS_PER_SECOND = 1000;
 
-/** Of a second: stores write four times in it, and entries report once, one after the other. */
+/**
+ * Assumed time between the last write of spending and a power loss: stores write four times a
+ * second, and entries report once, one after the other.
+ */
 const UNPERSISTED_SECONDS = 0.4;
 
-/** All entries may be down together for so long; a memory that is older says nothing of the gap. */
+/** All entries are assumed to have been down since a write to disk that is no older than this. */
 const MAX_OUTAGE_MILLISECONDS: Milliseconds = 5000;
 
-/** Every entry in touch is heard at least so often. */
+/** Every reachable peer reports at least this often. */
 const MAX_REPORT_INTERVAL_MILLISECONDS: Milliseconds = 1200;
 
-/** An entry that has just started takes so much of the room at most: it cannot count the others. */
+/**
+ * Largest fraction of the remaining allowance for an entry that has just started and cannot count the
+ * others yet.
+ */
 const MAX_STARTUP_FRACTION_OF_ALLOWANCE = 0.1;
 
-/** Part of the tolerance that entries may spend unheard of each other, all together. */
+/** Fraction of the tolerance that all entries together may spend without having reported it. */
 const UNREPORTED_FRACTION_OF_TOLERANCE = 0.3;
 
 /**
- * Part of the tolerance that is spent knowingly while every entry hears every other: callers are
- * served by it that would be refused, and the rest is for what an entry learns too late of.
+ * Fraction of the tolerance that is added to the limit while all peers are reachable. The rest
+ * covers spending that is reported too late.
  */
 const NORMAL_FRACTION_OF_TOLERANCE = 0.3;
 
-/** The same while it is not known what was spent before. */
+/** Fraction of the tolerance that is added to the limit while only part of the window is known. */
 const RECOVERY_FRACTION_OF_TOLERANCE = 0.25;
 
-/** Untold spending is told at once beyond this share of the entry's part. */
+/** Unreported spending above this fraction of the entry's quota is reported immediately. */
 const IMMEDIATE_REPORT_FRACTION_OF_QUOTA = 0.5;
 
 interface Peer {
   readonly incarnation: number;
   readonly spent: Readonly<Record<string, number>>;
   readonly lastSeenAt: MonotonicMilliseconds;
-  /** True once it has said that it stops: its silence then leaves it no part. */
+  /**
+   * True once it has reported that it shuts down; no share is reserved for it after its timeout.
+   */
   readonly leaving: boolean;
-  /** How many entries it counts. */
+  /** How many entries the peer counts, itself included. */
   readonly entryCount: number;
 }
 
-/** What an answer of the ledger was decided by. */
+/** What a decision was based on, for the log. */
 export interface SpendingFacts {
-  /** The window is spent, or this entry's part of what is left of it. */
+  /** What is exhausted: the window, or this entry's quota of it. */
   readonly bound: 'window' | 'part';
   readonly amount: number;
-  /** What may be spent in a window now, and what is known to be, by all entries. */
+  /** What all entries may spend in a window now, and what they are known to have spent in it. */
   readonly limit: number;
   readonly known: number;
-  /** What this entry may spend without the others knowing it, and what it may have. */
+  /** What this entry may spend without the others knowing it, and how much of that is used. */
   readonly part: number;
   readonly hidden: number;
   readonly entries: number;
-  /** How long ago the peer that was silent longest was heard; undefined without peers. */
+  /** Age of the oldest among the peers' last reports; undefined without peers. */
   readonly oldestReport?: Milliseconds;
 }
 
-/** Whether a request may be run, and if not, when to come back. */
+/** Whether a request may run, and if not, when to retry. */
 export type AllowanceDecision =
   | { readonly type: 'allowed' }
   | {
@@ -102,45 +96,47 @@
     };
 
 export class AllowanceLimiter {
-  /** Spending of all entries, as far as it is known here. */
+  /** Known spending of all entries. */
   private readonly totalSpending = new SpendingWindow();
 
-  /** The part of it that is this entry's own. */
+  /** Spending of this entry alone. */
   private readonly ownSpending = new SpendingWindow();
 
   private readonly peers = new Map<string, Peer>();
 
-  /** By workspace, since the process started. */
+  /** Spending of this entry since the process started, by workspace. */
   private readonly ownTotals: Record<string, number> = {};
 
-  /** Of these, what the others were told. */
+  /** `ownTotals` as last reported to the other entries. */
   private readonly reportedTotals: Record<string, number> = {};
 
-  /** Length of the window by workspace, as it was asked with last. */
+  /** By workspace, as last passed to `check`. */
   private readonly windowLengths = new Map<string, Milliseconds>();
 
-  /** Since when all spending is known here, by this entry or by those that told it. */
+  /** Since when the spending of all entries is known here. */
   private historyStartedAt: MonotonicMilliseconds | undefined;
 
-  /** When this entry was first asked for anything of an allowance. */
+  /** When `check` was first called. */
   private firstCheckedAt: MonotonicMilliseconds | undefined;
 
-  /** What each workspace has spent here since the process started; it counts as told from now on. */
+  /**
+   * Returns what each workspace has spent here since the process started, and marks it as reported.
+   */
   reportTotals(): Readonly<Record<string, number>> {
     Object.assign(this.reportedTotals, this.ownTotals);
     return { ...this.ownTotals };
   }
 
-  /** The same of one workspace. */
+  /** Does the same for one workspace. */
   reportTotal(workspace: string): Readonly<Record<string, number>> {
     const total = this.ownTotals[workspace] ?? 0;
     this.reportedTotals[workspace] = total;
     return { [workspace]: total };
   }
 
-  /** What each workspace has spent at all entries in its window, as far as it is known here. */
+  /** Known spending of each workspace at all entries in its window, by second, newest first. */
   windowSpent(now: MonotonicMilliseconds): WindowSpending {
-    // An entry that has no caller of a workspace knows of its spending all the same.
+    // The window length of a workspace that only other entries have served is not known here.
     const spent = [...this.totalSpending.workspaces].map((workspace) => {
       const windowLength = this.windowLengths.get(workspace) ?? PEER_EXPIRY_MILLISECONDS;
       this.totalSpending.evictBefore(workspace, now - windowLength);
@@ -149,18 +145,18 @@
     return Object.fromEntries(spent.filter(([, amounts]) => amounts.length > 0));
   }
 
-  /** How many entries this one has heard lately, itself included. */
+  /** Number of entries: this one and the peers that are not removed yet. */
   get entryCount(): number {
     return this.peers.size + 1;
   }
 
-  /** How far back spending is known here. */
+  /** For how long up to now the spending of all entries is known here. */
   historyLength(now: MonotonicMilliseconds): Milliseconds {
     this.historyStartedAt ??= now;
     return now - this.historyStartedAt;
   }
 
-  /** Asks whether `amount` may be spent now; nothing is spent by asking. */
+  /** Returns whether `amount` may be spent now, without spending it. */
   check(
     workspace: string,
     allowance: Allowance,
@@ -187,7 +183,7 @@
       entries,
       ...this.ageOfOldestReport(now),
     };
-    // A request above the whole allowance could never run; it may while nothing else has.
+    // A request above the whole limit could never run; it may while nothing is spent in the window.
     const excess = spent + Math.min(amount, limit) - limit;
     if (excess > 0) {
       const retryAfterMilliseconds = this.calculateRetryDelay(
@@ -198,13 +194,13 @@
       );
       return { type: 'exceeded', retryAfterMilliseconds, facts: { bound: 'window', ...facts } };
     }
-    // What can be told is told at once; one request is let through before that, however large.
+    // Without unconfirmed spending a request of any size may run: `spend` has a large one reported.
     if (unconfirmed === 0 || unconfirmed + amount <= quota) return { type: 'allowed' };
     const retryAfterMilliseconds = MAX_REPORT_INTERVAL_MILLISECONDS;
     return { type: 'exceeded', retryAfterMilliseconds, facts: { bound: 'part', ...facts } };
   }
 
-  /** Spends; returns true if the others have to be told at once. */
+  /** Spends an amount; returns true if it must be reported to the other entries immediately. */
   spend(
     workspace: string,
     allowance: Allowance,
@@ -225,7 +221,7 @@
     return this.peers.size > 0 && unreported > quota * IMMEDIATE_REPORT_FRACTION_OF_QUOTA;
   }
 
-  /** Takes in what another entry has spent since its last report. */
+  /** Adds what another entry has spent since its last report; of a new peer, its whole window. */
   receive(report: EntryReport, now: MonotonicMilliseconds): void {
     const { instance, incarnation, spent = {}, leaving, entries: entryCount = 1 } = report;
     const peer = this.peers.get(instance);
@@ -246,9 +242,9 @@
   }
 
   /**
-   * Takes in what a store has kept of the window.
+   * Restores the window that a store has persisted.
    *
-   * @param ownInstance - The name of this entry, whose earlier lives the store may know.
+   * @param ownInstance - Name of this entry; the store may list an earlier incarnation of it.
    */
   restore(
     { at, windowSpent, windowReach, entries }: RememberedSpending,
@@ -257,10 +253,10 @@
     wallNow: EpochMilliseconds,
   ): void {
     const age = Math.max(0, wallNow - at);
-    // Of what was spent since then nothing is known, unless that was while all were down.
+    // If the write is older, entries may have run since, and what they have spent is unknown.
     const historyLength = age <= MAX_OUTAGE_MILLISECONDS ? windowReach : -age;
     this.mergeWindow(windowSpent, historyLength, now - age);
-    // What was spent between the last write and the loss of power is taken to be as much as before.
+    // Spending is assumed to have continued at the same rate between the write and the power loss.
     Object.entries(windowSpent).forEach(([workspace, [lastSecond = 0]]) => {
       this.totalSpending.recordAt(workspace, lastSecond * UNPERSISTED_SECONDS, now - age);
     });
@@ -277,7 +273,7 @@
     });
   }
 
-  /** The same between two reports; of a peer that is not known its whole report is awaited. */
+  /** Adds what a peer has spent since its last report; ignored before its first full report. */
   receiveSpending(
     { instance, incarnation, spent, leaving }: Omit<SpendingReport, 'type'>,
     now: MonotonicMilliseconds,
@@ -288,7 +284,7 @@
     const updated: Record<string, number> = { ...previous };
     Object.entries(spent).forEach(([workspace, amount]) => {
       const increase = amount - (previous[workspace] ?? 0);
-      // Reports that come through two stores may overtake each other.
+      // Reports that are relayed by two stores can arrive out of order.
       if (increase <= 0) return;
       updated[workspace] = amount;
       this.totalSpending.record(workspace, increase, now);
@@ -304,8 +300,8 @@
   }
 
   /**
-   * Takes over what the window held already at some moment. Without it, the entries that are started
-   * again after half of them were killed would each find an unspent window.
+   * Adds what a peer or a store knows of the window and this entry does not. Without it, each entry
+   * that restarts would find an empty window, and let it be spent again.
    */
   private mergeWindow(
     windowSpent: WindowSpending,
@@ -317,7 +313,7 @@
       const knownTotal = this.totalSpending.sumSince(workspace, Number.NEGATIVE_INFINITY);
       const reportedTotal = amounts.reduce((sum, amount) => sum + amount, 0);
       let missing = Math.max(0, reportedTotal - knownTotal);
-      // What is not known here yet is the newest of it.
+      // The missing amount is assumed to be the most recent.
       amounts.forEach((amount, second) => {
         const added = Math.min(missing, amount);
         missing -= added;
@@ -326,7 +322,11 @@
     });
   }
 
-  /** What may be spent in a window of which only the last part may be known. */
+  /**
+   * What the reachable entries may spend in a window now. While only part of the window is known,
+   * this is the rate over the known part and a fraction of the tolerance, or the burst if that is
+   * more: a window could otherwise be spent twice, before a power loss and after it.
+   */
   private currentLimit(allowance: Allowance, now: MonotonicMilliseconds): number {
     const { perSecond, burst, windowMilliseconds, tolerated } = allowance;
     const historyLength = this.historyLength(now);
@@ -342,7 +342,9 @@
     return limit * fraction + (isExact ? tolerated * NORMAL_FRACTION_OF_TOLERANCE : 0);
   }
 
-  /** What this entry may leave untold of the room that is left. */
+  /**
+   * What this entry may spend unreported: its equal share of the remaining allowance and tolerance.
+   */
   private unreportedQuota(
     remaining: number,
     { tolerated, windowMilliseconds }: Allowance,
@@ -356,8 +358,8 @@
   }
 
   /**
-   * True while an entry may know nothing of what others spend: it has heard none, or all of them
-   * have started with it and have yet to tell what they let through in their first round.
+   * True while this entry may know nothing of what others spend: it has no peers yet, or all
+   * entries have started together and have not sent the report of their first second.
    */
   private isStarting(now: MonotonicMilliseconds, windowMilliseconds: Milliseconds): boolean {
     if (now - (this.firstCheckedAt ?? now) >= MAX_REPORT_INTERVAL_MILLISECONDS) return false;
@@ -368,7 +370,11 @@
     return (this.ownTotals[workspace] ?? 0) - (this.reportedTotals[workspace] ?? 0);
   }
 
-  /** Own spending that cannot be told for now, or was told to peers that may not have heard it. */
+  /**
+   * Own spending that the other entries may not have received: all of it at the start, then what
+   * was spent since a peer with an overdue report was last seen. An entry that receives no reports
+   * must assume that its own are not received either.
+   */
   private unconfirmedSpending(
     workspace: string,
     windowMilliseconds: Milliseconds,
@@ -389,8 +395,8 @@
   }
 
   /**
-   * All entries, and those that are heard. One that starts during a partition hears of those beyond it
-   * only from peers that knew them before.
+   * Counts all entries and the reachable ones. An entry that starts during a network partition has
+   * the number of entries on the other side only from the reports of its peers.
    */
   private countEntries(now: MonotonicMilliseconds): { all: number; reachable: number } {
     let reachable = 1;
@@ -403,7 +409,10 @@
     return { all, reachable };
   }
 
-  /** The part of the allowance that is not left to entries that have fallen silent. */
+  /**
+   * Removes expired peers and returns the fraction of the allowance that is not reserved for
+   * unreachable ones. Without the reserve, each side of a network partition would spend the whole.
+   */
   protected reachableFraction(now: MonotonicMilliseconds): number {
     this.peers.forEach(({ lastSeenAt, leaving }, instance) => {
       const sinceLastSeen = now - lastSeenAt;
@@ -414,7 +423,7 @@
     return reachable / all;
   }
 
-  /** True while a peer that is not silent yet has not been heard as it should. */
+  /** True while the report of any peer is overdue. */
   private isAnyReportOverdue(now: MonotonicMilliseconds): boolean {
     return [...this.peers.values()].some(
       ({ lastSeenAt }) => now - lastSeenAt > MAX_REPORT_INTERVAL_MILLISECONDS,
@@ -427,7 +436,7 @@
     return { oldestReport: now - lastSeenAt };
   }
 
-  /** How long until so much has left the window. */
+  /** Time until enough has left the window, or enough of the window is known, for this amount. */
   private calculateRetryDelay(
     workspace: string,
     { perSecond, windowMilliseconds, tolerated }: Allowance,
--- a/packages/entry-core/src/limits/ConcurrencyLimiter.test.ts
+++ b/packages/entry-core/src/limits/ConcurrencyLimiter.test.ts
@@ -12,7 +12,7 @@
 const KEY = 'appraisals/kartenwerk-a';
 const REPORT_INTERVAL_MILLISECONDS = 500;
 
-/** Entries that take requests as greedily as the ledger lets them. */
+/** Entries that take as many requests as their limiters allow. */
 class GreedyCluster {
   now = 0;
 
@@ -40,7 +40,7 @@
     return this.requestIds[entry]?.length ?? 0;
   }
 
-  /** Has an entry take up to `wanted` more. */
+  /** Lets an entry take up to `count` more requests. */
   acquireUpTo(entry: number, count: number): void {
     for (let acquired = 0; acquired < count; acquired += 1) {
       if (this.limiters[entry]?.hasCapacity(KEY, this.limit, this.now) !== true) return;
@@ -58,7 +58,7 @@
     }
   }
 
-  /** One entry reports now; the report arrives when what is returned is called. */
+  /** Makes the report of one entry; it is delivered when the returned function is called. */
   sendDelayedReport(from: number): () => void {
     this.sequence += 1;
     const limiter = this.limiters[from];
@@ -71,7 +71,7 @@
     };
   }
 
-  /** Every entry reports; `arrives` says which reports get through. */
+  /** Every entry reports; `arrives` decides which reports are delivered. */
   exchangeReports(arrives: (from: number, to: number) => boolean = () => true): void {
     this.sequence += 1;
     const reports = this.limiters.map((limiter, entry) => this.makeReport(limiter, entry));
@@ -103,10 +103,9 @@
   }
 }
 
-// A workspace's counter rush meets all entries at once, each as greedy as it may be; requests end
-// at random, and entries hear each other every half second. Callers see the whole limit used and
-// no more than the rounding of n - 1 above it, because each takes only its part of the free room.
-test('entries in contact use the whole limit and hold it', () => {
+// Guards against entries that each take all free capacity: together they may exceed the limit only
+// by the rounding of n - 1. It must also be used whole.
+test('entries that reach each other use the whole limit and keep to it', () => {
   for (const limit of [1, 3, 10, 100]) {
     for (const entries of [1, 2, 5, 8]) {
       const cluster = new GreedyCluster(entries, limit);
@@ -130,9 +129,8 @@
   }
 });
 
-// All callers of a workspace come to one entry while its peers have none of them. They see
-// nearly the whole limit there after a few reports, because what peers leave free is lent.
-test('an entry borrows what its peers leave free', () => {
+// Guards against refusals at the only busy entry: after a few reports it gets the whole limit.
+test('an entry gets the capacity that its peers leave free', () => {
   const cluster = new GreedyCluster(4, 100);
   for (let interval = 0; interval < 20; interval += 1) {
     cluster.exchangeReports();
@@ -142,10 +140,9 @@
   assert.equal(cluster.inProgressAt(0), 100);
 });
 
-// Entries report each at its own time, and every report arrives up to half a second late, after
-// others that were sent later. Callers may then be let in above the limit, as each entry acts on
-// what was true half a second ago; twice the limit is never passed, and the limit is well used.
-test('late and crossing reports stay within the stated bound', () => {
+// Guards against exceeding twice the limit, or using little of it, where each entry decides by
+// counts that are up to half a second old and arrive in reverse order.
+test('with late and crossing reports entries stay within the documented bound', () => {
   for (const entries of [2, 4, 8]) {
     const limit = 100;
     const cluster = new GreedyCluster(entries, limit);
@@ -166,10 +163,9 @@
   }
 });
 
-// One entry has borrowed everything when all reports stop, as when the network between entries
-// goes silent; peers go on. Callers may together get to twice the limit, since nobody sees the
-// borrower's requests end; peers stop at their equal part, and so does the borrower afterwards.
-test('entries out of contact fall back to equal parts within the stated bound', () => {
+// Reports are lost, and then stop. Guards against exceeding twice the limit, and against entries
+// that take more than their equal share once they are partitioned.
+test('partitioned entries fall back to equal shares within the documented bound', () => {
   for (const entries of [2, 4, 8]) {
     const limit = 100;
     const cluster = new GreedyCluster(entries, limit);
@@ -194,13 +190,16 @@
       for (let entry = 0; entry < entries; entry += 1) partitioned.acquireUpTo(entry, limit);
       partitioned.advance(REPORT_INTERVAL_MILLISECONDS);
     }
-    assert.ok(partitioned.total <= limit + entries, `${entries}: ${partitioned.total} when silent`);
+    assert.ok(
+      partitioned.total <= limit + entries,
+      `${entries}: ${partitioned.total} when partitioned`,
+    );
   }
 });
 
-// A peer dies holding half of the limit. For a minute its callers' requests count as in progress,
-// since it may only be cut off; then the others get the whole limit back.
-test('what a gone peer held is free again after a minute', () => {
+// Guards against capacity that a crashed peer holds forever. Its equal share counts as in use until
+// it expires, since it may only be partitioned.
+test('capacity of a crashed peer is free again after a minute', () => {
   const cluster = new GreedyCluster(2, 10);
   cluster.exchangeReports();
   cluster.acquireUpTo(1, 10);
@@ -215,8 +214,8 @@
   assert.equal(cluster.inProgressAt(0), 10);
 });
 
-// Reports overtake each other on the way. A caller must not be refused, or let in, by an old one:
-// the higher sequence of the newest incarnation stays.
+// Guards against decisions by an outdated report: the highest sequence of the newest incarnation
+// counts.
 test('a late report does not replace a newer one', () => {
   const limiter = new ConcurrencyLimiter();
   const report = (incarnation: number, sequence: number, count: number): EntryReport => ({
--- a/packages/entry-core/src/limits/ConcurrencyLimiter.ts
+++ b/packages/entry-core/src/limits/ConcurrencyLimiter.ts
@@ -1,28 +1,25 @@
 /**
- * Holds the limits of requests in progress per route and workspace over all entries of a data
- * centre, without a message per request: each entry knows its own count exactly and its peers'
- * from their last reports, and divides what is still free among the entries.
- *
- * The rule: with a limit L, n entries in contact, p the requests in progress at peers by their
- * last reports, and b the lowest own count since every peer in contact was last heard, an entry
- * may have at most `b + ceil((L - p - b) / n)` in progress. Each of them may so take its part of
- * the free room once per round of reports, although none sees what the others take meanwhile.
- *
- * The bound on the sum over all entries, tested in LimitLedger.test.ts:
- * - entries in contact: L + n - 1 (the rounding up, without which a limit below n admits nobody),
- *   plus what one round of reports that crossed each other lets through, at most L;
- * - a peer not heard for SILENT_MILLISECONDS counts with what it last said, yet never with less
- *   than its equal part of L, so that cut-off entries fall back to L / n each: the sum stays
- *   within 2 L + n, and within L + n once the requests of before the cut have ended;
- * - a peer not heard for FORGOTTEN_MILLISECONDS counts as gone. If it is not, each side of the
- *   cut has L for itself; so has an entry that has just started, until it hears a peer.
+ * Limits requests in progress per route and workspace over all entries of a data centre, without a
+ * message per request: each entry knows its own count, has its peers' from their last reports, and
+ * may take an equal share of the free capacity once per reporting interval. With limit L and n
+ * entries, at most L + n - 1 requests are in progress, and at most 2 L + n where reports cross or
+ * peers are unreachable. ConcurrencyLimiter.test.ts checks these bounds.
  */
 import type { EntryReport, Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 
+/**
+ * A peer not seen for this long counts with its last report, and at least with its equal share of
+ * the limit: partitioned entries fall back to equal shares.
+ */
 export const PEER_TIMEOUT_MILLISECONDS: Milliseconds = 3000;
+
+/**
+ * A peer not seen for this long is removed. If it is partitioned but still running, each side then
+ * has the whole limit.
+ */
 export const PEER_EXPIRY_MILLISECONDS: Milliseconds = 60_000;
 
-/** What a peer said last, and when it was heard. */
+/** The last report of a peer, and when it was received. */
 interface Peer {
   readonly report: EntryReport;
   readonly lastSeenAt: MonotonicMilliseconds;
@@ -31,7 +28,7 @@
 /** Own requests in progress under one key. */
 interface OwnCount {
   readonly requestIds: Set<string>;
-  /** Lowest count since every peer in contact was heard. */
+  /** Lowest count since the start of the reporting interval. */
   minCount: number;
 }
 
@@ -40,8 +37,10 @@
 
   private readonly peers = new Map<string, Peer>();
 
+  /** Peers that are not leaving. */
   private activePeerCount = 0;
 
+  /** Peers whose report was received in this reporting interval. */
   private readonly seenPeers = new Set<string>();
 
   acquire(key: string, requestId: string): void {
@@ -69,7 +68,7 @@
     );
   }
 
-  /** Takes in the report of another entry of the own data centre. */
+  /** Handles the report of another entry of the same data centre; an outdated one is ignored. */
   receive(report: EntryReport, now: MonotonicMilliseconds): void {
     const previous = this.peers.get(report.instance)?.report;
     if (previous !== undefined) {
@@ -87,7 +86,11 @@
     return 1 + this.activePeerCount;
   }
 
-  /** True if one more request under this key is within this entry's part of the limit. */
+  /**
+   * True if this entry may take one more request under this key. In a reporting interval its count
+   * may grow by an equal share of the free capacity, rounded up: rounded down, a limit below the
+   * number of entries would admit nobody.
+   */
   hasCapacity(key: string, limit: number, now: MonotonicMilliseconds): boolean {
     const { entryCount } = this;
     const own = this.ownCounts.get(key);
@@ -123,7 +126,7 @@
     return inProgress;
   }
 
-  /** Once every peer in contact was heard, what this entry took is known to be known. */
+  /** Starts a new reporting interval once every reachable peer has reported. */
   private endReportingInterval(now: MonotonicMilliseconds): void {
     for (const [instance, { lastSeenAt }] of this.peers) {
       if (now - lastSeenAt <= PEER_TIMEOUT_MILLISECONDS && !this.seenPeers.has(instance)) return;
--- a/packages/entry-core/src/limits/LimitState.ts
+++ b/packages/entry-core/src/limits/LimitState.ts
@@ -1,4 +1,4 @@
-/** What an entry knows of the requests in progress that count towards limits. */
+/** What an entry keeps to enforce concurrency limits and allowances. */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import { AllowanceLimiter } from './AllowanceLimiter.js';
 import { ConcurrencyLimiter } from './ConcurrencyLimiter.js';
@@ -6,9 +6,9 @@
 export interface LimitState {
   readonly concurrencyLimiter: ConcurrencyLimiter;
   readonly allowanceLimiter: AllowanceLimiter;
-  /** Key that each counted request is counted under, by request id. */
+  /** Key that a request in progress counts under, by request id. */
   readonly keysByRequestId: Map<string, string>;
-  /** When all of them were last compared with the requests that are there. */
+  /** When all of these were last checked for requests that have ended. */
   sweptAt: MonotonicMilliseconds;
 }
 
--- a/packages/entry-core/src/limits/SpendingWindow.ts
+++ b/packages/entry-core/src/limits/SpendingWindow.ts
@@ -1,13 +1,12 @@
 /**
- * What workspaces have spent lately, kept in slices of time so that its size does not grow with the
- * number of requests. A slice counts until all of it has left the window: too long rather than too
- * short, by a slice at most.
+ * Recent spending of workspaces in slices of time, so that its size does not grow with the number
+ * of requests. A slice counts until all of it has left the window: spending may count too long by
+ * one slice, but never too short.
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 
 const MILLISECONDS_PER_SECOND = 1000;
 
-/** Length of a slice. */
 export const SLICE_MILLISECONDS: Milliseconds = 250;
 
 interface Slice {
@@ -32,7 +31,10 @@
     else slices.push({ at: now, amount });
   }
 
-  /** Takes in what was spent at a moment that may be past; it counts from the end of that second. */
+  /**
+   * Records past spending. What was spent during a second is recorded at the end of that second, so
+   * that it is never evicted too early.
+   */
   recordAt(workspace: string, amount: number, at: MonotonicMilliseconds): void {
     if (amount === 0) return;
     const slices = this.slices.get(workspace) ?? [];
@@ -41,7 +43,7 @@
     this.slices.set(workspace, slices);
   }
 
-  /** What was spent in each second back, as far as anything was. */
+  /** Spending in each of the last seconds, newest first, up to the oldest second with any. */
   sumBySecond(workspace: string, now: MonotonicMilliseconds): number[] {
     const amounts: number[] = [];
     this.slices.get(workspace)?.forEach(({ at, amount }) => {
@@ -52,7 +54,7 @@
     return amounts;
   }
 
-  /** Forgets what was spent before. */
+  /** Removes slices that ended before `since`. */
   evictBefore(workspace: string, since: MonotonicMilliseconds): void {
     const slices = this.slices.get(workspace) ?? [];
     const first = slices.findIndex(({ at }) => at + SLICE_MILLISECONDS > since);
@@ -68,7 +70,7 @@
     return sum;
   }
 
-  /** When so much of what is kept will have left a window of this length. */
+  /** When `amount` of the kept spending will have left a window of this length. */
   findExpiryTime(
     workspace: string,
     amount: number,
--- a/packages/entry-core/src/limits/allowanceFloods.test.ts
+++ b/packages/entry-core/src/limits/allowanceFloods.test.ts
@@ -1,5 +1,5 @@
 /**
- * Long prompts, unequal callers and floods against an allowance that several entries hold together.
+ * Long prompts, unevenly distributed callers and floods against an allowance that entries share.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -10,7 +10,7 @@
 
 const ENTRY_COUNT = 8;
 
-/** An allowance of which one long prompt is a quarter. */
+/** An allowance that a few long prompts use up. */
 const allowance: Allowance = {
   unit: 'tokens',
   perSecond: 47_000,
@@ -22,7 +22,7 @@
 
 const MAX_IN_WINDOW = 8 * 47_000 + 47_000;
 
-/** What the operators accept in any window. */
+/** What operators accept in any window. */
 const MAX_ACCEPTED_IN_WINDOW = MAX_IN_WINDOW + allowance.tolerated;
 
 /** Callers of one workspace: prompts of 4,000 to 60,000 tokens, most of them short. */
@@ -56,7 +56,7 @@
   }
 
   private send(amount: number): void {
-    // Six in ten callers meet the same entry.
+    // Six in ten requests go to the same entry.
     const number = this.draw() < 0.6 ? 0 : Math.floor(this.draw() * ENTRY_COUNT);
     this.sentCount += 1;
     const decision = this.simulation.trySpend(number, amount);
@@ -70,9 +70,9 @@
   }
 }
 
-// Callers of a workspace at half of its allowance send prompts that are each a large part of what
-// one entry would have of it between two reports. Held to such a part, one in seven was refused.
-test('long prompts at unequal entries are not refused within the allowance', () => {
+// Guards against refusals at half of the allowance: one long prompt is a large part of the quota
+// that an entry has between two reports.
+test('long prompts are not refused within the allowance where load is uneven', () => {
   [1, 2, 3, 4, 5].forEach((seed) => {
     const simulation = new AllowanceSimulation(ENTRY_COUNT, allowance);
     simulation.advance(10_000);
@@ -83,24 +83,23 @@
   });
 });
 
-// A workspace sends six times its usual through all entries. Each entry by itself would spend the
-// whole window.
-test('a flood of long prompts gets the allowance and no more than is tolerated', () => {
+// Guards against entries that each spend the whole window, and against a limit that is not used.
+test('a flood of long prompts gets the allowance and stays within the tolerance', () => {
   [1, 2, 3].forEach((seed) => {
     const simulation = new AllowanceSimulation(ENTRY_COUNT, allowance);
     simulation.advance(10_000);
     new Callers(simulation, 160_000, seed).run(64_000);
     const max = simulation.maxInWindow();
     assert.ok(max <= MAX_ACCEPTED_IN_WINDOW, `${max} of ${MAX_ACCEPTED_IN_WINDOW}`);
-    // Eight windows, less what has to leave a window slice by slice.
+    // Eight windows, less what spending counts too long because it leaves a window by whole slices.
     const passed = simulation.allowedBetween(10_000, 74_000);
     assert.ok(passed >= 8 * MAX_IN_WINDOW * 0.85, String(passed));
   });
 });
 
-// The same flood where operators tolerate nothing: what is on its way between entries is all that may
-// be too much, and that is one prompt for each of them at most.
-test('a flood is held as exactly as messages travel where nothing is tolerated', () => {
+// Guards against exceeding the limit by more than one prompt per entry, whose reports are in
+// transit.
+test('without tolerance, a flood exceeds the limit only by what is in transit', () => {
   const exact = { ...allowance, tolerated: 0, burst: 470_000 };
   const simulation = new AllowanceSimulation(ENTRY_COUNT, exact);
   simulation.advance(10_000);
@@ -109,8 +108,8 @@
   assert.ok(max <= 8 * 47_000 + exact.burst + ENTRY_COUNT * 4000, String(max));
 });
 
-// Two entries of eight are cut off from the others in the middle of a flood, and come back.
-test('both sides of a network partition together keep to what is tolerated', () => {
+// Guards against both sides of a network partition spending the whole allowance during a flood.
+test('both sides of a network partition together stay within the tolerance', () => {
   const simulation = new AllowanceSimulation(ENTRY_COUNT, allowance);
   simulation.advance(10_000);
   const callers = new Callers(simulation, 160_000, 11);
@@ -123,9 +122,8 @@
   assert.ok(max <= MAX_ACCEPTED_IN_WINDOW, `${max} of ${MAX_ACCEPTED_IN_WINDOW}`);
 });
 
-// All entries lose power in the middle of a flood, and are back a second later. Nobody knows what was
-// spent before; taken for nothing, the whole window would be spent again.
-test('a window is not spent again after all entries have lost what they knew', () => {
+// Guards against spending a window again that was spent before all entries lost power.
+test('a window is not spent again after all entries have lost power', () => {
   [1, 2, 3, 4, 5].forEach((seed) => {
     const simulation = new AllowanceSimulation(ENTRY_COUNT, allowance);
     simulation.advance(10_000);
@@ -138,9 +136,8 @@
   });
 });
 
-// The same loss of power while the workspace is at its usual. Its callers have waited for a second,
-// and are not refused for a window that nobody knows.
-test('callers at half of the allowance are served at once after all entries have lost power', () => {
+// Guards against refusing normal load because only part of the window is known after a power loss.
+test('callers at half of the allowance are served immediately after a power loss', () => {
   const seeds = [1, 2, 3, 4, 5];
   let refused = 0;
   seeds.forEach((seed) => {
@@ -157,13 +154,13 @@
   assert.equal(refused, 0);
 });
 
-// Guards against a window that is overspent by callers who waited for a loss of power to end, all at once.
+// Guards against overspending when all callers retry at the same time after a power loss.
 test('callers who come back together after a loss of power get no more than is tolerated', () => {
   let delay = 3;
   const simulation = new AllowanceSimulation(ENTRY_COUNT, allowance, { delay: () => delay });
   simulation.advance(26_000);
   simulation.losePower(1000);
-  // Stores that have just started themselves hand messages on late.
+  // Stores that have just started themselves relay reports late.
   delay = 50;
   simulation.advance(1010);
   sendSteadily(simulation, 6000, 300, 5);
@@ -175,7 +172,7 @@
 
 const smallAllowance: Allowance = { ...allowance, perSecond: 100, burst: 200, tolerated: 0 };
 
-/** Callers that ask each entry for a small amount at every step. */
+/** Tries to spend the same amount at every entry in each step. */
 function sendSteadily(
   simulation: AllowanceSimulation,
   amount: number,
@@ -187,18 +184,18 @@
   }
 }
 
-// A workspace sends twice its rate in small requests through all entries at once, and nothing is
-// tolerated. Together they keep to the allowance, but for what is on its way.
-test('entries keep to the allowance together in a flood of small requests', () => {
+// Guards against exceeding the allowance by more than what is in transit, where nothing is
+// tolerated.
+test('entries together keep to the allowance in a flood of small requests', () => {
   const simulation = new AllowanceSimulation(ENTRY_COUNT, smallAllowance);
   sendSteadily(simulation, 1, 30_000);
   const max = simulation.maxInWindow();
   assert.ok(max > 1000 * 0.9 && max <= 1000 * 1.1, String(max));
 });
 
-// Eight times the rate, and all entries lose power. The rate goes on at once and no faster, and all of
-// the window is there again once it is known.
-test('after a loss of power a flood of small requests gets the rate at first', () => {
+// Guards against spending a window again after a power loss, against refusing everything until the
+// window is known, and against a limit that stays low afterwards.
+test('after a power loss a flood of small requests gets only the rate at first', () => {
   const simulation = new AllowanceSimulation(ENTRY_COUNT, smallAllowance);
   const amount = 5;
   sendSteadily(simulation, amount, 20_000);
--- a/packages/entry-core/src/limits/allowanceSchedules.test.ts
+++ b/packages/entry-core/src/limits/allowanceSchedules.test.ts
@@ -1,8 +1,8 @@
 /**
- * Random schedules of an allowance that several entries hold together: floods, entries that are
- * killed, a loss of power of all of them, reports that are lost and late, an outage of
- * all stores, and entries that are cut off. What is let through in any
- * window must stay within limit and tolerance; a ledger with a part of it taken out must not.
+ * Random schedules with an allowance that several entries share: floods, entries that crash, power
+ * losses, lost and delayed reports, an outage of all stores, and partitions. Spending in any window
+ * must stay within limit and tolerance; with a mutation of the limiter some schedule must exceed
+ * them.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -28,13 +28,13 @@
 
 const SCHEDULE_COUNT = 100;
 
-/** For so long all stores are down, and nothing that entries tell reaches any other. */
+/** How long all stores are down; no report reaches another entry meanwhile. */
 const OUTAGE_MILLISECONDS = 2600;
 
-/** Beside single kills and an outage of the stores. */
+/** Fault that is added to crashes of single entries and an outage of the stores. */
 type Fault = 'partitions' | 'powerLoss';
 
-/** Plays one schedule and returns the most that was let through in a window. */
+/** Runs one schedule and returns the largest amount allowed in any window. */
 function runSchedule(
   seed: number,
   fault: Fault,
@@ -44,7 +44,7 @@
   const draw = () => uniformFloat64(random);
   const count = 2 + Math.floor(draw() * 8);
   const load = 1 + draw() * 7;
-  // A lost packet is sent again after a while.
+  // A lost packet is sent again after a delay.
   const lossProbability = draw() < 0.5 ? 0.04 : 0;
   const delay = () => (draw() < lossProbability ? 200 + 300 * draw() : 1 + Math.floor(draw() * 20));
   const outageFrom = 12_000 + 6000 * draw();
@@ -70,7 +70,7 @@
 const faults: readonly Fault[] = ['partitions', 'powerLoss'];
 
 faults.forEach((fault) => {
-  test(`no schedule with ${fault} lets more through than limit and tolerance`, () => {
+  test(`no schedule with ${fault} exceeds limit and tolerance`, () => {
     for (let seed = 1; seed <= SCHEDULE_COUNT; seed += 1) {
       const max = runSchedule(seed, fault);
       assert.ok(max <= MAX_ACCEPTED_IN_WINDOW, `seed ${seed}: ${max} of ${MAX_ACCEPTED_IN_WINDOW}`);
@@ -85,7 +85,7 @@
   );
 }
 
-/** Lets all through that the known spending allows, also where nobody hears of it. */
+/** Applies no quota to spending that is not known to the other entries. */
 class WithoutQuota extends AllowanceLimiter {
   override check(...args: Parameters<AllowanceLimiter['check']>) {
     const decision = super.check(...args);
@@ -94,7 +94,7 @@
   }
 }
 
-/** Tells nothing between two reports. */
+/** Reports no spending between two full reports. */
 class WithoutImmediateReports extends AllowanceLimiter {
   override spend(...spending: Parameters<AllowanceLimiter['spend']>) {
     super.spend(...spending);
@@ -102,25 +102,25 @@
   }
 }
 
-/** Leaves nothing to peers that have fallen silent. */
+/** Reserves nothing for unreachable peers. */
 class WithoutPartitionReserve extends AllowanceLimiter {
   protected override reachableFraction() {
     return 1;
   }
 }
 
-test('mutation: nothing is held back while nobody can be told', () => {
+test('mutation: spending that the other entries do not know has no quota', () => {
   assert.ok(exceedsLimit({ makeLimiter: () => new WithoutQuota() }));
 });
 
-test('mutation: stores keep nothing over a loss of power', () => {
+test('mutation: stores persist nothing over a power loss', () => {
   assert.ok(exceedsLimit({ isPersisted: false }));
 });
 
-test('mutation: nothing is told between two reports', () => {
+test('mutation: no spending is reported between two full reports', () => {
   assert.ok(exceedsLimit({ makeLimiter: () => new WithoutImmediateReports() }));
 });
 
-test('mutation: both sides of a partition spend the whole', () => {
+test('mutation: both sides of a partition spend the whole allowance', () => {
   assert.ok(exceedsLimit({ makeLimiter: () => new WithoutPartitionReserve() }));
 });
--- a/packages/entry-core/src/limits/checkAllowance.ts
+++ b/packages/entry-core/src/limits/checkAllowance.ts
@@ -1,4 +1,4 @@
-/** The allowance of a workspace as admission asks for it and spends it. */
+/** Checks and spends the allowance of a workspace for admission. */
 import type { Allowance, Milliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
@@ -6,7 +6,7 @@
 import { routeIndexOf } from '../routing/routeIndexOf.js';
 import type { SpendingFacts } from './AllowanceLimiter.js';
 
-/** A bucket that fills slowly is looked at again after this long by callers that came too early. */
+/** Where spending leaves the window slowly, refused callers retry after this long at the latest. */
 const MAX_RETRY_AFTER_MILLISECONDS: Milliseconds = 10_000;
 
 function allowanceOf(state: EntryState, workspace: string): Allowance | undefined {
@@ -18,13 +18,13 @@
   return unit === 'tokens' ? (request.countedTokens ?? plainTokens) : 1;
 }
 
-/** Why a request is beyond its workspace's allowance, and when to come back. */
+/** Why a request exceeds its workspace's allowance, and when to retry. */
 export interface AllowanceExceeded {
   readonly retryAfterMilliseconds: Milliseconds;
   readonly facts: SpendingFacts;
 }
 
-/** Says if the request is beyond its workspace's allowance; undefined if it is not. */
+/** Returns undefined if the request is within its workspace's allowance. */
 export function checkAllowance(
   state: EntryState,
   accepted: RequestState,
@@ -45,6 +45,9 @@
   return { retryAfterMilliseconds: wait, facts };
 }
 
+/**
+ * Spends the allowance for an admitted request, and reports it to other entries where it must be.
+ */
 export function spendAllowance(state: EntryState, accepted: RequestState): EntryEffect[] {
   const { workspace } = accepted.request;
   const allowance = allowanceOf(state, workspace);
--- a/packages/entry-core/src/limits/limitOf.ts
+++ b/packages/entry-core/src/limits/limitOf.ts
@@ -1,4 +1,4 @@
-/** The limit of one workspace on one route, and the key that both are counted under. */
+/** The limit of one workspace on one route, and the key that its requests count under. */
 import type { Route } from '@hornbeampond/schema';
 
 export function limitKey(route: string, workspace: string): string {
--- a/packages/entry-core/src/limits/receivePeerUsage.ts
+++ b/packages/entry-core/src/limits/receivePeerUsage.ts
@@ -1,4 +1,7 @@
-/** Takes in what another entry has in progress; only those of the own data centre share limits. */
+/**
+ * Passes the usage that other entries report to the limiters. Allowances hold over all entries,
+ * concurrency limits only within a data centre.
+ */
 import type { EntryReport, MonotonicMilliseconds, SpendingReport } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 
--- a/packages/entry-core/src/limits/releaseEndedRequests.ts
+++ b/packages/entry-core/src/limits/releaseEndedRequests.ts
@@ -1,9 +1,7 @@
 /**
- * Gives back the limits of requests that have ended. Requests end in many parts of the reducer;
- * rather than have each of them remember this, one place compares with the requests that are
- * still there: at once for the request an event is about, and for all of them on each tick that
- * is a second after the last one. A limit held for an ended request would otherwise be lost until
- * the process restarts.
+ * Releases the concurrency limits of requests that have ended. Requests end in many parts of the
+ * reducer, so it is done in one place: after each event for the request of the event, and every
+ * second for all requests. A limit that is not released would be lost until the process restarts.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 import { pruneEndedAttempts } from '../backendServers/observeAttempt.js';
@@ -13,7 +11,9 @@
 
 const SWEEP_MILLISECONDS: Milliseconds = 1000;
 
-/** The request that an event is about, to be asked before the event is handled. */
+/**
+ * The request of an event; must be called before the event is handled, which may end the attempt.
+ */
 export function requestIdOf(state: EntryState, event: EntryEvent): string | undefined {
   if ('requestId' in event) return event.requestId;
   if ('attemptId' in event) return state.attempts.get(event.attemptId)?.requestId;
--- a/packages/entry-core/src/limits/testing/AllowanceSimulation.ts
+++ b/packages/entry-core/src/limits/testing/AllowanceSimulation.ts
@@ -1,7 +1,7 @@
 /**
- * Several ledgers that tell each other what they spend over a network that delays and loses, in
- * virtual time, with entries that are killed and data centres that are cut off. It counts what was let
- * through in any window, from outside.
+ * Simulates several entries that share an allowance, in virtual time: a network that delays and
+ * loses reports, entries that crash, power losses and partitions. It counts independently of the
+ * limiters what was allowed in any window.
  */
 import type {
   Allowance,
@@ -19,9 +19,9 @@
 interface Entry {
   limiter: AllowanceLimiter;
   incarnation: number;
-  /** The side of a network partition that it is on. */
+  /** The side of a network partition that the entry is on. */
   partition: number;
-  /** Undefined while it runs. */
+  /** Undefined while the entry runs. */
   downUntil: Milliseconds | undefined;
 }
 
@@ -31,26 +31,26 @@
   deliver(limiter: AllowanceLimiter): void;
 }
 
-/** One request that was let through. */
+/** A request that was allowed. */
 export interface AllowedRequest {
   readonly at: Milliseconds;
   readonly amount: number;
 }
 
-/** What a trial may replace: by default the real ledger, and a network of 3 ms. */
+/** What a test may replace; by default the real limiter and a network without losses. */
 export interface AllowanceSimulationOptions {
   readonly makeLimiter: () => AllowanceLimiter;
   /** Delay of a message. */
   readonly delay: () => Milliseconds;
-  /** True while stores are down: nothing is told, and an entry that starts has no configuration. */
+  /** True while stores are down: no report is delivered, and entries that restart stay down. */
   readonly isOutage: () => boolean;
-  /** True if stores keep on disk what entries report, and tell it to those that start. */
+  /** True if stores persist what entries report, and send it to those that start. */
   readonly isPersisted: boolean;
 }
 
 const MESSAGE_DELAY_MILLISECONDS: Milliseconds = 3;
 
-/** Stores write so often. */
+/** How often stores write to disk. */
 const PERSIST_INTERVAL_MILLISECONDS: Milliseconds = 250;
 
 const defaultOptions: AllowanceSimulationOptions = {
@@ -69,9 +69,10 @@
 
   private messages: Message[] = [];
 
-  /** What the stores have on disk; undefined if they keep nothing. */
+  /** What the stores have on disk. */
   private persisted: RememberedSpending | undefined;
 
+  /** What the stores have in memory. */
   private stored: RememberedSpending | undefined;
 
   private readonly totals = new Map<string, EntrySpending>();
@@ -92,12 +93,12 @@
     }));
   }
 
-  /** Lets time pass, a millisecond a step; reports and messages come when they are due. */
+  /** Advances the time in steps of a millisecond; reports are sent and delivered when due. */
   advance(span: Milliseconds): void {
     for (const end = this.now + span; this.now < end; this.now += 1) this.step();
   }
 
-  /** Asks an entry for an amount, and spends it if that is allowed. */
+  /** Spends an amount at an entry if its limiter allows it; undefined while the entry is down. */
   trySpend(number: number, amount: number): AllowanceDecision | undefined {
     const entry = this.entries[number % this.entries.length];
     if (entry === undefined || entry.downUntil !== undefined) return undefined;
@@ -114,7 +115,7 @@
     if (entry !== undefined) entry.downUntil = this.now + duration;
   }
 
-  /** Takes all down together, and the stores with them: these come back with what is on their disks. */
+  /** Stops all entries and stores together; the stores restart with what is on their disks. */
   losePower(duration: Milliseconds): void {
     this.entries.forEach((_, number) => this.kill(number, duration));
     this.stored = this.options.isPersisted ? this.persisted : undefined;
@@ -125,15 +126,16 @@
   }
 
   /**
-   * Puts an entry on a side; messages pass only within one. Side 0 has the quorum of stores: an entry
-   * that starts elsewhere is told no configuration, and serves nothing until it is back.
+   * Moves an entry to one side of a network partition; reports are delivered only within a side.
+   * Side 0 has the quorum of stores: an entry that restarts elsewhere stays down until it is moved
+   * back.
    */
   setPartition(number: number, partition: number): void {
     const entry = this.entries[number % this.entries.length];
     if (entry !== undefined) entry.partition = partition;
   }
 
-  /** The most that was let through in any window. */
+  /** The largest amount allowed in any window. */
   maxInWindow(): number {
     let max = 0;
     let total = 0;
@@ -153,7 +155,7 @@
     return max;
   }
 
-  /** What was let through from one moment on until before another. */
+  /** The amount allowed from a time on until before another. */
   allowedBetween(from: Milliseconds, to: Milliseconds): number {
     return this.allowedRequests
       .filter(({ at }) => at >= from && at < to)
@@ -216,12 +218,12 @@
       entries: limiter.entryCount,
     };
     this.storeReport(number, report);
-    // The stores keep the window to themselves, but for entries that start.
+    // Stores relay reports without the window, and send the window only to entries that start.
     const { windowSpent, windowReach, ...withoutWindow } = report;
     this.broadcast(number, (other) => other.receive(withoutWindow, this.now));
   }
 
-  /** A store keeps the word of those that know most of the window. */
+  /** Stores the report of the entry that knows most of the window. */
   private storeReport(number: number, report: EntryReport): void {
     if (this.entries[number]?.partition !== 0 || this.options.isOutage()) return;
     const { windowSpent = {}, windowReach = 0, spent = {}, instance, incarnation } = report;
--- a/packages/entry-core/src/membership/MembershipState.ts
+++ b/packages/entry-core/src/membership/MembershipState.ts
@@ -5,18 +5,18 @@
 export interface PeerState {
   readonly report: EntryReport;
   readonly receivedAt: MonotonicMilliseconds;
-  /** False once it has been silent for too long. */
+  /** False once its reports have timed out. */
   live: boolean;
 }
 
 export interface MembershipState {
   /** By the peer's instance. */
   readonly peers: Map<string, PeerState>;
-  /** Number of this entry's last report. */
+  /** Sequence number of this entry's last report. */
   sequence: number;
-  /** When the next report is due; 0 asks for one with the next tick. */
+  /** When the next report is due; 0 for the next tick. */
   reportDueAt: MonotonicMilliseconds;
-  /** Wall clock less monotonic clock, as of the last tick. */
+  /** Wall clock minus monotonic clock, as of the last tick. */
   wallOffset: Milliseconds;
 }
 
--- a/packages/entry-core/src/membership/advanceReports.ts
+++ b/packages/entry-core/src/membership/advanceReports.ts
@@ -1,6 +1,6 @@
 /**
- * This entry's own report to its peers: once a second, and with the next tick when something
- * that cannot wait was learnt here, such as a reclaim notice.
+ * Sends this entry's report to its peers: once a second, and with the next tick when there is
+ * something that cannot wait, such as a reclaim notice.
  */
 import type { EntryReport, LearntDelay, PeerSuspect } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -68,7 +68,7 @@
   return delays;
 }
 
-/** What only a configuration with workspaces of its own has a use for. */
+/** Fields that are reported only where the configuration has a workspaces table. */
 function describeWorkspaceUsage(
   state: EntryState,
 ): Pick<
@@ -104,7 +104,7 @@
   };
 }
 
-/** Has the next tick send a report instead of waiting for the second to pass. */
+/** Makes the next tick send a report instead of waiting for the interval to pass. */
 export function reportSoon(state: EntryState): void {
   state.membership.reportDueAt = 0;
 }
--- a/packages/entry-core/src/membership/livePeers.ts
+++ b/packages/entry-core/src/membership/livePeers.ts
@@ -1,20 +1,22 @@
 /**
- * Which other entries count as live: heard from lately, and not leaving.
+ * Determines which other entries are live: those whose reports have not timed out and that are not
+ * leaving.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 import type { PeerState } from './MembershipState.js';
 
-/** A peer that was silent for so long is not counted live: three reports were lost. */
+/** A peer is not live after three missed reports. */
 export const PEER_TIMEOUT_MILLISECONDS = 3000;
 
-/** What a silent peer told is forgotten after this. */
+/** A peer that has not reported for this long is removed. */
 const PEER_EXPIRY_MILLISECONDS = 600_000;
 
 export function livePeers(state: EntryState): PeerState[] {
   return [...state.membership.peers.values()].filter(({ live, report }) => live && !report.leaving);
 }
 
+/** Updates which peers are live, and removes expired ones. */
 export function updatePeerLiveness(state: EntryState, now: MonotonicMilliseconds): void {
   state.membership.peers.forEach((peer, instance) => {
     const sinceLastReport = now - peer.receivedAt;
--- a/packages/entry-core/src/membership/membership.test.ts
+++ b/packages/entry-core/src/membership/membership.test.ts
@@ -21,9 +21,9 @@
   return livePeers(cluster.entry.state).map((peer) => peer.report.instance);
 }
 
-// Operators see the peer as live until it has missed three reports. An entry that dies says nothing, so
-// its silence is all there is to go by; when it reports again it counts at once.
-test('a peer that falls silent is not counted live', () => {
+// Guards against a crashed peer that stays live after three missed reports, and against a peer that
+// is not live again immediately when it reports.
+test('a peer that stops reporting is not live', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 1 }, entries: 2 });
   cluster.advance(2000);
   assert.deepEqual(livePeerNames(cluster), ['entry-2']);
@@ -35,8 +35,8 @@
   assert.deepEqual(livePeerNames(cluster), ['entry-2']);
 });
 
-// Reports overtake each other and are repeated. An older one must not bring back what a newer one has
-// taken away, and those of a restarted peer start again at a low sequence but count.
+// Guards against an old report that replaces a newer one, and against ignoring the reports of a
+// restarted peer, whose sequence starts again.
 test('only newer reports count', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 1 } });
   const { entry } = cluster;
@@ -52,9 +52,9 @@
   assert.deepEqual(livePeerNames(cluster), []);
 });
 
-// Callers of a stopping entry see whole answers. It still serves those that the balancer sends within its
-// delay, tells its peers at once that it leaves, and is ready to exit when nothing is in progress.
-test('a graceful stop under load cuts nothing', () => {
+// Guards against incomplete answers during a graceful shutdown: the entry still serves what the
+// load balancer sends within its delay, and reports to its peers immediately that it leaves.
+test('a graceful shutdown under load interrupts no answer', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 2 }, entries: 2 });
   for (let number = 1; number <= 20; number += 1) {
     cluster.entry.submitRequest(makeRequest(`request-${number}`));
@@ -80,9 +80,9 @@
   assert.equal(cluster.entry.log.filter((line) => line.includes('shutdownReady')).length, 1);
 });
 
-// The caller of a stream too long for the platform's limit sees an error event, never a cut that looks
-// complete, with what it has so far and when to come back. The entry ends inside the limit.
-test('a stop at the limit hands callers a resumable end', () => {
+// Guards against a stream that ends as if complete when the platform's time limit for a shutdown is
+// reached: its caller must get an error event instead.
+test('a shutdown at its time limit ends streams with an error', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 2 } });
   const caller = cluster.entry.submitRequest(makeRequest('long', { maxTokens: 2000 }));
   cluster.advance(500);
--- a/packages/entry-core/src/membership/receivePeerReport.ts
+++ b/packages/entry-core/src/membership/receivePeerReport.ts
@@ -1,6 +1,6 @@
 /**
- * Takes in a peer's report. Reports can be lost, repeated and overtake each other; only one that is
- * newer by incarnation and sequence counts.
+ * Handles the report of another entry. Reports can be lost, repeated and reordered; only one that
+ * is newer by incarnation and sequence counts.
  */
 import type { EntryReport } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
--- a/packages/entry-core/src/membership/restart.test.ts
+++ b/packages/entry-core/src/membership/restart.test.ts
@@ -1,6 +1,6 @@
 /**
- * All entries have lost power in the middle of a rush and are back: callers who have waited come at
- * once, and what the entries knew of engines is gone with their memory.
+ * Restart of all entries after a power loss under load: waiting callers arrive together, and the
+ * entries have lost what they knew of engines.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -55,9 +55,9 @@
   );
 }
 
-// Callers come before the entry has its configuration, and are all admitted in the moment it comes. Each
-// was placed as if the others were not there: four long prompts stood one behind the other at one engine.
-test('callers who have waited for the configuration are spread over the engines', () => {
+// Guards against placing each request as if the others were not there, where all are admitted when
+// the configuration arrives: long prompts would queue at one engine.
+test('requests that have waited for the configuration are spread over the engines', () => {
   const state = makeEntry();
   listEngines(state);
   ENGINES.forEach((_, number) => arrive(state, `request-${number}`));
@@ -65,8 +65,8 @@
   assert.deepEqual([...targets].sort(), ENGINES);
 });
 
-// A prompt whose shared part an engine has computed is sent to another one, and computed anew there.
-test('what a store remembers of cached prefixes and delays is taken over', () => {
+// Guards against sending a prompt to an engine that does not have its shared prefix cached.
+test('cached prefixes and delays that a store has persisted are restored', () => {
   const state = makeEntry();
   const computed = { 'engine-2': ['terms'] };
   const delay = { samples: 100, meanX: 5000, meanY: 150, meanXX: 30e6, meanXY: 850_000 };
--- a/packages/entry-core/src/membership/restorePersistedState.ts
+++ b/packages/entry-core/src/membership/restorePersistedState.ts
@@ -1,4 +1,4 @@
-/** Takes over what a store has kept of what entries knew, at a start. */
+/** Restores, at startup, what a store has persisted of the state of entries. */
 import type { MonotonicMilliseconds, RememberedEntries } from '@hornbeampond/schema';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
 import { getPoolState } from '../backendServers/getPoolState.js';
@@ -22,7 +22,9 @@
   state.backendServers.forEach((server) => restoreCachedPrefixes(state, server, now));
 }
 
-/** Believes what was computed at a backend server once it is listed: the list may come later. */
+/**
+ * Restores the cached prefixes of a backend server once it is listed, which may be after the start.
+ */
 export function restoreCachedPrefixes(
   state: EntryState,
   server: BackendServerState,
