--- a/packages/entry-core/src/limits/AllowanceLimiter.ts
+++ b/packages/entry-core/src/limits/AllowanceLimiter.ts
@@ -337,9 +337,9 @@
     const limit =
       historyLength < windowMilliseconds ? Math.min(fullLimit, recoveryLimit) : fullLimit;
     const fraction = this.reachableFraction(now);
-    const isExact =
+    const isSpendingKnown =
       fraction === 1 && historyLength >= windowMilliseconds && !this.isAnyReportOverdue(now);
-    return limit * fraction + (isExact ? tolerated * NORMAL_FRACTION_OF_TOLERANCE : 0);
+    return limit * fraction + (isSpendingKnown ? tolerated * NORMAL_FRACTION_OF_TOLERANCE : 0);
   }
 
   /**
--- a/packages/entry-core/src/limits/ConcurrencyLimiter.ts
+++ b/packages/entry-core/src/limits/ConcurrencyLimiter.ts
@@ -72,8 +72,9 @@
   receive(report: EntryReport, now: MonotonicMilliseconds): void {
     const previous = this.peers.get(report.instance)?.report;
     if (previous !== undefined) {
-      const age = report.incarnation - previous.incarnation || report.sequence - previous.sequence;
-      if (age <= 0) return;
+      const difference =
+        report.incarnation - previous.incarnation || report.sequence - previous.sequence;
+      if (difference <= 0) return;
     }
     this.peers.set(report.instance, { report, lastSeenAt: now });
     this.seenPeers.add(report.instance);
--- a/packages/entry-core/src/limits/allowanceFloods.test.ts
+++ b/packages/entry-core/src/limits/allowanceFloods.test.ts
@@ -57,9 +57,9 @@
 
   private send(amount: number): void {
     // Six in ten requests go to the same entry.
-    const number = this.draw() < 0.6 ? 0 : Math.floor(this.draw() * ENTRY_COUNT);
+    const index = this.draw() < 0.6 ? 0 : Math.floor(this.draw() * ENTRY_COUNT);
     this.sentCount += 1;
-    const decision = this.simulation.trySpend(number, amount);
+    const decision = this.simulation.trySpend(index, amount);
     if (decision?.type !== 'exceeded') return;
     this.refusedAmount += amount;
     if (decision.facts.bound === 'part') this.refusedForQuota += 1;
@@ -114,9 +114,9 @@
   simulation.advance(10_000);
   const callers = new Callers(simulation, 160_000, 11);
   callers.run(6000);
-  [1, 2].forEach((number) => simulation.setPartition(number, 1));
+  [1, 2].forEach((index) => simulation.setPartition(index, 1));
   callers.run(9000);
-  [1, 2].forEach((number) => simulation.setPartition(number, 0));
+  [1, 2].forEach((index) => simulation.setPartition(index, 0));
   callers.run(12_000);
   const max = simulation.maxInWindow();
   assert.ok(max <= MAX_ACCEPTED_IN_WINDOW, `${max} of ${MAX_ACCEPTED_IN_WINDOW}`);
@@ -180,7 +180,7 @@
   step: Milliseconds = 50,
 ): void {
   for (const end = simulation.now + span; simulation.now < end; simulation.advance(step)) {
-    for (let number = 0; number < ENTRY_COUNT; number += 1) simulation.trySpend(number, amount);
+    for (let index = 0; index < ENTRY_COUNT; index += 1) simulation.trySpend(index, amount);
   }
 }
 
--- a/packages/entry-core/src/limits/testing/AllowanceSimulation.ts
+++ b/packages/entry-core/src/limits/testing/AllowanceSimulation.ts
@@ -99,25 +99,25 @@
   }
 
   /** Spends an amount at an entry if its limiter allows it; undefined while the entry is down. */
-  trySpend(number: number, amount: number): AllowanceDecision | undefined {
-    const entry = this.entries[number % this.entries.length];
+  trySpend(index: number, amount: number): AllowanceDecision | undefined {
+    const entry = this.entries[index % this.entries.length];
     if (entry === undefined || entry.downUntil !== undefined) return undefined;
     const decision = entry.limiter.check(WORKSPACE, this.allowance, amount, this.now);
     if (decision.type === 'exceeded') return decision;
     this.allowedRequests.push({ at: this.now, amount });
     if (entry.limiter.spend(WORKSPACE, this.allowance, amount, this.now))
-      this.broadcastSpending(number, entry);
+      this.broadcastSpending(index, entry);
     return decision;
   }
 
-  kill(number: number, duration: Milliseconds): void {
-    const entry = this.entries[number % this.entries.length];
+  kill(index: number, duration: Milliseconds): void {
+    const entry = this.entries[index % this.entries.length];
     if (entry !== undefined) entry.downUntil = this.now + duration;
   }
 
   /** Stops all entries and stores together; the stores restart with what is on their disks. */
   losePower(duration: Milliseconds): void {
-    this.entries.forEach((_, number) => this.kill(number, duration));
+    this.entries.forEach((_, index) => this.kill(index, duration));
     this.stored = this.options.isPersisted ? this.persisted : undefined;
     this.totals.clear();
     Object.entries(this.stored?.entries ?? {}).forEach(([name, entry]) => {
@@ -130,8 +130,8 @@
    * Side 0 has the quorum of stores: an entry that restarts elsewhere stays down until it is moved
    * back.
    */
-  setPartition(number: number, partition: number): void {
-    const entry = this.entries[number % this.entries.length];
+  setPartition(index: number, partition: number): void {
+    const entry = this.entries[index % this.entries.length];
     if (entry !== undefined) entry.partition = partition;
   }
 
@@ -164,12 +164,12 @@
 
   private step(): void {
     if (this.now % PERSIST_INTERVAL_MILLISECONDS === 0) this.persisted = this.stored;
-    this.entries.forEach((entry, number) => {
+    this.entries.forEach((entry, index) => {
       const isDue = entry.downUntil !== undefined && entry.downUntil <= this.now;
-      if (isDue && entry.partition === 0 && !this.options.isOutage()) this.restart(number, entry);
-      const phase = Math.floor((number * REPORT_INTERVAL_MILLISECONDS) / this.entries.length);
+      if (isDue && entry.partition === 0 && !this.options.isOutage()) this.restart(index, entry);
+      const phase = Math.floor((index * REPORT_INTERVAL_MILLISECONDS) / this.entries.length);
       if (entry.downUntil === undefined && this.now % REPORT_INTERVAL_MILLISECONDS === phase) {
-        this.broadcastReport(number, entry);
+        this.broadcastReport(index, entry);
       }
     });
     const due = this.messages.filter(({ at }) => at <= this.now);
@@ -180,15 +180,15 @@
     });
   }
 
-  private restart(number: number, entry: Entry): void {
+  private restart(index: number, entry: Entry): void {
     entry.limiter = this.options.makeLimiter();
     entry.incarnation += 1;
     entry.downUntil = undefined;
     const { stored } = this;
     if (stored !== undefined) {
-      entry.limiter.restore(stored, `entry-${number}`, this.now, this.now);
+      entry.limiter.restore(stored, `entry-${index}`, this.now, this.now);
     }
-    this.broadcastReport(number, entry);
+    this.broadcastReport(index, entry);
   }
 
   private broadcast(from: number, deliver: (limiter: AllowanceLimiter) => void): void {
@@ -200,10 +200,10 @@
     });
   }
 
-  private broadcastReport(number: number, { limiter, incarnation }: Entry): void {
+  private broadcastReport(index: number, { limiter, incarnation }: Entry): void {
     const report: EntryReport = {
       type: 'entryReport',
-      instance: `entry-${number}`,
+      instance: `entry-${index}`,
       dataCentre: 'a',
       incarnation,
       sequence: this.now,
@@ -217,15 +217,15 @@
       windowReach: limiter.historyLength(this.now),
       entries: limiter.entryCount,
     };
-    this.storeReport(number, report);
+    this.storeReport(index, report);
     // Stores relay reports without the window, and send the window only to entries that start.
     const { windowSpent, windowReach, ...withoutWindow } = report;
-    this.broadcast(number, (other) => other.receive(withoutWindow, this.now));
+    this.broadcast(index, (other) => other.receive(withoutWindow, this.now));
   }
 
   /** Stores the report of the entry that knows most of the window. */
-  private storeReport(number: number, report: EntryReport): void {
-    if (this.entries[number]?.partition !== 0 || this.options.isOutage()) return;
+  private storeReport(index: number, report: EntryReport): void {
+    if (this.entries[index]?.partition !== 0 || this.options.isOutage()) return;
     const { windowSpent = {}, windowReach = 0, spent = {}, instance, incarnation } = report;
     this.totals.set(instance, { incarnation, spent });
     const { stored } = this;
@@ -236,17 +236,17 @@
     this.stored = { at: this.now, windowSpent, windowReach, entries };
   }
 
-  private broadcastSpending(number: number, { limiter, incarnation }: Entry): void {
+  private broadcastSpending(index: number, { limiter, incarnation }: Entry): void {
     const spending: SpendingReport = {
       type: 'spendingReport',
-      instance: `entry-${number}`,
+      instance: `entry-${index}`,
       incarnation,
       spent: limiter.reportTotal(WORKSPACE),
       leaving: false,
     };
     const { instance } = spending;
-    const isConnected = this.entries[number]?.partition === 0 && !this.options.isOutage();
+    const isConnected = this.entries[index]?.partition === 0 && !this.options.isOutage();
     if (isConnected) this.totals.set(instance, { incarnation, spent: spending.spent });
-    this.broadcast(number, (other) => other.receiveSpending(spending, this.now));
+    this.broadcast(index, (other) => other.receiveSpending(spending, this.now));
   }
 }
--- a/packages/entry-core/src/membership/restart.test.ts
+++ b/packages/entry-core/src/membership/restart.test.ts
@@ -75,6 +75,6 @@
   listEngines(state);
   configure(state);
   assert.deepEqual(targetsOf(arrive(state, 'request', ['terms', 'terms/own'])), ['engine-2']);
-  const { firstTokenRegression: firstToken } = state.poolStates.get('engines') ?? {};
-  assert.equal(Math.round(firstToken?.predict(5000) ?? 0), 150);
+  const { firstTokenRegression } = state.poolStates.get('engines') ?? {};
+  assert.equal(Math.round(firstTokenRegression?.predict(5000) ?? 0), 150);
 });
