--- a/packages/entry-core/src/limits/AllowanceLimiter.ts
+++ b/packages/entry-core/src/limits/AllowanceLimiter.ts
@@ -1,9 +1,9 @@
 /**
  * Limits what a workspace may spend at all entries together: in any window at most its rate times
- * the length of the window, plus a burst. Each entry adds what the others report, once a second and
- * immediately near the limit, to its own spending. Until it is reported, spending is held to an
- * equal share per entry of the remaining allowance and tolerance, so that all entries together stay
- * within limit and tolerance.
+ * the length of the window, plus a burst. Each entry counts its own spending and adds what the
+ * others report, once a second and immediately near the limit. Spending that is not reported yet is
+ * limited to an equal share per entry of the remaining allowance and tolerance, so that all entries
+ * together stay within limit and tolerance.
  */
 import type {
   Allowance,
@@ -38,8 +38,8 @@
 const MAX_REPORT_INTERVAL_MILLISECONDS: Milliseconds = 1200;
 
 /**
- * Largest fraction of the remaining allowance for an entry that has just started and cannot count the
- * others yet.
+ * Largest fraction of the remaining allowance for an entry that has just started and cannot count
+ * the others yet.
  */
 const MAX_STARTUP_FRACTION_OF_ALLOWANCE = 0.1;
 
--- a/packages/entry-core/src/limits/ConcurrencyLimiter.test.ts
+++ b/packages/entry-core/src/limits/ConcurrencyLimiter.test.ts
@@ -103,8 +103,8 @@
   }
 }
 
-// Guards against entries that each take all free capacity: together they may exceed the limit only
-// by the rounding of n - 1. It must also be used whole.
+// Guards against entries that together exceed the limit by more than the rounding of n - 1, and
+// against a limit that is not fully used.
 test('entries that reach each other use the whole limit and keep to it', () => {
   for (const limit of [1, 3, 10, 100]) {
     for (const entries of [1, 2, 5, 8]) {
--- a/packages/entry-core/src/limits/checkAllowance.ts
+++ b/packages/entry-core/src/limits/checkAllowance.ts
@@ -6,7 +6,7 @@
 import { routeIndexOf } from '../routing/routeIndexOf.js';
 import type { SpendingFacts } from './AllowanceLimiter.js';
 
-/** Where spending leaves the window slowly, refused callers retry after this long at the latest. */
+/** Longest retry delay, however slowly spending leaves the window. */
 const MAX_RETRY_AFTER_MILLISECONDS: Milliseconds = 10_000;
 
 function allowanceOf(state: EntryState, workspace: string): Allowance | undefined {
@@ -46,7 +46,8 @@
 }
 
 /**
- * Spends the allowance for an admitted request, and reports it to other entries where it must be.
+ * Spends the allowance for an admitted request; near the limit, this is reported to the other
+ * entries immediately.
  */
 export function spendAllowance(state: EntryState, accepted: RequestState): EntryEffect[] {
   const { workspace } = accepted.request;
--- a/packages/entry-core/src/limits/releaseEndedRequests.ts
+++ b/packages/entry-core/src/limits/releaseEndedRequests.ts
@@ -12,7 +12,8 @@
 const SWEEP_MILLISECONDS: Milliseconds = 1000;
 
 /**
- * The request of an event; must be called before the event is handled, which may end the attempt.
+ * Finds the request that an event concerns. Call it before the event is handled, which may remove
+ * the attempt.
  */
 export function requestIdOf(state: EntryState, event: EntryEvent): string | undefined {
   if ('requestId' in event) return event.requestId;
