--- a/packages/entry-core/src/membership/membership.test.ts
+++ b/packages/entry-core/src/membership/membership.test.ts
@@ -74,8 +74,7 @@
   const refused = tooLate.finalAnswers[0];
   assert.equal(refused?.type === 'problem' && refused.kind, 'draining');
   assert.equal(
-    cluster.callers().filter(({ finalAnswers }) => finalAnswers[0]?.type === 'whole')
-      .length,
+    cluster.callers().filter(({ finalAnswers }) => finalAnswers[0]?.type === 'whole').length,
     21,
   );
   assert.equal(cluster.entry.log.filter((line) => line.includes('shutdownReady')).length, 1);
