--- a/packages/entry-core/src/limits/checkAllowance.ts
+++ b/packages/entry-core/src/limits/checkAllowance.ts
@@ -1,4 +1,4 @@
-/** The allowance of a workspace as admission asks for it and spends it. */
+/** Checks and spends the allowance of a workspace for admission. */
 import type { Allowance, Milliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
@@ -6,8 +6,8 @@
 import { routeIndexOf } from '../routing/routeIndexOf.js';
 import type { SpendingFacts } from './AllowanceLimiter.js';
 
-/** A bucket that fills slowly is looked at again after this long by callers that came too early. */
-const LONGEST_RETRY_MILLISECONDS: Milliseconds = 10_000;
+/** Longest retry delay, however slowly spending leaves the window. */
+const MAX_RETRY_AFTER_MILLISECONDS: Milliseconds = 10_000;
 
 function allowanceOf(state: EntryState, workspace: string): Allowance | undefined {
   const allowance = routeIndexOf(state).workspace(workspace)?.allowance;
@@ -18,13 +18,13 @@
   return unit === 'tokens' ? (request.countedTokens ?? plainTokens) : 1;
 }
 
-/** Why a request is beyond its workspace's allowance, and when to come back. */
+/** Why a request exceeds its workspace's allowance, and when to retry. */
 export interface AllowanceExceeded {
   readonly retryAfterMilliseconds: Milliseconds;
   readonly facts: SpendingFacts;
 }
 
-/** Says if the request is beyond its workspace's allowance; undefined if it is not. */
+/** Returns undefined if the request is within its workspace's allowance. */
 export function checkAllowance(
   state: EntryState,
   accepted: RequestState,
@@ -33,22 +33,31 @@
   const allowance = allowanceOf(state, workspace);
   if (allowance === undefined) return undefined;
   const amount = amountOf(accepted, allowance);
-  const asked = state.limits.allowanceLimiter.check(workspace, allowance, amount, state.clocks.now);
-  if (asked.type === 'allowed') return undefined;
-  const { facts } = asked;
-  const wait = Math.min(asked.retryAfterMilliseconds, LONGEST_RETRY_MILLISECONDS);
+  const decision = state.limits.allowanceLimiter.check(
+    workspace,
+    allowance,
+    amount,
+    state.clocks.now,
+  );
+  if (decision.type === 'allowed') return undefined;
+  const { facts } = decision;
+  const wait = Math.min(decision.retryAfterMilliseconds, MAX_RETRY_AFTER_MILLISECONDS);
   return { retryAfterMilliseconds: wait, facts };
 }
 
+/**
+ * Spends the allowance for an admitted request; near the limit, this is reported to the other
+ * entries immediately.
+ */
 export function spendAllowance(state: EntryState, accepted: RequestState): EntryEffect[] {
   const { workspace } = accepted.request;
   const allowance = allowanceOf(state, workspace);
   if (allowance === undefined) return [];
-  const { allowanceLimiter: allowances } = state.limits;
+  const { allowanceLimiter } = state.limits;
   const amount = amountOf(accepted, allowance);
-  if (!allowances.spend(workspace, allowance, amount, state.clocks.now)) return [];
+  if (!allowanceLimiter.spend(workspace, allowance, amount, state.clocks.now)) return [];
   const { instance, incarnation } = state.identity;
-  const spent = allowances.reportTotal(workspace);
+  const spent = allowanceLimiter.reportTotal(workspace);
   const leaving = state.shutdown.started;
   const spending = { type: 'spendingReport', instance, incarnation, spent, leaving } as const;
   return [{ type: 'tellSpending', spending }];
--- a/packages/entry-core/src/limits/releaseEndedRequests.ts
+++ b/packages/entry-core/src/limits/releaseEndedRequests.ts
@@ -1,9 +1,7 @@
 /**
- * Gives back the limits of requests that have ended. Requests end in many parts of the reducer;
- * rather than have each of them remember this, one place compares with the requests that are
- * still there: at once for the request an event is about, and for all of them on each tick that
- * is a second after the last one. A limit held for an ended request would otherwise be lost until
- * the process restarts.
+ * Releases the concurrency limits of requests that have ended. Requests end in many parts of the
+ * reducer, so it is done in one place: after each event for the request of the event, and every
+ * second for all requests. A limit that is not released would be lost until the process restarts.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 import { pruneEndedAttempts } from '../backendServers/observeAttempt.js';
@@ -13,14 +11,17 @@
 
 const SWEEP_MILLISECONDS: Milliseconds = 1000;
 
-/** The request that an event is about, to be asked before the event is handled. */
+/**
+ * Finds the request that an event concerns. Call it before the event is handled, which may remove
+ * the attempt.
+ */
 export function requestIdOf(state: EntryState, event: EntryEvent): string | undefined {
   if ('requestId' in event) return event.requestId;
   if ('attemptId' in event) return state.attempts.get(event.attemptId)?.requestId;
   return undefined;
 }
 
-function release(state: EntryState, requestId: string): void {
+function releaseIfEnded(state: EntryState, requestId: string): void {
   const key = state.limits.keysByRequestId.get(requestId);
   if (key === undefined || state.requests.has(requestId)) return;
   state.limits.keysByRequestId.delete(requestId);
@@ -43,10 +44,10 @@
   event: EntryEvent,
   requestId: string | undefined,
 ): void {
-  if (requestId !== undefined) release(state, requestId);
+  if (requestId !== undefined) releaseIfEnded(state, requestId);
   if (event.type !== 'tick' || event.now - state.limits.sweptAt < SWEEP_MILLISECONDS) return;
   state.limits.sweptAt = event.now;
-  for (const held of [...state.limits.keysByRequestId.keys()]) release(state, held);
+  for (const heldId of [...state.limits.keysByRequestId.keys()]) releaseIfEnded(state, heldId);
   pruneEndedAttempts(state);
   state.limits.concurrencyLimiter.removeExpiredPeers(event.now);
 }
--- a/packages/entry-core/src/limits/testing/AllowanceSimulation.ts
+++ b/packages/entry-core/src/limits/testing/AllowanceSimulation.ts
@@ -1,7 +1,7 @@
 /**
- * Several ledgers that tell each other what they spend over a network that delays and loses, in
- * virtual time, with entries that are killed and data centres that are cut off. It counts what was let
- * through in any window, from outside.
+ * Simulates several entries that share an allowance, in virtual time: a network that delays and
+ * loses reports, entries that crash, power losses and partitions. It counts independently of the
+ * limiters what was allowed in any window.
  */
 import type {
   Allowance,
@@ -14,48 +14,48 @@
 import { AllowanceLimiter, type AllowanceDecision } from '../AllowanceLimiter.js';
 
 const WORKSPACE = 'laden';
-const REPORT_MILLISECONDS: Milliseconds = 1000;
+const REPORT_INTERVAL_MILLISECONDS: Milliseconds = 1000;
 
 interface Entry {
-  ledger: AllowanceLimiter;
+  limiter: AllowanceLimiter;
   incarnation: number;
-  /** The side of a network partition that it is on. */
-  side: number;
-  /** Undefined while it runs. */
+  /** The side of a network partition that the entry is on. */
+  partition: number;
+  /** Undefined while the entry runs. */
   downUntil: Milliseconds | undefined;
 }
 
 interface Message {
   readonly at: Milliseconds;
   readonly to: number;
-  deliver(ledger: AllowanceLimiter): void;
+  deliver(limiter: AllowanceLimiter): void;
 }
 
-/** One request that was let through. */
-export interface Passed {
+/** A request that was allowed. */
+export interface AllowedRequest {
   readonly at: Milliseconds;
   readonly amount: number;
 }
 
-/** What a trial may replace: by default the real ledger, and a network of 3 ms. */
+/** What a test may replace; by default the real limiter and a network without losses. */
 export interface AllowanceSimulationOptions {
   readonly makeLimiter: () => AllowanceLimiter;
   /** Delay of a message. */
   readonly delay: () => Milliseconds;
-  /** True while stores are down: nothing is told, and an entry that starts has no configuration. */
+  /** True while stores are down: no report is delivered, and entries that restart stay down. */
   readonly isOutage: () => boolean;
-  /** True if stores keep on disk what entries report, and tell it to those that start. */
+  /** True if stores persist what entries report, and send it to those that start. */
   readonly isPersisted: boolean;
 }
 
-const DELAY: Milliseconds = 3;
+const MESSAGE_DELAY_MILLISECONDS: Milliseconds = 3;
 
-/** Stores write so often. */
-const KEPT_MILLISECONDS: Milliseconds = 250;
+/** How often stores write to disk. */
+const PERSIST_INTERVAL_MILLISECONDS: Milliseconds = 250;
 
-const usualParts: AllowanceSimulationOptions = {
+const defaultOptions: AllowanceSimulationOptions = {
   makeLimiter: () => new AllowanceLimiter(),
-  delay: () => DELAY,
+  delay: () => MESSAGE_DELAY_MILLISECONDS,
   isOutage: () => false,
   isPersisted: true,
 };
@@ -63,144 +63,147 @@
 export class AllowanceSimulation {
   now: Milliseconds = 0;
 
-  readonly passed: Passed[] = [];
+  readonly allowedRequests: AllowedRequest[] = [];
 
   private readonly entries: Entry[];
 
   private messages: Message[] = [];
 
-  /** What the stores have on disk; undefined if they keep nothing. */
-  private kept: RememberedSpending | undefined;
+  /** What the stores have on disk. */
+  private persisted: RememberedSpending | undefined;
 
-  private reported: RememberedSpending | undefined;
+  /** What the stores have in memory. */
+  private stored: RememberedSpending | undefined;
 
   private readonly totals = new Map<string, EntrySpending>();
 
-  private readonly parts: AllowanceSimulationOptions;
+  private readonly options: AllowanceSimulationOptions;
 
   constructor(
     count: number,
     private readonly allowance: Allowance,
-    parts: Partial<AllowanceSimulationOptions> = {},
+    options: Partial<AllowanceSimulationOptions> = {},
   ) {
-    this.parts = { ...usualParts, ...parts };
+    this.options = { ...defaultOptions, ...options };
     this.entries = Array.from({ length: count }, () => ({
-      ledger: this.parts.makeLimiter(),
+      limiter: this.options.makeLimiter(),
       incarnation: 1,
-      side: 0,
+      partition: 0,
       downUntil: undefined,
     }));
   }
 
-  /** Lets time pass, a millisecond a step; reports and messages come when they are due. */
+  /** Advances the time in steps of a millisecond; reports are sent and delivered when due. */
   advance(span: Milliseconds): void {
     for (const end = this.now + span; this.now < end; this.now += 1) this.step();
   }
 
-  /** Asks an entry for an amount, and spends it if that is allowed. */
-  trySpend(number: number, amount: number): AllowanceDecision | undefined {
-    const entry = this.entries[number % this.entries.length];
+  /** Spends an amount at an entry if its limiter allows it; undefined while the entry is down. */
+  trySpend(index: number, amount: number): AllowanceDecision | undefined {
+    const entry = this.entries[index % this.entries.length];
     if (entry === undefined || entry.downUntil !== undefined) return undefined;
-    const asked = entry.ledger.check(WORKSPACE, this.allowance, amount, this.now);
-    if (asked.type === 'exceeded') return asked;
-    this.passed.push({ at: this.now, amount });
-    if (entry.ledger.spend(WORKSPACE, this.allowance, amount, this.now)) this.tell(number, entry);
-    return asked;
+    const decision = entry.limiter.check(WORKSPACE, this.allowance, amount, this.now);
+    if (decision.type === 'exceeded') return decision;
+    this.allowedRequests.push({ at: this.now, amount });
+    if (entry.limiter.spend(WORKSPACE, this.allowance, amount, this.now))
+      this.broadcastSpending(index, entry);
+    return decision;
   }
 
-  kill(number: number, down: Milliseconds): void {
-    const entry = this.entries[number % this.entries.length];
-    if (entry !== undefined) entry.downUntil = this.now + down;
+  kill(index: number, duration: Milliseconds): void {
+    const entry = this.entries[index % this.entries.length];
+    if (entry !== undefined) entry.downUntil = this.now + duration;
   }
 
-  /** Takes all down together, and the stores with them: these come back with what is on their disks. */
-  losePower(down: Milliseconds): void {
-    this.entries.forEach((_, number) => this.kill(number, down));
-    this.reported = this.parts.isPersisted ? this.kept : undefined;
+  /** Stops all entries and stores together; the stores restart with what is on their disks. */
+  losePower(duration: Milliseconds): void {
+    this.entries.forEach((_, index) => this.kill(index, duration));
+    this.stored = this.options.isPersisted ? this.persisted : undefined;
     this.totals.clear();
-    Object.entries(this.reported?.entries ?? {}).forEach(([name, entry]) => {
+    Object.entries(this.stored?.entries ?? {}).forEach(([name, entry]) => {
       this.totals.set(name, entry);
     });
   }
 
   /**
-   * Puts an entry on a side; messages pass only within one. Side 0 has the quorum of stores: an entry
-   * that starts elsewhere is told no configuration, and serves nothing until it is back.
+   * Moves an entry to one side of a network partition; reports are delivered only within a side.
+   * Side 0 has the quorum of stores: an entry that restarts elsewhere stays down until it is moved
+   * back.
    */
-  setPartition(number: number, side: number): void {
-    const entry = this.entries[number % this.entries.length];
-    if (entry !== undefined) entry.side = side;
+  setPartition(index: number, partition: number): void {
+    const entry = this.entries[index % this.entries.length];
+    if (entry !== undefined) entry.partition = partition;
   }
 
-  /** The most that was let through in any window. */
+  /** The largest amount allowed in any window. */
   maxInWindow(): number {
-    let most = 0;
-    let sum = 0;
+    let max = 0;
+    let total = 0;
     let first = 0;
-    this.passed.forEach(({ at, amount }) => {
-      sum += amount;
+    this.allowedRequests.forEach(({ at, amount }) => {
+      total += amount;
       for (
-        let oldest = this.passed[first];
+        let oldest = this.allowedRequests[first];
         oldest !== undefined && oldest.at <= at - this.allowance.windowMilliseconds;
-        oldest = this.passed[first]
+        oldest = this.allowedRequests[first]
       ) {
-        sum -= oldest.amount;
+        total -= oldest.amount;
         first += 1;
       }
-      most = Math.max(most, sum);
+      max = Math.max(max, total);
     });
-    return most;
+    return max;
   }
 
-  /** What was let through from one moment on until before another. */
+  /** The amount allowed from a time on until before another. */
   allowedBetween(from: Milliseconds, to: Milliseconds): number {
-    return this.passed
+    return this.allowedRequests
       .filter(({ at }) => at >= from && at < to)
       .reduce((sum, { amount }) => sum + amount, 0);
   }
 
   private step(): void {
-    if (this.now % KEPT_MILLISECONDS === 0) this.kept = this.reported;
-    this.entries.forEach((entry, number) => {
+    if (this.now % PERSIST_INTERVAL_MILLISECONDS === 0) this.persisted = this.stored;
+    this.entries.forEach((entry, index) => {
       const isDue = entry.downUntil !== undefined && entry.downUntil <= this.now;
-      if (isDue && entry.side === 0 && !this.parts.isOutage()) this.restart(number, entry);
-      const phase = Math.floor((number * REPORT_MILLISECONDS) / this.entries.length);
-      if (entry.downUntil === undefined && this.now % REPORT_MILLISECONDS === phase) {
-        this.report(number, entry);
+      if (isDue && entry.partition === 0 && !this.options.isOutage()) this.restart(index, entry);
+      const phase = Math.floor((index * REPORT_INTERVAL_MILLISECONDS) / this.entries.length);
+      if (entry.downUntil === undefined && this.now % REPORT_INTERVAL_MILLISECONDS === phase) {
+        this.broadcastReport(index, entry);
       }
     });
     const due = this.messages.filter(({ at }) => at <= this.now);
     this.messages = this.messages.filter(({ at }) => at > this.now);
     due.forEach(({ to, deliver }) => {
       const entry = this.entries[to];
-      if (entry !== undefined && entry.downUntil === undefined) deliver(entry.ledger);
+      if (entry !== undefined && entry.downUntil === undefined) deliver(entry.limiter);
     });
   }
 
-  private restart(number: number, entry: Entry): void {
-    entry.ledger = this.parts.makeLimiter();
+  private restart(index: number, entry: Entry): void {
+    entry.limiter = this.options.makeLimiter();
     entry.incarnation += 1;
     entry.downUntil = undefined;
-    const { reported } = this;
-    if (reported !== undefined) {
-      entry.ledger.restore(reported, `entry-${number}`, this.now, this.now);
+    const { stored } = this;
+    if (stored !== undefined) {
+      entry.limiter.restore(stored, `entry-${index}`, this.now, this.now);
     }
-    this.report(number, entry);
+    this.broadcastReport(index, entry);
   }
 
-  private send(from: number, deliver: (ledger: AllowanceLimiter) => void): void {
-    const { side } = this.entries[from] ?? {};
+  private broadcast(from: number, deliver: (limiter: AllowanceLimiter) => void): void {
+    const { partition } = this.entries[from] ?? {};
     this.entries.forEach((entry, to) => {
-      const delay = this.parts.delay();
-      if (to === from || entry.side !== side || this.parts.isOutage()) return;
+      const delay = this.options.delay();
+      if (to === from || entry.partition !== partition || this.options.isOutage()) return;
       this.messages.push({ at: this.now + delay, to, deliver });
     });
   }
 
-  private report(number: number, { ledger, incarnation }: Entry): void {
+  private broadcastReport(index: number, { limiter, incarnation }: Entry): void {
     const report: EntryReport = {
       type: 'entryReport',
-      instance: `entry-${number}`,
+      instance: `entry-${index}`,
       dataCentre: 'a',
       incarnation,
       sequence: this.now,
@@ -209,40 +212,41 @@
       inProgress: {},
       leavingBackendServers: {},
       suspects: [],
-      spent: ledger.reportTotals(),
-      windowSpent: ledger.windowSpent(this.now),
-      windowReach: ledger.historyLength(this.now),
-      entries: ledger.entryCount,
+      spent: limiter.reportTotals(),
+      windowSpent: limiter.windowSpent(this.now),
+      windowReach: limiter.historyLength(this.now),
+      entries: limiter.entryCount,
     };
-    this.remember(number, report);
-    // The stores keep the window to themselves, but for entries that start.
-    const { windowSpent, windowReach, ...brief } = report;
-    this.send(number, (other) => other.receive(brief, this.now));
+    this.storeReport(index, report);
+    // Stores relay reports without the window, and send the window only to entries that start.
+    const { windowSpent, windowReach, ...withoutWindow } = report;
+    this.broadcast(index, (other) => other.receive(withoutWindow, this.now));
   }
 
-  /** A store keeps the word of those that know most of the window. */
-  private remember(number: number, report: EntryReport): void {
-    if (this.entries[number]?.side !== 0 || this.parts.isOutage()) return;
+  /** Stores the report of the entry that knows most of the window. */
+  private storeReport(index: number, report: EntryReport): void {
+    if (this.entries[index]?.partition !== 0 || this.options.isOutage()) return;
     const { windowSpent = {}, windowReach = 0, spent = {}, instance, incarnation } = report;
     this.totals.set(instance, { incarnation, spent });
-    const { reported } = this;
-    const isOld = reported === undefined || this.now - reported.at >= 2 * REPORT_MILLISECONDS;
-    if (!isOld && windowReach < reported.windowReach) return;
+    const { stored } = this;
+    const isOutdated =
+      stored === undefined || this.now - stored.at >= 2 * REPORT_INTERVAL_MILLISECONDS;
+    if (!isOutdated && windowReach < stored.windowReach) return;
     const entries = Object.fromEntries(this.totals);
-    this.reported = { at: this.now, windowSpent, windowReach, entries };
+    this.stored = { at: this.now, windowSpent, windowReach, entries };
   }
 
-  private tell(number: number, { ledger, incarnation }: Entry): void {
+  private broadcastSpending(index: number, { limiter, incarnation }: Entry): void {
     const spending: SpendingReport = {
       type: 'spendingReport',
-      instance: `entry-${number}`,
+      instance: `entry-${index}`,
       incarnation,
-      spent: ledger.reportTotal(WORKSPACE),
+      spent: limiter.reportTotal(WORKSPACE),
       leaving: false,
     };
     const { instance } = spending;
-    const isHeard = this.entries[number]?.side === 0 && !this.parts.isOutage();
-    if (isHeard) this.totals.set(instance, { incarnation, spent: spending.spent });
-    this.send(number, (other) => other.receiveSpending(spending, this.now));
+    const isConnected = this.entries[index]?.partition === 0 && !this.options.isOutage();
+    if (isConnected) this.totals.set(instance, { incarnation, spent: spending.spent });
+    this.broadcast(index, (other) => other.receiveSpending(spending, this.now));
   }
 }
