--- a/packages/entry-core/src/backendServers/PoolState.ts
+++ b/packages/entry-core/src/backendServers/PoolState.ts
@@ -77,7 +77,7 @@
   );
 
   /** Time from the start of an attempt to its end at servers that were little filled, by route. */
-  private readonly idleServiceTimes = new Map<string, MovingAverage>();
+  private readonly nonBusyServiceTimes = new Map<string, MovingAverage>();
 
   /** The same at servers that were well filled. */
   private readonly busyServiceTimes = new Map<string, MovingAverage>();
@@ -126,8 +126,8 @@
   estimateServiceTime(route: string): Milliseconds {
     const busy = this.busyServiceTimes.get(route)?.value;
     if (busy !== undefined) return busy;
-    const idle = this.idleServiceTimes.get(route)?.value;
-    return idle === undefined ? PRIOR_SERVICE_TIME_MILLISECONDS : idle * BUSY_SERVICE_TIME_FACTOR;
+    const nonBusy = this.nonBusyServiceTimes.get(route)?.value;
+    return nonBusy === undefined ? PRIOR_SERVICE_TIME_MILLISECONDS : nonBusy * BUSY_SERVICE_TIME_FACTOR;
   }
 
   /** How long an engine computes the prompt of one of the route's requests. */
@@ -145,7 +145,7 @@
   }
 
   recordServiceTime(route: string, sample: Milliseconds, isBusy: boolean): void {
-    const averages = isBusy ? this.busyServiceTimes : this.idleServiceTimes;
+    const averages = isBusy ? this.busyServiceTimes : this.nonBusyServiceTimes;
     const average = averages.get(route) ?? new MovingAverage(PRIOR_SERVICE_TIME_MILLISECONDS);
     average.addSample(sample);
     averages.set(route, average);
