--- a/packages/entry-core/src/backendServers/PeerWork.test.ts
+++ b/packages/entry-core/src/backendServers/PeerWork.test.ts
@@ -14,7 +14,7 @@
 const busy: ServerWork = { inProgress: 2, promptTokens: 5000 };
 const idle: ServerWork = { inProgress: 0, promptTokens: 0 };
 
-test('the work of all peers at a backend server adds up, and goes as they tell', () => {
+test('the work of all peers at a backend server is added up and follows their reports', () => {
   const work = new PeerWork();
   work.applyReport(makeReport('entry-2', { engine: busy }));
   work.applyReport(makeReport('entry-3', { engine: { inProgress: 1, promptTokens: 0 } }));
@@ -24,9 +24,9 @@
   assert.deepEqual(work.workAt('another'), idle);
 });
 
-// An entry is killed with calls in progress and started again. What it told before is gone with it;
-// kept, its engines would look busy for the rest of the day.
-test('the work of an entry that was started anew or fell silent is forgotten', () => {
+// A restarted entry has none of the calls that it reported before. If they were kept, the engines
+// would look busy indefinitely.
+test('the work of a restarted or removed peer is removed', () => {
   const work = new PeerWork();
   work.applyReport(makeReport('entry-2', { engine: busy }));
   work.applyReport(makeReport('entry-2', { other: busy }, 2));
@@ -37,7 +37,7 @@
   assert.deepEqual(work.workAt('other'), idle);
 });
 
-test('what has changed is told together, and no faster at many entries than at few', () => {
+test('changes are reported together, and less often when there are many entries', () => {
   const work = new PeerWork();
   const takeDueReport = (entries: number, now: number) =>
     work.takeDueReport(entries, now, () => busy);
--- a/packages/entry-core/src/backendServers/PrefixHashRing.test.ts
+++ b/packages/entry-core/src/backendServers/PrefixHashRing.test.ts
@@ -37,9 +37,9 @@
   assert.ok(Math.max(...counts.values()) < 200, JSON.stringify([...counts]));
 });
 
-// A server is reclaimed. Its conversations go elsewhere; were all the others to move as well, every
-// cache would be of no use at the moment when capacity is shortest.
-test('only the conversations of a lost server move', () => {
+// If the loss of one server moved the conversations of the others too, all caches would be useless
+// when capacity is lowest.
+test('only the conversations of a removed server move', () => {
   const servers = [1, 2, 3, 4, 5, 6].map(makeServer);
   const ring = new PrefixHashRing();
   ring.setServers(servers);
@@ -51,8 +51,8 @@
   });
 });
 
-// The server is still listed, but rests after failures: the next one on the ring stands in.
-test('a server that rests is no home, and has its conversations back afterwards', () => {
+// An ejected server is still listed, so the ring must skip it.
+test('an ejected server gets no conversations, and gets its own back afterwards', () => {
   const servers = [1, 2, 3].map(makeServer);
   const ring = new PrefixHashRing();
   ring.setServers(servers);
--- a/packages/entry-core/src/backendServers/backendServers.test.ts
+++ b/packages/entry-core/src/backendServers/backendServers.test.ts
@@ -46,7 +46,7 @@
   return pool;
 }
 
-/** Sends one request every so often. */
+/** Sends one request per interval. */
 function sendEvery(harness: EntryHarness, interval: number, until: number): void {
   let number = 0;
   harness.timeline.every(interval, () => {
@@ -74,10 +74,9 @@
   return attempt.instance;
 }
 
-// One of four engines answers every request with an error at once, so it always looks idle.
-// Callers see their answers all the same, since each failed request is tried elsewhere; after
-// three failures in a row the engine is let rest, and is asked again only now and then.
-test('an outlier that fails fast does not draw the work', () => {
+// An engine that answers every request with an error looks idle. It must be ejected and tried again
+// only now and then, and each failed request must be retried on another engine.
+test('an outlier that fails fast does not attract the work', () => {
   const harness = makeHarness();
   harness.failureByInstance.set('engine-2', 'serverError');
   sendEvery(harness, 50, 20 * SECOND);
@@ -89,14 +88,14 @@
     failedFirst <= 0.05 * outcomes.length,
     `${failedFirst} of ${outcomes.length} failed first`,
   );
-  assert.ok(failedFirst > 3, 'it is asked again after a while');
+  assert.ok(failedFirst > 3, 'it is tried again after a while');
 });
 
-// The outlier is mended after ten seconds. Its callers see nothing of it; it gets its share of
-// the work again once its rest is over.
-test('a mended outlier gets work again', () => {
+// After the engine recovers and its ejection has expired, it must get its share of the work again.
+test('a recovered outlier gets work again', () => {
   const harness = makeHarness();
-  // Failed connections are probed, and keep work away before they could make an outlier.
+  // Not a failed connection: that starts a probe, which keeps work away before the engine is
+  // ejected.
   harness.failureByInstance.set('engine-2', 'serverError');
   sendEvery(harness, 50, 60 * SECOND);
   harness.timeline.runUntil(10 * SECOND);
@@ -107,9 +106,9 @@
   assert.ok(inProgressAt(harness, 'engine-2') > 0);
 });
 
-// Whatever fails and however often, callers never find a pool emptied by ejection: at least half
-// of the engines of each group of data centres stay in use, also when others leave meanwhile.
-test('ejection never goes below the floor', () => {
+// Whatever fails, ejection must leave half of the engines of each group in use, also when other
+// engines leave meanwhile.
+test('ejection always leaves half of a group in use', () => {
   const failure = fc.record({
     server: fc.nat({ max: 9 }),
     failure: fc.constantFrom<AttemptFailure>(...attemptFailures),
@@ -143,10 +142,10 @@
   return { prefixDigests, promptTokens: 0 };
 }
 
-// A seller's long prompt has been computed on one engine, and later turns of it follow. They go to
-// the same engine while its cache events are whole. Then an event is lost: it may have said that
-// the prefix was evicted, so the next turn is placed as if nothing were known of that engine.
-test('a gap in the cache events drops what was believed of the engine', () => {
+// Later requests of a conversation follow its cached prompt. A lost cache event may have been an
+// eviction, so after a missing sequence number the engine must no longer count as having the
+// prefix.
+test('a missing cache event invalidates the cached prefixes of the engine', () => {
   const harness = makeHarness();
   const cachedAt = sendAndFindInstance(harness, 'turn-1', ['a', 'b']);
   for (const turn of [2, 3, 4]) {
@@ -162,18 +161,18 @@
       .length > 0;
   sendStored(1);
   sendStored(2);
-  assert.ok(isCached(), 'events without a gap keep it');
+  assert.ok(isCached(), 'consecutive events keep it');
   sendStored(4);
-  assert.ok(!isCached(), 'a gap drops it');
+  assert.ok(!isCached(), 'a missing event invalidates it');
   const next = sendAndFindInstance(harness, 'turn-5', ['a', 'b']);
   assert.ok(isCached());
   const cleared = { instance: next, sequence: 5, change: 'cleared' as const, prefixDigests: [] };
   harness.send({ type: 'cacheEventsReceived', events: [cleared] });
-  assert.ok(!isCached(), 'a cleared cache drops it');
+  assert.ok(!isCached(), 'a cleared cache invalidates it');
 });
 
-// A workspace's system prompt is short and a conversation long. By the number of parts the engine
-// that has only the system prompt would be taken to have half of what the other one has.
+// A system prompt is short and a conversation long. Counted by parts, an engine that has cached
+// only the system prompt would seem to have half of what an engine with the conversation has.
 test('a cached prefix counts by its tokens', () => {
   const harness = makeHarness();
   const cachedAt = sendAndFindInstance(harness, 'turn-1', ['system', 'conversation']);
@@ -191,10 +190,9 @@
   assert.equal(findHolder(['system', 'another', 'turn-3'])?.cachedFraction, 500 / 12_000);
 });
 
-// Callers of two data centres take turns in one conversation. Its long prompt has been computed in
-// the other data centre. Computing it again at home would delay this answer and all that run beside
-// it; the way there and back is far shorter. A prompt that saves less than that way stays at home.
-test('a long prompt goes to the data centre that has computed it', () => {
+// A remote engine that has cached a long prompt must be preferred, because prefilling it again
+// takes longer than the round trip. A short prompt must stay in the local data centre.
+test('a long prompt goes to the data centre that has cached it', () => {
   const harness = makeHarness({
     servers: 2,
     dataCentreOf: (server) => (server === 0 ? 'dc-a' : 'dc-b'),
@@ -217,9 +215,9 @@
   assert.equal(instanceOf('second.1'), 'engine-0');
 });
 
-// Two entries that know nothing of each other's requests get the first turns of one conversation
-// at the same moment. Begun at two engines its prompt would be computed twice, and lie in two caches.
-test('entries begin the same conversation at the same engine', () => {
+// Entries that get the first requests of a conversation at the same time must choose the same
+// engine. Otherwise its prompt is prefilled several times and held in several caches.
+test('all entries start a conversation at the same engine', () => {
   const harness = makeHarness({ entries: 3 });
   const chosenInstances = ['one', 'two', 'three', 'four'].map((conversation) => {
     const request = {
@@ -240,9 +238,9 @@
   assert.ok(new Set(chosenInstances).size > 1, 'not all at one engine');
 });
 
-// A belief that nothing has confirmed for two minutes is let go, as an engine that reports nothing
-// will have evicted the prefix by then.
-test('a belief expires', () => {
+// A prefix that no event has confirmed for two minutes must no longer count as cached: an engine
+// that reports nothing may have evicted it.
+test('a cached prefix expires', () => {
   const harness = makeHarness();
   sendAndFindInstance(harness, 'turn-1', ['a']);
   const isCachedAt = (now: number) =>
@@ -251,10 +249,9 @@
   assert.ok(!isCachedAt(130 * SECOND));
 });
 
-// The engine that has the prefix is full. The caller's next turn waits for it a third of its
-// patience and no longer: then it goes to another engine and pays for the prompt again, and is
-// still in time.
-test('affinity gives way to a full engine', () => {
+// A request waits for the full engine that has cached its prefix, but only for a third of the time
+// it has. Then it must go to another engine and still be in time.
+test('a request goes to another engine if the one with its prefix stays full', () => {
   const harness = makeHarness({ servers: 2 });
   const cachedAt = sendAndFindInstance(harness, 'turn-1', ['a']);
   const other = cachedAt === 'engine-0' ? 'engine-1' : 'engine-0';
@@ -273,9 +270,8 @@
   assert.ok((turn.firstTokenAt ?? Infinity) - turn.arrivedAt <= 2000);
 });
 
-// Twelve sellers begin conversations that share one system prompt, and their answers are long. The
-// engine that has computed the system prompt first does not get them all: what the shared prefix
-// saves is less than a fuller batch costs, so a rush later finds all engines with work and caches.
+// Conversations that share one system prompt must not all go to the engine that has cached it: the
+// shared prefix saves less than a fuller batch costs.
 test('new conversations spread although they share a prefix', () => {
   const harness = makeHarness();
   for (let number = 0; number < 12; number += 1) {
@@ -291,8 +287,8 @@
   assert.ok(Math.min(...loads) >= 1, loads.join());
 });
 
-// A fifth engine comes up in a rush. It gets a little work at once and its full share after ten
-// seconds; callers of the rush are not all sent to an engine that is still warming up.
+// A new engine that looks idle must not get a whole burst of requests while it warms up, and must
+// get its full share after the slow start.
 test('a new engine starts slowly', () => {
   const harness = makeHarness({ servers: 5, speed: slowAnswers });
   harness.listEngines(4);
@@ -310,49 +306,47 @@
   assert.equal(inProgressAt(harness, 'engine-4'), CONCURRENCY);
 });
 
-// One engine computes prompts 25 times slower than its class says, in a rush that needs it. Its
-// first slow answers lower its limit, so later callers are not kept waiting inside it, where no
-// deadline is looked at; when it is well again it gets its share back.
-test('the concurrency of a slow engine is lowered and comes back', () => {
+// Requests must not queue inside an engine that has become slow, where no deadline applies. Its
+// limit must drop after the first slow answers and recover with the engine.
+test('the concurrency limit of a slow engine is lowered and recovers', () => {
   const harness = makeHarness();
   const slow = harness.engines.get('engine-1');
   assert.ok(slow);
-  const usual = slow.speed;
+  const normalSpeed = slow.speed;
   sendEvery(harness, 16, 60 * SECOND);
   harness.timeline.runUntil(5 * SECOND);
-  slow.speed = { ...usual, prefillMillisecondsPerToken: 5 };
+  slow.speed = { ...normalSpeed, prefillMillisecondsPerToken: 5 };
   harness.timeline.runUntil(20 * SECOND);
-  const balance = harness.entries[0]?.backendServers.get('engine-1')?.balancing;
-  assert.ok((balance?.limit ?? 0) < 0.5 * CONCURRENCY, `limit ${balance?.limit}`);
-  slow.speed = usual;
+  const balancing = harness.entries[0]?.backendServers.get('engine-1')?.balancing;
+  assert.ok((balancing?.limit ?? 0) < 0.5 * CONCURRENCY, `limit ${balancing?.limit}`);
+  slow.speed = normalSpeed;
   harness.timeline.runUntil(59 * SECOND);
-  assert.ok((balance?.limit ?? 0) > 0.9 * CONCURRENCY, `limit ${balance?.limit}`);
+  assert.ok((balancing?.limit ?? 0) > 0.9 * CONCURRENCY, `limit ${balancing?.limit}`);
 });
 
-// One of four engines is slow while the others have room. After its first slow answers callers go
-// elsewhere; what is known of it fades, so once it is well it gets work again although nothing
-// forced anyone to ask it.
-test('a slow engine is passed over and then asked again', () => {
+// A slow engine must get less work while others have capacity. The estimate of its slowness decays,
+// so that it must get work again after it has recovered.
+test('a slow engine gets less work and is tried again later', () => {
   const harness = makeHarness();
   const slow = harness.engines.get('engine-1');
   assert.ok(slow);
-  const usual = slow.speed;
+  const normalSpeed = slow.speed;
   sendEvery(harness, 40, 60 * SECOND);
   harness.timeline.runUntil(5 * SECOND);
-  slow.speed = { ...usual, prefillMillisecondsPerToken: 5 };
+  slow.speed = { ...normalSpeed, prefillMillisecondsPerToken: 5 };
   harness.timeline.runUntil(20 * SECOND);
   const late = [...harness.outcomes.values()].filter(
     ({ arrivedAt, firstTokenAt = 0 }) => firstTokenAt - arrivedAt > 400,
   );
   assert.ok(late.length <= 0.05 * 15 * 25, `${late.length} were slow`);
-  slow.speed = usual;
+  slow.speed = normalSpeed;
   harness.timeline.runUntil(59 * SECOND);
   assert.ok(slow.running > 0);
 });
 
-// Two entries choose among a thousand engines with the same old reports. Two random choices keep
-// the fullest engine near the mean, where one random choice would pile up several on one.
-test('two choices keep a thousand engines even', () => {
+// One random choice would pile up requests on single engines; two must keep the busiest near the
+// mean.
+test('two random choices keep the load of a thousand engines even', () => {
   const harness = makeHarness({ servers: 1000 });
   for (let number = 0; number < 2000; number += 1) {
     harness.submitRequest(exampleRequest(`request-${number}`), 1000);
@@ -361,12 +355,12 @@
   assert.ok(Math.max(...loads) <= 4, `${Math.max(...loads)} on one engine`);
 });
 
-/** A notice that is in force in every test; one long past is not believed. */
+/** In the future for every test run; a notice whose time has passed is not in force. */
 const NEXT_CENTURY = Date.UTC(2100, 0, 1);
 
-// A reclaim notice has come another way and only the flag on the server is set. The next choice
-// must pass it over and take it out of the candidates, without waiting for the platform's list.
-test('a server on notice gets no new work', () => {
+// After a reclaim notice a server must get no new work, and leave the candidates before the next
+// list of instances arrives.
+test('a server with a reclaim notice gets no new work', () => {
   const harness = makeHarness({ servers: 20 });
   const [state] = harness.entries;
   assert.ok(state);
--- a/packages/entry-core/src/backendServers/sharedPrompts.test.ts
+++ b/packages/entry-core/src/backendServers/sharedPrompts.test.ts
@@ -1,6 +1,6 @@
 /**
- * Long prompts with parts that many callers share, at more entries than any one of them can see: each
- * entry has a few requests a second, and learns of the engines' work only what entries tell each other.
+ * Long prompts with prefixes that many callers share, at eight entries. Each entry gets only a few
+ * requests per second and knows the rest of the work from the work reports of the others.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -17,10 +17,10 @@
 
 const CONCURRENCY = 32;
 const ENTRIES = 8;
-const SECONDS = 20;
+const DURATION_SECONDS = 20;
 const REQUESTS_PER_SECOND = 40;
 
-/** A prompt of 4,000 tokens takes 200 ms, and 50 ms once its shared part is cached. */
+/** A prompt of 4,000 tokens takes 200 ms, and 50 ms once its shared prefix is cached. */
 const speed: EngineSpeed = {
   concurrency: CONCURRENCY,
   prefillMillisecondsPerToken: 0.05,
@@ -34,11 +34,14 @@
 interface Outcome {
   readonly late: number;
   readonly refused: number;
-  /** Tokens of shared parts that engines computed although another had them, by request. */
+  /**
+   * Per request, tokens of shared prefixes that an engine prefilled although another had cached
+   * them.
+   */
   readonly recomputed: number;
 }
 
-/** Callers ask 40 times a second about one of 60 things, each at an entry of its own. */
+/** 40 requests a second, each at a random entry and with one of 60 shared prefixes. */
 function simulate(seed: number, options: Partial<HarnessOptions>): Outcome {
   const harness = new EntryHarness({
     entries: ENTRIES,
@@ -50,7 +53,7 @@
     ...options,
   });
   const random = xoroshiro128plus(seed);
-  const requests = SECONDS * REQUESTS_PER_SECOND;
+  const requests = DURATION_SECONDS * REQUESTS_PER_SECOND;
   for (let number = 0; number < requests; number += 1) {
     const topic = uniformInt(random, 0, SHARED_PROMPTS - 1);
     const ownDigest = `${topic}/${number}`;
@@ -59,11 +62,11 @@
       prefixDigests: [`${topic}/a`, `${topic}/b`, `${topic}/c`, ownDigest],
       prefixTokens: [1000, 2000, 3000, PROMPT_TOKENS],
     });
-    const at = uniformInt(random, 0, SECONDS * 1000);
+    const at = uniformInt(random, 0, DURATION_SECONDS * 1000);
     const entry = uniformInt(random, 0, ENTRIES - 1);
     harness.timeline.after(at, () => harness.submitRequest(request, 20, entry));
   }
-  harness.timeline.runUntil((SECONDS + 10) * 1000);
+  harness.timeline.runUntil((DURATION_SECONDS + 10) * 1000);
   const outcomes = [...harness.outcomes.values()];
   const recomputed = [...harness.engines.values()].reduce(
     (sum, engine) => sum + engine.recomputedTokens,
@@ -79,21 +82,21 @@
 
 const seeds = [1, 2, 3];
 
-// Each entry takes the engines for idle that others have just sent long prompts to, and has prompts
-// computed anew that are in the cache of an engine. Callers get their first token late.
-test('what entries tell each other keeps long prompts apart and shared parts in one place', () => {
+// Without work reports, entries send long prompts to engines that look idle but have just been sent
+// others, and have prefixes prefilled again that are cached elsewhere.
+test('work reports spread long prompts over the engines and keep shared prefixes on one', () => {
   seeds.forEach((seed) => {
     const withReports = simulate(seed, {});
     const withoutReports = simulate(seed, { losesWorkReports: true });
-    const shown = JSON.stringify({ told: withReports, untold: withoutReports });
-    assert.ok(withReports.recomputed < withoutReports.recomputed * 0.5, shown);
+    const results = JSON.stringify({ withReports, withoutReports });
+    assert.ok(withReports.recomputed < withoutReports.recomputed * 0.5, results);
     assert.ok(
       withReports.late + withReports.refused < (withoutReports.late + withoutReports.refused) * 0.5,
-      shown,
+      results,
     );
     assert.ok(
-      withReports.late + withReports.refused <= SECONDS * REQUESTS_PER_SECOND * 0.05,
-      shown,
+      withReports.late + withReports.refused <= DURATION_SECONDS * REQUESTS_PER_SECOND * 0.05,
+      results,
     );
   });
 });
