--- a/packages/entry-core/src/backendServers/BackendServerState.ts
+++ b/packages/entry-core/src/backendServers/BackendServerState.ts
@@ -1,4 +1,4 @@
-/** What an entry knows of one backend server. */
+/** State that an entry keeps for one backend server. */
 import type {
   EpochMilliseconds,
   LoadReport,
@@ -8,19 +8,19 @@
 import type { BalancingState } from './BalancingState.js';
 
 export interface BackendServerState {
-  /** The platform's newest word on it. */
+  /** The platform's latest record of the instance. */
   platformInstance: PlatformInstance;
-  /** When it will be gone; from notice on it gets no new work. */
+  /** When the instance goes away. From the reclaim notice on it gets no new work. */
   goneAt: EpochMilliseconds | undefined;
-  /** Attempts of this entry that are in progress there. */
+  /** Attempts of this entry in progress at the server. */
   readonly attemptIds: Set<string>;
   load: LoadReport | undefined;
   loadReceivedAt: MonotonicMilliseconds | undefined;
-  /** What the choice of a backend server is made from. */
+  /** The basis for choosing among the servers of a pool. */
   readonly balancing: BalancingState;
 }
 
-/** True if the platform and the reclaim notices let it have new work. */
+/** True if the instance is live and no reclaim notice has been received for it. */
 export function acceptsNewWork(server: BackendServerState): boolean {
   return server.platformInstance.state === 'live' && server.goneAt === undefined;
 }
--- a/packages/entry-core/src/backendServers/BalancingState.ts
+++ b/packages/entry-core/src/backendServers/BalancingState.ts
@@ -1,53 +1,56 @@
-/** What an entry has learnt of one backend server from its own attempts and from load reports. */
+/**
+ * Load-balancing state of one backend server, estimated by an entry from its own attempts and from
+ * load reports.
+ */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 
-/** One attempt of this entry that has ended, kept until a load report is younger than it. */
+/** An ended attempt of this entry, kept until a load report was measured after its end. */
 export interface EndedAttempt {
   readonly startedAt: MonotonicMilliseconds;
   readonly endedAt: MonotonicMilliseconds;
 }
 
-/** One prompt that is waiting for its first token. */
+/** A prompt sent to the server that has no first token yet. */
 export interface PendingPrompt {
-  /** Its tokens that are believed not to be in the cache. */
+  /** Tokens estimated not to be in the prefix cache of the server. */
   readonly uncachedTokens: number;
-  /** These, and those of the prompts that were pending there when it was sent. */
+  /** `uncachedTokens` and the tokens that were pending at the server when the prompt was sent. */
   readonly tokensUntilFirstToken: number;
 }
 
 export interface BalancingState {
-  /** Requests that its class runs at full speed; the adaptive limit never goes above. */
+  /** Concurrency of the instance class; `limit` never exceeds it. */
   maxLimit: number;
-  /** Adaptive limit of requests in progress, of all entries together. */
+  /** Adaptive limit of the requests that all entries together have in progress at the server. */
   limit: number;
   limitLoweredAt: MonotonicMilliseconds;
-  /** When slow start began, or undefined for a server that was there before this entry. */
+  /** When slow start began; undefined for a server that was running before this entry. */
   slowStartAt: MonotonicMilliseconds | undefined;
-  /** Requests of other entries in progress when load was measured last. */
+  /** Requests of other entries in progress at `measuredAt`. */
   otherEntriesInProgress: number;
-  /** Own requests in progress when load was measured last. */
+  /** Requests of this entry in progress at `measuredAt`. */
   ownInProgressAtMeasurement: number;
-  /** When load was measured last, by the clock of this entry. */
+  /** When the last load report was measured, by the clock of this entry. */
   measuredAt: MonotonicMilliseconds | undefined;
-  /** Own attempts that ended lately, oldest first. */
+  /** Recently ended attempts of this entry, oldest first. */
   readonly endedAttempts: EndedAttempt[];
-  /** Prompts that this entry has sent there and that have no first token yet, by attempt id. */
+  /** Prompts of this entry that have no first token yet, by attempt id. */
   readonly pendingPrompts: Map<string, PendingPrompt>;
-  /** Its first-token delay relative to what is usual in its pool. */
+  /** Moving average of the ratio of measured to predicted first-token delay. */
   slowness: number;
   slownessUpdatedAt: MonotonicMilliseconds;
   consecutiveFailures: number;
-  /** Outcomes that still count, halved now and then so that old ones fade. */
+  /** Recent outcomes: both counts are halved regularly. */
   successes: number;
   failures: number;
   ejectedUntil: MonotonicMilliseconds | undefined;
-  /** Ejections in a row; each one lasts longer. */
+  /** Ejections since the server last recovered; each one lasts longer. */
   consecutiveEjections: number;
-  /** Highest sequence of cache events taken in. */
+  /** Sequence number of the last cache event. */
   lastCacheSequence: number | undefined;
-  /** Beliefs about its cache count only if they were made in this generation. */
+  /** Incremented to invalidate all that `PrefixCacheIndex` holds about the server. */
   cacheGeneration: number;
-  /** Its place in the candidates of its pool, or undefined if it is not among them. */
+  /** Position among the candidates of its group; undefined if it is not one of them. */
   candidateIndex: number | undefined;
 }
 
@@ -82,9 +85,8 @@
 const MIN_SLOW_START_FRACTION_OF_LIMIT = 0.2;
 
 /**
- * Requests that may be in progress there now. A server that has just come up has cold caches and
- * may still be loading: without slow start it looks idle, draws the whole rush in one moment and
- * is late for all of it. Ten seconds let its own delays show before it gets its full share.
+ * The adaptive limit, reduced during slow start. A server that has just started has cold caches but
+ * looks idle; without slow start it would receive a burst of requests and answer all of them late.
  */
 export function currentLimit(balancing: BalancingState, now: MonotonicMilliseconds): number {
   const { slowStartAt, limit } = balancing;
@@ -100,8 +102,8 @@
 const SLOWNESS_HALF_LIFE_MILLISECONDS: Milliseconds = 10_000;
 
 /**
- * First-token delay relative to the pool's, as far as it is still believed. It fades: a slow server
- * is passed over, so nothing would ever show that it is well again.
+ * `slowness`, decaying to 1. A slow server is given little work, so without the decay nothing would
+ * show that it has recovered.
  */
 export function currentSlowness(balancing: BalancingState, now: MonotonicMilliseconds): number {
   const age = now - balancing.slownessUpdatedAt;
--- a/packages/entry-core/src/backendServers/DecayingPeak.ts
+++ b/packages/entry-core/src/backendServers/DecayingPeak.ts
@@ -1,4 +1,4 @@
-/** The highest of the counts seen lately; old ones fade. */
+/** The peak of recent counts, which decays with a fixed half-life. */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 
 const HALF_LIFE_MILLISECONDS: Milliseconds = 10_000;
--- a/packages/entry-core/src/backendServers/DelayRegression.ts
+++ b/packages/entry-core/src/backendServers/DelayRegression.ts
@@ -1,6 +1,7 @@
 /**
- * A delay that grows with an amount of work: a straight line fitted to samples, of which old ones
- * fade. For first tokens it holds what a prompt costs whatever its length, and what each token adds.
+ * Estimates a delay that grows linearly with an amount of work, by a linear regression in which old
+ * samples fade. For the first-token delay the intercept is the fixed cost of a request and the
+ * slope the prefill time per token.
  */
 import type { LearntDelay, Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 
@@ -9,7 +10,7 @@
 const PRIOR_WORK_VARIANCE = 200 ** 2;
 const MAX_TRUSTED_SAMPLE_AGE_MILLISECONDS: Milliseconds = 3000;
 
-/** After so many samples the first belief has less than half of the say. */
+/** From this number of samples on, the prior has less than half of the weight. */
 const MIN_TRUSTED_SAMPLES = 14;
 
 export class DelayRegression {
@@ -26,8 +27,8 @@
   private samples = 0;
 
   /**
-   * What is believed before the first sample, as if two samples had been of it: without them the
-   * first samples, all alike, would make the line flat, and no work would be worth saving.
+   * Starts from a prior line, as if two samples had been on it. Without the prior, early samples of
+   * nearly equal work would give a flat line, and cached prefixes would seem to save no time.
    */
   constructor(
     baseDelay: Milliseconds,
@@ -41,21 +42,21 @@
     this.meanXY = (maxPriorWork * (baseDelay + slope * maxPriorWork)) / 2;
   }
 
-  /** What was learnt, for entries that start; undefined while the first belief has much of the say. */
+  /** The estimate for other entries to adopt; undefined while the prior still dominates. */
   toLearntDelay(): LearntDelay | undefined {
     const { samples, meanX, meanY, meanXX, meanXY } = this;
     if (samples < MIN_TRUSTED_SAMPLES) return undefined;
     return { samples, meanX, meanY, meanXX, meanXY };
   }
 
-  /** Takes over what another entry has learnt, unless this one has learnt enough itself. */
+  /** Adopts another entry's estimate, unless this one has enough samples of its own. */
   adopt({ samples, meanX, meanY, meanXX, meanXY }: LearntDelay): void {
     if (this.samples >= MIN_TRUSTED_SAMPLES) return;
     Object.assign(this, { meanX, meanY, meanXX, meanXY });
     this.samples = Math.min(samples, MIN_TRUSTED_SAMPLES);
   }
 
-  /** True if the last sample is of just now, and samples weigh more than the first belief. */
+  /** True if the last sample is recent and the samples outweigh the prior. */
   isTrusted(now: MonotonicMilliseconds): boolean {
     if (this.lastSampleAt === undefined || this.samples < MIN_TRUSTED_SAMPLES) return false;
     return now - this.lastSampleAt <= MAX_TRUSTED_SAMPLE_AGE_MILLISECONDS;
@@ -66,7 +67,7 @@
     return baseDelay + this.predictMarginalDelay(work);
   }
 
-  /** The part of the delay that is due to the work. */
+  /** The part of the delay that depends on the work. */
   predictMarginalDelay(work: number): Milliseconds {
     return work * this.slope();
   }
@@ -83,9 +84,9 @@
   }
 
   /**
-   * The fitted slope, drawn towards the first belief by as much as the samples are alike: prompts
-   * of nearly one length say little of what a token costs, and one slow server among them would
-   * otherwise make the line as steep as its own few delays.
+   * The slope, drawn towards the prior when the samples have nearly equal work: such samples say
+   * little about the cost per token, and one slow server among them could make the line far too
+   * steep.
    */
   private slope(): number {
     const variance = Math.max(0, this.meanXX - this.meanX ** 2);
--- a/packages/entry-core/src/backendServers/MovingAverage.ts
+++ b/packages/entry-core/src/backendServers/MovingAverage.ts
@@ -1,4 +1,4 @@
-/** A moving mean of times, in which old samples fade. */
+/** An exponential moving average. */
 import type { Milliseconds } from '@hornbeampond/schema';
 
 const SAMPLE_WEIGHT = 0.1;
@@ -6,7 +6,7 @@
 export class MovingAverage {
   private mean: Milliseconds | undefined;
 
-  /** @param prior - What is believed before the first sample. */
+  /** @param prior - The value before the first sample. */
   constructor(private readonly prior: Milliseconds) {}
 
   get value(): Milliseconds {
--- a/packages/entry-core/src/backendServers/PeerWork.ts
+++ b/packages/entry-core/src/backendServers/PeerWork.ts
@@ -1,8 +1,8 @@
 /**
- * What the other entries have in progress at backend servers, as they tell it, and what this entry has
- * yet to tell them. Without it each entry knows of the others only what a backend server says with its
- * answers: seconds old at an entry with few callers, and nothing of prompts that wait there. Long
- * prompts of several entries then meet at one engine while others are idle.
+ * Tracks the work that the other entries have in progress at backend servers, from their reports,
+ * and the changes of this entry's own work that are still to be reported. Load reports of backend
+ * servers can be seconds old and omit prompts without a first token; with these alone, several
+ * entries would send long prompts to one engine while others are idle.
  */
 import type { MonotonicMilliseconds, ServerWork, WorkReport } from '@hornbeampond/schema';
 
@@ -14,26 +14,26 @@
   readonly work: Map<string, ServerWork>;
 }
 
-/** Changes that are told together are told at most so often by one of eight entries; by more, less. */
 const MIN_REPORT_INTERVAL_MILLISECONDS = 50;
+/** With more entries the interval grows in proportion, so that report traffic stays bounded. */
 const MAX_ENTRIES_AT_MIN_INTERVAL = 8;
 
 export class PeerWork {
-  /** By the peer's instance. */
+  /** By instance of the peer. */
   private readonly peers = new Map<string, ReportedWork>();
 
-  /** The sum over all peers, by backend server. */
+  /** Sum over all peers, by backend server. */
   private readonly totals = new Map<string, { inProgress: number; promptTokens: number }>();
 
-  /** Backend servers at which this entry's own work has changed since it was told. */
+  /** Backend servers at which this entry's own work has changed since the last report. */
   private readonly changedServers = new Set<string>();
 
-  /** Prefixes that were computed since then, by backend server. */
+  /** Prefixes computed since the last report, by backend server. */
   private readonly computedPrefixes = new Map<string, Set<string>>();
 
   private reportedAt: MonotonicMilliseconds = Number.NEGATIVE_INFINITY;
 
-  /** What all peers have at a backend server. */
+  /** Work of all peers at a backend server. */
   workAt(instance: string): ServerWork {
     return this.totals.get(instance) ?? NO_WORK;
   }
@@ -49,7 +49,7 @@
     this.computedPrefixes.set(instance, recordedDigests);
   }
 
-  /** What is to be told now, if anything is due. */
+  /** Returns and clears the pending changes, or returns undefined if none is due to be reported. */
   takeDueReport(
     entryCount: number,
     now: MonotonicMilliseconds,
@@ -88,7 +88,10 @@
     });
   }
 
-  /** Lets go of a peer that is silent or gone: its calls have been cut. */
+  /**
+   * Removes the work of a peer that is unreachable or was removed; its calls are assumed to have
+   * ended.
+   */
   removePeer(instance: string): void {
     this.peers
       .get(instance)
--- a/packages/entry-core/src/backendServers/PoolState.ts
+++ b/packages/entry-core/src/backendServers/PoolState.ts
@@ -1,7 +1,7 @@
 /**
- * The backend servers of one pool as the choice sees them: those that take new work, in two
- * groups (own data centre and the others), each an array so that sampling costs the same at ten
- * servers and at ten thousand; and what all of them have taught about delays.
+ * State of one pool: the backend servers that can be chosen, in one group for the data centre of
+ * this entry and one for all others, and delay estimates for the whole pool. A group holds its
+ * candidates in an array, so that drawing a random one takes constant time.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 import { DecayingPeak } from './DecayingPeak.js';
@@ -11,11 +11,11 @@
 import { PrefixCacheIndex } from './PrefixCacheIndex.js';
 import { PrefixHashRing } from './PrefixHashRing.js';
 
-/** Servers of one pool in one group of data centres. */
+/** The backend servers of a pool in the data centre of this entry, or in all others. */
 export class CandidateGroup {
   readonly candidates: BackendServerState[] = [];
 
-  /** Servers that would take new work but were ejected as outliers. */
+  /** Servers that accept new work but were ejected as outliers. */
   readonly ejected = new Set<BackendServerState>();
 
   /** Sum of the adaptive limits of all candidates. */
@@ -33,7 +33,7 @@
     this.limitSum += server.balancing.limit;
   }
 
-  /** Takes a server out by putting the last one in its place. */
+  /** Removes a server by moving the last candidate to its position. */
   remove(server: BackendServerState): void {
     const index = server.balancing.candidateIndex;
     if (index === undefined || this.candidates[index] !== server) return;
@@ -50,7 +50,9 @@
     return this.candidates[server.balancing.candidateIndex ?? -1] === server;
   }
 
-  /** The server at a place, unless it has stopped taking new work; then it is taken out. */
+  /**
+   * The candidate at an index, or undefined if it no longer accepts new work; it is then removed.
+   */
   getOrRemove(index: number): BackendServerState | undefined {
     const server = this.candidates[index];
     if (server === undefined || acceptsNewWork(server)) return server;
@@ -59,7 +61,9 @@
   }
 }
 
-/** Until a filled server was seen, answers are taken to last so many times as long there. */
+/**
+ * Assumed ratio of service times on busy and other servers while none was measured on a busy one.
+ */
 const BUSY_SERVICE_TIME_FACTOR = 2;
 const PRIOR_SERVICE_TIME_MILLISECONDS: Milliseconds = 1000;
 const PRIOR_FIRST_TOKEN_DELAY_MILLISECONDS: Milliseconds = 50;
@@ -70,25 +74,25 @@
 
   readonly remote = new CandidateGroup();
 
-  /** First-token delay by prompt tokens that are to be computed until then. */
+  /** First-token delay by the number of tokens that are prefilled until then. */
   readonly firstTokenRegression = new DelayRegression(
     PRIOR_FIRST_TOKEN_DELAY_MILLISECONDS,
     PRIOR_PREFILL_MILLISECONDS_PER_TOKEN,
   );
 
-  /** Time from the start of an attempt to its end at servers that were little filled, by route. */
+  /** Duration of attempts that finished on servers with little load, by route. */
   private readonly nonBusyServiceTimes = new Map<string, MovingAverage>();
 
-  /** The same at servers that were well filled. */
+  /** Duration of attempts that finished on busy servers, by route. */
   private readonly busyServiceTimes = new Map<string, MovingAverage>();
 
-  /** Tokens of prompts that had to be computed, by route. */
+  /** Prompt tokens that had to be prefilled, by route. */
   private readonly uncachedTokens = new Map<string, MovingAverage>();
 
-  /** Attempts of this entry in progress at the pool's servers. */
+  /** Attempts of this entry in progress in the pool. */
   readonly attemptIds = new Set<string>();
 
-  /** Most attempts that were in progress lately. */
+  /** Recent peak of the number of attempts in progress. */
   readonly peakInProgress = new DecayingPeak();
 
   readonly prefixCacheIndex = new PrefixCacheIndex();
@@ -99,12 +103,12 @@
     return [this.local, this.remote];
   }
 
-  /** True if any backend server takes new work or will once its ejection is over. */
+  /** True if any backend server accepts new work, or will once its ejection ends. */
   get hasServers(): boolean {
     return this.groups.some((group) => group.candidates.length + group.ejected.size > 0);
   }
 
-  /** The group whose servers do the usual work of this entry. */
+  /** The local group, or the remote one if no local server is a candidate. */
   get primaryGroup(): CandidateGroup {
     return this.local.candidates.length > 0 ? this.local : this.remote;
   }
@@ -113,7 +117,7 @@
     return this.remote.has(server) || this.remote.ejected.has(server) ? this.remote : this.local;
   }
 
-  /** Sets a server's adaptive limit and keeps its group's sum right. */
+  /** Sets a server's adaptive limit and updates the sum of its group. */
   setLimit(server: BackendServerState, limit: number): void {
     const { balancing } = server;
     if (balancing.candidateIndex !== undefined) {
@@ -122,22 +126,23 @@
     balancing.limit = limit;
   }
 
-  /** How long an answer of the route lasts in a well filled batch, as there is in a rush. */
+  /** Expected duration of an answer of the route on a busy server. */
   estimateServiceTime(route: string): Milliseconds {
     const busy = this.busyServiceTimes.get(route)?.value;
     if (busy !== undefined) return busy;
     const nonBusy = this.nonBusyServiceTimes.get(route)?.value;
-    return nonBusy === undefined ? PRIOR_SERVICE_TIME_MILLISECONDS : nonBusy * BUSY_SERVICE_TIME_FACTOR;
+    return nonBusy === undefined
+      ? PRIOR_SERVICE_TIME_MILLISECONDS
+      : nonBusy * BUSY_SERVICE_TIME_FACTOR;
   }
 
-  /** How long an engine computes the prompt of one of the route's requests. */
+  /** Expected prefill time of a request of the route. */
   estimatePrefillTime(route: string): Milliseconds {
     return this.firstTokenRegression.predictMarginalDelay(
       this.uncachedTokens.get(route)?.value ?? 0,
     );
   }
 
-  /** Takes in how many tokens of a prompt were not in the cache of where it was sent. */
   recordUncachedTokens(route: string, tokens: number): void {
     const average = this.uncachedTokens.get(route) ?? new MovingAverage(tokens);
     average.addSample(tokens);
--- a/packages/entry-core/src/backendServers/PrefixCacheIndex.ts
+++ b/packages/entry-core/src/backendServers/PrefixCacheIndex.ts
@@ -1,8 +1,8 @@
 /**
- * What is believed of the prefix caches of one pool. Cache events come late and with gaps, so a
- * belief is a hint only: it expires, and all beliefs about a server are dropped at once when an
- * event is missing or its cache was cleared. A wrong belief costs one prefill and nothing else,
- * because the engine computes whatever it does not have.
+ * Estimates which backend servers of a pool have which prompt prefixes in their cache. Cache events
+ * are late and may be lost, so the index is only a hint: what it holds expires, and all of it about
+ * one server becomes invalid when an event is missing or the cache was cleared. A wrong estimate
+ * costs one prefill and nothing else, because an engine computes whatever it has not cached.
  */
 import type { CacheEvent, Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { CallerRequest } from '../entryEvents.js';
@@ -18,18 +18,21 @@
   readonly expiresAt: MonotonicMilliseconds;
 }
 
-/** A server believed to have a prefix, and which share of the prompt that prefix is. */
+/**
+ * A server estimated to have cached a prefix, and the fraction of the prompt that the prefix
+ * covers.
+ */
 export interface PrefixHolder {
   readonly server: BackendServerState;
   readonly cachedFraction: number;
 }
 
-/** The parts of a request's prompt that may be cached. */
+/** What identifies a prompt's prefixes: digests, and token counts where known. */
 export type PromptPrefixes = Pick<CallerRequest, 'prefixDigests' | 'prefixTokens' | 'promptTokens'>;
 
 /**
- * Which share of the prompt its first prefixes are, by tokens. Where they are not told, all parts
- * are taken to be equally long.
+ * Fraction of the prompt covered by its first `prefixCount` parts. By tokens if their counts are
+ * known; otherwise all parts count as equally long.
  */
 function computeCachedFraction(
   { prefixDigests, prefixTokens, promptTokens }: PromptPrefixes,
@@ -50,7 +53,7 @@
 export class PrefixCacheIndex {
   private readonly copiesByDigest = new Map<string, readonly CachedCopy[]>();
 
-  /** Believes that the server has these prefixes from now on. */
+  /** Records that the server has cached these prefixes. */
   recordCached(
     server: BackendServerState,
     digests: readonly string[],
@@ -62,14 +65,14 @@
       const otherCopies = this.findValidCopies(digest, now).filter(
         (other) => other.server !== server,
       );
-      // Written anew, so that the map's order is from least to most lately used.
+      // Deleted first, so that the map is ordered from least to most recently used.
       this.copiesByDigest.delete(digest);
       this.copiesByDigest.set(digest, [copy, ...otherCopies].slice(0, MAX_SERVERS_PER_PREFIX));
     }
     this.evictLeastRecentlyUsed();
   }
 
-  /** Servers that are believed to have the longest known prefix of the prompt. */
+  /** The servers estimated to have cached the longest known prefix of the prompt. */
   findHolders(prompt: PromptPrefixes, now: MonotonicMilliseconds): PrefixHolder[] {
     const { prefixDigests: digests } = prompt;
     for (let { length: prefixCount } = digests; prefixCount > 0; prefixCount -= 1) {
@@ -82,7 +85,7 @@
     return [];
   }
 
-  /** The share of the prompt that one server is believed to have. */
+  /** Fraction of the prompt that the server is estimated to have cached. */
   cachedFractionAt(
     server: BackendServerState,
     prompt: PromptPrefixes,
@@ -97,19 +100,20 @@
     return 0;
   }
 
-  /** True if any server is believed to have this very prefix. */
+  /** True if any server is estimated to have cached this prefix. */
   isCachedAnywhere(digest: string, now: MonotonicMilliseconds): boolean {
     return this.findValidCopies(digest, now).length > 0;
   }
 
-  /** Takes in one cache event of a server of this pool. */
+  /** Applies a cache event of one of the pool's servers. */
   applyCacheEvent(server: BackendServerState, event: CacheEvent, now: MonotonicMilliseconds): void {
     const { balancing } = server;
     if (event.sequence === balancing.lastCacheSequence) return;
     const isNext = (balancing.lastCacheSequence ?? event.sequence - 1) + 1 === event.sequence;
     balancing.lastCacheSequence = event.sequence;
-    // A missing event may have been an eviction: requests would be sent after a cache that is
-    // gone. Dropping every belief about this server is enough, since no belief is ever needed.
+    // A missing event may have been an eviction, and requests would be sent to a server that no
+    // longer has their prefix. Invalidating all that is known about this server is enough, because
+    // the index is only a hint.
     if (!isNext || event.change === 'cleared') balancing.cacheGeneration += 1;
     if (event.change === 'stored') this.recordCached(server, event.prefixDigests, now);
     if (event.change === 'evicted') this.recordEvicted(server, event.prefixDigests, now);
--- a/packages/entry-core/src/backendServers/PrefixHashRing.ts
+++ b/packages/entry-core/src/backendServers/PrefixHashRing.ts
@@ -1,12 +1,12 @@
 /**
- * Where a conversation that nobody is known to have computed is best begun: by consistent hashing,
- * so that all entries choose the same backend server for it without telling each other. Entries
- * that each begin it where they like compute it once each, and fill as many caches with it.
+ * Consistent hashing of prompt prefixes that no server is known to have cached: all entries choose
+ * the same backend server for a new conversation without communicating. If each entry chose on its
+ * own, several servers would prefill and cache the same prefix.
  */
 import { createHash } from 'node:crypto';
 import { acceptsNewWork, type BackendServerState } from './BackendServerState.js';
 
-/** With so many points on the ring the busiest of six servers has 1.3 times its share (median of 50 rings). */
+/** Spreads prefixes over a few servers so that none gets much more than an equal share. */
 const POINTS_PER_SERVER = 16;
 
 interface RingPoint {
@@ -33,10 +33,10 @@
 export class PrefixHashRing {
   private servers: readonly BackendServerState[] = [];
 
-  /** By position. */
+  /** Sorted by position. */
   private ring: RingPoint[] = [];
 
-  /** Takes in the servers of the pool; the ring is made anew only if they have changed. */
+  /** Sets the servers of the pool; the ring is rebuilt only if they have changed. */
   setServers(servers: readonly BackendServerState[]): void {
     const { length } = servers;
     const isSame =
@@ -47,7 +47,7 @@
     this.ring = servers.flatMap(makeRingPoints).sort((a, b) => a.position - b.position);
   }
 
-  /** The home of a prefix; the next one on the ring stands in for a server that is not available. */
+  /** The affinity target of a prefix: the first available server from its position on the ring. */
   findServer(digest: string): BackendServerState | undefined {
     const { ring } = this;
     const start = this.findFirstIndexFrom(hashPosition(digest));
--- a/packages/entry-core/src/backendServers/adaptConcurrency.ts
+++ b/packages/entry-core/src/backendServers/adaptConcurrency.ts
@@ -1,30 +1,30 @@
 /**
- * Adapts how many requests a backend server may have in progress to the first-token delays that
- * this entry sees itself, at once and without waiting for a load report: additive increase while
- * delays are usual, multiplicative decrease when one is far above. An engine that is slower than
- * its class says would otherwise keep a queue of its own, where neither deadlines nor fair shares
- * hold.
+ * Adapts the concurrency limit of a backend server to the first-token delays that this entry
+ * measures, without waiting for a load report: additive increase while delays are as expected,
+ * multiplicative decrease when one is far above. Without it, an engine that cannot sustain the
+ * concurrency of its class would queue requests internally, where neither deadlines nor fair shares
+ * apply.
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { BackendServerState } from './BackendServerState.js';
 import type { PoolState } from './PoolState.js';
 import { currentSlowness } from './BalancingState.js';
 
-/** A delay above so many times the usual one shows a crowded or slow server. */
+/** A delay above this multiple of the expected one shows an overloaded or slow server. */
 export const TOLERATED_SLOWDOWN_FACTOR = 3;
-/** Prompts of other entries that are computed before, and that nothing tells of, take so long. */
+/** Allowance for prompts of other entries that were prefilled first but are not reported yet. */
 const TOLERATED_EXTRA_DELAY_MILLISECONDS: Milliseconds = 200;
 const LIMIT_DECREASE_FACTOR = 0.8;
 const MIN_FRACTION_OF_CLASS_LIMIT = 0.1;
 const SLOWNESS_SAMPLE_WEIGHT = 0.1;
-/** One slow moment is not taken for more than this. */
+/** Limits the effect of a single slow answer. */
 const MAX_SLOWNESS_SAMPLE = 10;
 
 /**
- * Takes in one first-token delay.
+ * Updates the limit and the slowness of a server from one first-token delay.
  *
- * @param expectedDelay - What the pool's usual delay is for such a prompt.
- * @returns False if the server was far slower than that.
+ * @param expectedDelay - The delay that the pool's regression predicts for such a prompt.
+ * @returns False if the delay was far above the expected one.
  */
 export function adaptConcurrency(
   pool: PoolState,
@@ -45,7 +45,7 @@
     pool.setLimit(server, Math.min(balancing.maxLimit, raised));
     return true;
   }
-  // Delays of requests that were sent before the last decrease say nothing about its effect.
+  // Requests sent before the last decrease do not show its effect.
   if (now - balancing.limitLoweredAt < delay) return false;
   const minLimit = Math.max(1, balancing.maxLimit * MIN_FRACTION_OF_CLASS_LIMIT);
   pool.setLimit(server, Math.max(minLimit, balancing.limit * LIMIT_DECREASE_FACTOR));
@@ -53,7 +53,10 @@
   return false;
 }
 
-/** A server that says it is busy is full now, whatever its class allows. */
+/**
+ * Lowers the limit of a server that answered that it is busy: it is full, whatever its class
+ * allows.
+ */
 export function lowerConcurrency(
   pool: PoolState,
   server: BackendServerState,
--- a/packages/entry-core/src/backendServers/applyInstanceList.ts
+++ b/packages/entry-core/src/backendServers/applyInstanceList.ts
@@ -1,6 +1,6 @@
 /**
- * Takes in the platform's list of instances. The list lags: a notice that came another way stays
- * in force although the list still shows the instance as live.
+ * Applies the platform's list of instances. The list lags: a reclaim notice received in another way
+ * stays in force although the list still shows the instance as live.
  */
 import type { MonotonicMilliseconds, PlatformInstance } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
@@ -10,7 +10,7 @@
 import { indexCandidates } from './indexCandidates.js';
 import { makeBalancingState } from './BalancingState.js';
 
-/** For an instance whose class the pools table does not name (yet). */
+/** For instances whose class is not in the pools table. */
 const DEFAULT_CONCURRENCY = 8;
 
 function findConcurrency(state: EntryState, instance: PlatformInstance): number {
@@ -37,7 +37,9 @@
   return server;
 }
 
-/** Takes the concurrency of the classes anew, when the list or the configuration has changed. */
+/**
+ * Updates the limits of all servers when the list of instances or the configuration has changed.
+ */
 export function refreshConcurrencyLimits(state: EntryState): void {
   for (const { balancing, platformInstance } of state.backendServers.values()) {
     const maxLimit = findConcurrency(state, platformInstance);
@@ -52,7 +54,7 @@
   instances: readonly PlatformInstance[],
   now: MonotonicMilliseconds,
 ): void {
-  // Servers in an entry's first list were there before it: slow start would only hold back work
+  // Servers in the first list were running before this entry: slow start would only hold back work
   // that they can take.
   const isFirstList = state.backendServers.size === 0;
   const listedInstances = new Set(instances.map((instance) => instance.instance));
@@ -75,7 +77,8 @@
   state.backendServers.forEach((server, instance) => {
     if (listedInstances.has(instance)) return;
     if (server.attemptIds.size === 0) state.backendServers.delete(instance);
-    // Its answers in progress may still come, but an instance that is off the list is going.
+    // Its attempts in progress may still finish, but an instance that is no longer listed is being
+    // removed.
     else server.platformInstance = { ...server.platformInstance, state: 'leaving' };
   });
   refreshConcurrencyLimits(state);
--- a/packages/entry-core/src/backendServers/chooseBackendServer.ts
+++ b/packages/entry-core/src/backendServers/chooseBackendServer.ts
@@ -1,9 +1,10 @@
 /**
- * Chooses the backend server for an attempt. Few are looked at, however many there are: those
- * believed to have the longest prefix of the prompt, and two at random, of which the better one
- * wins (two random choices keep the fullest server near the mean, and entries that see the same
- * old load reports do not all pick the same one). Own data centre first; others when it has
- * nobody or would be late, or when they save more than going there costs.
+ * Chooses the backend server for an attempt. The candidates are the servers estimated to have
+ * cached the longest prefix of the prompt, and all servers of a small group or a few random ones of
+ * a large group, so the cost does not grow with the pool. Two random choices keep the load even,
+ * and keep entries with the same old load reports from all choosing one server. Another data centre
+ * is preferred if the local one has no candidate or would be late, or if it saves more than the
+ * transfer costs.
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
@@ -18,29 +19,28 @@
 import { predictFirstTokenDelay, estimateUncachedTokens } from './predictFirstTokenDelay.js';
 import { currentLimit } from './BalancingState.js';
 
-/** Groups up to this size are looked at whole. */
+/** Larger groups are sampled. */
 const MAX_FULL_SCAN_SERVERS = 8;
 const RANDOM_SAMPLES = 2;
-/** More samples, one at a time, while none with room was found. */
+/** Drawn one at a time until a server with capacity is found. */
 const MAX_EXTRA_SAMPLES = 14;
 
 /**
- * What another data centre has to save before it is preferred: the way there and back, the price
- * of the bytes between data centres, and the risk to be cut off from it. Computing five thousand
- * cached tokens anew takes an engine about 70 ms.
+ * What a remote server has to save to be preferred. Covers the round trip, the cost of traffic
+ * between data centres and the risk of a network partition.
  */
 const MIN_REMOTE_SAVING_MILLISECONDS: Milliseconds = 30;
 
 /**
- * Of the caller's patience: a first token predicted later than this comes from a busy server. Below
- * it a caller gains little from going elsewhere; by judgement, other shares were not measured.
+ * A server is busy if its predicted first token takes more than this fraction of the time that
+ * remains. Below it a caller gains little from another data centre.
  */
 const BUSY_FRACTION_OF_REMAINING_TIME = 0.25;
 
-/** How much longer an answer is taken to last in a full batch than alone, as a share of it. */
+/** How much longer an answer takes in a full batch than alone, as a fraction of its duration. */
 const FULL_BATCH_EXTRA_FRACTION_OF_SERVICE_TIME = 0.2;
 
-/** When the request's next token is due. */
+/** When the next token of the request is due. */
 export function nextTokenDueAt(accepted: RequestState): MonotonicMilliseconds {
   const { firstTokenAt, interruptedAt, maxPause } = accepted;
   if (firstTokenAt === undefined) {
@@ -54,27 +54,27 @@
   readonly server: BackendServerState;
   readonly firstTokenDelay: Milliseconds;
   /**
-   * What computing the prompt there takes, which is what others that come after it wait longer. At
-   * the home of the prompt it is less by what later requests will save.
+   * Prefill time, by which requests that arrive later are delayed. At the affinity target it is
+   * reduced by what later requests with the same prefix save.
    */
   readonly prefillCost: Milliseconds;
   /**
-   * What the choice goes by, the least wins: the request's own wait and what it makes others wait,
-   * or for streams of a wave how full the server is.
+   * The lowest cost wins: the delay of this request and the delay that it causes others, or with
+   * `spreadEvenly` the utilization of the server.
    */
   readonly cost: number;
 }
 
-/** The server at which a prompt that others share is to be begun. */
+/** The server that is to prefill and cache a prefix shared by several requests. */
 interface AffinityTarget {
   readonly server: BackendServerState;
-  /** Tokens that are shared with other requests. */
+  /** Tokens of the shared prefix. */
   readonly sharedTokens: number;
 }
 
 /**
- * The home of the part of the prompt that other requests share: all but the last part, which is the
- * request's own. There is none once a server is believed to have computed it.
+ * The affinity target of the shared prefix, which is all but the last part of the prompt. Undefined
+ * if some server is estimated to have cached it already.
  */
 function findAffinityTarget(
   pool: PoolState,
@@ -90,7 +90,7 @@
   return server === undefined ? undefined : { server, sharedTokens };
 }
 
-/** One search for a backend server. */
+/** One search among the servers of a pool. */
 class ServerSearch {
   best: ScoredServer | undefined;
 
@@ -127,8 +127,8 @@
   }
 
   /**
-   * What a fuller batch costs, in time of the whole answer. Without it all new conversations of a
-   * workspace would follow its system prompt to one server, and the others be idle until the rush.
+   * Delay that this request causes others in the same batch. Without it, all new conversations of a
+   * workspace would follow its cached system prompt to one server while others are idle.
    */
   private estimateBatchCost(server: BackendServerState): Milliseconds {
     const serviceTime = this.pool.estimateServiceTime(this.accepted.route.name);
@@ -181,20 +181,23 @@
   }
 }
 
-/** How to look for a backend server. */
 export interface ChoiceOptions {
   /** `remote`: only in other data centres. */
   readonly where?: 'nearest' | 'remote';
-  /** A server that has just got room: at thousands of servers samples may miss it. */
+  /**
+   * A server that has just gained capacity and is always considered: samples of a large pool may
+   * miss it.
+   */
   readonly freedServer?: BackendServerState | undefined;
   /**
-   * For streams of a wave that are all placed at one moment: the emptiest server wins. Predictions
-   * come from first tokens seen before the wave, so all of it would go to the one that was fastest.
+   * Prefers the server with the lowest utilization, for streams that are all migrated at one
+   * moment. The predicted delays do not include the other streams, so all would go to the fastest
+   * server.
    */
   readonly spreadEvenly?: boolean;
 }
 
-/** The home is the same for every group that is searched, so it is looked up once. */
+/** The affinity target is the same for every group that is searched, so it is looked up once. */
 interface SearchOptions extends ChoiceOptions {
   readonly affinityTarget: AffinityTarget | undefined;
 }
@@ -215,8 +218,8 @@
 }
 
 /**
- * True if a server of another data centre is to be preferred to the best one of the own: it is in
- * time and the other is not, or it saves enough, by a cached prefix or because the own one is busy.
+ * True if the remote server is in time and the local one is not, or if it saves enough because it
+ * has cached the prompt or the local one is busy.
  */
 function isRemoteBetter(
   bestLocal: ScoredServer,
@@ -236,9 +239,9 @@
 }
 
 /**
- * The backend server with room that promises the earliest first token, or undefined if none has
- * room now. Other data centres are looked at when the own one has no candidate or would be late;
- * whether a request that could wait at home should rather go there now is up to admission.
+ * The backend server with capacity that has the lowest cost, or undefined if none has capacity now.
+ * Remote servers are not searched while local ones are only at capacity: whether the request waits
+ * or goes to another data centre is decided in admission.
  */
 export function chooseBackendServer(
   state: EntryState,
@@ -269,7 +272,7 @@
   return group.candidates.some(isEligible);
 }
 
-/** Tells of which backend servers the request can still be sent to, now or once they have room. */
+/** Returns a predicate: can the request be sent to this server, now or once it has capacity? */
 function makeEligibilityCheck(state: EntryState, accepted: RequestState) {
   const excluded = findExcludedInstances(state, accepted, state.clocks.now);
   return (server: BackendServerState) => {
--- a/packages/entry-core/src/backendServers/ejectOutliers.ts
+++ b/packages/entry-core/src/backendServers/ejectOutliers.ts
@@ -1,8 +1,8 @@
 /**
- * Keeps new work from backend servers that fail far more than their pool, for a while. A server
- * that fails fast looks idle, so without this it would draw most of the work and fail it. Yet
- * when many fail at once the cause is seldom the servers: ejection stops at a floor of half of
- * each group, so that a fault of the network or of the requests never empties a pool.
+ * Outlier ejection: a backend server that fails often gets no new work for a while. A server that
+ * fails fast looks idle, so without ejection it would attract most of the work. At least half of
+ * each group stays in use: when many servers fail at once, the cause is more likely the network or
+ * the requests, and ejection must not empty the pool.
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { BackendServerState } from './BackendServerState.js';
@@ -11,11 +11,10 @@
 const MAX_CONSECUTIVE_FAILURES = 3;
 const MAX_FAILED_FRACTION_OF_OUTCOMES = 0.5;
 const MIN_OUTCOMES = 10;
-/** Outcomes after which all are halved, so that the error share is of late ones. */
+/** At this number all counts are halved, so that recent outcomes have more weight. */
 const MAX_OUTCOMES = 40;
 const MIN_EJECTION_MILLISECONDS: Milliseconds = 5000;
 const MAX_EJECTION_MILLISECONDS: Milliseconds = 60_000;
-/** Share of a group that always stays in use. */
 const MIN_IN_USE_FRACTION_OF_GROUP = 0.5;
 
 function countMinServersInUse(group: CandidateGroup): number {
@@ -52,7 +51,7 @@
   group.add(server);
 }
 
-/** Brings ejected servers back while fewer than the floor are in use, as when others have left. */
+/** Reinstates ejected servers while too few are in use, as when others have left. */
 export function enforceMinServersInUse(group: CandidateGroup): void {
   for (const server of group.ejected) {
     if (group.candidates.length >= countMinServersInUse(group)) return;
@@ -60,7 +59,7 @@
   }
 }
 
-/** Brings back those whose time is over; they start slowly. */
+/** Reinstates servers whose ejection has expired; they begin with slow start. */
 export function endExpiredEjections(pool: PoolState, now: MonotonicMilliseconds): void {
   for (const group of pool.groups) {
     for (const server of group.ejected) {
@@ -84,7 +83,7 @@
   if (balancing.successes >= MIN_OUTCOMES) balancing.consecutiveEjections = 0;
 }
 
-/** Counts a failure; true if the server was ejected for it. */
+/** Counts a failure; returns true if the server was ejected for it. */
 export function recordFailure(
   pool: PoolState,
   server: BackendServerState,
--- a/packages/entry-core/src/backendServers/estimateInProgress.ts
+++ b/packages/entry-core/src/backendServers/estimateInProgress.ts
@@ -1,18 +1,19 @@
 /**
- * Estimates what a backend server has in progress from a load report that lags. The report is
- * split into own and other work at the moment it was measured; own work is then counted exactly,
- * so that what this entry has sent since is added and what has ended since is taken off. Without
- * it, all entries see the same idle server until its next report and all send to it.
+ * Estimates the requests in progress at a backend server: those of this entry, and those that the
+ * other entries report. If their reports are incomplete, the last load report of the server is
+ * split into own and other requests at the time of measurement, and own requests are counted
+ * exactly from then on. With the load report alone, all entries would see the same idle server and
+ * send to it until its next report.
  */
 import type { EpochMilliseconds, LoadReport, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 import type { BackendServerState } from './BackendServerState.js';
 import type { EndedAttempt } from './BalancingState.js';
 
-/** Own attempts of the last seconds that are remembered for one server; older ones are let go. */
+/** Per server; when exceeded, the older half is dropped. */
 const MAX_ENDED_ATTEMPTS = 512;
 
-/** A load report that says nothing about now. */
+/** Older load reports are ignored. */
 const MAX_LOAD_REPORT_AGE_MILLISECONDS = 15_000;
 
 export function recordEndedAttempt(server: BackendServerState, ended: EndedAttempt): void {
@@ -36,7 +37,7 @@
   return own;
 }
 
-/** Takes in a load report; one older than what is known already is passed over. */
+/** Applies a load report, unless it was measured before the last one. */
 export function receiveLoadReport(
   state: EntryState,
   report: LoadReport,
@@ -58,18 +59,20 @@
   balancing.otherEntriesInProgress = Math.max(0, report.running + report.queued - own);
 }
 
-/** True while all other entries that are known tell what they have in progress. */
+/**
+ * True if there are other entries and all of them are connected, so that their work reports are
+ * complete.
+ */
 function isEveryPeerConnected({ membership }: EntryState): boolean {
   if (membership.peers.size === 0) return false;
   return [...membership.peers.values()].every(({ live }) => live);
 }
 
 /**
- * Requests in progress at the server now, of this entry and of others. Where some cannot tell theirs,
- * a load report stands in: other entries of the data
- * centre are taken to have grown since the measurement as this one has, since the balancer gives
- * all of them the same rush; a report that is seconds old would otherwise let each of them fill
- * the server for itself.
+ * Requests of all entries in progress at the server. Without complete work reports, each other
+ * entry is assumed to have added as many since the last load report as this one, because callers
+ * are balanced over all entries. Otherwise an old load report would let each entry fill the server
+ * by itself.
  */
 export function estimateInProgress(state: EntryState, server: BackendServerState): number {
   if (isEveryPeerConnected(state)) {
--- a/packages/entry-core/src/backendServers/getPoolState.ts
+++ b/packages/entry-core/src/backendServers/getPoolState.ts
@@ -1,4 +1,4 @@
-/** The balance of a pool, made when it is first asked for. */
+/** Returns the state of a pool, which is created on first use. */
 import type { EntryState } from '../EntryState.js';
 import { PoolState } from './PoolState.js';
 
--- a/packages/entry-core/src/backendServers/hasCapacity.ts
+++ b/packages/entry-core/src/backendServers/hasCapacity.ts
@@ -1,4 +1,4 @@
-/** Whether a backend server may be given a request now. */
+/** Whether a backend server can be sent a request now. */
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
 import type { BackendServerState } from './BackendServerState.js';
@@ -7,7 +7,9 @@
 import { isPrefillQueueFull } from './predictFirstTokenDelay.js';
 import { currentLimit } from './BalancingState.js';
 
-/** Requests that will be late get no more of a server than this: a full one is slower for all. */
+/**
+ * Late requests may use only this fraction of a server, because a full server is slower for all.
+ */
 const LATE_FRACTION_OF_LIMIT = 0.5;
 
 export function hasCapacity(
--- a/packages/entry-core/src/backendServers/indexCandidates.ts
+++ b/packages/entry-core/src/backendServers/indexCandidates.ts
@@ -1,7 +1,7 @@
 /**
- * Sorts the backend servers into the candidates of their pools. This costs one pass over all
- * servers and is done when the list of instances comes in, not for a request; a server that stops
- * taking new work in between is taken out when a choice meets it.
+ * Assigns the backend servers to the candidate groups of their pools. It iterates over all servers
+ * and runs when the list of instances is received, not per request; a server that stops accepting
+ * new work in between is removed when it is sampled.
  */
 import type { EntryState } from '../EntryState.js';
 import { acceptsNewWork, type BackendServerState } from './BackendServerState.js';
--- a/packages/entry-core/src/backendServers/makeAttemptTarget.ts
+++ b/packages/entry-core/src/backendServers/makeAttemptTarget.ts
@@ -1,4 +1,4 @@
-/** A backend server as effects name it to the shell. */
+/** Builds the address and protocol options of a backend server that effects pass to the shell. */
 import type { Pool } from '@hornbeampond/schema';
 import type { AttemptTarget } from '../entryEffects.js';
 import type { BackendServerState } from './BackendServerState.js';
--- a/packages/entry-core/src/backendServers/observeAttempt.ts
+++ b/packages/entry-core/src/backendServers/observeAttempt.ts
@@ -1,6 +1,6 @@
 /**
- * Learns from the edges of this entry's own attempts, before the attempt's own part of the
- * reducer handles them: delays, service times, failures, and which prompt prefixes are now where.
+ * Updates the load-balancing state from the events of this entry's own attempts, before the attempt
+ * handlers process them: delays, service times, failures and cached prefixes.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -21,7 +21,7 @@
 import { countPendingTokens, estimateUncachedTokens } from './predictFirstTokenDelay.js';
 import { currentLimit } from './BalancingState.js';
 
-/** All that one edge of an attempt is about. */
+/** The attempt of an event, and the state that belongs to it. */
 interface AttemptContext {
   readonly attempt: AttemptState;
   readonly accepted: RequestState;
@@ -30,7 +30,7 @@
   readonly now: MonotonicMilliseconds;
 }
 
-/** Failures that are the backend server's own, and neither the request's nor a full server's. */
+/** Failures caused by the backend server itself, not by the request or by a full server. */
 const serverFailures: readonly AttemptFailure[] = [
   'connectFailed',
   'serverError',
@@ -58,8 +58,8 @@
 }
 
 /**
- * Weight of a first-token delay that shows a crowded server rather than what is usual. It is not
- * zero: when all servers of a pool have become slower, that is the usual then.
+ * Weight of a first-token delay far above the expected one. It is not zero, so that the estimate
+ * adapts when all servers of a pool have become slower.
  */
 const OVERLOADED_SAMPLE_WEIGHT = 0.1;
 
@@ -76,12 +76,12 @@
   const weight = isTypical ? 1 : OVERLOADED_SAMPLE_WEIGHT;
   const cappedDelay = Math.min(delay, TOLERATED_SLOWDOWN_FACTOR * expectedDelay);
   pool.firstTokenRegression.addSample(pending.tokensUntilFirstToken, cappedDelay, now, weight);
-  // The prompt has been computed here, so its prefixes are cached here; the engine's own event
-  // will say so only later.
+  // The server has just prefilled the prompt, so its prefixes are cached there; the engine's own
+  // cache event arrives later.
   const { prefixDigests } = accepted.request;
   pool.prefixCacheIndex.recordCached(server, prefixDigests, now);
   state.peerWork.markChanged(server.platformInstance.instance);
-  // The last part of a prompt is its own; no other entry is asked for it.
+  // The last part of a prompt is specific to the request, so other entries have no use for it.
   state.peerWork.recordComputedPrefixes(
     server.platformInstance.instance,
     prefixDigests.slice(0, -1),
@@ -110,7 +110,7 @@
   recordEndedAttempt(server, { startedAt: attempt.startedAt, endedAt: now });
 }
 
-/** A server with this share of its limit in progress is nearly as slow as in a rush. */
+/** At this utilization a server is nearly as slow as at full load. */
 const BUSY_FRACTION_OF_LIMIT = 0.8;
 
 function observeFinish(state: EntryState, context: AttemptContext): void {
@@ -150,7 +150,7 @@
   return [];
 }
 
-/** Takes note of the attempts that the reducer has just started. */
+/** Records the attempts that the reducer has just started. */
 export function observeAttemptStarts(
   state: EntryState,
   effects: readonly EntryEffect[],
@@ -161,7 +161,7 @@
   }
 }
 
-/** Lets go of attempts that ended without an edge of their own, as when they were cancelled. */
+/** Removes attempts that ended without an event of their own, such as cancelled ones. */
 export function pruneEndedAttempts(state: EntryState): void {
   for (const pool of state.poolStates.values()) {
     for (const attemptId of pool.attemptIds) {
--- a/packages/entry-core/src/backendServers/predictFirstTokenDelay.ts
+++ b/packages/entry-core/src/backendServers/predictFirstTokenDelay.ts
@@ -1,7 +1,7 @@
 /**
- * Predicts the time from sending a request to its first token at one backend server: prompts are
- * computed one after the other, so what counts is the tokens of this prompt and of those that were
- * sent there and have no first token yet, less what the prefix cache is believed to hold.
+ * Predicts the time from sending a request to its first token at a backend server. An engine
+ * prefills prompts one after another, so the prediction is based on the tokens of this prompt and
+ * of those still pending at the server, less what is estimated to be in the prefix cache.
  */
 import type { LogFields, Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { CallerRequest } from '../entryEvents.js';
@@ -12,10 +12,10 @@
 import type { PoolState } from './PoolState.js';
 import { currentLimit, currentSlowness } from './BalancingState.js';
 
-/** How much later a first token is on a full server than on an idle one. */
+/** How much longer the first token takes on a full server than on an idle one. */
 const FULL_SERVER_EXTRA_FRACTION_OF_DELAY = 0.5;
 
-/** Tokens of the prompt that the server is believed to have to compute. */
+/** Tokens of the prompt that the server is estimated to have to prefill. */
 export function estimateUncachedTokens(
   pool: PoolState,
   server: BackendServerState,
@@ -25,7 +25,9 @@
   return request.promptTokens * (1 - pool.prefixCacheIndex.cachedFractionAt(server, request, now));
 }
 
-/** Tokens of prompts that all entries have sent there and that have no first token yet. */
+/**
+ * Uncached tokens of all prompts sent to the server, by any entry, that have no first token yet.
+ */
 export function countPendingTokens(state: EntryState, server: BackendServerState): number {
   return (
     countOwnPendingTokens(server) +
@@ -33,7 +35,7 @@
   );
 }
 
-/** The same of this entry's own prompts. */
+/** The same for the prompts of this entry alone. */
 export function countOwnPendingTokens({ balancing }: BackendServerState): number {
   let tokens = 0;
   for (const pending of balancing.pendingPrompts.values()) tokens += pending.uncachedTokens;
@@ -41,15 +43,14 @@
 }
 
 /**
- * Prompts that wait for each other inside an engine, by how long, before it counts as full. What
- * is sent early waits there in order of arrival, whatever its deadline and workspace; what is kept
- * here waits in the right order. All entries of the data centre together keep to it.
+ * Longest prefill queue inside an engine, for all entries together. An engine serves it in order of
+ * arrival; requests that wait in the entry are ordered by deadline and workspace.
  */
 const MAX_PENDING_PREFILL_MILLISECONDS: Milliseconds = 400;
 
 /**
- * True if the prompts that are pending at the server leave no use for this one there. One whose
- * prefix the server has may wait longer by as much as it saves.
+ * True if the pending prompts leave no capacity for this one. A request whose prefix is cached may
+ * wait longer by as much as it saves; a late one needs an empty queue.
  */
 export function isPrefillQueueFull(
   state: EntryState,
@@ -68,7 +69,7 @@
   return pendingTime > MAX_PENDING_PREFILL_MILLISECONDS + savedTime;
 }
 
-/** What is left of the wait that the server's last report predicted. */
+/** What remains of the delay that the last load report predicted. */
 function remainingReportedDelay(
   server: BackendServerState,
   now: MonotonicMilliseconds,
@@ -98,7 +99,7 @@
   return Math.max(loadedDelay, remainingReportedDelay(server, now)) + queueDelay;
 }
 
-/** What a prediction goes by, for the log of a decision. */
+/** The inputs of a prediction, for the log of a decision. */
 export function describePrediction(
   state: EntryState,
   pool: PoolState,
@@ -120,9 +121,9 @@
 }
 
 /**
- * True if a prediction above the caller's patience may be a reason to refuse. What was learnt must
- * be young, and more than a first belief, which may be several times too slow: a pool that refuses
- * everything learns nothing, and one slow moment would close it for good. So after a few seconds without a sample a request is let through to find out.
+ * True if a predicted delay above `maxDelay` may be a reason to refuse. It must be based on recent
+ * samples or on the last load report: a pool that refuses everything gets no samples, so one slow
+ * moment would close it for good. Without a recent sample a request is admitted to get one.
  */
 export function isPredictionTrusted(
   pool: PoolState,
--- a/packages/entry-core/src/backendServers/receiveDrains.ts
+++ b/packages/entry-core/src/backendServers/receiveDrains.ts
@@ -1,9 +1,9 @@
 /**
- * Takes in which backend servers a data centre's controller has taken out of service. They get no
- * new work; what runs there runs on.
+ * Records which backend servers a data centre's controller has taken out of service. They get no
+ * new work; their requests in progress continue.
  *
- * Only the word of the newest epoch counts: a controller that lost its lease without knowing could
- * otherwise give a server back that its successor is about to end.
+ * Messages of an earlier epoch are ignored: a controller that has lost its lease without noticing
+ * could otherwise return a server to service that its successor is about to stop.
  */
 import type { FleetDrains } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
--- a/packages/entry-core/src/backendServers/shareWork.ts
+++ b/packages/entry-core/src/backendServers/shareWork.ts
@@ -1,4 +1,7 @@
-/** Tells the other entries of this one's work at backend servers, and takes in theirs. */
+/**
+ * Exchanges work reports with the other entries: the requests and pending prompt tokens that each
+ * has at backend servers.
+ */
 import type { MonotonicMilliseconds, ServerWork, WorkReport } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
