--- a/packages/entry-core/src/backendServers/MovingAverage.ts
+++ b/packages/entry-core/src/backendServers/MovingAverage.ts
@@ -6,11 +6,11 @@
 export class MovingAverage {
   private mean: Milliseconds | undefined;
 
-  /** @param prior - The value before the first sample. */
-  constructor(private readonly prior: Milliseconds) {}
+  /** @param defaultValue - The value before the first sample. */
+  constructor(private readonly defaultValue: Milliseconds) {}
 
   get value(): Milliseconds {
-    return this.mean ?? this.prior;
+    return this.mean ?? this.defaultValue;
   }
 
   addSample(sample: Milliseconds): void {
--- a/packages/entry-core/src/backendServers/PeerWork.test.ts
+++ b/packages/entry-core/src/backendServers/PeerWork.test.ts
@@ -18,10 +18,10 @@
   const work = new PeerWork();
   work.applyReport(makeReport('entry-2', { engine: busy }));
   work.applyReport(makeReport('entry-3', { engine: { inProgress: 1, promptTokens: 0 } }));
-  assert.deepEqual(work.workAt('engine'), { inProgress: 3, promptTokens: 5000 });
+  assert.deepEqual(work.peerWorkAt('engine'), { inProgress: 3, promptTokens: 5000 });
   work.applyReport(makeReport('entry-2', { engine: idle }));
-  assert.deepEqual(work.workAt('engine'), { inProgress: 1, promptTokens: 0 });
-  assert.deepEqual(work.workAt('another'), idle);
+  assert.deepEqual(work.peerWorkAt('engine'), { inProgress: 1, promptTokens: 0 });
+  assert.deepEqual(work.peerWorkAt('another'), idle);
 });
 
 // A restarted entry has none of the calls that it reported before. If they were kept, the engines
@@ -30,11 +30,11 @@
   const work = new PeerWork();
   work.applyReport(makeReport('entry-2', { engine: busy }));
   work.applyReport(makeReport('entry-2', { other: busy }, 2));
-  assert.deepEqual(work.workAt('engine'), idle);
+  assert.deepEqual(work.peerWorkAt('engine'), idle);
   work.applyReport(makeReport('entry-2', { engine: busy }, 1));
-  assert.deepEqual(work.workAt('engine'), idle);
-  work.removePeer('entry-2');
-  assert.deepEqual(work.workAt('other'), idle);
+  assert.deepEqual(work.peerWorkAt('engine'), idle);
+  work.removePeerWork('entry-2');
+  assert.deepEqual(work.peerWorkAt('other'), idle);
 });
 
 test('changes are reported together, and less often when there are many entries', () => {
@@ -43,8 +43,8 @@
     work.takeDueReport(entries, now, () => busy);
   assert.equal(takeDueReport(8, 0), undefined);
   work.markChanged('engine');
-  work.recordComputedPrefixes('engine', ['a', 'b']);
-  work.recordComputedPrefixes('engine', ['b']);
+  work.recordPrefilledPrefixes('engine', ['a', 'b']);
+  work.recordPrefilledPrefixes('engine', ['b']);
   assert.deepEqual(takeDueReport(8, 0), {
     work: { engine: busy },
     computed: { engine: ['a', 'b'] },
--- a/packages/entry-core/src/backendServers/PeerWork.ts
+++ b/packages/entry-core/src/backendServers/PeerWork.ts
@@ -8,7 +8,7 @@
 
 const NO_WORK: ServerWork = { inProgress: 0, promptTokens: 0 };
 
-interface ReportedWork {
+interface PeerWorkState {
   readonly incarnation: number;
   /** By backend server. */
   readonly work: Map<string, ServerWork>;
@@ -20,7 +20,7 @@
 
 export class PeerWork {
   /** By instance of the peer. */
-  private readonly peers = new Map<string, ReportedWork>();
+  private readonly peers = new Map<string, PeerWorkState>();
 
   /** Sum over all peers, by backend server. */
   private readonly totals = new Map<string, { inProgress: number; promptTokens: number }>();
@@ -29,62 +29,62 @@
   private readonly changedServers = new Set<string>();
 
   /** Prefixes computed since the last report, by backend server. */
-  private readonly computedPrefixes = new Map<string, Set<string>>();
+  private readonly prefilledPrefixes = new Map<string, Set<string>>();
 
-  private reportedAt: MonotonicMilliseconds = Number.NEGATIVE_INFINITY;
+  private lastSentAt: MonotonicMilliseconds = Number.NEGATIVE_INFINITY;
 
   /** Work of all peers at a backend server. */
-  workAt(instance: string): ServerWork {
-    return this.totals.get(instance) ?? NO_WORK;
+  peerWorkAt(backendServer: string): ServerWork {
+    return this.totals.get(backendServer) ?? NO_WORK;
   }
 
-  markChanged(instance: string): void {
-    this.changedServers.add(instance);
+  markChanged(backendServer: string): void {
+    this.changedServers.add(backendServer);
   }
 
-  recordComputedPrefixes(instance: string, digests: readonly string[]): void {
+  recordPrefilledPrefixes(backendServer: string, digests: readonly string[]): void {
     if (digests.length === 0) return;
-    const recordedDigests = this.computedPrefixes.get(instance) ?? new Set();
-    digests.forEach((digest) => recordedDigests.add(digest));
-    this.computedPrefixes.set(instance, recordedDigests);
+    const digestsOfServer = this.prefilledPrefixes.get(backendServer) ?? new Set();
+    digests.forEach((digest) => digestsOfServer.add(digest));
+    this.prefilledPrefixes.set(backendServer, digestsOfServer);
   }
 
   /** Returns and clears the pending changes, or returns undefined if none is due to be reported. */
   takeDueReport(
     entryCount: number,
     now: MonotonicMilliseconds,
-    readOwnWork: (instance: string) => ServerWork,
+    readOwnWork: (backendServer: string) => ServerWork,
   ): Pick<WorkReport, 'work' | 'computed'> | undefined {
     const reportInterval =
       MIN_REPORT_INTERVAL_MILLISECONDS * Math.max(1, entryCount / MAX_ENTRIES_AT_MIN_INTERVAL);
-    if (this.changedServers.size === 0 && this.computedPrefixes.size === 0) return undefined;
-    if (now - this.reportedAt < reportInterval) return undefined;
-    this.reportedAt = now;
+    if (this.changedServers.size === 0 && this.prefilledPrefixes.size === 0) return undefined;
+    if (now - this.lastSentAt < reportInterval) return undefined;
+    this.lastSentAt = now;
     const work = Object.fromEntries(
-      [...this.changedServers].map((name) => [name, readOwnWork(name)]),
+      [...this.changedServers].map((backendServer) => [backendServer, readOwnWork(backendServer)]),
     );
     const computed = Object.fromEntries(
-      [...this.computedPrefixes].map(([name, digests]) => [name, [...digests]]),
+      [...this.prefilledPrefixes].map(([backendServer, digests]) => [backendServer, [...digests]]),
     );
     this.changedServers.clear();
-    this.computedPrefixes.clear();
+    this.prefilledPrefixes.clear();
     return { work, computed };
   }
 
-  applyReport({ instance, incarnation, work }: WorkReport): void {
-    const lastReported = this.peers.get(instance);
-    if (lastReported !== undefined && incarnation < lastReported.incarnation) return;
-    if (lastReported !== undefined && incarnation > lastReported.incarnation)
-      this.removePeer(instance);
-    const reported = this.peers.get(instance) ?? {
+  applyReport({ instance: peer, incarnation, work }: WorkReport): void {
+    const previousState = this.peers.get(peer);
+    if (previousState !== undefined && incarnation < previousState.incarnation) return;
+    if (previousState !== undefined && incarnation > previousState.incarnation)
+      this.removePeerWork(peer);
+    const peerState = this.peers.get(peer) ?? {
       incarnation,
       work: new Map<string, ServerWork>(),
     };
-    this.peers.set(instance, reported);
-    Object.entries(work).forEach(([server, current]) => {
-      this.updateTotal(server, current, reported.work.get(server));
-      if (current.inProgress > 0) reported.work.set(server, current);
-      else reported.work.delete(server);
+    this.peers.set(peer, peerState);
+    Object.entries(work).forEach(([backendServer, current]) => {
+      this.updateTotal(backendServer, current, peerState.work.get(backendServer));
+      if (current.inProgress > 0) peerState.work.set(backendServer, current);
+      else peerState.work.delete(backendServer);
     });
   }
 
@@ -92,18 +92,22 @@
    * Removes the work of a peer that is unreachable or was removed; its calls are assumed to have
    * ended.
    */
-  removePeer(instance: string): void {
+  removePeerWork(peer: string): void {
     this.peers
-      .get(instance)
-      ?.work.forEach((current, server) => this.updateTotal(server, NO_WORK, current));
-    this.peers.delete(instance);
+      .get(peer)
+      ?.work.forEach((current, backendServer) => this.updateTotal(backendServer, NO_WORK, current));
+    this.peers.delete(peer);
   }
 
-  private updateTotal(server: string, current: ServerWork, previous: ServerWork = NO_WORK): void {
-    const total = this.totals.get(server) ?? { inProgress: 0, promptTokens: 0 };
+  private updateTotal(
+    backendServer: string,
+    current: ServerWork,
+    previous: ServerWork = NO_WORK,
+  ): void {
+    const total = this.totals.get(backendServer) ?? { inProgress: 0, promptTokens: 0 };
     total.inProgress += current.inProgress - previous.inProgress;
     total.promptTokens += current.promptTokens - previous.promptTokens;
-    if (total.inProgress > 0) this.totals.set(server, total);
-    else this.totals.delete(server);
+    if (total.inProgress > 0) this.totals.set(backendServer, total);
+    else this.totals.delete(backendServer);
   }
 }
--- a/packages/entry-core/src/backendServers/PoolState.ts
+++ b/packages/entry-core/src/backendServers/PoolState.ts
@@ -27,14 +27,14 @@
     this.limitSum = 0;
   }
 
-  add(server: BackendServerState): void {
+  addCandidate(server: BackendServerState): void {
     server.balancing.candidateIndex = this.candidates.length;
     this.candidates.push(server);
     this.limitSum += server.balancing.limit;
   }
 
   /** Removes a server by moving the last candidate to its position. */
-  remove(server: BackendServerState): void {
+  removeCandidate(server: BackendServerState): void {
     const index = server.balancing.candidateIndex;
     if (index === undefined || this.candidates[index] !== server) return;
     const last = this.candidates.pop();
@@ -53,10 +53,10 @@
   /**
    * The candidate at an index, or undefined if it no longer accepts new work; it is then removed.
    */
-  getOrRemove(index: number): BackendServerState | undefined {
+  getCandidateOrRemove(index: number): BackendServerState | undefined {
     const server = this.candidates[index];
     if (server === undefined || acceptsNewWork(server)) return server;
-    this.remove(server);
+    this.removeCandidate(server);
     return undefined;
   }
 }
@@ -65,7 +65,7 @@
  * Assumed ratio of service times on busy and other servers while none was measured on a busy one.
  */
 const BUSY_SERVICE_TIME_FACTOR = 2;
-const PRIOR_SERVICE_TIME_MILLISECONDS: Milliseconds = 1000;
+const DEFAULT_SERVICE_TIME_MILLISECONDS: Milliseconds = 1000;
 const PRIOR_FIRST_TOKEN_DELAY_MILLISECONDS: Milliseconds = 50;
 const PRIOR_PREFILL_MILLISECONDS_PER_TOKEN: Milliseconds = 0.1;
 
@@ -87,7 +87,7 @@
   private readonly busyServiceTimes = new Map<string, MovingAverage>();
 
   /** Prompt tokens that had to be prefilled, by route. */
-  private readonly uncachedTokens = new Map<string, MovingAverage>();
+  private readonly averageUncachedTokens = new Map<string, MovingAverage>();
 
   /** Attempts of this entry in progress in the pool. */
   readonly attemptIds = new Set<string>();
@@ -132,26 +132,26 @@
     if (busy !== undefined) return busy;
     const nonBusy = this.nonBusyServiceTimes.get(route)?.value;
     return nonBusy === undefined
-      ? PRIOR_SERVICE_TIME_MILLISECONDS
+      ? DEFAULT_SERVICE_TIME_MILLISECONDS
       : nonBusy * BUSY_SERVICE_TIME_FACTOR;
   }
 
   /** Expected prefill time of a request of the route. */
   estimatePrefillTime(route: string): Milliseconds {
     return this.firstTokenRegression.predictMarginalDelay(
-      this.uncachedTokens.get(route)?.value ?? 0,
+      this.averageUncachedTokens.get(route)?.value ?? 0,
     );
   }
 
   recordUncachedTokens(route: string, tokens: number): void {
-    const average = this.uncachedTokens.get(route) ?? new MovingAverage(tokens);
+    const average = this.averageUncachedTokens.get(route) ?? new MovingAverage(tokens);
     average.addSample(tokens);
-    this.uncachedTokens.set(route, average);
+    this.averageUncachedTokens.set(route, average);
   }
 
   recordServiceTime(route: string, sample: Milliseconds, isBusy: boolean): void {
     const averages = isBusy ? this.busyServiceTimes : this.nonBusyServiceTimes;
-    const average = averages.get(route) ?? new MovingAverage(PRIOR_SERVICE_TIME_MILLISECONDS);
+    const average = averages.get(route) ?? new MovingAverage(DEFAULT_SERVICE_TIME_MILLISECONDS);
     average.addSample(sample);
     averages.set(route, average);
   }
--- a/packages/entry-core/src/backendServers/applyInstanceList.ts
+++ b/packages/entry-core/src/backendServers/applyInstanceList.ts
@@ -7,7 +7,7 @@
 import { routeIndexOf } from '../routing/routeIndexOf.js';
 import { restoreCachedPrefixes } from '../membership/restorePersistedState.js';
 import type { BackendServerState } from './BackendServerState.js';
-import { indexCandidates } from './indexCandidates.js';
+import { rebuildCandidateGroups } from './rebuildCandidateGroups.js';
 import { makeBalancingState } from './BalancingState.js';
 
 /** For instances whose class is not in the pools table. */
@@ -82,5 +82,5 @@
     else server.platformInstance = { ...server.platformInstance, state: 'leaving' };
   });
   refreshConcurrencyLimits(state);
-  indexCandidates(state);
+  rebuildCandidateGroups(state);
 }
--- a/packages/entry-core/src/backendServers/chooseBackendServer.ts
+++ b/packages/entry-core/src/backendServers/chooseBackendServer.ts
@@ -35,7 +35,7 @@
  * A server is busy if its predicted first token takes more than this fraction of the time that
  * remains. Below it a caller gains little from another data centre.
  */
-const BUSY_FRACTION_OF_REMAINING_TIME = 0.25;
+const SLOW_FRACTION_OF_REMAINING_TIME = 0.25;
 
 /** How much longer an answer takes in a full batch than alone, as a fraction of its duration. */
 const FULL_BATCH_EXTRA_FRACTION_OF_SERVICE_TIME = 0.2;
@@ -173,7 +173,9 @@
 
   private considerRandom(group: CandidateGroup): void {
     if (group.candidates.length === 0) return;
-    this.consider(group.getOrRemove(uniformInt(this.state.random, 0, group.candidates.length - 1)));
+    this.consider(
+      group.getCandidateOrRemove(uniformInt(this.state.random, 0, group.candidates.length - 1)),
+    );
   }
 
   private computeUtilization(server: BackendServerState): number {
@@ -227,9 +229,9 @@
   remainingTime: Milliseconds,
 ): boolean {
   if (bestLocal.firstTokenDelay > remainingTime) return bestRemote.firstTokenDelay <= remainingTime;
-  const isBusy = bestLocal.firstTokenDelay > remainingTime * BUSY_FRACTION_OF_REMAINING_TIME;
+  const isSlow = bestLocal.firstTokenDelay > remainingTime * SLOW_FRACTION_OF_REMAINING_TIME;
   const isCached = bestRemote.prefillCost < bestLocal.prefillCost;
-  if (!isBusy && !isCached) return false;
+  if (!isSlow && !isCached) return false;
   const savedTime =
     bestLocal.firstTokenDelay +
     bestLocal.prefillCost -
--- a/packages/entry-core/src/backendServers/ejectOutliers.ts
+++ b/packages/entry-core/src/backendServers/ejectOutliers.ts
@@ -48,7 +48,7 @@
   server.balancing.ejectedUntil = undefined;
   if (now !== undefined) server.balancing.slowStartAt = now;
   resetOutcomes(server);
-  group.add(server);
+  group.addCandidate(server);
 }
 
 /** Reinstates ejected servers while too few are in use, as when others have left. */
@@ -99,7 +99,7 @@
   const duration = MIN_EJECTION_MILLISECONDS * 2 ** balancing.consecutiveEjections;
   balancing.consecutiveEjections += 1;
   balancing.ejectedUntil = now + Math.min(duration, MAX_EJECTION_MILLISECONDS);
-  group.remove(server);
+  group.removeCandidate(server);
   group.ejected.add(server);
   return true;
 }
--- a/packages/entry-core/src/backendServers/estimateInProgress.ts
+++ b/packages/entry-core/src/backendServers/estimateInProgress.ts
@@ -77,7 +77,8 @@
 export function estimateInProgress(state: EntryState, server: BackendServerState): number {
   if (isEveryPeerConnected(state)) {
     return (
-      server.attemptIds.size + state.peerWork.workAt(server.platformInstance.instance).inProgress
+      server.attemptIds.size +
+      state.peerWork.peerWorkAt(server.platformInstance.instance).inProgress
     );
   }
   const { measuredAt, otherEntriesInProgress, ownInProgressAtMeasurement } = server.balancing;
--- a/packages/entry-core/src/backendServers/observeAttempt.ts
+++ b/packages/entry-core/src/backendServers/observeAttempt.ts
@@ -82,7 +82,7 @@
   pool.prefixCacheIndex.recordCached(server, prefixDigests, now);
   state.peerWork.markChanged(server.platformInstance.instance);
   // The last part of a prompt is specific to the request, so other entries have no use for it.
-  state.peerWork.recordComputedPrefixes(
+  state.peerWork.recordPrefilledPrefixes(
     server.platformInstance.instance,
     prefixDigests.slice(0, -1),
   );
--- a/packages/entry-core/src/backendServers/predictFirstTokenDelay.ts
+++ b/packages/entry-core/src/backendServers/predictFirstTokenDelay.ts
@@ -31,7 +31,7 @@
 export function countPendingTokens(state: EntryState, server: BackendServerState): number {
   return (
     countOwnPendingTokens(server) +
-    state.peerWork.workAt(server.platformInstance.instance).promptTokens
+    state.peerWork.peerWorkAt(server.platformInstance.instance).promptTokens
   );
 }
 
--- a/packages/entry-core/src/backendServers/indexCandidates.ts
+++ b/packages/entry-core/src/backendServers/rebuildCandidateGroups.ts
@@ -15,7 +15,7 @@
   }
 }
 
-export function indexCandidates(state: EntryState): void {
+export function rebuildCandidateGroups(state: EntryState): void {
   clearGroups(state);
   const serversByPool = new Map<PoolState, BackendServerState[]>();
   for (const server of state.backendServers.values()) {
@@ -24,7 +24,7 @@
     const pool = getPoolState(state, server.platformInstance.pool);
     const isLocal = server.platformInstance.dataCentre === state.identity.dataCentre;
     const group = isLocal ? pool.local : pool.remote;
-    if (server.balancing.ejectedUntil === undefined) group.add(server);
+    if (server.balancing.ejectedUntil === undefined) group.addCandidate(server);
     else group.ejected.add(server);
     const servers = serversByPool.get(pool);
     if (servers === undefined) serversByPool.set(pool, [server]);
--- a/packages/entry-core/src/backendServers/shareWork.ts
+++ b/packages/entry-core/src/backendServers/shareWork.ts
@@ -8,8 +8,8 @@
 import { getPoolState } from './getPoolState.js';
 import { countOwnPendingTokens } from './predictFirstTokenDelay.js';
 
-function readOwnWork(state: EntryState, instance: string): ServerWork {
-  const server = state.backendServers.get(instance);
+function readOwnWork(state: EntryState, backendServer: string): ServerWork {
+  const server = state.backendServers.get(backendServer);
   if (server === undefined) return { inProgress: 0, promptTokens: 0 };
   return {
     inProgress: server.attemptIds.size,
@@ -19,11 +19,13 @@
 
 export function advanceWorkReports(state: EntryState, now: MonotonicMilliseconds): EntryEffect[] {
   const { instance, incarnation } = state.identity;
-  state.membership.peers.forEach(({ live }, name) => {
-    if (!live) state.peerWork.removePeer(name);
+  state.membership.peers.forEach(({ live }, peer) => {
+    if (!live) state.peerWork.removePeerWork(peer);
   });
-  const entries = state.membership.peers.size + 1;
-  const dueReport = state.peerWork.takeDueReport(entries, now, (name) => readOwnWork(state, name));
+  const entryCount = state.membership.peers.size + 1;
+  const dueReport = state.peerWork.takeDueReport(entryCount, now, (backendServer) =>
+    readOwnWork(state, backendServer),
+  );
   if (dueReport === undefined) return [];
   const begun = state.usage.takeChanged();
   const work = { type: 'workReport', instance, incarnation, ...dueReport } as const;
