--- a/packages/entry-core/src/backendServers/MovingAverage.ts
+++ b/packages/entry-core/src/backendServers/MovingAverage.ts
@@ -1,19 +1,19 @@
-/** A moving mean of times, in which old samples fade. */
+/** An exponential moving average. */
 import type { Milliseconds } from '@hornbeampond/schema';
 
-const SAMPLE_SHARE = 0.1;
+const SAMPLE_WEIGHT = 0.1;
 
 export class MovingAverage {
   private mean: Milliseconds | undefined;
 
-  /** @param prior - What is believed before the first sample. */
-  constructor(private readonly prior: Milliseconds) {}
+  /** @param defaultValue - The value before the first sample. */
+  constructor(private readonly defaultValue: Milliseconds) {}
 
   get value(): Milliseconds {
-    return this.mean ?? this.prior;
+    return this.mean ?? this.defaultValue;
   }
 
   addSample(sample: Milliseconds): void {
-    this.mean = this.mean === undefined ? sample : this.mean + (sample - this.mean) * SAMPLE_SHARE;
+    this.mean = this.mean === undefined ? sample : this.mean + (sample - this.mean) * SAMPLE_WEIGHT;
   }
 }
--- a/packages/entry-core/src/backendServers/PeerWork.test.ts
+++ b/packages/entry-core/src/backendServers/PeerWork.test.ts
@@ -3,46 +3,54 @@
 import type { ServerWork, WorkReport } from '@hornbeampond/schema';
 import { PeerWork } from './PeerWork.js';
 
-function report(instance: string, work: Record<string, ServerWork>, incarnation = 1): WorkReport {
+function makeReport(
+  instance: string,
+  work: Record<string, ServerWork>,
+  incarnation = 1,
+): WorkReport {
   return { type: 'workReport', instance, incarnation, work, computed: {} };
 }
 
 const busy: ServerWork = { inProgress: 2, promptTokens: 5000 };
 const idle: ServerWork = { inProgress: 0, promptTokens: 0 };
 
-test('the work of all peers at a backend server adds up, and goes as they tell', () => {
+test('the work of all peers at a backend server is added up and follows their reports', () => {
   const work = new PeerWork();
-  work.receive(report('entry-2', { engine: busy }));
-  work.receive(report('entry-3', { engine: { inProgress: 1, promptTokens: 0 } }));
-  assert.deepEqual(work.workAt('engine'), { inProgress: 3, promptTokens: 5000 });
-  work.receive(report('entry-2', { engine: idle }));
-  assert.deepEqual(work.workAt('engine'), { inProgress: 1, promptTokens: 0 });
-  assert.deepEqual(work.workAt('another'), idle);
+  work.applyReport(makeReport('entry-2', { engine: busy }));
+  work.applyReport(makeReport('entry-3', { engine: { inProgress: 1, promptTokens: 0 } }));
+  assert.deepEqual(work.peerWorkAt('engine'), { inProgress: 3, promptTokens: 5000 });
+  work.applyReport(makeReport('entry-2', { engine: idle }));
+  assert.deepEqual(work.peerWorkAt('engine'), { inProgress: 1, promptTokens: 0 });
+  assert.deepEqual(work.peerWorkAt('another'), idle);
 });
 
-// An entry is killed with calls in progress and started again. What it told before is gone with it;
-// kept, its engines would look busy for the rest of the day.
-test('the work of an entry that was started anew or fell silent is forgotten', () => {
+// A restarted entry has none of the calls that it reported before. If they were kept, the engines
+// would look busy indefinitely.
+test('the work of a restarted or removed peer is removed', () => {
   const work = new PeerWork();
-  work.receive(report('entry-2', { engine: busy }));
-  work.receive(report('entry-2', { other: busy }, 2));
-  assert.deepEqual(work.workAt('engine'), idle);
-  work.receive(report('entry-2', { engine: busy }, 1));
-  assert.deepEqual(work.workAt('engine'), idle);
-  work.removePeer('entry-2');
-  assert.deepEqual(work.workAt('other'), idle);
+  work.applyReport(makeReport('entry-2', { engine: busy }));
+  work.applyReport(makeReport('entry-2', { other: busy }, 2));
+  assert.deepEqual(work.peerWorkAt('engine'), idle);
+  work.applyReport(makeReport('entry-2', { engine: busy }, 1));
+  assert.deepEqual(work.peerWorkAt('engine'), idle);
+  work.removePeerWork('entry-2');
+  assert.deepEqual(work.peerWorkAt('other'), idle);
 });
 
-test('what has changed is told together, and no faster at many entries than at few', () => {
+test('changes are reported together, and less often when there are many entries', () => {
   const work = new PeerWork();
-  const take = (entries: number, now: number) => work.takeDueReport(entries, now, () => busy);
-  assert.equal(take(8, 0), undefined);
+  const takeDueReport = (entries: number, now: number) =>
+    work.takeDueReport(entries, now, () => busy);
+  assert.equal(takeDueReport(8, 0), undefined);
   work.markChanged('engine');
-  work.recordComputedPrefixes('engine', ['a', 'b']);
-  work.recordComputedPrefixes('engine', ['b']);
-  assert.deepEqual(take(8, 0), { work: { engine: busy }, computed: { engine: ['a', 'b'] } });
+  work.recordPrefilledPrefixes('engine', ['a', 'b']);
+  work.recordPrefilledPrefixes('engine', ['b']);
+  assert.deepEqual(takeDueReport(8, 0), {
+    work: { engine: busy },
+    computed: { engine: ['a', 'b'] },
+  });
   work.markChanged('engine');
-  assert.equal(take(8, 40), undefined);
-  assert.equal(take(80, 400), undefined);
-  assert.deepEqual(take(80, 500), { work: { engine: busy }, computed: {} });
+  assert.equal(takeDueReport(8, 40), undefined);
+  assert.equal(takeDueReport(80, 400), undefined);
+  assert.deepEqual(takeDueReport(80, 500), { work: { engine: busy }, computed: {} });
 });
--- a/packages/entry-core/src/backendServers/PeerWork.ts
+++ b/packages/entry-core/src/backendServers/PeerWork.ts
@@ -1,97 +1,113 @@
 /**
- * What the other entries have in progress at backend servers, as they tell it, and what this entry has
- * yet to tell them. Without it each entry knows of the others only what a backend server says with its
- * answers: seconds old at an entry with few callers, and nothing of prompts that wait there. Long
- * prompts of several entries then meet at one engine while others are idle.
+ * Tracks the work that the other entries have in progress at backend servers, from their reports,
+ * and the changes of this entry's own work that are still to be reported. Load reports of backend
+ * servers can be seconds old and omit prompts without a first token; with these alone, several
+ * entries would send long prompts to one engine while others are idle.
  */
 import type { MonotonicMilliseconds, ServerWork, WorkReport } from '@hornbeampond/schema';
 
 const NO_WORK: ServerWork = { inProgress: 0, promptTokens: 0 };
 
-interface PeerShare {
+interface PeerWorkState {
   readonly incarnation: number;
   /** By backend server. */
   readonly work: Map<string, ServerWork>;
 }
 
-/** Changes that are told together are told at most so often by one of eight entries; by more, less. */
-const TELLING_MILLISECONDS = 50;
-const ENTRIES_AT_FULL_PACE = 8;
+const MIN_REPORT_INTERVAL_MILLISECONDS = 50;
+/** With more entries the interval grows in proportion, so that report traffic stays bounded. */
+const MAX_ENTRIES_AT_MIN_INTERVAL = 8;
 
 export class PeerWork {
-  /** By the peer's instance. */
-  private readonly peers = new Map<string, PeerShare>();
+  /** By instance of the peer. */
+  private readonly peers = new Map<string, PeerWorkState>();
 
-  /** The sum over all peers, by backend server. */
-  private readonly sums = new Map<string, { inProgress: number; promptTokens: number }>();
+  /** Sum over all peers, by backend server. */
+  private readonly totals = new Map<string, { inProgress: number; promptTokens: number }>();
 
-  /** Backend servers at which this entry's own work has changed since it was told. */
-  private readonly changed = new Set<string>();
+  /** Backend servers at which this entry's own work has changed since the last report. */
+  private readonly changedServers = new Set<string>();
 
-  /** Prefixes that were computed since then, by backend server. */
-  private readonly computed = new Map<string, Set<string>>();
+  /** Prefixes computed since the last report, by backend server. */
+  private readonly prefilledPrefixes = new Map<string, Set<string>>();
 
-  private toldAt: MonotonicMilliseconds = Number.NEGATIVE_INFINITY;
+  private lastSentAt: MonotonicMilliseconds = Number.NEGATIVE_INFINITY;
 
-  /** What all peers have at a backend server. */
-  workAt(instance: string): ServerWork {
-    return this.sums.get(instance) ?? NO_WORK;
+  /** Work of all peers at a backend server. */
+  peerWorkAt(backendServer: string): ServerWork {
+    return this.totals.get(backendServer) ?? NO_WORK;
   }
 
-  markChanged(instance: string): void {
-    this.changed.add(instance);
+  markChanged(backendServer: string): void {
+    this.changedServers.add(backendServer);
   }
 
-  recordComputedPrefixes(instance: string, digests: readonly string[]): void {
+  recordPrefilledPrefixes(backendServer: string, digests: readonly string[]): void {
     if (digests.length === 0) return;
-    const known = this.computed.get(instance) ?? new Set();
-    digests.forEach((digest) => known.add(digest));
-    this.computed.set(instance, known);
+    const digestsOfServer = this.prefilledPrefixes.get(backendServer) ?? new Set();
+    digests.forEach((digest) => digestsOfServer.add(digest));
+    this.prefilledPrefixes.set(backendServer, digestsOfServer);
   }
 
-  /** What is to be told now, if anything is due. */
+  /** Returns and clears the pending changes, or returns undefined if none is due to be reported. */
   takeDueReport(
-    entries: number,
+    entryCount: number,
     now: MonotonicMilliseconds,
-    readOwn: (instance: string) => ServerWork,
+    readOwnWork: (backendServer: string) => ServerWork,
   ): Pick<WorkReport, 'work' | 'computed'> | undefined {
-    const pace = TELLING_MILLISECONDS * Math.max(1, entries / ENTRIES_AT_FULL_PACE);
-    if (this.changed.size === 0 && this.computed.size === 0) return undefined;
-    if (now - this.toldAt < pace) return undefined;
-    this.toldAt = now;
-    const work = Object.fromEntries([...this.changed].map((name) => [name, readOwn(name)]));
+    const reportInterval =
+      MIN_REPORT_INTERVAL_MILLISECONDS * Math.max(1, entryCount / MAX_ENTRIES_AT_MIN_INTERVAL);
+    if (this.changedServers.size === 0 && this.prefilledPrefixes.size === 0) return undefined;
+    if (now - this.lastSentAt < reportInterval) return undefined;
+    this.lastSentAt = now;
+    const work = Object.fromEntries(
+      [...this.changedServers].map((backendServer) => [backendServer, readOwnWork(backendServer)]),
+    );
     const computed = Object.fromEntries(
-      [...this.computed].map(([name, digests]) => [name, [...digests]]),
+      [...this.prefilledPrefixes].map(([backendServer, digests]) => [backendServer, [...digests]]),
     );
-    this.changed.clear();
-    this.computed.clear();
+    this.changedServers.clear();
+    this.prefilledPrefixes.clear();
     return { work, computed };
   }
 
-  receive({ instance, incarnation, work }: WorkReport): void {
-    const known = this.peers.get(instance);
-    if (known !== undefined && incarnation < known.incarnation) return;
-    if (known !== undefined && incarnation > known.incarnation) this.removePeer(instance);
-    const share = this.peers.get(instance) ?? { incarnation, work: new Map<string, ServerWork>() };
-    this.peers.set(instance, share);
-    Object.entries(work).forEach(([server, told]) => {
-      this.add(server, told, share.work.get(server));
-      if (told.inProgress > 0) share.work.set(server, told);
-      else share.work.delete(server);
+  applyReport({ instance: peer, incarnation, work }: WorkReport): void {
+    const previousState = this.peers.get(peer);
+    if (previousState !== undefined && incarnation < previousState.incarnation) return;
+    if (previousState !== undefined && incarnation > previousState.incarnation)
+      this.removePeerWork(peer);
+    const peerState = this.peers.get(peer) ?? {
+      incarnation,
+      work: new Map<string, ServerWork>(),
+    };
+    this.peers.set(peer, peerState);
+    Object.entries(work).forEach(([backendServer, current]) => {
+      this.updateTotal(backendServer, current, peerState.work.get(backendServer));
+      if (current.inProgress > 0) peerState.work.set(backendServer, current);
+      else peerState.work.delete(backendServer);
     });
   }
 
-  /** Lets go of a peer that is silent or gone: its calls have been cut. */
-  removePeer(instance: string): void {
-    this.peers.get(instance)?.work.forEach((told, server) => this.add(server, NO_WORK, told));
-    this.peers.delete(instance);
+  /**
+   * Removes the work of a peer that is unreachable or was removed; its calls are assumed to have
+   * ended.
+   */
+  removePeerWork(peer: string): void {
+    this.peers
+      .get(peer)
+      ?.work.forEach((current, backendServer) => this.updateTotal(backendServer, NO_WORK, current));
+    this.peers.delete(peer);
   }
 
-  private add(server: string, told: ServerWork, before: ServerWork = NO_WORK): void {
-    const sum = this.sums.get(server) ?? { inProgress: 0, promptTokens: 0 };
-    sum.inProgress += told.inProgress - before.inProgress;
-    sum.promptTokens += told.promptTokens - before.promptTokens;
-    if (sum.inProgress > 0) this.sums.set(server, sum);
-    else this.sums.delete(server);
+  private updateTotal(
+    backendServer: string,
+    current: ServerWork,
+    previous: ServerWork = NO_WORK,
+  ): void {
+    const total = this.totals.get(backendServer) ?? { inProgress: 0, promptTokens: 0 };
+    total.inProgress += current.inProgress - previous.inProgress;
+    total.promptTokens += current.promptTokens - previous.promptTokens;
+    if (total.inProgress > 0) this.totals.set(backendServer, total);
+    else this.totals.delete(backendServer);
   }
 }
--- a/packages/entry-core/src/backendServers/applyInstanceList.ts
+++ b/packages/entry-core/src/backendServers/applyInstanceList.ts
@@ -1,19 +1,19 @@
 /**
- * Takes in the platform's list of instances. The list lags: a notice that came another way stays
- * in force although the list still shows the instance as live.
+ * Applies the platform's list of instances. The list lags: a reclaim notice received in another way
+ * stays in force although the list still shows the instance as live.
  */
 import type { MonotonicMilliseconds, PlatformInstance } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 import { routeIndexOf } from '../routing/routeIndexOf.js';
 import { restoreCachedPrefixes } from '../membership/restorePersistedState.js';
 import type { BackendServerState } from './BackendServerState.js';
-import { indexCandidates } from './indexCandidates.js';
+import { rebuildCandidateGroups } from './rebuildCandidateGroups.js';
 import { makeBalancingState } from './BalancingState.js';
 
-/** For an instance whose class the pools table does not name (yet). */
+/** For instances whose class is not in the pools table. */
 const DEFAULT_CONCURRENCY = 8;
 
-function concurrencyOf(state: EntryState, instance: PlatformInstance): number {
+function findConcurrency(state: EntryState, instance: PlatformInstance): number {
   if (instance.concurrency !== undefined) return instance.concurrency;
   const classes = routeIndexOf(state).pool(instance.pool)?.instanceClasses;
   const found = classes?.find((instanceClass) => instanceClass.name === instance.instanceClass);
@@ -22,28 +22,30 @@
 
 function addInstance(
   state: EntryState,
-  listed: PlatformInstance,
+  platformInstance: PlatformInstance,
   slowStartAt: MonotonicMilliseconds | undefined,
 ): BackendServerState {
   const server: BackendServerState = {
-    platformInstance: listed,
-    goneAt: listed.goneAt,
+    platformInstance,
+    goneAt: platformInstance.goneAt,
     attemptIds: new Set(),
     load: undefined,
     loadReceivedAt: undefined,
-    balancing: makeBalancingState(concurrencyOf(state, listed), slowStartAt),
+    balancing: makeBalancingState(findConcurrency(state, platformInstance), slowStartAt),
   };
-  state.backendServers.set(listed.instance, server);
+  state.backendServers.set(platformInstance.instance, server);
   return server;
 }
 
-/** Takes the concurrency of the classes anew, when the list or the configuration has changed. */
+/**
+ * Updates the limits of all servers when the list of instances or the configuration has changed.
+ */
 export function refreshConcurrencyLimits(state: EntryState): void {
-  for (const { balancing: balance, platformInstance: listed } of state.backendServers.values()) {
-    const fullLimit = concurrencyOf(state, listed);
-    if (fullLimit === balance.maxLimit) continue;
-    balance.limit = Math.max(1, (balance.limit * fullLimit) / balance.maxLimit);
-    balance.maxLimit = fullLimit;
+  for (const { balancing, platformInstance } of state.backendServers.values()) {
+    const maxLimit = findConcurrency(state, platformInstance);
+    if (maxLimit === balancing.maxLimit) continue;
+    balancing.limit = Math.max(1, (balancing.limit * maxLimit) / balancing.maxLimit);
+    balancing.maxLimit = maxLimit;
   }
 }
 
@@ -52,13 +54,13 @@
   instances: readonly PlatformInstance[],
   now: MonotonicMilliseconds,
 ): void {
-  // Servers in an entry's first list were there before it: slow start would only hold back work
+  // Servers in the first list were running before this entry: slow start would only hold back work
   // that they can take.
   const isFirstList = state.backendServers.size === 0;
-  const listed = new Set(instances.map((instance) => instance.instance));
+  const listedInstances = new Set(instances.map((instance) => instance.instance));
   instances.forEach((instance) => {
-    const known = state.backendServers.get(instance.instance);
-    if (known === undefined) {
+    const server = state.backendServers.get(instance.instance);
+    if (server === undefined) {
       restoreCachedPrefixes(
         state,
         addInstance(state, instance, isFirstList ? undefined : now),
@@ -66,18 +68,19 @@
       );
       return;
     }
-    if (known.platformInstance.state === 'starting' && instance.state === 'live') {
-      known.balancing.slowStartAt = now;
+    if (server.platformInstance.state === 'starting' && instance.state === 'live') {
+      server.balancing.slowStartAt = now;
     }
-    known.platformInstance = instance;
-    known.goneAt ??= instance.goneAt;
+    server.platformInstance = instance;
+    server.goneAt ??= instance.goneAt;
   });
   state.backendServers.forEach((server, instance) => {
-    if (listed.has(instance)) return;
+    if (listedInstances.has(instance)) return;
     if (server.attemptIds.size === 0) state.backendServers.delete(instance);
-    // Its answers in progress may still come, but an instance that is off the list is going.
+    // Its attempts in progress may still finish, but an instance that is no longer listed is being
+    // removed.
     else server.platformInstance = { ...server.platformInstance, state: 'leaving' };
   });
   refreshConcurrencyLimits(state);
-  indexCandidates(state);
+  rebuildCandidateGroups(state);
 }
--- a/packages/entry-core/src/backendServers/estimateInProgress.ts
+++ b/packages/entry-core/src/backendServers/estimateInProgress.ts
@@ -1,29 +1,30 @@
 /**
- * Estimates what a backend server has in progress from a load report that lags. The report is
- * split into own and other work at the moment it was measured; own work is then counted exactly,
- * so that what this entry has sent since is added and what has ended since is taken off. Without
- * it, all entries see the same idle server until its next report and all send to it.
+ * Estimates the requests in progress at a backend server: those of this entry, and those that the
+ * other entries report. If their reports are incomplete, the last load report of the server is
+ * split into own and other requests at the time of measurement, and own requests are counted
+ * exactly from then on. With the load report alone, all entries would see the same idle server and
+ * send to it until its next report.
  */
 import type { EpochMilliseconds, LoadReport, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 import type { BackendServerState } from './BackendServerState.js';
 import type { EndedAttempt } from './BalancingState.js';
 
-/** Own attempts of the last seconds that are remembered for one server; older ones are let go. */
-const MOST_ENDED_ATTEMPTS = 512;
+/** Per server; when exceeded, the older half is dropped. */
+const MAX_ENDED_ATTEMPTS = 512;
 
-/** A load report that says nothing about now. */
-const STALE_LOAD_MILLISECONDS = 15_000;
+/** Older load reports are ignored. */
+const MAX_LOAD_REPORT_AGE_MILLISECONDS = 15_000;
 
 export function recordEndedAttempt(server: BackendServerState, ended: EndedAttempt): void {
   const { endedAttempts } = server.balancing;
   endedAttempts.push(ended);
-  if (endedAttempts.length > MOST_ENDED_ATTEMPTS) {
-    endedAttempts.splice(0, MOST_ENDED_ATTEMPTS / 2);
+  if (endedAttempts.length > MAX_ENDED_ATTEMPTS) {
+    endedAttempts.splice(0, MAX_ENDED_ATTEMPTS / 2);
   }
 }
 
-function countOwnAt(
+function countOwnInProgressAt(
   state: EntryState,
   server: BackendServerState,
   measuredAt: MonotonicMilliseconds,
@@ -36,7 +37,7 @@
   return own;
 }
 
-/** Takes in a load report; one older than what is known already is passed over. */
+/** Applies a load report, unless it was measured before the last one. */
 export function receiveLoadReport(
   state: EntryState,
   report: LoadReport,
@@ -46,46 +47,46 @@
   const server = state.backendServers.get(report.instance);
   if (server === undefined) return;
   const measuredAt = now - Math.max(0, wallNow - report.measuredAt);
-  const { balancing: balance } = server;
-  if (balance.measuredAt !== undefined && measuredAt < balance.measuredAt) return;
+  const { balancing } = server;
+  if (balancing.measuredAt !== undefined && measuredAt < balancing.measuredAt) return;
   server.load = report;
   server.loadReceivedAt = now;
-  balance.measuredAt = measuredAt;
-  const kept = balance.endedAttempts.filter((ended) => ended.endedAt > measuredAt);
-  balance.endedAttempts.splice(0, balance.endedAttempts.length, ...kept);
-  const own = countOwnAt(state, server, measuredAt);
-  balance.ownInProgressAtMeasurement = own;
-  balance.otherEntriesInProgress = Math.max(0, report.running + report.queued - own);
+  balancing.measuredAt = measuredAt;
+  const endedSince = balancing.endedAttempts.filter((ended) => ended.endedAt > measuredAt);
+  balancing.endedAttempts.splice(0, balancing.endedAttempts.length, ...endedSince);
+  const own = countOwnInProgressAt(state, server, measuredAt);
+  balancing.ownInProgressAtMeasurement = own;
+  balancing.otherEntriesInProgress = Math.max(0, report.running + report.queued - own);
 }
 
-/** True while all other entries that are known tell what they have in progress. */
-function isToldAll({ membership }: EntryState): boolean {
+/**
+ * True if there are other entries and all of them are connected, so that their work reports are
+ * complete.
+ */
+function isEveryPeerConnected({ membership }: EntryState): boolean {
   if (membership.peers.size === 0) return false;
   return [...membership.peers.values()].every(({ live }) => live);
 }
 
 /**
- * Requests in progress at the server now, of this entry and of others. Where some cannot tell theirs,
- * a load report stands in: other entries of the data
- * centre are taken to have grown since the measurement as this one has, since the balancer gives
- * all of them the same rush; a report that is seconds old would otherwise let each of them fill
- * the server for itself.
+ * Requests of all entries in progress at the server. Without complete work reports, each other
+ * entry is assumed to have added as many since the last load report as this one, because callers
+ * are balanced over all entries. Otherwise an old load report would let each entry fill the server
+ * by itself.
  */
 export function estimateInProgress(state: EntryState, server: BackendServerState): number {
-  if (isToldAll(state)) {
+  if (isEveryPeerConnected(state)) {
     return (
-      server.attemptIds.size + state.peerWork.workAt(server.platformInstance.instance).inProgress
+      server.attemptIds.size +
+      state.peerWork.peerWorkAt(server.platformInstance.instance).inProgress
     );
   }
-  const {
-    measuredAt,
-    otherEntriesInProgress: othersInProgress,
-    ownInProgressAtMeasurement: ownAtMeasurement,
-  } = server.balancing;
+  const { measuredAt, otherEntriesInProgress, ownInProgressAtMeasurement } = server.balancing;
   const own = server.attemptIds.size;
   const { now } = state.clocks;
-  const believed = measuredAt !== undefined && now - measuredAt <= STALE_LOAD_MILLISECONDS;
-  const ownGrowth = Math.max(0, own - (believed ? ownAtMeasurement : 0));
-  const peers = state.limits.concurrencyLimiter.entryCount - 1;
-  return own + (believed ? othersInProgress : 0) + peers * ownGrowth;
+  const isReportFresh =
+    measuredAt !== undefined && now - measuredAt <= MAX_LOAD_REPORT_AGE_MILLISECONDS;
+  const ownGrowth = Math.max(0, own - (isReportFresh ? ownInProgressAtMeasurement : 0));
+  const otherEntryCount = state.limits.concurrencyLimiter.entryCount - 1;
+  return own + (isReportFresh ? otherEntriesInProgress : 0) + otherEntryCount * ownGrowth;
 }
--- a/packages/entry-core/src/backendServers/hasCapacity.ts
+++ b/packages/entry-core/src/backendServers/hasCapacity.ts
@@ -1,4 +1,4 @@
-/** Whether a backend server may be given a request now. */
+/** Whether a backend server can be sent a request now. */
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
 import type { BackendServerState } from './BackendServerState.js';
@@ -7,8 +7,10 @@
 import { isPrefillQueueFull } from './predictFirstTokenDelay.js';
 import { currentLimit } from './BalancingState.js';
 
-/** Requests that will be late get no more of a server than this: a full one is slower for all. */
-const LATE_SHARE = 0.5;
+/**
+ * Late requests may use only this fraction of a server, because a full server is slower for all.
+ */
+const LATE_FRACTION_OF_LIMIT = 0.5;
 
 export function hasCapacity(
   state: EntryState,
@@ -17,8 +19,8 @@
   accepted: RequestState,
 ): boolean {
   const limit = currentLimit(server.balancing, state.clocks.now);
-  const share = accepted.isLate === true ? LATE_SHARE : 1;
-  const room = Math.max(1, Math.floor(limit * share));
-  if (estimateInProgress(state, server) >= room) return false;
+  const limitFraction = accepted.isLate === true ? LATE_FRACTION_OF_LIMIT : 1;
+  const maxInProgress = Math.max(1, Math.floor(limit * limitFraction));
+  if (estimateInProgress(state, server) >= maxInProgress) return false;
   return !isPrefillQueueFull(state, pool, server, accepted);
 }
--- a/packages/entry-core/src/backendServers/indexCandidates.ts
+++ b/packages/entry-core/src/backendServers/rebuildCandidateGroups.ts
@@ -1,7 +1,7 @@
 /**
- * Sorts the backend servers into the candidates of their pools. This costs one pass over all
- * servers and is done when the list of instances comes in, not for a request; a server that stops
- * taking new work in between is taken out when a choice meets it.
+ * Assigns the backend servers to the candidate groups of their pools. It iterates over all servers
+ * and runs when the list of instances is received, not per request; a server that stops accepting
+ * new work in between is removed when it is sampled.
  */
 import type { EntryState } from '../EntryState.js';
 import { acceptsNewWork, type BackendServerState } from './BackendServerState.js';
@@ -9,14 +9,14 @@
 import type { PoolState } from './PoolState.js';
 import { getPoolState } from './getPoolState.js';
 
-function emptyGroups(state: EntryState): void {
+function clearGroups(state: EntryState): void {
   for (const pool of state.poolStates.values()) {
     for (const group of pool.groups) group.clear();
   }
 }
 
-export function indexCandidates(state: EntryState): void {
-  emptyGroups(state);
+export function rebuildCandidateGroups(state: EntryState): void {
+  clearGroups(state);
   const serversByPool = new Map<PoolState, BackendServerState[]>();
   for (const server of state.backendServers.values()) {
     server.balancing.candidateIndex = undefined;
@@ -24,7 +24,7 @@
     const pool = getPoolState(state, server.platformInstance.pool);
     const isLocal = server.platformInstance.dataCentre === state.identity.dataCentre;
     const group = isLocal ? pool.local : pool.remote;
-    if (server.balancing.ejectedUntil === undefined) group.add(server);
+    if (server.balancing.ejectedUntil === undefined) group.addCandidate(server);
     else group.ejected.add(server);
     const servers = serversByPool.get(pool);
     if (servers === undefined) serversByPool.set(pool, [server]);
--- a/packages/entry-core/src/backendServers/shareWork.ts
+++ b/packages/entry-core/src/backendServers/shareWork.ts
@@ -1,12 +1,15 @@
-/** Tells the other entries of this one's work at backend servers, and takes in theirs. */
+/**
+ * Exchanges work reports with the other entries: the requests and pending prompt tokens that each
+ * has at backend servers.
+ */
 import type { MonotonicMilliseconds, ServerWork, WorkReport } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
 import { getPoolState } from './getPoolState.js';
 import { countOwnPendingTokens } from './predictFirstTokenDelay.js';
 
-function readOwn(state: EntryState, instance: string): ServerWork {
-  const server = state.backendServers.get(instance);
+function readOwnWork(state: EntryState, backendServer: string): ServerWork {
+  const server = state.backendServers.get(backendServer);
   if (server === undefined) return { inProgress: 0, promptTokens: 0 };
   return {
     inProgress: server.attemptIds.size,
@@ -16,14 +19,16 @@
 
 export function advanceWorkReports(state: EntryState, now: MonotonicMilliseconds): EntryEffect[] {
   const { instance, incarnation } = state.identity;
-  state.membership.peers.forEach(({ live }, name) => {
-    if (!live) state.peerWork.removePeer(name);
+  state.membership.peers.forEach(({ live }, peer) => {
+    if (!live) state.peerWork.removePeerWork(peer);
   });
-  const entries = state.membership.peers.size + 1;
-  const due = state.peerWork.takeDueReport(entries, now, (name) => readOwn(state, name));
-  if (due === undefined) return [];
+  const entryCount = state.membership.peers.size + 1;
+  const dueReport = state.peerWork.takeDueReport(entryCount, now, (backendServer) =>
+    readOwnWork(state, backendServer),
+  );
+  if (dueReport === undefined) return [];
   const begun = state.usage.takeChanged();
-  const work = { type: 'workReport', instance, incarnation, ...due } as const;
+  const work = { type: 'workReport', instance, incarnation, ...dueReport } as const;
   return [{ type: 'tellWork', work: begun === undefined ? work : { ...work, begun } }];
 }
 
@@ -33,7 +38,7 @@
   now: MonotonicMilliseconds,
 ): void {
   if (report.instance === state.identity.instance) return;
-  state.peerWork.receive(report);
+  state.peerWork.applyReport(report);
   Object.entries(report.computed).forEach(([instance, digests]) => {
     const server = state.backendServers.get(instance);
     if (server === undefined) return;
