--- a/packages/entry-core/src/attempts/RetryState.ts
+++ b/packages/entry-core/src/attempts/RetryState.ts
@@ -47,7 +47,7 @@
 }
 
 /** FNV-1a over the name, so that two entries never jitter in step. */
-function seedOf(name: string): number {
+function hashName(name: string): number {
   let hash = 0x811c9dc5;
   for (let position = 0; position < name.length; position += 1) {
     // eslint-disable-next-line no-bitwise
@@ -56,10 +56,10 @@
   return hash;
 }
 
-export function makeRetryState(seedName: string): RetryState {
+export function makeRetryState(seedText: string): RetryState {
   return {
     policy: fullRecoveryPolicy,
-    generator: xoroshiro128plus(seedOf(seedName)),
+    generator: xoroshiro128plus(hashName(seedText)),
     budgetsByRoute: new Map(),
     budgetsByInstance: new Map(),
     waiting: new Map(),
--- a/packages/entry-core/src/attempts/advanceRetries.ts
+++ b/packages/entry-core/src/attempts/advanceRetries.ts
@@ -9,13 +9,13 @@
 import type { WaitingRetry } from './RetryState.js';
 import { startAttempt } from './startAttempt.js';
 
-function exposureOf(state: EntryState, { requestId }: WaitingRetry): number {
+function crashExposureOf(state: EntryState, { requestId }: WaitingRetry): number {
   const digest = state.requests.get(requestId)?.request.digest ?? '';
   return state.quarantine.suspects.get(digest)?.exposure ?? 0;
 }
 
 export function advanceRetries(state: EntryState, now: MonotonicMilliseconds): EntryEffect[] {
-  return startWaiting(state, now, ({ dueAt }) => dueAt <= now);
+  return startSelectedRetries(state, now, ({ dueAt }) => dueAt <= now);
 }
 
 /** Looks again at once at all that wait for a backend server, as there may be one now. */
@@ -23,17 +23,19 @@
   state: EntryState,
   now: MonotonicMilliseconds,
 ): EntryEffect[] {
-  return startWaiting(state, now, ({ waitsFor }) => waitsFor === 'backendServer');
+  return startSelectedRetries(state, now, ({ waitsFor }) => waitsFor === 'backendServer');
 }
 
-function startWaiting(
+function startSelectedRetries(
   state: EntryState,
   now: MonotonicMilliseconds,
-  isDue: (waiting: WaitingRetry) => boolean,
+  isSelected: (waiting: WaitingRetry) => boolean,
 ): EntryEffect[] {
-  const due = [...state.retries.waiting.values()].filter(isDue);
-  due.sort((a, b) => exposureOf(state, a) - exposureOf(state, b) || a.dueAt - b.dueAt);
-  return due.flatMap(({ requestId }) => {
+  const selected = [...state.retries.waiting.values()].filter(isSelected);
+  selected.sort(
+    (a, b) => crashExposureOf(state, a) - crashExposureOf(state, b) || a.dueAt - b.dueAt,
+  );
+  return selected.flatMap(({ requestId }) => {
     const accepted = state.requests.get(requestId);
     state.retries.waiting.delete(requestId);
     if (accepted === undefined || accepted.attemptId !== undefined) return [];
--- a/packages/entry-core/src/attempts/chooseServerForAttempt.ts
+++ b/packages/entry-core/src/attempts/chooseServerForAttempt.ts
@@ -18,32 +18,34 @@
   const untried = chooseBackendServer(state, accepted, options);
   if (untried !== undefined || accepted.attemptsStarted === 0) return untried;
   const tried = [...accepted.triedInstances];
-  const except = (instances: readonly string[]) =>
+  const chooseExcept = (instances: readonly string[]) =>
     chooseBackendServer(state, { ...accepted, triedInstances: new Set(instances) }, options);
-  return except(tried.slice(-1)) ?? except([]);
+  return chooseExcept(tried.slice(-1)) ?? chooseExcept([]);
 }
 
 /** Longest wait of a started request for a backend server in a pool that has none at all. */
-const MOST_WAIT_MILLISECONDS = 30_000;
+const MAX_EMPTY_POOL_WAIT_MILLISECONDS = 30_000;
 
 /** True if the pool has a backend server that is not just gone or on its way out. */
-function hasAny(state: EntryState, accepted: RequestState): boolean {
+function hasRemainingServer(state: EntryState, accepted: RequestState): boolean {
   return [...state.backendServers.values()].some(
-    ({ platformInstance: listed, goneAt }) =>
-      listed.pool === accepted.pool.name && goneAt === undefined,
+    ({ platformInstance, goneAt }) =>
+      platformInstance.pool === accepted.pool.name && goneAt === undefined,
   );
 }
 
 /** True if one that is ruled out only for now could take the request. */
-function hasRuledOut(
+function hasTemporarilyExcludedServer(
   state: EntryState,
   accepted: RequestState,
   now: MonotonicMilliseconds,
 ): boolean {
-  const ruledOut = findTemporarilyExcludedInstances(state, accepted, now);
+  const excluded = findTemporarilyExcludedInstances(state, accepted, now);
   return [...state.backendServers.values()].some(
-    ({ platformInstance: listed, goneAt }) =>
-      listed.pool === accepted.pool.name && goneAt === undefined && ruledOut.has(listed.instance),
+    ({ platformInstance, goneAt }) =>
+      platformInstance.pool === accepted.pool.name &&
+      goneAt === undefined &&
+      excluded.has(platformInstance.instance),
   );
 }
 
@@ -58,8 +60,11 @@
   accepted: RequestState,
   now: MonotonicMilliseconds,
 ): boolean {
-  if (hasRuledOut(state, accepted, now)) return true;
+  if (hasTemporarilyExcludedServer(state, accepted, now)) return true;
   if (accepted.attemptsStarted === 0) return false;
   accepted.waitingForServerSince ??= now;
-  return hasAny(state, accepted) || now - accepted.waitingForServerSince < MOST_WAIT_MILLISECONDS;
+  return (
+    hasRemainingServer(state, accepted) ||
+    now - accepted.waitingForServerSince < MAX_EMPTY_POOL_WAIT_MILLISECONDS
+  );
 }
--- a/packages/entry-core/src/attempts/drawBackOff.ts
+++ b/packages/entry-core/src/attempts/drawBackOff.ts
@@ -6,10 +6,10 @@
 import type { Milliseconds } from '@hornbeampond/schema';
 import type { RetryState } from './RetryState.js';
 
-const BASE_MILLISECONDS = 50;
-const MOST_MILLISECONDS = 2000;
+const BASE_DELAY_MILLISECONDS = 50;
+const MAX_DELAY_MILLISECONDS = 2000;
 
 export function drawBackOff(retries: RetryState, attemptsStarted: number): Milliseconds {
-  const bound = Math.min(MOST_MILLISECONDS, BASE_MILLISECONDS * 2 ** attemptsStarted);
-  return uniformInt(retries.generator, 0, bound);
+  const maxDelay = Math.min(MAX_DELAY_MILLISECONDS, BASE_DELAY_MILLISECONDS * 2 ** attemptsStarted);
+  return uniformInt(retries.generator, 0, maxDelay);
 }
--- a/packages/entry-core/src/attempts/failAttempt.ts
+++ b/packages/entry-core/src/attempts/failAttempt.ts
@@ -16,7 +16,7 @@
 export type AttemptFailedEvent = Extract<EntryEvent, { type: 'attemptFailed' }>;
 
 /** Losses of one request that are made good without spending from the budget. */
-const MOST_FREE_RECOVERIES = 2;
+const MAX_RECOVERIES_EXEMPT_FROM_BUDGET = 2;
 
 const retryReasonByFailure: Readonly<Record<AttemptFailure, RetryReason>> = {
   connectFailed: 'connectFailed',
@@ -42,18 +42,21 @@
  * requests were accepted would be refused. It cannot become a storm: it needs a lost server or
  * connection each time, and each request has a bound.
  */
-function isFreeRecovery(accepted: RequestState, { failure, tokens }: AttemptFailedEvent): boolean {
+function isExemptFromBudget(
+  accepted: RequestState,
+  { failure, tokens }: AttemptFailedEvent,
+): boolean {
   if (failure !== 'connectionLost' && failure !== 'silent') return false;
   if (failure === 'silent' && tokens === 0) return false;
   accepted.lossCount = (accepted.lossCount ?? 0) + 1;
-  return accepted.lossCount <= MOST_FREE_RECOVERIES;
+  return accepted.lossCount <= MAX_RECOVERIES_EXEMPT_FROM_BUDGET;
 }
 
 /**
  * A silent attempt that has given nothing yet may still bring the first whole answer, late; it is
  * kept beside the next one. One that has given tokens is not: its answer is being spliced.
  */
-function keepGivenUp(
+function keepAbandonedAttempt(
   state: EntryState,
   accepted: RequestState,
   attempt: AttemptState,
@@ -66,7 +69,11 @@
   (accepted.abandonedAttemptIds ??= []).push(attempt.attemptId);
 }
 
-function unbind(accepted: RequestState, attempt: AttemptState, event: AttemptFailedEvent): void {
+function detachAttempt(
+  accepted: RequestState,
+  attempt: AttemptState,
+  event: AttemptFailedEvent,
+): void {
   accepted.attemptId = undefined;
   accepted.tokens = Math.max(accepted.tokens, event.tokens);
   if (accepted.firstTokenAt !== undefined) accepted.interruptedAt = event.now;
@@ -84,7 +91,7 @@
 }
 
 /** Goes on with a request whose attempt has just ended in failure. */
-function decide(
+function retryOrFail(
   state: EntryState,
   accepted: RequestState,
   attempt: AttemptState,
@@ -97,11 +104,11 @@
     });
   }
   if (event.answerStarted) return failInterruptedAnswer(state, accepted);
-  keepGivenUp(state, accepted, attempt, event);
+  keepAbandonedAttempt(state, accepted, attempt, event);
   const cause = {
     reason: retryReasonByFailure[event.failure],
     instance: attempt.instance,
-    exemptFromBudget: isFreeRecovery(accepted, event),
+    exemptFromBudget: isExemptFromBudget(accepted, event),
     retryAfter: event.retryAfter,
     recompute: accepted.maybeSent === true ? recomputeByFailure[event.failure] : undefined,
   };
@@ -121,6 +128,10 @@
   const lossEffects = recordLoss(state, accepted, attempt, event);
   removeAttempt(state, attempt);
   removeCacheMove(state, attempt.requestId);
-  unbind(accepted, attempt, event);
-  return [logFailure(attempt, event), ...lossEffects, ...decide(state, accepted, attempt, event)];
+  detachAttempt(accepted, attempt, event);
+  return [
+    logFailure(attempt, event),
+    ...lossEffects,
+    ...retryOrFail(state, accepted, attempt, event),
+  ];
 }
--- a/packages/entry-core/src/attempts/interleavings.test.ts
+++ b/packages/entry-core/src/attempts/interleavings.test.ts
@@ -14,7 +14,7 @@
     ),
     engine: fc.constantFrom(...engineNames),
     tokens: fc.integer({ min: 1, max: 120 }),
-    span: fc.integer({ min: 0, max: 60 }),
+    delaySteps: fc.integer({ min: 0, max: 60 }),
   }),
   { minLength: 5, maxLength: 40 },
 );
@@ -22,28 +22,28 @@
 type Action = typeof actions extends fc.Arbitrary<readonly (infer One)[]> ? One : never;
 
 /** Sends edges of attempts again that have ended long ago, as a confused network would. */
-function duplicateEdges(world: SimulatedCluster): void {
-  world.callers().forEach(({ request: { requestId } }) => {
+function resendStreamEvents(cluster: SimulatedCluster): void {
+  cluster.callers().forEach(({ request: { requestId } }) => {
     ['1', '2', '3'].forEach((number) => {
       const attemptId = `${requestId}.${number}`;
-      if (world.entry.state.attempts.has(attemptId)) return;
-      world.entry.send({ type: 'firstTokenReceived', attemptId });
-      world.entry.send({ type: 'attemptFinished', attemptId, tokens: 7 });
+      if (cluster.entry.state.attempts.has(attemptId)) return;
+      cluster.entry.send({ type: 'firstTokenReceived', attemptId });
+      cluster.entry.send({ type: 'attemptFinished', attemptId, tokens: 7 });
     });
   });
 }
 
-function takeAction(
-  world: SimulatedCluster,
+function applyAction(
+  cluster: SimulatedCluster,
   { kind, engine: name, tokens }: Action,
   number: number,
 ): void {
-  const engine = world.engine(name);
+  const engine = cluster.engine(name);
   const digest = kind === 'bad' ? 'digest-bad' : `digest-${number}`;
   switch (kind) {
     case 'arrive':
     case 'bad':
-      world.entry.submitRequest(makeRequest(`request-${number}`, { maxTokens: tokens, digest }));
+      cluster.entry.submitRequest(makeRequest(`request-${number}`, { maxTokens: tokens, digest }));
       return;
     case 'die':
       engine.die();
@@ -64,37 +64,37 @@
       });
       return;
     case 'reclaim':
-      world.reclaim([name], tokens * 20);
+      cluster.reclaim([name], tokens * 20);
       return;
     case 'busy':
     case 'free':
       engine.busy = kind === 'busy';
       return;
     case 'failMoves':
-      world.movesFail = !world.movesFail;
+      cluster.movesFail = !cluster.movesFail;
       return;
     case 'duplicate':
-      duplicateEdges(world);
+      resendStreamEvents(cluster);
       return;
     default:
-      world.disconnectCaller(0);
+      cluster.disconnectCaller(0);
   }
 }
 
-function play(steps: readonly Action[]): SimulatedCluster {
-  const poison = new Map([['digest-bad', 3]]);
+function runActions(steps: readonly Action[]): SimulatedCluster {
+  const crashTokenByDigest = new Map([['digest-bad', 3]]);
   const engines = { 'wien-a': 2, 'wien-b': 2 };
-  const world = new SimulatedCluster({
+  const cluster = new SimulatedCluster({
     engines,
-    crashTokenByDigest: poison,
+    crashTokenByDigest,
     wholeAnswerMilliseconds: 8000,
   });
   steps.forEach((action, number) => {
-    takeAction(world, action, number);
-    world.advance(action.span * 10);
+    applyAction(cluster, action, number);
+    cluster.advance(action.delaySteps * 10);
   });
-  world.runUntilAnswered(10_000);
-  return world;
+  cluster.runUntilAnswered(10_000);
+  return cluster;
 }
 
 // Whatever goes wrong and in whatever order, each caller sees exactly one final answer, never a
@@ -103,13 +103,13 @@
 test('random interleavings of failures keep what callers are promised', () => {
   fc.assert(
     fc.property(actions, (steps) => {
-      const world = play(steps);
-      assert.deepEqual(world.findViolations(), []);
-      assert.equal(world.entry.state.requests.size, 0);
-      assert.equal(world.entry.state.attempts.size, 0);
-      assert.equal(world.entry.state.retries.waiting.size, 0);
-      assert.equal(world.entry.state.reclaims.moves.size, 0);
-      world.entry.state.backendServers.forEach((server) => {
+      const cluster = runActions(steps);
+      assert.deepEqual(cluster.findViolations(), []);
+      assert.equal(cluster.entry.state.requests.size, 0);
+      assert.equal(cluster.entry.state.attempts.size, 0);
+      assert.equal(cluster.entry.state.retries.waiting.size, 0);
+      assert.equal(cluster.entry.state.reclaims.moves.size, 0);
+      cluster.entry.state.backendServers.forEach((server) => {
         assert.deepEqual([...server.attemptIds], []);
       });
     }),
@@ -120,9 +120,9 @@
 // Shows that the check above can fail: a reducer that takes the edges of an attempt for those of
 // another, as if answers were not bound to attempts, gives callers wrong answers.
 test('a shell that confuses attempts is found out', () => {
-  const world = new SimulatedCluster({ engines: { 'wien-a': 2 } });
-  world.entry.submitRequest(makeRequest('one'));
-  world.advance(1000);
-  world.entry.send({ type: 'attemptFinished', attemptId: 'one.1', tokens: 20 });
-  assert.equal(world.findViolations().length > 0, true);
+  const cluster = new SimulatedCluster({ engines: { 'wien-a': 2 } });
+  cluster.entry.submitRequest(makeRequest('one'));
+  cluster.advance(1000);
+  cluster.entry.send({ type: 'attemptFinished', attemptId: 'one.1', tokens: 20 });
+  assert.equal(cluster.findViolations().length > 0, true);
 });
--- a/packages/entry-core/src/attempts/launchAttempt.ts
+++ b/packages/entry-core/src/attempts/launchAttempt.ts
@@ -16,33 +16,33 @@
 import { earnRetries } from './retryBudget.js';
 
 /** The last of the priorities: an engine begins all others first. */
-const LEAST_URGENT = 9;
+const LOWEST_PRIORITY = 9;
 
 /** A stream that pauses for so long is taken for lost. */
-const SILENCE_TIMEOUT_MILLISECONDS = 5000;
+const STREAM_IDLE_TIMEOUT_MILLISECONDS = 5000;
 
 /** Least wait for a first byte. */
-const LEAST_FIRST_BYTE_MILLISECONDS = 1000;
+const MIN_FIRST_BYTE_TIMEOUT_MILLISECONDS = 1000;
 
 /** Share of the time to the first token's deadline that one attempt may stay silent. */
-const FIRST_BYTE_SHARE = 0.6;
+const MAX_FIRST_BYTE_FRACTION_OF_TIME_LEFT = 0.6;
 
 /** An engine may be this many times slower at a prompt than the stated rate before it is given up. */
-const PREFILL_PATIENCE = 3;
+const MAX_PREFILL_SLOWDOWN = 3;
 
 /**
  * How long to wait for the first byte. A call that may not be sent again gains nothing from an early
  * end; any other keeps time for a second attempt before its first token is due. In any case the
  * engine gets the time to compute the prompt, and on a resume the tokens generated so far.
  */
-function firstByteTimeout(accepted: RequestState, now: MonotonicMilliseconds): Milliseconds {
-  const wholeAnswer = Math.max(1, accepted.wholeAnswerDueAt - now);
-  const isLast = accepted.attemptsStarted >= (accepted.route.mostAttempts ?? Infinity);
-  if (!accepted.route.idempotent || isLast) return wholeAnswer;
-  const share = (accepted.firstTokenDueAt - now) * FIRST_BYTE_SHARE;
-  const least =
-    LEAST_FIRST_BYTE_MILLISECONDS + estimatePrefillDuration(accepted) * PREFILL_PATIENCE;
-  return Math.min(wholeAnswer, Math.max(least, share));
+function computeFirstByteTimeout(accepted: RequestState, now: MonotonicMilliseconds): Milliseconds {
+  const timeUntilDeadline = Math.max(1, accepted.wholeAnswerDueAt - now);
+  const isLastAttempt = accepted.attemptsStarted >= (accepted.route.mostAttempts ?? Infinity);
+  if (!accepted.route.idempotent || isLastAttempt) return timeUntilDeadline;
+  const allowedWait = (accepted.firstTokenDueAt - now) * MAX_FIRST_BYTE_FRACTION_OF_TIME_LEFT;
+  const minTimeout =
+    MIN_FIRST_BYTE_TIMEOUT_MILLISECONDS + estimatePrefillDuration(accepted) * MAX_PREFILL_SLOWDOWN;
+  return Math.min(timeUntilDeadline, Math.max(minTimeout, allowedWait));
 }
 
 /** Counts what the engine has to compute again for this attempt. */
@@ -102,10 +102,10 @@
       workspace: accepted.request.workspace,
       timeLeft: Math.max(1, accepted.wholeAnswerDueAt - now),
       resumeFromTokens,
-      priority: accepted.isLate === true ? LEAST_URGENT : accepted.route.priority,
+      priority: accepted.isLate === true ? LOWEST_PRIORITY : accepted.route.priority,
       sendOnce: !accepted.route.idempotent,
-      firstByteTimeout: firstByteTimeout(accepted, now),
-      streamIdleTimeout: SILENCE_TIMEOUT_MILLISECONDS,
+      firstByteTimeout: computeFirstByteTimeout(accepted, now),
+      streamIdleTimeout: STREAM_IDLE_TIMEOUT_MILLISECONDS,
     },
     {
       type: 'log',
--- a/packages/entry-core/src/attempts/opaqueCalls.test.ts
+++ b/packages/entry-core/src/attempts/opaqueCalls.test.ts
@@ -9,7 +9,7 @@
 
 const KEY = 'a'.repeat(64);
 
-const once = { idempotent: false, claimed: false };
+const nonIdempotentRoute = { idempotent: false, claimed: false };
 
 /** An entry with three backend servers, whose clock a test moves. */
 function makeEntry(
@@ -30,8 +30,8 @@
     reduceEntry(state, { ...event, now, wallNow: 1_000_000 + now }).filter(
       ({ type }) => !['log', 'count', 'setGauge', 'observe', 'reportToEntries'].includes(type),
     );
-  const pass = (span: number) => {
-    now += span;
+  const advanceTime = (milliseconds: number) => {
+    now += milliseconds;
     return send({ type: 'tick' });
   };
   const configure = () => {
@@ -56,11 +56,11 @@
     port: number,
   }));
   send({ type: 'instancesListed', instances });
-  const arrive = (fields: Partial<CallerRequest> = {}) => {
+  const submitRequest = (fields: Partial<CallerRequest> = {}) => {
     const request = { host: 'shop.example', keySha256: KEY, workspace: '', ...fields };
     return send({ type: 'requestArrived', request: exampleRequest('one', request) });
   };
-  const fail = (attempt: number, failure: AttemptFailure, sent: 'nothing' | 'maybe') =>
+  const failAttempt = (attempt: number, failure: AttemptFailure, sent: 'nothing' | 'maybe') =>
     send({
       type: 'attemptFailed',
       attemptId: `one.${attempt}`,
@@ -69,11 +69,11 @@
       tokens: 0,
       answerStarted: false,
     });
-  return { state, send, pass, arrive, fail, configure };
+  return { state, send, pass: advanceTime, arrive: submitRequest, fail: failAttempt, configure };
 }
 
 /** Effects by type, with what a caller or a backend server sees of each. */
-function describe(effects: readonly EntryEffect[]): string[] {
+function describeEffects(effects: readonly EntryEffect[]): string[] {
   return effects.map((effect) => {
     if (effect.type === 'answerProblem') return `${effect.kind} ran ${effect.ran}`;
     if (effect.type === 'startAttempt') return `start for ${effect.workspace}`;
@@ -82,25 +82,27 @@
 }
 
 test('a call is sent in the name of the workspace that holds its key', () => {
-  assert.deepEqual(describe(makeEntry(once).arrive()), ['start for laden']);
+  assert.deepEqual(describeEffects(makeEntry(nonIdempotentRoute).arrive()), ['start for laden']);
 });
 
 test('a key that no workspace holds is refused, unless the route is public', () => {
-  const stranger = { keySha256: 'b'.repeat(64) };
-  assert.deepEqual(describe(makeEntry(once).arrive(stranger)), ['unauthorized ran undefined']);
-  const open = makeEntry({ ...once, public: true });
-  assert.deepEqual(describe(open.arrive(stranger)), ['start for ']);
+  const unknownKey = { keySha256: 'b'.repeat(64) };
+  assert.deepEqual(describeEffects(makeEntry(nonIdempotentRoute).arrive(unknownKey)), [
+    'unauthorized ran undefined',
+  ]);
+  const open = makeEntry({ ...nonIdempotentRoute, public: true });
+  assert.deepEqual(describeEffects(open.arrive(unknownKey)), ['start for ']);
 });
 
 test('a call to another host finds no route', () => {
-  const found = makeEntry(once).arrive({ host: 'other.example' });
-  assert.deepEqual(describe(found), ['routeNotFound ran undefined']);
+  const found = makeEntry(nonIdempotentRoute).arrive({ host: 'other.example' });
+  assert.deepEqual(describeEffects(found), ['routeNotFound ran undefined']);
 });
 
 // The caller of an entry that has just started is told to come back. It would take a 404 or 401 for
 // its own fault and never try again, though every configuration allows the call.
 test('an entry without a configuration promises that nothing ran', () => {
-  const [refused] = makeEntry(once, false).arrive();
+  const [refused] = makeEntry(nonIdempotentRoute, false).arrive();
   assert.ok(refused?.type === 'answerProblem');
   assert.equal(refused.kind, 'notConfigured');
   assert.ok((refused.retryAfterMilliseconds ?? 0) > 0);
@@ -113,11 +115,11 @@
 // The caller has tried once, at the fault, and may not try again after a refusal. It is answered as
 // soon as the configuration is there, and its deadline still counts from when it came.
 test('a request that comes before the configuration is served once it is there', () => {
-  const entry = makeEntry(once, false, JUST_STARTED);
+  const entry = makeEntry(nonIdempotentRoute, false, JUST_STARTED);
   assert.deepEqual(entry.arrive({ patience: 3000 }), []);
   assert.deepEqual(entry.pass(400), []);
   assert.deepEqual(
-    describe(entry.configure()).filter((type) => type !== 'configurationApplied'),
+    describeEffects(entry.configure()).filter((type) => type !== 'configurationApplied'),
     ['start for laden'],
   );
   assert.equal(entry.state.requests.get('one')?.wholeAnswerDueAt, 1000 + 3000);
@@ -126,28 +128,28 @@
 // The entry is cut off from the stores, and no configuration comes. Its callers are told to come
 // back after a bounded wait, and at once when the entry is no longer starting.
 test('a request is not kept for longer than a configuration takes to come', () => {
-  const entry = makeEntry(once, false, JUST_STARTED);
+  const entry = makeEntry(nonIdempotentRoute, false, JUST_STARTED);
   entry.arrive({ patience: 3000 });
-  assert.deepEqual(describe(entry.pass(699)), []);
-  assert.deepEqual(describe(entry.pass(1)), ['notConfigured ran undefined']);
+  assert.deepEqual(describeEffects(entry.pass(699)), []);
+  assert.deepEqual(describeEffects(entry.pass(1)), ['notConfigured ran undefined']);
   entry.pass(1200);
-  assert.deepEqual(describe(entry.arrive()), ['notConfigured ran undefined']);
+  assert.deepEqual(describeEffects(entry.arrive()), ['notConfigured ran undefined']);
 });
 
 // A caller with little patience is told early, while it still has the time to go elsewhere; one that
 // leaves is forgotten, and an entry that shuts down keeps nobody.
 test('who waits for the configuration is bounded by the caller and by a shutdown', () => {
-  const hasty = makeEntry(once, false, JUST_STARTED);
-  hasty.arrive({ patience: 300 });
-  assert.deepEqual(describe(hasty.pass(100)), ['notConfigured ran undefined']);
-  const left = makeEntry(once, false, JUST_STARTED);
-  left.arrive();
-  left.send({ type: 'callerGone', requestId: 'one' });
-  assert.deepEqual(describe(left.pass(700)), []);
-  const stopping = makeEntry(once, false, JUST_STARTED);
+  const impatient = makeEntry(nonIdempotentRoute, false, JUST_STARTED);
+  impatient.arrive({ patience: 300 });
+  assert.deepEqual(describeEffects(impatient.pass(100)), ['notConfigured ran undefined']);
+  const disconnected = makeEntry(nonIdempotentRoute, false, JUST_STARTED);
+  disconnected.arrive();
+  disconnected.send({ type: 'callerGone', requestId: 'one' });
+  assert.deepEqual(describeEffects(disconnected.pass(700)), []);
+  const stopping = makeEntry(nonIdempotentRoute, false, JUST_STARTED);
   stopping.arrive();
   stopping.send({ type: 'shutdownStarted', acceptUntil: 1000, endAt: 9000 });
-  assert.ok(describe(stopping.pass(50)).some((text) => text.startsWith('notConfigured')));
+  assert.ok(describeEffects(stopping.pass(50)).some((text) => text.startsWith('notConfigured')));
 });
 
 // One workspace sends many times what it may, and is refused beyond that however large the fleet is.
@@ -161,7 +163,7 @@
     tolerated: 0,
     plainTokens: 0,
   };
-  const entry = makeEntry(once, true, 1, allowance);
+  const entry = makeEntry(nonIdempotentRoute, true, 1, allowance);
   const refused = Array.from({ length: 40 }, () => entry.arrive())
     .flat()
     .filter((effect) => effect.type === 'answerProblem');
@@ -169,7 +171,7 @@
   const rates = [...entry.state.demand.read(2000).values()];
   assert.ok(refused.length >= 30, `${refused.length}`);
   assert.ok(
-    rates.every(({ requestsPerSecond: steady }) => steady * 10 <= 40 - refused.length),
+    rates.every(({ requestsPerSecond }) => requestsPerSecond * 10 <= 40 - refused.length),
     `${rates}`,
   );
 });
@@ -177,20 +179,20 @@
 // A full backend server says that it did not run the call. The caller of a purchase gets its answer
 // from the next one; no second purchase can come of it.
 test('a call that surely did not run is sent to another backend server', () => {
-  const entry = makeEntry(once);
+  const entry = makeEntry(nonIdempotentRoute);
   entry.arrive();
   assert.deepEqual(entry.fail(1, 'busy', 'nothing'), []);
-  const [again] = entry.pass(1000).filter(({ type }) => type === 'startAttempt');
-  assert.ok(again?.type === 'startAttempt');
-  assert.equal(again.attemptId, 'one.2');
+  const [retry] = entry.pass(1000).filter(({ type }) => type === 'startAttempt');
+  assert.ok(retry?.type === 'startAttempt');
+  assert.equal(retry.attemptId, 'one.2');
 });
 
 // The connection is lost while a purchase is at a backend server. It may have been made: the caller
 // is told so at once, and nothing is sent a second time.
 test('a call that may have run is not sent again', () => {
-  const entry = makeEntry(once);
+  const entry = makeEntry(nonIdempotentRoute);
   entry.arrive();
-  const ended = describe(entry.fail(1, 'connectionLost', 'maybe'));
+  const ended = describeEffects(entry.fail(1, 'connectionLost', 'maybe'));
   assert.ok(ended.includes('backendServerFailed ran unknown'), ended.join());
   assert.equal(entry.state.requests.size, 0);
 });
@@ -200,21 +202,23 @@
   entry.arrive();
   entry.fail(1, 'busy', 'nothing');
   entry.pass(1000);
-  assert.deepEqual(describe(entry.fail(2, 'busy', 'nothing')), ['backendServerFailed ran no']);
+  assert.deepEqual(describeEffects(entry.fail(2, 'busy', 'nothing')), [
+    'backendServerFailed ran no',
+  ]);
 });
 
 // A caller closes its connection. Backend servers would go on working for nobody; an outcome that is
 // kept nowhere need not be learnt.
 test('a call without a claim is cancelled with its caller', () => {
-  const entry = makeEntry(once);
+  const entry = makeEntry(nonIdempotentRoute);
   entry.arrive();
-  assert.deepEqual(describe(entry.send({ type: 'callerGone', requestId: 'one' })), [
+  assert.deepEqual(describeEffects(entry.send({ type: 'callerGone', requestId: 'one' })), [
     'cancelAttempt',
   ]);
 });
 
 test('the caller’s patience bounds the time that is handed on', () => {
-  const [start] = makeEntry(once).arrive({ patience: 700 });
+  const [start] = makeEntry(nonIdempotentRoute).arrive({ patience: 700 });
   assert.ok(start?.type === 'startAttempt');
   assert.equal(start.timeLeft, 700);
 });
@@ -224,9 +228,9 @@
     { pool: 'engines', weight: 9 },
     { pool: 'elsewhere', weight: 1 },
   ];
-  const entry = makeEntry({ ...once, split });
+  const entry = makeEntry({ ...nonIdempotentRoute, split });
   const sent = Array.from({ length: 400 }, () => {
-    const effects = describe(entry.arrive());
+    const effects = describeEffects(entry.arrive());
     entry.send({ type: 'callerGone', requestId: 'one' });
     return effects.includes('start for laden');
   }).filter((started) => started).length;
@@ -234,7 +238,7 @@
 });
 
 test('what begins to run is counted in its window', () => {
-  const entry = makeEntry(once);
+  const entry = makeEntry(nonIdempotentRoute);
   entry.arrive();
   entry.send({ type: 'firstTokenReceived', attemptId: 'one.1' });
   entry.send({ type: 'firstTokenReceived', attemptId: 'one.1' });
--- a/packages/entry-core/src/attempts/reduceAttempts.ts
+++ b/packages/entry-core/src/attempts/reduceAttempts.ts
@@ -13,7 +13,7 @@
 import { failAttempt } from './failAttempt.js';
 import { removeAttempt } from './releaseAttempts.js';
 
-export { removeAttempt as forgetAttempt } from './releaseAttempts.js';
+export { removeAttempt } from './releaseAttempts.js';
 
 type AttemptEvent = Extract<
   EntryEvent,
@@ -28,14 +28,14 @@
   }
 >;
 
-type AttemptFinished = Extract<EntryEvent, { type: 'attemptFinished' }>;
+type AttemptFinishedEvent = Extract<EntryEvent, { type: 'attemptFinished' }>;
 
 /** Counts an answer from an attempt that its request no longer waits for. */
-function dropLate(): EntryEffect[] {
+function countLateAnswer(): EntryEffect[] {
   return [{ type: 'count', metric: 'lateAnswers', label: 'attemptGivenUp' }];
 }
 
-function noteFirstToken(
+function recordFirstToken(
   state: EntryState,
   accepted: RequestState,
   attempt: AttemptState,
@@ -55,7 +55,7 @@
   ];
 }
 
-function noteProgress(
+function recordProgress(
   accepted: RequestState,
   attempt: AttemptState,
   event: Extract<EntryEvent, { type: 'attemptProgressed' }>,
@@ -70,14 +70,14 @@
  * The whole answer of an attempt that fell silent has come after all. It is used if the caller has
  * been given nothing yet: it is then the first whole answer, and the other attempt is cancelled.
  */
-function finishGivenUp(
+function finishAbandonedAttempt(
   state: EntryState,
   accepted: RequestState | undefined,
-  { attemptId, longestPause }: AttemptFinished,
+  { attemptId, longestPause }: AttemptFinishedEvent,
 ): EntryEffect[] {
   state.attempts.delete(attemptId);
   if (accepted === undefined || accepted.firstTokenAt !== undefined || accepted.tokens > 0) {
-    return dropLate();
+    return countLateAnswer();
   }
   return finishRequest(state, accepted, attemptId, longestPause);
 }
@@ -85,12 +85,12 @@
 function finishAttempt(
   state: EntryState,
   attempt: AttemptState,
-  event: AttemptFinished,
+  event: AttemptFinishedEvent,
 ): EntryEffect[] {
   const accepted = state.requests.get(attempt.requestId);
-  if (attempt.givenUp) return finishGivenUp(state, accepted, event);
+  if (attempt.givenUp) return finishAbandonedAttempt(state, accepted, event);
   removeAttempt(state, attempt);
-  if (accepted === undefined || accepted.attemptId !== attempt.attemptId) return dropLate();
+  if (accepted === undefined || accepted.attemptId !== attempt.attemptId) return countLateAnswer();
   accepted.attemptId = undefined;
   accepted.maybeSent = true;
   return finishRequest(state, accepted, attempt.attemptId, event.longestPause);
@@ -98,7 +98,7 @@
 
 export function reduceAttempts(state: EntryState, event: AttemptEvent): EntryEffect[] {
   const attempt = state.attempts.get(event.attemptId);
-  if (attempt === undefined) return event.type === 'attemptFinished' ? dropLate() : [];
+  if (attempt === undefined) return event.type === 'attemptFinished' ? countLateAnswer() : [];
   if (event.type === 'attemptFinished') return finishAttempt(state, attempt, event);
   if (event.type === 'attemptFailed') return failAttempt(state, attempt, event);
   const accepted = state.requests.get(attempt.requestId);
@@ -109,9 +109,9 @@
       accepted.maybeSent = true;
       return [];
     case 'firstTokenReceived':
-      return noteFirstToken(state, accepted, attempt, event);
+      return recordFirstToken(state, accepted, attempt, event);
     case 'attemptProgressed':
-      noteProgress(accepted, attempt, event);
+      recordProgress(accepted, attempt, event);
       return [];
     case 'attemptHeld':
       attempt.pausedByCaller = event.held;
--- a/packages/entry-core/src/attempts/retryBudget.ts
+++ b/packages/entry-core/src/attempts/retryBudget.ts
@@ -14,28 +14,29 @@
 /** Retries that a route or a backend server may save up; also what each starts with. */
 export const MAX_SAVED_RETRIES = 10;
 
-function budgetOf(budgets: Map<string, RetryBudget>, name: string): RetryBudget {
-  const known = budgets.get(name);
-  if (known !== undefined) return known;
-  const made = { tokens: MAX_SAVED_RETRIES };
-  budgets.set(name, made);
-  return made;
+function getOrCreateBudget(budgets: Map<string, RetryBudget>, name: string): RetryBudget {
+  const existing = budgets.get(name);
+  if (existing !== undefined) return existing;
+  const created = { tokens: MAX_SAVED_RETRIES };
+  budgets.set(name, created);
+  return created;
 }
 
 export function earnRetries(retries: RetryState, route: string, instance: string): void {
-  [budgetOf(retries.budgetsByRoute, route), budgetOf(retries.budgetsByInstance, instance)].forEach(
-    (budget) => {
-      budget.tokens = Math.min(MAX_SAVED_RETRIES, budget.tokens + RETRIES_PER_FIRST_ATTEMPT);
-    },
-  );
+  [
+    getOrCreateBudget(retries.budgetsByRoute, route),
+    getOrCreateBudget(retries.budgetsByInstance, instance),
+  ].forEach((budget) => {
+    budget.tokens = Math.min(MAX_SAVED_RETRIES, budget.tokens + RETRIES_PER_FIRST_ATTEMPT);
+  });
 }
 
 /** Spends one retry caused by a failure at `instance`; false if one of the budgets is spent. */
 export function spendRetry(retries: RetryState, route: string, instance: string): boolean {
   if (!retries.policy.limitRetries) return true;
   const budgets = [
-    budgetOf(retries.budgetsByRoute, route),
-    budgetOf(retries.budgetsByInstance, instance),
+    getOrCreateBudget(retries.budgetsByRoute, route),
+    getOrCreateBudget(retries.budgetsByInstance, instance),
   ];
   if (budgets.some((budget) => budget.tokens < 1)) return false;
   budgets.forEach((budget) => {
--- a/packages/entry-core/src/attempts/retryRequest.ts
+++ b/packages/entry-core/src/attempts/retryRequest.ts
@@ -57,7 +57,7 @@
   return refuseRetry(state, accepted, 'answerStarted', 'answerCut', detail);
 }
 
-function noteRecompute(accepted: RequestState, cause: RetryCause): void {
+function recordRecompute(accepted: RequestState, cause: RetryCause): void {
   if (cause.recompute === undefined) return;
   const tokens = accepted.request.promptTokens + accepted.tokens;
   accepted.recompute = { reason: cause.recompute, tokens };
@@ -88,10 +88,10 @@
     const detail = 'The backend server failed and the retry budget is spent';
     return refuseRetry(state, accepted, 'budgetSpent', 'backendServerFailed', detail);
   }
-  noteRecompute(accepted, cause);
-  const counted: EntryEffect = { type: 'count', metric: 'retries', label: cause.reason };
-  if (delay === 0) return [counted, ...startAttempt(state, accepted, now)];
+  recordRecompute(accepted, cause);
+  const countEffect: EntryEffect = { type: 'count', metric: 'retries', label: cause.reason };
+  if (delay === 0) return [countEffect, ...startAttempt(state, accepted, now)];
   const { requestId } = accepted.request;
   state.retries.waiting.set(requestId, { requestId, waitsFor: 'backOff', dueAt: now + delay });
-  return [counted];
+  return [countEffect];
 }
--- a/packages/entry-core/src/attempts/retryStorm.test.ts
+++ b/packages/entry-core/src/attempts/retryStorm.test.ts
@@ -8,13 +8,13 @@
 // busy, so each retry only adds to the load that keeps them so. The budget lets a share of
 // the first attempts and one burst through and refuses the rest by reason.
 test('a retry storm is bounded by the budget', () => {
-  const world = runRetryStorm(FIRST_ATTEMPTS, true);
-  const retries = world.entry.count('retries/backendServerBusy');
-  assert.deepEqual(world.findViolations(), []);
+  const cluster = runRetryStorm(FIRST_ATTEMPTS, true);
+  const retries = cluster.entry.count('retries/backendServerBusy');
+  assert.deepEqual(cluster.findViolations(), []);
   assert.equal(retries <= 10 + FIRST_ATTEMPTS * 0.1, true, `${retries} retries`);
-  assert.equal(world.entry.count('retriesRefused/budgetSpent') > FIRST_ATTEMPTS / 2, true);
-  world.callers().forEach(({ finalAnswers: finals }) => {
-    const final = finals[0];
+  assert.equal(cluster.entry.count('retriesRefused/budgetSpent') > FIRST_ATTEMPTS / 2, true);
+  cluster.callers().forEach(({ finalAnswers }) => {
+    const final = finalAnswers[0];
     assert.equal(final?.type === 'problem' && final.retryAfterMilliseconds !== undefined, true);
   });
 });
@@ -28,9 +28,9 @@
 // The caller gets its final answer at the deadline, not after it, and is told `ran: unknown`, as the
 // engine had the request. No retry is started that could not end in time.
 test('a deadline that passes gives the final answer at that moment', () => {
-  const world = new SimulatedCluster({ engines: { 'wien-a': 1 }, wholeAnswerMilliseconds: 2000 });
-  const caller = world.entry.submitRequest(makeRequest('one'));
-  world.runUntilAnswered();
+  const cluster = new SimulatedCluster({ engines: { 'wien-a': 1 }, wholeAnswerMilliseconds: 2000 });
+  const caller = cluster.entry.submitRequest(makeRequest('one'));
+  cluster.runUntilAnswered();
   assert.deepEqual(
     caller.finalAnswers.map(({ at, ...rest }) => ({ ...rest, late: at - 2000 })),
     [
@@ -48,11 +48,11 @@
 // The caller is told `ran: no`, and it is true: every engine refused the connection, so
 // not one byte of the call was sent.
 test('a request that no engine took did not run', () => {
-  const world = new SimulatedCluster({ engines: { 'wien-a': 2 }, wholeAnswerMilliseconds: 3000 });
-  world.engines.forEach((engine) => engine.die());
-  const caller = world.entry.submitRequest(makeRequest('one'));
-  world.runUntilAnswered();
+  const cluster = new SimulatedCluster({ engines: { 'wien-a': 2 }, wholeAnswerMilliseconds: 3000 });
+  cluster.engines.forEach((engine) => engine.die());
+  const caller = cluster.entry.submitRequest(makeRequest('one'));
+  cluster.runUntilAnswered();
   const final = caller.finalAnswers[0];
   assert.equal(final?.type === 'problem' && final.ran, 'no');
-  assert.deepEqual(world.findViolations(), []);
+  assert.deepEqual(cluster.findViolations(), []);
 });
--- a/packages/entry-core/src/attempts/startAttempt.ts
+++ b/packages/entry-core/src/attempts/startAttempt.ts
@@ -16,7 +16,7 @@
 import { launchAttempt } from './launchAttempt.js';
 
 /** How soon a request that waits for a backend server looks again. */
-const WAIT_MILLISECONDS = 50;
+const SERVER_RECHECK_MILLISECONDS = 50;
 
 /** When to come back to a pool that has no backend server left. */
 const NO_SERVER_RETRY_AFTER_MILLISECONDS = 2000;
@@ -30,7 +30,7 @@
   if (quarantined === undefined || quarantined.endsAt <= now) return undefined;
   const detail = 'This request crashed backend servers and is kept from them for a while';
   return [
-    ...(accepted.attemptsStarted === 0 ? [] : countRefusal('quarantined')),
+    ...(accepted.attemptsStarted === 0 ? [] : countRefusedRetry('quarantined')),
     ...failRequest(state, accepted, 'quarantined', detail, {
       ran: determineRan(accepted),
       retryAfterMilliseconds: quarantined.endsAt - now,
@@ -38,14 +38,14 @@
   ];
 }
 
-function countRefusal(label: string): EntryEffect[] {
+function countRefusedRetry(label: string): EntryEffect[] {
   return [{ type: 'count', metric: 'retriesRefused', label }];
 }
 
 function failWithoutServer(state: EntryState, accepted: RequestState): EntryEffect[] {
   const detail = `Pool "${accepted.pool.name}" has no backend server left to try`;
   return [
-    ...(accepted.attemptsStarted === 0 ? [] : countRefusal('noOtherBackendServer')),
+    ...(accepted.attemptsStarted === 0 ? [] : countRefusedRetry('noOtherBackendServer')),
     ...failRequest(state, accepted, 'noBackendServer', detail, {
       ran: determineRan(accepted),
       retryAfterMilliseconds: NO_SERVER_RETRY_AFTER_MILLISECONDS,
@@ -60,21 +60,21 @@
   now: MonotonicMilliseconds,
 ): void {
   const { requestId } = request;
-  const dueAt = now + WAIT_MILLISECONDS;
+  const dueAt = now + SERVER_RECHECK_MILLISECONDS;
   state.retries.waiting.set(requestId, { requestId, waitsFor: 'backendServer', dueAt });
 }
 
 /**
- * @param chosen - The backend server, where admission has chosen it already.
+ * @param chosenServer - The backend server, where admission has chosen it already.
  */
 export function startAttempt(
   state: EntryState,
   accepted: RequestState,
   now: MonotonicMilliseconds,
-  chosen?: BackendServerState,
+  chosenServer?: BackendServerState,
 ): EntryEffect[] {
-  const refused = refuseQuarantined(state, accepted, now);
-  if (refused !== undefined) return refused;
+  const refusal = refuseQuarantined(state, accepted, now);
+  if (refusal !== undefined) return refusal;
   if (
     state.retries.policy.isolateSuspects &&
     mustDelaySuspect(state, accepted.request.digest, now)
@@ -82,12 +82,12 @@
     waitForBackendServer(state, accepted, now);
     return [];
   }
-  if (chosen !== undefined) return launchAttempt(state, accepted, chosen, now);
+  if (chosenServer !== undefined) return launchAttempt(state, accepted, chosenServer, now);
   const placement = placeRequest(state, accepted, now);
   if (placement.type === 'start') return launchAttempt(state, accepted, placement.server, now);
   if (placement.type === 'wait') return enqueue(state, accepted, now);
-  const again = chooseServerForAttempt(state, accepted);
-  if (again !== undefined) return launchAttempt(state, accepted, again, now);
+  const server = chooseServerForAttempt(state, accepted);
+  if (server !== undefined) return launchAttempt(state, accepted, server, now);
   if (!canWaitForBackendServer(state, accepted, now)) return failWithoutServer(state, accepted);
   waitForBackendServer(state, accepted, now);
   return [];
--- a/packages/entry-core/src/claims/applyClaimEffect.ts
+++ b/packages/entry-core/src/claims/applyClaimEffect.ts
@@ -15,7 +15,7 @@
 import { reduceClaimedCall } from './reduceClaimedCall.js';
 
 /** Jitter on resends, as a share of the wait: entries that lost one leader come back spread out. */
-const JITTER_SHARE = 0.25;
+const MAX_JITTER_FRACTION_OF_DELAY = 0.25;
 
 const detailByKind: Readonly<Partial<Record<ErrorKind, string>>> = {
   claimRunning: 'The same call is in progress; send it again later to learn its outcome',
@@ -29,18 +29,18 @@
   state: EntryState,
   claim: RequestClaim,
   event: ClaimedCallEvent,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
   const effects = reduceClaimedCall(claim.call, event);
   claim.accepted.mayRunElsewhere = claim.call.heldElsewhere;
-  return effects.flatMap((effect) => applyClaimEffect(state, claim, effect, timed));
+  return effects.flatMap((effect) => applyClaimEffect(state, claim, effect, timestamps));
 }
 
 export function applyClaimEffect(
   state: EntryState,
   claim: RequestClaim,
   effect: ClaimedCallEffect,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
   const { accepted } = claim;
   const { requestId } = accepted.request;
@@ -48,14 +48,18 @@
     case 'propose':
       return [{ type: 'proposeClaim', requestId, command: effect.command }];
     case 'startResendTimer': {
-      const jitter = uniformInt(state.random, 0, Math.ceil(effect.after * JITTER_SHARE));
-      claim.resendAt = timed.now + effect.after + jitter;
+      const jitter = uniformInt(
+        state.random,
+        0,
+        Math.ceil(effect.after * MAX_JITTER_FRACTION_OF_DELAY),
+      );
+      claim.resendAt = timestamps.now + effect.after + jitter;
       return [];
     }
     case 'sendCall':
-      return sendCall(state, claim, timed);
+      return sendCall(state, claim, timestamps);
     case 'answer':
-      return replay(state, claim, effect);
+      return replayAnswer(state, claim, effect);
     case 'refuse': {
       if (!state.requests.has(requestId)) return [];
       const detail = detailByKind[effect.kind] ?? 'The call could not be claimed';
@@ -73,15 +77,15 @@
 }
 
 /** The claim is held: the call is sent, unless its caller has had its final answer meanwhile. */
-function sendCall(state: EntryState, claim: RequestClaim, timed: Timestamps): EntryEffect[] {
+function sendCall(state: EntryState, claim: RequestClaim, timestamps: Timestamps): EntryEffect[] {
   if (state.requests.has(claim.accepted.request.requestId)) {
-    return startAttempt(state, claim.accepted, timed.now);
+    return startAttempt(state, claim.accepted, timestamps.now);
   }
-  return handleClaimEvent(state, claim, { type: 'sendFailed', beforeFirstByte: true }, timed);
+  return handleClaimEvent(state, claim, { type: 'sendFailed', beforeFirstByte: true }, timestamps);
 }
 
 /** Gives the caller the answer of the first run. */
-function replay(
+function replayAnswer(
   state: EntryState,
   { accepted }: RequestClaim,
   { answer, replayed }: Extract<ClaimedCallEffect, { type: 'answer' }>,
--- a/packages/entry-core/src/claims/beginClaim.ts
+++ b/packages/entry-core/src/claims/beginClaim.ts
@@ -14,37 +14,37 @@
 import { startClaimedCall } from './reduceClaimedCall.js';
 
 /** Time past the deadline in which a late outcome is still learnt before the claim expires. */
-const EXPIRY_MARGIN: Milliseconds = 30_000;
+const EXPIRY_MARGIN_MILLISECONDS: Milliseconds = 30_000;
 
 /** Releases that may wait for the log before new calls are refused without asking it. */
-const MOST_WAITING_RELEASES = 64;
+const MAX_PENDING_RELEASES = 64;
 
 /**
  * True if the log has not acknowledged releases for a while. In a data centre without a quorum each
  * call would otherwise wait for its own opens to fail, and leave one more release to be resent.
  */
-function isLogSilent({ claims }: EntryState): boolean {
-  if (claims.size < MOST_WAITING_RELEASES) return false;
-  const waiting = [...claims.values()].filter(({ call }) => call.phase === 'releasing');
-  return waiting.length >= MOST_WAITING_RELEASES;
+function isLogUnresponsive({ claims }: EntryState): boolean {
+  if (claims.size < MAX_PENDING_RELEASES) return false;
+  const pendingReleases = [...claims.values()].filter(({ call }) => call.phase === 'releasing');
+  return pendingReleases.length >= MAX_PENDING_RELEASES;
 }
 
 export function beginClaim(
   state: EntryState,
   accepted: RequestState,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
   const { requestId, workspace, idempotencyKey, digest } = accepted.request;
   if (idempotencyKey === undefined) throw new TypeError(`${requestId} has no key to claim`);
-  if (isLogSilent(state)) {
+  if (isLogUnresponsive(state)) {
     const detail = 'No quorum of stores answers, so the call was not sent';
     return failRequest(state, accepted, 'claimsUnavailable', detail, { ran: 'no' });
   }
   const holder = state.identity.instance;
   const intent = { workspace, key: idempotencyKey, digest, holder };
-  const expiresAfter = accepted.wholeAnswerDueAt - timed.now + EXPIRY_MARGIN;
-  const { call, effects } = startClaimedCall(intent, requestId, timed.now, expiresAfter);
-  const claim: RequestClaim = { call, accepted, resendAt: timed.now };
+  const expiresAfter = accepted.wholeAnswerDueAt - timestamps.now + EXPIRY_MARGIN_MILLISECONDS;
+  const { call, effects } = startClaimedCall(intent, requestId, timestamps.now, expiresAfter);
+  const claim: RequestClaim = { call, accepted, resendAt: timestamps.now };
   state.claims.set(requestId, claim);
-  return effects.flatMap((effect) => applyClaimEffect(state, claim, effect, timed));
+  return effects.flatMap((effect) => applyClaimEffect(state, claim, effect, timestamps));
 }
--- a/packages/entry-core/src/claims/reduceClaimedCall.test.ts
+++ b/packages/entry-core/src/claims/reduceClaimedCall.test.ts
@@ -14,18 +14,18 @@
 const EXPIRES_AFTER = 60_000;
 const answer = { status: 201, headers: {}, body: new Uint8Array(2) };
 
-function begin(): ClaimedCall {
+function startCall(): ClaimedCall {
   return startClaimedCall(intent, 'a', 0, EXPIRES_AFTER).call;
 }
 
-function told(type: ClaimResult['type'], command: ClaimCommand['type']): ClaimedCallEvent {
+function claimResult(type: ClaimResult['type'], command: ClaimCommand['type']): ClaimedCallEvent {
   return { type: 'claimResult', now: 10, command, result: { type } as ClaimResult };
 }
 
-const opened = told('claimOpened', 'openClaim');
-const released = told('claimReleased', 'releaseClaim');
+const opened = claimResult('claimOpened', 'openClaim');
+const released = claimResult('claimReleased', 'releaseClaim');
 const resendDue: ClaimedCallEvent = { type: 'resendDue', now: 300 };
-const unavailable: ClaimedCallEvent = {
+const storeUnavailable: ClaimedCallEvent = {
   type: 'storeFailed',
   now: 5,
   command: 'openClaim',
@@ -34,7 +34,7 @@
 
 /** Tells what each event makes the call do, and the phase it leaves it in. */
 function transcript(events: readonly ClaimedCallEvent[]): string {
-  const call = begin();
+  const call = startCall();
   const lines = events.map((event) => {
     const effects = reduceClaimedCall(call, event).map((effect) => JSON.stringify(effect));
     return [`${JSON.stringify(event)} -> ${call.phase}`, ...effects].join('\n  ');
@@ -42,37 +42,37 @@
   return lines.join('\n');
 }
 
-const answeredAtOnce: ClaimedCallEvent[] = [
+const answeredImmediately: ClaimedCallEvent[] = [
   opened,
   { type: 'answered', answer },
   resendDue,
-  told('claimSettled', 'settleClaim'),
+  claimResult('claimSettled', 'settleClaim'),
 ];
-const triedElsewhere: ClaimedCallEvent[] = [
+const failedBeforeFirstByte: ClaimedCallEvent[] = [
   opened,
   { type: 'sendFailed', beforeFirstByte: true },
   opened,
   released,
 ];
-const cutWhileSending: ClaimedCallEvent[] = [
+const lostWhileSending: ClaimedCallEvent[] = [
   opened,
   { type: 'sendFailed', beforeFirstByte: false },
-  told('claimSettled', 'settleClaim'),
+  claimResult('claimSettled', 'settleClaim'),
 ];
-const lateAnswer: ClaimedCallEvent[] = [
+const answeredAfterDeadline: ClaimedCallEvent[] = [
   opened,
   { type: 'deadlineReached' },
   { type: 'answered', answer },
 ];
-const unsureOpen: ClaimedCallEvent[] = [
+const openUnacknowledged: ClaimedCallEvent[] = [
   resendDue,
-  unavailable,
+  storeUnavailable,
   resendDue,
   resendDue,
   opened,
   released,
 ];
-const neverReleased: ClaimedCallEvent[] = [
+const releaseUnacknowledged: ClaimedCallEvent[] = [
   resendDue,
   resendDue,
   resendDue,
@@ -80,38 +80,38 @@
 ];
 
 const cases: Record<string, ClaimedCallEvent[]> = {
-  'answered at once': answeredAtOnce,
-  'failed before the first byte': triedElsewhere,
-  'cut while sending': cutWhileSending,
-  'answer after the deadline': lateAnswer,
-  'unsure open': unsureOpen,
-  'a release that is never acknowledged': neverReleased,
-  'store unreachable': [unavailable],
+  'answered at once': answeredImmediately,
+  'failed before the first byte': failedBeforeFirstByte,
+  'cut while sending': lostWhileSending,
+  'answer after the deadline': answeredAfterDeadline,
+  'unsure open': openUnacknowledged,
+  'a release that is never acknowledged': releaseUnacknowledged,
+  'store unreachable': [storeUnavailable],
   'claim running': [
-    told('claimRunning', 'openClaim'),
+    claimResult('claimRunning', 'openClaim'),
     resendDue,
-    told('claimRunning', 'openClaim'),
+    claimResult('claimRunning', 'openClaim'),
     resendDue,
-    told('claimUnknown', 'openClaim'),
+    claimResult('claimUnknown', 'openClaim'),
   ],
   'claim running until the deadline': [
-    told('claimRunning', 'openClaim'),
+    claimResult('claimRunning', 'openClaim'),
     { type: 'deadlineReached' },
     released,
   ],
   'claim running, then the log is silent': [
-    told('claimRunning', 'openClaim'),
+    claimResult('claimRunning', 'openClaim'),
     resendDue,
-    unavailable,
+    storeUnavailable,
     resendDue,
     resendDue,
     resendDue,
     released,
   ],
-  'key reused': [told('claimKeyReused', 'openClaim'), released],
-  'claims full': [told('claimsFull', 'openClaim'), released],
-  'outcome unknown': [told('claimUnknown', 'openClaim')],
-  'done, answer not kept': [told('claimDone', 'openClaim')],
+  'key reused': [claimResult('claimKeyReused', 'openClaim'), released],
+  'claims full': [claimResult('claimsFull', 'openClaim'), released],
+  'outcome unknown': [claimResult('claimUnknown', 'openClaim')],
+  'done, answer not kept': [claimResult('claimDone', 'openClaim')],
   'deadline before the grant': [{ type: 'deadlineReached' }, opened, released],
 };
 
@@ -123,7 +123,7 @@
 
 test('claimed call: a resend gets the stored answer', () => {
   const result = { type: 'claimDone', answer } as const;
-  const effects = reduceClaimedCall(begin(), {
+  const effects = reduceClaimedCall(startCall(), {
     type: 'claimResult',
     now: 1,
     command: 'openClaim',
@@ -135,8 +135,8 @@
 // The caller's first connection broke as its answer came, and it sends its call again through another
 // entry. The log has not noted the outcome yet; a moment later it has, and the caller gets the answer.
 test('claimed call: a resend waits for the outcome of the first run', () => {
-  const call = begin();
-  const waiting = reduceClaimedCall(call, told('claimRunning', 'openClaim'));
+  const call = startCall();
+  const waiting = reduceClaimedCall(call, claimResult('claimRunning', 'openClaim'));
   assert.deepEqual(waiting, [{ type: 'startResendTimer', after: 50 }]);
   const [asked] = reduceClaimedCall(call, { type: 'resendDue', now: 60 });
   assert.equal(asked?.type === 'propose' && asked.command.type, 'openClaim');
@@ -147,7 +147,7 @@
 });
 
 test('claimed call: a grant as old as the claim is given back unsent', () => {
-  const call = begin();
+  const call = startCall();
   const late = { ...opened, now: EXPIRES_AFTER } as ClaimedCallEvent;
   const effects = reduceClaimedCall(call, late).map(({ type }) => type);
   assert.deepEqual(effects, ['refuse', 'propose', 'startResendTimer']);
@@ -155,7 +155,7 @@
 });
 
 test('claimed call: a body above the bound goes to the caller but not to the log', () => {
-  const call = begin();
+  const call = startCall();
   reduceClaimedCall(call, opened);
   const large = { ...answer, body: new Uint8Array(LARGEST_STORED_ANSWER_BYTES + 1) };
   const [answering, settling] = reduceClaimedCall(call, { type: 'answered', answer: large });
@@ -169,7 +169,7 @@
 // claim up. No quorum answers; the release is only acknowledged when one does, which may be long
 // after the caller's patience has ended.
 test('claimed call: a claim given up is refused without waiting for the log', () => {
-  const call = begin();
+  const call = startCall();
   let effects: ClaimedCallEffect[] = [];
   [200, 600, 1400].forEach((now) => {
     effects = reduceClaimedCall(call, { type: 'resendDue', now });
--- a/packages/entry-core/src/claims/reduceClaimedCall.ts
+++ b/packages/entry-core/src/claims/reduceClaimedCall.ts
@@ -84,7 +84,7 @@
   }
 }
 
-function resendAfter(tries: number): Milliseconds {
+function resendDelay(tries: number): Milliseconds {
   return Math.min(
     FIRST_RESEND_DELAY_MILLISECONDS * 2 ** (tries - 1),
     MAX_RESEND_DELAY_MILLISECONDS,
@@ -100,7 +100,7 @@
 function resend(call: ClaimedCall, command: ClaimCommand): ClaimedCallEffect[] {
   return [
     { type: 'propose', command },
-    { type: 'startResendTimer', after: resendAfter(call.tries) },
+    { type: 'startResendTimer', after: resendDelay(call.tries) },
   ];
 }
 
@@ -134,7 +134,7 @@
  * alone, and to wait for the log would hold the answer back for as long as no quorum answers. Where
  * another attempt was seen to hold the claim, the caller's call may have run all the same.
  */
-function giveUp(call: ClaimedCall, kind: ErrorKind): ClaimedCallEffect[] {
+function refuseAndRelease(call: ClaimedCall, kind: ErrorKind): ClaimedCallEffect[] {
   const refusal = call.heldElsewhere
     ? refuse(call, 'claimRunning', 'unknown')
     : refuse(call, kind, 'no');
@@ -149,10 +149,10 @@
 function awaitOutcome(call: ClaimedCall, now: MonotonicMilliseconds): ClaimedCallEffect[] {
   call.heldElsewhere = true;
   call.tries = 0;
-  const waited = now - call.startedAt;
+  const elapsed = now - call.startedAt;
   const after = Math.min(
     MAX_OUTCOME_POLL_DELAY_MILLISECONDS,
-    Math.max(MIN_OUTCOME_POLL_DELAY_MILLISECONDS, waited / 2),
+    Math.max(MIN_OUTCOME_POLL_DELAY_MILLISECONDS, elapsed / 2),
   );
   return [{ type: 'startResendTimer', after }];
 }
@@ -177,9 +177,9 @@
     case 'claimRunning':
       return awaitOutcome(call, now);
     case 'claimKeyReused':
-      return giveUp(call, 'idempotencyKeyReused');
+      return refuseAndRelease(call, 'idempotencyKeyReused');
     default:
-      return giveUp(call, 'claimsUnavailable');
+      return refuseAndRelease(call, 'claimsUnavailable');
   }
 }
 
@@ -188,7 +188,7 @@
  * by then, and past its retention the log would let another attempt open it.
  */
 function onOpened(call: ClaimedCall, now: MonotonicMilliseconds): ClaimedCallEffect[] {
-  if (now - call.startedAt >= call.expiresAfter) return giveUp(call, 'claimsUnavailable');
+  if (now - call.startedAt >= call.expiresAfter) return refuseAndRelease(call, 'claimsUnavailable');
   call.phase = 'sending';
   call.pending = undefined;
   call.heldElsewhere = false;
@@ -228,9 +228,9 @@
   const { pending } = call;
   if (pending === undefined) return [];
   if (pending.type === 'openClaim' && call.tries >= MAX_OPEN_TRIES) {
-    return giveUp(call, 'claimsUnavailable');
+    return refuseAndRelease(call, 'claimsUnavailable');
   }
-  if (now - call.startedAt >= resendSpan(call)) {
+  if (now - call.startedAt >= resendDuration(call)) {
     return [...refuse(call, 'outcomeUnknown', 'unknown'), ...finish(call)];
   }
   call.tries += 1;
@@ -241,7 +241,7 @@
  * How long a command is sent again. A release goes on until it is acknowledged: its caller was told
  * `ran: no`, and a copy of the open that the log runs late would stand against the caller's resends.
  */
-function resendSpan(call: ClaimedCall): Milliseconds {
+function resendDuration(call: ClaimedCall): Milliseconds {
   if (call.phase === 'releasing') return Number.POSITIVE_INFINITY;
   if (call.phase === 'settling') return call.expiresAfter + SETTLE_RESEND_AFTER_EXPIRY_MILLISECONDS;
   return call.expiresAfter;
@@ -258,12 +258,12 @@
   if (call.phase !== 'sending') return [];
   const isLate = call.answered;
   call.answered = true;
-  const settling = settle(call, { outcome: 'done', answer: storable(answer) });
+  const settling = settle(call, { outcome: 'done', answer: omitOversizedBody(answer) });
   return isLate ? settling : [{ type: 'answer', answer, replayed: false }, ...settling];
 }
 
 /** Leaves a body out that the log would not keep; resends are then told that the call ran. */
-function storable(answer: StoredAnswer): StoredAnswer {
+function omitOversizedBody(answer: StoredAnswer): StoredAnswer {
   const bytes = answer.body?.byteLength ?? 0;
   if (bytes <= LARGEST_STORED_ANSWER_BYTES) return answer;
   return { status: answer.status, headers: answer.headers };
--- a/packages/entry-core/src/claims/updateClaims.ts
+++ b/packages/entry-core/src/claims/updateClaims.ts
@@ -10,9 +10,9 @@
 import { handleClaimEvent } from './applyClaimEffect.js';
 import type { ClaimedCallEvent } from './ClaimedCall.js';
 
-type AttemptEnd = Extract<EntryEvent, { type: 'attemptFinished' | 'attemptFailed' }>;
+type AttemptEndEvent = Extract<EntryEvent, { type: 'attemptFinished' | 'attemptFailed' }>;
 
-function isAttemptEnd(event: EntryEvent): event is AttemptEnd {
+function isAttemptEnd(event: EntryEvent): event is AttemptEndEvent {
   return event.type === 'attemptFinished' || event.type === 'attemptFailed';
 }
 
@@ -25,7 +25,7 @@
   return state.claims.get(state.attempts.get(event.attemptId)?.requestId ?? '');
 }
 
-function toOutcome(event: AttemptEnd): ClaimedCallEvent {
+function toOutcome(event: AttemptEndEvent): ClaimedCallEvent {
   if (event.type === 'attemptFailed') {
     return { type: 'sendFailed', beforeFirstByte: event.sent === 'nothing' };
   }
@@ -33,7 +33,7 @@
 }
 
 /** What the end of a request says of its claim, or undefined if its attempt still runs. */
-function outcomeOfProblem(state: EntryState, { call, accepted }: RequestClaim) {
+function toProblemOutcome(state: EntryState, { call, accepted }: RequestClaim) {
   if (call.phase === 'opening') return { type: 'deadlineReached' } as const;
   const attemptRuns = accepted.attemptId !== undefined && state.attempts.has(accepted.attemptId);
   if (attemptRuns) return undefined;
@@ -41,7 +41,11 @@
 }
 
 /** The caller has its final answer by one of these effects; the claim is told the outcome. */
-function followAnswer(state: EntryState, effect: EntryEffect, event: EntryEvent): EntryEffect[] {
+function handleFinalAnswer(
+  state: EntryState,
+  effect: EntryEffect,
+  event: EntryEvent,
+): EntryEffect[] {
   if (effect.type !== 'finishAnswer' && effect.type !== 'answerProblem') return [];
   const claim = state.claims.get(effect.requestId);
   if (claim === undefined || claim.call.answered) return [];
@@ -49,12 +53,12 @@
   const outcome =
     effect.type === 'finishAnswer' && isAttemptEnd(event)
       ? toOutcome(event)
-      : outcomeOfProblem(state, claim);
+      : toProblemOutcome(state, claim);
   return outcome === undefined ? [] : handleClaimEvent(state, claim, outcome, event);
 }
 
 /** An attempt that ends after its caller was answered still has an outcome to store. */
-function followLateEnd(
+function handleLateAttemptEnd(
   state: EntryState,
   claim: RequestClaim | undefined,
   event: EntryEvent,
@@ -64,19 +68,19 @@
   return handleClaimEvent(state, claim, toOutcome(event), event);
 }
 
-function takeClaimAnswer(state: EntryState, event: EntryEvent): EntryEffect[] {
+function handleClaimAnswer(state: EntryState, event: EntryEvent): EntryEffect[] {
   if (event.type !== 'claimAnswered') return [];
   const claim = state.claims.get(event.requestId);
   if (claim === undefined) return [];
   const { command, answer, now } = event;
-  const told: ClaimedCallEvent =
+  const claimEvent: ClaimedCallEvent =
     answer.type === 'result'
       ? { type: 'claimResult', now, command, result: answer.result }
       : { type: 'storeFailed', now, command, nothingDone: answer.type === 'unavailable' };
-  return handleClaimEvent(state, claim, told, event);
+  return handleClaimEvent(state, claim, claimEvent, event);
 }
 
-function resendDue(state: EntryState, event: EntryEvent): EntryEffect[] {
+function resendDueCommands(state: EntryState, event: EntryEvent): EntryEffect[] {
   if (event.type !== 'tick') return [];
   return [...state.claims.values()]
     .filter(({ resendAt }) => resendAt <= event.now)
@@ -86,20 +90,20 @@
 }
 
 /**
- * @param ending - What `findEndingClaim` found before the event was handled.
+ * @param endedClaim - What `findEndingClaim` found before the event was handled.
  * @param effects - What the event has led to so far.
  */
 export function updateClaims(
   state: EntryState,
   event: EntryEvent,
-  ending: RequestClaim | undefined,
+  endedClaim: RequestClaim | undefined,
   effects: readonly EntryEffect[],
 ): EntryEffect[] {
   if (state.claims.size === 0) return [];
   return [
-    ...effects.flatMap((effect) => followAnswer(state, effect, event)),
-    ...followLateEnd(state, ending, event),
-    ...takeClaimAnswer(state, event),
-    ...resendDue(state, event),
+    ...effects.flatMap((effect) => handleFinalAnswer(state, effect, event)),
+    ...handleLateAttemptEnd(state, endedClaim, event),
+    ...handleClaimAnswer(state, event),
+    ...resendDueCommands(state, event),
   ];
 }
