--- a/packages/entry-core/src/attempts/AttemptState.ts
+++ b/packages/entry-core/src/attempts/AttemptState.ts
@@ -1,4 +1,4 @@
-/** One attempt of a request at one backend server. */
+/** State of one attempt to serve a request on one backend server. */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 
 export interface AttemptState {
@@ -6,23 +6,23 @@
   readonly requestId: string;
   readonly instance: string;
   readonly startedAt: MonotonicMilliseconds;
-  /** Tokens of the whole answer that were there when the attempt began. */
+  /** Tokens of the answer that earlier attempts had produced when this one started. */
   readonly resumedFromTokens: number;
-  /** True once a byte of the call may have reached the backend server. */
+  /** True once the backend server may have received a byte of the call. */
   sent: boolean;
   firstTokenAt: MonotonicMilliseconds | undefined;
-  /** Tokens of the whole answer so far, by the newest edge. */
+  /** Tokens of the answer so far, including those of earlier attempts. */
   tokens: number;
   tokensUpdatedAt: MonotonicMilliseconds | undefined;
-  /** True while its caller, and not its backend server, holds it up. */
+  /** True while backpressure from a slow caller pauses the stream. */
   pausedByCaller?: boolean;
-  /** When its backend server was last probed because this stream had stalled. */
+  /** When its backend server was last probed because this stream stalled. */
   stallProbedAt?: MonotonicMilliseconds;
-  /** True for an attempt that fell silent; its whole answer may still come first. */
+  /** True once the attempt has timed out; it keeps running, as its answer may still come first. */
   givenUp: boolean;
 }
 
-/** Name of a request's attempt by its number, from 1; unique for all time as the request is. */
+/** Id of the attempt with this number (counted from 1). Never reused, since request ids are not. */
 export function attemptIdOf(requestId: string, number: number): string {
   return `${requestId}.${number}`;
 }
--- a/packages/entry-core/src/attempts/RetryState.ts
+++ b/packages/entry-core/src/attempts/RetryState.ts
@@ -1,31 +1,34 @@
-/** What an entry keeps to bound its retries. */
+/**
+ * The part of an entry's state that limits retries: the retry budgets, the requests that wait for
+ * their next attempt, and the policy switches.
+ */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 
-/** Retries that one route, or one backend server, may still cause. */
+/** Retries that are still allowed for one route, or after failures of one backend server. */
 export interface RetryBudget {
   tokens: number;
 }
 
-/** A request between two attempts: it backs off, or waits for a backend server that it may go to. */
+/** A request between two attempts that waits for its back-off to end or for a backend server. */
 export interface WaitingRetry {
   readonly requestId: string;
   readonly waitsFor: 'backOff' | 'backendServer';
   readonly dueAt: MonotonicMilliseconds;
 }
 
-/** Switches that only measurements and mutation tests turn. */
+/** Switches of the recovery mechanisms; only measurements and tests turn any of them off. */
 export interface RecoveryPolicy {
-  /** Retries are bounded by the budgets. */
+  /** Retries consume the retry budgets. */
   readonly limitRetries: boolean;
-  /** Streams on notice are handed on before their backend server is gone. */
+  /** Streams are migrated off a backend server that has a reclaim notice, before it is removed. */
   readonly migrateOnNotice: boolean;
-  /** Streams on notice may be moved with their cache. */
+  /** A stream may be migrated together with its KV cache. */
   readonly moveCaches: boolean;
-  /** Streams go on from their offset instead of from the start. */
+  /** A retried stream resumes at its token offset instead of starting over. */
   readonly resumeFromOffset: boolean;
-  /** Suspects of a crash are kept apart. */
+  /** Requests suspected of causing a crash never share a backend server. */
   readonly isolateSuspects: boolean;
 }
 
@@ -46,7 +49,7 @@
   readonly waiting: Map<string, WaitingRetry>;
 }
 
-/** FNV-1a over the name, so that two entries never jitter in step. */
+/** Hashes a name with FNV-1a, so that entries with different names draw different jitter. */
 function hashName(name: string): number {
   let hash = 0x811c9dc5;
   for (let position = 0; position < name.length; position += 1) {
--- a/packages/entry-core/src/attempts/advanceRetries.ts
+++ b/packages/entry-core/src/attempts/advanceRetries.ts
@@ -1,7 +1,7 @@
 /**
- * Starts the retries whose wait is over. Suspects of a crash go in the order of the time they ran
- * on the lost backend server, shortest first: a request that crashes its engine tends to do so soon,
- * and once it is found all others are free to run together again.
+ * Starts the retries whose wait is over. Suspects of a crash are started in order of the time
+ * they had run on the crashed backend server, shortest first: a request that crashes its engine
+ * usually does so early, and once it is found the other suspects may share servers again.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -18,7 +18,7 @@
   return startSelectedRetries(state, now, ({ dueAt }) => dueAt <= now);
 }
 
-/** Looks again at once at all that wait for a backend server, as there may be one now. */
+/** Retries immediately all requests that wait for a backend server, as one may be usable again. */
 export function startRetriesAwaitingServer(
   state: EntryState,
   now: MonotonicMilliseconds,
--- a/packages/entry-core/src/attempts/chooseServerForAttempt.ts
+++ b/packages/entry-core/src/attempts/chooseServerForAttempt.ts
@@ -1,6 +1,6 @@
 /**
- * Which backend server the next attempt of a request may go to, after what its earlier attempts
- * have ruled out.
+ * Chooses the backend server for the next attempt of a request, and decides whether a request for
+ * which there is none now waits for one.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
@@ -9,7 +9,7 @@
 import type { RequestState } from '../requests/RequestState.js';
 import { findTemporarilyExcludedInstances } from './findExcludedInstances.js';
 
-/** Prefers a backend server that was not tried, then one other than the last that was. */
+/** Prefers a backend server that was not tried yet, then any other than the last one tried. */
 export function chooseServerForAttempt(
   state: EntryState,
   accepted: RequestState,
@@ -23,10 +23,10 @@
   return chooseExcept(tried.slice(-1)) ?? chooseExcept([]);
 }
 
-/** Longest wait of a started request for a backend server in a pool that has none at all. */
+/** Longest time that a started request waits while its pool is empty. */
 const MAX_EMPTY_POOL_WAIT_MILLISECONDS = 30_000;
 
-/** True if the pool has a backend server that is not just gone or on its way out. */
+/** True if the pool has a backend server that is neither removed nor being reclaimed. */
 function hasRemainingServer(state: EntryState, accepted: RequestState): boolean {
   return [...state.backendServers.values()].some(
     ({ platformInstance, goneAt }) =>
@@ -34,7 +34,7 @@
   );
 }
 
-/** True if one that is ruled out only for now could take the request. */
+/** True if a backend server that is only temporarily excluded could take the request later. */
 function hasTemporarilyExcludedServer(
   state: EntryState,
   accepted: RequestState,
@@ -50,10 +50,9 @@
 }
 
 /**
- * True if a backend server may take the request before its deadline although none can now. A request
- * that was started waits for one that is full, starting or down, and for some time also in an empty pool,
- * where a replacement may be on its way. To refuse it would lose an accepted request to the
- * reclaim of its whole pool.
+ * True if a request that no backend server can take now should wait. A request that was started
+ * before waits while its pool has a server, even a full or failed one, and for a limited time in an
+ * empty pool: otherwise a reclaim of the whole pool would fail it before replacements start.
  */
 export function canWaitForBackendServer(
   state: EntryState,
--- a/packages/entry-core/src/attempts/drawBackOff.ts
+++ b/packages/entry-core/src/attempts/drawBackOff.ts
@@ -1,6 +1,6 @@
 /**
- * Full jitter: a wait drawn evenly between zero and a bound that doubles with each attempt. An
- * equal wait for all would send the requests that failed together back together.
+ * Exponential back-off with full jitter: a random delay between zero and a maximum that doubles with
+ * each attempt. Equal delays would retry requests that failed together at the same moment again.
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import type { Milliseconds } from '@hornbeampond/schema';
--- a/packages/entry-core/src/attempts/failAttempt.ts
+++ b/packages/entry-core/src/attempts/failAttempt.ts
@@ -1,5 +1,5 @@
 /**
- * What a failed attempt means for its request.
+ * Handles the failure of an attempt: removes the attempt, then retries or fails its request.
  */
 import type { RecomputeReason, RetryReason } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -15,7 +15,7 @@
 
 export type AttemptFailedEvent = Extract<EntryEvent, { type: 'attemptFailed' }>;
 
-/** Losses of one request that are made good without spending from the budget. */
+/** Lost streams that one request may recover from without using the retry budget. */
 const MAX_RECOVERIES_EXEMPT_FROM_BUDGET = 2;
 
 const retryReasonByFailure: Readonly<Record<AttemptFailure, RetryReason>> = {
@@ -28,7 +28,7 @@
   malformed: 'backendServerError',
 };
 
-/** Failures after which tokens that the engine has computed are lost. */
+/** Failures that lose tokens which the engine has computed. */
 const recomputeByFailure: Readonly<Partial<Record<AttemptFailure, RecomputeReason>>> = {
   serverError: 'lossResume',
   malformed: 'lossResume',
@@ -37,10 +37,9 @@
 };
 
 /**
- * A stream that lost its backend server is made good without asking the budget, a few times.
- * Otherwise the loss of one busy server would spend the budget of its route, and callers whose
- * requests were accepted would be refused. It cannot become a storm: it needs a lost server or
- * connection each time, and each request has a bound.
+ * Counts a lost stream; true if its retry is exempt from the retry budget. Otherwise the failure of
+ * one busy server would exhaust the budget of its route and fail accepted requests. The exemption
+ * cannot cause a retry storm, since the number of lost streams per request is limited.
  */
 function isExemptFromBudget(
   accepted: RequestState,
@@ -53,8 +52,9 @@
 }
 
 /**
- * A silent attempt that has given nothing yet may still bring the first whole answer, late; it is
- * kept beside the next one. One that has given tokens is not: its answer is being spliced.
+ * Keeps a timed-out attempt that has produced nothing yet alongside the next one, as its answer may
+ * still arrive first. One that has produced tokens is dropped, since the next attempt resumes after
+ * those tokens.
  */
 function keepAbandonedAttempt(
   state: EntryState,
@@ -90,7 +90,7 @@
   };
 }
 
-/** Goes on with a request whose attempt has just ended in failure. */
+/** Retries or fails a request whose attempt has just failed. */
 function retryOrFail(
   state: EntryState,
   accepted: RequestState,
@@ -98,7 +98,7 @@
   event: AttemptFailedEvent,
 ): EntryEffect[] {
   if (event.failure === 'clientError') {
-    const detail = 'The backend server refused the request';
+    const detail = 'The backend server rejected the request';
     return failRequest(state, accepted, 'backendServerFailed', detail, {
       ran: determineRan(accepted),
     });
--- a/packages/entry-core/src/attempts/findExcludedInstances.ts
+++ b/packages/entry-core/src/attempts/findExcludedInstances.ts
@@ -1,6 +1,7 @@
 /**
- * Backend servers that a request must not be sent to for now, whoever chooses: those lost or not
- * yet judged, and for suspects of a crash those that would put two suspects together.
+ * Lists the backend servers that a request must not be sent to: those that failed or whose loss is
+ * not classified yet, those taken out of service, and for suspects of a crash those where another
+ * suspect runs or may be started by a peer.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
@@ -8,7 +9,7 @@
 import { listInstancesOutsideSlot } from '../quarantine/listInstancesOutsideSlot.js';
 import type { RequestState } from '../requests/RequestState.js';
 
-/** Those that may take the request again soon. */
+/** Backend servers that are excluded for a short time and may take the request soon. */
 export function findTemporarilyExcludedInstances(
   state: EntryState,
   accepted: RequestState,
@@ -23,7 +24,7 @@
   return instances;
 }
 
-/** Those, and the ones that are known to be down or were taken out of service. */
+/** All excluded backend servers, including those that are down or taken out of service. */
 export function findExcludedInstances(
   state: EntryState,
   accepted: RequestState,
--- a/packages/entry-core/src/attempts/interleavings.test.ts
+++ b/packages/entry-core/src/attempts/interleavings.test.ts
@@ -5,12 +5,12 @@
 
 const engineNames = ['wien-a-engine-1', 'wien-a-engine-2', 'wien-b-engine-1', 'wien-b-engine-2'];
 
-/** One thing that goes wrong, or one request, and how long after it the next one comes. */
+/** A list of faults and requests, each with the delay before the next one. */
 const actions = fc.array(
   fc.record({
     kind: fc.constantFrom(
-      ...(['arrive', 'arrive', 'arrive', 'die', 'vanish', 'revive', 'silence', 'reclaim'] as const),
-      ...(['busy', 'free', 'gone', 'duplicate', 'failMoves', 'bad'] as const),
+      ...(['submit', 'submit', 'submit', 'die', 'loseHost', 'revive', 'stall', 'reclaim'] as const),
+      ...(['busy', 'free', 'disconnect', 'resendEvents', 'failMoves', 'submitCrashing'] as const),
     ),
     engine: fc.constantFrom(...engineNames),
     tokens: fc.integer({ min: 1, max: 120 }),
@@ -21,7 +21,7 @@
 
 type Action = typeof actions extends fc.Arbitrary<readonly (infer One)[]> ? One : never;
 
-/** Sends edges of attempts again that have ended long ago, as a confused network would. */
+/** Sends stream events of attempts that have already ended, as delayed duplicates would arrive. */
 function resendStreamEvents(cluster: SimulatedCluster): void {
   cluster.callers().forEach(({ request: { requestId } }) => {
     ['1', '2', '3'].forEach((number) => {
@@ -39,16 +39,16 @@
   number: number,
 ): void {
   const engine = cluster.engine(name);
-  const digest = kind === 'bad' ? 'digest-bad' : `digest-${number}`;
+  const digest = kind === 'submitCrashing' ? 'digest-bad' : `digest-${number}`;
   switch (kind) {
-    case 'arrive':
-    case 'bad':
+    case 'submit':
+    case 'submitCrashing':
       cluster.entry.submitRequest(makeRequest(`request-${number}`, { maxTokens: tokens, digest }));
       return;
     case 'die':
       engine.die();
       return;
-    case 'vanish':
+    case 'loseHost':
       engine.omitsReset = true;
       engine.unreachable = true;
       engine.die();
@@ -58,7 +58,7 @@
       engine.unreachable = false;
       engine.alive = true;
       return;
-    case 'silence':
+    case 'stall':
       engine.streams.forEach((stream) => {
         stream.stalled = true;
       });
@@ -73,7 +73,7 @@
     case 'failMoves':
       cluster.movesFail = !cluster.movesFail;
       return;
-    case 'duplicate':
+    case 'resendEvents':
       resendStreamEvents(cluster);
       return;
     default:
@@ -97,10 +97,9 @@
   return cluster;
 }
 
-// Whatever goes wrong and in whatever order, each caller sees exactly one final answer, never a
-// mixed one, never another's, and `ran: no` only if no engine was given its request. At the
-// end the entry holds nothing: a leak would hold the stop of the entry back for ever.
-test('random interleavings of failures keep what callers are promised', () => {
+// Each caller must get exactly one final answer, with only its own tokens, and `ran: no` only if no
+// engine received its request. No state may remain, since a leak would block the entry's shutdown.
+test('random interleavings of failures never break the guarantees given to callers', () => {
   fc.assert(
     fc.property(actions, (steps) => {
       const cluster = runActions(steps);
@@ -117,9 +116,8 @@
   );
 });
 
-// Shows that the check above can fail: a reducer that takes the edges of an attempt for those of
-// another, as if answers were not bound to attempts, gives callers wrong answers.
-test('a shell that confuses attempts is found out', () => {
+// Checks that `findViolations` can fail: the event claims that an attempt ended before its last token.
+test('finishing an attempt before its last token is reported as a violation', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 2 } });
   cluster.entry.submitRequest(makeRequest('one'));
   cluster.advance(1000);
--- a/packages/entry-core/src/attempts/launchAttempt.ts
+++ b/packages/entry-core/src/attempts/launchAttempt.ts
@@ -1,5 +1,6 @@
 /**
- * Starts an attempt of a request at a given backend server.
+ * Starts an attempt of a request at a given backend server. Whether and where a request is tried is
+ * decided by `startAttempt`.
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
@@ -15,25 +16,24 @@
 import type { RequestState } from '../requests/RequestState.js';
 import { earnRetries } from './retryBudget.js';
 
-/** The last of the priorities: an engine begins all others first. */
+/** Engines start requests of any other priority first. */
 const LOWEST_PRIORITY = 9;
 
-/** A stream that pauses for so long is taken for lost. */
+/** A stream without data for this long is considered lost. */
 const STREAM_IDLE_TIMEOUT_MILLISECONDS = 5000;
 
-/** Least wait for a first byte. */
 const MIN_FIRST_BYTE_TIMEOUT_MILLISECONDS = 1000;
 
-/** Share of the time to the first token's deadline that one attempt may stay silent. */
+/** An attempt may spend this fraction of the time until the first token is due without a byte. */
 const MAX_FIRST_BYTE_FRACTION_OF_TIME_LEFT = 0.6;
 
-/** An engine may be this many times slower at a prompt than the stated rate before it is given up. */
+/** How many times longer than estimated a prefill may take before the attempt times out. */
 const MAX_PREFILL_SLOWDOWN = 3;
 
 /**
- * How long to wait for the first byte. A call that may not be sent again gains nothing from an early
- * end; any other keeps time for a second attempt before its first token is due. In any case the
- * engine gets the time to compute the prompt, and on a resume the tokens generated so far.
+ * How long to wait for the first byte. A call that cannot be retried may use all the time until its
+ * deadline. Any other leaves time for another attempt before the first token is due, but allows for
+ * the prefill of the prompt and, on a resume, of the tokens generated so far.
  */
 function computeFirstByteTimeout(accepted: RequestState, now: MonotonicMilliseconds): Milliseconds {
   const timeUntilDeadline = Math.max(1, accepted.wholeAnswerDueAt - now);
@@ -45,7 +45,7 @@
   return Math.min(timeUntilDeadline, Math.max(minTimeout, allowedWait));
 }
 
-/** Counts what the engine has to compute again for this attempt. */
+/** Counts the tokens that the engine has to recompute for this attempt. */
 function countRecomputed(accepted: RequestState): EntryEffect[] {
   const { recompute } = accepted;
   accepted.recompute = undefined;
@@ -73,9 +73,9 @@
   const resumeFromTokens = state.retries.policy.resumeFromOffset ? accepted.tokens : 0;
   accepted.attemptId = attemptId;
   accepted.waitingForServerSince = undefined;
-  // Peers must know where a suspect runs before they place their own.
+  // Peers must know where a suspect runs before they place their own suspects.
   if (isSuspect(state, accepted.request.digest)) reportSoon(state);
-  // Kept in the order of trying, so that the last one tried is known.
+  // Deleted first, so that the server tried last is always the last element.
   accepted.triedInstances.delete(instance);
   accepted.triedInstances.add(instance);
   state.retries.waiting.delete(requestId);
--- a/packages/entry-core/src/attempts/loss.test.ts
+++ b/packages/entry-core/src/attempts/loss.test.ts
@@ -4,18 +4,17 @@
 
 const engines = { 'wien-a': 2, 'wien-b': 2 };
 
-/** Where the one request of a world runs now. */
+/** The engine that runs the only request of the cluster. */
 function getRunningInstance(cluster: SimulatedCluster): string {
   const attempt = [...cluster.entry.state.attempts.values()][0];
   assert.ok(attempt !== undefined);
   return attempt.instance;
 }
 
-// The caller sees one whole answer, with a short pause. Its engine dies at the first, a middle or
-// the last token; the entry resumes the stream at another engine from the tokens that were
-// relayed. Nothing is given twice, for the engine goes on after the generated text.
+// The entry resumes the stream on another engine after the last relayed token, so that no token is
+// missing or delivered twice.
 for (const [place, tokens] of Object.entries({ first: 1, middle: 100, last: 199 })) {
-  test(`an engine dies at the ${place} token`, () => {
+  test(`the answer is complete when its engine crashes at the ${place} token`, () => {
     const cluster = new SimulatedCluster({ engines });
     const caller = cluster.entry.submitRequest(makeRequest('one'));
     while (caller.tokens.length < tokens) cluster.advance(10);
@@ -29,10 +28,9 @@
   });
 }
 
-// The caller sees a whole answer after a pause. Its connection goes silent while new ones work; the
-// entry times the stream out, and a probe over a new connection is answered. So the engine is kept,
-// nobody is suspected, and the answer goes on by offset, here at the very same engine, the only one.
-test('a connection goes silent and the backend server is kept', () => {
+// The stream times out, but a probe over a new connection is answered. The answer is resumed on the
+// same engine, the only one; the engine is not marked as down, and the request does not become a suspect.
+test('a stalled connection is not treated as a failed backend server', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 1 } });
   const caller = cluster.entry.submitRequest(makeRequest('one'));
   while (caller.tokens.length < 50) cluster.advance(10);
@@ -51,9 +49,8 @@
   );
 });
 
-// The caller sees its whole answer although its engine vanished without a word: no reset, and no
-// answer to the probe either. The silence starts the probe; the second that it may take is the bound.
-test('an engine vanishes without a word', () => {
+// The engine neither resets its connections nor answers the probe that the stream timeout starts.
+test('an unreachable engine is detected and its streams are completed elsewhere', () => {
   const cluster = new SimulatedCluster({ engines });
   const callers = ['one', 'two', 'three', 'four', 'five', 'six', 'seven', 'eight'].map((name) =>
     cluster.entry.submitRequest(makeRequest(name)),
@@ -74,10 +71,9 @@
   assert.equal(cluster.entry.state.quarantine.down.has('wien-a-engine-1'), true);
 });
 
-// The caller sees the first whole answer, once. Its first attempt gives nothing for so long that a
-// second is started; then the first one's answer comes whole after all, before the second has given
-// a token. It is used, and the second attempt is cancelled.
-test('a late whole answer that comes first is used', () => {
+// The first attempt times out and a second is started, but the first delivers its complete answer
+// before the second has produced a token.
+test('the answer of a timed-out attempt is used if it arrives first', () => {
   const cluster = new SimulatedCluster({ engines });
   const { entry } = cluster;
   const caller = entry.submitRequest(makeRequest('one', { maxTokens: 0 }));
@@ -92,9 +88,9 @@
   assert.equal(entry.state.retries.waiting.size, 0);
 });
 
-// The caller sees the answer of its second attempt only. The first one's whole answer comes when
-// the second has already given tokens; using it would mix the two, so it is dropped and counted.
-test('a late answer after a retry is dropped and counted', () => {
+// The second attempt has already produced tokens, so using the late answer of the first would mix two
+// answers.
+test('a late answer is dropped and counted once a retry has produced tokens', () => {
   const cluster = new SimulatedCluster({ engines });
   const { entry } = cluster;
   const request = makeRequest('one');
@@ -111,9 +107,9 @@
   assert.equal(caller.tokens.join(''), expectedAnswer(request));
 });
 
-// The callers wait about two and a half seconds, not six. The host is gone without a word: streams stall, which
-// is noticed by the progress that does not come, and the unanswered probe tells for all of them.
-test('a vanished host is noticed by its stalled streams', () => {
+// Missing progress starts a probe well before the stream timeout; the unanswered probe then ends all
+// streams of the host.
+test('an unreachable host is detected by its stalled streams before they time out', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 1, 'wien-b': 1 }, losesHost: true });
   const callers = ['one', 'two'].map((name) => cluster.entry.submitRequest(makeRequest(name)));
   cluster.advance(1000);
@@ -128,9 +124,8 @@
   );
 });
 
-// Callers see whole answers without a pause. One connection is reset and the probe goes unanswered, for the
-// engine is too busy to accept; but the other streams still give tokens, so they are left alone.
-test('an unanswered probe does not end streams that give tokens', () => {
+// An engine too busy to accept new connections does not answer the probe, but still serves its streams.
+test('an unanswered probe does not end streams that still produce tokens', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 1 } });
   const callers = ['one', 'two', 'three'].map((name) =>
     cluster.entry.submitRequest(makeRequest(name)),
--- a/packages/entry-core/src/attempts/opaqueCalls.test.ts
+++ b/packages/entry-core/src/attempts/opaqueCalls.test.ts
@@ -11,7 +11,7 @@
 
 const nonIdempotentRoute = { idempotent: false, claimed: false };
 
-/** An entry with three backend servers, whose clock a test moves. */
+/** Makes an entry with three backend servers and a manual clock. */
 function makeEntry(
   route: Record<string, unknown>,
   configured = true,
@@ -69,10 +69,10 @@
       tokens: 0,
       answerStarted: false,
     });
-  return { state, send, pass: advanceTime, arrive: submitRequest, fail: failAttempt, configure };
+  return { state, send, advanceTime, submitRequest, failAttempt, configure };
 }
 
-/** Effects by type, with what a caller or a backend server sees of each. */
+/** Describes each effect by its type and the fields that a caller or a backend server sees. */
 function describeEffects(effects: readonly EntryEffect[]): string[] {
   return effects.map((effect) => {
     if (effect.type === 'answerProblem') return `${effect.kind} ran ${effect.ran}`;
@@ -81,43 +81,43 @@
   });
 }
 
-test('a call is sent in the name of the workspace that holds its key', () => {
-  assert.deepEqual(describeEffects(makeEntry(nonIdempotentRoute).arrive()), ['start for laden']);
+test('a call is attributed to the workspace that owns its key', () => {
+  assert.deepEqual(describeEffects(makeEntry(nonIdempotentRoute).submitRequest()), [
+    'start for laden',
+  ]);
 });
 
-test('a key that no workspace holds is refused, unless the route is public', () => {
+test('a key that no workspace owns is refused, unless the route is public', () => {
   const unknownKey = { keySha256: 'b'.repeat(64) };
-  assert.deepEqual(describeEffects(makeEntry(nonIdempotentRoute).arrive(unknownKey)), [
+  assert.deepEqual(describeEffects(makeEntry(nonIdempotentRoute).submitRequest(unknownKey)), [
     'unauthorized ran undefined',
   ]);
   const open = makeEntry({ ...nonIdempotentRoute, public: true });
-  assert.deepEqual(describeEffects(open.arrive(unknownKey)), ['start for ']);
+  assert.deepEqual(describeEffects(open.submitRequest(unknownKey)), ['start for ']);
 });
 
-test('a call to another host finds no route', () => {
-  const found = makeEntry(nonIdempotentRoute).arrive({ host: 'other.example' });
+test('a call to an unknown host is refused as having no route', () => {
+  const found = makeEntry(nonIdempotentRoute).submitRequest({ host: 'other.example' });
   assert.deepEqual(describeEffects(found), ['routeNotFound ran undefined']);
 });
 
-// The caller of an entry that has just started is told to come back. It would take a 404 or 401 for
-// its own fault and never try again, though every configuration allows the call.
-test('an entry without a configuration promises that nothing ran', () => {
-  const [refused] = makeEntry(nonIdempotentRoute, false).arrive();
+// A 404 or 401 would stop callers from retrying calls that the configuration, once loaded, allows.
+test('an entry without a configuration asks callers to retry', () => {
+  const [refused] = makeEntry(nonIdempotentRoute, false).submitRequest();
   assert.ok(refused?.type === 'answerProblem');
   assert.equal(refused.kind, 'notConfigured');
   assert.ok((refused.retryAfterMilliseconds ?? 0) > 0);
 });
 
-/** An entry that has started 200 ms ago. */
+/** `incarnation` of an entry that started 200 ms before the test begins. */
 const JUST_STARTED = 1_000_800;
 
-// All power was lost; entries and stores start together, and the stores have yet to elect a leader.
-// The caller has tried once, at the fault, and may not try again after a refusal. It is answered as
-// soon as the configuration is there, and its deadline still counts from when it came.
-test('a request that comes before the configuration is served once it is there', () => {
+// After a power loss, entries accept requests before the stores have elected a leader. The deadline
+// still counts from the arrival of the request.
+test('a request that arrives before the configuration is served once it is loaded', () => {
   const entry = makeEntry(nonIdempotentRoute, false, JUST_STARTED);
-  assert.deepEqual(entry.arrive({ patience: 3000 }), []);
-  assert.deepEqual(entry.pass(400), []);
+  assert.deepEqual(entry.submitRequest({ patience: 3000 }), []);
+  assert.deepEqual(entry.advanceTime(400), []);
   assert.deepEqual(
     describeEffects(entry.configure()).filter((type) => type !== 'configurationApplied'),
     ['start for laden'],
@@ -125,36 +125,38 @@
   assert.equal(entry.state.requests.get('one')?.wholeAnswerDueAt, 1000 + 3000);
 });
 
-// The entry is cut off from the stores, and no configuration comes. Its callers are told to come
-// back after a bounded wait, and at once when the entry is no longer starting.
-test('a request is not kept for longer than a configuration takes to come', () => {
+// If the stores are unreachable, callers are refused after a limited wait, and immediately once the
+// entry is no longer starting.
+test('a request waits only a limited time for the configuration', () => {
   const entry = makeEntry(nonIdempotentRoute, false, JUST_STARTED);
-  entry.arrive({ patience: 3000 });
-  assert.deepEqual(describeEffects(entry.pass(699)), []);
-  assert.deepEqual(describeEffects(entry.pass(1)), ['notConfigured ran undefined']);
-  entry.pass(1200);
-  assert.deepEqual(describeEffects(entry.arrive()), ['notConfigured ran undefined']);
+  entry.submitRequest({ patience: 3000 });
+  assert.deepEqual(describeEffects(entry.advanceTime(699)), []);
+  assert.deepEqual(describeEffects(entry.advanceTime(1)), ['notConfigured ran undefined']);
+  entry.advanceTime(1200);
+  assert.deepEqual(describeEffects(entry.submitRequest()), ['notConfigured ran undefined']);
 });
 
-// A caller with little patience is told early, while it still has the time to go elsewhere; one that
-// leaves is forgotten, and an entry that shuts down keeps nobody.
-test('who waits for the configuration is bounded by the caller and by a shutdown', () => {
+// A caller with a short deadline is refused early enough to try elsewhere; a disconnected caller gets
+// no answer, and a shutdown refuses all that wait.
+test('waiting for the configuration ends early on a short deadline, a disconnect or a shutdown', () => {
   const impatient = makeEntry(nonIdempotentRoute, false, JUST_STARTED);
-  impatient.arrive({ patience: 300 });
-  assert.deepEqual(describeEffects(impatient.pass(100)), ['notConfigured ran undefined']);
+  impatient.submitRequest({ patience: 300 });
+  assert.deepEqual(describeEffects(impatient.advanceTime(100)), ['notConfigured ran undefined']);
   const disconnected = makeEntry(nonIdempotentRoute, false, JUST_STARTED);
-  disconnected.arrive();
+  disconnected.submitRequest();
   disconnected.send({ type: 'callerGone', requestId: 'one' });
-  assert.deepEqual(describeEffects(disconnected.pass(700)), []);
+  assert.deepEqual(describeEffects(disconnected.advanceTime(700)), []);
   const stopping = makeEntry(nonIdempotentRoute, false, JUST_STARTED);
-  stopping.arrive();
+  stopping.submitRequest();
   stopping.send({ type: 'shutdownStarted', acceptUntil: 1000, endAt: 9000 });
-  assert.ok(describeEffects(stopping.pass(50)).some((text) => text.startsWith('notConfigured')));
+  assert.ok(
+    describeEffects(stopping.advanceTime(50)).some((text) => text.startsWith('notConfigured')),
+  );
 });
 
-// One workspace sends many times what it may, and is refused beyond that however large the fleet is.
-// Counted as demand, its flood would have engines bought that nobody may use.
-test('what is beyond an allowance is no demand', () => {
+// Requests beyond the allowance are refused however large the fleet is, so counting them would order
+// instances that no request could use.
+test('requests beyond an allowance are not counted as demand', () => {
   const allowance: Allowance = {
     unit: 'requests',
     perSecond: 0.1,
@@ -164,10 +166,10 @@
     plainTokens: 0,
   };
   const entry = makeEntry(nonIdempotentRoute, true, 1, allowance);
-  const refused = Array.from({ length: 40 }, () => entry.arrive())
+  const refused = Array.from({ length: 40 }, () => entry.submitRequest())
     .flat()
     .filter((effect) => effect.type === 'answerProblem');
-  entry.pass(1000);
+  entry.advanceTime(1000);
   const rates = [...entry.state.demand.read(2000).values()];
   assert.ok(refused.length >= 30, `${refused.length}`);
   assert.ok(
@@ -176,70 +178,67 @@
   );
 });
 
-// A full backend server says that it did not run the call. The caller of a purchase gets its answer
-// from the next one; no second purchase can come of it.
-test('a call that surely did not run is sent to another backend server', () => {
+// A busy backend server reports that nothing was sent, so a retry cannot execute the call twice.
+test('a non-idempotent call that certainly did not run is retried on another backend server', () => {
   const entry = makeEntry(nonIdempotentRoute);
-  entry.arrive();
-  assert.deepEqual(entry.fail(1, 'busy', 'nothing'), []);
-  const [retry] = entry.pass(1000).filter(({ type }) => type === 'startAttempt');
+  entry.submitRequest();
+  assert.deepEqual(entry.failAttempt(1, 'busy', 'nothing'), []);
+  const [retry] = entry.advanceTime(1000).filter(({ type }) => type === 'startAttempt');
   assert.ok(retry?.type === 'startAttempt');
   assert.equal(retry.attemptId, 'one.2');
 });
 
-// The connection is lost while a purchase is at a backend server. It may have been made: the caller
-// is told so at once, and nothing is sent a second time.
-test('a call that may have run is not sent again', () => {
+// A retry after a lost connection could execute the call twice.
+test('a non-idempotent call that may have run is not retried', () => {
   const entry = makeEntry(nonIdempotentRoute);
-  entry.arrive();
-  const ended = describeEffects(entry.fail(1, 'connectionLost', 'maybe'));
+  entry.submitRequest();
+  const ended = describeEffects(entry.failAttempt(1, 'connectionLost', 'maybe'));
   assert.ok(ended.includes('backendServerFailed ran unknown'), ended.join());
   assert.equal(entry.state.requests.size, 0);
 });
 
-test('a route’s bound on backend servers for one call holds', () => {
+test('the maximum number of attempts of a route is enforced', () => {
   const entry = makeEntry({ mostAttempts: 2 });
-  entry.arrive();
-  entry.fail(1, 'busy', 'nothing');
-  entry.pass(1000);
-  assert.deepEqual(describeEffects(entry.fail(2, 'busy', 'nothing')), [
+  entry.submitRequest();
+  entry.failAttempt(1, 'busy', 'nothing');
+  entry.advanceTime(1000);
+  assert.deepEqual(describeEffects(entry.failAttempt(2, 'busy', 'nothing')), [
     'backendServerFailed ran no',
   ]);
 });
 
-// A caller closes its connection. Backend servers would go on working for nobody; an outcome that is
-// kept nowhere need not be learnt.
-test('a call without a claim is cancelled with its caller', () => {
+// Without a claim there is no outcome to record, so the backend server can stop working.
+test('a call without a claim is cancelled when its caller disconnects', () => {
   const entry = makeEntry(nonIdempotentRoute);
-  entry.arrive();
+  entry.submitRequest();
   assert.deepEqual(describeEffects(entry.send({ type: 'callerGone', requestId: 'one' })), [
     'cancelAttempt',
   ]);
 });
 
-test('the caller’s patience bounds the time that is handed on', () => {
-  const [start] = makeEntry(nonIdempotentRoute).arrive({ patience: 700 });
+test('the time left that is sent to the backend server is limited by the caller’s patience', () => {
+  const [start] = makeEntry(nonIdempotentRoute).submitRequest({ patience: 700 });
   assert.ok(start?.type === 'startAttempt');
   assert.equal(start.timeLeft, 700);
 });
 
-test('calls are split among pools by weight', () => {
+test('calls are split between pools by weight', () => {
   const split = [
     { pool: 'engines', weight: 9 },
     { pool: 'elsewhere', weight: 1 },
   ];
   const entry = makeEntry({ ...nonIdempotentRoute, split });
   const sent = Array.from({ length: 400 }, () => {
-    const effects = describeEffects(entry.arrive());
+    const effects = describeEffects(entry.submitRequest());
     entry.send({ type: 'callerGone', requestId: 'one' });
     return effects.includes('start for laden');
   }).filter((started) => started).length;
   assert.ok(sent > 330 && sent < 390, String(sent));
 });
 
-test('what begins to run is counted in its window', () => {
+test('each attempt that begins to answer is counted once in the usage window', () => {
   const entry = makeEntry(nonIdempotentRoute);
-  entry.arrive();
+  entry.submitRequest();
   entry.send({ type: 'firstTokenReceived', attemptId: 'one.1' });
   entry.send({ type: 'firstTokenReceived', attemptId: 'one.1' });
   assert.deepEqual(Object.values(entry.state.usage.read()), [{ laden: 1 }]);
--- a/packages/entry-core/src/attempts/plainService.test.ts
+++ b/packages/entry-core/src/attempts/plainService.test.ts
@@ -28,12 +28,12 @@
   cluster.engine(attempt.instance).die();
 }
 
-// The caller is told that the outcome is not known. Its reservation was on the wire when the backend
-// server died; whether the seat is booked nobody can tell, and a second send could book it twice.
-test('a call that may not be repeated is never sent twice', () => {
+// The call was in transit when the backend server crashed, so it may have run. Sending it again could
+// book the seat twice.
+test('a non-idempotent call is never sent twice', () => {
   const cluster = makeCluster();
   const caller = cluster.entry.submitRequest(makeCall('/reservations', 50));
-  // The claim is granted first, then the call is sent.
+  // Time for the claim to be granted and the call to be sent.
   cluster.advance(15);
   killRunningServer(cluster);
   cluster.runUntilAnswered();
@@ -44,9 +44,8 @@
   assert.deepEqual(cluster.findViolations(), []);
 });
 
-// The caller of a reservation on a backend server with notice sees its whole answer from there. It is
-// neither moved nor sent again: whatever the notice, a second send could book twice.
-test('a notice does not disturb a call that may not be repeated', () => {
+// Migrating the call would send it a second time.
+test('a non-idempotent call is not migrated on a reclaim notice', () => {
   const cluster = makeCluster();
   const caller = cluster.entry.submitRequest(makeCall('/reservations', 50));
   cluster.advance(300);
@@ -58,8 +57,8 @@
   assert.equal(countReceived(cluster), 1);
 });
 
-// The caller sees its answer end with an error, not as if it were whole. Part of a plain service's
-// answer has reached it; a second answer need not begin with the same bytes, so none is spliced on.
+// A second answer need not begin with the same bytes, so it cannot be appended to the first. The caller
+// must get an error instead of an answer that looks complete.
 test('an answer of a plain service that has begun is not retried', () => {
   const cluster = makeCluster();
   const caller = cluster.entry.submitRequest(makeCall('/lookups', 50));
@@ -72,9 +71,7 @@
   assert.deepEqual(cluster.findViolations(), []);
 });
 
-// The caller sees the whole answer of a second backend server: the first died before it gave a byte, and
-// a lookup may be repeated.
-test('a lookup that has given nothing is tried elsewhere', () => {
+test('an idempotent call without any answer yet is retried on another backend server', () => {
   const cluster = makeCluster();
   const caller = cluster.entry.submitRequest(makeCall('/lookups', 50));
   cluster.advance(10);
@@ -84,9 +81,8 @@
   assert.deepEqual(cluster.findViolations(), []);
 });
 
-// Both callers see their answers end with an error. Their backend server vanished; only one connection was
-// reset, and the probe's silence ends the other. Its answer had begun too, so it is not begun again.
-test('an answer of a plain service that was ended by the probe is not retried', () => {
+// The host becomes unreachable: one connection is reset, the other is ended by the unanswered probe.
+test('an answer of a plain service that is ended by an unanswered probe is not retried', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 1 }, pool: 'bookings' });
   const callers = ['one', 'two'].map((name) =>
     cluster.entry.submitRequest(makeRequest(name, { path: '/lookups', promptTokens: 0 })),
--- a/packages/entry-core/src/attempts/reduceAttempts.ts
+++ b/packages/entry-core/src/attempts/reduceAttempts.ts
@@ -1,7 +1,8 @@
 /**
- * What the edges of an attempt's stream mean for its request. Every edge names its attempt, and
- * only the attempt that the request is bound to speaks for it. An answer that came by another
- * would otherwise be given twice, or be spliced into the wrong place.
+ * Applies the events of an attempt's stream to its request. Every event names its attempt, and only
+ * the attempt that the request is currently bound to changes the request; events of other attempts
+ * could otherwise duplicate the answer or splice two answers together. One exception: an abandoned
+ * attempt may still deliver the answer while the caller has received nothing.
  */
 import { assertNever } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -30,7 +31,7 @@
 
 type AttemptFinishedEvent = Extract<EntryEvent, { type: 'attemptFinished' }>;
 
-/** Counts an answer from an attempt that its request no longer waits for. */
+/** Counts an answer that is dropped because its request no longer waits for that attempt. */
 function countLateAnswer(): EntryEffect[] {
   return [{ type: 'count', metric: 'lateAnswers', label: 'attemptGivenUp' }];
 }
@@ -67,8 +68,8 @@
 }
 
 /**
- * The whole answer of an attempt that fell silent has come after all. It is used if the caller has
- * been given nothing yet: it is then the first whole answer, and the other attempt is cancelled.
+ * Handles the complete answer of an attempt that had timed out. If the caller has received nothing
+ * yet, the answer is used and the newer attempt is cancelled.
  */
 function finishAbandonedAttempt(
   state: EntryState,
--- a/packages/entry-core/src/attempts/releaseAttempts.ts
+++ b/packages/entry-core/src/attempts/releaseAttempts.ts
@@ -1,6 +1,6 @@
 /**
- * Ends attempts from this side: their record is dropped at once, so that whatever still comes from
- * them is late, and the shell is asked to cancel them.
+ * Ends attempts from the entry's side. The state of an attempt is removed before the effect that
+ * cancels it is returned, so that later events of the attempt are ignored.
  */
 import { isClaimed } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -8,7 +8,7 @@
 import type { RequestState } from '../requests/RequestState.js';
 import type { AttemptState } from './AttemptState.js';
 
-/** Ends an attempt's own record. Its request goes on, or not, as the caller of this decides. */
+/** Removes an attempt from the state. Its request is left unchanged. */
 export function removeAttempt(state: EntryState, attempt: AttemptState): void {
   state.attempts.delete(attempt.attemptId);
   const server = state.backendServers.get(attempt.instance);
@@ -17,7 +17,7 @@
   state.peerWork.markChanged(attempt.instance);
 }
 
-/** Gives up the attempt that the request is bound to. It may have sent bytes, so it counts so. */
+/** Cancels the current attempt of a request. It may have sent bytes, so `maybeSent` is set. */
 export function cancelAttempt(state: EntryState, accepted: RequestState): EntryEffect[] {
   const { attemptId } = accepted;
   if (attemptId === undefined) return [];
@@ -28,7 +28,7 @@
   return [{ type: 'cancelAttempt', attemptId }];
 }
 
-/** Ends a move of the request's KV cache, if one is under way, and frees its target's place. */
+/** Removes a running move of the request's KV cache and its reservation at the target. */
 export function removeCacheMove(state: EntryState, requestId: string): void {
   const move = state.reclaims.moves.get(requestId);
   if (move === undefined) return;
@@ -36,14 +36,17 @@
   state.backendServers.get(move.to)?.attemptIds.delete(reservationIdOf(requestId));
 }
 
-/** Stands among a target's attempts for a stream on its way, so that no wave floods it. */
+/**
+ * Placeholder among the target's attempt ids for a stream that is being moved there. It counts as
+ * load, so that streams migrated at the same time do not all choose this server.
+ */
 export function reservationIdOf(requestId: string): string {
   return `reserved:${requestId}`;
 }
 
 /**
- * Lets go of all that a request holds when it ends. The attempt of a claimed call is left to
- * run, for its outcome must still be learnt; any other is cancelled, so that nobody works for nobody.
+ * Releases what a request holds when it ends. The attempt of a claimed call keeps running, since its
+ * outcome still has to be recorded; all others are cancelled.
  */
 export function releaseAttempts(state: EntryState, accepted: RequestState): EntryEffect[] {
   const { requestId } = accepted.request;
--- a/packages/entry-core/src/attempts/retryBudget.ts
+++ b/packages/entry-core/src/attempts/retryBudget.ts
@@ -1,17 +1,14 @@
 /**
- * Retry budgets. Each first attempt earns its route and its backend server a share of a retry;
- * each retry spends one of both.
- *
- * Without a bound, failing backend servers turn every request into several, and the retries keep
- * them failing after the cause is gone: a retry storm. With it, retries add at most the share, and
- * once the burst is spent a failure is passed on at once.
+ * Retry budgets per route and per backend server: each first attempt adds a fraction of a retry to
+ * both, and each retry takes one from both. Without budgets, retries would multiply the load on
+ * failing backend servers and keep them overloaded after the fault has ended. When a budget is
+ * exhausted, failures are returned to the caller immediately.
  */
 import type { RetryBudget, RetryState } from './RetryState.js';
 
-/** Retries earned by each first attempt. */
 export const RETRIES_PER_FIRST_ATTEMPT = 0.1;
 
-/** Retries that a route or a backend server may save up; also what each starts with. */
+/** Largest budget of a route or a backend server, and its initial value. */
 export const MAX_SAVED_RETRIES = 10;
 
 function getOrCreateBudget(budgets: Map<string, RetryBudget>, name: string): RetryBudget {
@@ -31,7 +28,7 @@
   });
 }
 
-/** Spends one retry caused by a failure at `instance`; false if one of the budgets is spent. */
+/** Takes one retry from both budgets after a failure at `instance`; false if either is exhausted. */
 export function spendRetry(retries: RetryState, route: string, instance: string): boolean {
   if (!retries.policy.limitRetries) return true;
   const budgets = [
--- a/packages/entry-core/src/attempts/retryRequest.ts
+++ b/packages/entry-core/src/attempts/retryRequest.ts
@@ -1,6 +1,6 @@
 /**
- * Decides whether a request whose attempt failed is tried again, and when. Each refusal is counted
- * by its reason and ends the request at once.
+ * Decides whether and when a request whose attempt failed is retried. If it is not, the refusal is
+ * counted by its reason and the request fails immediately.
  */
 import { isClaimed } from '@hornbeampond/schema';
 import type {
@@ -20,7 +20,7 @@
 import { spendRetry } from './retryBudget.js';
 import { startAttempt } from './startAttempt.js';
 
-/** When to come back after a retry was refused for want of budget. */
+/** `Retry-After` of a request that fails because its retry was refused. */
 const REFUSED_RETRY_AFTER_MILLISECONDS = 1000;
 
 /** Why a request needs another attempt. */
@@ -28,11 +28,11 @@
   readonly reason: RetryReason;
   /** Where the attempt failed. */
   readonly instance: string;
-  /** True if the retry needs no budget and no wait: see `isFreeRecovery`. */
+  /** True if the retry uses no budget and starts without a back-off; see `isExemptFromBudget`. */
   readonly exemptFromBudget: boolean;
-  /** What the backend server asked to wait. */
+  /** Delay that the backend server asked for. */
   readonly retryAfter?: Milliseconds;
-  /** Set if tokens were computed and are lost. */
+  /** Set if computed tokens were lost and have to be recomputed. */
   readonly recompute?: RecomputeReason;
 }
 
@@ -53,7 +53,7 @@
 }
 
 export function failInterruptedAnswer(state: EntryState, accepted: RequestState): EntryEffect[] {
-  const detail = 'The backend server was lost in the middle of the answer';
+  const detail = 'The backend server failed after part of the answer was sent';
   return refuseRetry(state, accepted, 'answerStarted', 'answerCut', detail);
 }
 
@@ -70,22 +70,22 @@
   now: MonotonicMilliseconds,
 ): EntryEffect[] {
   if (!accepted.route.idempotent && accepted.maybeSent === true) {
-    const detail = 'The call may have run and is not sent again';
+    const detail = 'The call may have run and is not idempotent, so it is not retried';
     const kind = isClaimed(accepted.route) ? 'outcomeUnknown' : 'backendServerFailed';
     return refuseRetry(state, accepted, 'notIdempotent', kind, detail);
   }
   if (accepted.attemptsStarted >= (accepted.route.mostAttempts ?? Infinity)) {
-    const detail = `The route allows ${accepted.attemptsStarted} attempts`;
+    const detail = `The route allows at most ${accepted.attemptsStarted} attempts`;
     return refuseRetry(state, accepted, 'attemptsUsedUp', 'backendServerFailed', detail);
   }
   const backOff = cause.exemptFromBudget ? 0 : drawBackOff(state.retries, accepted.attemptsStarted);
   const delay = Math.max(backOff, cause.retryAfter ?? 0);
   if (now + delay >= accepted.wholeAnswerDueAt) {
-    const detail = 'No attempt can be made before the deadline';
+    const detail = 'The deadline is too near for another attempt';
     return refuseRetry(state, accepted, 'deadlineTooNear', 'deadlineExceeded', detail);
   }
   if (!cause.exemptFromBudget && !spendRetry(state.retries, accepted.route.name, cause.instance)) {
-    const detail = 'The backend server failed and the retry budget is spent';
+    const detail = 'The backend server failed and the retry budget is exhausted';
     return refuseRetry(state, accepted, 'budgetSpent', 'backendServerFailed', detail);
   }
   recordRecompute(accepted, cause);
--- a/packages/entry-core/src/attempts/retryStorm.test.ts
+++ b/packages/entry-core/src/attempts/retryStorm.test.ts
@@ -4,10 +4,9 @@
 
 const FIRST_ATTEMPTS = 300;
 
-// Callers see a refusal at once, with when to come back, instead of a slow one. Every engine is
-// busy, so each retry only adds to the load that keeps them so. The budget lets a share of
-// the first attempts and one burst through and refuses the rest by reason.
-test('a retry storm is bounded by the budget', () => {
+// All engines are busy, so each retry only adds load. The budget allows an initial burst and a fraction
+// of the first attempts; all other requests fail with a retry delay.
+test('the retry budget limits retries when all engines are busy', () => {
   const cluster = runRetryStorm(FIRST_ATTEMPTS, true);
   const retries = cluster.entry.count('retries/backendServerBusy');
   assert.deepEqual(cluster.findViolations(), []);
@@ -19,15 +18,14 @@
   });
 });
 
-// Shows that the check above can fail: without the budget each request is retried until its deadline.
-test('without a budget the same storm multiplies', () => {
+// Checks that the scenario above would otherwise cause a retry storm.
+test('without a budget the same scenario multiplies the requests', () => {
   const retries = runRetryStorm(FIRST_ATTEMPTS, false).entry.count('retries/backendServerBusy');
   assert.equal(retries > 3 * FIRST_ATTEMPTS, true, `${retries} retries`);
 });
 
-// The caller gets its final answer at the deadline, not after it, and is told `ran: unknown`, as the
-// engine had the request. No retry is started that could not end in time.
-test('a deadline that passes gives the final answer at that moment', () => {
+// The engine has received the request, so the answer is `ran: unknown`.
+test('a request fails exactly at its deadline', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 1 }, wholeAnswerMilliseconds: 2000 });
   const caller = cluster.entry.submitRequest(makeRequest('one'));
   cluster.runUntilAnswered();
@@ -45,9 +43,8 @@
   );
 });
 
-// The caller is told `ran: no`, and it is true: every engine refused the connection, so
-// not one byte of the call was sent.
-test('a request that no engine took did not run', () => {
+// Every engine refuses the connection, so no byte of the request is sent.
+test('a request that no engine received is reported as not run', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 2 }, wholeAnswerMilliseconds: 3000 });
   cluster.engines.forEach((engine) => engine.die());
   const caller = cluster.entry.submitRequest(makeRequest('one'));
--- a/packages/entry-core/src/attempts/startAttempt.ts
+++ b/packages/entry-core/src/attempts/startAttempt.ts
@@ -1,6 +1,6 @@
 /**
- * Starts the next attempt of a request, lets it wait for a backend server, or ends it if there is
- * nowhere to try it.
+ * Starts the next attempt of a request. If no backend server can take it now, the request is queued
+ * or waits for one; if none can take it before its deadline, the request fails.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -15,10 +15,10 @@
 import { chooseServerForAttempt, canWaitForBackendServer } from './chooseServerForAttempt.js';
 import { launchAttempt } from './launchAttempt.js';
 
-/** How soon a request that waits for a backend server looks again. */
+/** Interval at which a request that waits for a backend server tries again. */
 const SERVER_RECHECK_MILLISECONDS = 50;
 
-/** When to come back to a pool that has no backend server left. */
+/** `Retry-After` of a request that fails because its pool has no usable backend server. */
 const NO_SERVER_RETRY_AFTER_MILLISECONDS = 2000;
 
 function refuseQuarantined(
@@ -28,7 +28,7 @@
 ): EntryEffect[] | undefined {
   const quarantined = state.quarantine.quarantined.get(accepted.request.digest);
   if (quarantined === undefined || quarantined.endsAt <= now) return undefined;
-  const detail = 'This request crashed backend servers and is kept from them for a while';
+  const detail = 'The request is quarantined because it crashed backend servers';
   return [
     ...(accepted.attemptsStarted === 0 ? [] : countRefusedRetry('quarantined')),
     ...failRequest(state, accepted, 'quarantined', detail, {
@@ -43,7 +43,7 @@
 }
 
 function failWithoutServer(state: EntryState, accepted: RequestState): EntryEffect[] {
-  const detail = `Pool "${accepted.pool.name}" has no backend server left to try`;
+  const detail = `Pool "${accepted.pool.name}" has no backend server that can take the request`;
   return [
     ...(accepted.attemptsStarted === 0 ? [] : countRefusedRetry('noOtherBackendServer')),
     ...failRequest(state, accepted, 'noBackendServer', detail, {
@@ -53,7 +53,7 @@
   ];
 }
 
-/** Has a request try again with a later tick, or as soon as a loss has been judged. */
+/** Tries the request again after the recheck interval, or earlier when a loss is classified. */
 function waitForBackendServer(
   state: EntryState,
   { request }: RequestState,
@@ -65,7 +65,7 @@
 }
 
 /**
- * @param chosenServer - The backend server, where admission has chosen it already.
+ * @param chosenServer - The backend server, if admission has already chosen one.
  */
 export function startAttempt(
   state: EntryState,
--- a/packages/entry-core/src/claims/ClaimedCall.ts
+++ b/packages/entry-core/src/claims/ClaimedCall.ts
@@ -1,5 +1,6 @@
 /**
- * One attempt at a call that may run at most once, as its sender sees it: state, events, effects.
+ * State, events and effects of one attempt at a call that may run at most once. The attempt claims
+ * the call in the replicated log, sends it, and records its outcome there.
  */
 import type {
   ErrorKind,
@@ -13,7 +14,7 @@
   StoredAnswer,
 } from '@hornbeampond/schema';
 
-/** What is claimed, and by which entry. */
+/** The call that is claimed, and the entry that claims it. */
 export interface ClaimIntent {
   readonly workspace: string;
   readonly key: string;
@@ -24,41 +25,42 @@
 export type ClaimCommand = OpenClaimCommand | ReleaseClaimCommand | SettleClaimCommand;
 
 /**
- * `opening`: the claim was asked for. `sending`: this attempt holds it and was sent, once.
- * `settling`: its end is being noted. `releasing`: it was given up unsent, for good.
+ * `opening`: the claim was requested. `sending`: this attempt holds the claim and sends the call once.
+ * `settling`: the outcome is being recorded. `releasing`: the call was not and will not be sent, and
+ * the claim is being released.
  */
 export type ClaimedCallPhase = 'opening' | 'sending' | 'settling' | 'releasing' | 'finished';
 
-/** What follows once a release is acknowledged. */
+/** What to do once the release is acknowledged. */
 export type AfterRelease = 'tryElsewhere' | 'nothing';
 
 export interface ClaimedCall {
   readonly intent: ClaimIntent;
-  /** Unique for all time: a restarted entry never uses one again. */
+  /** Unique for all time, also across restarts of the entry. */
   readonly attemptId: string;
   readonly startedAt: MonotonicMilliseconds;
   readonly expiresAfter: Milliseconds;
   phase: ClaimedCallPhase;
-  /** The command that has to be acknowledged next; resent as it is. */
+  /** The command that awaits acknowledgement; resent unchanged. */
   pending: ClaimCommand | undefined;
-  /** Copies of the pending command that were sent. */
+  /** How often the pending command was sent. */
   tries: number;
-  /** True while the log says that another attempt holds the claim, which may run. */
+  /** True while another attempt holds the claim, so that the call may be running there. */
   heldElsewhere: boolean;
-  /** True once the caller has its final answer from this attempt. */
+  /** True once the caller has received its final answer. */
   answered: boolean;
   afterRelease: AfterRelease;
 }
 
 export type ClaimedCallEvent =
-  /** The store's result; `command` says of which command. */
+  /** The store's result for `command`. */
   | {
       readonly type: 'claimResult';
       readonly now: MonotonicMilliseconds;
       readonly command: ClaimCommand['type'];
       readonly result: ClaimResult;
     }
-  /** `nothingDone` only if the store promises that the command was not and will not be run. */
+  /** `nothingDone` is true only if the store guarantees that the command is never applied. */
   | {
       readonly type: 'storeFailed';
       readonly now: MonotonicMilliseconds;
@@ -66,22 +68,22 @@
       readonly nothingDone: boolean;
     }
   | { readonly type: 'resendDue'; readonly now: MonotonicMilliseconds }
-  /** `beforeFirstByte` only if provably no byte of the call has left this process. */
+  /** `beforeFirstByte` is true only if provably no byte of the call has left this process. */
   | { readonly type: 'sendFailed'; readonly beforeFirstByte: boolean }
   | { readonly type: 'answered'; readonly answer: StoredAnswer }
   | { readonly type: 'deadlineReached' };
 
 export type ClaimedCallEffect =
   | { readonly type: 'propose'; readonly command: ClaimCommand }
-  /** The caller of the reducer adds jitter and sends `resendDue`. */
+  /** The caller of the reducer adds jitter and sends `resendDue` afterwards. */
   | { readonly type: 'startResendTimer'; readonly after: Milliseconds }
   | { readonly type: 'sendCall'; readonly attemptId: string }
   | { readonly type: 'answer'; readonly answer: StoredAnswer; readonly replayed: boolean }
   | { readonly type: 'refuse'; readonly kind: ErrorKind; readonly ran: Ran }
   /**
-   * The attempt was not sent and is barred: a new attempt may be started on another backend
-   * server, or else the caller be refused with `ran: no`.
+   * The attempt was not sent and never will be. The receiver may start a new attempt on another
+   * backend server, or fail the request with `ran: no`.
    */
   | { readonly type: 'tryElsewhere' }
-  /** The state can be dropped. */
+  /** The state is no longer needed. */
   | { readonly type: 'finished' };
--- a/packages/entry-core/src/claims/RequestClaim.ts
+++ b/packages/entry-core/src/claims/RequestClaim.ts
@@ -1,12 +1,12 @@
-/** A claimed call within an entry: its claim, and the request it was made for. */
+/** The claim of one request within an entry. */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { RequestState } from '../requests/RequestState.js';
 import type { ClaimedCall } from './ClaimedCall.js';
 
 export interface RequestClaim {
   readonly call: ClaimedCall;
-  /** It may have its final answer already; the claim lives on until the log has its end. */
+  /** May already be answered; the claim is kept until its outcome or release is in the log. */
   readonly accepted: RequestState;
-  /** When the pending command is sent again. */
+  /** When the pending command is resent, or the outcome of another attempt is queried again. */
   resendAt: MonotonicMilliseconds;
 }
--- a/packages/entry-core/src/claims/applyClaimEffect.ts
+++ b/packages/entry-core/src/claims/applyClaimEffect.ts
@@ -1,6 +1,6 @@
 /**
- * Feeds a claimed call with what has happened, and turns what it asks for into effects of the
- * entry.
+ * Passes events to the state machine of a claimed call and turns the effects it returns into effects
+ * of the entry.
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { assertNever, type ErrorKind } from '@hornbeampond/schema';
@@ -14,15 +14,15 @@
 import type { ClaimedCallEffect, ClaimedCallEvent } from './ClaimedCall.js';
 import { reduceClaimedCall } from './reduceClaimedCall.js';
 
-/** Jitter on resends, as a share of the wait: entries that lost one leader come back spread out. */
+/** Spreads the resends of entries that lost the same leader at the same moment. */
 const MAX_JITTER_FRACTION_OF_DELAY = 0.25;
 
 const detailByKind: Readonly<Partial<Record<ErrorKind, string>>> = {
-  claimRunning: 'The same call is in progress; send it again later to learn its outcome',
-  outcomeUnknown: 'The call was sent, and whether it ran is not known',
-  idempotencyKeyReused: 'The key was used with another body',
-  answerTooLargeToReplay: 'The call ran; its answer was above the bound on stored answers',
-  claimsUnavailable: 'No quorum of stores can be reached, so the call was not sent',
+  claimRunning: 'The same call is in progress; retry later to get its outcome',
+  outcomeUnknown: 'The call was sent, but it is not known whether it ran',
+  idempotencyKeyReused: 'The idempotency key was already used with a different body',
+  answerTooLargeToReplay: 'The call ran, but its answer was too large to be stored',
+  claimsUnavailable: 'No quorum of stores is reachable, so the call was not sent',
 };
 
 export function handleClaimEvent(
@@ -66,7 +66,7 @@
       return failRequest(state, accepted, effect.kind, detail, { ran: effect.ran });
     }
     case 'tryElsewhere':
-      // Attempts that provably sent nothing are tried elsewhere under the same claim.
+      // Not needed here: the entry retries attempts that sent nothing under the same claim.
       return [];
     case 'finished':
       state.claims.delete(requestId);
@@ -76,7 +76,7 @@
   }
 }
 
-/** The claim is held: the call is sent, unless its caller has had its final answer meanwhile. */
+/** Sends the call once its claim is held, unless the caller has its final answer by then. */
 function sendCall(state: EntryState, claim: RequestClaim, timestamps: Timestamps): EntryEffect[] {
   if (state.requests.has(claim.accepted.request.requestId)) {
     return startAttempt(state, claim.accepted, timestamps.now);
@@ -84,7 +84,7 @@
   return handleClaimEvent(state, claim, { type: 'sendFailed', beforeFirstByte: true }, timestamps);
 }
 
-/** Gives the caller the answer of the first run. */
+/** Gives the caller the stored answer of the attempt that ran. */
 function replayAnswer(
   state: EntryState,
   { accepted }: RequestClaim,
--- a/packages/entry-core/src/claims/beginClaim.ts
+++ b/packages/entry-core/src/claims/beginClaim.ts
@@ -1,7 +1,6 @@
 /**
- * A call that may run at most once is claimed in the log before it is sent anywhere. Without the
- * claim two entries that are sent the same call would each send it on, and a seller would be paid
- * twice.
+ * Claims a call that may run at most once in the replicated log before it is sent to a backend
+ * server. Without the claim, two entries that receive the same call would both send it.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -13,15 +12,15 @@
 import { applyClaimEffect } from './applyClaimEffect.js';
 import { startClaimedCall } from './reduceClaimedCall.js';
 
-/** Time past the deadline in which a late outcome is still learnt before the claim expires. */
+/** How long after the deadline the claim expires, so that a late outcome can still be recorded. */
 const EXPIRY_MARGIN_MILLISECONDS: Milliseconds = 30_000;
 
-/** Releases that may wait for the log before new calls are refused without asking it. */
+/** Unacknowledged releases above which new calls are refused without asking the log. */
 const MAX_PENDING_RELEASES = 64;
 
 /**
- * True if the log has not acknowledged releases for a while. In a data centre without a quorum each
- * call would otherwise wait for its own opens to fail, and leave one more release to be resent.
+ * True if too many releases are unacknowledged. Without a quorum, each new call would otherwise wait
+ * until its own claim fails and add one more release that has to be resent.
  */
 function isLogUnresponsive({ claims }: EntryState): boolean {
   if (claims.size < MAX_PENDING_RELEASES) return false;
@@ -35,9 +34,9 @@
   timestamps: Timestamps,
 ): EntryEffect[] {
   const { requestId, workspace, idempotencyKey, digest } = accepted.request;
-  if (idempotencyKey === undefined) throw new TypeError(`${requestId} has no key to claim`);
+  if (idempotencyKey === undefined) throw new TypeError(`${requestId} has no idempotency key`);
   if (isLogUnresponsive(state)) {
-    const detail = 'No quorum of stores answers, so the call was not sent';
+    const detail = 'No quorum of stores responds, so the call was not sent';
     return failRequest(state, accepted, 'claimsUnavailable', detail, { ran: 'no' });
   }
   const holder = state.identity.instance;
--- a/packages/entry-core/src/claims/reduceClaimedCall.test.ts
+++ b/packages/entry-core/src/claims/reduceClaimedCall.test.ts
@@ -32,7 +32,7 @@
   nothingDone: true,
 };
 
-/** Tells what each event makes the call do, and the phase it leaves it in. */
+/** Lists the phase and the effects after each event. */
 function transcript(events: readonly ClaimedCallEvent[]): string {
   const call = startCall();
   const lines = events.map((event) => {
@@ -132,9 +132,8 @@
   assert.deepEqual(effects, [{ type: 'answer', answer, replayed: true }, { type: 'finished' }]);
 });
 
-// The caller's first connection broke as its answer came, and it sends its call again through another
-// entry. The log has not noted the outcome yet; a moment later it has, and the caller gets the answer.
-test('claimed call: a resend waits for the outcome of the first run', () => {
+// The caller resends through another entry before the log has the outcome of the first attempt.
+test('claimed call: a resend waits for the outcome of the first attempt', () => {
   const call = startCall();
   const waiting = reduceClaimedCall(call, claimResult('claimRunning', 'openClaim'));
   assert.deepEqual(waiting, [{ type: 'startResendTimer', after: 50 }]);
@@ -146,7 +145,7 @@
   assert.deepEqual(given, { type: 'answer', answer, replayed: true });
 });
 
-test('claimed call: a grant as old as the claim is given back unsent', () => {
+test('claimed call: a claim granted after its expiry is released without sending the call', () => {
   const call = startCall();
   const late = { ...opened, now: EXPIRES_AFTER } as ClaimedCallEvent;
   const effects = reduceClaimedCall(call, late).map(({ type }) => type);
@@ -154,7 +153,7 @@
   assert.equal(call.phase, 'releasing');
 });
 
-test('claimed call: a body above the bound goes to the caller but not to the log', () => {
+test('claimed call: a body too large for the log is still sent to the caller', () => {
   const call = startCall();
   reduceClaimedCall(call, opened);
   const large = { ...answer, body: new Uint8Array(LARGEST_STORED_ANSWER_BYTES + 1) };
@@ -165,10 +164,8 @@
   assert.deepEqual(stored, { status: 201, headers: {} });
 });
 
-// The caller is told that nothing ran, and when to come back, as soon as its entry has given the
-// claim up. No quorum answers; the release is only acknowledged when one does, which may be long
-// after the caller's patience has ended.
-test('claimed call: a claim given up is refused without waiting for the log', () => {
+// Without a quorum the release may be acknowledged only long after the caller's deadline.
+test('claimed call: a failed claim is refused without waiting for its release', () => {
   const call = startCall();
   let effects: ClaimedCallEffect[] = [];
   [200, 600, 1400].forEach((now) => {
--- a/packages/entry-core/src/claims/reduceClaimedCall.ts
+++ b/packages/entry-core/src/claims/reduceClaimedCall.ts
@@ -1,7 +1,7 @@
 /**
- * The sender's side of a claim. It keeps three promises together with the log: a call is sent at
- * most once, `ran: no` is only said of a call that was not sent and cannot be, and an attempt given
- * up never stands in the way of the caller's resend.
+ * The state machine of one attempt at a claimed call. Together with the log it guarantees that the
+ * call is sent at most once, that `ran: no` is reported only for a call that was not sent and never
+ * will be, and that an attempt that failed unsent does not block a resend by the caller.
  */
 import {
   LARGEST_STORED_ANSWER_BYTES,
@@ -20,28 +20,24 @@
   ClaimIntent,
 } from './ClaimedCall.js';
 
-/**
- * Copies of `openClaim` that are sent before the attempt is given up: 2.8 seconds with the waits
- * below, in which the stores can elect another leader.
- */
+/** How often `openClaim` is sent before the attempt fails; leaves time to elect a new leader. */
 export const MAX_OPEN_TRIES = 3;
 
-/** Wait before the first resend; it doubles with each. */
+/** Doubles with each resend. */
 export const FIRST_RESEND_DELAY_MILLISECONDS: Milliseconds = 400;
 
-/** Waits before the log is asked again for the outcome of another attempt's run. */
+/** Bounds of the delay before the log is asked again for the outcome of another attempt. */
 export const MIN_OUTCOME_POLL_DELAY_MILLISECONDS: Milliseconds = 50;
 export const MAX_OUTCOME_POLL_DELAY_MILLISECONDS: Milliseconds = 1000;
 
-/** Longest wait between resends. */
 export const MAX_RESEND_DELAY_MILLISECONDS: Milliseconds = 5000;
 
-/** How long after its claim's expiry a settlement is still resent, so that a resend learns it. */
+/** How long after the expiry of the claim an outcome is still resent to the log. */
 export const SETTLE_RESEND_AFTER_EXPIRY_MILLISECONDS: Milliseconds = 10 * 60 * 1000;
 
 type EventOf<Type extends ClaimedCallEvent['type']> = Extract<ClaimedCallEvent, { type: Type }>;
 
-/** Starts an attempt: the first effect asks the log for the claim. */
+/** Creates the state of an attempt, with the effects that request its claim. */
 export function startClaimedCall(
   intent: ClaimIntent,
   attemptId: string,
@@ -64,7 +60,7 @@
   return { call, effects };
 }
 
-/** Decides what one event means for the attempt; changes `call` in place. */
+/** Applies one event to the attempt, changing `call` in place. */
 export function reduceClaimedCall(call: ClaimedCall, event: ClaimedCallEvent): ClaimedCallEffect[] {
   switch (event.type) {
     case 'claimResult':
@@ -110,7 +106,7 @@
   return [{ type: 'finished' }];
 }
 
-/** Refuses unless the caller has its answer already. */
+/** Fails the request unless the caller already has its final answer. */
 function refuse(call: ClaimedCall, kind: ErrorKind, ran: Ran): ClaimedCallEffect[] {
   if (call.answered) return [];
   call.answered = true;
@@ -118,8 +114,8 @@
 }
 
 /**
- * Gives the attempt up for good. From here on no event makes it send, and the log is told until it
- * acknowledges, because an `openClaim` still on its way would otherwise open the claim later.
+ * Releases the claim of a call that will never be sent. The release is resent until the log
+ * acknowledges it, because a delayed `openClaim` could otherwise open the claim later.
  */
 function release(call: ClaimedCall, afterRelease: AfterRelease): ClaimedCallEffect[] {
   const { attemptId } = call;
@@ -130,9 +126,8 @@
 }
 
 /**
- * Gives up an attempt that was not sent. The caller is told at once: `ran: no` is true by the sender
- * alone, and to wait for the log would hold the answer back for as long as no quorum answers. Where
- * another attempt was seen to hold the claim, the caller's call may have run all the same.
+ * Fails a call that was not sent, immediately: `ran: no` is known without the log, which may lack a
+ * quorum for a long time. If another attempt was seen to hold the claim, the call may have run there.
  */
 function refuseAndRelease(call: ClaimedCall, kind: ErrorKind): ClaimedCallEffect[] {
   const refusal = call.heldElsewhere
@@ -142,9 +137,9 @@
 }
 
 /**
- * Waits for the outcome of the attempt that holds the claim, half as long again as it has waited so
- * far. The holder answers its caller before the log has the outcome, so a caller that sends its call
- * again at once finds the claim open; refused then, it would never learn an answer that is there.
+ * Waits for the outcome of the attempt that holds the claim. That attempt answers its caller before
+ * the outcome is in the log, so an immediate resend by the caller finds the claim still open. If it
+ * were refused, the caller would never get the answer.
  */
 function awaitOutcome(call: ClaimedCall, now: MonotonicMilliseconds): ClaimedCallEffect[] {
   call.heldElsewhere = true;
@@ -158,7 +153,7 @@
 }
 
 function onResult(call: ClaimedCall, event: EventOf<'claimResult'>): ClaimedCallEffect[] {
-  // A late or repeated result of a command that is done with decides nothing any more.
+  // Ignores a late or repeated result of a command that is no longer pending.
   if (call.pending?.type !== event.command) return [];
   if (call.phase === 'opening') return onOpenResult(call, event);
   if (call.phase === 'releasing') return onReleaseResult(call, event);
@@ -184,8 +179,8 @@
 }
 
 /**
- * Sends, unless the grant comes so late that the claim has expired: others were told `unknown`
- * by then, and past its retention the log would let another attempt open it.
+ * Sends the call unless the claim has expired meanwhile: the log then reports its outcome as unknown
+ * and may later let another attempt open it.
  */
 function onOpened(call: ClaimedCall, now: MonotonicMilliseconds): ClaimedCallEffect[] {
   if (now - call.startedAt >= call.expiresAfter) return refuseAndRelease(call, 'claimsUnavailable');
@@ -215,8 +210,8 @@
 }
 
 /**
- * Only the store's word that nothing was and will be done spares the release. If an earlier copy of
- * the same open was sent, it may still be run.
+ * Skips the release only if the store guarantees that the open is never applied and no earlier copy
+ * of it was sent, since that copy could still be applied.
  */
 function onStoreFailed(call: ClaimedCall, event: EventOf<'storeFailed'>): ClaimedCallEffect[] {
   const isFirstOpen = call.phase === 'opening' && call.tries === 1 && !call.heldElsewhere;
@@ -238,8 +233,8 @@
 }
 
 /**
- * How long a command is sent again. A release goes on until it is acknowledged: its caller was told
- * `ran: no`, and a copy of the open that the log runs late would stand against the caller's resends.
+ * How long a command is resent. A release is resent until it is acknowledged: otherwise a delayed
+ * open could be applied later and block the caller's own resends.
  */
 function resendDuration(call: ClaimedCall): Milliseconds {
   if (call.phase === 'releasing') return Number.POSITIVE_INFINITY;
@@ -247,7 +242,7 @@
   return call.expiresAfter;
 }
 
-/** Only a failure provably before the first byte lets the call be tried elsewhere. */
+/** Allows another backend server only if provably no byte was sent. */
 function onSendFailed(call: ClaimedCall, beforeFirstByte: boolean): ClaimedCallEffect[] {
   if (call.phase !== 'sending') return [];
   if (beforeFirstByte) return release(call, call.answered ? 'nothing' : 'tryElsewhere');
@@ -262,7 +257,7 @@
   return isLate ? settling : [{ type: 'answer', answer, replayed: false }, ...settling];
 }
 
-/** Leaves a body out that the log would not keep; resends are then told that the call ran. */
+/** Drops a body too large for the log; resends are then told that the call ran. */
 function omitOversizedBody(answer: StoredAnswer): StoredAnswer {
   const bytes = answer.body?.byteLength ?? 0;
   if (bytes <= LARGEST_STORED_ANSWER_BYTES) return answer;
@@ -280,8 +275,8 @@
 }
 
 /**
- * The caller is answered now, `unknown` since no release is acknowledged yet. An attempt that was
- * sent is not recalled: its late answer is still stored for the caller's resend.
+ * Fails the request with `ran: unknown`, since no release is acknowledged yet. An attempt that was
+ * sent keeps running, and its late answer is stored for a resend by the caller.
  */
 function onDeadline(call: ClaimedCall): ClaimedCallEffect[] {
   const refusal = refuse(call, 'deadlineExceeded', 'unknown');
--- a/packages/entry-core/src/claims/updateClaims.test.ts
+++ b/packages/entry-core/src/claims/updateClaims.test.ts
@@ -19,16 +19,13 @@
   return effects.map(({ type }) => type).filter((type) => type !== 'log' && type !== 'count');
 }
 
-// The caller's reservation is claimed in the log before anything is sent: were it sent first, a
-// resend through another entry in that moment would be sent as well.
-test('a call that may not be repeated asks for its claim and sends nothing yet', () => {
+// If the call were sent first, a simultaneous resend through another entry would be sent as well.
+test('a claimed call is not sent before its claim is granted', () => {
   assert.deepEqual(listEffectTypes(submitRequest(makeCluster(), 'one')), ['proposeClaim']);
 });
 
-// The caller is told at once that its call was not run and when to come back. The data centre is
-// cut off, 64 earlier calls still wait for the log to acknowledge that they were given up, and one
-// more would only wait as well.
-test('a call is refused without asking a log that has been silent', () => {
+// The data centre is partitioned and 64 releases are unacknowledged; another claim would only time out.
+test('a call is refused immediately while the log does not acknowledge releases', () => {
   const cluster = makeCluster();
   for (let number = 0; number < 64; number += 1) submitRequest(cluster, `earlier-${number}`);
   cluster.entry.state.claims.forEach(({ call }) => {
@@ -40,9 +37,9 @@
   assert.deepEqual([problem?.kind, problem?.ran], ['claimsUnavailable', 'no']);
 });
 
-// The caller's deadline passes while its claim is still being asked for. It gets its final answer
-// then; a grant that comes later leads to a release, never to a send.
-test('a grant that comes after the final answer is given back', () => {
+// The deadline passes while the claim is still being opened. Sending the call then would run it after
+// its caller was answered.
+test('a claim granted after the final answer is released without sending the call', () => {
   const cluster = makeCluster();
   submitRequest(cluster, 'one');
   const { state } = cluster.entry;
@@ -60,9 +57,9 @@
   assert.equal(state.claims.get('one')?.call.phase, 'releasing');
 });
 
-// The caller has sent its reservation again, and the first run of it is not over when its patience
-// ends. It is told that the call may have run; `ran: no` would have it reserve a second time.
-test('a resend whose first run outlasts its deadline is not told that nothing ran', () => {
+// The first attempt still runs at the deadline of the resend. With `ran: no` the caller could make the
+// call a second time.
+test('a resend whose deadline passes while the first attempt runs is answered `ran: unknown`', () => {
   const cluster = makeCluster();
   submitRequest(cluster, 'one');
   const { state } = cluster.entry;
--- a/packages/entry-core/src/claims/updateClaims.ts
+++ b/packages/entry-core/src/claims/updateClaims.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps claims in step with their requests. The attempts and the admission of a claimed call work
- * as those of any other; here their outcomes are read off the event and the effects it had, and
- * the log is told.
+ * Keeps claims up to date with their requests. Admission and attempts treat a claimed call like any
+ * other; this module derives the outcome of the call from the handled event and the effects it
+ * caused, and passes it to the claim.
  */
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryEvent } from '../entryEvents.js';
@@ -16,7 +16,7 @@
   return event.type === 'attemptFinished' || event.type === 'attemptFailed';
 }
 
-/** The claim whose attempt has ended; to be found before the event is handled. */
+/** Finds the claim whose attempt the event ends. Call it before the event removes the attempt. */
 export function findClaimOfEndedAttempt(
   state: EntryState,
   event: EntryEvent,
@@ -32,7 +32,7 @@
   return { type: 'answered', answer: event.storedAnswer ?? { status: 200, headers: {} } };
 }
 
-/** What the end of a request says of its claim, or undefined if its attempt still runs. */
+/** The outcome to record for a request that failed, or undefined while its attempt still runs. */
 function toProblemOutcome(state: EntryState, { call, accepted }: RequestClaim) {
   if (call.phase === 'opening') return { type: 'deadlineReached' } as const;
   const attemptRuns = accepted.attemptId !== undefined && state.attempts.has(accepted.attemptId);
@@ -40,7 +40,7 @@
   return { type: 'sendFailed', beforeFirstByte: accepted.maybeSent !== true } as const;
 }
 
-/** The caller has its final answer by one of these effects; the claim is told the outcome. */
+/** Passes the outcome to the claim when an effect gives the caller its final answer. */
 function handleFinalAnswer(
   state: EntryState,
   effect: EntryEffect,
@@ -57,7 +57,7 @@
   return outcome === undefined ? [] : handleClaimEvent(state, claim, outcome, event);
 }
 
-/** An attempt that ends after its caller was answered still has an outcome to store. */
+/** Records the outcome of an attempt that ends after its caller was answered. */
 function handleLateAttemptEnd(
   state: EntryState,
   claim: RequestClaim | undefined,
@@ -90,8 +90,8 @@
 }
 
 /**
- * @param endedClaim - What `findEndingClaim` found before the event was handled.
- * @param effects - What the event has led to so far.
+ * @param endedClaim - The result of `findClaimOfEndedAttempt` before the event was handled.
+ * @param effects - The effects that the event has caused so far.
  */
 export function updateClaims(
   state: EntryState,
