--- a/packages/entry-core/src/attempts/advanceRetries.ts
+++ b/packages/entry-core/src/attempts/advanceRetries.ts
@@ -9,7 +9,7 @@
 import type { WaitingRetry } from './RetryState.js';
 import { startAttempt } from './startAttempt.js';
 
-function crashExposureOf(state: EntryState, { requestId }: WaitingRetry): number {
+function getCrashExposure(state: EntryState, { requestId }: WaitingRetry): number {
   const digest = state.requests.get(requestId)?.request.digest ?? '';
   return state.quarantine.suspects.get(digest)?.exposure ?? 0;
 }
@@ -33,7 +33,7 @@
 ): EntryEffect[] {
   const selected = [...state.retries.waiting.values()].filter(isSelected);
   selected.sort(
-    (a, b) => crashExposureOf(state, a) - crashExposureOf(state, b) || a.dueAt - b.dueAt,
+    (a, b) => getCrashExposure(state, a) - getCrashExposure(state, b) || a.dueAt - b.dueAt,
   );
   return selected.flatMap(({ requestId }) => {
     const accepted = state.requests.get(requestId);
--- a/packages/entry-core/src/attempts/loss.test.ts
+++ b/packages/entry-core/src/attempts/loss.test.ts
@@ -78,8 +78,8 @@
   const { entry } = cluster;
   const caller = entry.submitRequest(makeRequest('one', { maxTokens: 0 }));
   entry.send({ type: 'attemptSent', attemptId: 'one.1' });
-  const failed = { type: 'attemptFailed', attemptId: 'one.1', failure: 'silent' } as const;
-  entry.send({ ...failed, sent: 'maybe', tokens: 0, answerStarted: false });
+  const timeout = { type: 'attemptFailed', attemptId: 'one.1', failure: 'silent' } as const;
+  entry.send({ ...timeout, sent: 'maybe', tokens: 0, answerStarted: false });
   cluster.engines.forEach((engine) => engine.streams.clear());
   entry.send({ type: 'attemptFinished', attemptId: 'one.1', tokens: 0 });
   assert.equal(caller.finalAnswers.length, 1);
@@ -96,8 +96,8 @@
   const request = makeRequest('one');
   const caller = entry.submitRequest(request);
   entry.send({ type: 'attemptSent', attemptId: 'one.1' });
-  const failed = { type: 'attemptFailed', attemptId: 'one.1', failure: 'silent' } as const;
-  entry.send({ ...failed, sent: 'maybe', tokens: 0, answerStarted: false });
+  const timeout = { type: 'attemptFailed', attemptId: 'one.1', failure: 'silent' } as const;
+  entry.send({ ...timeout, sent: 'maybe', tokens: 0, answerStarted: false });
   while (caller.tokens.length < 5) cluster.advance(10);
   entry.send({ type: 'attemptFinished', attemptId: 'one.1', tokens: 200 });
   assert.equal(caller.finalAnswers.length, 0);
@@ -133,10 +133,10 @@
   cluster.advance(1000);
   cluster.probesAnswered = false;
   const engine = cluster.engine('wien-a-engine-1');
-  const [first] = engine.streams.values();
-  assert.ok(first !== undefined);
-  engine.streams.delete(first.attemptId);
-  first.listener.lost();
+  const [firstStream] = engine.streams.values();
+  assert.ok(firstStream !== undefined);
+  engine.streams.delete(firstStream.attemptId);
+  firstStream.listener.lost();
   cluster.runUntilAnswered();
   assert.deepEqual(cluster.findViolations(), []);
   assert.equal(
--- a/packages/entry-core/src/attempts/opaqueCalls.test.ts
+++ b/packages/entry-core/src/attempts/opaqueCalls.test.ts
@@ -7,7 +7,7 @@
 import { reduceEntry } from '../reduceEntry.js';
 import { examplePool, exampleRequest, exampleRoute } from '../testing/index.js';
 
-const KEY = 'a'.repeat(64);
+const KEY_SHA256 = 'a'.repeat(64);
 
 const nonIdempotentRoute = { idempotent: false, claimed: false };
 
@@ -41,7 +41,7 @@
       revision: 1,
       routes: { revision: 1, rows: [row] },
       pools: { revision: 1, rows: [pool] },
-      whole: { version: 1, workspaces: [{ name: 'laden', keySha256: [KEY], allowance }] },
+      whole: { version: 1, workspaces: [{ name: 'laden', keySha256: [KEY_SHA256], allowance }] },
     };
     return send({ type: 'configurationReceived', configuration });
   };
@@ -57,7 +57,7 @@
   }));
   send({ type: 'instancesListed', instances });
   const submitRequest = (fields: Partial<CallerRequest> = {}) => {
-    const request = { host: 'shop.example', keySha256: KEY, workspace: '', ...fields };
+    const request = { host: 'shop.example', keySha256: KEY_SHA256, workspace: '', ...fields };
     return send({ type: 'requestArrived', request: exampleRequest('one', request) });
   };
   const failAttempt = (attempt: number, failure: AttemptFailure, sent: 'nothing' | 'maybe') =>
@@ -92,13 +92,13 @@
   assert.deepEqual(describeEffects(makeEntry(nonIdempotentRoute).submitRequest(unknownKey)), [
     'unauthorized ran undefined',
   ]);
-  const open = makeEntry({ ...nonIdempotentRoute, public: true });
-  assert.deepEqual(describeEffects(open.submitRequest(unknownKey)), ['start for ']);
+  const publicEntry = makeEntry({ ...nonIdempotentRoute, public: true });
+  assert.deepEqual(describeEffects(publicEntry.submitRequest(unknownKey)), ['start for ']);
 });
 
 test('a call to an unknown host is refused as having no route', () => {
-  const found = makeEntry(nonIdempotentRoute).submitRequest({ host: 'other.example' });
-  assert.deepEqual(describeEffects(found), ['routeNotFound ran undefined']);
+  const effects = makeEntry(nonIdempotentRoute).submitRequest({ host: 'other.example' });
+  assert.deepEqual(describeEffects(effects), ['routeNotFound ran undefined']);
 });
 
 // A 404 or 401 would stop callers from retrying calls that the configuration, once loaded, allows.
@@ -110,12 +110,12 @@
 });
 
 /** `incarnation` of an entry that started 200 ms before the test begins. */
-const JUST_STARTED = 1_000_800;
+const RECENT_INCARNATION = 1_000_800;
 
 // After a power loss, entries accept requests before the stores have elected a leader. The deadline
 // still counts from the arrival of the request.
 test('a request that arrives before the configuration is served once it is loaded', () => {
-  const entry = makeEntry(nonIdempotentRoute, false, JUST_STARTED);
+  const entry = makeEntry(nonIdempotentRoute, false, RECENT_INCARNATION);
   assert.deepEqual(entry.submitRequest({ patience: 3000 }), []);
   assert.deepEqual(entry.advanceTime(400), []);
   assert.deepEqual(
@@ -128,7 +128,7 @@
 // If the stores are unreachable, callers are refused after a limited wait, and immediately once the
 // entry is no longer starting.
 test('a request waits only a limited time for the configuration', () => {
-  const entry = makeEntry(nonIdempotentRoute, false, JUST_STARTED);
+  const entry = makeEntry(nonIdempotentRoute, false, RECENT_INCARNATION);
   entry.submitRequest({ patience: 3000 });
   assert.deepEqual(describeEffects(entry.advanceTime(699)), []);
   assert.deepEqual(describeEffects(entry.advanceTime(1)), ['notConfigured ran undefined']);
@@ -139,14 +139,14 @@
 // A caller with a short deadline is refused early enough to try elsewhere; a disconnected caller gets
 // no answer, and a shutdown refuses all that wait.
 test('waiting for the configuration ends early on a short deadline, a disconnect or a shutdown', () => {
-  const impatient = makeEntry(nonIdempotentRoute, false, JUST_STARTED);
+  const impatient = makeEntry(nonIdempotentRoute, false, RECENT_INCARNATION);
   impatient.submitRequest({ patience: 300 });
   assert.deepEqual(describeEffects(impatient.advanceTime(100)), ['notConfigured ran undefined']);
-  const disconnected = makeEntry(nonIdempotentRoute, false, JUST_STARTED);
+  const disconnected = makeEntry(nonIdempotentRoute, false, RECENT_INCARNATION);
   disconnected.submitRequest();
   disconnected.send({ type: 'callerGone', requestId: 'one' });
   assert.deepEqual(describeEffects(disconnected.advanceTime(700)), []);
-  const stopping = makeEntry(nonIdempotentRoute, false, JUST_STARTED);
+  const stopping = makeEntry(nonIdempotentRoute, false, RECENT_INCARNATION);
   stopping.submitRequest();
   stopping.send({ type: 'shutdownStarted', acceptUntil: 1000, endAt: 9000 });
   assert.ok(
@@ -178,7 +178,7 @@
   );
 });
 
-// A busy backend server reports that nothing was sent, so a retry cannot execute the call twice.
+// A busy backend server rejects the call without running it, so a retry cannot run it twice.
 test('a non-idempotent call that certainly did not run is retried on another backend server', () => {
   const entry = makeEntry(nonIdempotentRoute);
   entry.submitRequest();
@@ -188,12 +188,12 @@
   assert.equal(retry.attemptId, 'one.2');
 });
 
-// A retry after a lost connection could execute the call twice.
+// The connection was lost after the call was sent, so a retry could run it twice.
 test('a non-idempotent call that may have run is not retried', () => {
   const entry = makeEntry(nonIdempotentRoute);
   entry.submitRequest();
-  const ended = describeEffects(entry.failAttempt(1, 'connectionLost', 'maybe'));
-  assert.ok(ended.includes('backendServerFailed ran unknown'), ended.join());
+  const effects = describeEffects(entry.failAttempt(1, 'connectionLost', 'maybe'));
+  assert.ok(effects.includes('backendServerFailed ran unknown'), effects.join());
   assert.equal(entry.state.requests.size, 0);
 });
 
@@ -228,12 +228,12 @@
     { pool: 'elsewhere', weight: 1 },
   ];
   const entry = makeEntry({ ...nonIdempotentRoute, split });
-  const sent = Array.from({ length: 400 }, () => {
+  const startedCount = Array.from({ length: 400 }, () => {
     const effects = describeEffects(entry.submitRequest());
     entry.send({ type: 'callerGone', requestId: 'one' });
     return effects.includes('start for laden');
   }).filter((started) => started).length;
-  assert.ok(sent > 330 && sent < 390, String(sent));
+  assert.ok(startedCount > 330 && startedCount < 390, String(startedCount));
 });
 
 test('each attempt that begins to answer is counted once in the usage window', () => {
--- a/packages/entry-core/src/attempts/retryStorm.test.ts
+++ b/packages/entry-core/src/attempts/retryStorm.test.ts
@@ -2,16 +2,16 @@
 import { test } from 'node:test';
 import { makeRequest, runRetryStorm, SimulatedCluster } from '../driver/index.js';
 
-const FIRST_ATTEMPTS = 300;
+const REQUEST_COUNT = 300;
 
 // All engines are busy, so each retry only adds load. The budget allows an initial burst and a fraction
 // of the first attempts; all other requests fail with a retry delay.
 test('the retry budget limits retries when all engines are busy', () => {
-  const cluster = runRetryStorm(FIRST_ATTEMPTS, true);
+  const cluster = runRetryStorm(REQUEST_COUNT, true);
   const retries = cluster.entry.count('retries/backendServerBusy');
   assert.deepEqual(cluster.findViolations(), []);
-  assert.equal(retries <= 10 + FIRST_ATTEMPTS * 0.1, true, `${retries} retries`);
-  assert.equal(cluster.entry.count('retriesRefused/budgetSpent') > FIRST_ATTEMPTS / 2, true);
+  assert.equal(retries <= 10 + REQUEST_COUNT * 0.1, true, `${retries} retries`);
+  assert.equal(cluster.entry.count('retriesRefused/budgetSpent') > REQUEST_COUNT / 2, true);
   cluster.callers().forEach(({ finalAnswers }) => {
     const final = finalAnswers[0];
     assert.equal(final?.type === 'problem' && final.retryAfterMilliseconds !== undefined, true);
@@ -20,8 +20,8 @@
 
 // Checks that the scenario above would otherwise cause a retry storm.
 test('without a budget the same scenario multiplies the requests', () => {
-  const retries = runRetryStorm(FIRST_ATTEMPTS, false).entry.count('retries/backendServerBusy');
-  assert.equal(retries > 3 * FIRST_ATTEMPTS, true, `${retries} retries`);
+  const retries = runRetryStorm(REQUEST_COUNT, false).entry.count('retries/backendServerBusy');
+  assert.equal(retries > 3 * REQUEST_COUNT, true, `${retries} retries`);
 });
 
 // The engine has received the request, so the answer is `ran: unknown`.
--- a/packages/entry-core/src/claims/reduceClaimedCall.test.ts
+++ b/packages/entry-core/src/claims/reduceClaimedCall.test.ts
@@ -11,11 +11,11 @@
 import { reduceClaimedCall, startClaimedCall } from './reduceClaimedCall.js';
 
 const intent = { workspace: 'laden', key: 'offer-1', digest: 'lot', holder: 'entry-1' };
-const EXPIRES_AFTER = 60_000;
+const EXPIRES_AFTER_MILLISECONDS = 60_000;
 const answer = { status: 201, headers: {}, body: new Uint8Array(2) };
 
 function startCall(): ClaimedCall {
-  return startClaimedCall(intent, 'a', 0, EXPIRES_AFTER).call;
+  return startClaimedCall(intent, 'a', 0, EXPIRES_AFTER_MILLISECONDS).call;
 }
 
 function claimResult(type: ClaimResult['type'], command: ClaimCommand['type']): ClaimedCallEvent {
@@ -33,7 +33,7 @@
 };
 
 /** Lists the phase and the effects after each event. */
-function transcript(events: readonly ClaimedCallEvent[]): string {
+function formatTranscript(events: readonly ClaimedCallEvent[]): string {
   const call = startCall();
   const lines = events.map((event) => {
     const effects = reduceClaimedCall(call, event).map((effect) => JSON.stringify(effect));
@@ -76,7 +76,7 @@
   resendDue,
   resendDue,
   resendDue,
-  { ...resendDue, now: EXPIRES_AFTER },
+  { ...resendDue, now: EXPIRES_AFTER_MILLISECONDS },
 ];
 
 const cases: Record<string, ClaimedCallEvent[]> = {
@@ -117,7 +117,7 @@
 
 Object.entries(cases).forEach(([name, events]) => {
   test(`claimed call: ${name}`, async () => {
-    await matchSnapshot(import.meta.url, name, transcript(events));
+    await matchSnapshot(import.meta.url, name, formatTranscript(events));
   });
 });
 
@@ -147,7 +147,7 @@
 
 test('claimed call: a claim granted after its expiry is released without sending the call', () => {
   const call = startCall();
-  const late = { ...opened, now: EXPIRES_AFTER } as ClaimedCallEvent;
+  const late = { ...opened, now: EXPIRES_AFTER_MILLISECONDS } as ClaimedCallEvent;
   const effects = reduceClaimedCall(call, late).map(({ type }) => type);
   assert.deepEqual(effects, ['refuse', 'propose', 'startResendTimer']);
   assert.equal(call.phase, 'releasing');
--- a/packages/entry-core/src/claims/reduceClaimedCall.ts
+++ b/packages/entry-core/src/claims/reduceClaimedCall.ts
@@ -80,7 +80,7 @@
   }
 }
 
-function resendDelay(tries: number): Milliseconds {
+function computeResendDelay(tries: number): Milliseconds {
   return Math.min(
     FIRST_RESEND_DELAY_MILLISECONDS * 2 ** (tries - 1),
     MAX_RESEND_DELAY_MILLISECONDS,
@@ -96,7 +96,7 @@
 function resend(call: ClaimedCall, command: ClaimCommand): ClaimedCallEffect[] {
   return [
     { type: 'propose', command },
-    { type: 'startResendTimer', after: resendDelay(call.tries) },
+    { type: 'startResendTimer', after: computeResendDelay(call.tries) },
   ];
 }
 
@@ -225,7 +225,7 @@
   if (pending.type === 'openClaim' && call.tries >= MAX_OPEN_TRIES) {
     return refuseAndRelease(call, 'claimsUnavailable');
   }
-  if (now - call.startedAt >= resendDuration(call)) {
+  if (now - call.startedAt >= getMaxResendDuration(call)) {
     return [...refuse(call, 'outcomeUnknown', 'unknown'), ...finish(call)];
   }
   call.tries += 1;
@@ -233,10 +233,10 @@
 }
 
 /**
- * How long a command is resent. A release is resent until it is acknowledged: otherwise a delayed
- * open could be applied later and block the caller's own resends.
+ * How long after the start a command is still resent. A release is resent until it is acknowledged,
+ * since a delayed open could otherwise be applied later and block resends by the caller.
  */
-function resendDuration(call: ClaimedCall): Milliseconds {
+function getMaxResendDuration(call: ClaimedCall): Milliseconds {
   if (call.phase === 'releasing') return Number.POSITIVE_INFINITY;
   if (call.phase === 'settling') return call.expiresAfter + SETTLE_RESEND_AFTER_EXPIRY_MILLISECONDS;
   return call.expiresAfter;
@@ -266,12 +266,12 @@
 
 function settle(
   call: ClaimedCall,
-  end: Pick<Extract<ClaimCommand, { type: 'settleClaim' }>, 'outcome' | 'answer'>,
+  settlement: Pick<Extract<ClaimCommand, { type: 'settleClaim' }>, 'outcome' | 'answer'>,
 ): ClaimedCallEffect[] {
   const { attemptId } = call;
   const { workspace, key } = call.intent;
   call.phase = 'settling';
-  return propose(call, { type: 'settleClaim', workspace, key, attemptId, ...end });
+  return propose(call, { type: 'settleClaim', workspace, key, attemptId, ...settlement });
 }
 
 /**
