--- a/packages/entry-core/src/attempts/advanceRetries.ts
+++ b/packages/entry-core/src/attempts/advanceRetries.ts
@@ -1,7 +1,7 @@
 /**
- * Starts the retries whose wait is over. Suspects of a crash go in the order of the time they ran
- * on the lost backend server, shortest first: a request that crashes its engine tends to do so soon,
- * and once it is found all others are free to run together again.
+ * Starts the retries whose wait is over. Suspects of a crash are started in order of the time
+ * they had run on the crashed backend server, shortest first: a request that crashes its engine
+ * usually does so early, and once it is found the other suspects may share servers again.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -9,31 +9,33 @@
 import type { WaitingRetry } from './RetryState.js';
 import { startAttempt } from './startAttempt.js';
 
-function exposureOf(state: EntryState, { requestId }: WaitingRetry): number {
+function getCrashExposure(state: EntryState, { requestId }: WaitingRetry): number {
   const digest = state.requests.get(requestId)?.request.digest ?? '';
   return state.quarantine.suspects.get(digest)?.exposure ?? 0;
 }
 
 export function advanceRetries(state: EntryState, now: MonotonicMilliseconds): EntryEffect[] {
-  return startWaiting(state, now, ({ dueAt }) => dueAt <= now);
+  return startSelectedRetries(state, now, ({ dueAt }) => dueAt <= now);
 }
 
-/** Looks again at once at all that wait for a backend server, as there may be one now. */
+/** Retries immediately all requests that wait for a backend server, as one may be usable again. */
 export function startRetriesAwaitingServer(
   state: EntryState,
   now: MonotonicMilliseconds,
 ): EntryEffect[] {
-  return startWaiting(state, now, ({ waitsFor }) => waitsFor === 'backendServer');
+  return startSelectedRetries(state, now, ({ waitsFor }) => waitsFor === 'backendServer');
 }
 
-function startWaiting(
+function startSelectedRetries(
   state: EntryState,
   now: MonotonicMilliseconds,
-  isDue: (waiting: WaitingRetry) => boolean,
+  isSelected: (waiting: WaitingRetry) => boolean,
 ): EntryEffect[] {
-  const due = [...state.retries.waiting.values()].filter(isDue);
-  due.sort((a, b) => exposureOf(state, a) - exposureOf(state, b) || a.dueAt - b.dueAt);
-  return due.flatMap(({ requestId }) => {
+  const selected = [...state.retries.waiting.values()].filter(isSelected);
+  selected.sort(
+    (a, b) => getCrashExposure(state, a) - getCrashExposure(state, b) || a.dueAt - b.dueAt,
+  );
+  return selected.flatMap(({ requestId }) => {
     const accepted = state.requests.get(requestId);
     state.retries.waiting.delete(requestId);
     if (accepted === undefined || accepted.attemptId !== undefined) return [];
--- a/packages/entry-core/src/attempts/opaqueCalls.test.ts
+++ b/packages/entry-core/src/attempts/opaqueCalls.test.ts
@@ -7,11 +7,11 @@
 import { reduceEntry } from '../reduceEntry.js';
 import { examplePool, exampleRequest, exampleRoute } from '../testing/index.js';
 
-const KEY = 'a'.repeat(64);
+const KEY_SHA256 = 'a'.repeat(64);
 
-const once = { idempotent: false, claimed: false };
+const nonIdempotentRoute = { idempotent: false, claimed: false };
 
-/** An entry with three backend servers, whose clock a test moves. */
+/** Makes an entry with three backend servers and a manual clock. */
 function makeEntry(
   route: Record<string, unknown>,
   configured = true,
@@ -30,8 +30,8 @@
     reduceEntry(state, { ...event, now, wallNow: 1_000_000 + now }).filter(
       ({ type }) => !['log', 'count', 'setGauge', 'observe', 'reportToEntries'].includes(type),
     );
-  const pass = (span: number) => {
-    now += span;
+  const advanceTime = (milliseconds: number) => {
+    now += milliseconds;
     return send({ type: 'tick' });
   };
   const configure = () => {
@@ -41,7 +41,7 @@
       revision: 1,
       routes: { revision: 1, rows: [row] },
       pools: { revision: 1, rows: [pool] },
-      whole: { version: 1, workspaces: [{ name: 'laden', keySha256: [KEY], allowance }] },
+      whole: { version: 1, workspaces: [{ name: 'laden', keySha256: [KEY_SHA256], allowance }] },
     };
     return send({ type: 'configurationReceived', configuration });
   };
@@ -56,11 +56,11 @@
     port: number,
   }));
   send({ type: 'instancesListed', instances });
-  const arrive = (fields: Partial<CallerRequest> = {}) => {
-    const request = { host: 'shop.example', keySha256: KEY, workspace: '', ...fields };
+  const submitRequest = (fields: Partial<CallerRequest> = {}) => {
+    const request = { host: 'shop.example', keySha256: KEY_SHA256, workspace: '', ...fields };
     return send({ type: 'requestArrived', request: exampleRequest('one', request) });
   };
-  const fail = (attempt: number, failure: AttemptFailure, sent: 'nothing' | 'maybe') =>
+  const failAttempt = (attempt: number, failure: AttemptFailure, sent: 'nothing' | 'maybe') =>
     send({
       type: 'attemptFailed',
       attemptId: `one.${attempt}`,
@@ -69,11 +69,11 @@
       tokens: 0,
       answerStarted: false,
     });
-  return { state, send, pass, arrive, fail, configure };
+  return { state, send, advanceTime, submitRequest, failAttempt, configure };
 }
 
-/** Effects by type, with what a caller or a backend server sees of each. */
-function describe(effects: readonly EntryEffect[]): string[] {
+/** Describes each effect by its type and the fields that a caller or a backend server sees. */
+function describeEffects(effects: readonly EntryEffect[]): string[] {
   return effects.map((effect) => {
     if (effect.type === 'answerProblem') return `${effect.kind} ran ${effect.ran}`;
     if (effect.type === 'startAttempt') return `start for ${effect.workspace}`;
@@ -81,78 +81,82 @@
   });
 }
 
-test('a call is sent in the name of the workspace that holds its key', () => {
-  assert.deepEqual(describe(makeEntry(once).arrive()), ['start for laden']);
+test('a call is attributed to the workspace that owns its key', () => {
+  assert.deepEqual(describeEffects(makeEntry(nonIdempotentRoute).submitRequest()), [
+    'start for laden',
+  ]);
 });
 
-test('a key that no workspace holds is refused, unless the route is public', () => {
-  const stranger = { keySha256: 'b'.repeat(64) };
-  assert.deepEqual(describe(makeEntry(once).arrive(stranger)), ['unauthorized ran undefined']);
-  const open = makeEntry({ ...once, public: true });
-  assert.deepEqual(describe(open.arrive(stranger)), ['start for ']);
+test('a key that no workspace owns is refused, unless the route is public', () => {
+  const unknownKey = { keySha256: 'b'.repeat(64) };
+  assert.deepEqual(describeEffects(makeEntry(nonIdempotentRoute).submitRequest(unknownKey)), [
+    'unauthorized ran undefined',
+  ]);
+  const publicEntry = makeEntry({ ...nonIdempotentRoute, public: true });
+  assert.deepEqual(describeEffects(publicEntry.submitRequest(unknownKey)), ['start for ']);
 });
 
-test('a call to another host finds no route', () => {
-  const found = makeEntry(once).arrive({ host: 'other.example' });
-  assert.deepEqual(describe(found), ['routeNotFound ran undefined']);
+test('a call to an unknown host is refused as having no route', () => {
+  const effects = makeEntry(nonIdempotentRoute).submitRequest({ host: 'other.example' });
+  assert.deepEqual(describeEffects(effects), ['routeNotFound ran undefined']);
 });
 
-// The caller of an entry that has just started is told to come back. It would take a 404 or 401 for
-// its own fault and never try again, though every configuration allows the call.
-test('an entry without a configuration promises that nothing ran', () => {
-  const [refused] = makeEntry(once, false).arrive();
+// A 404 or 401 would stop callers from retrying calls that the configuration, once loaded, allows.
+test('an entry without a configuration asks callers to retry', () => {
+  const [refused] = makeEntry(nonIdempotentRoute, false).submitRequest();
   assert.ok(refused?.type === 'answerProblem');
   assert.equal(refused.kind, 'notConfigured');
   assert.ok((refused.retryAfterMilliseconds ?? 0) > 0);
 });
 
-/** An entry that has started 200 ms ago. */
-const JUST_STARTED = 1_000_800;
+/** `incarnation` of an entry that started 200 ms before the test begins. */
+const RECENT_INCARNATION = 1_000_800;
 
-// All power was lost; entries and stores start together, and the stores have yet to elect a leader.
-// The caller has tried once, at the fault, and may not try again after a refusal. It is answered as
-// soon as the configuration is there, and its deadline still counts from when it came.
-test('a request that comes before the configuration is served once it is there', () => {
-  const entry = makeEntry(once, false, JUST_STARTED);
-  assert.deepEqual(entry.arrive({ patience: 3000 }), []);
-  assert.deepEqual(entry.pass(400), []);
+// After a power loss, entries accept requests before the stores have elected a leader. The deadline
+// still counts from the arrival of the request.
+test('a request that arrives before the configuration is served once it is loaded', () => {
+  const entry = makeEntry(nonIdempotentRoute, false, RECENT_INCARNATION);
+  assert.deepEqual(entry.submitRequest({ patience: 3000 }), []);
+  assert.deepEqual(entry.advanceTime(400), []);
   assert.deepEqual(
-    describe(entry.configure()).filter((type) => type !== 'configurationApplied'),
+    describeEffects(entry.configure()).filter((type) => type !== 'configurationApplied'),
     ['start for laden'],
   );
   assert.equal(entry.state.requests.get('one')?.wholeAnswerDueAt, 1000 + 3000);
 });
 
-// The entry is cut off from the stores, and no configuration comes. Its callers are told to come
-// back after a bounded wait, and at once when the entry is no longer starting.
-test('a request is not kept for longer than a configuration takes to come', () => {
-  const entry = makeEntry(once, false, JUST_STARTED);
-  entry.arrive({ patience: 3000 });
-  assert.deepEqual(describe(entry.pass(699)), []);
-  assert.deepEqual(describe(entry.pass(1)), ['notConfigured ran undefined']);
-  entry.pass(1200);
-  assert.deepEqual(describe(entry.arrive()), ['notConfigured ran undefined']);
+// If the stores are unreachable, callers are refused after a limited wait, and immediately once the
+// entry is no longer starting.
+test('a request waits only a limited time for the configuration', () => {
+  const entry = makeEntry(nonIdempotentRoute, false, RECENT_INCARNATION);
+  entry.submitRequest({ patience: 3000 });
+  assert.deepEqual(describeEffects(entry.advanceTime(699)), []);
+  assert.deepEqual(describeEffects(entry.advanceTime(1)), ['notConfigured ran undefined']);
+  entry.advanceTime(1200);
+  assert.deepEqual(describeEffects(entry.submitRequest()), ['notConfigured ran undefined']);
 });
 
-// A caller with little patience is told early, while it still has the time to go elsewhere; one that
-// leaves is forgotten, and an entry that shuts down keeps nobody.
-test('who waits for the configuration is bounded by the caller and by a shutdown', () => {
-  const hasty = makeEntry(once, false, JUST_STARTED);
-  hasty.arrive({ patience: 300 });
-  assert.deepEqual(describe(hasty.pass(100)), ['notConfigured ran undefined']);
-  const left = makeEntry(once, false, JUST_STARTED);
-  left.arrive();
-  left.send({ type: 'callerGone', requestId: 'one' });
-  assert.deepEqual(describe(left.pass(700)), []);
-  const stopping = makeEntry(once, false, JUST_STARTED);
-  stopping.arrive();
+// A caller with a short deadline is refused early enough to try elsewhere; a disconnected caller gets
+// no answer, and a shutdown refuses all that wait.
+test('waiting for the configuration ends early on a short deadline, a disconnect or a shutdown', () => {
+  const impatient = makeEntry(nonIdempotentRoute, false, RECENT_INCARNATION);
+  impatient.submitRequest({ patience: 300 });
+  assert.deepEqual(describeEffects(impatient.advanceTime(100)), ['notConfigured ran undefined']);
+  const disconnected = makeEntry(nonIdempotentRoute, false, RECENT_INCARNATION);
+  disconnected.submitRequest();
+  disconnected.send({ type: 'callerGone', requestId: 'one' });
+  assert.deepEqual(describeEffects(disconnected.advanceTime(700)), []);
+  const stopping = makeEntry(nonIdempotentRoute, false, RECENT_INCARNATION);
+  stopping.submitRequest();
   stopping.send({ type: 'shutdownStarted', acceptUntil: 1000, endAt: 9000 });
-  assert.ok(describe(stopping.pass(50)).some((text) => text.startsWith('notConfigured')));
+  assert.ok(
+    describeEffects(stopping.advanceTime(50)).some((text) => text.startsWith('notConfigured')),
+  );
 });
 
-// One workspace sends many times what it may, and is refused beyond that however large the fleet is.
-// Counted as demand, its flood would have engines bought that nobody may use.
-test('what is beyond an allowance is no demand', () => {
+// Requests beyond the allowance are refused however large the fleet is, so counting them would order
+// instances that no request could use.
+test('requests beyond an allowance are not counted as demand', () => {
   const allowance: Allowance = {
     unit: 'requests',
     perSecond: 0.1,
@@ -161,81 +165,80 @@
     tolerated: 0,
     plainTokens: 0,
   };
-  const entry = makeEntry(once, true, 1, allowance);
-  const refused = Array.from({ length: 40 }, () => entry.arrive())
+  const entry = makeEntry(nonIdempotentRoute, true, 1, allowance);
+  const refused = Array.from({ length: 40 }, () => entry.submitRequest())
     .flat()
     .filter((effect) => effect.type === 'answerProblem');
-  entry.pass(1000);
+  entry.advanceTime(1000);
   const rates = [...entry.state.demand.read(2000).values()];
   assert.ok(refused.length >= 30, `${refused.length}`);
   assert.ok(
-    rates.every(({ requestsPerSecond: steady }) => steady * 10 <= 40 - refused.length),
+    rates.every(({ requestsPerSecond }) => requestsPerSecond * 10 <= 40 - refused.length),
     `${rates}`,
   );
 });
 
-// A full backend server says that it did not run the call. The caller of a purchase gets its answer
-// from the next one; no second purchase can come of it.
-test('a call that surely did not run is sent to another backend server', () => {
-  const entry = makeEntry(once);
-  entry.arrive();
-  assert.deepEqual(entry.fail(1, 'busy', 'nothing'), []);
-  const [again] = entry.pass(1000).filter(({ type }) => type === 'startAttempt');
-  assert.ok(again?.type === 'startAttempt');
-  assert.equal(again.attemptId, 'one.2');
+// A busy backend server rejects the call without running it, so a retry cannot run it twice.
+test('a non-idempotent call that certainly did not run is retried on another backend server', () => {
+  const entry = makeEntry(nonIdempotentRoute);
+  entry.submitRequest();
+  assert.deepEqual(entry.failAttempt(1, 'busy', 'nothing'), []);
+  const [retry] = entry.advanceTime(1000).filter(({ type }) => type === 'startAttempt');
+  assert.ok(retry?.type === 'startAttempt');
+  assert.equal(retry.attemptId, 'one.2');
 });
 
-// The connection is lost while a purchase is at a backend server. It may have been made: the caller
-// is told so at once, and nothing is sent a second time.
-test('a call that may have run is not sent again', () => {
-  const entry = makeEntry(once);
-  entry.arrive();
-  const ended = describe(entry.fail(1, 'connectionLost', 'maybe'));
-  assert.ok(ended.includes('backendServerFailed ran unknown'), ended.join());
+// The connection was lost after the call was sent, so a retry could run it twice.
+test('a non-idempotent call that may have run is not retried', () => {
+  const entry = makeEntry(nonIdempotentRoute);
+  entry.submitRequest();
+  const effects = describeEffects(entry.failAttempt(1, 'connectionLost', 'maybe'));
+  assert.ok(effects.includes('backendServerFailed ran unknown'), effects.join());
   assert.equal(entry.state.requests.size, 0);
 });
 
-test('a route’s bound on backend servers for one call holds', () => {
+test('the maximum number of attempts of a route is enforced', () => {
   const entry = makeEntry({ mostAttempts: 2 });
-  entry.arrive();
-  entry.fail(1, 'busy', 'nothing');
-  entry.pass(1000);
-  assert.deepEqual(describe(entry.fail(2, 'busy', 'nothing')), ['backendServerFailed ran no']);
+  entry.submitRequest();
+  entry.failAttempt(1, 'busy', 'nothing');
+  entry.advanceTime(1000);
+  assert.deepEqual(describeEffects(entry.failAttempt(2, 'busy', 'nothing')), [
+    'backendServerFailed ran no',
+  ]);
 });
 
-// A caller closes its connection. Backend servers would go on working for nobody; an outcome that is
-// kept nowhere need not be learnt.
-test('a call without a claim is cancelled with its caller', () => {
-  const entry = makeEntry(once);
-  entry.arrive();
-  assert.deepEqual(describe(entry.send({ type: 'callerGone', requestId: 'one' })), [
+// Without a claim there is no outcome to record, so the backend server can stop working.
+test('a call without a claim is cancelled when its caller disconnects', () => {
+  const entry = makeEntry(nonIdempotentRoute);
+  entry.submitRequest();
+  assert.deepEqual(describeEffects(entry.send({ type: 'callerGone', requestId: 'one' })), [
     'cancelAttempt',
   ]);
 });
 
-test('the caller’s patience bounds the time that is handed on', () => {
-  const [start] = makeEntry(once).arrive({ patience: 700 });
+test('the time left that is sent to the backend server is limited by the caller’s patience', () => {
+  const [start] = makeEntry(nonIdempotentRoute).submitRequest({ patience: 700 });
   assert.ok(start?.type === 'startAttempt');
   assert.equal(start.timeLeft, 700);
 });
 
-test('calls are split among pools by weight', () => {
+test('calls are split between pools by weight', () => {
   const split = [
     { pool: 'engines', weight: 9 },
     { pool: 'elsewhere', weight: 1 },
   ];
-  const entry = makeEntry({ ...once, split });
-  const sent = Array.from({ length: 400 }, () => {
-    const effects = describe(entry.arrive());
+  const entry = makeEntry({ ...nonIdempotentRoute, split });
+  const startedCount = Array.from({ length: 400 }, () => {
+    const effects = describeEffects(entry.submitRequest());
     entry.send({ type: 'callerGone', requestId: 'one' });
     return effects.includes('start for laden');
   }).filter((started) => started).length;
-  assert.ok(sent > 330 && sent < 390, String(sent));
+  assert.ok(startedCount > 330 && startedCount < 390, String(startedCount));
 });
 
-test('what begins to run is counted in its window', () => {
-  const entry = makeEntry(once);
-  entry.arrive();
+test('each attempt that begins to answer is counted once in the usage window', () => {
+  const entry = makeEntry(nonIdempotentRoute);
+  entry.submitRequest();
   entry.send({ type: 'firstTokenReceived', attemptId: 'one.1' });
   entry.send({ type: 'firstTokenReceived', attemptId: 'one.1' });
   assert.deepEqual(Object.values(entry.state.usage.read()), [{ laden: 1 }]);
--- a/packages/entry-core/src/attempts/reduceAttempts.ts
+++ b/packages/entry-core/src/attempts/reduceAttempts.ts
@@ -1,7 +1,8 @@
 /**
- * What the edges of an attempt's stream mean for its request. Every edge names its attempt, and
- * only the attempt that the request is bound to speaks for it. An answer that came by another
- * would otherwise be given twice, or be spliced into the wrong place.
+ * Applies the events of an attempt's stream to its request. Every event names its attempt, and only
+ * the attempt that the request is currently bound to changes the request; events of other attempts
+ * could otherwise duplicate the answer or splice two answers together. One exception: an abandoned
+ * attempt may still deliver the answer while the caller has received nothing.
  */
 import { assertNever } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -13,7 +14,7 @@
 import { failAttempt } from './failAttempt.js';
 import { removeAttempt } from './releaseAttempts.js';
 
-export { removeAttempt as forgetAttempt } from './releaseAttempts.js';
+export { removeAttempt } from './releaseAttempts.js';
 
 type AttemptEvent = Extract<
   EntryEvent,
@@ -28,14 +29,14 @@
   }
 >;
 
-type AttemptFinished = Extract<EntryEvent, { type: 'attemptFinished' }>;
+type AttemptFinishedEvent = Extract<EntryEvent, { type: 'attemptFinished' }>;
 
-/** Counts an answer from an attempt that its request no longer waits for. */
-function dropLate(): EntryEffect[] {
+/** Counts an answer that is dropped because its request no longer waits for that attempt. */
+function countLateAnswer(): EntryEffect[] {
   return [{ type: 'count', metric: 'lateAnswers', label: 'attemptGivenUp' }];
 }
 
-function noteFirstToken(
+function recordFirstToken(
   state: EntryState,
   accepted: RequestState,
   attempt: AttemptState,
@@ -55,7 +56,7 @@
   ];
 }
 
-function noteProgress(
+function recordProgress(
   accepted: RequestState,
   attempt: AttemptState,
   event: Extract<EntryEvent, { type: 'attemptProgressed' }>,
@@ -67,17 +68,17 @@
 }
 
 /**
- * The whole answer of an attempt that fell silent has come after all. It is used if the caller has
- * been given nothing yet: it is then the first whole answer, and the other attempt is cancelled.
+ * Handles the complete answer of an attempt that had timed out. If the caller has received nothing
+ * yet, the answer is used and the newer attempt is cancelled.
  */
-function finishGivenUp(
+function finishAbandonedAttempt(
   state: EntryState,
   accepted: RequestState | undefined,
-  { attemptId, longestPause }: AttemptFinished,
+  { attemptId, longestPause }: AttemptFinishedEvent,
 ): EntryEffect[] {
   state.attempts.delete(attemptId);
   if (accepted === undefined || accepted.firstTokenAt !== undefined || accepted.tokens > 0) {
-    return dropLate();
+    return countLateAnswer();
   }
   return finishRequest(state, accepted, attemptId, longestPause);
 }
@@ -85,12 +86,12 @@
 function finishAttempt(
   state: EntryState,
   attempt: AttemptState,
-  event: AttemptFinished,
+  event: AttemptFinishedEvent,
 ): EntryEffect[] {
   const accepted = state.requests.get(attempt.requestId);
-  if (attempt.givenUp) return finishGivenUp(state, accepted, event);
+  if (attempt.givenUp) return finishAbandonedAttempt(state, accepted, event);
   removeAttempt(state, attempt);
-  if (accepted === undefined || accepted.attemptId !== attempt.attemptId) return dropLate();
+  if (accepted === undefined || accepted.attemptId !== attempt.attemptId) return countLateAnswer();
   accepted.attemptId = undefined;
   accepted.maybeSent = true;
   return finishRequest(state, accepted, attempt.attemptId, event.longestPause);
@@ -98,7 +99,7 @@
 
 export function reduceAttempts(state: EntryState, event: AttemptEvent): EntryEffect[] {
   const attempt = state.attempts.get(event.attemptId);
-  if (attempt === undefined) return event.type === 'attemptFinished' ? dropLate() : [];
+  if (attempt === undefined) return event.type === 'attemptFinished' ? countLateAnswer() : [];
   if (event.type === 'attemptFinished') return finishAttempt(state, attempt, event);
   if (event.type === 'attemptFailed') return failAttempt(state, attempt, event);
   const accepted = state.requests.get(attempt.requestId);
@@ -109,9 +110,9 @@
       accepted.maybeSent = true;
       return [];
     case 'firstTokenReceived':
-      return noteFirstToken(state, accepted, attempt, event);
+      return recordFirstToken(state, accepted, attempt, event);
     case 'attemptProgressed':
-      noteProgress(accepted, attempt, event);
+      recordProgress(accepted, attempt, event);
       return [];
     case 'attemptHeld':
       attempt.pausedByCaller = event.held;
--- a/packages/entry-core/src/attempts/startAttempt.ts
+++ b/packages/entry-core/src/attempts/startAttempt.ts
@@ -1,6 +1,6 @@
 /**
- * Starts the next attempt of a request, lets it wait for a backend server, or ends it if there is
- * nowhere to try it.
+ * Starts the next attempt of a request. If no backend server can take it now, the request is queued
+ * or waits for one; if none can take it before its deadline, the request fails.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -15,10 +15,10 @@
 import { chooseServerForAttempt, canWaitForBackendServer } from './chooseServerForAttempt.js';
 import { launchAttempt } from './launchAttempt.js';
 
-/** How soon a request that waits for a backend server looks again. */
-const WAIT_MILLISECONDS = 50;
+/** Interval at which a request that waits for a backend server tries again. */
+const SERVER_RECHECK_MILLISECONDS = 50;
 
-/** When to come back to a pool that has no backend server left. */
+/** `Retry-After` of a request that fails because its pool has no usable backend server. */
 const NO_SERVER_RETRY_AFTER_MILLISECONDS = 2000;
 
 function refuseQuarantined(
@@ -28,9 +28,9 @@
 ): EntryEffect[] | undefined {
   const quarantined = state.quarantine.quarantined.get(accepted.request.digest);
   if (quarantined === undefined || quarantined.endsAt <= now) return undefined;
-  const detail = 'This request crashed backend servers and is kept from them for a while';
+  const detail = 'The request is quarantined because it crashed backend servers';
   return [
-    ...(accepted.attemptsStarted === 0 ? [] : countRefusal('quarantined')),
+    ...(accepted.attemptsStarted === 0 ? [] : countRefusedRetry('quarantined')),
     ...failRequest(state, accepted, 'quarantined', detail, {
       ran: determineRan(accepted),
       retryAfterMilliseconds: quarantined.endsAt - now,
@@ -38,14 +38,14 @@
   ];
 }
 
-function countRefusal(label: string): EntryEffect[] {
+function countRefusedRetry(label: string): EntryEffect[] {
   return [{ type: 'count', metric: 'retriesRefused', label }];
 }
 
 function failWithoutServer(state: EntryState, accepted: RequestState): EntryEffect[] {
-  const detail = `Pool "${accepted.pool.name}" has no backend server left to try`;
+  const detail = `Pool "${accepted.pool.name}" has no backend server that can take the request`;
   return [
-    ...(accepted.attemptsStarted === 0 ? [] : countRefusal('noOtherBackendServer')),
+    ...(accepted.attemptsStarted === 0 ? [] : countRefusedRetry('noOtherBackendServer')),
     ...failRequest(state, accepted, 'noBackendServer', detail, {
       ran: determineRan(accepted),
       retryAfterMilliseconds: NO_SERVER_RETRY_AFTER_MILLISECONDS,
@@ -53,28 +53,28 @@
   ];
 }
 
-/** Has a request try again with a later tick, or as soon as a loss has been judged. */
+/** Tries the request again after the recheck interval, or earlier when a loss is classified. */
 function waitForBackendServer(
   state: EntryState,
   { request }: RequestState,
   now: MonotonicMilliseconds,
 ): void {
   const { requestId } = request;
-  const dueAt = now + WAIT_MILLISECONDS;
+  const dueAt = now + SERVER_RECHECK_MILLISECONDS;
   state.retries.waiting.set(requestId, { requestId, waitsFor: 'backendServer', dueAt });
 }
 
 /**
- * @param chosen - The backend server, where admission has chosen it already.
+ * @param chosenServer - The backend server, if admission has already chosen one.
  */
 export function startAttempt(
   state: EntryState,
   accepted: RequestState,
   now: MonotonicMilliseconds,
-  chosen?: BackendServerState,
+  chosenServer?: BackendServerState,
 ): EntryEffect[] {
-  const refused = refuseQuarantined(state, accepted, now);
-  if (refused !== undefined) return refused;
+  const refusal = refuseQuarantined(state, accepted, now);
+  if (refusal !== undefined) return refusal;
   if (
     state.retries.policy.isolateSuspects &&
     mustDelaySuspect(state, accepted.request.digest, now)
@@ -82,12 +82,12 @@
     waitForBackendServer(state, accepted, now);
     return [];
   }
-  if (chosen !== undefined) return launchAttempt(state, accepted, chosen, now);
+  if (chosenServer !== undefined) return launchAttempt(state, accepted, chosenServer, now);
   const placement = placeRequest(state, accepted, now);
   if (placement.type === 'start') return launchAttempt(state, accepted, placement.server, now);
   if (placement.type === 'wait') return enqueue(state, accepted, now);
-  const again = chooseServerForAttempt(state, accepted);
-  if (again !== undefined) return launchAttempt(state, accepted, again, now);
+  const server = chooseServerForAttempt(state, accepted);
+  if (server !== undefined) return launchAttempt(state, accepted, server, now);
   if (!canWaitForBackendServer(state, accepted, now)) return failWithoutServer(state, accepted);
   waitForBackendServer(state, accepted, now);
   return [];
--- a/packages/entry-core/src/claims/applyClaimEffect.ts
+++ b/packages/entry-core/src/claims/applyClaimEffect.ts
@@ -1,6 +1,6 @@
 /**
- * Feeds a claimed call with what has happened, and turns what it asks for into effects of the
- * entry.
+ * Passes events to the state machine of a claimed call and turns the effects it returns into effects
+ * of the entry.
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { assertNever, type ErrorKind } from '@hornbeampond/schema';
@@ -14,33 +14,33 @@
 import type { ClaimedCallEffect, ClaimedCallEvent } from './ClaimedCall.js';
 import { reduceClaimedCall } from './reduceClaimedCall.js';
 
-/** Jitter on resends, as a share of the wait: entries that lost one leader come back spread out. */
-const JITTER_SHARE = 0.25;
+/** Spreads the resends of entries that lost the same leader at the same moment. */
+const MAX_JITTER_FRACTION_OF_DELAY = 0.25;
 
 const detailByKind: Readonly<Partial<Record<ErrorKind, string>>> = {
-  claimRunning: 'The same call is in progress; send it again later to learn its outcome',
-  outcomeUnknown: 'The call was sent, and whether it ran is not known',
-  idempotencyKeyReused: 'The key was used with another body',
-  answerTooLargeToReplay: 'The call ran; its answer was above the bound on stored answers',
-  claimsUnavailable: 'No quorum of stores can be reached, so the call was not sent',
+  claimRunning: 'The same call is in progress; retry later to get its outcome',
+  outcomeUnknown: 'The call was sent, but it is not known whether it ran',
+  idempotencyKeyReused: 'The idempotency key was already used with a different body',
+  answerTooLargeToReplay: 'The call ran, but its answer was too large to be stored',
+  claimsUnavailable: 'No quorum of stores is reachable, so the call was not sent',
 };
 
 export function handleClaimEvent(
   state: EntryState,
   claim: RequestClaim,
   event: ClaimedCallEvent,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
   const effects = reduceClaimedCall(claim.call, event);
   claim.accepted.mayRunElsewhere = claim.call.heldElsewhere;
-  return effects.flatMap((effect) => applyClaimEffect(state, claim, effect, timed));
+  return effects.flatMap((effect) => applyClaimEffect(state, claim, effect, timestamps));
 }
 
 export function applyClaimEffect(
   state: EntryState,
   claim: RequestClaim,
   effect: ClaimedCallEffect,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
   const { accepted } = claim;
   const { requestId } = accepted.request;
@@ -48,21 +48,25 @@
     case 'propose':
       return [{ type: 'proposeClaim', requestId, command: effect.command }];
     case 'startResendTimer': {
-      const jitter = uniformInt(state.random, 0, Math.ceil(effect.after * JITTER_SHARE));
-      claim.resendAt = timed.now + effect.after + jitter;
+      const jitter = uniformInt(
+        state.random,
+        0,
+        Math.ceil(effect.after * MAX_JITTER_FRACTION_OF_DELAY),
+      );
+      claim.resendAt = timestamps.now + effect.after + jitter;
       return [];
     }
     case 'sendCall':
-      return sendCall(state, claim, timed);
+      return sendCall(state, claim, timestamps);
     case 'answer':
-      return replay(state, claim, effect);
+      return replayAnswer(state, claim, effect);
     case 'refuse': {
       if (!state.requests.has(requestId)) return [];
       const detail = detailByKind[effect.kind] ?? 'The call could not be claimed';
       return failRequest(state, accepted, effect.kind, detail, { ran: effect.ran });
     }
     case 'tryElsewhere':
-      // Attempts that provably sent nothing are tried elsewhere under the same claim.
+      // Not needed here: the entry retries attempts that sent nothing under the same claim.
       return [];
     case 'finished':
       state.claims.delete(requestId);
@@ -72,16 +76,16 @@
   }
 }
 
-/** The claim is held: the call is sent, unless its caller has had its final answer meanwhile. */
-function sendCall(state: EntryState, claim: RequestClaim, timed: Timestamps): EntryEffect[] {
+/** Sends the call once its claim is held, unless the caller has its final answer by then. */
+function sendCall(state: EntryState, claim: RequestClaim, timestamps: Timestamps): EntryEffect[] {
   if (state.requests.has(claim.accepted.request.requestId)) {
-    return startAttempt(state, claim.accepted, timed.now);
+    return startAttempt(state, claim.accepted, timestamps.now);
   }
-  return handleClaimEvent(state, claim, { type: 'sendFailed', beforeFirstByte: true }, timed);
+  return handleClaimEvent(state, claim, { type: 'sendFailed', beforeFirstByte: true }, timestamps);
 }
 
-/** Gives the caller the answer of the first run. */
-function replay(
+/** Gives the caller the stored answer of the attempt that ran. */
+function replayAnswer(
   state: EntryState,
   { accepted }: RequestClaim,
   { answer, replayed }: Extract<ClaimedCallEffect, { type: 'answer' }>,
--- a/packages/entry-core/src/claims/beginClaim.ts
+++ b/packages/entry-core/src/claims/beginClaim.ts
@@ -1,7 +1,6 @@
 /**
- * A call that may run at most once is claimed in the log before it is sent anywhere. Without the
- * claim two entries that are sent the same call would each send it on, and a seller would be paid
- * twice.
+ * Claims a call that may run at most once in the replicated log before it is sent to a backend
+ * server. Without the claim, two entries that receive the same call would both send it.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -13,38 +12,38 @@
 import { applyClaimEffect } from './applyClaimEffect.js';
 import { startClaimedCall } from './reduceClaimedCall.js';
 
-/** Time past the deadline in which a late outcome is still learnt before the claim expires. */
-const EXPIRY_MARGIN: Milliseconds = 30_000;
+/** How long after the deadline the claim expires, so that a late outcome can still be recorded. */
+const EXPIRY_MARGIN_MILLISECONDS: Milliseconds = 30_000;
 
-/** Releases that may wait for the log before new calls are refused without asking it. */
-const MOST_WAITING_RELEASES = 64;
+/** Unacknowledged releases above which new calls are refused without asking the log. */
+const MAX_PENDING_RELEASES = 64;
 
 /**
- * True if the log has not acknowledged releases for a while. In a data centre without a quorum each
- * call would otherwise wait for its own opens to fail, and leave one more release to be resent.
+ * True if too many releases are unacknowledged. Without a quorum, each new call would otherwise wait
+ * until its own claim fails and add one more release that has to be resent.
  */
-function isLogSilent({ claims }: EntryState): boolean {
-  if (claims.size < MOST_WAITING_RELEASES) return false;
-  const waiting = [...claims.values()].filter(({ call }) => call.phase === 'releasing');
-  return waiting.length >= MOST_WAITING_RELEASES;
+function isLogUnresponsive({ claims }: EntryState): boolean {
+  if (claims.size < MAX_PENDING_RELEASES) return false;
+  const pendingReleases = [...claims.values()].filter(({ call }) => call.phase === 'releasing');
+  return pendingReleases.length >= MAX_PENDING_RELEASES;
 }
 
 export function beginClaim(
   state: EntryState,
   accepted: RequestState,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
   const { requestId, workspace, idempotencyKey, digest } = accepted.request;
-  if (idempotencyKey === undefined) throw new TypeError(`${requestId} has no key to claim`);
-  if (isLogSilent(state)) {
-    const detail = 'No quorum of stores answers, so the call was not sent';
+  if (idempotencyKey === undefined) throw new TypeError(`${requestId} has no idempotency key`);
+  if (isLogUnresponsive(state)) {
+    const detail = 'No quorum of stores responds, so the call was not sent';
     return failRequest(state, accepted, 'claimsUnavailable', detail, { ran: 'no' });
   }
   const holder = state.identity.instance;
   const intent = { workspace, key: idempotencyKey, digest, holder };
-  const expiresAfter = accepted.wholeAnswerDueAt - timed.now + EXPIRY_MARGIN;
-  const { call, effects } = startClaimedCall(intent, requestId, timed.now, expiresAfter);
-  const claim: RequestClaim = { call, accepted, resendAt: timed.now };
+  const expiresAfter = accepted.wholeAnswerDueAt - timestamps.now + EXPIRY_MARGIN_MILLISECONDS;
+  const { call, effects } = startClaimedCall(intent, requestId, timestamps.now, expiresAfter);
+  const claim: RequestClaim = { call, accepted, resendAt: timestamps.now };
   state.claims.set(requestId, claim);
-  return effects.flatMap((effect) => applyClaimEffect(state, claim, effect, timed));
+  return effects.flatMap((effect) => applyClaimEffect(state, claim, effect, timestamps));
 }
--- a/packages/entry-core/src/claims/reduceClaimedCall.test.ts
+++ b/packages/entry-core/src/claims/reduceClaimedCall.test.ts
@@ -11,30 +11,30 @@
 import { reduceClaimedCall, startClaimedCall } from './reduceClaimedCall.js';
 
 const intent = { workspace: 'laden', key: 'offer-1', digest: 'lot', holder: 'entry-1' };
-const EXPIRES_AFTER = 60_000;
+const EXPIRES_AFTER_MILLISECONDS = 60_000;
 const answer = { status: 201, headers: {}, body: new Uint8Array(2) };
 
-function begin(): ClaimedCall {
-  return startClaimedCall(intent, 'a', 0, EXPIRES_AFTER).call;
+function startCall(): ClaimedCall {
+  return startClaimedCall(intent, 'a', 0, EXPIRES_AFTER_MILLISECONDS).call;
 }
 
-function told(type: ClaimResult['type'], command: ClaimCommand['type']): ClaimedCallEvent {
+function claimResult(type: ClaimResult['type'], command: ClaimCommand['type']): ClaimedCallEvent {
   return { type: 'claimResult', now: 10, command, result: { type } as ClaimResult };
 }
 
-const opened = told('claimOpened', 'openClaim');
-const released = told('claimReleased', 'releaseClaim');
+const opened = claimResult('claimOpened', 'openClaim');
+const released = claimResult('claimReleased', 'releaseClaim');
 const resendDue: ClaimedCallEvent = { type: 'resendDue', now: 300 };
-const unavailable: ClaimedCallEvent = {
+const storeUnavailable: ClaimedCallEvent = {
   type: 'storeFailed',
   now: 5,
   command: 'openClaim',
   nothingDone: true,
 };
 
-/** Tells what each event makes the call do, and the phase it leaves it in. */
-function transcript(events: readonly ClaimedCallEvent[]): string {
-  const call = begin();
+/** Lists the phase and the effects after each event. */
+function formatTranscript(events: readonly ClaimedCallEvent[]): string {
+  const call = startCall();
   const lines = events.map((event) => {
     const effects = reduceClaimedCall(call, event).map((effect) => JSON.stringify(effect));
     return [`${JSON.stringify(event)} -> ${call.phase}`, ...effects].join('\n  ');
@@ -42,88 +42,88 @@
   return lines.join('\n');
 }
 
-const answeredAtOnce: ClaimedCallEvent[] = [
+const answeredImmediately: ClaimedCallEvent[] = [
   opened,
   { type: 'answered', answer },
   resendDue,
-  told('claimSettled', 'settleClaim'),
+  claimResult('claimSettled', 'settleClaim'),
 ];
-const triedElsewhere: ClaimedCallEvent[] = [
+const failedBeforeFirstByte: ClaimedCallEvent[] = [
   opened,
   { type: 'sendFailed', beforeFirstByte: true },
   opened,
   released,
 ];
-const cutWhileSending: ClaimedCallEvent[] = [
+const lostWhileSending: ClaimedCallEvent[] = [
   opened,
   { type: 'sendFailed', beforeFirstByte: false },
-  told('claimSettled', 'settleClaim'),
+  claimResult('claimSettled', 'settleClaim'),
 ];
-const lateAnswer: ClaimedCallEvent[] = [
+const answeredAfterDeadline: ClaimedCallEvent[] = [
   opened,
   { type: 'deadlineReached' },
   { type: 'answered', answer },
 ];
-const unsureOpen: ClaimedCallEvent[] = [
+const openUnacknowledged: ClaimedCallEvent[] = [
   resendDue,
-  unavailable,
+  storeUnavailable,
   resendDue,
   resendDue,
   opened,
   released,
 ];
-const neverReleased: ClaimedCallEvent[] = [
+const releaseUnacknowledged: ClaimedCallEvent[] = [
   resendDue,
   resendDue,
   resendDue,
-  { ...resendDue, now: EXPIRES_AFTER },
+  { ...resendDue, now: EXPIRES_AFTER_MILLISECONDS },
 ];
 
 const cases: Record<string, ClaimedCallEvent[]> = {
-  'answered at once': answeredAtOnce,
-  'failed before the first byte': triedElsewhere,
-  'cut while sending': cutWhileSending,
-  'answer after the deadline': lateAnswer,
-  'unsure open': unsureOpen,
-  'a release that is never acknowledged': neverReleased,
-  'store unreachable': [unavailable],
+  'answered at once': answeredImmediately,
+  'failed before the first byte': failedBeforeFirstByte,
+  'cut while sending': lostWhileSending,
+  'answer after the deadline': answeredAfterDeadline,
+  'unsure open': openUnacknowledged,
+  'a release that is never acknowledged': releaseUnacknowledged,
+  'store unreachable': [storeUnavailable],
   'claim running': [
-    told('claimRunning', 'openClaim'),
+    claimResult('claimRunning', 'openClaim'),
     resendDue,
-    told('claimRunning', 'openClaim'),
+    claimResult('claimRunning', 'openClaim'),
     resendDue,
-    told('claimUnknown', 'openClaim'),
+    claimResult('claimUnknown', 'openClaim'),
   ],
   'claim running until the deadline': [
-    told('claimRunning', 'openClaim'),
+    claimResult('claimRunning', 'openClaim'),
     { type: 'deadlineReached' },
     released,
   ],
   'claim running, then the log is silent': [
-    told('claimRunning', 'openClaim'),
+    claimResult('claimRunning', 'openClaim'),
     resendDue,
-    unavailable,
+    storeUnavailable,
     resendDue,
     resendDue,
     resendDue,
     released,
   ],
-  'key reused': [told('claimKeyReused', 'openClaim'), released],
-  'claims full': [told('claimsFull', 'openClaim'), released],
-  'outcome unknown': [told('claimUnknown', 'openClaim')],
-  'done, answer not kept': [told('claimDone', 'openClaim')],
+  'key reused': [claimResult('claimKeyReused', 'openClaim'), released],
+  'claims full': [claimResult('claimsFull', 'openClaim'), released],
+  'outcome unknown': [claimResult('claimUnknown', 'openClaim')],
+  'done, answer not kept': [claimResult('claimDone', 'openClaim')],
   'deadline before the grant': [{ type: 'deadlineReached' }, opened, released],
 };
 
 Object.entries(cases).forEach(([name, events]) => {
   test(`claimed call: ${name}`, async () => {
-    await matchSnapshot(import.meta.url, name, transcript(events));
+    await matchSnapshot(import.meta.url, name, formatTranscript(events));
   });
 });
 
 test('claimed call: a resend gets the stored answer', () => {
   const result = { type: 'claimDone', answer } as const;
-  const effects = reduceClaimedCall(begin(), {
+  const effects = reduceClaimedCall(startCall(), {
     type: 'claimResult',
     now: 1,
     command: 'openClaim',
@@ -132,11 +132,10 @@
   assert.deepEqual(effects, [{ type: 'answer', answer, replayed: true }, { type: 'finished' }]);
 });
 
-// The caller's first connection broke as its answer came, and it sends its call again through another
-// entry. The log has not noted the outcome yet; a moment later it has, and the caller gets the answer.
-test('claimed call: a resend waits for the outcome of the first run', () => {
-  const call = begin();
-  const waiting = reduceClaimedCall(call, told('claimRunning', 'openClaim'));
+// The caller resends through another entry before the log has the outcome of the first attempt.
+test('claimed call: a resend waits for the outcome of the first attempt', () => {
+  const call = startCall();
+  const waiting = reduceClaimedCall(call, claimResult('claimRunning', 'openClaim'));
   assert.deepEqual(waiting, [{ type: 'startResendTimer', after: 50 }]);
   const [asked] = reduceClaimedCall(call, { type: 'resendDue', now: 60 });
   assert.equal(asked?.type === 'propose' && asked.command.type, 'openClaim');
@@ -146,16 +145,16 @@
   assert.deepEqual(given, { type: 'answer', answer, replayed: true });
 });
 
-test('claimed call: a grant as old as the claim is given back unsent', () => {
-  const call = begin();
-  const late = { ...opened, now: EXPIRES_AFTER } as ClaimedCallEvent;
+test('claimed call: a claim granted after its expiry is released without sending the call', () => {
+  const call = startCall();
+  const late = { ...opened, now: EXPIRES_AFTER_MILLISECONDS } as ClaimedCallEvent;
   const effects = reduceClaimedCall(call, late).map(({ type }) => type);
   assert.deepEqual(effects, ['refuse', 'propose', 'startResendTimer']);
   assert.equal(call.phase, 'releasing');
 });
 
-test('claimed call: a body above the bound goes to the caller but not to the log', () => {
-  const call = begin();
+test('claimed call: a body too large for the log is still sent to the caller', () => {
+  const call = startCall();
   reduceClaimedCall(call, opened);
   const large = { ...answer, body: new Uint8Array(LARGEST_STORED_ANSWER_BYTES + 1) };
   const [answering, settling] = reduceClaimedCall(call, { type: 'answered', answer: large });
@@ -165,11 +164,9 @@
   assert.deepEqual(stored, { status: 201, headers: {} });
 });
 
-// The caller is told that nothing ran, and when to come back, as soon as its entry has given the
-// claim up. No quorum answers; the release is only acknowledged when one does, which may be long
-// after the caller's patience has ended.
-test('claimed call: a claim given up is refused without waiting for the log', () => {
-  const call = begin();
+// Without a quorum the release may be acknowledged only long after the caller's deadline.
+test('claimed call: a failed claim is refused without waiting for its release', () => {
+  const call = startCall();
   let effects: ClaimedCallEffect[] = [];
   [200, 600, 1400].forEach((now) => {
     effects = reduceClaimedCall(call, { type: 'resendDue', now });
