--- a/packages/entry-core/src/driver/SimulatedCluster.ts
+++ b/packages/entry-core/src/driver/SimulatedCluster.ts
@@ -55,11 +55,11 @@
 
   private readonly rates: EngineRates;
 
-  private readonly poison: CrashTokenByDigest;
+  private readonly crashTokenByDigest: CrashTokenByDigest;
 
   private readonly pool: string;
 
-  private readonly vanish: boolean;
+  private readonly losesHost: boolean;
 
   private now = 0;
 
@@ -67,15 +67,15 @@
 
   private tasks: Task[] = [];
 
-  private listed: PlatformInstance[] = [];
+  private platformInstances: PlatformInstance[] = [];
 
-  private readonly crashes = new Map<string, Set<string>>();
+  private readonly crashIdsByDigest = new Map<string, Set<string>>();
 
   constructor(options: SimulatedClusterOptions) {
     this.rates = { ...defaultEngineRates, ...options.rates };
-    this.poison = options.crashTokenByDigest ?? new Map();
+    this.crashTokenByDigest = options.crashTokenByDigest ?? new Map();
     this.pool = options.pool ?? 'engines';
-    this.vanish = options.losesHost ?? false;
+    this.losesHost = options.losesHost ?? false;
     Object.entries(options.engines).forEach(([dataCentre, count]) => {
       for (let number = 1; number <= count; number += 1) {
         this.addEngine(`${dataCentre}-engine-${number}`, dataCentre);
@@ -88,25 +88,27 @@
       const entry = new SimulatedEntry(this, `entry-${number}`, dataCentre);
       this.entries.push(entry);
       entry.send({ type: 'configurationReceived', configuration });
-      entry.send({ type: 'instancesListed', instances: this.listed });
+      entry.send({ type: 'instancesListed', instances: this.platformInstances });
     }
   }
 
   /** A new engine; entries learn of it from the platform's list. */
   addEngine(instance: string, dataCentre: string): void {
-    const engine = new SimulatedEngine(instance, dataCentre, this.rates, this.poison);
-    engine.omitsReset = this.vanish;
-    engine.unreachable = this.vanish;
+    const engine = new SimulatedEngine(instance, dataCentre, this.rates, this.crashTokenByDigest);
+    engine.omitsReset = this.losesHost;
+    engine.unreachable = this.losesHost;
     this.engines.set(instance, engine);
-    this.listed.push(this.list(engine));
+    this.platformInstances.push(this.describeInstance(engine));
     this.listAliveEngines();
   }
 
   /** The platform's list shows what is alive, and nothing else. */
   listAliveEngines(): void {
-    this.listed = this.listed.filter((listed) => this.engines.get(listed.instance)?.alive);
+    this.platformInstances = this.platformInstances.filter(
+      (platformInstance) => this.engines.get(platformInstance.instance)?.alive,
+    );
     this.entries.forEach((entry) =>
-      entry.send({ type: 'instancesListed', instances: this.listed }),
+      entry.send({ type: 'instancesListed', instances: this.platformInstances }),
     );
   }
 
@@ -134,15 +136,15 @@
     this.tasks.push({ dueAt: this.now + delay, run });
   }
 
-  advance(span: number): void {
-    const end = this.now + span;
+  advance(duration: number): void {
+    const end = this.now + duration;
     while (this.now < end) this.step();
   }
 
   /** Runs until every caller has a final answer, or the time is up. */
-  runUntilAnswered(most = 120_000): void {
-    const end = this.now + most;
-    while (this.now < end && this.callers().some(({ finalAnswers: finals }) => finals.length === 0))
+  runUntilAnswered(timeout = 120_000): void {
+    const end = this.now + timeout;
+    while (this.now < end && this.callers().some(({ finalAnswers }) => finalAnswers.length === 0))
       this.step();
     this.advance(STEP_MILLISECONDS);
   }
@@ -164,11 +166,13 @@
   reclaimByPlatformList(instances: readonly string[], notice: number): void {
     const goneAt = this.clock().wallNow + notice;
     const leaving = new Set(instances);
-    this.listed = this.listed.map((listed) =>
-      leaving.has(listed.instance) ? { ...listed, state: 'leaving', goneAt } : listed,
+    this.platformInstances = this.platformInstances.map((platformInstance) =>
+      leaving.has(platformInstance.instance)
+        ? { ...platformInstance, state: 'leaving', goneAt }
+        : platformInstance,
     );
     this.entries.forEach((entry) =>
-      entry.send({ type: 'instancesListed', instances: this.listed }),
+      entry.send({ type: 'instancesListed', instances: this.platformInstances }),
     );
     instances.forEach((instance) => this.schedule(notice, () => this.engine(instance).die()));
   }
@@ -179,9 +183,7 @@
 
   /** The caller at this position among those still waiting closes its connection. */
   disconnectCaller(position: number): void {
-    const caller = this.callers().filter(({ finalAnswers: finals }) => finals.length === 0)[
-      position
-    ];
+    const caller = this.callers().filter(({ finalAnswers }) => finalAnswers.length === 0)[position];
     if (caller === undefined) return;
     caller.finalAnswers.push({ type: 'gone', at: this.now });
     const { requestId } = caller.request;
@@ -210,9 +212,9 @@
     const until = this.clock().wallNow + 600_000;
     const quarantine = digests
       .filter((digest) => {
-        const known = this.crashes.get(digest) ?? new Set();
-        this.crashes.set(digest, known.add(crashId));
-        return known.size > 1;
+        const crashIds = this.crashIdsByDigest.get(digest) ?? new Set();
+        this.crashIdsByDigest.set(digest, crashIds.add(crashId));
+        return crashIds.size > 1;
       })
       .map((digest) => ({ digest, until }));
     if (quarantine.length === 0) return;
@@ -223,28 +225,29 @@
 
   /** What is wrong with what callers have seen; empty if nothing is. */
   findViolations(): string[] {
-    return this.callers().flatMap((caller) => this.violationsOf(caller));
+    return this.callers().flatMap((caller) => this.findViolationsOf(caller));
   }
 
-  private violationsOf({ request, finalAnswers: finals, tokens }: CallerRecord): string[] {
-    const found: string[] = [];
+  private findViolationsOf({ request, finalAnswers, tokens }: CallerRecord): string[] {
+    const violations: string[] = [];
     const expected = expectedAnswer(request);
     const name = request.requestId;
-    if (finals.length !== 1) found.push(`${name} got ${finals.length} final answers`);
-    if (!expected.startsWith(tokens.join(''))) found.push(`${name} got a mixed answer`);
-    finals.forEach((final) => {
+    if (finalAnswers.length !== 1)
+      violations.push(`${name} got ${finalAnswers.length} final answers`);
+    if (!expected.startsWith(tokens.join(''))) violations.push(`${name} got a mixed answer`);
+    finalAnswers.forEach((final) => {
       if (final.type === 'whole' && final.text !== expected) {
-        found.push(`${name} got a wrong whole answer`);
+        violations.push(`${name} got a wrong whole answer`);
       }
       const received = [...this.engines.values()].some((engine) => engine.received.has(name));
       if (final.type === 'problem' && final.ran !== 'unknown' && received) {
-        found.push(`${name} ran although it was told that it did not`);
+        violations.push(`${name} ran although it was told that it did not`);
       }
     });
-    return found;
+    return violations;
   }
 
-  private list(engine: SimulatedEngine): PlatformInstance {
+  private describeInstance(engine: SimulatedEngine): PlatformInstance {
     const { instance, dataCentre } = engine;
     const base = { instance, dataCentre, instanceClass: 'gpu', pool: this.pool };
     return { ...base, state: 'live', host: '127.0.0.1', port: 1 };
@@ -252,15 +255,15 @@
 
   private step(): void {
     this.now += STEP_MILLISECONDS;
-    this.runDue();
+    this.runDueTasks();
     this.engines.forEach((engine) => engine.advance(STEP_MILLISECONDS));
     this.entries.forEach((entry) => entry.failStalledConnections());
-    this.runDue();
+    this.runDueTasks();
     if (this.now % TICK_MILLISECONDS !== 0) return;
     this.entries.forEach((entry) => entry.send({ type: 'tick' }));
   }
 
-  private runDue(): void {
+  private runDueTasks(): void {
     for (;;) {
       const due = this.tasks.filter(({ dueAt }) => dueAt <= this.now);
       if (due.length === 0) return;
--- a/packages/entry-core/src/driver/SimulatedEngine.ts
+++ b/packages/entry-core/src/driver/SimulatedEngine.ts
@@ -33,9 +33,9 @@
 /** When a request crashes the engine that runs it: at this token of its answer. */
 export type CrashTokenByDigest = ReadonlyMap<string, number>;
 
-export function answerLength({ maxTokens: mostTokens, digest }: CallerRequest): number {
-  const early = digest.endsWith('early') ? 2 : 1;
-  return Math.ceil(mostTokens / early);
+export function answerLength({ maxTokens, digest }: CallerRequest): number {
+  const lengthDivisor = digest.endsWith('early') ? 2 : 1;
+  return Math.ceil(maxTokens / lengthDivisor);
 }
 
 export function tokenAt(digest: string, position: number): string {
@@ -78,7 +78,7 @@
     readonly instance: string,
     readonly dataCentre: string,
     private readonly rates: EngineRates,
-    private readonly poison: CrashTokenByDigest,
+    private readonly crashTokenByDigest: CrashTokenByDigest,
   ) {}
 
   /** `cachedTokens` of prompt and answer are in the KV cache already. */
@@ -98,16 +98,16 @@
     const lost = [...this.streams.values()];
     this.streams.clear();
     if (this.omitsReset) return;
-    lost.filter(({ stalled: silent }) => !silent).forEach(({ listener }) => listener.lost());
+    lost.filter(({ stalled }) => !stalled).forEach(({ listener }) => listener.lost());
   }
 
-  advance(span: number): void {
-    const load = Math.max(1, this.streams.size / this.rates.concurrency);
+  advance(duration: number): void {
+    const slowdown = Math.max(1, this.streams.size / this.rates.concurrency);
     [...this.streams.values()].forEach((stream) => {
       if (!this.alive) return;
       if (stream.remainingPrefillMilliseconds > 0)
-        stream.remainingPrefillMilliseconds -= span / load;
-      else this.decode(stream, (span * this.rates.tokensPerMillisecond) / load);
+        stream.remainingPrefillMilliseconds -= duration / slowdown;
+      else this.decode(stream, (duration * this.rates.tokensPerMillisecond) / slowdown);
     });
   }
 
@@ -115,7 +115,7 @@
     const { request, listener } = stream;
     stream.nextTokenProgress += tokens;
     while (stream.nextTokenProgress >= 1 && stream.position < answerLength(request)) {
-      if (stream.position >= (this.poison.get(request.digest) ?? Infinity)) {
+      if (stream.position >= (this.crashTokenByDigest.get(request.digest) ?? Infinity)) {
         this.die();
         return;
       }
--- a/packages/entry-core/src/driver/SimulatedEntry.ts
+++ b/packages/entry-core/src/driver/SimulatedEntry.ts
@@ -39,18 +39,18 @@
   readonly caller: CallerRecord;
   readonly instance: string;
   /** True if what it has given cannot be resumed. */
-  readonly plain: boolean;
+  readonly isPlainService: boolean;
   /** The answer as this attempt alone has brought it. */
-  readonly own: string[];
-  heardAt: number;
-  timeout: number;
+  readonly ownTokens: string[];
+  lastActivityAt: number;
+  currentTimeout: number;
   readonly silenceTimeout: number;
-  firstHeard: boolean;
-  progressAt: number;
-  gaveUp: boolean;
+  hasFirstToken: boolean;
+  lastProgressAt: number;
+  timedOut: boolean;
 }
 
-const PROGRESS_MILLISECONDS = 100;
+const PROGRESS_INTERVAL_MILLISECONDS = 100;
 
 export class SimulatedEntry {
   readonly state: EntryState;
@@ -68,28 +68,30 @@
   private readonly connections = new Map<string, Connection>();
 
   /** The attempt whose tokens are relayed, by request. */
-  private readonly current = new Map<string, string>();
+  private readonly currentAttemptIds = new Map<string, string>();
 
   /** Tokens of context whose cache was moved, keyed by request and instance. */
-  private readonly movedCache = new Map<string, number>();
+  private readonly movedTokens = new Map<string, number>();
 
   constructor(
-    private readonly world: SimulatedCluster,
+    private readonly cluster: SimulatedCluster,
     readonly instance: string,
     dataCentre: string,
   ) {
-    const incarnation = world.clock().wallNow;
+    const incarnation = cluster.clock().wallNow;
     this.state = makeEntryState({ instance, dataCentre, incarnation, maxQueuedRequests: 1000 });
   }
 
   send(occurrence: EntryEventPayload): void {
     if (!this.alive) return;
-    const timed: Timestamps = this.world.clock();
-    reduceEntry(this.state, { ...occurrence, ...timed }).forEach((effect) => this.perform(effect));
+    const timestamps: Timestamps = this.cluster.clock();
+    reduceEntry(this.state, { ...occurrence, ...timestamps }).forEach((effect) =>
+      this.performEffect(effect),
+    );
   }
 
   submitRequest(request: CallerRequest): CallerRecord {
-    const caller = { request, arrivedAt: this.world.clock().now, tokens: [], finalAnswers: [] };
+    const caller = { request, arrivedAt: this.cluster.clock().now, tokens: [], finalAnswers: [] };
     this.callers.set(request.requestId, caller);
     this.send({ type: 'requestArrived', request });
     return caller;
@@ -97,12 +99,15 @@
 
   /** Fails connections that have been silent for too long. */
   failStalledConnections(): void {
-    const { now } = this.world.clock();
+    const { now } = this.cluster.clock();
     [...this.connections.values()]
-      .filter(({ gaveUp, heardAt, timeout }) => !gaveUp && now - heardAt >= timeout)
+      .filter(
+        ({ timedOut, lastActivityAt, currentTimeout }) =>
+          !timedOut && now - lastActivityAt >= currentTimeout,
+      )
       .forEach((connection) => {
-        connection.gaveUp = true;
-        this.fail(connection, 'silent', 'maybe');
+        connection.timedOut = true;
+        this.failAttempt(connection, 'silent', 'maybe');
       });
   }
 
@@ -110,19 +115,19 @@
     return this.counts.get(key) ?? 0;
   }
 
-  private perform(effect: EntryEffect): void {
+  private performEffect(effect: EntryEffect): void {
     switch (effect.type) {
       case 'startAttempt':
         this.startAttempt(effect);
         return;
       case 'cancelAttempt':
-        this.drop(effect.attemptId);
+        this.closeConnection(effect.attemptId);
         return;
       case 'moveCache':
         this.moveCache(effect);
         return;
       case 'finishAnswer':
-        this.finish(effect);
+        this.finishAnswer(effect);
         return;
       case 'answerProblem':
         this.answerProblem(effect);
@@ -131,35 +136,37 @@
         this.probe(effect.target.instance);
         return;
       case 'reportToEntries':
-        this.world.deliverReport(this, effect.report);
+        this.cluster.deliverReport(this, effect.report);
         return;
       case 'tellWork':
-        this.world.deliverWorkReport(this, effect.work);
+        this.cluster.deliverWorkReport(this, effect.work);
         return;
       case 'proposeCommand':
-        this.world.applyCrashReport(effect.command as ReportCrashCommand);
+        this.cluster.applyCrashReport(effect.command as ReportCrashCommand);
         return;
       case 'proposeClaim':
-        this.answerClaim(effect);
+        this.grantClaim(effect);
         return;
       case 'count':
         this.addCount(effect);
         return;
       case 'log':
-        this.log.push(`${this.world.clock().now} ${effect.event} ${JSON.stringify(effect.fields)}`);
+        this.log.push(
+          `${this.cluster.clock().now} ${effect.event} ${JSON.stringify(effect.fields)}`,
+        );
         return;
       default:
-        this.passOver(effect);
+        this.logShutdownReady(effect);
     }
   }
 
   /** Effects that these tests do not look at. */
-  private passOver(effect: { type: string }): void {
-    if (effect.type === 'shutdownReady') this.log.push(`${this.world.clock().now} shutdownReady`);
+  private logShutdownReady(effect: { type: string }): void {
+    if (effect.type === 'shutdownReady') this.log.push(`${this.cluster.clock().now} shutdownReady`);
   }
 
   /** A store that grants every claim. */
-  private answerClaim({ requestId, command }: Effect<'proposeClaim'>): void {
+  private grantClaim({ requestId, command }: Effect<'proposeClaim'>): void {
     const types = {
       openClaim: 'claimOpened',
       releaseClaim: 'claimReleased',
@@ -167,7 +174,7 @@
     } as const;
     const type = types[command.type];
     const answer = { type: 'result', result: { type } } as const;
-    this.world.schedule(1, () => {
+    this.cluster.schedule(1, () => {
       this.send({ type: 'claimAnswered', requestId, command: command.type, answer });
     });
   }
@@ -185,39 +192,39 @@
       attemptId: effect.attemptId,
       caller,
       instance,
-      plain: effect.target.kind === 'plainService',
-      own: [],
-      heardAt: this.world.clock().now,
-      timeout: effect.firstByteTimeout,
+      isPlainService: effect.target.kind === 'plainService',
+      ownTokens: [],
+      lastActivityAt: this.cluster.clock().now,
+      currentTimeout: effect.firstByteTimeout,
       silenceTimeout: effect.streamIdleTimeout,
-      firstHeard: false,
-      progressAt: 0,
-      gaveUp: false,
+      hasFirstToken: false,
+      lastProgressAt: 0,
+      timedOut: false,
     };
     this.connections.set(effect.attemptId, connection);
-    this.current.set(effect.requestId, effect.attemptId);
-    this.world.schedule(1, () => this.connect(connection, effect));
+    this.currentAttemptIds.set(effect.requestId, effect.attemptId);
+    this.cluster.schedule(1, () => this.connect(connection, effect));
   }
 
   private connect(connection: Connection, effect: Effect<'startAttempt'>): void {
     const { attemptId, caller } = connection;
     if (this.connections.get(attemptId) !== connection) return;
-    const engine = this.world.engines.get(connection.instance);
+    const engine = this.cluster.engines.get(connection.instance);
     if (engine === undefined || !engine.alive) {
-      this.fail(connection, 'connectFailed', 'nothing');
+      this.failAttempt(connection, 'connectFailed', 'nothing');
       return;
     }
     this.send({ type: 'attemptSent', attemptId });
     if (engine.busy) {
-      this.fail(connection, 'busy', 'maybe');
+      this.failAttempt(connection, 'busy', 'maybe');
       return;
     }
     const { request } = caller;
-    const resumes = effect.resumeFromTokens > 0;
-    const position = resumes ? caller.tokens.length : 0;
-    const cached = this.movedCache.get(`${request.requestId}@${connection.instance}`) ?? 0;
+    const isResumed = effect.resumeFromTokens > 0;
+    const position = isResumed ? caller.tokens.length : 0;
+    const cached = this.movedTokens.get(`${request.requestId}@${connection.instance}`) ?? 0;
     const listener = this.listen(connection);
-    const base = {
+    const streamFields = {
       attemptId,
       request,
       listener,
@@ -225,45 +232,46 @@
       remainingPrefillMilliseconds: 0,
       nextTokenProgress: 0,
     };
-    engine.open({ ...base, stalled: false }, cached);
+    engine.open({ ...streamFields, stalled: false }, cached);
   }
 
   private listen(connection: Connection): EngineListener {
     return {
-      token: (position, token) => this.takeToken(connection, position, token),
-      finished: () => this.takeEnd(connection),
-      lost: () => this.world.schedule(1, () => this.fail(connection, 'connectionLost', 'maybe')),
+      token: (position, token) => this.handleToken(connection, position, token),
+      finished: () => this.handleFinished(connection),
+      lost: () =>
+        this.cluster.schedule(1, () => this.failAttempt(connection, 'connectionLost', 'maybe')),
     };
   }
 
-  private takeToken(connection: Connection, position: number, token: string): void {
+  private handleToken(connection: Connection, position: number, token: string): void {
     const { attemptId, caller } = connection;
-    const { now } = this.world.clock();
+    const { now } = this.cluster.clock();
     if (this.connections.get(attemptId) !== connection) return;
-    connection.heardAt = now;
-    connection.timeout = connection.silenceTimeout;
-    connection.own.push(token);
-    if (this.current.get(caller.request.requestId) !== attemptId) return;
-    if (!connection.firstHeard) {
-      connection.firstHeard = true;
+    connection.lastActivityAt = now;
+    connection.currentTimeout = connection.silenceTimeout;
+    connection.ownTokens.push(token);
+    if (this.currentAttemptIds.get(caller.request.requestId) !== attemptId) return;
+    if (!connection.hasFirstToken) {
+      connection.hasFirstToken = true;
       caller.firstTokenAt ??= now;
       this.send({ type: 'firstTokenReceived', attemptId });
     }
     if (position >= caller.tokens.length && caller.finalAnswers.length === 0)
       caller.tokens.push(token);
-    if (now - connection.progressAt < PROGRESS_MILLISECONDS) return;
-    connection.progressAt = now;
+    if (now - connection.lastProgressAt < PROGRESS_INTERVAL_MILLISECONDS) return;
+    connection.lastProgressAt = now;
     this.send({ type: 'attemptProgressed', attemptId, tokens: caller.tokens.length });
   }
 
-  private takeEnd(connection: Connection): void {
+  private handleFinished(connection: Connection): void {
     const { attemptId, caller } = connection;
     if (this.connections.get(attemptId) !== connection) return;
     this.send({ type: 'attemptFinished', attemptId, tokens: caller.tokens.length });
     this.connections.delete(attemptId);
   }
 
-  private fail(
+  private failAttempt(
     connection: Connection,
     failure: 'connectFailed' | 'connectionLost' | 'silent' | 'busy',
     sent: 'nothing' | 'maybe',
@@ -272,16 +280,16 @@
     if (this.connections.get(attemptId) !== connection) return;
     const tokens = caller.tokens.length;
     const mayStillAnswer = failure === 'silent' && tokens === 0;
-    if (!mayStillAnswer) this.drop(attemptId);
-    const answerStarted = connection.plain && tokens > 0;
+    if (!mayStillAnswer) this.closeConnection(attemptId);
+    const answerStarted = connection.isPlainService && tokens > 0;
     this.send({ type: 'attemptFailed', attemptId, failure, sent, tokens, answerStarted });
   }
 
-  private drop(attemptId: string): void {
+  private closeConnection(attemptId: string): void {
     const connection = this.connections.get(attemptId);
     if (connection === undefined) return;
     this.connections.delete(attemptId);
-    const { streams } = this.world.engines.get(connection.instance) ?? {};
+    const { streams } = this.cluster.engines.get(connection.instance) ?? {};
     // A cancel does not reach the engine over a connection that has lost track of its ends.
     if (streams?.get(attemptId)?.stalled !== true) streams?.delete(attemptId);
   }
@@ -290,35 +298,39 @@
     const caller = this.callers.get(requestId);
     if (caller === undefined) return;
     const tokens = caller.tokens.length;
-    const held = caller.request.promptTokens + tokens;
-    this.world.schedule(this.world.moveDuration(held), () => {
-      const alive = (instance: string) => this.world.engines.get(instance)?.alive === true;
-      const moved = !this.world.movesFail && alive(from.instance) && alive(to.instance);
-      if (moved) this.movedCache.set(`${requestId}@${to.instance}`, held);
+    const cachedTokens = caller.request.promptTokens + tokens;
+    this.cluster.schedule(this.cluster.moveDuration(cachedTokens), () => {
+      const alive = (instance: string) => this.cluster.engines.get(instance)?.alive === true;
+      const moved = !this.cluster.movesFail && alive(from.instance) && alive(to.instance);
+      if (moved) this.movedTokens.set(`${requestId}@${to.instance}`, cachedTokens);
       this.send({ type: 'cacheMoved', requestId, attemptId, moved, tokens });
     });
   }
 
   private probe(instance: string): void {
-    const engine = this.world.engines.get(instance);
-    if (!this.world.probesAnswered) return;
+    const engine = this.cluster.engines.get(instance);
+    if (!this.cluster.probesAnswered) return;
     if (engine !== undefined && !engine.alive && engine.unreachable) return;
-    this.world.schedule(2, () => {
+    this.cluster.schedule(2, () => {
       this.send({ type: 'probeAnswered', instance, answered: engine?.alive === true });
     });
   }
 
-  private finish({ requestId, attemptId = '' }: Effect<'finishAnswer'>): void {
+  private finishAnswer({ requestId, attemptId = '' }: Effect<'finishAnswer'>): void {
     const caller = this.callers.get(requestId);
     if (caller === undefined) throw new Error(`no caller for ${requestId}`);
-    const isCurrent = this.current.get(requestId) === attemptId;
-    const tokens = isCurrent ? caller.tokens : (this.connections.get(attemptId)?.own ?? []);
-    caller.finalAnswers.push({ type: 'whole', at: this.world.clock().now, text: tokens.join('') });
+    const isCurrent = this.currentAttemptIds.get(requestId) === attemptId;
+    const tokens = isCurrent ? caller.tokens : (this.connections.get(attemptId)?.ownTokens ?? []);
+    caller.finalAnswers.push({
+      type: 'whole',
+      at: this.cluster.clock().now,
+      text: tokens.join(''),
+    });
   }
 
   private answerProblem(effect: Effect<'answerProblem'>): void {
     const { kind, ran, retryAfterMilliseconds } = effect;
-    const at = this.world.clock().now;
+    const at = this.cluster.clock().now;
     const final = { type: 'problem', at, kind, ran, retryAfterMilliseconds } as const;
     this.callers.get(effect.requestId)?.finalAnswers.push(final);
   }
--- a/packages/entry-core/src/driver/batchScenarios.ts
+++ b/packages/entry-core/src/driver/batchScenarios.ts
@@ -31,47 +31,47 @@
 };
 
 /** Runs a batch of innocent requests and a bad one until all have their final answers. */
-export function runPoisonBatch(fields: Partial<PoisonBatchOptions>): SimulatedCluster {
-  const batch = { ...defaultPoisonBatch, ...fields };
-  const poison = new Map([[POISON_DIGEST, batch.crashAtToken]]);
-  const world = new SimulatedCluster({
+export function runPoisonBatch(options: Partial<PoisonBatchOptions>): SimulatedCluster {
+  const batch = { ...defaultPoisonBatch, ...options };
+  const crashTokenByDigest = new Map([[POISON_DIGEST, batch.crashAtToken]]);
+  const cluster = new SimulatedCluster({
     engines: { 'wien-a': batch.engines },
-    crashTokenByDigest: poison,
+    crashTokenByDigest,
   });
-  world.engines.forEach((engine) => {
+  cluster.engines.forEach((engine) => {
     engine.unreachable = batch.unreachable;
     engine.restartsImmediately = batch.restartsImmediately;
   });
-  const { isolateSuspects: suspectsApart } = batch;
-  world.entry.state.retries.policy = { ...fullRecoveryPolicy, isolateSuspects: suspectsApart };
+  const { isolateSuspects } = batch;
+  cluster.entry.state.retries.policy = { ...fullRecoveryPolicy, isolateSuspects };
   for (let number = 1; number < batch.size; number += 1) {
-    world.entry.submitRequest(makeRequest(`request-${number}`));
-    world.advance(50);
+    cluster.entry.submitRequest(makeRequest(`request-${number}`));
+    cluster.advance(50);
   }
-  world.entry.submitRequest(makeRequest('bad', { digest: POISON_DIGEST }));
-  world.runUntilAnswered();
-  return world;
+  cluster.entry.submitRequest(makeRequest('bad', { digest: POISON_DIGEST }));
+  cluster.runUntilAnswered();
+  return cluster;
 }
 
 /** Innocent callers that did not get their whole answer. */
-export function findFailedHarmlessCallers(world: SimulatedCluster): CallerRecord[] {
-  return world
+export function findFailedHarmlessCallers(cluster: SimulatedCluster): CallerRecord[] {
+  return cluster
     .callers()
     .filter(({ request }) => request.digest !== POISON_DIGEST)
-    .filter(({ finalAnswers: finals }) => finals[0]?.type !== 'whole');
+    .filter(({ finalAnswers }) => finalAnswers[0]?.type !== 'whole');
 }
 
 /** Sends `requests` at a steady pace to engines that are all busy. */
-export function runRetryStorm(requests: number, budgets: boolean): SimulatedCluster {
-  const world = new SimulatedCluster({ engines: { 'wien-a': 3, 'wien-b': 3 } });
-  world.entry.state.retries.policy = { ...fullRecoveryPolicy, limitRetries: budgets };
-  world.engines.forEach((engine) => {
+export function runRetryStorm(requestCount: number, limitRetries: boolean): SimulatedCluster {
+  const cluster = new SimulatedCluster({ engines: { 'wien-a': 3, 'wien-b': 3 } });
+  cluster.entry.state.retries.policy = { ...fullRecoveryPolicy, limitRetries };
+  cluster.engines.forEach((engine) => {
     engine.busy = true;
   });
-  for (let number = 1; number <= requests; number += 1) {
-    world.entry.submitRequest(makeRequest(`request-${number}`));
-    world.advance(20);
+  for (let number = 1; number <= requestCount; number += 1) {
+    cluster.entry.submitRequest(makeRequest(`request-${number}`));
+    cluster.advance(20);
   }
-  world.runUntilAnswered();
-  return world;
+  cluster.runUntilAnswered();
+  return cluster;
 }
--- a/packages/entry-core/src/driver/runFaultScenario.test.ts
+++ b/packages/entry-core/src/driver/runFaultScenario.test.ts
@@ -10,17 +10,21 @@
 // one that is redone from the start misses it, and one that is moved is hardly computed again.
 test('the recovery of streams beats plain baselines under the same waves', () => {
   const full = runFaultScenario(fullRecoveryPolicy, SEED);
-  const unmoved = runFaultScenario({ ...fullRecoveryPolicy, moveCaches: false }, SEED);
-  const redone = {
+  const withoutMoves = runFaultScenario({ ...fullRecoveryPolicy, moveCaches: false }, SEED);
+  const restartPolicy = {
     ...fullRecoveryPolicy,
     moveCaches: false,
     migrateOnNotice: false,
     resumeFromOffset: false,
   };
-  const plain = runFaultScenario(redone, SEED);
-  assert.equal(full.violations + unmoved.violations + plain.violations, 0);
+  const restarted = runFaultScenario(restartPolicy, SEED);
+  assert.equal(full.violations + withoutMoves.violations + restarted.violations, 0);
   assert.equal(full.completed >= full.requests * 0.99, true, `${full.completed} whole`);
-  assert.equal(plain.completed < full.completed, true, `${plain.completed} whole when redone`);
-  assert.equal(full.extraPrefilledTokens < unmoved.extraPrefilledTokens * 0.85, true);
-  assert.equal(full.extraDecodedTokens < plain.extraDecodedTokens * 0.5, true);
+  assert.equal(
+    restarted.completed < full.completed,
+    true,
+    `${restarted.completed} whole when redone`,
+  );
+  assert.equal(full.extraPrefilledTokens < withoutMoves.extraPrefilledTokens * 0.85, true);
+  assert.equal(full.extraDecodedTokens < restarted.extraDecodedTokens * 0.5, true);
 });
--- a/packages/entry-core/src/driver/runFaultScenario.ts
+++ b/packages/entry-core/src/driver/runFaultScenario.ts
@@ -11,10 +11,10 @@
 import { makeRequest, SimulatedCluster } from './SimulatedCluster.js';
 
 const DATA_CENTRES = ['wien-a', 'wien-b', 'stpoelten', 'eisenstadt'];
-const ARRIVALS = 500;
-const MOST_GAP_MILLISECONDS = 16;
-const REPLACED_AFTER_MILLISECONDS = 6000;
-const WHOLE_ANSWER_MILLISECONDS = 25_000;
+const REQUEST_COUNT = 500;
+const MAX_GAP_STEPS = 16;
+const REPLACEMENT_DELAY_MILLISECONDS = 6000;
+const ANSWER_DEADLINE_MILLISECONDS = 25_000;
 
 export interface FaultScenarioOutcome {
   readonly requests: number;
@@ -30,84 +30,93 @@
   readonly violations: number;
 }
 
-function makeTraffic(random: RandomGenerator, number: number) {
-  const early = uniformInt(random, 0, 2) === 0 ? 'early' : 'full';
+function makeRandomRequest(random: RandomGenerator, number: number) {
+  const answerSize = uniformInt(random, 0, 2) === 0 ? 'early' : 'full';
   return makeRequest(`request-${number}`, {
-    digest: `digest-${number}-${early}`,
+    digest: `digest-${number}-${answerSize}`,
     promptTokens: uniformInt(random, 200, 3000),
     maxTokens: uniformInt(random, 100, 800),
   });
 }
 
-function aliveIn(world: SimulatedCluster, dataCentre: string): string[] {
-  return [...world.engines.values()]
+function listAliveInstances(cluster: SimulatedCluster, dataCentre: string): string[] {
+  return [...cluster.engines.values()]
     .filter((engine) => engine.dataCentre === dataCentre && engine.alive)
     .map(({ instance }) => instance);
 }
 
 /** New engines come some time after old ones have gone. */
-function replace(world: SimulatedCluster, instances: readonly string[], dataCentre: string): void {
-  world.schedule(REPLACED_AFTER_MILLISECONDS, () => {
-    instances.forEach((instance) => world.addEngine(`${instance}-next`, dataCentre));
+function scheduleReplacements(
+  cluster: SimulatedCluster,
+  instances: readonly string[],
+  dataCentre: string,
+): void {
+  cluster.schedule(REPLACEMENT_DELAY_MILLISECONDS, () => {
+    instances.forEach((instance) => cluster.addEngine(`${instance}-next`, dataCentre));
   });
 }
 
-function reclaimOne(world: SimulatedCluster, random: RandomGenerator): void {
+function reclaimDataCentre(cluster: SimulatedCluster, random: RandomGenerator): void {
   const dataCentre = DATA_CENTRES[uniformInt(random, 0, 3)] ?? '';
-  const instances = aliveIn(world, dataCentre);
-  world.reclaimByPlatformList(instances, uniformInt(random, 1500, 4000));
-  replace(world, instances, dataCentre);
+  const instances = listAliveInstances(cluster, dataCentre);
+  cluster.reclaimByPlatformList(instances, uniformInt(random, 1500, 4000));
+  scheduleReplacements(cluster, instances, dataCentre);
 }
 
-function killOne(world: SimulatedCluster, random: RandomGenerator): void {
+function killEngine(cluster: SimulatedCluster, random: RandomGenerator): void {
   const dataCentre = DATA_CENTRES[uniformInt(random, 0, 3)] ?? '';
-  const [instance] = aliveIn(world, dataCentre);
+  const [instance] = listAliveInstances(cluster, dataCentre);
   if (instance === undefined) return;
-  world.engine(instance).die();
-  replace(world, [instance], dataCentre);
+  cluster.engine(instance).die();
+  scheduleReplacements(cluster, [instance], dataCentre);
 }
 
-function silenceOne(world: SimulatedCluster, random: RandomGenerator): void {
+function stallStreams(cluster: SimulatedCluster, random: RandomGenerator): void {
   const dataCentre = DATA_CENTRES[uniformInt(random, 0, 3)] ?? '';
-  const [instance] = aliveIn(world, dataCentre);
+  const [instance] = listAliveInstances(cluster, dataCentre);
   if (instance === undefined) return;
-  world.engine(instance).streams.forEach((stream) => {
+  cluster.engine(instance).streams.forEach((stream) => {
     stream.stalled = true;
   });
 }
 
 /** Every fault of the minute, at its time. */
-function planFaults(world: SimulatedCluster, random: RandomGenerator): void {
-  [4000, 16_000, 28_000].forEach((at) => world.schedule(at, () => reclaimOne(world, random)));
-  [10_000, 22_000].forEach((at) => world.schedule(at, () => killOne(world, random)));
-  world.schedule(13_000, () => silenceOne(world, random));
+function scheduleFaults(cluster: SimulatedCluster, random: RandomGenerator): void {
+  [4000, 16_000, 28_000].forEach((at) =>
+    cluster.schedule(at, () => reclaimDataCentre(cluster, random)),
+  );
+  [10_000, 22_000].forEach((at) => cluster.schedule(at, () => killEngine(cluster, random)));
+  cluster.schedule(13_000, () => stallStreams(cluster, random));
 }
 
-function sum(callers: readonly CallerRecord[], of: (caller: CallerRecord) => number): number {
-  return callers.reduce((total, caller) => total + of(caller), 0);
+function sum(callers: readonly CallerRecord[], select: (caller: CallerRecord) => number): number {
+  return callers.reduce((total, caller) => total + select(caller), 0);
 }
 
-function measure(world: SimulatedCluster): FaultScenarioOutcome {
-  const callers = world.callers();
-  const engines = [...world.engines.values()];
-  const prompt = sum(callers, ({ request }) => request.promptTokens);
-  const answer = sum(callers, ({ tokens }) => tokens.length);
-  const whole = callers.filter(({ finalAnswers: finals }) => finals[0]?.type === 'whole');
-  const waited = sum(
-    whole,
-    ({ finalAnswers: finals, arrivedAt }) => (finals[0]?.at ?? 0) - arrivedAt,
+function measureOutcome(cluster: SimulatedCluster): FaultScenarioOutcome {
+  const callers = cluster.callers();
+  const engines = [...cluster.engines.values()];
+  const promptTokens = sum(callers, ({ request }) => request.promptTokens);
+  const answerTokens = sum(callers, ({ tokens }) => tokens.length);
+  const completed = callers.filter(({ finalAnswers }) => finalAnswers[0]?.type === 'whole');
+  const totalWait = sum(
+    completed,
+    ({ finalAnswers, arrivedAt }) => (finalAnswers[0]?.at ?? 0) - arrivedAt,
   );
   return {
     requests: callers.length,
-    completed: whole.length,
+    completed: completed.length,
     extraPrefilledTokens: engines.reduce(
       (total, engine) => total + engine.prefilledTokens,
-      -prompt,
+      -promptTokens,
+    ),
+    extraDecodedTokens: engines.reduce(
+      (total, engine) => total + engine.decodedTokens,
+      -answerTokens,
     ),
-    extraDecodedTokens: engines.reduce((total, engine) => total + engine.decodedTokens, -answer),
-    requiredTokens: prompt + answer,
-    meanCompletionMilliseconds: waited / Math.max(1, whole.length),
-    violations: world.findViolations().length,
+    requiredTokens: promptTokens + answerTokens,
+    meanCompletionMilliseconds: totalWait / Math.max(1, completed.length),
+    violations: cluster.findViolations().length,
   };
 }
 
@@ -115,24 +124,26 @@
 export function runFaultScenario(
   policy: RecoveryPolicy,
   seed: number,
-  vanish = false,
+  losesHost = false,
 ): FaultScenarioOutcome {
   const engines = Object.fromEntries(DATA_CENTRES.map((dataCentre) => [dataCentre, 2]));
-  const world = new SimulatedCluster({
+  const cluster = new SimulatedCluster({
     engines,
     entries: DATA_CENTRES.length,
-    wholeAnswerMilliseconds: WHOLE_ANSWER_MILLISECONDS,
-    losesHost: vanish,
+    wholeAnswerMilliseconds: ANSWER_DEADLINE_MILLISECONDS,
+    losesHost,
   });
-  world.entries.forEach((entry) => {
+  cluster.entries.forEach((entry) => {
     entry.state.retries.policy = policy;
   });
   const arrivals = xoroshiro128plus(seed);
-  planFaults(world, xoroshiro128plus(seed + 1));
-  for (let number = 1; number <= ARRIVALS; number += 1) {
-    world.entryAt(number % DATA_CENTRES.length).submitRequest(makeTraffic(arrivals, number));
-    world.advance(uniformInt(arrivals, 0, MOST_GAP_MILLISECONDS) * 10);
+  scheduleFaults(cluster, xoroshiro128plus(seed + 1));
+  for (let number = 1; number <= REQUEST_COUNT; number += 1) {
+    cluster
+      .entryAt(number % DATA_CENTRES.length)
+      .submitRequest(makeRandomRequest(arrivals, number));
+    cluster.advance(uniformInt(arrivals, 0, MAX_GAP_STEPS) * 10);
   }
-  world.runUntilAnswered();
-  return measure(world);
+  cluster.runUntilAnswered();
+  return measureOutcome(cluster);
 }
--- a/packages/entry-core/src/quarantine/QuarantineState.ts
+++ b/packages/entry-core/src/quarantine/QuarantineState.ts
@@ -27,9 +27,12 @@
   readonly instance: string;
   readonly openedAt: MonotonicMilliseconds;
   /** Digests in progress there when the loss was seen. */
-  readonly members: Map<string, { readonly exposure: Milliseconds; readonly tokens: number }>;
+  readonly requestsInProgress: Map<
+    string,
+    { readonly exposure: Milliseconds; readonly tokens: number }
+  >;
   /** Those of them whose own connection was reset. */
-  readonly reset: Set<string>;
+  readonly resetDigests: Set<string>;
 }
 
 /** A backend server that did not answer its probe. */
--- a/packages/entry-core/src/quarantine/advanceSuspects.ts
+++ b/packages/entry-core/src/quarantine/advanceSuspects.ts
@@ -14,40 +14,40 @@
 import type { EntryState } from '../EntryState.js';
 import type { Suspect } from './QuarantineState.js';
 
-const PROBATION_FACTOR = 1.5;
-const PROBATION_MILLISECONDS = 1000;
+const ISOLATION_EXPOSURE_FACTOR = 1.5;
+const ISOLATION_MARGIN_MILLISECONDS = 1000;
 
 /** Most time on probation: a longer one catches more, and names more by chance. */
-const MOST_PROBATION_MILLISECONDS = 2500;
+const MAX_ISOLATION_MILLISECONDS = 2500;
 
 /** Tokens that an engine may have computed at its crash beyond those that were relayed. */
-const TOKENS_UNSEEN = 16;
+const MAX_UNRELAYED_TOKENS = 16;
 
-function hasPassed(state: EntryState, suspect: Suspect, now: MonotonicMilliseconds): boolean {
+function hasRunPastCrash(state: EntryState, suspect: Suspect, now: MonotonicMilliseconds): boolean {
   if (suspect.crashIds.size !== 1) return false;
-  const needed = Math.min(
-    MOST_PROBATION_MILLISECONDS,
-    suspect.exposure * PROBATION_FACTOR + PROBATION_MILLISECONDS,
+  const requiredDuration = Math.min(
+    MAX_ISOLATION_MILLISECONDS,
+    suspect.exposure * ISOLATION_EXPOSURE_FACTOR + ISOLATION_MARGIN_MILLISECONDS,
   );
   return [...state.attempts.values()].some((attempt) => {
     const accepted = state.requests.get(attempt.requestId);
     if (accepted?.request.digest !== suspect.digest) return false;
     return (
       attempt.firstTokenAt !== undefined &&
-      now - attempt.startedAt > needed &&
-      attempt.tokens > suspect.tokens + TOKENS_UNSEEN
+      now - attempt.startedAt > requiredDuration &&
+      attempt.tokens > suspect.tokens + MAX_UNRELAYED_TOKENS
     );
   });
 }
 
 export function advanceSuspects(state: EntryState, now: MonotonicMilliseconds): void {
-  const { suspects, quarantined, massLossDigests: massLost } = state.quarantine;
+  const { suspects, quarantined, massLossDigests } = state.quarantine;
   suspects.forEach((suspect, digest) => {
     if (suspect.until <= now) suspects.delete(digest);
-    else if (hasPassed(state, suspect, now)) suspect.isolationLifted = true;
+    else if (hasRunPastCrash(state, suspect, now)) suspect.isolationLifted = true;
   });
-  massLost.forEach((until, digest) => {
-    if (until <= now) massLost.delete(digest);
+  massLossDigests.forEach((until, digest) => {
+    if (until <= now) massLossDigests.delete(digest);
   });
   quarantined.forEach(({ endsAt }, digest) => {
     if (endsAt <= now) quarantined.delete(digest);
--- a/packages/entry-core/src/quarantine/attributeCrash.ts
+++ b/packages/entry-core/src/quarantine/attributeCrash.ts
@@ -22,18 +22,18 @@
 
 /** Clears those that were suspects only for the time of the probe, and tells how many lost theirs. */
 export function removeProvisionalSuspects(state: EntryState, instance: string): number {
-  const lost = [...state.quarantine.suspects.values()].filter(
-    ({ lossInstance: lossOf }) => lossOf === instance,
+  const affected = [...state.quarantine.suspects.values()].filter(
+    ({ lossInstance }) => lossInstance === instance,
   );
-  lost.forEach((suspect) => {
+  affected.forEach((suspect) => {
     suspect.lossInstance = undefined;
     const isKept = suspect.crashIds.size > 0 || suspect.resetBefore === true;
     if (!isKept) state.quarantine.suspects.delete(suspect.digest);
   });
-  return lost.length;
+  return affected.length;
 }
 
-function suspectAll(
+function addSuspects(
   state: EntryState,
   loss: ConnectionLoss,
   digests: string[],
@@ -44,7 +44,7 @@
   const heldUntil = now + announcementDelay(state);
   digests.forEach((digest) => {
     const crashIds = collectCrashIds(state, digest).add(crashId);
-    const { exposure = 0, tokens = 0 } = loss.members.get(digest) ?? {};
+    const { exposure = 0, tokens = 0 } = loss.requestsInProgress.get(digest) ?? {};
     const suspect = {
       digest,
       crashIds,
@@ -63,7 +63,7 @@
  * at its second crash; were all members of every crash reported, an innocent one that is in two by
  * chance would be quarantined everywhere.
  */
-function reportCulprit(digest: string, crashIds: ReadonlySet<string>): EntryEffect[] {
+function proposeCrashReports(digest: string, crashIds: ReadonlySet<string>): EntryEffect[] {
   return [...crashIds].map((crashId) => {
     const backendServer = crashId.slice(0, crashId.lastIndexOf('/'));
     const command = { type: 'reportCrash', backendServer, crashId, digests: [digest] } as const;
@@ -76,22 +76,25 @@
   state: EntryState,
   loss: ConnectionLoss,
   crashId: string,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
-  const prior = findPriorSuspects(state, loss, crashId);
+  const priorSuspects = findPriorSuspects(state, loss, crashId);
   removeProvisionalSuspects(state, loss.instance);
-  const culprit = prior[0];
+  const poisonDigest = priorSuspects[0];
   // A peer's suspect ran there: the crash is that one's, as the peer will find.
-  if (culprit === undefined && peerHasSuspectAt(state, loss.instance)) return [];
-  if (culprit === undefined) {
-    suspectAll(state, loss, [...loss.members.keys()], crashId, timed.now);
+  if (poisonDigest === undefined && peerHasSuspectAt(state, loss.instance)) return [];
+  if (poisonDigest === undefined) {
+    addSuspects(state, loss, [...loss.requestsInProgress.keys()], crashId, timestamps.now);
     return [];
   }
-  if (prior.length > 1 || peerHasSuspectAt(state, loss.instance)) {
-    suspectAll(state, loss, prior, crashId, timed.now);
+  if (priorSuspects.length > 1 || peerHasSuspectAt(state, loss.instance)) {
+    addSuspects(state, loss, priorSuspects, crashId, timestamps.now);
     return [];
   }
-  const crashIds = collectCrashIds(state, culprit).add(crashId);
+  const crashIds = collectCrashIds(state, poisonDigest).add(crashId);
   exonerateSuspectsOf(state, crashIds);
-  return [...reportCulprit(culprit, crashIds), ...quarantineDigest(state, culprit, timed)];
+  return [
+    ...proposeCrashReports(poisonDigest, crashIds),
+    ...quarantineDigest(state, poisonDigest, timestamps),
+  ];
 }
--- a/packages/entry-core/src/quarantine/classifyLoss.ts
+++ b/packages/entry-core/src/quarantine/classifyLoss.ts
@@ -20,7 +20,7 @@
 export const PROBE_TIMEOUT_MILLISECONDS = 1000;
 
 /** How often a backend server that is down is probed again. */
-const DOWN_PROBE_MILLISECONDS = 2000;
+const DOWN_PROBE_INTERVAL_MILLISECONDS = 2000;
 
 function markDown(
   state: EntryState,
@@ -28,8 +28,8 @@
   crashId: string,
   now: MonotonicMilliseconds,
 ) {
-  const probeDueAt = now + DOWN_PROBE_MILLISECONDS;
-  const digests = new Set(loss.members.keys());
+  const probeDueAt = now + DOWN_PROBE_INTERVAL_MILLISECONDS;
+  const digests = new Set(loss.requestsInProgress.keys());
   const since = loss.openedAt;
   state.quarantine.down.set(loss.instance, { since, probeDueAt, digests, crashId });
 }
@@ -39,7 +39,7 @@
  * unanswered probe would cut streams that are well. So would one that went out just before a caller
  * began to hold its stream up: the engine gave more than the caller could take.
  */
-function givesTokens(state: EntryState, { instance, openedAt }: ConnectionLoss): boolean {
+function isStillServing(state: EntryState, { instance, openedAt }: ConnectionLoss): boolean {
   return [...(state.backendServers.get(instance)?.attemptIds ?? [])].some((attemptId) => {
     const attempt = state.attempts.get(attemptId);
     return attempt?.pausedByCaller === true || (attempt?.tokensUpdatedAt ?? openedAt) > openedAt;
@@ -50,12 +50,12 @@
   state: EntryState,
   loss: ConnectionLoss,
   result: ProbeResult,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
   const { instance } = loss;
   state.quarantine.unresolvedLosses.delete(instance);
   reportSoon(state);
-  const alive = result.answered || givesTokens(state, loss);
+  const alive = result.answered || isStillServing(state, loss);
   if (alive && !(result.answered && hasRestarted(state, loss, result))) {
     recordResets(state, loss);
     const lost = removeProvisionalSuspects(state, instance);
@@ -64,22 +64,22 @@
       { type: 'log', event: 'connectionOnlyLost', fields: { backendServer: instance, lost } },
     ];
   }
-  const crashId = crashIdOf(state, loss, timed);
-  state.quarantine.lastCrashes.set(instance, { crashId, confirmedAt: timed.now });
+  const crashId = crashIdOf(state, loss, timestamps);
+  state.quarantine.lastCrashes.set(instance, { crashId, confirmedAt: timestamps.now });
   const mass = !result.answered && detectMassLoss(state, loss);
   // Also if it is back already: its suspects must not go there again before the next probe.
-  markDown(state, loss, crashId, timed.now);
-  const blamed = mass ? [] : attributeCrash(state, loss, crashId, timed);
+  markDown(state, loss, crashId, timestamps.now);
+  const attributionEffects = mass ? [] : attributeCrash(state, loss, crashId, timestamps);
   if (mass) removeProvisionalSuspects(state, instance);
-  const members = loss.members.size;
+  const members = loss.requestsInProgress.size;
   return [
     {
       type: 'log',
       event: 'backendServerCrashed',
       fields: { backendServer: instance, crashId, members, mass },
     },
-    ...blamed,
-    ...failAttemptsAt(state, instance, timed),
+    ...attributionEffects,
+    ...failAttemptsAt(state, instance, timestamps),
   ];
 }
 
@@ -88,29 +88,31 @@
   state: EntryState,
   instance: string,
   result: ProbeResult,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
   const loss = state.quarantine.unresolvedLosses.get(instance);
-  const effects = loss === undefined ? [] : classifyLoss(state, loss, result, timed);
+  const effects = loss === undefined ? [] : classifyLoss(state, loss, result, timestamps);
   const { incarnation } = result;
   if (incarnation !== undefined) state.quarantine.incarnations.set(instance, incarnation);
   if (loss === undefined && result.answered) state.quarantine.down.delete(instance);
   return loss === undefined
     ? effects
-    : [...effects, ...startRetriesAwaitingServer(state, timed.now)];
+    : [...effects, ...startRetriesAwaitingServer(state, timestamps.now)];
 }
 
 /** Judges losses whose probe is overdue, and probes again what is down. */
-export function advanceLosses(state: EntryState, timed: Timestamps): EntryEffect[] {
+export function advanceLosses(state: EntryState, timestamps: Timestamps): EntryEffect[] {
   const overdue = [...state.quarantine.unresolvedLosses.values()].filter(
-    ({ openedAt }) => openedAt + PROBE_TIMEOUT_MILLISECONDS <= timed.now,
+    ({ openedAt }) => openedAt + PROBE_TIMEOUT_MILLISECONDS <= timestamps.now,
+  );
+  const classified = overdue.flatMap((loss) =>
+    classifyLoss(state, loss, { answered: false }, timestamps),
   );
-  const judged = overdue.flatMap((loss) => classifyLoss(state, loss, { answered: false }, timed));
   const probes = [...state.quarantine.down].flatMap(([instance, down]) => {
     if (!state.backendServers.has(instance)) state.quarantine.down.delete(instance);
-    if (down.probeDueAt > timed.now) return [];
-    down.probeDueAt = timed.now + DOWN_PROBE_MILLISECONDS;
+    if (down.probeDueAt > timestamps.now) return [];
+    down.probeDueAt = timestamps.now + DOWN_PROBE_INTERVAL_MILLISECONDS;
     return probeBackendServer(state, instance);
   });
-  return [...judged, ...probes];
+  return [...classified, ...probes];
 }
--- a/packages/entry-core/src/quarantine/detectMassLoss.ts
+++ b/packages/entry-core/src/quarantine/detectMassLoss.ts
@@ -19,73 +19,75 @@
 } from './suspects.js';
 
 /** Losses so close together have one cause. */
-const TOGETHER_MILLISECONDS: Milliseconds = 2000;
+const SAME_CAUSE_WINDOW_MILLISECONDS: Milliseconds = 2000;
 
 /** What is lost or down beside the loss in question. */
-interface Neighbour {
+interface ConcurrentLoss {
   readonly instance: string;
   readonly lostAt: number;
   readonly digests: readonly string[];
   readonly crashId?: string;
 }
 
-function listNeighbours(state: EntryState): Neighbour[] {
+function listOtherLosses(state: EntryState): ConcurrentLoss[] {
   const down = [...state.quarantine.down].map(([instance, { since, digests, crashId }]) => ({
     instance,
     lostAt: since,
     digests: [...digests],
     crashId,
   }));
-  const open = [...state.quarantine.unresolvedLosses.values()].map(
-    ({ instance, openedAt, members }) => ({
+  const unresolved = [...state.quarantine.unresolvedLosses.values()].map(
+    ({ instance, openedAt, requestsInProgress }) => ({
       instance,
       lostAt: openedAt,
-      digests: [...members.keys()],
+      digests: [...requestsInProgress.keys()],
     }),
   );
-  return [...down, ...open];
+  return [...down, ...unresolved];
 }
 
 function dataCentreOf(state: EntryState, instance: string): string | undefined {
   return state.backendServers.get(instance)?.platformInstance.dataCentre;
 }
 
-function sizeOf(state: EntryState, dataCentre: string | undefined): number {
+function countServersIn(state: EntryState, dataCentre: string | undefined): number {
   return [...state.backendServers.values()].filter(
-    ({ platformInstance: listed }) => listed.dataCentre === dataCentre,
+    ({ platformInstance }) => platformInstance.dataCentre === dataCentre,
   ).length;
 }
 
 /** True if a request is known that may have caused the loss. */
 function hasKnownSuspect(state: EntryState, loss: ConnectionLoss): boolean {
-  const { massLossDigests: massLost } = state.quarantine;
+  const { massLossDigests } = state.quarantine;
   return (
     findPriorSuspects(state, loss).length > 0 ||
     peerHasSuspectAt(state, loss.instance) ||
-    [...loss.members.keys()].some((digest) => massLost.has(digest))
+    [...loss.requestsInProgress.keys()].some((digest) => massLossDigests.has(digest))
   );
 }
 
-function rememberMembers(state: EntryState, loss: ConnectionLoss): void {
+function recordMassLoss(state: EntryState, loss: ConnectionLoss): void {
   const until = loss.openedAt + SUSPECT_LIFETIME_MILLISECONDS;
-  loss.members.forEach((_, digest) => state.quarantine.massLossDigests.set(digest, until));
+  loss.requestsInProgress.forEach((_, digest) =>
+    state.quarantine.massLossDigests.set(digest, until),
+  );
 }
 
 /** Also takes back the suspicions of an earlier loss that has proved to be part of the same. */
 export function detectMassLoss(state: EntryState, loss: ConnectionLoss): boolean {
   const dataCentre = dataCentreOf(state, loss.instance);
-  const near = listNeighbours(state).filter(
+  const concurrent = listOtherLosses(state).filter(
     ({ instance, lostAt, digests }) =>
       instance !== loss.instance &&
       dataCentreOf(state, instance) === dataCentre &&
-      Math.abs(lostAt - loss.openedAt) <= TOGETHER_MILLISECONDS &&
-      !digests.some((digest) => loss.members.has(digest)),
+      Math.abs(lostAt - loss.openedAt) <= SAME_CAUSE_WINDOW_MILLISECONDS &&
+      !digests.some((digest) => loss.requestsInProgress.has(digest)),
   );
-  const isMost = (near.length + 1) * 2 > sizeOf(state, dataCentre);
-  if (near.length === 0 || !isMost || hasKnownSuspect(state, loss)) return false;
-  near.forEach(({ crashId }) => {
+  const isMajority = (concurrent.length + 1) * 2 > countServersIn(state, dataCentre);
+  if (concurrent.length === 0 || !isMajority || hasKnownSuspect(state, loss)) return false;
+  concurrent.forEach(({ crashId }) => {
     if (crashId !== undefined) exonerateSuspectsOf(state, new Set([crashId]));
   });
-  rememberMembers(state, loss);
+  recordMassLoss(state, loss);
   return true;
 }
--- a/packages/entry-core/src/quarantine/failAttemptsAt.ts
+++ b/packages/entry-core/src/quarantine/failAttemptsAt.ts
@@ -14,10 +14,14 @@
   return accepted?.pool.kind === 'plainService' && attempt.firstTokenAt !== undefined;
 }
 
-function failAsLost(state: EntryState, attempt: AttemptState, timed: Timestamps): EntryEffect[] {
+function failAsLost(
+  state: EntryState,
+  attempt: AttemptState,
+  timestamps: Timestamps,
+): EntryEffect[] {
   const { attemptId, tokens } = attempt;
-  const { now, wallNow } = timed;
-  const failed = {
+  const { now, wallNow } = timestamps;
+  const failedEvent = {
     type: 'attemptFailed',
     attemptId,
     failure: 'connectionLost',
@@ -27,20 +31,20 @@
     now,
     wallNow,
   } as const;
-  return [{ type: 'cancelAttempt', attemptId }, ...failAttempt(state, attempt, failed)];
+  return [{ type: 'cancelAttempt', attemptId }, ...failAttempt(state, attempt, failedEvent)];
 }
 
 /** A call that may not be repeated is left to its own connection, which alone can tell its outcome. */
 export function failAttemptsAt(
   state: EntryState,
   instance: string,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
   const attemptIds = [...(state.backendServers.get(instance)?.attemptIds ?? [])];
   return attemptIds.flatMap((attemptId) => {
     const attempt = state.attempts.get(attemptId);
     const accepted = attempt && state.requests.get(attempt.requestId);
     if (attempt === undefined || accepted?.route.idempotent !== true) return [];
-    return failAsLost(state, attempt, timed);
+    return failAsLost(state, attempt, timestamps);
   });
 }
--- a/packages/entry-core/src/quarantine/hasRestarted.ts
+++ b/packages/entry-core/src/quarantine/hasRestarted.ts
@@ -22,19 +22,21 @@
   loss: ConnectionLoss,
   { incarnation }: ProbeResult,
 ): boolean {
-  const before = state.quarantine.incarnations.get(loss.instance);
-  if (before !== undefined && incarnation !== undefined) return before !== incarnation;
-  if (loss.reset.size === 0) return false;
-  const mostReset = loss.reset.size > 1 && loss.reset.size * 2 > loss.members.size;
-  const again = [...loss.reset].some(
+  const lastIncarnation = state.quarantine.incarnations.get(loss.instance);
+  if (lastIncarnation !== undefined && incarnation !== undefined)
+    return lastIncarnation !== incarnation;
+  if (loss.resetDigests.size === 0) return false;
+  const isMajorityReset =
+    loss.resetDigests.size > 1 && loss.resetDigests.size * 2 > loss.requestsInProgress.size;
+  const hasRepeatedReset = [...loss.resetDigests].some(
     (digest) => state.quarantine.suspects.get(digest)?.resetBefore === true,
   );
-  return mostReset || again || findPriorSuspects(state, loss).length > 0;
+  return isMajorityReset || hasRepeatedReset || findPriorSuspects(state, loss).length > 0;
 }
 
 /** Remembers whose connection was reset although the backend server answers. */
 export function recordResets(state: EntryState, loss: ConnectionLoss): void {
-  loss.reset.forEach((digest) => {
+  loss.resetDigests.forEach((digest) => {
     const suspect = state.quarantine.suspects.get(digest);
     if (suspect === undefined) return;
     suspect.isolationLifted = true;
--- a/packages/entry-core/src/quarantine/listInstancesOutsideSlot.ts
+++ b/packages/entry-core/src/quarantine/listInstancesOutsideSlot.ts
@@ -16,10 +16,10 @@
 import type { EntryState } from '../EntryState.js';
 import { livePeers } from '../membership/livePeers.js';
 
-const SLOT_MILLISECONDS = 500;
+const SLOT_DURATION_MILLISECONDS = 500;
 
 /** Part of a slot in which its owner may start suspects. */
-const START_MILLISECONDS = 250;
+const START_WINDOW_MILLISECONDS = 250;
 
 function wallClock(state: EntryState, now: MonotonicMilliseconds): EpochMilliseconds {
   return now + state.membership.wallOffset;
@@ -27,14 +27,17 @@
 
 /** Backend servers at which this entry may not start a suspect now. */
 export function listInstancesOutsideSlot(state: EntryState, now: MonotonicMilliseconds): string[] {
-  const entries = livePeers(state)
+  const participants = livePeers(state)
     .filter(({ report }) => report.suspects.some(({ pending }) => pending === true))
     .map(({ report }) => report.instance);
-  if (entries.length === 0) return [];
-  entries.push(state.identity.instance);
-  const own = entries.sort().indexOf(state.identity.instance);
-  const slot = Math.floor(wallClock(state, now) / SLOT_MILLISECONDS);
-  const isEarly = wallClock(state, now) % SLOT_MILLISECONDS < START_MILLISECONDS;
+  if (participants.length === 0) return [];
+  participants.push(state.identity.instance);
+  const ownIndex = participants.sort().indexOf(state.identity.instance);
+  const slot = Math.floor(wallClock(state, now) / SLOT_DURATION_MILLISECONDS);
+  const isInStartWindow =
+    wallClock(state, now) % SLOT_DURATION_MILLISECONDS < START_WINDOW_MILLISECONDS;
   const instances = [...state.backendServers.keys()].sort();
-  return instances.filter((_, rank) => !isEarly || (rank + slot) % entries.length !== own);
+  return instances.filter(
+    (_, rank) => !isInStartWindow || (rank + slot) % participants.length !== ownIndex,
+  );
 }
--- a/packages/entry-core/src/quarantine/probeStalledServers.ts
+++ b/packages/entry-core/src/quarantine/probeStalledServers.ts
@@ -17,26 +17,21 @@
 import { probeBackendServer } from './probeBackendServer.js';
 
 /** A stream that has given nothing for so long has stalled. */
-const STALL_MILLISECONDS = 1500;
+const STALL_TIMEOUT_MILLISECONDS = 1500;
 
 function isStalled(attempt: AttemptState, now: MonotonicMilliseconds): boolean {
-  const {
-    firstTokenAt,
-    tokensUpdatedAt: tokensAt = firstTokenAt,
-    stallProbedAt = 0,
-    givenUp,
-  } = attempt;
-  if (tokensAt === undefined || givenUp || attempt.pausedByCaller === true) return false;
-  return now - Math.max(tokensAt, stallProbedAt) >= STALL_MILLISECONDS;
+  const { firstTokenAt, tokensUpdatedAt = firstTokenAt, stallProbedAt = 0, givenUp } = attempt;
+  if (tokensUpdatedAt === undefined || givenUp || attempt.pausedByCaller === true) return false;
+  return now - Math.max(tokensUpdatedAt, stallProbedAt) >= STALL_TIMEOUT_MILLISECONDS;
 }
 
 /** Backend servers with a stalled stream, of which nothing is known yet. */
-function stalledInstances(state: EntryState, now: MonotonicMilliseconds): Set<string> {
-  const { unresolvedLosses: losses, down } = state.quarantine;
+function findStalledInstances(state: EntryState, now: MonotonicMilliseconds): Set<string> {
+  const { unresolvedLosses, down } = state.quarantine;
   const instances = new Set<string>();
   state.attempts.forEach((attempt) => {
     const { instance } = attempt;
-    if (!isStalled(attempt, now) || losses.has(instance) || down.has(instance)) return;
+    if (!isStalled(attempt, now) || unresolvedLosses.has(instance) || down.has(instance)) return;
     attempt.stallProbedAt = now;
     if (!state.reclaims.leaving.has(instance)) instances.add(instance);
   });
@@ -44,7 +39,7 @@
 }
 
 export function probeStalledServers(state: EntryState, now: MonotonicMilliseconds): EntryEffect[] {
-  return [...stalledInstances(state, now)].flatMap((instance) => {
+  return [...findStalledInstances(state, now)].flatMap((instance) => {
     openLoss(state, instance, now);
     return probeBackendServer(state, instance);
   });
--- a/packages/entry-core/src/quarantine/quarantineDigest.ts
+++ b/packages/entry-core/src/quarantine/quarantineDigest.ts
@@ -13,13 +13,13 @@
 import { exonerateSuspectsOf, collectCrashIds } from './suspects.js';
 
 /** Until the store's own word on it comes, this entry keeps the digest out for so long. */
-const OWN_QUARANTINE_MILLISECONDS = 600_000;
+const LOCAL_QUARANTINE_MILLISECONDS = 600_000;
 
 /**
  * Ends a request that is quarantined now. What runs is cancelled: it may take down its backend
  * server at any moment.
  */
-function endQuarantined(
+function failQuarantinedRequest(
   state: EntryState,
   accepted: RequestState,
   endsAt: number,
@@ -32,30 +32,30 @@
   return [refusal, ...cancelled, ...failRequest(state, accepted, 'quarantined', detail, problem)];
 }
 
-function endAllOf(
+function failRequestsWithDigest(
   state: EntryState,
   digest: string,
   endsAt: number,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
   return [...state.requests.values()]
     .filter(({ request }) => request.digest === digest)
-    .flatMap((accepted) => endQuarantined(state, accepted, endsAt, timed));
+    .flatMap((accepted) => failQuarantinedRequest(state, accepted, endsAt, timestamps));
 }
 
 export function quarantineDigest(
   state: EntryState,
   digest: string,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
-  const endsAt = timed.now + OWN_QUARANTINE_MILLISECONDS;
-  const until = timed.wallNow + OWN_QUARANTINE_MILLISECONDS;
+  const endsAt = timestamps.now + LOCAL_QUARANTINE_MILLISECONDS;
+  const until = timestamps.wallNow + LOCAL_QUARANTINE_MILLISECONDS;
   state.quarantine.quarantined.set(digest, { until, endsAt });
   state.quarantine.suspects.delete(digest);
   reportSoon(state);
   return [
     { type: 'log', event: 'requestQuarantined', fields: { digest, until } },
-    ...endAllOf(state, digest, endsAt, timed),
+    ...failRequestsWithDigest(state, digest, endsAt, timestamps),
   ];
 }
 
@@ -63,14 +63,14 @@
 export function receiveQuarantine(
   state: EntryState,
   entries: readonly QuarantineEntry[],
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
   return entries.flatMap(({ digest, until }) => {
-    const endsAt = timed.now + until - timed.wallNow;
+    const endsAt = timestamps.now + until - timestamps.wallNow;
     const known = state.quarantine.quarantined.get(digest);
-    if (endsAt <= timed.now || (known !== undefined && known.endsAt >= endsAt)) return [];
+    if (endsAt <= timestamps.now || (known !== undefined && known.endsAt >= endsAt)) return [];
     state.quarantine.quarantined.set(digest, { until, endsAt });
     exonerateSuspectsOf(state, collectCrashIds(state, digest));
-    return endAllOf(state, digest, endsAt, timed);
+    return failRequestsWithDigest(state, digest, endsAt, timestamps);
   });
 }
--- a/packages/entry-core/src/quarantine/recordLoss.ts
+++ b/packages/entry-core/src/quarantine/recordLoss.ts
@@ -17,7 +17,7 @@
 import type { RequestState } from '../requests/RequestState.js';
 
 /** Suspects the request for the time of the probe. */
-function suspect(
+function addProvisionalSuspect(
   state: EntryState,
   { digest }: RequestState['request'],
   loss: ConnectionLoss,
@@ -29,13 +29,13 @@
     known.lossInstance = loss.instance;
     return;
   }
-  const { exposure, tokens } = loss.members.get(digest) ?? { exposure: 0, tokens: 0 };
+  const { exposure, tokens } = loss.requestsInProgress.get(digest) ?? { exposure: 0, tokens: 0 };
   const until = now + SUSPECT_LIFETIME_MILLISECONDS;
-  const lossOf = loss.instance;
+  const lossInstance = loss.instance;
   suspects.set(digest, {
     digest,
     crashIds: new Set(),
-    lossInstance: lossOf,
+    lossInstance,
     exposure,
     tokens,
     until,
@@ -63,11 +63,12 @@
   if (state.reclaims.leaving.has(instance) || state.quarantine.down.has(instance)) return [];
   const known = state.quarantine.unresolvedLosses.get(instance);
   // A refused connection names no member: nothing of its request was sent.
-  const except = event.failure === 'connectFailed' ? attempt.attemptId : undefined;
-  const loss = known ?? openLoss(state, instance, event.now, except);
-  if (event.failure === 'connectionLost') loss.reset.add(accepted.request.digest);
+  const excludedAttemptId = event.failure === 'connectFailed' ? attempt.attemptId : undefined;
+  const loss = known ?? openLoss(state, instance, event.now, excludedAttemptId);
+  if (event.failure === 'connectionLost') loss.resetDigests.add(accepted.request.digest);
   // A request of which nothing was sent cannot have caused anything.
-  if (event.failure !== 'connectFailed') suspect(state, accepted.request, loss, event.now);
+  if (event.failure !== 'connectFailed')
+    addProvisionalSuspect(state, accepted.request, loss, event.now);
   // A resend through another entry must not run while the probe is out.
   reportSoon(state);
   return known === undefined ? probeBackendServer(state, instance) : [];
--- a/packages/entry-core/src/quarantine/suspects.ts
+++ b/packages/entry-core/src/quarantine/suspects.ts
@@ -12,15 +12,15 @@
 export const SUSPECT_LIFETIME_MILLISECONDS = 600_000;
 
 /** By then a report sent with the next tick has reached the peers. */
-const ANNOUNCE_MILLISECONDS = 250;
+const ANNOUNCEMENT_DELAY_MILLISECONDS = 250;
 
 /** How long a new suspect waits for peers to learn of it; not at all if there are none. */
 export function announcementDelay(state: EntryState): Milliseconds {
-  return livePeers(state).length === 0 ? 0 : ANNOUNCE_MILLISECONDS;
+  return livePeers(state).length === 0 ? 0 : ANNOUNCEMENT_DELAY_MILLISECONDS;
 }
 
 /** What peers suspect. A silent peer's suspicions stay; where it runs them it no longer tells. */
-function peerSuspects(state: EntryState): PeerSuspect[] {
+function listPeerSuspects(state: EntryState): PeerSuspect[] {
   return [...state.membership.peers.values()].flatMap(({ report, live }) =>
     live
       ? report.suspects
@@ -31,7 +31,7 @@
 /** The crashes that a digest was in progress at, by what this entry and its peers saw. */
 export function collectCrashIds(state: EntryState, digest: string): Set<string> {
   const crashes = new Set(state.quarantine.suspects.get(digest)?.crashIds);
-  peerSuspects(state)
+  listPeerSuspects(state)
     .filter((suspect) => suspect.digest === digest && suspect.crashes > 0)
     .forEach(({ crashIds = ['unnamed'] }) => crashIds.forEach((crashId) => crashes.add(crashId)));
   return crashes;
@@ -41,7 +41,7 @@
   const own = state.quarantine.suspects.get(digest);
   return (
     (own !== undefined && (own.isolationLifted !== true || own.lossInstance !== undefined)) ||
-    peerSuspects(state).some((suspect) => suspect.digest === digest)
+    listPeerSuspects(state).some((suspect) => suspect.digest === digest)
   );
 }
 
@@ -52,13 +52,13 @@
 function adoptSuspect(state: EntryState, digest: string, now: MonotonicMilliseconds): Suspect {
   const known = state.quarantine.suspects.get(digest);
   if (known !== undefined) return known;
-  const told = peerSuspects(state).filter((suspect) => suspect.digest === digest);
+  const reported = listPeerSuspects(state).filter((suspect) => suspect.digest === digest);
   const adopted = {
     digest,
     crashIds: collectCrashIds(state, digest),
     lossInstance: undefined,
-    exposure: Math.max(...told.map(({ exposure = 0 }) => exposure)),
-    tokens: Math.max(...told.map(({ tokens = 0 }) => tokens)),
+    exposure: Math.max(...reported.map(({ exposure = 0 }) => exposure)),
+    tokens: Math.max(...reported.map(({ tokens = 0 }) => tokens)),
     until: now + SUSPECT_LIFETIME_MILLISECONDS,
     heldUntil: now + announcementDelay(state),
   };
@@ -98,15 +98,16 @@
   now: MonotonicMilliseconds,
 ): boolean {
   if (!isSuspect(state, digest)) return false;
-  const { lossInstance: lossOf, heldUntil = 0 } = adoptSuspect(state, digest, now);
-  if (lossOf !== undefined && state.quarantine.unresolvedLosses.has(lossOf)) return true;
+  const { lossInstance, heldUntil = 0 } = adoptSuspect(state, digest, now);
+  if (lossInstance !== undefined && state.quarantine.unresolvedLosses.has(lossInstance))
+    return true;
   if (heldUntil > now || isPendingAtEarlierPeer(state, digest)) return true;
   if (isProbedByPeer(state, digest)) return true;
   const runsHere = [...state.attempts.values()].some(
     ({ requestId, givenUp }) =>
       !givenUp && state.requests.get(requestId)?.request.digest === digest,
   );
-  const runsAtPeer = peerSuspects(state).some(
+  const runsAtPeer = listPeerSuspects(state).some(
     (suspect) => suspect.digest === digest && suspect.runningAt !== undefined,
   );
   return runsHere || runsAtPeer;
@@ -117,16 +118,16 @@
   state: EntryState,
   exceptRequestId: string,
 ): Set<string> {
-  const hosts = new Set<string>();
+  const instances = new Set<string>();
   state.attempts.forEach(({ requestId, instance }) => {
     const digest = state.requests.get(requestId)?.request.digest;
     if (digest === undefined || requestId === exceptRequestId) return;
-    if (isSuspect(state, digest)) hosts.add(instance);
+    if (isSuspect(state, digest)) instances.add(instance);
   });
-  peerSuspects(state).forEach(({ runningAt }) => {
-    if (runningAt !== undefined) hosts.add(runningAt);
+  listPeerSuspects(state).forEach(({ runningAt }) => {
+    if (runningAt !== undefined) instances.add(runningAt);
   });
-  return hosts;
+  return instances;
 }
 
 /** A suspect that ran whole is none any more. */
@@ -137,12 +138,12 @@
 /** Once a crash has its culprit, all others that were in it, and in no other, are cleared. */
 export function exonerateSuspectsOf(state: EntryState, crashIds: ReadonlySet<string>): void {
   state.quarantine.suspects.forEach((suspect, digest) => {
-    const explained = [...suspect.crashIds].every((crashId) => crashIds.has(crashId));
-    if (suspect.crashIds.size > 0 && explained) state.quarantine.suspects.delete(digest);
+    const isExplained = [...suspect.crashIds].every((crashId) => crashIds.has(crashId));
+    if (suspect.crashIds.size > 0 && isExplained) state.quarantine.suspects.delete(digest);
   });
 }
 
-function isParoled(state: EntryState, digest: string): boolean {
+function isIsolationLifted(state: EntryState, digest: string): boolean {
   return state.quarantine.suspects.get(digest)?.isolationLifted === true;
 }
 
@@ -153,8 +154,9 @@
   crashId?: string,
 ): string[] {
   const isOther = (other: string) => other !== crashId;
-  return [...loss.members.keys()].filter(
-    (digest) => !isParoled(state, digest) && [...collectCrashIds(state, digest)].some(isOther),
+  return [...loss.requestsInProgress.keys()].filter(
+    (digest) =>
+      !isIsolationLifted(state, digest) && [...collectCrashIds(state, digest)].some(isOther),
   );
 }
 
--- a/packages/entry-core/src/reclaims/migrateStreams.ts
+++ b/packages/entry-core/src/reclaims/migrateStreams.ts
@@ -34,13 +34,13 @@
 }
 
 /** Streams of this entry that run there and can still be handed on. */
-function streamsAt(state: EntryState, instance: string): Stream[] {
+function listMigratableStreams(state: EntryState, instance: string): Stream[] {
   const attemptIds = state.backendServers.get(instance)?.attemptIds ?? [];
   return [...attemptIds].flatMap((attemptId) => {
     const attempt = state.attempts.get(attemptId);
     const accepted = attempt && state.requests.get(attempt.requestId);
     if (attempt === undefined || accepted === undefined) return [];
-    return canBeHandedOn(accepted, attempt) ? [{ accepted, attempt }] : [];
+    return canMigrate(accepted, attempt) ? [{ accepted, attempt }] : [];
   });
 }
 
@@ -48,7 +48,7 @@
  * A call that may not be repeated stays where it is, unless its cache can be moved: it then goes on
  * as the same run. A plain service's answer stays as well once it has begun.
  */
-function canBeHandedOn(accepted: RequestState, attempt: AttemptState): boolean {
+function canMigrate(accepted: RequestState, attempt: AttemptState): boolean {
   if (accepted.attemptId !== attempt.attemptId) return false;
   if (!accepted.route.idempotent) {
     return (
@@ -59,39 +59,44 @@
 }
 
 /** Share of their prefills by which resumes at the end of a notice are spread. */
-const SPREAD_SHARE = 0.25;
+const RESUME_SPREAD_FRACTION_OF_PREFILL = 0.25;
 
 /**
  * How long before the end streams that run on have to be resumed. It is short, for what runs on may
  * end by itself; the spread keeps a wave's prefills from reaching the targets all at once.
  */
-function resumeReserve(streams: readonly Stream[], targets: number): Milliseconds {
+function estimateResumeLeadTime(streams: readonly Stream[], targets: number): Milliseconds {
   const prefill = streams.reduce((sum, { accepted }) => sum + estimatePrefillDuration(accepted), 0);
-  return NOTICE_MARGIN_MILLISECONDS + (prefill * SPREAD_SHARE) / Math.max(1, targets);
+  return (
+    NOTICE_MARGIN_MILLISECONDS +
+    (prefill * RESUME_SPREAD_FRACTION_OF_PREFILL) / Math.max(1, targets)
+  );
 }
 
 function countTargets(state: EntryState, { accepted }: Stream): number {
   return [...state.backendServers.values()].filter(
-    ({ platformInstance: listed, goneAt }) =>
-      listed.pool === accepted.pool.name && listed.state === 'live' && goneAt === undefined,
+    ({ platformInstance, goneAt }) =>
+      platformInstance.pool === accepted.pool.name &&
+      platformInstance.state === 'live' &&
+      goneAt === undefined,
   ).length;
 }
 
 /** Parts the streams into those that the link can move within `left`, dearest redo first. */
-function fillLink(streams: readonly Stream[], left: Milliseconds) {
+function planCacheMoves(streams: readonly Stream[], timeLeft: Milliseconds) {
   const byCost = [...streams].sort(
     (a, b) => countTokensToRecompute(b.accepted) - countTokensToRecompute(a.accepted),
   );
-  let room = left - NOTICE_MARGIN_MILLISECONDS;
+  let timeForMoves = timeLeft - NOTICE_MARGIN_MILLISECONDS;
   const moved: Stream[] = [];
   const resumed: Stream[] = [];
   byCost.forEach((stream) => {
     const duration = estimateMoveDuration(stream.accepted);
-    if (duration > room) {
+    if (duration > timeForMoves) {
       resumed.push(stream);
       return;
     }
-    room -= duration;
+    timeForMoves -= duration;
     moved.push(stream);
   });
   return { moved, resumed };
@@ -102,25 +107,31 @@
 }
 
 /** Resumes streams that run on until their turn: the one with most left to do goes first. */
-function resumeDue(state: EntryState, streams: Stream[], left: Milliseconds, timed: Timestamps) {
+function resumeDueStreams(
+  state: EntryState,
+  streams: Stream[],
+  timeLeft: Milliseconds,
+  timestamps: Timestamps,
+) {
   const first = streams[0];
   if (first === undefined) return [];
   const targets = countTargets(state, first);
-  const remaining = ({ accepted }: Stream) => accepted.request.maxTokens - accepted.tokens;
-  const ordered = streams.sort((a, b) => remaining(b) - remaining(a));
+  const countRemainingTokens = ({ accepted }: Stream) =>
+    accepted.request.maxTokens - accepted.tokens;
+  const ordered = streams.sort((a, b) => countRemainingTokens(b) - countRemainingTokens(a));
   return ordered.flatMap(({ accepted }, position) => {
-    if (left > resumeReserve(ordered.slice(position), targets)) return [];
-    return resumeElsewhere(state, accepted, 'reclaimNotice', timed);
+    if (timeLeft > estimateResumeLeadTime(ordered.slice(position), targets)) return [];
+    return resumeElsewhere(state, accepted, 'reclaimNotice', timestamps);
   });
 }
 
 /** A stream without a first token has nothing to move yet and restarts at once elsewhere. */
-function partByProgress(streams: readonly Stream[]) {
+function groupByProgress(streams: readonly Stream[]) {
   const engine = streams.filter(({ accepted }) => accepted.pool.kind === 'modelEngine');
   return {
-    unbegun: engine.filter(({ attempt }) => attempt.firstTokenAt === undefined),
-    begun: engine.filter(({ attempt }) => attempt.firstTokenAt !== undefined),
-    plain: streams.filter(({ accepted }) => accepted.pool.kind !== 'modelEngine'),
+    withoutFirstToken: engine.filter(({ attempt }) => attempt.firstTokenAt === undefined),
+    withFirstToken: engine.filter(({ attempt }) => attempt.firstTokenAt !== undefined),
+    plainService: streams.filter(({ accepted }) => accepted.pool.kind !== 'modelEngine'),
   };
 }
 
@@ -132,24 +143,31 @@
 export function migrateStreams(
   state: EntryState,
   instance: string,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
   if (!state.retries.policy.migrateOnNotice) return [];
-  const left = (state.reclaims.leaving.get(instance) ?? Infinity) - timed.wallNow;
-  const streams = streamsAt(state, instance).filter(
+  const timeLeft = (state.reclaims.leaving.get(instance) ?? Infinity) - timestamps.wallNow;
+  const streams = listMigratableStreams(state, instance).filter(
     ({ accepted, attempt }) =>
-      !canFinishWithinNotice(accepted, attempt, left) &&
+      !canFinishWithinNotice(accepted, attempt, timeLeft) &&
       !state.reclaims.moves.has(accepted.request.requestId),
   );
   if (streams.length === 0) return [];
-  const { unbegun, begun, plain } = partByProgress(streams);
+  const { withoutFirstToken, withFirstToken, plainService } = groupByProgress(streams);
   const { moved, resumed } = state.retries.policy.moveCaches
-    ? fillLink(begun, left)
-    : { moved: [], resumed: begun };
+    ? planCacheMoves(withFirstToken, timeLeft)
+    : { moved: [], resumed: withFirstToken };
   const next = hasMoveFrom(state, instance) ? undefined : moved[0];
   return [
-    ...unbegun.flatMap(({ accepted }) => resumeElsewhere(state, accepted, 'reclaimNotice', timed)),
-    ...(next === undefined ? [] : startCacheMove(state, next.accepted, next.attempt, timed)),
-    ...resumeDue(state, [...resumed, ...plain].filter(isRepeatable), left, timed),
+    ...withoutFirstToken.flatMap(({ accepted }) =>
+      resumeElsewhere(state, accepted, 'reclaimNotice', timestamps),
+    ),
+    ...(next === undefined ? [] : startCacheMove(state, next.accepted, next.attempt, timestamps)),
+    ...resumeDueStreams(
+      state,
+      [...resumed, ...plainService].filter(isRepeatable),
+      timeLeft,
+      timestamps,
+    ),
   ];
 }
--- a/packages/entry-core/src/reclaims/moveCache.ts
+++ b/packages/entry-core/src/reclaims/moveCache.ts
@@ -21,10 +21,10 @@
 import type { CacheMove } from './ReclaimState.js';
 
 /** A move that takes this many times its costed span is taken for failed. */
-const OVERDUE_FACTOR = 2;
+const MOVE_TIMEOUT_FACTOR = 2;
 
 /** Fewest milliseconds that a move is waited for. */
-const LEAST_WAIT_MILLISECONDS = 250;
+const MIN_MOVE_TIMEOUT_MILLISECONDS = 250;
 
 export type CacheMovedEvent = Extract<EntryEvent, { type: 'cacheMoved' }>;
 
@@ -42,10 +42,20 @@
   const source = state.backendServers.get(instance);
   const target = chooseServerForAttempt(state, accepted, { spreadEvenly: true });
   if (source === undefined || target === undefined) return [];
-  const wait = Math.max(LEAST_WAIT_MILLISECONDS, estimateMoveDuration(accepted) * OVERDUE_FACTOR);
+  const timeout = Math.max(
+    MIN_MOVE_TIMEOUT_MILLISECONDS,
+    estimateMoveDuration(accepted) * MOVE_TIMEOUT_FACTOR,
+  );
   const to = target.platformInstance.instance;
   const { tokens } = accepted;
-  const move: CacheMove = { requestId, attemptId, from: instance, to, tokens, dueAt: now + wait };
+  const move: CacheMove = {
+    requestId,
+    attemptId,
+    from: instance,
+    to,
+    tokens,
+    dueAt: now + timeout,
+  };
   state.reclaims.moves.set(requestId, move);
   target.attemptIds.add(reservationIdOf(requestId));
   const from = makeAttemptTarget(source, accepted.pool);
@@ -54,11 +64,12 @@
   return [{ type: 'moveCache', requestId, attemptId, nextAttemptId, from, to: toTarget }];
 }
 
-function isUsable(state: EntryState, instance: string): BackendServerState | undefined {
+function findUsableServer(state: EntryState, instance: string): BackendServerState | undefined {
   const server = state.backendServers.get(instance);
-  const { down, unresolvedLosses: losses } = state.quarantine;
-  const usable = server?.goneAt === undefined && !down.has(instance) && !losses.has(instance);
-  return usable ? server : undefined;
+  const { down, unresolvedLosses } = state.quarantine;
+  const isUsable =
+    server?.goneAt === undefined && !down.has(instance) && !unresolvedLosses.has(instance);
+  return isUsable ? server : undefined;
 }
 
 /** Ends a move without a cache at the target: the stream is resumed by its offset. */
@@ -66,7 +77,7 @@
   state: EntryState,
   move: CacheMove,
   outcome: CacheMoveOutcome,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
   const accepted = state.requests.get(move.requestId);
   removeCacheMove(state, move.requestId);
@@ -75,7 +86,7 @@
   accepted.triedInstances.add(move.to);
   // What may not be repeated runs on where it is, for as long as it can.
   if (!accepted.route.idempotent) return [countMove(outcome)];
-  return [countMove(outcome), ...resumeElsewhere(state, accepted, 'reclaimNotice', timed)];
+  return [countMove(outcome), ...resumeElsewhere(state, accepted, 'reclaimNotice', timestamps)];
 }
 
 /** An answer to a move that was abandoned meanwhile finds none, or another, and is dropped. */
@@ -85,22 +96,22 @@
   if (move === undefined || accepted === undefined) return [];
   if (event.attemptId !== undefined && event.attemptId !== move.attemptId) return [];
   if (!event.moved) return abandonMove(state, move, 'failed', event);
-  const target = isUsable(state, move.to);
+  const target = findUsableServer(state, move.to);
   if (target === undefined) return abandonMove(state, move, 'targetLost', event);
-  const since = Math.max(0, accepted.tokens - (event.tokens ?? move.tokens));
+  const tokensToRecompute = Math.max(0, accepted.tokens - (event.tokens ?? move.tokens));
   return [
     { type: 'count', metric: 'retries', label: 'reclaimNotice' },
     countMove('moved'),
-    ...migrateToServer(state, accepted, target, since, event.now),
+    ...migrateToServer(state, accepted, target, tokensToRecompute, event.now),
   ];
 }
 
 /** Abandons moves that are overdue, or whose target is leaving or lost. */
-export function advanceCacheMoves(state: EntryState, timed: Timestamps): EntryEffect[] {
+export function advanceCacheMoves(state: EntryState, timestamps: Timestamps): EntryEffect[] {
   return [...state.reclaims.moves.values()].flatMap((move) => {
-    if (isUsable(state, move.to) === undefined) {
-      return abandonMove(state, move, 'targetLost', timed);
+    if (findUsableServer(state, move.to) === undefined) {
+      return abandonMove(state, move, 'targetLost', timestamps);
     }
-    return move.dueAt > timed.now ? [] : abandonMove(state, move, 'failed', timed);
+    return move.dueAt > timestamps.now ? [] : abandonMove(state, move, 'failed', timestamps);
   });
 }
--- a/packages/entry-core/src/reclaims/recordReclaimNotice.ts
+++ b/packages/entry-core/src/reclaims/recordReclaimNotice.ts
@@ -10,10 +10,10 @@
 import { migrateStreams } from './migrateStreams.js';
 
 /** What is known of a backend server's end is forgotten this long after it. */
-const FORGOTTEN_MILLISECONDS = 60_000;
+const NOTICE_RETENTION_MILLISECONDS = 60_000;
 
 /** True if this moved the known end to an earlier time. */
-function noteLeaving(state: EntryState, instance: string, goneAt: EpochMilliseconds): boolean {
+function recordDeparture(state: EntryState, instance: string, goneAt: EpochMilliseconds): boolean {
   const known = state.reclaims.leaving.get(instance) ?? Number.POSITIVE_INFINITY;
   const earliest = Math.min(known, goneAt);
   state.reclaims.leaving.set(instance, earliest);
@@ -26,15 +26,15 @@
   state: EntryState,
   instance: string,
   goneAt: EpochMilliseconds,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
-  if (goneAt + FORGOTTEN_MILLISECONDS <= timed.wallNow) return [];
-  if (!noteLeaving(state, instance, goneAt)) return [];
+  if (goneAt + NOTICE_RETENTION_MILLISECONDS <= timestamps.wallNow) return [];
+  if (!recordDeparture(state, instance, goneAt)) return [];
   reportSoon(state);
-  const notice = goneAt - timed.wallNow;
+  const notice = goneAt - timestamps.wallNow;
   return [
     { type: 'log', event: 'reclaimNoticed', fields: { backendServer: instance, goneAt, notice } },
-    ...migrateStreams(state, instance, timed),
+    ...migrateStreams(state, instance, timestamps),
   ];
 }
 
@@ -45,34 +45,36 @@
 export function recordListedReclaimNotices(
   state: EntryState,
   instances: readonly PlatformInstance[],
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
   // All of a wave is noted before any stream is handed on, or streams would be sent into it.
-  const fresh = instances.flatMap(({ instance, goneAt }) => {
+  const newlyLeaving = instances.flatMap(({ instance, goneAt }) => {
     const earliest = Math.min(goneAt ?? Infinity, state.reclaims.leaving.get(instance) ?? Infinity);
-    return Number.isFinite(earliest) && noteLeaving(state, instance, earliest) ? [instance] : [];
+    return Number.isFinite(earliest) && recordDeparture(state, instance, earliest)
+      ? [instance]
+      : [];
   });
-  if (fresh.length > 0) reportSoon(state);
-  return fresh.flatMap((instance) => [
+  if (newlyLeaving.length > 0) reportSoon(state);
+  return newlyLeaving.flatMap((instance) => [
     { type: 'log', event: 'reclaimNoticed', fields: { backendServer: instance } } as const,
-    ...migrateStreams(state, instance, timed),
+    ...migrateStreams(state, instance, timestamps),
   ]);
 }
 
 /** A backend server that is still there, and listed as live, takes work again: it was not reclaimed. */
-function forgetNotice(state: EntryState, instance: string): void {
+function removeExpiredNotice(state: EntryState, instance: string): void {
   state.reclaims.leaving.delete(instance);
   const server = state.backendServers.get(instance);
   if (server?.platformInstance.state === 'live') server.goneAt = server.platformInstance.goneAt;
 }
 
 /** Hands on what still runs on backend servers on notice, as time and the link allow. */
-export function advanceReclaims(state: EntryState, timed: Timestamps): EntryEffect[] {
+export function advanceReclaims(state: EntryState, timestamps: Timestamps): EntryEffect[] {
   return [...state.reclaims.leaving].flatMap(([instance, goneAt]) => {
-    if (goneAt + FORGOTTEN_MILLISECONDS > timed.wallNow) {
-      return migrateStreams(state, instance, timed);
+    if (goneAt + NOTICE_RETENTION_MILLISECONDS > timestamps.wallNow) {
+      return migrateStreams(state, instance, timestamps);
     }
-    forgetNotice(state, instance);
+    removeExpiredNotice(state, instance);
     return [];
   });
 }
--- a/packages/entry-core/src/reclaims/recoveryCosts.ts
+++ b/packages/entry-core/src/reclaims/recoveryCosts.ts
@@ -19,13 +19,13 @@
 export const PREFILL_TOKENS_PER_MILLISECOND = 4;
 
 /** A stream is let finish only if it would do so this many times over. */
-const FINISH_SAFETY = 1.25;
+const FINISH_SAFETY_FACTOR = 1.25;
 
 /** Kept free at the end of a notice: the platform's clock and the wires are not exact. */
 export const NOTICE_MARGIN_MILLISECONDS: Milliseconds = 500;
 
 /** Least span over which a stream's rate is believed. */
-const LEAST_MEASURED_MILLISECONDS: Milliseconds = 200;
+const MIN_RATE_SAMPLE_MILLISECONDS: Milliseconds = 200;
 
 /** Tokens that an engine would have to compute again if the stream were redone elsewhere. */
 export function countTokensToRecompute(accepted: RequestState): number {
@@ -48,20 +48,20 @@
 }
 
 /** Tokens a millisecond that this attempt has given so far; undefined while not measured. */
-function measuredRate({
+function measureTokenRate({
   firstTokenAt,
   tokens,
-  tokensUpdatedAt: tokensAt,
+  tokensUpdatedAt,
   resumedFromTokens,
 }: AttemptState) {
-  if (firstTokenAt === undefined || tokensAt === undefined) return undefined;
-  const span = tokensAt - firstTokenAt;
-  if (span < LEAST_MEASURED_MILLISECONDS) return undefined;
-  return (tokens - resumedFromTokens) / span;
+  if (firstTokenAt === undefined || tokensUpdatedAt === undefined) return undefined;
+  const sampleDuration = tokensUpdatedAt - firstTokenAt;
+  if (sampleDuration < MIN_RATE_SAMPLE_MILLISECONDS) return undefined;
+  return (tokens - resumedFromTokens) / sampleDuration;
 }
 
 /** With so much notice left, a stream that has just begun is first measured. */
-const TIME_TO_MEASURE_MILLISECONDS: Milliseconds = 5000;
+const MIN_NOTICE_TO_MEASURE_MILLISECONDS: Milliseconds = 5000;
 
 /**
  * True if even the longest answer that the caller allows ends within `left`, or if there is time to
@@ -70,11 +70,11 @@
 export function canFinishWithinNotice(
   accepted: RequestState,
   attempt: AttemptState,
-  left: Milliseconds,
+  timeLeft: Milliseconds,
 ): boolean {
-  const rate = measuredRate(attempt);
-  if (rate === undefined) return left > TIME_TO_MEASURE_MILLISECONDS;
+  const rate = measureTokenRate(attempt);
+  if (rate === undefined) return timeLeft > MIN_NOTICE_TO_MEASURE_MILLISECONDS;
   if (rate <= 0 || accepted.request.maxTokens <= 0) return false;
   const remaining = Math.max(0, accepted.request.maxTokens - accepted.tokens);
-  return (remaining / rate) * FINISH_SAFETY + NOTICE_MARGIN_MILLISECONDS <= left;
+  return (remaining / rate) * FINISH_SAFETY_FACTOR + NOTICE_MARGIN_MILLISECONDS <= timeLeft;
 }
--- a/packages/entry-core/src/testing/EntryHarness.ts
+++ b/packages/entry-core/src/testing/EntryHarness.ts
@@ -97,7 +97,7 @@
       if (entry !== undefined && entry !== number) return;
       const { now } = this.timeline;
       const effects = reduceEntry(state, { ...event, now, wallNow: STARTED_AT + now });
-      for (const effect of effects) this.carryOut(effect, number);
+      for (const effect of effects) this.performEffect(effect, number);
     });
   }
 
@@ -106,8 +106,9 @@
     const outcome: CallerOutcome = { request, arrivedAt: this.timeline.now };
     this.outcomes.set(request.requestId, outcome);
     this.answerTokens.set(request.requestId, answerTokens);
-    const seen = this.options.hidePrefixes === true ? { ...request, prefixDigests: [] } : request;
-    this.send({ type: 'requestArrived', request: seen }, entry);
+    const visibleRequest =
+      this.options.hidePrefixes === true ? { ...request, prefixDigests: [] } : request;
+    this.send({ type: 'requestArrived', request: visibleRequest }, entry);
     return outcome;
   }
 
@@ -184,18 +185,18 @@
     });
   }
 
-  private carryOut(effect: EntryEffect, entry: number): void {
+  private performEffect(effect: EntryEffect, entry: number): void {
     switch (effect.type) {
       case 'startAttempt':
         this.startAttempt(effect.requestId, effect.attemptId, effect.target.instance, entry);
         break;
       case 'finishAnswer':
-        this.change(effect.requestId, { finishedAt: this.timeline.now });
+        this.updateOutcome(effect.requestId, { finishedAt: this.timeline.now });
         break;
       case 'answerProblem': {
         const { requestId, kind, ran, retryAfterMilliseconds } = effect;
         const problem = { kind, ran, retryAfterMilliseconds, at: this.timeline.now };
-        this.change(requestId, { problem });
+        this.updateOutcome(requestId, { problem });
         break;
       }
       case 'probe': {
@@ -220,9 +221,9 @@
     }
   }
 
-  private change(requestId: string, seen: Partial<CallerOutcome>): void {
+  private updateOutcome(requestId: string, fields: Partial<CallerOutcome>): void {
     const outcome = this.outcomes.get(requestId);
-    if (outcome !== undefined) Object.assign(outcome, seen);
+    if (outcome !== undefined) Object.assign(outcome, fields);
   }
 
   private startAttempt(
--- a/packages/entry-core/src/testing/makeArrivals.ts
+++ b/packages/entry-core/src/testing/makeArrivals.ts
@@ -28,11 +28,11 @@
 }
 
 const TOKENS_PER_TURN = 250;
-const MOST_TURNS = 12;
+const MAX_TURNS = 12;
 const CONVERSATIONS_PER_WORKSPACE = 40;
-const LEAST_ANSWER_TOKENS = 20;
-const MOST_ANSWER_TOKENS = 120;
-const RESOLUTION = 1_000_000;
+const MIN_ANSWER_TOKENS = 20;
+const MAX_ANSWER_TOKENS = 120;
+const UNIFORM_RESOLUTION = 1_000_000;
 
 class Conversations {
   private readonly turns = new Map<string, { generation: number; turn: number }>();
@@ -41,16 +41,16 @@
   next(workspace: string, random: RandomGenerator): string[] {
     const number = uniformInt(random, 0, CONVERSATIONS_PER_WORKSPACE - 1);
     const name = `${workspace}/${number}`;
-    const known = this.turns.get(name) ?? { generation: 0, turn: 0 };
-    known.turn += 1;
-    if (known.turn > MOST_TURNS) {
-      known.generation += 1;
-      known.turn = 1;
+    const conversation = this.turns.get(name) ?? { generation: 0, turn: 0 };
+    conversation.turn += 1;
+    if (conversation.turn > MAX_TURNS) {
+      conversation.generation += 1;
+      conversation.turn = 1;
     }
-    this.turns.set(name, known);
+    this.turns.set(name, conversation);
     const turns = Array.from(
-      { length: known.turn },
-      (_, turn) => `${name}/${known.generation}/${turn}`,
+      { length: conversation.turn },
+      (_, turn) => `${name}/${conversation.generation}/${turn}`,
     );
     return [workspace, ...turns];
   }
@@ -58,14 +58,14 @@
 
 function drawWorkspace(pattern: ArrivalPattern, random: RandomGenerator): string {
   const weights = Object.entries(pattern.workspaces);
-  let left = uniformInt(
+  let remainingWeight = uniformInt(
     random,
     1,
     weights.reduce((sum, [, weight]) => sum + weight, 0),
   );
   for (const [workspace, weight] of weights) {
-    left -= weight;
-    if (left <= 0) return workspace;
+    remainingWeight -= weight;
+    if (remainingWeight <= 0) return workspace;
   }
   return '';
 }
@@ -81,19 +81,19 @@
   const arrivals: Arrival[] = [];
   let at = 0;
   while (at < pattern.span) {
-    const uniform = uniformInt(random, 1, RESOLUTION) / RESOLUTION;
+    const uniform = uniformInt(random, 1, UNIFORM_RESOLUTION) / UNIFORM_RESOLUTION;
     at += -Math.log(uniform) / rateAt(pattern, at);
     const workspace = drawWorkspace(pattern, random);
     const prefixDigests = conversations.next(workspace, random);
     const path = pattern.paths[uniformInt(random, 0, pattern.paths.length - 1)] ?? '/';
     const promptTokens = prefixDigests.length * TOKENS_PER_TURN;
-    const answerTokens = uniformInt(random, LEAST_ANSWER_TOKENS, MOST_ANSWER_TOKENS);
+    const answerTokens = uniformInt(random, MIN_ANSWER_TOKENS, MAX_ANSWER_TOKENS);
     const request = exampleRequest(`request-${arrivals.length}`, {
       workspace,
       path,
       prefixDigests,
       promptTokens,
-      maxTokens: MOST_ANSWER_TOKENS,
+      maxTokens: MAX_ANSWER_TOKENS,
     });
     arrivals.push({ at, request, answerTokens });
   }
