--- a/packages/entry-core/src/driver/SimulatedCluster.ts
+++ b/packages/entry-core/src/driver/SimulatedCluster.ts
@@ -1,6 +1,7 @@
 /**
- * Entries and fake engines together in virtual time. Time goes in equal steps; what is due within
- * a step runs in the order in which it was asked for, so that each run is the same.
+ * Runs entries and simulated engines together in virtual time. Time advances in fixed steps, and
+ * tasks due in the same step run in the order in which they were scheduled, so runs are
+ * deterministic.
  */
 import type {
   EntryReport,
@@ -22,16 +23,16 @@
 const TICK_MILLISECONDS = 50;
 
 export interface SimulatedClusterOptions {
-  /** Engines by data centre. */
+  /** Number of engines in each data centre. */
   readonly engines: Readonly<Record<string, number>>;
-  /** Entries, one after the other in each data centre. */
+  /** Number of entries, distributed over the data centres in turn; 1 by default. */
   readonly entries?: number;
   readonly crashTokenByDigest?: CrashTokenByDigest;
   readonly rates?: Partial<EngineRates>;
   readonly wholeAnswerMilliseconds?: number;
-  /** Pool that the engines belong to; those of `bookings` play plain services. */
+  /** Pool of the engines; those of `bookings` act as plain services. */
   readonly pool?: 'engines' | 'bookings';
-  /** True if engines that die are gone without a word, instead of resetting their connections. */
+  /** True if hosts disappear with their engines: connections are neither reset nor refused. */
   readonly losesHost?: boolean;
 }
 
@@ -47,10 +48,10 @@
 
   movesFail = false;
 
-  /** False lets every probe go without an answer. */
+  /** False leaves every probe unanswered. */
   probesAnswered = true;
 
-  /** False cuts all entries off from the store. */
+  /** False makes the store unreachable for all entries. */
   storeReachable = true;
 
   private readonly rates: EngineRates;
@@ -92,7 +93,7 @@
     }
   }
 
-  /** A new engine; entries learn of it from the platform's list. */
+  /** Adds an engine and lists it on the platform. */
   addEngine(instance: string, dataCentre: string): void {
     const engine = new SimulatedEngine(instance, dataCentre, this.rates, this.crashTokenByDigest);
     engine.omitsReset = this.losesHost;
@@ -102,7 +103,7 @@
     this.listAliveEngines();
   }
 
-  /** The platform's list shows what is alive, and nothing else. */
+  /** Removes dead engines from the list of the platform and sends the list to all entries. */
   listAliveEngines(): void {
     this.platformInstances = this.platformInstances.filter(
       (platformInstance) => this.engines.get(platformInstance.instance)?.alive,
@@ -141,7 +142,7 @@
     while (this.now < end) this.step();
   }
 
-  /** Runs until every caller has a final answer, or the time is up. */
+  /** Runs until every caller has a final answer or the time-out has passed. */
   runUntilAnswered(timeout = 120_000): void {
     const end = this.now + timeout;
     while (this.now < end && this.callers().some(({ finalAnswers }) => finalAnswers.length === 0))
@@ -153,7 +154,7 @@
     return this.entries.flatMap((entry) => [...entry.callers.values()]);
   }
 
-  /** Gives notice to these engines at one entry; they die when it ends. */
+  /** Sends one entry a reclaim notice for these engines, which die when it ends. */
   reclaim(instances: readonly string[], notice: number, entry: SimulatedEntry = this.entry): void {
     const goneAt = this.clock().wallNow + notice;
     instances.forEach((instance) => {
@@ -162,7 +163,7 @@
     });
   }
 
-  /** The platform's list says at once that these are leaving, as one wave. */
+  /** Marks these engines as leaving in the list of the platform, all in the same update. */
   reclaimByPlatformList(instances: readonly string[], notice: number): void {
     const goneAt = this.clock().wallNow + notice;
     const leaving = new Set(instances);
@@ -181,7 +182,7 @@
     return [...this.engines.values()].filter(({ alive }) => !alive).length;
   }
 
-  /** The caller at this position among those still waiting closes its connection. */
+  /** Disconnects the caller at this position among those without a final answer. */
   disconnectCaller(position: number): void {
     const caller = this.callers().filter(({ finalAnswers }) => finalAnswers.length === 0)[position];
     if (caller === undefined) return;
@@ -206,7 +207,7 @@
       .forEach((entry) => this.schedule(1, () => entry.send({ type: 'workReported', work })));
   }
 
-  /** A store that counts crashes by digest and quarantines at the second. */
+  /** Simulates a store that quarantines a digest at its second reported crash. */
   applyCrashReport({ crashId, digests }: ReportCrashCommand): void {
     if (!this.storeReachable) return;
     const until = this.clock().wallNow + 600_000;
@@ -223,7 +224,7 @@
     );
   }
 
-  /** What is wrong with what callers have seen; empty if nothing is. */
+  /** Returns the violated guarantees of all callers; empty if there are none. */
   findViolations(): string[] {
     return this.callers().flatMap((caller) => this.findViolationsOf(caller));
   }
@@ -234,14 +235,15 @@
     const name = request.requestId;
     if (finalAnswers.length !== 1)
       violations.push(`${name} got ${finalAnswers.length} final answers`);
-    if (!expected.startsWith(tokens.join(''))) violations.push(`${name} got a mixed answer`);
+    if (!expected.startsWith(tokens.join('')))
+      violations.push(`${name} got tokens of another answer`);
     finalAnswers.forEach((final) => {
       if (final.type === 'whole' && final.text !== expected) {
-        violations.push(`${name} got a wrong whole answer`);
+        violations.push(`${name} got an incorrect complete answer`);
       }
       const received = [...this.engines.values()].some((engine) => engine.received.has(name));
       if (final.type === 'problem' && final.ran !== 'unknown' && received) {
-        violations.push(`${name} ran although it was told that it did not`);
+        violations.push(`${name} reached an engine but was reported as not run`);
       }
     });
     return violations;
--- a/packages/entry-core/src/driver/SimulatedEngine.ts
+++ b/packages/entry-core/src/driver/SimulatedEngine.ts
@@ -1,10 +1,10 @@
 /**
- * A model engine in virtual time. What it generates depends only on the request's digest and the
- * position, so that a spliced answer can be compared with an uninterrupted one.
+ * Simulates a model engine in virtual time. Its tokens depend only on the digest and the position,
+ * so the answer of a resumed stream can be compared with the expected one.
  */
 import type { CallerRequest } from '../entryEvents.js';
 
-/** What an engine says on one of its connections. */
+/** Receives the events of one stream. */
 export interface EngineListener {
   token(position: number, token: string): void;
   finished(): void;
@@ -17,20 +17,20 @@
   readonly listener: EngineListener;
   position: number;
   remainingPrefillMilliseconds: number;
-  /** Part of the next token that is done already. */
+  /** Fraction of the next token that has been generated. */
   nextTokenProgress: number;
-  /** True if the way back has lost track of the connection. */
+  /** True if the connection is open but delivers nothing in either direction. */
   stalled: boolean;
 }
 
 export interface EngineRates {
   readonly tokensPerMillisecond: number;
   readonly prefillTokensPerMillisecond: number;
-  /** Streams that run at full speed together. */
+  /** Number of streams that run at full speed concurrently. */
   readonly concurrency: number;
 }
 
-/** When a request crashes the engine that runs it: at this token of its answer. */
+/** Token position at which a request crashes its engine, by digest. */
 export type CrashTokenByDigest = ReadonlyMap<string, number>;
 
 export function answerLength({ maxTokens, digest }: CallerRequest): number {
@@ -51,18 +51,18 @@
 export class SimulatedEngine {
   alive = true;
 
-  /** Refuses all new work with "busy". */
+  /** Rejects all new streams as busy. */
   busy = false;
 
-  /** True if its process is started again at once when it dies. */
+  /** True if the process restarts immediately when it dies. */
   restartsImmediately = false;
 
   deaths = 0;
 
-  /** True if its connections are not even reset when it dies. */
+  /** True if dying resets no connections, as when the host disappears. */
   omitsReset = false;
 
-  /** True if a dead host does not even refuse connections. */
+  /** True if connections to a dead engine time out instead of being refused. */
   unreachable = false;
 
   readonly streams = new Map<string, EngineStream>();
@@ -81,7 +81,7 @@
     private readonly crashTokenByDigest: CrashTokenByDigest,
   ) {}
 
-  /** `cachedTokens` of prompt and answer are in the KV cache already. */
+  /** Starts a stream whose first `cachedTokens` tokens of context are already in the KV cache. */
   open(stream: EngineStream, cachedTokens: number): void {
     const context = stream.request.promptTokens + stream.position;
     const prefill = Math.max(0, context - cachedTokens);
--- a/packages/entry-core/src/driver/SimulatedEntry.ts
+++ b/packages/entry-core/src/driver/SimulatedEntry.ts
@@ -1,6 +1,6 @@
 /**
- * Plays the shell of one entry before fake engines: it carries out the reducer's effects and turns
- * what the engines do into edges.
+ * Simulates the process around the reducer of one entry: it performs the effects of the reducer on
+ * simulated engines and sends it the resulting events.
  */
 import type { ReportCrashCommand } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -12,7 +12,7 @@
 
 type Effect<Type extends EntryEffect['type']> = Extract<EntryEffect, { type: Type }>;
 
-/** How a request ended for its caller. */
+/** Final answer of a request, as its caller sees it. */
 export type FinalAnswer =
   | { readonly type: 'whole'; readonly at: number; readonly text: string }
   /** The caller closed its connection. */
@@ -25,7 +25,7 @@
       readonly retryAfterMilliseconds?: number;
     };
 
-/** What one caller has seen. */
+/** Everything that one caller has received. */
 export interface CallerRecord {
   readonly request: CallerRequest;
   readonly arrivedAt: number;
@@ -38,9 +38,9 @@
   readonly attemptId: string;
   readonly caller: CallerRecord;
   readonly instance: string;
-  /** True if what it has given cannot be resumed. */
+  /** The answer of a plain service cannot be resumed. */
   readonly isPlainService: boolean;
-  /** The answer as this attempt alone has brought it. */
+  /** Tokens received over this connection. */
   readonly ownTokens: string[];
   lastActivityAt: number;
   currentTimeout: number;
@@ -57,20 +57,20 @@
 
   readonly callers = new Map<string, CallerRecord>();
 
-  /** Sums of `count` effects, keyed `metric/label`. */
+  /** Sums of `count` effects, with `metric/label` as the key. */
   readonly counts = new Map<string, number>();
 
   readonly log: string[] = [];
 
-  /** False cuts it off from its peers and ends its process. */
+  /** False simulates a stopped process: no event reaches the entry. */
   alive = true;
 
   private readonly connections = new Map<string, Connection>();
 
-  /** The attempt whose tokens are relayed, by request. */
+  /** Attempt whose tokens are relayed to the caller, by request. */
   private readonly currentAttemptIds = new Map<string, string>();
 
-  /** Tokens of context whose cache was moved, keyed by request and instance. */
+  /** Number of tokens in a moved KV cache, keyed by request and instance. */
   private readonly movedTokens = new Map<string, number>();
 
   constructor(
@@ -97,7 +97,7 @@
     return caller;
   }
 
-  /** Fails connections that have been silent for too long. */
+  /** Fails connections that were idle for longer than their time-out. */
   failStalledConnections(): void {
     const { now } = this.cluster.clock();
     [...this.connections.values()]
@@ -160,12 +160,11 @@
     }
   }
 
-  /** Effects that these tests do not look at. */
   private logShutdownReady(effect: { type: string }): void {
     if (effect.type === 'shutdownReady') this.log.push(`${this.cluster.clock().now} shutdownReady`);
   }
 
-  /** A store that grants every claim. */
+  /** Simulates a store that grants every claim command. */
   private grantClaim({ requestId, command }: Effect<'proposeClaim'>): void {
     const types = {
       openClaim: 'claimOpened',
@@ -290,7 +289,7 @@
     if (connection === undefined) return;
     this.connections.delete(attemptId);
     const { streams } = this.cluster.engines.get(connection.instance) ?? {};
-    // A cancel does not reach the engine over a connection that has lost track of its ends.
+    // The engine does not see a cancel on a stalled connection and continues to generate.
     if (streams?.get(attemptId)?.stalled !== true) streams?.delete(attemptId);
   }
 
--- a/packages/entry-core/src/driver/batchScenarios.ts
+++ b/packages/entry-core/src/driver/batchScenarios.ts
@@ -1,23 +1,23 @@
 /**
- * Two worlds that tests and measurements share: a batch with one bad request, and a storm of retries.
+ * Scenarios that tests and measurements share: a batch with one poison request, and a retry storm.
  */
 import { fullRecoveryPolicy } from '../attempts/RetryState.js';
 import type { CallerRecord } from './SimulatedEntry.js';
 import { makeRequest, SimulatedCluster } from './SimulatedCluster.js';
 
-/** Digest of the request that crashes its engine. */
+/** Digest of the poison request: it crashes every engine that runs it. */
 export const POISON_DIGEST = 'digest-bad';
 
 export interface PoisonBatchOptions {
-  /** Requests, the bad one included. */
+  /** Number of requests, including the poison request. */
   readonly size: number;
   readonly engines: number;
-  /** Token of its answer at which the bad request crashes its engine. */
+  /** Token position at which the poison request crashes its engine. */
   readonly crashAtToken: number;
   readonly isolateSuspects: boolean;
-  /** True if a dead host does not even refuse connections. */
+  /** True if connections to a dead engine time out instead of being refused. */
   readonly unreachable: boolean;
-  /** True if a dead engine is started again at once, so that its probe is answered. */
+  /** True if a crashed engine restarts immediately, so that it answers its probe. */
   readonly restartsImmediately: boolean;
 }
 
@@ -30,7 +30,7 @@
   restartsImmediately: false,
 };
 
-/** Runs a batch of innocent requests and a bad one until all have their final answers. */
+/** Runs a batch of harmless requests and one poison request until all have a final answer. */
 export function runPoisonBatch(options: Partial<PoisonBatchOptions>): SimulatedCluster {
   const batch = { ...defaultPoisonBatch, ...options };
   const crashTokenByDigest = new Map([[POISON_DIGEST, batch.crashAtToken]]);
@@ -53,7 +53,7 @@
   return cluster;
 }
 
-/** Innocent callers that did not get their whole answer. */
+/** Returns the callers of harmless requests that did not receive a complete answer. */
 export function findFailedHarmlessCallers(cluster: SimulatedCluster): CallerRecord[] {
   return cluster
     .callers()
@@ -61,7 +61,7 @@
     .filter(({ finalAnswers }) => finalAnswers[0]?.type !== 'whole');
 }
 
-/** Sends `requests` at a steady pace to engines that are all busy. */
+/** Sends requests at a constant rate to engines that reject everything as busy. */
 export function runRetryStorm(requestCount: number, limitRetries: boolean): SimulatedCluster {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 3, 'wien-b': 3 } });
   cluster.entry.state.retries.policy = { ...fullRecoveryPolicy, limitRetries };
--- a/packages/entry-core/src/driver/fixtures.ts
+++ b/packages/entry-core/src/driver/fixtures.ts
@@ -1,4 +1,4 @@
-/** The tables and rates that failure tests and measurements share. */
+/** Configuration tables and engine rates that failure tests and measurements share. */
 import {
   poolRowsSchema,
   routeRowsSchema,
--- a/packages/entry-core/src/driver/runFaultScenario.test.ts
+++ b/packages/entry-core/src/driver/runFaultScenario.test.ts
@@ -5,10 +5,10 @@
 
 const SEED = 2;
 
-// Callers of 500 requests see a minute of reclaims, deaths and silence. Each policy gets the same requests
-// and the same faults, so the difference is the policy's: a stream that is resumed keeps its deadline where
-// one that is redone from the start misses it, and one that is moved is hardly computed again.
-test('the recovery of streams beats plain baselines under the same waves', () => {
+// Guards against a recovery that is no better than restarting requests. All policies see the same
+// requests and faults: resumed streams keep deadlines that restarted ones miss, and moved caches
+// avoid prefills.
+test('stream recovery completes more requests than restarting them under the same faults', () => {
   const full = runFaultScenario(fullRecoveryPolicy, SEED);
   const withoutMoves = runFaultScenario({ ...fullRecoveryPolicy, moveCaches: false }, SEED);
   const restartPolicy = {
@@ -19,11 +19,11 @@
   };
   const restarted = runFaultScenario(restartPolicy, SEED);
   assert.equal(full.violations + withoutMoves.violations + restarted.violations, 0);
-  assert.equal(full.completed >= full.requests * 0.99, true, `${full.completed} whole`);
+  assert.equal(full.completed >= full.requests * 0.99, true, `${full.completed} completed`);
   assert.equal(
     restarted.completed < full.completed,
     true,
-    `${restarted.completed} whole when redone`,
+    `${restarted.completed} completed when restarted`,
   );
   assert.equal(full.extraPrefilledTokens < withoutMoves.extraPrefilledTokens * 0.85, true);
   assert.equal(full.extraDecodedTokens < restarted.extraDecodedTokens * 0.5, true);
--- a/packages/entry-core/src/driver/runFaultScenario.ts
+++ b/packages/entry-core/src/driver/runFaultScenario.ts
@@ -1,7 +1,7 @@
 /**
- * A noon hour in a minute: steady arrivals of mixed requests while data centres are reclaimed on
- * notice, engines die without one, and connections fall silent. The same seed gives the same
- * arrivals and the same faults whatever the policy.
+ * Simulates one minute of traffic with faults: data centres are reclaimed with notice, engines die
+ * without notice, and connections stall. A seed determines the requests and the faults,
+ * independent of the policy, so that policies can be compared.
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -18,14 +18,14 @@
 
 export interface FaultScenarioOutcome {
   readonly requests: number;
-  /** Answers that came whole, and within their deadline. */
+  /** Requests that received a complete answer within their deadline. */
   readonly completed: number;
-  /** Tokens that engines prefilled or decoded beyond what the requests needed once. */
+  /** Tokens that engines prefilled or decoded in addition to those that were required. */
   readonly extraPrefilledTokens: number;
   readonly extraDecodedTokens: number;
-  /** Prompt and answer tokens that were needed once. */
+  /** Prompt and answer tokens, each counted once. */
   readonly requiredTokens: number;
-  /** What callers waited for a whole answer on average, in milliseconds. */
+  /** Mean time to a complete answer. */
   readonly meanCompletionMilliseconds: number;
   readonly violations: number;
 }
@@ -45,7 +45,7 @@
     .map(({ instance }) => instance);
 }
 
-/** New engines come some time after old ones have gone. */
+/** Adds a replacement for each instance after a delay. */
 function scheduleReplacements(
   cluster: SimulatedCluster,
   instances: readonly string[],
@@ -80,7 +80,7 @@
   });
 }
 
-/** Every fault of the minute, at its time. */
+/** Schedules all faults of the scenario. */
 function scheduleFaults(cluster: SimulatedCluster, random: RandomGenerator): void {
   [4000, 16_000, 28_000].forEach((at) =>
     cluster.schedule(at, () => reclaimDataCentre(cluster, random)),
@@ -120,7 +120,7 @@
   };
 }
 
-/** With `vanish`, engines that die reset no connections. */
+/** Runs the scenario with one policy. With `losesHost`, engines that die reset no connections. */
 export function runFaultScenario(
   policy: RecoveryPolicy,
   seed: number,
--- a/packages/entry-core/src/quarantine/QuarantineState.ts
+++ b/packages/entry-core/src/quarantine/QuarantineState.ts
@@ -1,72 +1,78 @@
-/** What an entry knows of losses of backend servers and of the requests that may cause them. */
+/**
+ * In-memory state for finding requests that crash backend servers. A connection loss stays
+ * unresolved until a probe shows whether the server crashed; requests in progress at a crash
+ * become suspects, and a digest that is identified as the cause is quarantined.
+ */
 import type { EpochMilliseconds, Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 
-/** A request that ran on a backend server when it was lost. */
+/** A request that was in progress on a backend server when the entry lost its connection to it. */
 export interface Suspect {
   readonly digest: string;
-  /** Crashes that it was in; empty while the loss is still being probed. */
+  /** Crashes at which the request was in progress; empty while its only loss is being probed. */
   readonly crashIds: Set<string>;
-  /** The loss that is still being probed, by instance. */
+  /** Instance of the loss that is still being probed. */
   lossInstance: string | undefined;
-  /** How long it had run on the backend server that was lost. */
+  /** How long the request had run when the connection was lost. */
   exposure: Milliseconds;
-  /** Tokens of its answer when the backend server was lost. */
+  /** Number of answer tokens received when the connection was lost. */
   tokens: number;
-  /** Forgotten after this. */
+  /** Expires at this time. */
   until: MonotonicMilliseconds;
-  /** Not run before this, so that peers can learn first that it is pending here. */
+  /** Not started before this time, so that peers first receive the report that lists it. */
   readonly heldUntil?: MonotonicMilliseconds;
-  /** True once it has run past the point of its crash elsewhere; see `advanceSuspects`. */
+  /**
+   * True once the request has run past its crash point on another server; see `advanceSuspects`.
+   */
   isolationLifted?: boolean;
-  /** True if its connection was reset once before, at a backend server that answered its probe. */
+  /** True if its connection was reset earlier although the backend server answered the probe. */
   resetBefore?: boolean;
 }
 
-/** The loss of a connection to a backend server, until a probe tells what was lost. */
+/** A lost or stalled connection to a backend server, until a probe shows whether it crashed. */
 export interface ConnectionLoss {
   readonly instance: string;
   readonly openedAt: MonotonicMilliseconds;
-  /** Digests in progress there when the loss was seen. */
+  /** Requests in progress on the server when the loss was recorded, by digest. */
   readonly requestsInProgress: Map<
     string,
     { readonly exposure: Milliseconds; readonly tokens: number }
   >;
-  /** Those of them whose own connection was reset. */
+  /** Digests whose own connection was reset. */
   readonly resetDigests: Set<string>;
 }
 
-/** A backend server that did not answer its probe. */
+/** A backend server that is considered crashed until it answers a probe. */
 export interface DownServer {
   readonly since: MonotonicMilliseconds;
   probeDueAt: MonotonicMilliseconds;
-  /** Digests that were in progress there. */
+  /** Digests that were in progress on it. */
   readonly digests: ReadonlySet<string>;
   readonly crashId: string;
 }
 
-/** How long one digest is kept from backend servers, by both clocks. */
+/** When the quarantine of one digest ends, by wall clock and by monotonic clock. */
 export interface QuarantinedDigest {
   readonly until: EpochMilliseconds;
   readonly endsAt: MonotonicMilliseconds;
 }
 
 export interface QuarantineState {
-  /** Digests that no backend server may be given. */
+  /** Digests that may not be sent to any backend server. */
   readonly quarantined: Map<string, QuarantinedDigest>;
   /** By digest. */
   readonly suspects: Map<string, Suspect>;
   /** Losses being probed, by instance. */
   readonly unresolvedLosses: Map<string, ConnectionLoss>;
-  /** Backend servers that did not answer a probe, by instance. */
+  /** Backend servers considered crashed, by instance. */
   readonly down: Map<string, DownServer>;
-  /** The last crash of each backend server, by instance. */
+  /** Most recent crash of each backend server, by instance. */
   readonly lastCrashes: Map<
     string,
     { readonly crashId: string; readonly confirmedAt: MonotonicMilliseconds }
   >;
-  /** Digests that were in a mass loss, until when that is remembered. */
+  /** Digests that were in progress at a mass loss, with the time at which each entry expires. */
   readonly massLossDigests: Map<string, MonotonicMilliseconds>;
-  /** What backend servers last called themselves, where their probe tells. */
+  /** Most recent incarnation that each backend server reported in a probe answer, by instance. */
   readonly incarnations: Map<string, string>;
 }
 
--- a/packages/entry-core/src/quarantine/advanceSuspects.ts
+++ b/packages/entry-core/src/quarantine/advanceSuspects.ts
@@ -1,14 +1,9 @@
 /**
- * Lets suspicions and quarantines end.
- *
- * A suspect is paroled once it has run on another backend server past the point at which the first
- * was lost, and for a while: it need not be kept apart any more. Otherwise a batch of long answers
- * would be held apart until each has ended, and callers would miss their deadlines; and a request
- * that is by chance in progress at two unrelated losses would be quarantined. One that is lost again
- * after all has to run whole, apart, to be cleared.
- *
- * The bound: a request that crashes again within its probation costs two backend servers, one that
- * does so later costs three.
+ * Expires suspects and quarantines, and lifts the isolation of suspects. Isolation ends once the
+ * request has run on another backend server past the point of its crash: otherwise long answers
+ * would run one at a time and miss their deadlines. Lifting it sooner means that a request which
+ * crashes again later costs three backend servers instead of two. A request whose isolation was
+ * lifted stays a suspect of its crash until it completes or expires.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
@@ -17,10 +12,12 @@
 const ISOLATION_EXPOSURE_FACTOR = 1.5;
 const ISOLATION_MARGIN_MILLISECONDS = 1000;
 
-/** Most time on probation: a longer one catches more, and names more by chance. */
+/**
+ * Caps the isolation of long-running requests; a longer one would tie unrelated crashes to them.
+ */
 const MAX_ISOLATION_MILLISECONDS = 2500;
 
-/** Tokens that an engine may have computed at its crash beyond those that were relayed. */
+/** An engine may have generated this many tokens that were not relayed before it crashed. */
 const MAX_UNRELAYED_TOKENS = 16;
 
 function hasRunPastCrash(state: EntryState, suspect: Suspect, now: MonotonicMilliseconds): boolean {
--- a/packages/entry-core/src/quarantine/attributeCrash.ts
+++ b/packages/entry-core/src/quarantine/attributeCrash.ts
@@ -1,9 +1,7 @@
 /**
- * What a crash means for the requests that were in progress there.
- *
- * Where exactly one of them was a suspect already, that one is named: it was in progress at two
- * crashes, and it is quarantined. Its neighbours there stay innocent, and so do all others of the
- * first crash.
+ * Attributes a crash to one of the requests that were in progress on the server. If exactly one of
+ * them was also in progress at an earlier crash, it is quarantined, and all other suspects of
+ * these crashes are exonerated. Otherwise the requests in progress become or stay suspects.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -20,7 +18,10 @@
   SUSPECT_LIFETIME_MILLISECONDS,
 } from './suspects.js';
 
-/** Clears those that were suspects only for the time of the probe, and tells how many lost theirs. */
+/**
+ * Removes suspects that are held only because of this loss. Returns how many requests the loss
+ * affected.
+ */
 export function removeProvisionalSuspects(state: EntryState, instance: string): number {
   const affected = [...state.quarantine.suspects.values()].filter(
     ({ lossInstance }) => lossInstance === instance,
@@ -59,9 +60,9 @@
 }
 
 /**
- * Reports the named request with each of its crashes, and nobody else. The store quarantines any digest
- * at its second crash; were all members of every crash reported, an innocent one that is in two by
- * chance would be quarantined everywhere.
+ * Proposes one crash report for each crash of the identified request, listing no other digest. The
+ * store quarantines a digest at its second reported crash, so an unrelated request that was in
+ * progress at two crashes by chance would otherwise be quarantined too.
  */
 function proposeCrashReports(digest: string, crashIds: ReadonlySet<string>): EntryEffect[] {
   return [...crashIds].map((crashId) => {
@@ -71,7 +72,7 @@
   });
 }
 
-/** Draws what follows for the requests that were in progress at a crash. */
+/** Returns the effects of a quarantine if the crash can be attributed to a single request. */
 export function attributeCrash(
   state: EntryState,
   loss: ConnectionLoss,
@@ -81,7 +82,7 @@
   const priorSuspects = findPriorSuspects(state, loss, crashId);
   removeProvisionalSuspects(state, loss.instance);
   const poisonDigest = priorSuspects[0];
-  // A peer's suspect ran there: the crash is that one's, as the peer will find.
+  // A peer ran a suspect on this server: the peer attributes the crash to it.
   if (poisonDigest === undefined && peerHasSuspectAt(state, loss.instance)) return [];
   if (poisonDigest === undefined) {
     addSuspects(state, loss, [...loss.requestsInProgress.keys()], crashId, timestamps.now);
--- a/packages/entry-core/src/quarantine/classifyLoss.ts
+++ b/packages/entry-core/src/quarantine/classifyLoss.ts
@@ -1,6 +1,7 @@
 /**
- * Decides what a loss was, once its probe is answered or has not been for too long: a lost
- * connection, a mass loss of many backend servers, or a crash that one request may have caused.
+ * Classifies a loss once its probe is answered or times out: a lost connection only, a mass loss
+ * of several backend servers, or a crash that a single request may have caused. Each loss is
+ * classified exactly once.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import { startRetriesAwaitingServer } from '../attempts/advanceRetries.js';
@@ -16,10 +17,10 @@
 import { probeBackendServer } from './probeBackendServer.js';
 import type { ConnectionLoss } from './QuarantineState.js';
 
-/** How long a probe may go unanswered before its backend server is taken for dead. */
+/** A backend server that does not answer a probe within this time is considered crashed. */
 export const PROBE_TIMEOUT_MILLISECONDS = 1000;
 
-/** How often a backend server that is down is probed again. */
+/** Interval between probes of a backend server that is down. */
 const DOWN_PROBE_INTERVAL_MILLISECONDS = 2000;
 
 function markDown(
@@ -35,9 +36,9 @@
 }
 
 /**
- * A backend server too busy for new connections still feeds its old ones. To end these for an
- * unanswered probe would cut streams that are well. So would one that went out just before a caller
- * began to hold its stream up: the engine gave more than the caller could take.
+ * True if the server still sends tokens although its probe timed out: it may be too busy to accept
+ * new connections. A stream that its caller pauses counts as well, since no token is expected from
+ * it. Ending these attempts would interrupt healthy streams.
  */
 function isStillServing(state: EntryState, { instance, openedAt }: ConnectionLoss): boolean {
   return [...(state.backendServers.get(instance)?.attemptIds ?? [])].some((attemptId) => {
@@ -67,7 +68,7 @@
   const crashId = crashIdOf(state, loss, timestamps);
   state.quarantine.lastCrashes.set(instance, { crashId, confirmedAt: timestamps.now });
   const mass = !result.answered && detectMassLoss(state, loss);
-  // Also if it is back already: its suspects must not go there again before the next probe.
+  // Applies to a restarted server too: suspects must not be sent to it before its next probe.
   markDown(state, loss, crashId, timestamps.now);
   const attributionEffects = mass ? [] : attributeCrash(state, loss, crashId, timestamps);
   if (mass) removeProvisionalSuspects(state, instance);
@@ -83,7 +84,7 @@
   ];
 }
 
-/** A probe has come back, for a loss or for a backend server that was down. */
+/** Handles the answer to a probe of an unresolved loss or of a server that is down. */
 export function receiveProbeAnswer(
   state: EntryState,
   instance: string,
@@ -100,7 +101,7 @@
     : [...effects, ...startRetriesAwaitingServer(state, timestamps.now)];
 }
 
-/** Judges losses whose probe is overdue, and probes again what is down. */
+/** Classifies losses whose probe timed out, and probes again the servers that are down. */
 export function advanceLosses(state: EntryState, timestamps: Timestamps): EntryEffect[] {
   const overdue = [...state.quarantine.unresolvedLosses.values()].filter(
     ({ openedAt }) => openedAt + PROBE_TIMEOUT_MILLISECONDS <= timestamps.now,
--- a/packages/entry-core/src/quarantine/crashIdOf.ts
+++ b/packages/entry-core/src/quarantine/crashIdOf.ts
@@ -1,20 +1,21 @@
 /**
- * Names of crashes.
+ * Derives crash ids. All entries that see the same crash must arrive at the same id, because a
+ * digest is quarantined once it was in progress at two different crashes.
  */
 import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import type { ConnectionLoss } from './QuarantineState.js';
 
-/** Crashes without a name of their own are told apart by their time; see `crashIdOf`. */
+/** Without an incarnation, losses within the same time bucket share one crash id. */
 const CRASH_TIME_BUCKET_MILLISECONDS = 1000;
 
-/** Connections reset so soon after a crash was judged were lost in that same crash. */
+/** A connection that is lost this soon after a crash was confirmed belongs to that crash. */
 const SAME_CRASH_WINDOW_MILLISECONDS = 1000;
 
 /**
- * Names a crash the same way at every entry that sees it: the backend server and its incarnation.
- * Without an incarnation the second in which the loss was seen stands in. A crash that two entries
- * see on either side of its end has two names; its suspects are then cleared by their parole only.
+ * Returns backend server and incarnation, or backend server and wall-clock second if no
+ * incarnation is reported. Two entries that see one crash in different seconds derive different
+ * ids; its suspects are then released only when their isolation is lifted.
  */
 export function crashIdOf(
   state: EntryState,
--- a/packages/entry-core/src/quarantine/detectMassLoss.ts
+++ b/packages/entry-core/src/quarantine/detectMassLoss.ts
@@ -1,12 +1,9 @@
 /**
- * Tells the loss of a whole data centre, or of the way to it, from a crash. A request runs on one
- * backend server at a time, so it cannot take down several together; a data centre that is cut off
- * or reclaimed without notice does. Without this, its requests would all be suspects: they
- * would wait to be run one by one, and a second outage would quarantine innocent ones.
- *
- * A bad request that its caller sent several times at once looks alike. So it is a mass loss only if
- * it took most of the data centre, no suspect is known to have run there, and none of the requests
- * was in a mass loss before: what is lost en masse twice is suspected after all.
+ * Distinguishes the outage of a data centre, or of the network to it, from a crash. A request runs
+ * on one backend server at a time and cannot take down several at once, so the requests of a mass
+ * loss are not suspects. A poison request that its caller sent several times looks similar: a mass
+ * loss therefore takes the majority of the data centre, and no request in progress was a suspect
+ * or in an earlier mass loss.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
@@ -18,10 +15,10 @@
   SUSPECT_LIFETIME_MILLISECONDS,
 } from './suspects.js';
 
-/** Losses so close together have one cause. */
+/** Losses within this time of each other are assumed to have the same cause. */
 const SAME_CAUSE_WINDOW_MILLISECONDS: Milliseconds = 2000;
 
-/** What is lost or down beside the loss in question. */
+/** Another backend server that is lost or down at the same time. */
 interface ConcurrentLoss {
   readonly instance: string;
   readonly lostAt: number;
@@ -56,7 +53,7 @@
   ).length;
 }
 
-/** True if a request is known that may have caused the loss. */
+/** True if a request that may have caused the loss was in progress on the server. */
 function hasKnownSuspect(state: EntryState, loss: ConnectionLoss): boolean {
   const { massLossDigests } = state.quarantine;
   return (
@@ -73,7 +70,7 @@
   );
 }
 
-/** Also takes back the suspicions of an earlier loss that has proved to be part of the same. */
+/** Also exonerates the suspects of earlier losses that turn out to be part of the same outage. */
 export function detectMassLoss(state: EntryState, loss: ConnectionLoss): boolean {
   const dataCentre = dataCentreOf(state, loss.instance);
   const concurrent = listOtherLosses(state).filter(
--- a/packages/entry-core/src/quarantine/failAttemptsAt.ts
+++ b/packages/entry-core/src/quarantine/failAttemptsAt.ts
@@ -1,6 +1,6 @@
 /**
- * Ends the attempts at a dead backend server without waiting for each of their connections: those of
- * a host that vanished would take their whole time-out to be noticed.
+ * Fails the attempts at a crashed backend server immediately instead of waiting for each
+ * connection to time out: a host that disappears resets no connections.
  */
 import type { EntryEffect } from '../entryEffects.js';
 import type { Timestamps } from '../entryEvents.js';
@@ -8,7 +8,7 @@
 import type { AttemptState } from '../attempts/AttemptState.js';
 import { failAttempt } from '../attempts/failAttempt.js';
 
-/** Bytes of a plain service's answer cannot be continued by another. */
+/** A partial answer of a plain service cannot be resumed by another backend server. */
 function hasStartedPlainAnswer(state: EntryState, attempt: AttemptState): boolean {
   const accepted = state.requests.get(attempt.requestId);
   return accepted?.pool.kind === 'plainService' && attempt.firstTokenAt !== undefined;
@@ -34,7 +34,10 @@
   return [{ type: 'cancelAttempt', attemptId }, ...failAttempt(state, attempt, failedEvent)];
 }
 
-/** A call that may not be repeated is left to its own connection, which alone can tell its outcome. */
+/**
+ * Fails the attempts of idempotent requests only. A call that may not be repeated keeps its
+ * connection, the only source of its outcome.
+ */
 export function failAttemptsAt(
   state: EntryState,
   instance: string,
--- a/packages/entry-core/src/quarantine/hasRestarted.ts
+++ b/packages/entry-core/src/quarantine/hasRestarted.ts
@@ -1,21 +1,22 @@
 /**
- * Tells a backend server that lost a connection from one that crashed and is back already.
+ * Distinguishes a backend server that lost a connection from one that crashed and has already
+ * restarted.
  */
 import type { EntryState } from '../EntryState.js';
 import type { ConnectionLoss } from './QuarantineState.js';
 import { findPriorSuspects } from './suspects.js';
 
-/** What a probe's answer says. */
+/** Outcome of a probe. */
 export interface ProbeResult {
   readonly answered: boolean;
   readonly incarnation?: string;
 }
 
 /**
- * A backend server that answers can still have crashed and been restarted within the probe. Its
- * incarnation tells; without one, it is taken for restarted if most connections were reset at once,
- * or if one that was reset carried a suspect of an earlier crash, or was reset once before. A bad
- * request that is alone on engines that restart at once costs one more of them for that.
+ * True if a server that answers its probe has crashed and restarted meanwhile. A changed
+ * incarnation shows it. Without incarnations it is assumed if most connections were reset
+ * together, or if a reset request was a suspect or had been reset before. A poison request that
+ * runs alone on such a server is therefore detected one crash later.
  */
 export function hasRestarted(
   state: EntryState,
@@ -34,7 +35,7 @@
   return isMajorityReset || hasRepeatedReset || findPriorSuspects(state, loss).length > 0;
 }
 
-/** Remembers whose connection was reset although the backend server answers. */
+/** Marks the requests whose connection was reset although the backend server answered its probe. */
 export function recordResets(state: EntryState, loss: ConnectionLoss): void {
   loss.resetDigests.forEach((digest) => {
     const suspect = state.quarantine.suspects.get(digest);
--- a/packages/entry-core/src/quarantine/listInstancesOutsideSlot.ts
+++ b/packages/entry-core/src/quarantine/listInstancesOutsideSlot.ts
@@ -1,16 +1,9 @@
 /**
- * Turns by which several entries share out the backend servers for their suspects, without a
- * message per request.
- *
- * All entries see the same crash at the same time, and all look for places for their suspects at
- * once. Without turns two of them pick the same backend server; when it crashes, each finds exactly
- * one suspect of its own there, and an innocent request is named. With turns each backend server
- * belongs to one entry in each slot of wall-clock time, and an entry starts suspects only early in
- * its slot. By the next slot its report has told the others where they run.
- *
- * Only entries that have reported suspects of their own take turns, so one that is alone need not
- * wait; a new suspect is therefore reported before it is run. It holds while wall clocks differ, and
- * reports take, less than the quiet part of a slot together, and entries hear each other.
+ * Divides the backend servers among the entries that have suspects, by time slots of the wall
+ * clock. Each server belongs to one entry per slot, and an entry starts suspects only early in its
+ * slot; its report reaches the others before the next slot. So two entries never start a suspect
+ * on the same server, where a crash could not be attributed. This holds while clock differences
+ * and report delays together are shorter than the rest of a slot.
  */
 import type { EpochMilliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
@@ -18,14 +11,17 @@
 
 const SLOT_DURATION_MILLISECONDS = 500;
 
-/** Part of a slot in which its owner may start suspects. */
+/** Only within this time from the start of a slot may its owner start suspects. */
 const START_WINDOW_MILLISECONDS = 250;
 
 function wallClock(state: EntryState, now: MonotonicMilliseconds): EpochMilliseconds {
   return now + state.membership.wallOffset;
 }
 
-/** Backend servers at which this entry may not start a suspect now. */
+/**
+ * Returns the backend servers on which this entry may not start a suspect now. Only entries that
+ * have reported pending suspects take part, so an entry that is alone never waits.
+ */
 export function listInstancesOutsideSlot(state: EntryState, now: MonotonicMilliseconds): string[] {
   const participants = livePeers(state)
     .filter(({ report }) => report.suspects.some(({ pending }) => pending === true))
--- a/packages/entry-core/src/quarantine/openLoss.ts
+++ b/packages/entry-core/src/quarantine/openLoss.ts
@@ -1,4 +1,4 @@
-/** Begins to find out what became of a backend server: who is in progress there is kept. */
+/** Records the loss of a backend server together with the requests in progress on it. */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 import type { ConnectionLoss } from './QuarantineState.js';
--- a/packages/entry-core/src/quarantine/poison.test.ts
+++ b/packages/entry-core/src/quarantine/poison.test.ts
@@ -10,13 +10,13 @@
 
 const BATCH_SIZE = 30;
 
-// The 29 innocent callers see their whole answers; the caller of the bad request is told that it is
-// quarantined. The bad request crashes its engine, and all that ran there become suspects, which are
-// run apart from each other. Its second crash therefore names it alone, and it is run no more.
+// Guards against a poison request that crashes more than two engines, or causes other callers to be
+// refused. The first crash makes all requests on the engine suspects; the second identifies the
+// poison request.
 for (const crashAtToken of [0, 40, 150]) {
   for (const unreachable of [false, true]) {
-    const failureMode = unreachable ? 'vanishes' : 'refuses connections';
-    test(`a bad request crashes at token ${crashAtToken} and the engine ${failureMode}`, () => {
+    const failureMode = unreachable ? 'times out' : 'refuses connections';
+    test(`a poison request is quarantined after two crashes at token ${crashAtToken} if the engine ${failureMode}`, () => {
       const cluster = runPoisonBatch({ crashAtToken, unreachable });
       assert.deepEqual(cluster.findViolations(), []);
       assert.equal(cluster.countLostEngines(), 2);
@@ -31,10 +31,10 @@
   }
 }
 
-// The same story, but the crashed engine is back before the probe, which is answered. All its connections
-// were reset together, so it is taken for restarted, and the second crash names the bad request.
+// The same scenario with engines that restart before the probe. Many connections reset together
+// must be treated as a crash.
 for (const crashAtToken of [0, 40]) {
-  test(`a bad request crashes engines at token ${crashAtToken} that restart at once`, () => {
+  test(`a poison request is quarantined after two crashes at token ${crashAtToken} if engines restart immediately`, () => {
     const cluster = runPoisonBatch({ crashAtToken, restartsImmediately: true });
     const deaths = [...cluster.engines.values()].reduce((sum, engine) => sum + engine.deaths, 0);
     assert.deepEqual(cluster.findViolations(), []);
@@ -43,9 +43,9 @@
   });
 }
 
-// Shows that the checks above can fail: when suspects are run together, the second crash has many
-// of them, none can be named, and more engines are lost.
-test('without keeping suspects apart, a third engine is lost', () => {
+// Shows that the checks above can fail: without isolation, the second crash hits many suspects and
+// identifies none.
+test('a third engine is lost if suspects are not isolated', () => {
   const isolated = runPoisonBatch({ engines: 3 });
   assert.deepEqual(
     [isolated.countLostEngines(), findFailedHarmlessCallers(isolated).length],
@@ -64,7 +64,10 @@
   readonly secondAfter: number;
 }
 
-/** Three entries share 29 innocent requests and a bad one; its caller sends it again twice. */
+/**
+ * Sends 29 harmless requests and a poison request through three entries; its caller resends it
+ * twice.
+ */
 function runResends({ crashAtToken, firstAfter, secondAfter }: Resends): SimulatedCluster {
   const crashTokenByDigest = new Map([[POISON_DIGEST, crashAtToken]]);
   const cluster = new SimulatedCluster({
@@ -85,13 +88,11 @@
   return cluster;
 }
 
-// The caller sends its request again after the first crash, and once more, through other entries.
-// These know of the crash from their peer's reports a moment later, keep the request apart from other
-// suspects, never run it while it runs elsewhere, and honour the quarantine. No third engine is lost
-// and no innocent caller is refused.
+// Guards against a resend through another entry that crashes a third engine. Peers report their
+// suspects, so the resend is isolated, never runs concurrently, and is refused once quarantined.
 for (const crashAtToken of [0, 20, 100]) {
   for (const firstAfter of [200, 700, 1500]) {
-    test(`resends ${firstAfter} ms after a crash at token ${crashAtToken} take no third engine`, () => {
+    test(`resends ${firstAfter} ms after a crash at token ${crashAtToken} crash no third engine`, () => {
       const cluster = runResends({ crashAtToken, firstAfter, secondAfter: 400 });
       assert.deepEqual(cluster.findViolations(), []);
       assert.equal(
@@ -104,9 +105,9 @@
   }
 }
 
-// The caller sees its whole answer, although two engines died under it: both deaths had other causes.
-// The answer had run well past the point of the first one, so the second does not name it.
-test('a request that is lost twice by chance is not refused', () => {
+// Guards against quarantining a request that was in progress at two unrelated crashes. It ran well
+// past the point of the first crash, so the second one does not identify it.
+test('a request that is interrupted by two unrelated crashes is not quarantined', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 6 } });
   const caller = cluster.entry.submitRequest(makeRequest('unlucky', { maxTokens: 800 }));
   [3000, 6000].forEach((span) => {
@@ -120,9 +121,9 @@
   assert.deepEqual(cluster.findViolations(), []);
 });
 
-// The caller of the bad request is refused at every entry, also while no store can be reached: the
-// entry that named it keeps it out by itself, and its report tells the others.
-test('a quarantine holds at all entries without the store', () => {
+// Guards against a quarantine that depends on the store: the entry enforces it alone, and its
+// report spreads it.
+test('a quarantine is enforced at all entries while the store is unreachable', () => {
   const crashTokenByDigest = new Map([[POISON_DIGEST, 20]]);
   const cluster = new SimulatedCluster({
     engines: { 'wien-a': 4 },
@@ -147,9 +148,9 @@
   );
 });
 
-// Callers see whole answers. A data centre is cut off, so several engines stop answering together. One
-// request cannot have caused that, so none is suspected, and a second outage quarantines nobody.
-test('the loss of a whole data centre makes no suspects', () => {
+// Guards against suspecting requests when a data centre becomes unreachable: a single request
+// cannot take down several engines at once.
+test('the loss of a whole data centre creates no suspects', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 3, 'wien-b': 3 } });
   for (let number = 1; number <= BATCH_SIZE; number += 1) {
     cluster.entry.submitRequest(makeRequest(`request-${number}`));
--- a/packages/entry-core/src/quarantine/probeBackendServer.ts
+++ b/packages/entry-core/src/quarantine/probeBackendServer.ts
@@ -1,4 +1,4 @@
-/** Asks a backend server for a sign of life. */
+/** Probes a backend server over a new connection; the answer arrives as `probeAnswered`. */
 import { makeAttemptTarget } from '../backendServers/makeAttemptTarget.js';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
--- a/packages/entry-core/src/quarantine/probeStalledServers.ts
+++ b/packages/entry-core/src/quarantine/probeStalledServers.ts
@@ -1,13 +1,8 @@
 /**
- * Probes backend servers whose streams have stalled.
- *
- * A host that vanishes resets nothing: its streams just stop, and each would wait for its whole
- * silence time-out. The probe finds out sooner, and for all of them. An answer changes nothing: an engine
- * may pause to compute a long prompt, and a connection that has lost track of its ends still has
- * its own time-out.
- *
- * A stream that its caller holds up has not stalled. Probing for it would put all that runs at that
- * backend server at risk: on a busy instance one probe that is answered late reads as a crash.
+ * Probes backend servers whose streams have stalled. A host that disappears resets no connections,
+ * and the probe detects it sooner than the idle time-out of each stream. A stream that its caller
+ * pauses is not stalled: on a busy instance one late probe answer would be treated as a crash and
+ * end every stream on that server.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { AttemptState } from '../attempts/AttemptState.js';
@@ -16,7 +11,7 @@
 import { openLoss } from './openLoss.js';
 import { probeBackendServer } from './probeBackendServer.js';
 
-/** A stream that has given nothing for so long has stalled. */
+/** A stream without a token for this long has stalled. */
 const STALL_TIMEOUT_MILLISECONDS = 1500;
 
 function isStalled(attempt: AttemptState, now: MonotonicMilliseconds): boolean {
@@ -25,7 +20,9 @@
   return now - Math.max(tokensUpdatedAt, stallProbedAt) >= STALL_TIMEOUT_MILLISECONDS;
 }
 
-/** Backend servers with a stalled stream, of which nothing is known yet. */
+/**
+ * Returns backend servers with a stalled stream that are neither being probed, down nor leaving.
+ */
 function findStalledInstances(state: EntryState, now: MonotonicMilliseconds): Set<string> {
   const { unresolvedLosses, down } = state.quarantine;
   const instances = new Set<string>();
--- a/packages/entry-core/src/quarantine/quarantineDigest.ts
+++ b/packages/entry-core/src/quarantine/quarantineDigest.ts
@@ -1,5 +1,6 @@
 /**
- * Keeps a request that crashed backend servers from all of them for a while, at every entry.
+ * Quarantines the digest of a request that crashed backend servers, at every entry. A quarantined
+ * request is sent to no backend server until the quarantine ends.
  */
 import type { QuarantineEntry } from '@hornbeampond/schema';
 import { cancelAttempt } from '../attempts/releaseAttempts.js';
@@ -12,12 +13,12 @@
 import type { RequestState } from '../requests/RequestState.js';
 import { exonerateSuspectsOf, collectCrashIds } from './suspects.js';
 
-/** Until the store's own word on it comes, this entry keeps the digest out for so long. */
+/** How long this entry enforces its own quarantine if the store's does not arrive. */
 const LOCAL_QUARANTINE_MILLISECONDS = 600_000;
 
 /**
- * Ends a request that is quarantined now. What runs is cancelled: it may take down its backend
- * server at any moment.
+ * Fails a request that is now quarantined. Its attempt is cancelled, since it may crash its
+ * backend server at any moment.
  */
 function failQuarantinedRequest(
   state: EntryState,
@@ -26,7 +27,7 @@
   { now }: Timestamps,
 ) {
   const refusal = { type: 'count', metric: 'retriesRefused', label: 'quarantined' } as const;
-  const detail = 'This request crashed backend servers and is kept from them for a while';
+  const detail = 'This request crashed backend servers and is quarantined for a limited time';
   const cancelled = accepted.route.idempotent ? cancelAttempt(state, accepted) : [];
   const problem = { ran: determineRan(accepted), retryAfterMilliseconds: endsAt - now };
   return [refusal, ...cancelled, ...failRequest(state, accepted, 'quarantined', detail, problem)];
@@ -59,7 +60,10 @@
   ];
 }
 
-/** Takes in the store's list. It only adds: what this entry found itself stays in force. */
+/**
+ * Applies the quarantines of the store or of a peer. Entries are only added or extended: a
+ * quarantine that this entry started itself stays in force.
+ */
 export function receiveQuarantine(
   state: EntryState,
   entries: readonly QuarantineEntry[],
--- a/packages/entry-core/src/quarantine/randomPoisonBatches.test.ts
+++ b/packages/entry-core/src/quarantine/randomPoisonBatches.test.ts
@@ -10,7 +10,7 @@
 
 const BATCH_SIZE = 30;
 
-/** A batch with one bad request through several entries, and how its caller sends it again. */
+/** A batch with one poison request, sent through several entries, and its resends. */
 interface Batch {
   readonly crashAtToken: number;
   readonly entries: number;
@@ -51,7 +51,7 @@
     engine.unreachable = batch.unreachable;
     engine.restartsImmediately = restartsImmediately;
   });
-  // The entries have heard each other before the batch comes.
+  // Let the entries receive reports from each other first.
   cluster.advance(1200);
   return cluster;
 }
@@ -66,7 +66,7 @@
   }
 }
 
-/** The caller learns of a failure no sooner than this after the first crash. */
+/** Shortest time from the first crash until the caller resends. */
 const RESEND_DELAY_MILLISECONDS = 300;
 
 function resendPoisonRequest(cluster: SimulatedCluster, batch: Batch): void {
@@ -98,7 +98,7 @@
   assert.equal(countDeaths(cluster) <= maxDeaths, true, `${countDeaths(cluster)} engines crashed`);
 }
 
-/** Found at random: a resend at an entry whose name sorts first, while a peer's probe is out. */
+/** A resend at the entry whose name sorts first, while a peer is still probing. */
 const resendDuringProbe: Batch = {
   crashAtToken: 0,
   entries: 3,
@@ -113,19 +113,18 @@
   ],
 };
 
-// All innocent callers see their whole answers, whatever the entries, the engines, the moment of the crash,
-// and the times at which the bad request is sent again through other entries. Suspects wait for the
-// probe, entries take turns, and one of them runs the resend; so two engines are lost at most.
-test('random batches with one bad request cost at most two engines', () => {
+// Guards against losing more than two engines, or a harmless request, for any timing of the batch,
+// the crash and the resends through other entries.
+test('random batches with one poison request crash at most two engines', () => {
   fc.assert(
     fc.property(batches, (batch) => assertDeathsBounded(batch, false, 2)),
     { seed: 11, numRuns: 120, examples: [[resendDuringProbe]] },
   );
 });
 
-// The same, with engines that are back before their probe, so that a crash looks like a lost connection. A
-// bad request that is alone on its engine is then noticed only at its second crash, and named at its third.
-test('engines that restart at once cost one crash more', () => {
+// The same for engines that restart before their probe. Running alone on its engine, a poison
+// request is detected only at its second crash and identified at its third.
+test('engines that restart immediately crash at most three times', () => {
   fc.assert(
     fc.property(batches, (batch) => assertDeathsBounded(batch, true, 3)),
     { seed: 12, numRuns: 120 },
--- a/packages/entry-core/src/quarantine/recordLoss.ts
+++ b/packages/entry-core/src/quarantine/recordLoss.ts
@@ -1,8 +1,7 @@
 /**
- * A connection to a backend server was lost or fell silent. What was lost, the connection or
- * the backend server, is known only from a probe over a new connection. Until then the requests
- * that lost theirs are taken for suspects, so that a request that crashes backend servers is not run
- * again beside the others; if the probe is answered they are cleared at once.
+ * Records that a connection to a backend server was lost or stalled, and probes the server over a
+ * new connection. Until the probe is answered or times out, the requests that lost their
+ * connection are suspects, so that a request which crashes servers is not retried next to others.
  */
 import type { AttemptState } from '../attempts/AttemptState.js';
 import type { AttemptFailedEvent } from '../attempts/failAttempt.js';
@@ -16,7 +15,7 @@
 import type { ConnectionLoss } from './QuarantineState.js';
 import type { RequestState } from '../requests/RequestState.js';
 
-/** Suspects the request for the time of the probe. */
+/** Makes the request a suspect until the loss is classified. */
 function addProvisionalSuspect(
   state: EntryState,
   { digest }: RequestState['request'],
@@ -43,14 +42,14 @@
 }
 
 /**
- * A refused connection is probed too: the backend server may be dead with no stream on it to
- * tell, and every request would go on finding it the least loaded.
+ * A refused connection is probed too: a crashed server without streams would otherwise stay the
+ * least loaded one and be chosen for every request.
  */
 function needsProbe(failure: AttemptFailure): boolean {
   return failure === 'connectionLost' || failure === 'silent' || failure === 'connectFailed';
 }
 
-/** Call it before the attempt is forgotten, while it still counts among those in progress. */
+/** Must be called before the attempt is removed, while it still counts as in progress. */
 export function recordLoss(
   state: EntryState,
   accepted: RequestState,
@@ -59,17 +58,16 @@
 ): EntryEffect[] {
   if (!needsProbe(event.failure)) return [];
   const { instance } = attempt;
-  // Its end was announced: nothing to find out, and no request to suspect.
+  // A leaving server was expected to go, and one that is down has already been classified.
   if (state.reclaims.leaving.has(instance) || state.quarantine.down.has(instance)) return [];
   const known = state.quarantine.unresolvedLosses.get(instance);
-  // A refused connection names no member: nothing of its request was sent.
+  // Nothing of the refused request was sent, so it cannot have caused the loss.
   const excludedAttemptId = event.failure === 'connectFailed' ? attempt.attemptId : undefined;
   const loss = known ?? openLoss(state, instance, event.now, excludedAttemptId);
   if (event.failure === 'connectionLost') loss.resetDigests.add(accepted.request.digest);
-  // A request of which nothing was sent cannot have caused anything.
   if (event.failure !== 'connectFailed')
     addProvisionalSuspect(state, accepted.request, loss, event.now);
-  // A resend through another entry must not run while the probe is out.
+  // A resend through another entry must not run until the loss is classified.
   reportSoon(state);
   return known === undefined ? probeBackendServer(state, instance) : [];
 }
--- a/packages/entry-core/src/quarantine/slowCaller.test.ts
+++ b/packages/entry-core/src/quarantine/slowCaller.test.ts
@@ -2,13 +2,16 @@
 import { test } from 'node:test';
 import { makeRequest, SimulatedCluster } from '../driver/index.js';
 
-/** True if the engine was put in doubt, or given up already. */
+/** True if a backend server is being probed or considered crashed. */
 function isProbedOrDown(cluster: SimulatedCluster): boolean {
   const { unresolvedLosses, down } = cluster.entry.state.quarantine;
   return unresolvedLosses.size + down.size > 0;
 }
 
-/** A stream that runs at one of two engines; `stall` has that engine give nothing more, nor answer. */
+/**
+ * Starts a stream at one of two engines; `stall` stops the tokens and probe answers of that
+ * engine.
+ */
 function startStream() {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 2 } });
   cluster.entry.submitRequest(makeRequest('slow', { maxTokens: 5000 }));
@@ -25,16 +28,15 @@
   return { cluster, attemptId, stall };
 }
 
-// A caller reads more slowly than its engine gives; the entry stops reading, and no token comes for
-// seconds. The engine is not to blame. It was probed all the same, and where the instance was too
-// busy for the answer to come within a second, all streams of that engine were run again elsewhere.
-test('a stream that its caller holds up does not put its engine in doubt', () => {
+// Guards against probing an engine because a slow caller pauses its stream: a probe answered late
+// would end every stream on that engine.
+test('a stream paused by its caller does not cause a probe', () => {
   const { cluster, attemptId, stall } = startStream();
   cluster.entry.send({ type: 'attemptHeld', attemptId, held: true });
   stall();
   cluster.advance(3000);
   assert.equal(isProbedOrDown(cluster), false);
-  // It has caught up: from here on the engine is to give again.
+  // The caller has caught up; tokens are expected from the engine again.
   cluster.entry.send({ type: 'attemptHeld', attemptId, held: false });
   cluster.advance(1000);
   assert.equal(isProbedOrDown(cluster), false);
@@ -42,9 +44,9 @@
   assert.equal(isProbedOrDown(cluster), true);
 });
 
-// The engine falls silent for a moment on a busy machine and is probed; then it goes on, until its
-// caller holds the stream up. The probe is not answered in time. The stream is not run again.
-test('a probe from before a caller held its stream up ends nothing', () => {
+// Guards against ending a stream because of a probe that was sent before its caller paused it and
+// was answered too late.
+test('an unanswered probe does not end a stream that its caller paused', () => {
   const { cluster, attemptId, stall } = startStream();
   stall();
   cluster.advance(1700);
--- a/packages/entry-core/src/quarantine/suspects.ts
+++ b/packages/entry-core/src/quarantine/suspects.ts
@@ -1,6 +1,7 @@
 /**
- * Requests that ran on a backend server when it was lost. One of them may have crashed it; until
- * it is known which, they are run apart from each other, so that a second crash names one.
+ * Tracks suspects: requests that were in progress on a backend server when it was lost. Any of
+ * them may have crashed it, so they are run isolated from each other; the next crash then
+ * identifies a single request.
  */
 import type { Milliseconds, MonotonicMilliseconds, PeerSuspect } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
@@ -8,18 +9,21 @@
 import { reportSoon } from '../membership/advanceReports.js';
 import type { ConnectionLoss, Suspect } from './QuarantineState.js';
 
-/** Suspicion ends after this, if the caller does not send the request again. */
+/** A suspect expires after this time unless its caller sends the request again. */
 export const SUSPECT_LIFETIME_MILLISECONDS = 600_000;
 
-/** By then a report sent with the next tick has reached the peers. */
+/** Time within which a report sent with the next tick reaches the peers. */
 const ANNOUNCEMENT_DELAY_MILLISECONDS = 250;
 
-/** How long a new suspect waits for peers to learn of it; not at all if there are none. */
+/** Returns how long a new suspect waits for its report to reach the peers; 0 if there are none. */
 export function announcementDelay(state: EntryState): Milliseconds {
   return livePeers(state).length === 0 ? 0 : ANNOUNCEMENT_DELAY_MILLISECONDS;
 }
 
-/** What peers suspect. A silent peer's suspicions stay; where it runs them it no longer tells. */
+/**
+ * Returns the suspects of all peers. Suspects of an unreachable peer are kept, without the
+ * instance on which they run, which is no longer known.
+ */
 function listPeerSuspects(state: EntryState): PeerSuspect[] {
   return [...state.membership.peers.values()].flatMap(({ report, live }) =>
     live
@@ -28,7 +32,7 @@
   );
 }
 
-/** The crashes that a digest was in progress at, by what this entry and its peers saw. */
+/** Returns the crashes at which the digest was in progress, as seen by this entry and its peers. */
 export function collectCrashIds(state: EntryState, digest: string): Set<string> {
   const crashes = new Set(state.quarantine.suspects.get(digest)?.crashIds);
   listPeerSuspects(state)
@@ -46,8 +50,8 @@
 }
 
 /**
- * A request known as a suspect only from peers' reports becomes one here too. It waits until its own
- * presence here has been reported, so that of several entries with the same one only one runs it.
+ * Makes a suspect reported by peers a suspect of this entry too. It waits until this entry has
+ * reported it as pending, so that only one of several entries runs it.
  */
 function adoptSuspect(state: EntryState, digest: string, now: MonotonicMilliseconds): Suspect {
   const known = state.quarantine.suspects.get(digest);
@@ -67,7 +71,10 @@
   return adopted;
 }
 
-/** Of the live entries that have the same suspect pending, the first by name runs it. */
+/**
+ * True if a reachable peer whose name sorts before this entry has the same suspect pending; that
+ * peer runs it.
+ */
 function isPendingAtEarlierPeer(state: EntryState, digest: string): boolean {
   return [...state.membership.peers.values()].some(
     ({ live, report }) =>
@@ -77,7 +84,7 @@
   );
 }
 
-/** True if a live peer lost this request and does not know yet whether it was a crash. */
+/** True if a reachable peer is still probing a loss that affected this request. */
 function isProbedByPeer(state: EntryState, digest: string): boolean {
   return [...state.membership.peers.values()].some(
     ({ live, report }) =>
@@ -87,10 +94,9 @@
 }
 
 /**
- * True if a suspect must not run anywhere now: the probe that tells whether its backend server
- * crashed is still out, or it runs already, here or at a peer. A bad request would otherwise take down
- * one backend server after the other before the first crash is judged, and one that its caller
- * sends again would run beside itself.
+ * True if a suspect must not start now: its loss is still being probed, or the request is already
+ * running here or at a peer. Otherwise a poison request could crash several servers before its
+ * first crash is classified, and a resend would run concurrently with the original.
  */
 export function mustDelaySuspect(
   state: EntryState,
@@ -113,7 +119,7 @@
   return runsHere || runsAtPeer;
 }
 
-/** Where suspects other than this request run now, here and by the peers' reports. */
+/** Returns the instances on which suspects of other requests are running, here or at peers. */
 export function listInstancesRunningSuspects(
   state: EntryState,
   exceptRequestId: string,
@@ -130,12 +136,12 @@
   return instances;
 }
 
-/** A suspect that ran whole is none any more. */
+/** Called when a request completes: it did not crash its backend server. */
 export function exonerateSuspect(state: EntryState, digest: string): void {
   state.quarantine.suspects.delete(digest);
 }
 
-/** Once a crash has its culprit, all others that were in it, and in no other, are cleared. */
+/** Exonerates suspects that were in progress only at these crashes, whose cause is now known. */
 export function exonerateSuspectsOf(state: EntryState, crashIds: ReadonlySet<string>): void {
   state.quarantine.suspects.forEach((suspect, digest) => {
     const isExplained = [...suspect.crashIds].every((crashId) => crashIds.has(crashId));
@@ -147,7 +153,7 @@
   return state.quarantine.suspects.get(digest)?.isolationLifted === true;
 }
 
-/** Members of the loss that were in progress at an earlier crash, one other than `crashId`. */
+/** Returns the requests of the loss that were also in progress at a crash other than `crashId`. */
 export function findPriorSuspects(
   state: EntryState,
   loss: ConnectionLoss,
@@ -160,7 +166,9 @@
   );
 }
 
-/** True if a peer runs a suspect there: this entry alone cannot then name one. */
+/**
+ * True if a peer runs a suspect on the instance; this entry alone cannot attribute a crash then.
+ */
 export function peerHasSuspectAt(state: EntryState, instance: string): boolean {
   return [...state.membership.peers.values()].some(({ report }) =>
     report.suspects.some(({ runningAt }) => runningAt === instance),
--- a/packages/entry-core/src/reclaims/ReclaimState.ts
+++ b/packages/entry-core/src/reclaims/ReclaimState.ts
@@ -1,22 +1,25 @@
-/** What an entry knows of backend servers on notice, and the moves under way. */
+/**
+ * In-memory state of backend servers that are being reclaimed, and of the KV cache moves away from
+ * them.
+ */
 import type { EpochMilliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 
-/** One stream whose KV cache is on its way to another backend server. */
+/** A KV cache that is being moved to another backend server for one stream. */
 export interface CacheMove {
   readonly requestId: string;
   readonly attemptId: string;
   readonly from: string;
   readonly to: string;
-  /** Tokens of the answer that the exported cache holds. */
+  /** Number of answer tokens that the exported cache covers. */
   readonly tokens: number;
-  /** Taken for failed after this. */
+  /** The move is considered failed at this time. */
   readonly dueAt: MonotonicMilliseconds;
 }
 
 export interface ReclaimState {
-  /** When backend servers will be gone, by instance; from any source, listed here yet or not. */
+  /** When each backend server stops running, by instance; entries may precede its first listing. */
   readonly leaving: Map<string, EpochMilliseconds>;
-  /** By request id. */
+  /** Cache moves in progress, by request id. */
   readonly moves: Map<string, CacheMove>;
 }
 
--- a/packages/entry-core/src/reclaims/migrateStreams.ts
+++ b/packages/entry-core/src/reclaims/migrateStreams.ts
@@ -1,15 +1,9 @@
 /**
- * Decides, again and again until the end of a notice, what becomes of each stream on a backend
- * server that is leaving:
- *
- * - one that provably ends within the notice at its measured rate is let finish;
- * - of the others, those whose redo would cost most are moved with their KV cache, one after the
- *   other over the server's link, as long as the notice has room;
- * - those for which it has none run on for as long as they can be resumed in time (they may end by
- *   themselves), and are then resumed elsewhere from their offset.
- *
- * Nothing is planned ahead: each look starts from what runs now. A move that failed, a target that
- * was lost, or a notice that became shorter is then not a special case.
+ * Migrates the streams of a backend server that is being reclaimed, until its notice period ends.
+ * A stream that finishes in time stays. The others are moved with their KV cache, most expensive
+ * to recompute first and one at a time; those that do not fit the remaining time run on as long as
+ * possible and are then resumed elsewhere. Every call plans from the current state, so failed
+ * moves and shortened notices need no special handling.
  */
 import { isClaimed, type Milliseconds } from '@hornbeampond/schema';
 import type { AttemptState } from '../attempts/AttemptState.js';
@@ -33,7 +27,7 @@
   readonly attempt: AttemptState;
 }
 
-/** Streams of this entry that run there and can still be handed on. */
+/** Returns the streams of this entry on the instance that can still be migrated. */
 function listMigratableStreams(state: EntryState, instance: string): Stream[] {
   const attemptIds = state.backendServers.get(instance)?.attemptIds ?? [];
   return [...attemptIds].flatMap((attemptId) => {
@@ -45,8 +39,8 @@
 }
 
 /**
- * A call that may not be repeated stays where it is, unless its cache can be moved: it then goes on
- * as the same run. A plain service's answer stays as well once it has begun.
+ * A call that may not be repeated can only be migrated with its KV cache, which continues the same
+ * run. The answer of a plain service cannot be migrated once it has started.
  */
 function canMigrate(accepted: RequestState, attempt: AttemptState): boolean {
   if (accepted.attemptId !== attempt.attemptId) return false;
@@ -58,12 +52,13 @@
   return accepted.pool.kind === 'modelEngine' || attempt.firstTokenAt === undefined;
 }
 
-/** Share of their prefills by which resumes at the end of a notice are spread. */
+/** Fraction of the total prefill time over which resumes are spread at the end of a notice. */
 const RESUME_SPREAD_FRACTION_OF_PREFILL = 0.25;
 
 /**
- * How long before the end streams that run on have to be resumed. It is short, for what runs on may
- * end by itself; the spread keeps a wave's prefills from reaching the targets all at once.
+ * Returns how long before the end of the notice the streams must start to be resumed. The time is
+ * kept short, since a stream may still finish; spreading the resumes limits how many prefills
+ * reach the targets at the same time.
  */
 function estimateResumeLeadTime(streams: readonly Stream[], targets: number): Milliseconds {
   const prefill = streams.reduce((sum, { accepted }) => sum + estimatePrefillDuration(accepted), 0);
@@ -82,7 +77,10 @@
   ).length;
 }
 
-/** Parts the streams into those that the link can move within `left`, dearest redo first. */
+/**
+ * Selects the streams that can be moved one after the other within `timeLeft`, most expensive to
+ * recompute first; the rest must be resumed.
+ */
 function planCacheMoves(streams: readonly Stream[], timeLeft: Milliseconds) {
   const byCost = [...streams].sort(
     (a, b) => countTokensToRecompute(b.accepted) - countTokensToRecompute(a.accepted),
@@ -106,7 +104,7 @@
   return [...state.reclaims.moves.values()].some(({ from }) => from === instance);
 }
 
-/** Resumes streams that run on until their turn: the one with most left to do goes first. */
+/** Resumes streams whose lead time has come, the one with most tokens left first. */
 function resumeDueStreams(
   state: EntryState,
   streams: Stream[],
@@ -125,7 +123,10 @@
   });
 }
 
-/** A stream without a first token has nothing to move yet and restarts at once elsewhere. */
+/**
+ * Groups streams by whether there is a KV cache to move. Without a first token there is none, and
+ * the request restarts elsewhere immediately.
+ */
 function groupByProgress(streams: readonly Stream[]) {
   const engine = streams.filter(({ accepted }) => accepted.pool.kind === 'modelEngine');
   return {
@@ -135,7 +136,7 @@
   };
 }
 
-/** One that goes on only with its cache runs on where it is if that cannot be moved. */
+/** A request that may not be repeated stays where it is if its KV cache cannot be moved. */
 function isRepeatable({ accepted }: Stream): boolean {
   return accepted.route.idempotent;
 }
--- a/packages/entry-core/src/reclaims/moveCache.ts
+++ b/packages/entry-core/src/reclaims/moveCache.ts
@@ -1,10 +1,8 @@
 /**
- * Moves of a running stream's KV cache to another backend server. The stream runs on at its source
- * until the cache is there; it then goes on at the target, where only the tokens that came after
- * the export are computed again.
- *
- * A place is reserved at the target from the start. Without it, each stream of a wave would find
- * the same server the least loaded, and that one would be flooded.
+ * Moves the KV cache of a running stream to another backend server. The stream continues at its
+ * source until the cache has arrived, then at the target, which only recomputes the tokens
+ * generated after the export. Capacity is reserved at the target when the move starts: otherwise
+ * all streams of a reclaim would choose the same least loaded server.
  */
 import type { CacheMoveOutcome } from '@hornbeampond/schema';
 import { attemptIdOf, type AttemptState } from '../attempts/AttemptState.js';
@@ -20,10 +18,9 @@
 import { migrateToServer, resumeElsewhere } from './resumeElsewhere.js';
 import type { CacheMove } from './ReclaimState.js';
 
-/** A move that takes this many times its costed span is taken for failed. */
+/** A move fails after this multiple of its estimated duration. */
 const MOVE_TIMEOUT_FACTOR = 2;
 
-/** Fewest milliseconds that a move is waited for. */
 const MIN_MOVE_TIMEOUT_MILLISECONDS = 250;
 
 export type CacheMovedEvent = Extract<EntryEvent, { type: 'cacheMoved' }>;
@@ -72,7 +69,7 @@
   return isUsable ? server : undefined;
 }
 
-/** Ends a move without a cache at the target: the stream is resumed by its offset. */
+/** Ends a move that delivered no cache; the stream is resumed from its offset. */
 function abandonMove(
   state: EntryState,
   move: CacheMove,
@@ -82,14 +79,14 @@
   const accepted = state.requests.get(move.requestId);
   removeCacheMove(state, move.requestId);
   if (accepted === undefined) return [];
-  // The next place is sought elsewhere first: the target may be what failed.
+  // Prefer other servers for the next attempt, since the target may have caused the failure.
   accepted.triedInstances.add(move.to);
-  // What may not be repeated runs on where it is, for as long as it can.
+  // A call that may not be repeated continues at the source for as long as it can.
   if (!accepted.route.idempotent) return [countMove(outcome)];
   return [countMove(outcome), ...resumeElsewhere(state, accepted, 'reclaimNotice', timestamps)];
 }
 
-/** An answer to a move that was abandoned meanwhile finds none, or another, and is dropped. */
+/** Completes a move. The answer to a move that was abandoned or replaced meanwhile is ignored. */
 export function finishCacheMove(state: EntryState, event: CacheMovedEvent): EntryEffect[] {
   const move = state.reclaims.moves.get(event.requestId);
   const accepted = state.requests.get(event.requestId);
@@ -106,7 +103,7 @@
   ];
 }
 
-/** Abandons moves that are overdue, or whose target is leaving or lost. */
+/** Abandons moves that timed out, or whose target is leaving or lost. */
 export function advanceCacheMoves(state: EntryState, timestamps: Timestamps): EntryEffect[] {
   return [...state.reclaims.moves.values()].flatMap((move) => {
     if (findUsableServer(state, move.to) === undefined) {
--- a/packages/entry-core/src/reclaims/receiveCacheMoved.ts
+++ b/packages/entry-core/src/reclaims/receiveCacheMoved.ts
@@ -1,6 +1,6 @@
 /**
- * The link of a backend server on notice is free again: its next stream follows at once, for what
- * does not fit before the end has to be computed again elsewhere.
+ * Completes a cache move and immediately starts the next one from the same backend server, so that
+ * its link does not stay idle during the notice.
  */
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
--- a/packages/entry-core/src/reclaims/reclaims.test.ts
+++ b/packages/entry-core/src/reclaims/reclaims.test.ts
@@ -23,11 +23,9 @@
   );
 }
 
-// All callers see their whole answers. At noon the whole of wien-a gets two seconds of notice at
-// once. Streams that end in time are let finish, the others move to wien-b with their cache, the
-// dearest first, and nothing is placed on an engine of the same wave. When the engines go, none
-// of their streams is left.
-test('a whole data centre is reclaimed at the noon rush', () => {
+// Guards against streams lost with a reclaimed data centre: those that finish in time stay, the
+// others move to the remaining engines, and none runs on a reclaimed engine when it stops.
+test('all streams survive the reclaim of a whole data centre under load', () => {
   const cluster = new SimulatedCluster({ engines: sixEngines });
   submitRequests(cluster, 60, 50);
   cluster.reclaimByPlatformList(wienAEngines, 2000);
@@ -40,9 +38,8 @@
   assert.equal(cluster.entry.state.quarantine.suspects.size, 0);
 });
 
-// The wave's streams are spread over the engines that stay, because each move reserves its place
-// at the target before it starts.
-test('a wave does not flood one target', () => {
+// Guards against overloading one target: each move reserves its place before it starts.
+test('streams of a reclaimed data centre are spread evenly over the targets', () => {
   const cluster = new SimulatedCluster({ engines: sixEngines });
   submitRequests(cluster, 60, 50);
   cluster.reclaimByPlatformList(wienAEngines, 2000);
@@ -51,9 +48,9 @@
   assert.equal(Math.max(...sizes) - Math.min(...sizes) <= 3, true, `${sizes}`);
 });
 
-// Callers see whole answers after a pause. The whole pool is reclaimed and its list is empty for a while;
-// what was accepted waits, goes on by offset at the replacement, and is not refused in between.
-test('a whole pool is reclaimed and replaced', () => {
+// Guards against refusing accepted requests while a pool is empty: they wait and resume at the
+// replacement.
+test('streams resume after a whole pool is reclaimed and replaced', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 2 } });
   submitRequests(cluster, 10, 50);
   cluster.reclaimByPlatformList(['wien-a-engine-1', 'wien-a-engine-2'], 1000);
@@ -66,8 +63,8 @@
   assertAllComplete(cluster);
 });
 
-// Callers are refused once no replacement has come for thirty seconds, long before their deadline.
-test('a pool that stays empty ends what waits for it', () => {
+// Guards against holding requests until their deadline when no replacement is started.
+test('requests waiting for a pool that stays empty are failed', () => {
   const cluster = new SimulatedCluster({
     engines: { 'wien-a': 1 },
     wholeAnswerMilliseconds: 600_000,
@@ -84,8 +81,8 @@
   assert.equal(cluster.entry.count('retriesRefused/noOtherBackendServer'), 1);
 });
 
-// Three engines get notice at the same moment, each with one stream, and three empty ones stay. No
-// move has begun when the next target is chosen, so only the reservations tell the targets apart.
+// Guards against choosing one target for moves that start at the same time. No move has begun when
+// the next target is chosen, so only the reservations tell the targets apart.
 test('moves that start together go to different targets', () => {
   const cluster = new SimulatedCluster({ engines: sixEngines });
   submitRequests(cluster, 3, 10);
@@ -97,10 +94,9 @@
   assertAllComplete(cluster);
 });
 
-// The caller sees its whole answer. Its engine gets notice and its cache is on the way; then the
-// target dies, the move comes to nothing, and the stream is resumed by its offset at a third engine
-// while its first one still runs.
-test('the target is lost in the middle of a move', () => {
+// Guards against a lost stream when the target of its cache move crashes: it is resumed at a third
+// engine.
+test('a stream is resumed if the target crashes during its cache move', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 1, 'wien-b': 1, stpoelten: 1 } });
   const caller = cluster.entry.submitRequest(
     makeRequest('one', { promptTokens: 4000, maxTokens: 400 }),
@@ -118,10 +114,9 @@
   assert.equal(cluster.entry.count('recomputedTokens/reclaimResume') >= 4000, true);
 });
 
-// The caller sees its whole answer. Its engine dies in the middle of the move, long before the time
-// that the notice named. The stream is resumed by its offset, and nobody is suspected: the end was
-// announced. The move's late answer finds no move and changes nothing.
-test('the source is lost in the middle of a move', () => {
+// Guards against a lost stream, and against suspecting its request, when an engine under notice
+// stops early. The late answer to the cache move must be ignored.
+test('a stream is resumed if the source stops during its cache move', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 1, 'wien-b': 2 } });
   cluster.entry.submitRequest(makeRequest('one', { promptTokens: 4000, maxTokens: 400 }));
   cluster.advance(3000);
@@ -135,9 +130,9 @@
   assert.equal(cluster.entry.state.reclaims.moves.size, 0);
 });
 
-// The caller sees its whole answer. Engines cannot move caches at all, so every move fails, and each
-// stream is resumed by its offset while its engine is still there.
-test('moves that all fail fall back to resumes', () => {
+// Guards against streams that are lost because their caches cannot be moved: each is resumed from
+// its offset in time.
+test('streams whose cache moves fail are resumed from their offset', () => {
   const cluster = new SimulatedCluster({ engines: sixEngines });
   cluster.movesFail = true;
   submitRequests(cluster, 30, 50);
@@ -148,9 +143,8 @@
   assert.equal(cluster.entry.count('retries/reclaimNotice') > 0, true);
 });
 
-// The caller sees its whole answer from the engine on notice: at its measured rate even the
-// longest answer it may get ends in time, so nothing is moved and nothing is computed again.
-test('a stream that fits the notice is let finish', () => {
+// Guards against needless migration of a stream that finishes within the notice.
+test('a stream that finishes within the notice stays on its engine', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 1, 'wien-b': 1 } });
   cluster.entry.submitRequest(makeRequest('one', { maxTokens: 100 }));
   cluster.advance(1500);
@@ -162,8 +156,8 @@
   assert.equal(cluster.entry.count('cacheMoves/moved'), 0);
 });
 
-// The caller sees its whole answer from the engine on notice. It had just been sent there; the notice is long
-// enough to see first how fast it goes, and it does end in time. Nothing is computed twice.
+// Guards against prefilling a prompt twice: with a long notice, a new stream is measured before it
+// is migrated.
 test('a stream that has just begun is measured under a long notice', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 1, 'wien-b': 1 } });
   cluster.entry.submitRequest(makeRequest('one'));
@@ -174,9 +168,9 @@
   assert.equal(cluster.entry.count('retries/reclaimNotice'), 0);
 });
 
-// Callers see whole answers. The notice reaches one entry only; within two seconds the other sends
-// the leaving engine nothing more, because its peer's report told of it.
-test('a notice at one entry reaches the others', () => {
+// Guards against sending work to a leaving engine whose notice reached only a peer; the report of
+// the peer must announce it.
+test('a reclaim notice received by one entry is applied by the others', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 1, 'wien-b': 1 }, entries: 2 });
   cluster.entryAt(0).submitRequest(makeRequest('before'));
   cluster.advance(500);
--- a/packages/entry-core/src/reclaims/recordReclaimNotice.ts
+++ b/packages/entry-core/src/reclaims/recordReclaimNotice.ts
@@ -1,6 +1,7 @@
 /**
- * A backend server is known to be leaving, from the platform's list, a notice, or a peer. From here
- * on it gets no new work; the earliest time that any source names is taken.
+ * Records that a backend server is about to be reclaimed, as reported by the platform, a notice or
+ * a peer. It receives no new work from then on. If the sources disagree, the earliest time
+ * applies.
  */
 import type { EpochMilliseconds, PlatformInstance } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -9,10 +10,10 @@
 import { reportSoon } from '../membership/advanceReports.js';
 import { migrateStreams } from './migrateStreams.js';
 
-/** What is known of a backend server's end is forgotten this long after it. */
+/** A notice is kept for this long after its backend server should have stopped. */
 const NOTICE_RETENTION_MILLISECONDS = 60_000;
 
-/** True if this moved the known end to an earlier time. */
+/** Returns true if the backend server now leaves earlier than known so far. */
 function recordDeparture(state: EntryState, instance: string, goneAt: EpochMilliseconds): boolean {
   const known = state.reclaims.leaving.get(instance) ?? Number.POSITIVE_INFINITY;
   const earliest = Math.min(known, goneAt);
@@ -39,15 +40,15 @@
 }
 
 /**
- * Takes the notices out of the platform's list. A backend server that is listed only after its
- * notice came another way is on notice from its first listing on.
+ * Records the notices in the list of the platform. A backend server may be listed only after its
+ * notice arrived from another source; the notice applies from its first listing.
  */
 export function recordListedReclaimNotices(
   state: EntryState,
   instances: readonly PlatformInstance[],
   timestamps: Timestamps,
 ): EntryEffect[] {
-  // All of a wave is noted before any stream is handed on, or streams would be sent into it.
+  // Record all notices before migrating any stream, so that none is sent to a leaving server.
   const newlyLeaving = instances.flatMap(({ instance, goneAt }) => {
     const earliest = Math.min(goneAt ?? Infinity, state.reclaims.leaving.get(instance) ?? Infinity);
     return Number.isFinite(earliest) && recordDeparture(state, instance, earliest)
@@ -61,14 +62,17 @@
   ]);
 }
 
-/** A backend server that is still there, and listed as live, takes work again: it was not reclaimed. */
+/**
+ * Removes an expired notice. A server that is still listed as live was not reclaimed and accepts
+ * new work again.
+ */
 function removeExpiredNotice(state: EntryState, instance: string): void {
   state.reclaims.leaving.delete(instance);
   const server = state.backendServers.get(instance);
   if (server?.platformInstance.state === 'live') server.goneAt = server.platformInstance.goneAt;
 }
 
-/** Hands on what still runs on backend servers on notice, as time and the link allow. */
+/** Continues the migration of streams from leaving backend servers, and removes expired notices. */
 export function advanceReclaims(state: EntryState, timestamps: Timestamps): EntryEffect[] {
   return [...state.reclaims.leaving].flatMap(([instance, goneAt]) => {
     if (goneAt + NOTICE_RETENTION_MILLISECONDS > timestamps.wallNow) {
--- a/packages/entry-core/src/reclaims/recoveryCosts.ts
+++ b/packages/entry-core/src/reclaims/recoveryCosts.ts
@@ -1,33 +1,33 @@
 /**
- * Stated rates from which moves and resumes are costed. They are deliberately low: a move that is
- * wrongly believed to fit costs its stream the rest of the notice.
+ * Estimates how long it takes to move, resume or finish a stream. The default rates are
+ * deliberately low: a move that wrongly appears to fit into the notice wastes the rest of it.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 import type { AttemptState } from '../attempts/AttemptState.js';
 import type { RequestState } from '../requests/RequestState.js';
 
-/**
- * Tokens of KV cache that an engine exports over its link in a millisecond: about 128 KiB a token
- * over 10 Gbit/s.
- */
+/** Tokens of KV cache exported per millisecond: about 128 KiB per token over 10 Gbit/s. */
 export const DEFAULT_MOVED_TOKENS_PER_MILLISECOND = 8;
 
-/** What a move takes besides its bytes. */
+/** Fixed part of the duration of a move. */
 const MOVE_OVERHEAD_MILLISECONDS: Milliseconds = 50;
 
-/** Prompt tokens that an engine computes in a millisecond. */
+/** Prompt tokens that an engine prefills per millisecond. */
 export const PREFILL_TOKENS_PER_MILLISECOND = 4;
 
-/** A stream is let finish only if it would do so this many times over. */
+/**
+ * A stream may finish in place only if the notice exceeds its estimated remaining time by this
+ * factor.
+ */
 const FINISH_SAFETY_FACTOR = 1.25;
 
-/** Kept free at the end of a notice: the platform's clock and the wires are not exact. */
+/** Reserved at the end of a notice for clock differences and network latency. */
 export const NOTICE_MARGIN_MILLISECONDS: Milliseconds = 500;
 
-/** Least span over which a stream's rate is believed. */
+/** Shortest time over which the token rate of a stream is measured. */
 const MIN_RATE_SAMPLE_MILLISECONDS: Milliseconds = 200;
 
-/** Tokens that an engine would have to compute again if the stream were redone elsewhere. */
+/** Returns how many tokens another engine has to recompute to resume the stream. */
 export function countTokensToRecompute(accepted: RequestState): number {
   return accepted.request.promptTokens + accepted.tokens;
 }
@@ -38,7 +38,7 @@
   return rate > 0 ? MOVE_OVERHEAD_MILLISECONDS + countTokensToRecompute(accepted) / rate : Infinity;
 }
 
-/** True if the engines of its pool can hand the request's KV cache to each other. */
+/** True if the engines of the pool can exchange KV caches. */
 export function canMoveCache({ pool }: RequestState): boolean {
   return pool.kind === 'modelEngine' && pool.streams?.movedTokensPerMillisecond !== 0;
 }
@@ -47,7 +47,9 @@
   return countTokensToRecompute(accepted) / PREFILL_TOKENS_PER_MILLISECOND;
 }
 
-/** Tokens a millisecond that this attempt has given so far; undefined while not measured. */
+/**
+ * Returns the tokens per millisecond of this attempt, or undefined if it is too early to measure.
+ */
 function measureTokenRate({
   firstTokenAt,
   tokens,
@@ -60,12 +62,12 @@
   return (tokens - resumedFromTokens) / sampleDuration;
 }
 
-/** With so much notice left, a stream that has just begun is first measured. */
+/** With more notice left than this, a stream that has just started is measured first. */
 const MIN_NOTICE_TO_MEASURE_MILLISECONDS: Milliseconds = 5000;
 
 /**
- * True if even the longest answer that the caller allows ends within `left`, or if there is time to
- * find out: to restart a prompt elsewhere at the start of a long notice would compute it twice.
+ * True if the longest answer that the caller allows finishes within `timeLeft`, or if there is
+ * time to measure its rate first: migrating too early recomputes the prompt for nothing.
  */
 export function canFinishWithinNotice(
   accepted: RequestState,
--- a/packages/entry-core/src/reclaims/resumeElsewhere.ts
+++ b/packages/entry-core/src/reclaims/resumeElsewhere.ts
@@ -1,6 +1,6 @@
 /**
- * Has a stream go on at another backend server from its offset. The old attempt is given up only
- * when there is a backend server to take the stream; else it runs on for as long as it can.
+ * Resumes a stream from its offset at another backend server. The current attempt is cancelled
+ * only if there is a server that can continue the stream; otherwise it runs on.
  */
 import type { MonotonicMilliseconds, RetryReason } from '@hornbeampond/schema';
 import { chooseServerForAttempt } from '../attempts/chooseServerForAttempt.js';
@@ -13,7 +13,7 @@
 import type { RequestState } from '../requests/RequestState.js';
 import { countTokensToRecompute } from './recoveryCosts.js';
 
-/** Gives up the attempt that runs and goes on at `server`, where `tokens` are computed again. */
+/** Cancels the current attempt and continues at `server`, which recomputes `tokens` tokens. */
 export function migrateToServer(
   state: EntryState,
   accepted: RequestState,
--- a/packages/entry-core/src/reclaims/stories.test.ts
+++ b/packages/entry-core/src/reclaims/stories.test.ts
@@ -2,14 +2,14 @@
 import { matchSnapshot } from '@hornbeampond/testing';
 import { makeRequest, SimulatedCluster } from '../driver/index.js';
 
-/** What the entry logged of a story, without what every request logs. */
+/** Returns the log of the entry without the lines that every request writes. */
 function readLog(cluster: SimulatedCluster): string {
   return cluster.entry.log
     .filter((line) => !/configurationApplied|requestAccepted/.test(line))
     .join('\n');
 }
 
-/** The one stream that provably ends in time stays; the other moves and goes on at the target. */
+/** The short stream finishes in time and stays; the long one moves to the other engine. */
 function runNoticeScenario(): SimulatedCluster {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 1, 'wien-b': 1 } });
   cluster.entry.submitRequest(makeRequest('short', { maxTokens: 100 }));
@@ -20,7 +20,7 @@
   return cluster;
 }
 
-/** The probe is refused, so both streams are suspects and go on apart from each other. */
+/** The probe is refused, so both streams become suspects and are resumed on separate engines. */
 function runSuddenDeathScenario(): SimulatedCluster {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 1, 'wien-b': 2 } });
   cluster.entry.submitRequest(makeRequest('first'));
@@ -31,9 +31,8 @@
   return cluster;
 }
 
-// Callers see whole answers in both stories. First an engine with two streams gets two seconds of
-// notice, then one dies without any. The order of what the entry does is kept as snapshots, because each
-// step rests on the one before: a stream is cancelled only once its next place is known.
+// Guards against steps of a migration in the wrong order, such as cancelling a stream before its
+// target is chosen. Each log is compared with a snapshot.
 test('the order of events at a notice and at a sudden death', async () => {
   await matchSnapshot(import.meta.url, 'notice', readLog(runNoticeScenario()));
   await matchSnapshot(import.meta.url, 'sudden death', readLog(runSuddenDeathScenario()));
--- a/packages/entry-core/src/testing/EntryHarness.ts
+++ b/packages/entry-core/src/testing/EntryHarness.ts
@@ -1,7 +1,7 @@
 /**
- * Runs entries' reducers against engine models in virtual time: it carries out the few effects
- * that admission and choice depend on, and keeps what each caller saw. Not a cluster simulator:
- * no faults but those that a test brings itself.
+ * Runs the reducers of entries against engine models in virtual time, for tests of admission and
+ * server selection. It performs only the effects that these depend on, and injects no faults
+ * except those that a test adds.
  */
 import type { EntryReport, ErrorKind, Milliseconds, Pool, Route } from '@hornbeampond/schema';
 import { EngineModel, VirtualTimeline, type EngineSpeed } from '@hornbeampond/testing';
@@ -10,7 +10,7 @@
 import { makeEntryState, type EntryState } from '../EntryState.js';
 import { reduceEntry } from '../reduceEntry.js';
 
-/** What one caller saw. */
+/** What one caller received. */
 export interface CallerOutcome {
   readonly request: CallerRequest;
   readonly arrivedAt: number;
@@ -31,19 +31,19 @@
   readonly routes: readonly Route[];
   readonly pool: Pool;
   readonly queuedRequests?: number;
-  /** Age of a load report when it comes in; reports are made just as often. */
+  /** Delay of load reports, which are also sent at this interval; none are sent by default. */
   readonly loadLag?: Milliseconds;
-  /** Age of cache events when they come in. */
+  /** Delay of cache events, which are also sent at this interval; none are sent by default. */
   readonly cacheLag?: Milliseconds;
-  /** True for numbers of cache events that get lost on the way. */
+  /** Returns true for the sequence numbers of cache events that get lost. */
   readonly losesCacheEvent?: (sequence: number) => boolean;
-  /** Times between reports of entries to each other; none by default. */
+  /** Interval between the reports of entries to each other; none are sent by default. */
   readonly reportInterval?: Milliseconds;
-  /** Data centre of the server with this number; `dc-a`, the entries' own, by default. */
+  /** Data centre of the server with this number; `dc-a`, that of the entries, by default. */
   readonly dataCentreOf?: (server: number) => string;
-  /** True if nothing comes of what entries tell each other of their work. */
+  /** True if work reports between entries get lost. */
   readonly losesWorkReports?: boolean;
-  /** Kept from the reducer, so that it has no affinity to choose by. */
+  /** True hides prefix digests from the reducer, which disables cache affinity. */
   readonly hidePrefixes?: boolean;
 }
 
@@ -60,10 +60,10 @@
 
   readonly outcomes = new Map<string, CallerOutcome>();
 
-  /** Instances that fail each attempt at once, and how. */
+  /** Failure of every attempt at an instance. */
   readonly failureByInstance = new Map<string, AttemptFailure>();
 
-  /** Effects of every kind, counted by type and metric label. */
+  /** Sums of `count` effects, with `metric/label` as the key. */
   readonly counts = new Map<string, number>();
 
   private readonly answerTokens = new Map<string, number>();
@@ -91,7 +91,7 @@
     this.startClocks();
   }
 
-  /** Sends an event to one entry, or to all. */
+  /** Sends an event to one entry, or to all if none is given. */
   send(event: EntryEventPayload, entry?: number): void {
     this.entries.forEach((state, number) => {
       if (entry !== undefined && entry !== number) return;
@@ -101,7 +101,7 @@
     });
   }
 
-  /** A caller's request arrives now. */
+  /** Sends the request of a caller to an entry. */
   submitRequest(request: CallerRequest, answerTokens: number, entry = 0): CallerOutcome {
     const outcome: CallerOutcome = { request, arrivedAt: this.timeline.now };
     this.outcomes.set(request.requestId, outcome);
@@ -112,7 +112,7 @@
     return outcome;
   }
 
-  /** Puts the first so many engines on the platform's list. */
+  /** Lists the first `count` engines on the platform. */
   listEngines(count: number = this.options.servers): void {
     const { pool, dataCentreOf = () => 'dc-a' } = this.options;
     const instances = [...this.engines.keys()].slice(0, count).map((instance, number) => ({
@@ -200,7 +200,7 @@
         break;
       }
       case 'probe': {
-        // Engines that fail attempts still answer: what fails here is the work, not the host.
+        // A failing instance still answers probes: only its attempts fail, not the host.
         const { instance } = effect.target;
         const answer = { type: 'probeAnswered', instance, answered: true } as const;
         this.timeline.after(NETWORK_MILLISECONDS, () => this.send(answer, entry));
--- a/packages/entry-core/src/testing/examples.ts
+++ b/packages/entry-core/src/testing/examples.ts
@@ -1,4 +1,4 @@
-/** Rows and requests that tests and measurements start from. */
+/** Example rows and requests for tests and measurements. */
 import {
   checkPools,
   checkRoutes,
@@ -8,7 +8,7 @@
 } from '@hornbeampond/schema';
 import type { CallerRequest } from '../entryEvents.js';
 
-/** A routes row with every default of the table filled in. */
+/** Returns a route with the defaults of the table filled in. */
 export function exampleRoute(row: Record<string, unknown> = {}): Route {
   const checked = checkRoutes([
     {
@@ -58,7 +58,7 @@
   };
 }
 
-/** A deadline for the first token, and a whole answer that is in no hurry. */
+/** Returns deadlines with the given first-token limit and a long limit for the complete answer. */
 export function firstTokenWithin(firstTokenMilliseconds: Milliseconds): Record<string, unknown> {
   return { deadline: { firstTokenMilliseconds, wholeAnswerMilliseconds: 600_000 } };
 }
--- a/packages/entry-core/src/testing/makeArrivals.ts
+++ b/packages/entry-core/src/testing/makeArrivals.ts
@@ -1,6 +1,6 @@
 /**
- * A seeded pattern of arrivals that measurements share: conversations whose prompts grow turn by
- * turn, of a few large workspaces and some small ones, with a rush in the middle.
+ * Generates request arrivals from a seed, shared by measurements: conversations whose prompts grow
+ * with each turn, workspaces of different sizes, and a peak in the middle.
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -19,11 +19,11 @@
   readonly seed: number;
   readonly span: Milliseconds;
   readonly perSecond: number;
-  /** Between a third and two thirds of the span, so many times as much arrives. */
+  /** Arrival rate during the middle third of the span, as a multiple of `perSecond`. */
   readonly rushFactor: number;
-  /** Workspaces and how often each is drawn. */
+  /** Relative weight of each workspace. */
   readonly workspaces: Readonly<Record<string, number>>;
-  /** Paths, drawn evenly. */
+  /** Request paths, chosen with equal probability. */
   readonly paths: readonly string[];
 }
 
@@ -37,7 +37,7 @@
 class Conversations {
   private readonly turns = new Map<string, { generation: number; turn: number }>();
 
-  /** Digests of the next turn of one of the workspace's conversations. */
+  /** Returns the prefix digests of the next turn of a random conversation of the workspace. */
   next(workspace: string, random: RandomGenerator): string[] {
     const number = uniformInt(random, 0, CONVERSATIONS_PER_WORKSPACE - 1);
     const name = `${workspace}/${number}`;
