--- a/packages/entry-core/src/driver/SimulatedCluster.ts
+++ b/packages/entry-core/src/driver/SimulatedCluster.ts
@@ -237,12 +237,12 @@
       violations.push(`${name} got ${finalAnswers.length} final answers`);
     if (!expected.startsWith(tokens.join('')))
       violations.push(`${name} got tokens of another answer`);
-    finalAnswers.forEach((final) => {
-      if (final.type === 'whole' && final.text !== expected) {
+    finalAnswers.forEach((finalAnswer) => {
+      if (finalAnswer.type === 'whole' && finalAnswer.text !== expected) {
         violations.push(`${name} got an incorrect complete answer`);
       }
       const received = [...this.engines.values()].some((engine) => engine.received.has(name));
-      if (final.type === 'problem' && final.ran !== 'unknown' && received) {
+      if (finalAnswer.type === 'problem' && finalAnswer.ran !== 'unknown' && received) {
         violations.push(`${name} reached an engine but was reported as not run`);
       }
     });
@@ -251,8 +251,8 @@
 
   private describeInstance(engine: SimulatedEngine): PlatformInstance {
     const { instance, dataCentre } = engine;
-    const base = { instance, dataCentre, instanceClass: 'gpu', pool: this.pool };
-    return { ...base, state: 'live', host: '127.0.0.1', port: 1 };
+    const common = { instance, dataCentre, instanceClass: 'gpu', pool: this.pool };
+    return { ...common, state: 'live', host: '127.0.0.1', port: 1 };
   }
 
   private step(): void {
--- a/packages/entry-core/src/driver/SimulatedEntry.ts
+++ b/packages/entry-core/src/driver/SimulatedEntry.ts
@@ -44,7 +44,7 @@
   readonly ownTokens: string[];
   lastActivityAt: number;
   currentTimeout: number;
-  readonly silenceTimeout: number;
+  readonly idleTimeout: number;
   hasFirstToken: boolean;
   lastProgressAt: number;
   timedOut: boolean;
@@ -82,10 +82,10 @@
     this.state = makeEntryState({ instance, dataCentre, incarnation, maxQueuedRequests: 1000 });
   }
 
-  send(occurrence: EntryEventPayload): void {
+  send(event: EntryEventPayload): void {
     if (!this.alive) return;
     const timestamps: Timestamps = this.cluster.clock();
-    reduceEntry(this.state, { ...occurrence, ...timestamps }).forEach((effect) =>
+    reduceEntry(this.state, { ...event, ...timestamps }).forEach((effect) =>
       this.performEffect(effect),
     );
   }
@@ -195,7 +195,7 @@
       ownTokens: [],
       lastActivityAt: this.cluster.clock().now,
       currentTimeout: effect.firstByteTimeout,
-      silenceTimeout: effect.streamIdleTimeout,
+      idleTimeout: effect.streamIdleTimeout,
       hasFirstToken: false,
       lastProgressAt: 0,
       timedOut: false,
@@ -248,7 +248,7 @@
     const { now } = this.cluster.clock();
     if (this.connections.get(attemptId) !== connection) return;
     connection.lastActivityAt = now;
-    connection.currentTimeout = connection.silenceTimeout;
+    connection.currentTimeout = connection.idleTimeout;
     connection.ownTokens.push(token);
     if (this.currentAttemptIds.get(caller.request.requestId) !== attemptId) return;
     if (!connection.hasFirstToken) {
@@ -330,7 +330,7 @@
   private answerProblem(effect: Effect<'answerProblem'>): void {
     const { kind, ran, retryAfterMilliseconds } = effect;
     const at = this.cluster.clock().now;
-    const final = { type: 'problem', at, kind, ran, retryAfterMilliseconds } as const;
-    this.callers.get(effect.requestId)?.finalAnswers.push(final);
+    const finalAnswer = { type: 'problem', at, kind, ran, retryAfterMilliseconds } as const;
+    this.callers.get(effect.requestId)?.finalAnswers.push(finalAnswer);
   }
 }
--- a/packages/entry-core/src/driver/runFaultScenario.ts
+++ b/packages/entry-core/src/driver/runFaultScenario.ts
@@ -136,13 +136,13 @@
   cluster.entries.forEach((entry) => {
     entry.state.retries.policy = policy;
   });
-  const arrivals = xoroshiro128plus(seed);
+  const requestRandom = xoroshiro128plus(seed);
   scheduleFaults(cluster, xoroshiro128plus(seed + 1));
   for (let number = 1; number <= REQUEST_COUNT; number += 1) {
     cluster
       .entryAt(number % DATA_CENTRES.length)
-      .submitRequest(makeRandomRequest(arrivals, number));
-    cluster.advance(uniformInt(arrivals, 0, MAX_GAP_STEPS) * 10);
+      .submitRequest(makeRandomRequest(requestRandom, number));
+    cluster.advance(uniformInt(requestRandom, 0, MAX_GAP_STEPS) * 10);
   }
   cluster.runUntilAnswered();
   return measureOutcome(cluster);
--- a/packages/entry-core/src/quarantine/poison.test.ts
+++ b/packages/entry-core/src/quarantine/poison.test.ts
@@ -21,10 +21,12 @@
       assert.deepEqual(cluster.findViolations(), []);
       assert.equal(cluster.countLostEngines(), 2);
       assert.deepEqual(findFailedHarmlessCallers(cluster), []);
-      const bad = cluster.callers().find(({ request }) => request.digest === POISON_DIGEST);
-      const final = bad?.finalAnswers[0];
+      const poisonCaller = cluster
+        .callers()
+        .find(({ request }) => request.digest === POISON_DIGEST);
+      const finalAnswer = poisonCaller?.finalAnswers[0];
       assert.equal(
-        final?.type === 'problem' && `${final.kind} ${final.ran}`,
+        finalAnswer?.type === 'problem' && `${finalAnswer.kind} ${finalAnswer.ran}`,
         'quarantined unknown',
       );
     });
@@ -60,15 +62,15 @@
 
 interface Resends {
   readonly crashAtToken: number;
-  readonly firstAfter: number;
-  readonly secondAfter: number;
+  readonly firstDelay: number;
+  readonly secondDelay: number;
 }
 
 /**
  * Sends 29 harmless requests and a poison request through three entries; its caller resends it
  * twice.
  */
-function runResends({ crashAtToken, firstAfter, secondAfter }: Resends): SimulatedCluster {
+function runResends({ crashAtToken, firstDelay, secondDelay }: Resends): SimulatedCluster {
   const crashTokenByDigest = new Map([[POISON_DIGEST, crashAtToken]]);
   const cluster = new SimulatedCluster({
     engines: { 'wien-a': 6 },
@@ -80,9 +82,9 @@
   }
   cluster.entryAt(0).submitRequest(makeRequest('bad', { digest: POISON_DIGEST }));
   while (cluster.countLostEngines() === 0) cluster.advance(10);
-  cluster.advance(firstAfter);
+  cluster.advance(firstDelay);
   cluster.entryAt(1).submitRequest(makeRequest('bad-again', { digest: POISON_DIGEST }));
-  cluster.advance(secondAfter);
+  cluster.advance(secondDelay);
   cluster.entryAt(2).submitRequest(makeRequest('bad-once-more', { digest: POISON_DIGEST }));
   cluster.runUntilAnswered();
   return cluster;
@@ -91,9 +93,9 @@
 // Guards against a resend through another entry that crashes a third engine. Peers report their
 // suspects, so the resend is isolated, never runs concurrently, and is refused once quarantined.
 for (const crashAtToken of [0, 20, 100]) {
-  for (const firstAfter of [200, 700, 1500]) {
-    test(`resends ${firstAfter} ms after a crash at token ${crashAtToken} crash no third engine`, () => {
-      const cluster = runResends({ crashAtToken, firstAfter, secondAfter: 400 });
+  for (const firstDelay of [200, 700, 1500]) {
+    test(`resends ${firstDelay} ms after a crash at token ${crashAtToken} crash no third engine`, () => {
+      const cluster = runResends({ crashAtToken, firstDelay, secondDelay: 400 });
       assert.deepEqual(cluster.findViolations(), []);
       assert.equal(
         cluster.countLostEngines() <= 2,
@@ -110,8 +112,8 @@
 test('a request that is interrupted by two unrelated crashes is not quarantined', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 6 } });
   const caller = cluster.entry.submitRequest(makeRequest('unlucky', { maxTokens: 800 }));
-  [3000, 6000].forEach((span) => {
-    cluster.advance(span);
+  [3000, 6000].forEach((duration) => {
+    cluster.advance(duration);
     cluster.engines.forEach((engine) => {
       if (engine.streams.size > 0) engine.die();
     });
@@ -143,7 +145,9 @@
   assert.deepEqual(cluster.findViolations(), []);
   assert.equal(cluster.countLostEngines(), 2);
   assert.deepEqual(
-    cluster.callers().map(({ finalAnswers: [final] }) => final?.type === 'problem' && final.ran),
+    cluster
+      .callers()
+      .map(({ finalAnswers: [finalAnswer] }) => finalAnswer?.type === 'problem' && finalAnswer.ran),
     ['unknown', 'no', 'no'],
   );
 });
--- a/packages/entry-core/src/quarantine/quarantineDigest.ts
+++ b/packages/entry-core/src/quarantine/quarantineDigest.ts
@@ -26,11 +26,15 @@
   endsAt: number,
   { now }: Timestamps,
 ) {
-  const refusal = { type: 'count', metric: 'retriesRefused', label: 'quarantined' } as const;
+  const refusalCount = { type: 'count', metric: 'retriesRefused', label: 'quarantined' } as const;
   const detail = 'This request crashed backend servers and is quarantined for a limited time';
   const cancelled = accepted.route.idempotent ? cancelAttempt(state, accepted) : [];
   const problem = { ran: determineRan(accepted), retryAfterMilliseconds: endsAt - now };
-  return [refusal, ...cancelled, ...failRequest(state, accepted, 'quarantined', detail, problem)];
+  return [
+    refusalCount,
+    ...cancelled,
+    ...failRequest(state, accepted, 'quarantined', detail, problem),
+  ];
 }
 
 function failRequestsWithDigest(
@@ -71,8 +75,9 @@
 ): EntryEffect[] {
   return entries.flatMap(({ digest, until }) => {
     const endsAt = timestamps.now + until - timestamps.wallNow;
-    const known = state.quarantine.quarantined.get(digest);
-    if (endsAt <= timestamps.now || (known !== undefined && known.endsAt >= endsAt)) return [];
+    const existing = state.quarantine.quarantined.get(digest);
+    if (endsAt <= timestamps.now || (existing !== undefined && existing.endsAt >= endsAt))
+      return [];
     state.quarantine.quarantined.set(digest, { until, endsAt });
     exonerateSuspectsOf(state, collectCrashIds(state, digest));
     return failRequestsWithDigest(state, digest, endsAt, timestamps);
--- a/packages/entry-core/src/quarantine/randomPoisonBatches.test.ts
+++ b/packages/entry-core/src/quarantine/randomPoisonBatches.test.ts
@@ -21,7 +21,7 @@
   readonly resends: readonly { readonly delayMilliseconds: number; readonly entry: number }[];
 }
 
-const batches: fc.Arbitrary<Batch> = fc.record({
+const batchArbitrary: fc.Arbitrary<Batch> = fc.record({
   crashAtToken: fc.integer({ min: 0, max: 180 }),
   entries: fc.integer({ min: 1, max: 4 }),
   engines: fc.integer({ min: 4, max: 8 }),
@@ -58,9 +58,11 @@
 
 function sendBatch(cluster: SimulatedCluster, batch: Batch): void {
   for (let number = 0; number < BATCH_SIZE; number += 1) {
-    const isBad = number === batch.poisonPosition;
-    const name = isBad ? 'bad' : `request-${number}`;
-    const fields = isBad ? { digest: POISON_DIGEST } : { mostTokens: 100 + ((number * 37) % 300) };
+    const isPoison = number === batch.poisonPosition;
+    const name = isPoison ? 'bad' : `request-${number}`;
+    const fields = isPoison
+      ? { digest: POISON_DIGEST }
+      : { mostTokens: 100 + ((number * 37) % 300) };
     cluster.entryAt(number % batch.entries).submitRequest(makeRequest(name, fields));
     cluster.advance(batch.spacingMilliseconds);
   }
@@ -70,7 +72,11 @@
 const RESEND_DELAY_MILLISECONDS = 300;
 
 function resendPoisonRequest(cluster: SimulatedCluster, batch: Batch): void {
-  for (let waited = 0; countDeaths(cluster) === 0 && waited < 15_000; waited += 10)
+  for (
+    let waitedMilliseconds = 0;
+    countDeaths(cluster) === 0 && waitedMilliseconds < 15_000;
+    waitedMilliseconds += 10
+  )
     cluster.advance(10);
   cluster.advance(RESEND_DELAY_MILLISECONDS);
   batch.resends.forEach(({ delayMilliseconds, entry }, position) => {
@@ -117,7 +123,7 @@
 // the crash and the resends through other entries.
 test('random batches with one poison request crash at most two engines', () => {
   fc.assert(
-    fc.property(batches, (batch) => assertDeathsBounded(batch, false, 2)),
+    fc.property(batchArbitrary, (batch) => assertDeathsBounded(batch, false, 2)),
     { seed: 11, numRuns: 120, examples: [[resendDuringProbe]] },
   );
 });
@@ -126,7 +132,7 @@
 // request is detected only at its second crash and identified at its third.
 test('engines that restart immediately crash at most three times', () => {
   fc.assert(
-    fc.property(batches, (batch) => assertDeathsBounded(batch, true, 3)),
+    fc.property(batchArbitrary, (batch) => assertDeathsBounded(batch, true, 3)),
     { seed: 12, numRuns: 120 },
   );
 });
--- a/packages/entry-core/src/quarantine/recordLoss.ts
+++ b/packages/entry-core/src/quarantine/recordLoss.ts
@@ -23,9 +23,9 @@
   now: number,
 ) {
   const { suspects } = state.quarantine;
-  const known = suspects.get(digest);
-  if (known !== undefined) {
-    known.lossInstance = loss.instance;
+  const existing = suspects.get(digest);
+  if (existing !== undefined) {
+    existing.lossInstance = loss.instance;
     return;
   }
   const { exposure, tokens } = loss.requestsInProgress.get(digest) ?? { exposure: 0, tokens: 0 };
@@ -60,14 +60,14 @@
   const { instance } = attempt;
   // A leaving server was expected to go, and one that is down has already been classified.
   if (state.reclaims.leaving.has(instance) || state.quarantine.down.has(instance)) return [];
-  const known = state.quarantine.unresolvedLosses.get(instance);
+  const existing = state.quarantine.unresolvedLosses.get(instance);
   // Nothing of the refused request was sent, so it cannot have caused the loss.
   const excludedAttemptId = event.failure === 'connectFailed' ? attempt.attemptId : undefined;
-  const loss = known ?? openLoss(state, instance, event.now, excludedAttemptId);
+  const loss = existing ?? openLoss(state, instance, event.now, excludedAttemptId);
   if (event.failure === 'connectionLost') loss.resetDigests.add(accepted.request.digest);
   if (event.failure !== 'connectFailed')
     addProvisionalSuspect(state, accepted.request, loss, event.now);
   // A resend through another entry must not run until the loss is classified.
   reportSoon(state);
-  return known === undefined ? probeBackendServer(state, instance) : [];
+  return existing === undefined ? probeBackendServer(state, instance) : [];
 }
--- a/packages/entry-core/src/quarantine/suspects.ts
+++ b/packages/entry-core/src/quarantine/suspects.ts
@@ -54,8 +54,8 @@
  * reported it as pending, so that only one of several entries runs it.
  */
 function adoptSuspect(state: EntryState, digest: string, now: MonotonicMilliseconds): Suspect {
-  const known = state.quarantine.suspects.get(digest);
-  if (known !== undefined) return known;
+  const existing = state.quarantine.suspects.get(digest);
+  if (existing !== undefined) return existing;
   const reported = listPeerSuspects(state).filter((suspect) => suspect.digest === digest);
   const adopted = {
     digest,
--- a/packages/entry-core/src/reclaims/reclaims.test.ts
+++ b/packages/entry-core/src/reclaims/reclaims.test.ts
@@ -5,10 +5,14 @@
 const sixEngines = { 'wien-a': 3, 'wien-b': 3 };
 const wienAEngines = ['wien-a-engine-1', 'wien-a-engine-2', 'wien-a-engine-3'];
 
-function submitRequests(cluster: SimulatedCluster, requests: number, spacing: number): void {
-  for (let number = 1; number <= requests; number += 1) {
+function submitRequests(
+  cluster: SimulatedCluster,
+  requestCount: number,
+  spacingMilliseconds: number,
+): void {
+  for (let number = 1; number <= requestCount; number += 1) {
     cluster.entry.submitRequest(makeRequest(`request-${number}`));
-    cluster.advance(spacing);
+    cluster.advance(spacingMilliseconds);
   }
 }
 
@@ -75,9 +79,9 @@
   cluster.advance(2000);
   cluster.listAliveEngines();
   cluster.runUntilAnswered();
-  const final = caller.finalAnswers[0];
-  assert.equal(final?.type === 'problem' && final.kind, 'noBackendServer');
-  assert.equal(final !== undefined && final.at < 33_000, true);
+  const finalAnswer = caller.finalAnswers[0];
+  assert.equal(finalAnswer?.type === 'problem' && finalAnswer.kind, 'noBackendServer');
+  assert.equal(finalAnswer !== undefined && finalAnswer.at < 33_000, true);
   assert.equal(cluster.entry.count('retriesRefused/noOtherBackendServer'), 1);
 });
 
--- a/packages/entry-core/src/reclaims/recordReclaimNotice.ts
+++ b/packages/entry-core/src/reclaims/recordReclaimNotice.ts
@@ -15,12 +15,12 @@
 
 /** Returns true if the backend server now leaves earlier than known so far. */
 function recordDeparture(state: EntryState, instance: string, goneAt: EpochMilliseconds): boolean {
-  const known = state.reclaims.leaving.get(instance) ?? Number.POSITIVE_INFINITY;
-  const earliest = Math.min(known, goneAt);
+  const previous = state.reclaims.leaving.get(instance) ?? Number.POSITIVE_INFINITY;
+  const earliest = Math.min(previous, goneAt);
   state.reclaims.leaving.set(instance, earliest);
   const server = state.backendServers.get(instance);
   if (server !== undefined) server.goneAt = earliest;
-  return earliest < known;
+  return earliest < previous;
 }
 
 export function recordReclaimNotice(
