--- a/packages/entry-core/src/quarantine/randomPoisonBatches.test.ts
+++ b/packages/entry-core/src/quarantine/randomPoisonBatches.test.ts
@@ -62,7 +62,7 @@
     const name = isPoison ? 'bad' : `request-${number}`;
     const fields = isPoison
       ? { digest: POISON_DIGEST }
-      : { mostTokens: 100 + ((number * 37) % 300) };
+      : { maxTokens: 100 + ((number * 37) % 300) };
     cluster.entryAt(number % batch.entries).submitRequest(makeRequest(name, fields));
     cluster.advance(batch.spacingMilliseconds);
   }
