--- a/packages/entry-core/src/driver/SimulatedEngine.ts
+++ b/packages/entry-core/src/driver/SimulatedEngine.ts
@@ -33,6 +33,10 @@
 /** Token position at which a request crashes its engine, by digest. */
 export type CrashTokenByDigest = ReadonlyMap<string, number>;
 
+/**
+ * Returns the number of tokens in the answer; a digest ending in `early` stops at half of the
+ * maximum.
+ */
 export function answerLength({ maxTokens, digest }: CallerRequest): number {
   const lengthDivisor = digest.endsWith('early') ? 2 : 1;
   return Math.ceil(maxTokens / lengthDivisor);
@@ -42,6 +46,7 @@
   return `${digest}#${position} `;
 }
 
+/** Returns the complete answer that an uninterrupted stream would deliver. */
 export function expectedAnswer(request: CallerRequest): string {
   return Array.from({ length: answerLength(request) }, (_, position) =>
     tokenAt(request.digest, position),
--- a/packages/entry-core/src/driver/SimulatedEntry.ts
+++ b/packages/entry-core/src/driver/SimulatedEntry.ts
@@ -38,7 +38,7 @@
   readonly attemptId: string;
   readonly caller: CallerRecord;
   readonly instance: string;
-  /** The answer of a plain service cannot be resumed. */
+  /** True if a partial answer cannot be resumed. */
   readonly isPlainService: boolean;
   /** Tokens received over this connection. */
   readonly ownTokens: string[];
--- a/packages/entry-core/src/driver/runFaultScenario.ts
+++ b/packages/entry-core/src/driver/runFaultScenario.ts
@@ -12,6 +12,7 @@
 
 const DATA_CENTRES = ['wien-a', 'wien-b', 'stpoelten', 'eisenstadt'];
 const REQUEST_COUNT = 500;
+/** Longest gap between two requests, in steps of the simulation. */
 const MAX_GAP_STEPS = 16;
 const REPLACEMENT_DELAY_MILLISECONDS = 6000;
 const ANSWER_DEADLINE_MILLISECONDS = 25_000;
@@ -25,7 +26,7 @@
   readonly extraDecodedTokens: number;
   /** Prompt and answer tokens, each counted once. */
   readonly requiredTokens: number;
-  /** Mean time to a complete answer. */
+  /** Mean time from the arrival of a request to its complete answer. */
   readonly meanCompletionMilliseconds: number;
   readonly violations: number;
 }
--- a/packages/entry-core/src/quarantine/advanceSuspects.ts
+++ b/packages/entry-core/src/quarantine/advanceSuspects.ts
@@ -1,9 +1,9 @@
 /**
  * Expires suspects and quarantines, and lifts the isolation of suspects. Isolation ends once the
  * request has run on another backend server past the point of its crash: otherwise long answers
- * would run one at a time and miss their deadlines. Lifting it sooner means that a request which
- * crashes again later costs three backend servers instead of two. A request whose isolation was
- * lifted stays a suspect of its crash until it completes or expires.
+ * would run one at a time and miss their deadlines. A request that is in progress at another crash
+ * afterwards stays isolated until it completes, so a poison request that crashes late costs three
+ * servers instead of two.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
@@ -13,7 +13,8 @@
 const ISOLATION_MARGIN_MILLISECONDS = 1000;
 
 /**
- * Caps the isolation of long-running requests; a longer one would tie unrelated crashes to them.
+ * Upper limit for long-running requests. A longer isolation detects more poison requests, but also
+ * attributes more unrelated crashes to harmless ones.
  */
 const MAX_ISOLATION_MILLISECONDS = 2500;
 
--- a/packages/entry-core/src/quarantine/attributeCrash.ts
+++ b/packages/entry-core/src/quarantine/attributeCrash.ts
@@ -10,7 +10,7 @@
 import { quarantineDigest } from './quarantineDigest.js';
 import type { ConnectionLoss } from './QuarantineState.js';
 import {
-  announcementDelay,
+  getAnnouncementDelay,
   exonerateSuspectsOf,
   collectCrashIds,
   peerHasSuspectAt,
@@ -42,7 +42,7 @@
   now: MonotonicMilliseconds,
 ): void {
   const until = loss.openedAt + SUSPECT_LIFETIME_MILLISECONDS;
-  const heldUntil = now + announcementDelay(state);
+  const heldUntil = now + getAnnouncementDelay(state);
   digests.forEach((digest) => {
     const crashIds = collectCrashIds(state, digest).add(crashId);
     const { exposure = 0, tokens = 0 } = loss.requestsInProgress.get(digest) ?? {};
--- a/packages/entry-core/src/quarantine/crashIdOf.ts
+++ b/packages/entry-core/src/quarantine/crashIdOf.ts
@@ -1,6 +1,7 @@
 /**
- * Derives crash ids. All entries that see the same crash must arrive at the same id, because a
- * digest is quarantined once it was in progress at two different crashes.
+ * Derives crash ids. All entries must derive the same id for the same crash: a digest is
+ * quarantined once it was in progress at two different crashes, and two ids for one crash would
+ * count as two.
  */
 import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
--- a/packages/entry-core/src/quarantine/failAttemptsAt.ts
+++ b/packages/entry-core/src/quarantine/failAttemptsAt.ts
@@ -8,7 +8,7 @@
 import type { AttemptState } from '../attempts/AttemptState.js';
 import { failAttempt } from '../attempts/failAttempt.js';
 
-/** A partial answer of a plain service cannot be resumed by another backend server. */
+/** True if part of the answer has been received; another backend server cannot resume it. */
 function hasStartedPlainAnswer(state: EntryState, attempt: AttemptState): boolean {
   const accepted = state.requests.get(attempt.requestId);
   return accepted?.pool.kind === 'plainService' && attempt.firstTokenAt !== undefined;
--- a/packages/entry-core/src/quarantine/recordLoss.ts
+++ b/packages/entry-core/src/quarantine/recordLoss.ts
@@ -42,8 +42,8 @@
 }
 
 /**
- * A refused connection is probed too: a crashed server without streams would otherwise stay the
- * least loaded one and be chosen for every request.
+ * True if the backend server may have crashed. A refused connection counts too: a crashed server
+ * without streams would otherwise stay the least loaded one and be chosen for every request.
  */
 function needsProbe(failure: AttemptFailure): boolean {
   return failure === 'connectionLost' || failure === 'silent' || failure === 'connectFailed';
@@ -58,7 +58,7 @@
 ): EntryEffect[] {
   if (!needsProbe(event.failure)) return [];
   const { instance } = attempt;
-  // A leaving server was expected to go, and one that is down has already been classified.
+  // A leaving server is expected to stop, and a server that is down has already been classified.
   if (state.reclaims.leaving.has(instance) || state.quarantine.down.has(instance)) return [];
   const existing = state.quarantine.unresolvedLosses.get(instance);
   // Nothing of the refused request was sent, so it cannot have caused the loss.
--- a/packages/entry-core/src/quarantine/suspects.ts
+++ b/packages/entry-core/src/quarantine/suspects.ts
@@ -16,7 +16,7 @@
 const ANNOUNCEMENT_DELAY_MILLISECONDS = 250;
 
 /** Returns how long a new suspect waits for its report to reach the peers; 0 if there are none. */
-export function announcementDelay(state: EntryState): Milliseconds {
+export function getAnnouncementDelay(state: EntryState): Milliseconds {
   return livePeers(state).length === 0 ? 0 : ANNOUNCEMENT_DELAY_MILLISECONDS;
 }
 
@@ -64,7 +64,7 @@
     exposure: Math.max(...reported.map(({ exposure = 0 }) => exposure)),
     tokens: Math.max(...reported.map(({ tokens = 0 }) => tokens)),
     until: now + SUSPECT_LIFETIME_MILLISECONDS,
-    heldUntil: now + announcementDelay(state),
+    heldUntil: now + getAnnouncementDelay(state),
   };
   state.quarantine.suspects.set(digest, adopted);
   reportSoon(state);
@@ -122,12 +122,12 @@
 /** Returns the instances on which suspects of other requests are running, here or at peers. */
 export function listInstancesRunningSuspects(
   state: EntryState,
-  exceptRequestId: string,
+  excludedRequestId: string,
 ): Set<string> {
   const instances = new Set<string>();
   state.attempts.forEach(({ requestId, instance }) => {
     const digest = state.requests.get(requestId)?.request.digest;
-    if (digest === undefined || requestId === exceptRequestId) return;
+    if (digest === undefined || requestId === excludedRequestId) return;
     if (isSuspect(state, digest)) instances.add(instance);
   });
   listPeerSuspects(state).forEach(({ runningAt }) => {
--- a/packages/entry-core/src/reclaims/migrateStreams.ts
+++ b/packages/entry-core/src/reclaims/migrateStreams.ts
@@ -39,8 +39,9 @@
 }
 
 /**
- * A call that may not be repeated can only be migrated with its KV cache, which continues the same
- * run. The answer of a plain service cannot be migrated once it has started.
+ * True if the stream can continue elsewhere. A call that may not be repeated can only move with
+ * its KV cache, which continues the same run. The answer of a plain service cannot move once it
+ * has started.
  */
 function canMigrate(accepted: RequestState, attempt: AttemptState): boolean {
   if (accepted.attemptId !== attempt.attemptId) return false;
@@ -136,7 +137,7 @@
   };
 }
 
-/** A request that may not be repeated stays where it is if its KV cache cannot be moved. */
+/** False if the stream has to stay where it is unless its KV cache can be moved. */
 function isRepeatable({ accepted }: Stream): boolean {
   return accepted.route.idempotent;
 }
--- a/packages/entry-core/src/reclaims/recordReclaimNotice.ts
+++ b/packages/entry-core/src/reclaims/recordReclaimNotice.ts
@@ -1,7 +1,7 @@
 /**
- * Records that a backend server is about to be reclaimed, as reported by the platform, a notice or
- * a peer. It receives no new work from then on. If the sources disagree, the earliest time
- * applies.
+ * Records that a backend server is about to be reclaimed, as listed by the platform or announced
+ * by a notice or a peer. It receives no new work from then on. If the sources disagree, the
+ * earliest time applies.
  */
 import type { EpochMilliseconds, PlatformInstance } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
