--- a/packages/entry-core/src/driver/SimulatedCluster.ts
+++ b/packages/entry-core/src/driver/SimulatedCluster.ts
@@ -1,6 +1,7 @@
 /**
- * Entries and fake engines together in virtual time. Time goes in equal steps; what is due within
- * a step runs in the order in which it was asked for, so that each run is the same.
+ * Runs entries and simulated engines together in virtual time. Time advances in fixed steps, and
+ * tasks due in the same step run in the order in which they were scheduled, so runs are
+ * deterministic.
  */
 import type {
   EntryReport,
@@ -22,16 +23,16 @@
 const TICK_MILLISECONDS = 50;
 
 export interface SimulatedClusterOptions {
-  /** Engines by data centre. */
+  /** Number of engines in each data centre. */
   readonly engines: Readonly<Record<string, number>>;
-  /** Entries, one after the other in each data centre. */
+  /** Number of entries, distributed over the data centres in turn; 1 by default. */
   readonly entries?: number;
   readonly crashTokenByDigest?: CrashTokenByDigest;
   readonly rates?: Partial<EngineRates>;
   readonly wholeAnswerMilliseconds?: number;
-  /** Pool that the engines belong to; those of `bookings` play plain services. */
+  /** Pool of the engines; those of `bookings` act as plain services. */
   readonly pool?: 'engines' | 'bookings';
-  /** True if engines that die are gone without a word, instead of resetting their connections. */
+  /** True if hosts disappear with their engines: connections are neither reset nor refused. */
   readonly losesHost?: boolean;
 }
 
@@ -47,19 +48,19 @@
 
   movesFail = false;
 
-  /** False lets every probe go without an answer. */
+  /** False leaves every probe unanswered. */
   probesAnswered = true;
 
-  /** False cuts all entries off from the store. */
+  /** False makes the store unreachable for all entries. */
   storeReachable = true;
 
   private readonly rates: EngineRates;
 
-  private readonly poison: CrashTokenByDigest;
+  private readonly crashTokenByDigest: CrashTokenByDigest;
 
   private readonly pool: string;
 
-  private readonly vanish: boolean;
+  private readonly losesHost: boolean;
 
   private now = 0;
 
@@ -67,15 +68,15 @@
 
   private tasks: Task[] = [];
 
-  private listed: PlatformInstance[] = [];
+  private platformInstances: PlatformInstance[] = [];
 
-  private readonly crashes = new Map<string, Set<string>>();
+  private readonly crashIdsByDigest = new Map<string, Set<string>>();
 
   constructor(options: SimulatedClusterOptions) {
     this.rates = { ...defaultEngineRates, ...options.rates };
-    this.poison = options.crashTokenByDigest ?? new Map();
+    this.crashTokenByDigest = options.crashTokenByDigest ?? new Map();
     this.pool = options.pool ?? 'engines';
-    this.vanish = options.losesHost ?? false;
+    this.losesHost = options.losesHost ?? false;
     Object.entries(options.engines).forEach(([dataCentre, count]) => {
       for (let number = 1; number <= count; number += 1) {
         this.addEngine(`${dataCentre}-engine-${number}`, dataCentre);
@@ -88,25 +89,27 @@
       const entry = new SimulatedEntry(this, `entry-${number}`, dataCentre);
       this.entries.push(entry);
       entry.send({ type: 'configurationReceived', configuration });
-      entry.send({ type: 'instancesListed', instances: this.listed });
+      entry.send({ type: 'instancesListed', instances: this.platformInstances });
     }
   }
 
-  /** A new engine; entries learn of it from the platform's list. */
+  /** Adds an engine and lists it on the platform. */
   addEngine(instance: string, dataCentre: string): void {
-    const engine = new SimulatedEngine(instance, dataCentre, this.rates, this.poison);
-    engine.omitsReset = this.vanish;
-    engine.unreachable = this.vanish;
+    const engine = new SimulatedEngine(instance, dataCentre, this.rates, this.crashTokenByDigest);
+    engine.omitsReset = this.losesHost;
+    engine.unreachable = this.losesHost;
     this.engines.set(instance, engine);
-    this.listed.push(this.list(engine));
+    this.platformInstances.push(this.describeInstance(engine));
     this.listAliveEngines();
   }
 
-  /** The platform's list shows what is alive, and nothing else. */
+  /** Removes dead engines from the list of the platform and sends the list to all entries. */
   listAliveEngines(): void {
-    this.listed = this.listed.filter((listed) => this.engines.get(listed.instance)?.alive);
+    this.platformInstances = this.platformInstances.filter(
+      (platformInstance) => this.engines.get(platformInstance.instance)?.alive,
+    );
     this.entries.forEach((entry) =>
-      entry.send({ type: 'instancesListed', instances: this.listed }),
+      entry.send({ type: 'instancesListed', instances: this.platformInstances }),
     );
   }
 
@@ -134,15 +137,15 @@
     this.tasks.push({ dueAt: this.now + delay, run });
   }
 
-  advance(span: number): void {
-    const end = this.now + span;
+  advance(duration: number): void {
+    const end = this.now + duration;
     while (this.now < end) this.step();
   }
 
-  /** Runs until every caller has a final answer, or the time is up. */
-  runUntilAnswered(most = 120_000): void {
-    const end = this.now + most;
-    while (this.now < end && this.callers().some(({ finalAnswers: finals }) => finals.length === 0))
+  /** Runs until every caller has a final answer or the time-out has passed. */
+  runUntilAnswered(timeout = 120_000): void {
+    const end = this.now + timeout;
+    while (this.now < end && this.callers().some(({ finalAnswers }) => finalAnswers.length === 0))
       this.step();
     this.advance(STEP_MILLISECONDS);
   }
@@ -151,7 +154,7 @@
     return this.entries.flatMap((entry) => [...entry.callers.values()]);
   }
 
-  /** Gives notice to these engines at one entry; they die when it ends. */
+  /** Sends one entry a reclaim notice for these engines, which die when it ends. */
   reclaim(instances: readonly string[], notice: number, entry: SimulatedEntry = this.entry): void {
     const goneAt = this.clock().wallNow + notice;
     instances.forEach((instance) => {
@@ -160,15 +163,17 @@
     });
   }
 
-  /** The platform's list says at once that these are leaving, as one wave. */
+  /** Marks these engines as leaving in the list of the platform, all in the same update. */
   reclaimByPlatformList(instances: readonly string[], notice: number): void {
     const goneAt = this.clock().wallNow + notice;
     const leaving = new Set(instances);
-    this.listed = this.listed.map((listed) =>
-      leaving.has(listed.instance) ? { ...listed, state: 'leaving', goneAt } : listed,
+    this.platformInstances = this.platformInstances.map((platformInstance) =>
+      leaving.has(platformInstance.instance)
+        ? { ...platformInstance, state: 'leaving', goneAt }
+        : platformInstance,
     );
     this.entries.forEach((entry) =>
-      entry.send({ type: 'instancesListed', instances: this.listed }),
+      entry.send({ type: 'instancesListed', instances: this.platformInstances }),
     );
     instances.forEach((instance) => this.schedule(notice, () => this.engine(instance).die()));
   }
@@ -177,11 +182,9 @@
     return [...this.engines.values()].filter(({ alive }) => !alive).length;
   }
 
-  /** The caller at this position among those still waiting closes its connection. */
+  /** Disconnects the caller at this position among those without a final answer. */
   disconnectCaller(position: number): void {
-    const caller = this.callers().filter(({ finalAnswers: finals }) => finals.length === 0)[
-      position
-    ];
+    const caller = this.callers().filter(({ finalAnswers }) => finalAnswers.length === 0)[position];
     if (caller === undefined) return;
     caller.finalAnswers.push({ type: 'gone', at: this.now });
     const { requestId } = caller.request;
@@ -204,15 +207,15 @@
       .forEach((entry) => this.schedule(1, () => entry.send({ type: 'workReported', work })));
   }
 
-  /** A store that counts crashes by digest and quarantines at the second. */
+  /** Simulates a store that quarantines a digest at its second reported crash. */
   applyCrashReport({ crashId, digests }: ReportCrashCommand): void {
     if (!this.storeReachable) return;
     const until = this.clock().wallNow + 600_000;
     const quarantine = digests
       .filter((digest) => {
-        const known = this.crashes.get(digest) ?? new Set();
-        this.crashes.set(digest, known.add(crashId));
-        return known.size > 1;
+        const crashIds = this.crashIdsByDigest.get(digest) ?? new Set();
+        this.crashIdsByDigest.set(digest, crashIds.add(crashId));
+        return crashIds.size > 1;
       })
       .map((digest) => ({ digest, until }));
     if (quarantine.length === 0) return;
@@ -221,46 +224,48 @@
     );
   }
 
-  /** What is wrong with what callers have seen; empty if nothing is. */
+  /** Returns the violated guarantees of all callers; empty if there are none. */
   findViolations(): string[] {
-    return this.callers().flatMap((caller) => this.violationsOf(caller));
+    return this.callers().flatMap((caller) => this.findViolationsOf(caller));
   }
 
-  private violationsOf({ request, finalAnswers: finals, tokens }: CallerRecord): string[] {
-    const found: string[] = [];
+  private findViolationsOf({ request, finalAnswers, tokens }: CallerRecord): string[] {
+    const violations: string[] = [];
     const expected = expectedAnswer(request);
     const name = request.requestId;
-    if (finals.length !== 1) found.push(`${name} got ${finals.length} final answers`);
-    if (!expected.startsWith(tokens.join(''))) found.push(`${name} got a mixed answer`);
-    finals.forEach((final) => {
-      if (final.type === 'whole' && final.text !== expected) {
-        found.push(`${name} got a wrong whole answer`);
+    if (finalAnswers.length !== 1)
+      violations.push(`${name} got ${finalAnswers.length} final answers`);
+    if (!expected.startsWith(tokens.join('')))
+      violations.push(`${name} got tokens of another answer`);
+    finalAnswers.forEach((finalAnswer) => {
+      if (finalAnswer.type === 'whole' && finalAnswer.text !== expected) {
+        violations.push(`${name} got an incorrect complete answer`);
       }
       const received = [...this.engines.values()].some((engine) => engine.received.has(name));
-      if (final.type === 'problem' && final.ran !== 'unknown' && received) {
-        found.push(`${name} ran although it was told that it did not`);
+      if (finalAnswer.type === 'problem' && finalAnswer.ran !== 'unknown' && received) {
+        violations.push(`${name} reached an engine but was reported as not run`);
       }
     });
-    return found;
+    return violations;
   }
 
-  private list(engine: SimulatedEngine): PlatformInstance {
+  private describeInstance(engine: SimulatedEngine): PlatformInstance {
     const { instance, dataCentre } = engine;
-    const base = { instance, dataCentre, instanceClass: 'gpu', pool: this.pool };
-    return { ...base, state: 'live', host: '127.0.0.1', port: 1 };
+    const common = { instance, dataCentre, instanceClass: 'gpu', pool: this.pool };
+    return { ...common, state: 'live', host: '127.0.0.1', port: 1 };
   }
 
   private step(): void {
     this.now += STEP_MILLISECONDS;
-    this.runDue();
+    this.runDueTasks();
     this.engines.forEach((engine) => engine.advance(STEP_MILLISECONDS));
     this.entries.forEach((entry) => entry.failStalledConnections());
-    this.runDue();
+    this.runDueTasks();
     if (this.now % TICK_MILLISECONDS !== 0) return;
     this.entries.forEach((entry) => entry.send({ type: 'tick' }));
   }
 
-  private runDue(): void {
+  private runDueTasks(): void {
     for (;;) {
       const due = this.tasks.filter(({ dueAt }) => dueAt <= this.now);
       if (due.length === 0) return;
--- a/packages/entry-core/src/driver/SimulatedEngine.ts
+++ b/packages/entry-core/src/driver/SimulatedEngine.ts
@@ -1,10 +1,10 @@
 /**
- * A model engine in virtual time. What it generates depends only on the request's digest and the
- * position, so that a spliced answer can be compared with an uninterrupted one.
+ * Simulates a model engine in virtual time. Its tokens depend only on the digest and the position,
+ * so the answer of a resumed stream can be compared with the expected one.
  */
 import type { CallerRequest } from '../entryEvents.js';
 
-/** What an engine says on one of its connections. */
+/** Receives the events of one stream. */
 export interface EngineListener {
   token(position: number, token: string): void;
   finished(): void;
@@ -17,31 +17,36 @@
   readonly listener: EngineListener;
   position: number;
   remainingPrefillMilliseconds: number;
-  /** Part of the next token that is done already. */
+  /** Fraction of the next token that has been generated. */
   nextTokenProgress: number;
-  /** True if the way back has lost track of the connection. */
+  /** True if the connection is open but delivers nothing in either direction. */
   stalled: boolean;
 }
 
 export interface EngineRates {
   readonly tokensPerMillisecond: number;
   readonly prefillTokensPerMillisecond: number;
-  /** Streams that run at full speed together. */
+  /** Number of streams that run at full speed concurrently. */
   readonly concurrency: number;
 }
 
-/** When a request crashes the engine that runs it: at this token of its answer. */
+/** Token position at which a request crashes its engine, by digest. */
 export type CrashTokenByDigest = ReadonlyMap<string, number>;
 
-export function answerLength({ maxTokens: mostTokens, digest }: CallerRequest): number {
-  const early = digest.endsWith('early') ? 2 : 1;
-  return Math.ceil(mostTokens / early);
+/**
+ * Returns the number of tokens in the answer; a digest ending in `early` stops at half of the
+ * maximum.
+ */
+export function answerLength({ maxTokens, digest }: CallerRequest): number {
+  const lengthDivisor = digest.endsWith('early') ? 2 : 1;
+  return Math.ceil(maxTokens / lengthDivisor);
 }
 
 export function tokenAt(digest: string, position: number): string {
   return `${digest}#${position} `;
 }
 
+/** Returns the complete answer that an uninterrupted stream would deliver. */
 export function expectedAnswer(request: CallerRequest): string {
   return Array.from({ length: answerLength(request) }, (_, position) =>
     tokenAt(request.digest, position),
@@ -51,18 +56,18 @@
 export class SimulatedEngine {
   alive = true;
 
-  /** Refuses all new work with "busy". */
+  /** Rejects all new streams as busy. */
   busy = false;
 
-  /** True if its process is started again at once when it dies. */
+  /** True if the process restarts immediately when it dies. */
   restartsImmediately = false;
 
   deaths = 0;
 
-  /** True if its connections are not even reset when it dies. */
+  /** True if dying resets no connections, as when the host disappears. */
   omitsReset = false;
 
-  /** True if a dead host does not even refuse connections. */
+  /** True if connections to a dead engine time out instead of being refused. */
   unreachable = false;
 
   readonly streams = new Map<string, EngineStream>();
@@ -78,10 +83,10 @@
     readonly instance: string,
     readonly dataCentre: string,
     private readonly rates: EngineRates,
-    private readonly poison: CrashTokenByDigest,
+    private readonly crashTokenByDigest: CrashTokenByDigest,
   ) {}
 
-  /** `cachedTokens` of prompt and answer are in the KV cache already. */
+  /** Starts a stream whose first `cachedTokens` tokens of context are already in the KV cache. */
   open(stream: EngineStream, cachedTokens: number): void {
     const context = stream.request.promptTokens + stream.position;
     const prefill = Math.max(0, context - cachedTokens);
@@ -98,16 +103,16 @@
     const lost = [...this.streams.values()];
     this.streams.clear();
     if (this.omitsReset) return;
-    lost.filter(({ stalled: silent }) => !silent).forEach(({ listener }) => listener.lost());
+    lost.filter(({ stalled }) => !stalled).forEach(({ listener }) => listener.lost());
   }
 
-  advance(span: number): void {
-    const load = Math.max(1, this.streams.size / this.rates.concurrency);
+  advance(duration: number): void {
+    const slowdown = Math.max(1, this.streams.size / this.rates.concurrency);
     [...this.streams.values()].forEach((stream) => {
       if (!this.alive) return;
       if (stream.remainingPrefillMilliseconds > 0)
-        stream.remainingPrefillMilliseconds -= span / load;
-      else this.decode(stream, (span * this.rates.tokensPerMillisecond) / load);
+        stream.remainingPrefillMilliseconds -= duration / slowdown;
+      else this.decode(stream, (duration * this.rates.tokensPerMillisecond) / slowdown);
     });
   }
 
@@ -115,7 +120,7 @@
     const { request, listener } = stream;
     stream.nextTokenProgress += tokens;
     while (stream.nextTokenProgress >= 1 && stream.position < answerLength(request)) {
-      if (stream.position >= (this.poison.get(request.digest) ?? Infinity)) {
+      if (stream.position >= (this.crashTokenByDigest.get(request.digest) ?? Infinity)) {
         this.die();
         return;
       }
--- a/packages/entry-core/src/quarantine/attributeCrash.ts
+++ b/packages/entry-core/src/quarantine/attributeCrash.ts
@@ -1,9 +1,7 @@
 /**
- * What a crash means for the requests that were in progress there.
- *
- * Where exactly one of them was a suspect already, that one is named: it was in progress at two
- * crashes, and it is quarantined. Its neighbours there stay innocent, and so do all others of the
- * first crash.
+ * Attributes a crash to one of the requests that were in progress on the server. If exactly one of
+ * them was also in progress at an earlier crash, it is quarantined, and all other suspects of
+ * these crashes are exonerated. Otherwise the requests in progress become or stay suspects.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -12,7 +10,7 @@
 import { quarantineDigest } from './quarantineDigest.js';
 import type { ConnectionLoss } from './QuarantineState.js';
 import {
-  announcementDelay,
+  getAnnouncementDelay,
   exonerateSuspectsOf,
   collectCrashIds,
   peerHasSuspectAt,
@@ -20,20 +18,23 @@
   SUSPECT_LIFETIME_MILLISECONDS,
 } from './suspects.js';
 
-/** Clears those that were suspects only for the time of the probe, and tells how many lost theirs. */
+/**
+ * Removes suspects that are held only because of this loss. Returns how many requests the loss
+ * affected.
+ */
 export function removeProvisionalSuspects(state: EntryState, instance: string): number {
-  const lost = [...state.quarantine.suspects.values()].filter(
-    ({ lossInstance: lossOf }) => lossOf === instance,
+  const affected = [...state.quarantine.suspects.values()].filter(
+    ({ lossInstance }) => lossInstance === instance,
   );
-  lost.forEach((suspect) => {
+  affected.forEach((suspect) => {
     suspect.lossInstance = undefined;
     const isKept = suspect.crashIds.size > 0 || suspect.resetBefore === true;
     if (!isKept) state.quarantine.suspects.delete(suspect.digest);
   });
-  return lost.length;
+  return affected.length;
 }
 
-function suspectAll(
+function addSuspects(
   state: EntryState,
   loss: ConnectionLoss,
   digests: string[],
@@ -41,10 +42,10 @@
   now: MonotonicMilliseconds,
 ): void {
   const until = loss.openedAt + SUSPECT_LIFETIME_MILLISECONDS;
-  const heldUntil = now + announcementDelay(state);
+  const heldUntil = now + getAnnouncementDelay(state);
   digests.forEach((digest) => {
     const crashIds = collectCrashIds(state, digest).add(crashId);
-    const { exposure = 0, tokens = 0 } = loss.members.get(digest) ?? {};
+    const { exposure = 0, tokens = 0 } = loss.requestsInProgress.get(digest) ?? {};
     const suspect = {
       digest,
       crashIds,
@@ -59,11 +60,11 @@
 }
 
 /**
- * Reports the named request with each of its crashes, and nobody else. The store quarantines any digest
- * at its second crash; were all members of every crash reported, an innocent one that is in two by
- * chance would be quarantined everywhere.
+ * Proposes one crash report for each crash of the identified request, listing no other digest. The
+ * store quarantines a digest at its second reported crash, so an unrelated request that was in
+ * progress at two crashes by chance would otherwise be quarantined too.
  */
-function reportCulprit(digest: string, crashIds: ReadonlySet<string>): EntryEffect[] {
+function proposeCrashReports(digest: string, crashIds: ReadonlySet<string>): EntryEffect[] {
   return [...crashIds].map((crashId) => {
     const backendServer = crashId.slice(0, crashId.lastIndexOf('/'));
     const command = { type: 'reportCrash', backendServer, crashId, digests: [digest] } as const;
@@ -71,27 +72,30 @@
   });
 }
 
-/** Draws what follows for the requests that were in progress at a crash. */
+/** Returns the effects of a quarantine if the crash can be attributed to a single request. */
 export function attributeCrash(
   state: EntryState,
   loss: ConnectionLoss,
   crashId: string,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
-  const prior = findPriorSuspects(state, loss, crashId);
+  const priorSuspects = findPriorSuspects(state, loss, crashId);
   removeProvisionalSuspects(state, loss.instance);
-  const culprit = prior[0];
-  // A peer's suspect ran there: the crash is that one's, as the peer will find.
-  if (culprit === undefined && peerHasSuspectAt(state, loss.instance)) return [];
-  if (culprit === undefined) {
-    suspectAll(state, loss, [...loss.members.keys()], crashId, timed.now);
+  const poisonDigest = priorSuspects[0];
+  // A peer ran a suspect on this server: the peer attributes the crash to it.
+  if (poisonDigest === undefined && peerHasSuspectAt(state, loss.instance)) return [];
+  if (poisonDigest === undefined) {
+    addSuspects(state, loss, [...loss.requestsInProgress.keys()], crashId, timestamps.now);
     return [];
   }
-  if (prior.length > 1 || peerHasSuspectAt(state, loss.instance)) {
-    suspectAll(state, loss, prior, crashId, timed.now);
+  if (priorSuspects.length > 1 || peerHasSuspectAt(state, loss.instance)) {
+    addSuspects(state, loss, priorSuspects, crashId, timestamps.now);
     return [];
   }
-  const crashIds = collectCrashIds(state, culprit).add(crashId);
+  const crashIds = collectCrashIds(state, poisonDigest).add(crashId);
   exonerateSuspectsOf(state, crashIds);
-  return [...reportCulprit(culprit, crashIds), ...quarantineDigest(state, culprit, timed)];
+  return [
+    ...proposeCrashReports(poisonDigest, crashIds),
+    ...quarantineDigest(state, poisonDigest, timestamps),
+  ];
 }
--- a/packages/entry-core/src/quarantine/classifyLoss.ts
+++ b/packages/entry-core/src/quarantine/classifyLoss.ts
@@ -1,6 +1,7 @@
 /**
- * Decides what a loss was, once its probe is answered or has not been for too long: a lost
- * connection, a mass loss of many backend servers, or a crash that one request may have caused.
+ * Classifies a loss once its probe is answered or times out: a lost connection only, a mass loss
+ * of several backend servers, or a crash that a single request may have caused. Each loss is
+ * classified exactly once.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import { startRetriesAwaitingServer } from '../attempts/advanceRetries.js';
@@ -16,11 +17,11 @@
 import { probeBackendServer } from './probeBackendServer.js';
 import type { ConnectionLoss } from './QuarantineState.js';
 
-/** How long a probe may go unanswered before its backend server is taken for dead. */
+/** A backend server that does not answer a probe within this time is considered crashed. */
 export const PROBE_TIMEOUT_MILLISECONDS = 1000;
 
-/** How often a backend server that is down is probed again. */
-const DOWN_PROBE_MILLISECONDS = 2000;
+/** Interval between probes of a backend server that is down. */
+const DOWN_PROBE_INTERVAL_MILLISECONDS = 2000;
 
 function markDown(
   state: EntryState,
@@ -28,18 +29,18 @@
   crashId: string,
   now: MonotonicMilliseconds,
 ) {
-  const probeDueAt = now + DOWN_PROBE_MILLISECONDS;
-  const digests = new Set(loss.members.keys());
+  const probeDueAt = now + DOWN_PROBE_INTERVAL_MILLISECONDS;
+  const digests = new Set(loss.requestsInProgress.keys());
   const since = loss.openedAt;
   state.quarantine.down.set(loss.instance, { since, probeDueAt, digests, crashId });
 }
 
 /**
- * A backend server too busy for new connections still feeds its old ones. To end these for an
- * unanswered probe would cut streams that are well. So would one that went out just before a caller
- * began to hold its stream up: the engine gave more than the caller could take.
+ * True if the server still sends tokens although its probe timed out: it may be too busy to accept
+ * new connections. A stream that its caller pauses counts as well, since no token is expected from
+ * it. Ending these attempts would interrupt healthy streams.
  */
-function givesTokens(state: EntryState, { instance, openedAt }: ConnectionLoss): boolean {
+function isStillServing(state: EntryState, { instance, openedAt }: ConnectionLoss): boolean {
   return [...(state.backendServers.get(instance)?.attemptIds ?? [])].some((attemptId) => {
     const attempt = state.attempts.get(attemptId);
     return attempt?.pausedByCaller === true || (attempt?.tokensUpdatedAt ?? openedAt) > openedAt;
@@ -50,12 +51,12 @@
   state: EntryState,
   loss: ConnectionLoss,
   result: ProbeResult,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
   const { instance } = loss;
   state.quarantine.unresolvedLosses.delete(instance);
   reportSoon(state);
-  const alive = result.answered || givesTokens(state, loss);
+  const alive = result.answered || isStillServing(state, loss);
   if (alive && !(result.answered && hasRestarted(state, loss, result))) {
     recordResets(state, loss);
     const lost = removeProvisionalSuspects(state, instance);
@@ -64,53 +65,55 @@
       { type: 'log', event: 'connectionOnlyLost', fields: { backendServer: instance, lost } },
     ];
   }
-  const crashId = crashIdOf(state, loss, timed);
-  state.quarantine.lastCrashes.set(instance, { crashId, confirmedAt: timed.now });
+  const crashId = crashIdOf(state, loss, timestamps);
+  state.quarantine.lastCrashes.set(instance, { crashId, confirmedAt: timestamps.now });
   const mass = !result.answered && detectMassLoss(state, loss);
-  // Also if it is back already: its suspects must not go there again before the next probe.
-  markDown(state, loss, crashId, timed.now);
-  const blamed = mass ? [] : attributeCrash(state, loss, crashId, timed);
+  // Applies to a restarted server too: suspects must not be sent to it before its next probe.
+  markDown(state, loss, crashId, timestamps.now);
+  const attributionEffects = mass ? [] : attributeCrash(state, loss, crashId, timestamps);
   if (mass) removeProvisionalSuspects(state, instance);
-  const members = loss.members.size;
+  const members = loss.requestsInProgress.size;
   return [
     {
       type: 'log',
       event: 'backendServerCrashed',
       fields: { backendServer: instance, crashId, members, mass },
     },
-    ...blamed,
-    ...failAttemptsAt(state, instance, timed),
+    ...attributionEffects,
+    ...failAttemptsAt(state, instance, timestamps),
   ];
 }
 
-/** A probe has come back, for a loss or for a backend server that was down. */
+/** Handles the answer to a probe of an unresolved loss or of a server that is down. */
 export function receiveProbeAnswer(
   state: EntryState,
   instance: string,
   result: ProbeResult,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
   const loss = state.quarantine.unresolvedLosses.get(instance);
-  const effects = loss === undefined ? [] : classifyLoss(state, loss, result, timed);
+  const effects = loss === undefined ? [] : classifyLoss(state, loss, result, timestamps);
   const { incarnation } = result;
   if (incarnation !== undefined) state.quarantine.incarnations.set(instance, incarnation);
   if (loss === undefined && result.answered) state.quarantine.down.delete(instance);
   return loss === undefined
     ? effects
-    : [...effects, ...startRetriesAwaitingServer(state, timed.now)];
+    : [...effects, ...startRetriesAwaitingServer(state, timestamps.now)];
 }
 
-/** Judges losses whose probe is overdue, and probes again what is down. */
-export function advanceLosses(state: EntryState, timed: Timestamps): EntryEffect[] {
+/** Classifies losses whose probe timed out, and probes again the servers that are down. */
+export function advanceLosses(state: EntryState, timestamps: Timestamps): EntryEffect[] {
   const overdue = [...state.quarantine.unresolvedLosses.values()].filter(
-    ({ openedAt }) => openedAt + PROBE_TIMEOUT_MILLISECONDS <= timed.now,
+    ({ openedAt }) => openedAt + PROBE_TIMEOUT_MILLISECONDS <= timestamps.now,
+  );
+  const classified = overdue.flatMap((loss) =>
+    classifyLoss(state, loss, { answered: false }, timestamps),
   );
-  const judged = overdue.flatMap((loss) => classifyLoss(state, loss, { answered: false }, timed));
   const probes = [...state.quarantine.down].flatMap(([instance, down]) => {
     if (!state.backendServers.has(instance)) state.quarantine.down.delete(instance);
-    if (down.probeDueAt > timed.now) return [];
-    down.probeDueAt = timed.now + DOWN_PROBE_MILLISECONDS;
+    if (down.probeDueAt > timestamps.now) return [];
+    down.probeDueAt = timestamps.now + DOWN_PROBE_INTERVAL_MILLISECONDS;
     return probeBackendServer(state, instance);
   });
-  return [...judged, ...probes];
+  return [...classified, ...probes];
 }
--- a/packages/entry-core/src/quarantine/crashIdOf.ts
+++ b/packages/entry-core/src/quarantine/crashIdOf.ts
@@ -1,20 +1,22 @@
 /**
- * Names of crashes.
+ * Derives crash ids. All entries must derive the same id for the same crash: a digest is
+ * quarantined once it was in progress at two different crashes, and two ids for one crash would
+ * count as two.
  */
 import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import type { ConnectionLoss } from './QuarantineState.js';
 
-/** Crashes without a name of their own are told apart by their time; see `crashIdOf`. */
-const CRASH_SPAN_MILLISECONDS = 1000;
+/** Without an incarnation, losses within the same time bucket share one crash id. */
+const CRASH_TIME_BUCKET_MILLISECONDS = 1000;
 
-/** Connections reset so soon after a crash was judged were lost in that same crash. */
-const SAME_CRASH_MILLISECONDS = 1000;
+/** A connection that is lost this soon after a crash was confirmed belongs to that crash. */
+const SAME_CRASH_WINDOW_MILLISECONDS = 1000;
 
 /**
- * Names a crash the same way at every entry that sees it: the backend server and its incarnation.
- * Without an incarnation the second in which the loss was seen stands in. A crash that two entries
- * see on either side of its end has two names; its suspects are then cleared by their parole only.
+ * Returns backend server and incarnation, or backend server and wall-clock second if no
+ * incarnation is reported. Two entries that see one crash in different seconds derive different
+ * ids; its suspects are then released only when their isolation is lifted.
  */
 export function crashIdOf(
   state: EntryState,
@@ -22,11 +24,11 @@
   { now, wallNow }: Timestamps,
 ): string {
   const last = state.quarantine.lastCrashes.get(instance);
-  if (last !== undefined && openedAt - last.confirmedAt <= SAME_CRASH_MILLISECONDS) {
+  if (last !== undefined && openedAt - last.confirmedAt <= SAME_CRASH_WINDOW_MILLISECONDS) {
     return last.crashId;
   }
   const incarnation =
     state.quarantine.incarnations.get(instance) ??
-    `second-${Math.floor((wallNow - now + openedAt) / CRASH_SPAN_MILLISECONDS)}`;
+    `second-${Math.floor((wallNow - now + openedAt) / CRASH_TIME_BUCKET_MILLISECONDS)}`;
   return `${instance}/${incarnation}`;
 }
--- a/packages/entry-core/src/quarantine/detectMassLoss.ts
+++ b/packages/entry-core/src/quarantine/detectMassLoss.ts
@@ -1,12 +1,9 @@
 /**
- * Tells the loss of a whole data centre, or of the way to it, from a crash. A request runs on one
- * backend server at a time, so it cannot take down several together; a data centre that is cut off
- * or reclaimed without notice does. Without this, its requests would all be suspects: they
- * would wait to be run one by one, and a second outage would quarantine innocent ones.
- *
- * A bad request that its caller sent several times at once looks alike. So it is a mass loss only if
- * it took most of the data centre, no suspect is known to have run there, and none of the requests
- * was in a mass loss before: what is lost en masse twice is suspected after all.
+ * Distinguishes the outage of a data centre, or of the network to it, from a crash. A request runs
+ * on one backend server at a time and cannot take down several at once, so the requests of a mass
+ * loss are not suspects. A poison request that its caller sent several times looks similar: a mass
+ * loss therefore takes the majority of the data centre, and no request in progress was a suspect
+ * or in an earlier mass loss.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
@@ -18,74 +15,76 @@
   SUSPECT_LIFETIME_MILLISECONDS,
 } from './suspects.js';
 
-/** Losses so close together have one cause. */
-const TOGETHER_MILLISECONDS: Milliseconds = 2000;
+/** Losses within this time of each other are assumed to have the same cause. */
+const SAME_CAUSE_WINDOW_MILLISECONDS: Milliseconds = 2000;
 
-/** What is lost or down beside the loss in question. */
-interface Neighbour {
+/** Another backend server that is lost or down at the same time. */
+interface ConcurrentLoss {
   readonly instance: string;
   readonly lostAt: number;
   readonly digests: readonly string[];
   readonly crashId?: string;
 }
 
-function listNeighbours(state: EntryState): Neighbour[] {
+function listOtherLosses(state: EntryState): ConcurrentLoss[] {
   const down = [...state.quarantine.down].map(([instance, { since, digests, crashId }]) => ({
     instance,
     lostAt: since,
     digests: [...digests],
     crashId,
   }));
-  const open = [...state.quarantine.unresolvedLosses.values()].map(
-    ({ instance, openedAt, members }) => ({
+  const unresolved = [...state.quarantine.unresolvedLosses.values()].map(
+    ({ instance, openedAt, requestsInProgress }) => ({
       instance,
       lostAt: openedAt,
-      digests: [...members.keys()],
+      digests: [...requestsInProgress.keys()],
     }),
   );
-  return [...down, ...open];
+  return [...down, ...unresolved];
 }
 
 function dataCentreOf(state: EntryState, instance: string): string | undefined {
   return state.backendServers.get(instance)?.platformInstance.dataCentre;
 }
 
-function sizeOf(state: EntryState, dataCentre: string | undefined): number {
+function countServersIn(state: EntryState, dataCentre: string | undefined): number {
   return [...state.backendServers.values()].filter(
-    ({ platformInstance: listed }) => listed.dataCentre === dataCentre,
+    ({ platformInstance }) => platformInstance.dataCentre === dataCentre,
   ).length;
 }
 
-/** True if a request is known that may have caused the loss. */
+/** True if a request that may have caused the loss was in progress on the server. */
 function hasKnownSuspect(state: EntryState, loss: ConnectionLoss): boolean {
-  const { massLossDigests: massLost } = state.quarantine;
+  const { massLossDigests } = state.quarantine;
   return (
     findPriorSuspects(state, loss).length > 0 ||
     peerHasSuspectAt(state, loss.instance) ||
-    [...loss.members.keys()].some((digest) => massLost.has(digest))
+    [...loss.requestsInProgress.keys()].some((digest) => massLossDigests.has(digest))
   );
 }
 
-function rememberMembers(state: EntryState, loss: ConnectionLoss): void {
+function recordMassLoss(state: EntryState, loss: ConnectionLoss): void {
   const until = loss.openedAt + SUSPECT_LIFETIME_MILLISECONDS;
-  loss.members.forEach((_, digest) => state.quarantine.massLossDigests.set(digest, until));
+  loss.requestsInProgress.forEach((_, digest) =>
+    state.quarantine.massLossDigests.set(digest, until),
+  );
 }
 
-/** Also takes back the suspicions of an earlier loss that has proved to be part of the same. */
+/** Also exonerates the suspects of earlier losses that turn out to be part of the same outage. */
 export function detectMassLoss(state: EntryState, loss: ConnectionLoss): boolean {
   const dataCentre = dataCentreOf(state, loss.instance);
-  const near = listNeighbours(state).filter(
+  const concurrent = listOtherLosses(state).filter(
     ({ instance, lostAt, digests }) =>
       instance !== loss.instance &&
       dataCentreOf(state, instance) === dataCentre &&
-      Math.abs(lostAt - loss.openedAt) <= TOGETHER_MILLISECONDS &&
-      !digests.some((digest) => loss.members.has(digest)),
+      Math.abs(lostAt - loss.openedAt) <= SAME_CAUSE_WINDOW_MILLISECONDS &&
+      !digests.some((digest) => loss.requestsInProgress.has(digest)),
   );
-  const isMost = (near.length + 1) * 2 > sizeOf(state, dataCentre);
-  if (near.length === 0 || !isMost || hasKnownSuspect(state, loss)) return false;
-  near.forEach(({ crashId }) => {
+  const isMajority = (concurrent.length + 1) * 2 > countServersIn(state, dataCentre);
+  if (concurrent.length === 0 || !isMajority || hasKnownSuspect(state, loss)) return false;
+  concurrent.forEach(({ crashId }) => {
     if (crashId !== undefined) exonerateSuspectsOf(state, new Set([crashId]));
   });
-  rememberMembers(state, loss);
+  recordMassLoss(state, loss);
   return true;
 }
--- a/packages/entry-core/src/quarantine/quarantineDigest.ts
+++ b/packages/entry-core/src/quarantine/quarantineDigest.ts
@@ -1,5 +1,6 @@
 /**
- * Keeps a request that crashed backend servers from all of them for a while, at every entry.
+ * Quarantines the digest of a request that crashed backend servers, at every entry. A quarantined
+ * request is sent to no backend server until the quarantine ends.
  */
 import type { QuarantineEntry } from '@hornbeampond/schema';
 import { cancelAttempt } from '../attempts/releaseAttempts.js';
@@ -12,65 +13,73 @@
 import type { RequestState } from '../requests/RequestState.js';
 import { exonerateSuspectsOf, collectCrashIds } from './suspects.js';
 
-/** Until the store's own word on it comes, this entry keeps the digest out for so long. */
-const OWN_QUARANTINE_MILLISECONDS = 600_000;
+/** How long this entry enforces its own quarantine if the store's does not arrive. */
+const LOCAL_QUARANTINE_MILLISECONDS = 600_000;
 
 /**
- * Ends a request that is quarantined now. What runs is cancelled: it may take down its backend
- * server at any moment.
+ * Fails a request that is now quarantined. Its attempt is cancelled, since it may crash its
+ * backend server at any moment.
  */
-function endQuarantined(
+function failQuarantinedRequest(
   state: EntryState,
   accepted: RequestState,
   endsAt: number,
   { now }: Timestamps,
 ) {
-  const refusal = { type: 'count', metric: 'retriesRefused', label: 'quarantined' } as const;
-  const detail = 'This request crashed backend servers and is kept from them for a while';
+  const refusalCount = { type: 'count', metric: 'retriesRefused', label: 'quarantined' } as const;
+  const detail = 'This request crashed backend servers and is quarantined for a limited time';
   const cancelled = accepted.route.idempotent ? cancelAttempt(state, accepted) : [];
   const problem = { ran: determineRan(accepted), retryAfterMilliseconds: endsAt - now };
-  return [refusal, ...cancelled, ...failRequest(state, accepted, 'quarantined', detail, problem)];
+  return [
+    refusalCount,
+    ...cancelled,
+    ...failRequest(state, accepted, 'quarantined', detail, problem),
+  ];
 }
 
-function endAllOf(
+function failRequestsWithDigest(
   state: EntryState,
   digest: string,
   endsAt: number,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
   return [...state.requests.values()]
     .filter(({ request }) => request.digest === digest)
-    .flatMap((accepted) => endQuarantined(state, accepted, endsAt, timed));
+    .flatMap((accepted) => failQuarantinedRequest(state, accepted, endsAt, timestamps));
 }
 
 export function quarantineDigest(
   state: EntryState,
   digest: string,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
-  const endsAt = timed.now + OWN_QUARANTINE_MILLISECONDS;
-  const until = timed.wallNow + OWN_QUARANTINE_MILLISECONDS;
+  const endsAt = timestamps.now + LOCAL_QUARANTINE_MILLISECONDS;
+  const until = timestamps.wallNow + LOCAL_QUARANTINE_MILLISECONDS;
   state.quarantine.quarantined.set(digest, { until, endsAt });
   state.quarantine.suspects.delete(digest);
   reportSoon(state);
   return [
     { type: 'log', event: 'requestQuarantined', fields: { digest, until } },
-    ...endAllOf(state, digest, endsAt, timed),
+    ...failRequestsWithDigest(state, digest, endsAt, timestamps),
   ];
 }
 
-/** Takes in the store's list. It only adds: what this entry found itself stays in force. */
+/**
+ * Applies the quarantines of the store or of a peer. Entries are only added or extended: a
+ * quarantine that this entry started itself stays in force.
+ */
 export function receiveQuarantine(
   state: EntryState,
   entries: readonly QuarantineEntry[],
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
   return entries.flatMap(({ digest, until }) => {
-    const endsAt = timed.now + until - timed.wallNow;
-    const known = state.quarantine.quarantined.get(digest);
-    if (endsAt <= timed.now || (known !== undefined && known.endsAt >= endsAt)) return [];
+    const endsAt = timestamps.now + until - timestamps.wallNow;
+    const existing = state.quarantine.quarantined.get(digest);
+    if (endsAt <= timestamps.now || (existing !== undefined && existing.endsAt >= endsAt))
+      return [];
     state.quarantine.quarantined.set(digest, { until, endsAt });
     exonerateSuspectsOf(state, collectCrashIds(state, digest));
-    return endAllOf(state, digest, endsAt, timed);
+    return failRequestsWithDigest(state, digest, endsAt, timestamps);
   });
 }
--- a/packages/entry-core/src/reclaims/migrateStreams.ts
+++ b/packages/entry-core/src/reclaims/migrateStreams.ts
@@ -1,15 +1,9 @@
 /**
- * Decides, again and again until the end of a notice, what becomes of each stream on a backend
- * server that is leaving:
- *
- * - one that provably ends within the notice at its measured rate is let finish;
- * - of the others, those whose redo would cost most are moved with their KV cache, one after the
- *   other over the server's link, as long as the notice has room;
- * - those for which it has none run on for as long as they can be resumed in time (they may end by
- *   themselves), and are then resumed elsewhere from their offset.
- *
- * Nothing is planned ahead: each look starts from what runs now. A move that failed, a target that
- * was lost, or a notice that became shorter is then not a special case.
+ * Migrates the streams of a backend server that is being reclaimed, until its notice period ends.
+ * A stream that finishes in time stays. The others are moved with their KV cache, most expensive
+ * to recompute first and one at a time; those that do not fit the remaining time run on as long as
+ * possible and are then resumed elsewhere. Every call plans from the current state, so failed
+ * moves and shortened notices need no special handling.
  */
 import { isClaimed, type Milliseconds } from '@hornbeampond/schema';
 import type { AttemptState } from '../attempts/AttemptState.js';
@@ -33,22 +27,23 @@
   readonly attempt: AttemptState;
 }
 
-/** Streams of this entry that run there and can still be handed on. */
-function streamsAt(state: EntryState, instance: string): Stream[] {
+/** Returns the streams of this entry on the instance that can still be migrated. */
+function listMigratableStreams(state: EntryState, instance: string): Stream[] {
   const attemptIds = state.backendServers.get(instance)?.attemptIds ?? [];
   return [...attemptIds].flatMap((attemptId) => {
     const attempt = state.attempts.get(attemptId);
     const accepted = attempt && state.requests.get(attempt.requestId);
     if (attempt === undefined || accepted === undefined) return [];
-    return canBeHandedOn(accepted, attempt) ? [{ accepted, attempt }] : [];
+    return canMigrate(accepted, attempt) ? [{ accepted, attempt }] : [];
   });
 }
 
 /**
- * A call that may not be repeated stays where it is, unless its cache can be moved: it then goes on
- * as the same run. A plain service's answer stays as well once it has begun.
+ * True if the stream can continue elsewhere. A call that may not be repeated can only move with
+ * its KV cache, which continues the same run. The answer of a plain service cannot move once it
+ * has started.
  */
-function canBeHandedOn(accepted: RequestState, attempt: AttemptState): boolean {
+function canMigrate(accepted: RequestState, attempt: AttemptState): boolean {
   if (accepted.attemptId !== attempt.attemptId) return false;
   if (!accepted.route.idempotent) {
     return (
@@ -58,40 +53,49 @@
   return accepted.pool.kind === 'modelEngine' || attempt.firstTokenAt === undefined;
 }
 
-/** Share of their prefills by which resumes at the end of a notice are spread. */
-const SPREAD_SHARE = 0.25;
+/** Fraction of the total prefill time over which resumes are spread at the end of a notice. */
+const RESUME_SPREAD_FRACTION_OF_PREFILL = 0.25;
 
 /**
- * How long before the end streams that run on have to be resumed. It is short, for what runs on may
- * end by itself; the spread keeps a wave's prefills from reaching the targets all at once.
+ * Returns how long before the end of the notice the streams must start to be resumed. The time is
+ * kept short, since a stream may still finish; spreading the resumes limits how many prefills
+ * reach the targets at the same time.
  */
-function resumeReserve(streams: readonly Stream[], targets: number): Milliseconds {
+function estimateResumeLeadTime(streams: readonly Stream[], targets: number): Milliseconds {
   const prefill = streams.reduce((sum, { accepted }) => sum + estimatePrefillDuration(accepted), 0);
-  return NOTICE_MARGIN_MILLISECONDS + (prefill * SPREAD_SHARE) / Math.max(1, targets);
+  return (
+    NOTICE_MARGIN_MILLISECONDS +
+    (prefill * RESUME_SPREAD_FRACTION_OF_PREFILL) / Math.max(1, targets)
+  );
 }
 
 function countTargets(state: EntryState, { accepted }: Stream): number {
   return [...state.backendServers.values()].filter(
-    ({ platformInstance: listed, goneAt }) =>
-      listed.pool === accepted.pool.name && listed.state === 'live' && goneAt === undefined,
+    ({ platformInstance, goneAt }) =>
+      platformInstance.pool === accepted.pool.name &&
+      platformInstance.state === 'live' &&
+      goneAt === undefined,
   ).length;
 }
 
-/** Parts the streams into those that the link can move within `left`, dearest redo first. */
-function fillLink(streams: readonly Stream[], left: Milliseconds) {
+/**
+ * Selects the streams that can be moved one after the other within `timeLeft`, most expensive to
+ * recompute first; the rest must be resumed.
+ */
+function planCacheMoves(streams: readonly Stream[], timeLeft: Milliseconds) {
   const byCost = [...streams].sort(
     (a, b) => countTokensToRecompute(b.accepted) - countTokensToRecompute(a.accepted),
   );
-  let room = left - NOTICE_MARGIN_MILLISECONDS;
+  let timeForMoves = timeLeft - NOTICE_MARGIN_MILLISECONDS;
   const moved: Stream[] = [];
   const resumed: Stream[] = [];
   byCost.forEach((stream) => {
     const duration = estimateMoveDuration(stream.accepted);
-    if (duration > room) {
+    if (duration > timeForMoves) {
       resumed.push(stream);
       return;
     }
-    room -= duration;
+    timeForMoves -= duration;
     moved.push(stream);
   });
   return { moved, resumed };
@@ -101,30 +105,39 @@
   return [...state.reclaims.moves.values()].some(({ from }) => from === instance);
 }
 
-/** Resumes streams that run on until their turn: the one with most left to do goes first. */
-function resumeDue(state: EntryState, streams: Stream[], left: Milliseconds, timed: Timestamps) {
+/** Resumes streams whose lead time has come, the one with most tokens left first. */
+function resumeDueStreams(
+  state: EntryState,
+  streams: Stream[],
+  timeLeft: Milliseconds,
+  timestamps: Timestamps,
+) {
   const first = streams[0];
   if (first === undefined) return [];
   const targets = countTargets(state, first);
-  const remaining = ({ accepted }: Stream) => accepted.request.maxTokens - accepted.tokens;
-  const ordered = streams.sort((a, b) => remaining(b) - remaining(a));
+  const countRemainingTokens = ({ accepted }: Stream) =>
+    accepted.request.maxTokens - accepted.tokens;
+  const ordered = streams.sort((a, b) => countRemainingTokens(b) - countRemainingTokens(a));
   return ordered.flatMap(({ accepted }, position) => {
-    if (left > resumeReserve(ordered.slice(position), targets)) return [];
-    return resumeElsewhere(state, accepted, 'reclaimNotice', timed);
+    if (timeLeft > estimateResumeLeadTime(ordered.slice(position), targets)) return [];
+    return resumeElsewhere(state, accepted, 'reclaimNotice', timestamps);
   });
 }
 
-/** A stream without a first token has nothing to move yet and restarts at once elsewhere. */
-function partByProgress(streams: readonly Stream[]) {
+/**
+ * Groups streams by whether there is a KV cache to move. Without a first token there is none, and
+ * the request restarts elsewhere immediately.
+ */
+function groupByProgress(streams: readonly Stream[]) {
   const engine = streams.filter(({ accepted }) => accepted.pool.kind === 'modelEngine');
   return {
-    unbegun: engine.filter(({ attempt }) => attempt.firstTokenAt === undefined),
-    begun: engine.filter(({ attempt }) => attempt.firstTokenAt !== undefined),
-    plain: streams.filter(({ accepted }) => accepted.pool.kind !== 'modelEngine'),
+    withoutFirstToken: engine.filter(({ attempt }) => attempt.firstTokenAt === undefined),
+    withFirstToken: engine.filter(({ attempt }) => attempt.firstTokenAt !== undefined),
+    plainService: streams.filter(({ accepted }) => accepted.pool.kind !== 'modelEngine'),
   };
 }
 
-/** One that goes on only with its cache runs on where it is if that cannot be moved. */
+/** False if the stream has to stay where it is unless its KV cache can be moved. */
 function isRepeatable({ accepted }: Stream): boolean {
   return accepted.route.idempotent;
 }
@@ -132,24 +145,31 @@
 export function migrateStreams(
   state: EntryState,
   instance: string,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
   if (!state.retries.policy.migrateOnNotice) return [];
-  const left = (state.reclaims.leaving.get(instance) ?? Infinity) - timed.wallNow;
-  const streams = streamsAt(state, instance).filter(
+  const timeLeft = (state.reclaims.leaving.get(instance) ?? Infinity) - timestamps.wallNow;
+  const streams = listMigratableStreams(state, instance).filter(
     ({ accepted, attempt }) =>
-      !canFinishWithinNotice(accepted, attempt, left) &&
+      !canFinishWithinNotice(accepted, attempt, timeLeft) &&
       !state.reclaims.moves.has(accepted.request.requestId),
   );
   if (streams.length === 0) return [];
-  const { unbegun, begun, plain } = partByProgress(streams);
+  const { withoutFirstToken, withFirstToken, plainService } = groupByProgress(streams);
   const { moved, resumed } = state.retries.policy.moveCaches
-    ? fillLink(begun, left)
-    : { moved: [], resumed: begun };
+    ? planCacheMoves(withFirstToken, timeLeft)
+    : { moved: [], resumed: withFirstToken };
   const next = hasMoveFrom(state, instance) ? undefined : moved[0];
   return [
-    ...unbegun.flatMap(({ accepted }) => resumeElsewhere(state, accepted, 'reclaimNotice', timed)),
-    ...(next === undefined ? [] : startCacheMove(state, next.accepted, next.attempt, timed)),
-    ...resumeDue(state, [...resumed, ...plain].filter(isRepeatable), left, timed),
+    ...withoutFirstToken.flatMap(({ accepted }) =>
+      resumeElsewhere(state, accepted, 'reclaimNotice', timestamps),
+    ),
+    ...(next === undefined ? [] : startCacheMove(state, next.accepted, next.attempt, timestamps)),
+    ...resumeDueStreams(
+      state,
+      [...resumed, ...plainService].filter(isRepeatable),
+      timeLeft,
+      timestamps,
+    ),
   ];
 }
--- a/packages/entry-core/src/reclaims/moveCache.ts
+++ b/packages/entry-core/src/reclaims/moveCache.ts
@@ -1,10 +1,8 @@
 /**
- * Moves of a running stream's KV cache to another backend server. The stream runs on at its source
- * until the cache is there; it then goes on at the target, where only the tokens that came after
- * the export are computed again.
- *
- * A place is reserved at the target from the start. Without it, each stream of a wave would find
- * the same server the least loaded, and that one would be flooded.
+ * Moves the KV cache of a running stream to another backend server. The stream continues at its
+ * source until the cache has arrived, then at the target, which only recomputes the tokens
+ * generated after the export. Capacity is reserved at the target when the move starts: otherwise
+ * all streams of a reclaim would choose the same least loaded server.
  */
 import type { CacheMoveOutcome } from '@hornbeampond/schema';
 import { attemptIdOf, type AttemptState } from '../attempts/AttemptState.js';
@@ -20,11 +18,10 @@
 import { migrateToServer, resumeElsewhere } from './resumeElsewhere.js';
 import type { CacheMove } from './ReclaimState.js';
 
-/** A move that takes this many times its costed span is taken for failed. */
-const OVERDUE_FACTOR = 2;
+/** A move fails after this multiple of its estimated duration. */
+const MOVE_TIMEOUT_FACTOR = 2;
 
-/** Fewest milliseconds that a move is waited for. */
-const LEAST_WAIT_MILLISECONDS = 250;
+const MIN_MOVE_TIMEOUT_MILLISECONDS = 250;
 
 export type CacheMovedEvent = Extract<EntryEvent, { type: 'cacheMoved' }>;
 
@@ -42,10 +39,20 @@
   const source = state.backendServers.get(instance);
   const target = chooseServerForAttempt(state, accepted, { spreadEvenly: true });
   if (source === undefined || target === undefined) return [];
-  const wait = Math.max(LEAST_WAIT_MILLISECONDS, estimateMoveDuration(accepted) * OVERDUE_FACTOR);
+  const timeout = Math.max(
+    MIN_MOVE_TIMEOUT_MILLISECONDS,
+    estimateMoveDuration(accepted) * MOVE_TIMEOUT_FACTOR,
+  );
   const to = target.platformInstance.instance;
   const { tokens } = accepted;
-  const move: CacheMove = { requestId, attemptId, from: instance, to, tokens, dueAt: now + wait };
+  const move: CacheMove = {
+    requestId,
+    attemptId,
+    from: instance,
+    to,
+    tokens,
+    dueAt: now + timeout,
+  };
   state.reclaims.moves.set(requestId, move);
   target.attemptIds.add(reservationIdOf(requestId));
   const from = makeAttemptTarget(source, accepted.pool);
@@ -54,53 +61,54 @@
   return [{ type: 'moveCache', requestId, attemptId, nextAttemptId, from, to: toTarget }];
 }
 
-function isUsable(state: EntryState, instance: string): BackendServerState | undefined {
+function findUsableServer(state: EntryState, instance: string): BackendServerState | undefined {
   const server = state.backendServers.get(instance);
-  const { down, unresolvedLosses: losses } = state.quarantine;
-  const usable = server?.goneAt === undefined && !down.has(instance) && !losses.has(instance);
-  return usable ? server : undefined;
+  const { down, unresolvedLosses } = state.quarantine;
+  const isUsable =
+    server?.goneAt === undefined && !down.has(instance) && !unresolvedLosses.has(instance);
+  return isUsable ? server : undefined;
 }
 
-/** Ends a move without a cache at the target: the stream is resumed by its offset. */
+/** Ends a move that delivered no cache; the stream is resumed from its offset. */
 function abandonMove(
   state: EntryState,
   move: CacheMove,
   outcome: CacheMoveOutcome,
-  timed: Timestamps,
+  timestamps: Timestamps,
 ): EntryEffect[] {
   const accepted = state.requests.get(move.requestId);
   removeCacheMove(state, move.requestId);
   if (accepted === undefined) return [];
-  // The next place is sought elsewhere first: the target may be what failed.
+  // Prefer other servers for the next attempt, since the target may have caused the failure.
   accepted.triedInstances.add(move.to);
-  // What may not be repeated runs on where it is, for as long as it can.
+  // A call that may not be repeated continues at the source for as long as it can.
   if (!accepted.route.idempotent) return [countMove(outcome)];
-  return [countMove(outcome), ...resumeElsewhere(state, accepted, 'reclaimNotice', timed)];
+  return [countMove(outcome), ...resumeElsewhere(state, accepted, 'reclaimNotice', timestamps)];
 }
 
-/** An answer to a move that was abandoned meanwhile finds none, or another, and is dropped. */
+/** Completes a move. The answer to a move that was abandoned or replaced meanwhile is ignored. */
 export function finishCacheMove(state: EntryState, event: CacheMovedEvent): EntryEffect[] {
   const move = state.reclaims.moves.get(event.requestId);
   const accepted = state.requests.get(event.requestId);
   if (move === undefined || accepted === undefined) return [];
   if (event.attemptId !== undefined && event.attemptId !== move.attemptId) return [];
   if (!event.moved) return abandonMove(state, move, 'failed', event);
-  const target = isUsable(state, move.to);
+  const target = findUsableServer(state, move.to);
   if (target === undefined) return abandonMove(state, move, 'targetLost', event);
-  const since = Math.max(0, accepted.tokens - (event.tokens ?? move.tokens));
+  const tokensToRecompute = Math.max(0, accepted.tokens - (event.tokens ?? move.tokens));
   return [
     { type: 'count', metric: 'retries', label: 'reclaimNotice' },
     countMove('moved'),
-    ...migrateToServer(state, accepted, target, since, event.now),
+    ...migrateToServer(state, accepted, target, tokensToRecompute, event.now),
   ];
 }
 
-/** Abandons moves that are overdue, or whose target is leaving or lost. */
-export function advanceCacheMoves(state: EntryState, timed: Timestamps): EntryEffect[] {
+/** Abandons moves that timed out, or whose target is leaving or lost. */
+export function advanceCacheMoves(state: EntryState, timestamps: Timestamps): EntryEffect[] {
   return [...state.reclaims.moves.values()].flatMap((move) => {
-    if (isUsable(state, move.to) === undefined) {
-      return abandonMove(state, move, 'targetLost', timed);
+    if (findUsableServer(state, move.to) === undefined) {
+      return abandonMove(state, move, 'targetLost', timestamps);
     }
-    return move.dueAt > timed.now ? [] : abandonMove(state, move, 'failed', timed);
+    return move.dueAt > timestamps.now ? [] : abandonMove(state, move, 'failed', timestamps);
   });
 }
