--- a/apps/controller/src/ControllerProcess.ts
+++ b/apps/controller/src/ControllerProcess.ts
@@ -11,7 +11,7 @@
 import {
   createControllerState,
   explainPlan,
-  makeReport,
+  makeDataCentreReport,
   reduceController,
   type ControllerEffect,
   type ControllerEvent,
@@ -144,7 +144,9 @@
       timers,
       readDrains: () => this.readDrains(),
       readReport: (withShapes) =>
-        this.lease.epoch === undefined ? undefined : makeReport(this.loop.state, withShapes),
+        this.lease.epoch === undefined
+          ? undefined
+          : makeDataCentreReport(this.loop.state, withShapes),
       onDemand: (entry, demand) => this.dispatch({ type: 'demandReported', entry, demand }),
       onReport: (report) => this.dispatch({ type: 'peerReported', report }),
     });
--- a/apps/controller/src/LeaseKeeper.ts
+++ b/apps/controller/src/LeaseKeeper.ts
@@ -2,9 +2,9 @@
  * Keeps the lease of one data centre through the store, and tells when orders may be given.
  */
 import {
-  CLOCK_DRIFT_BOUND,
+  MAX_CLOCK_DRIFT_FRACTION,
   makeLeaseHolder,
-  mayGiveOrder,
+  maySendOrder,
   reduceLease,
   type LeaseEffect,
   type LeaseEvent,
@@ -59,9 +59,9 @@
       lease: options.lease,
       holder: options.holder,
       duration: options.duration,
-      renewEvery: options.duration / RENEWALS_PER_LEASE,
-      driftBound: CLOCK_DRIFT_BOUND,
-      longestOrder: options.longestOrder,
+      renewInterval: options.duration / RENEWALS_PER_LEASE,
+      maxClockDriftFraction: MAX_CLOCK_DRIFT_FRACTION,
+      maxOrderDuration: options.longestOrder,
     });
   }
 
@@ -76,7 +76,7 @@
    */
   mayGiveOrder(checksFencing: boolean): boolean {
     if (this.options.timers.wallNow() >= this.heldUntilWall) return false;
-    return mayGiveOrder(this.lease, this.now, checksFencing);
+    return maySendOrder(this.lease, this.now, checksFencing);
   }
 
   get epoch(): number | undefined {
@@ -142,7 +142,7 @@
   }
 
   private async propose({
-    ask,
+    requestNumber: ask,
     command,
   }: Extract<LeaseEffect, { type: 'propose' }>): Promise<void> {
     const { store, timers, duration: patience } = this.options;
@@ -155,6 +155,13 @@
     if (result.type !== 'leaseHeld') return;
     const { epoch, duration, previousDuration } = result;
     this.heldUntilWall = Math.max(this.heldUntilWall, askedAtWall + duration);
-    this.feed({ type: 'leaseHeld', now: this.now, ask, epoch, duration, previousDuration });
+    this.feed({
+      type: 'leaseHeld',
+      now: this.now,
+      requestNumber: ask,
+      epoch,
+      duration,
+      previousDuration,
+    });
   }
 }
--- a/apps/dev/src/controller.test.ts
+++ b/apps/dev/src/controller.test.ts
@@ -16,11 +16,11 @@
 const timers = new SystemTimerService();
 
 const policy = {
-  listLag: 500,
-  takeoverPause: 200,
+  maxListLag: 500,
+  takeoverPurchaseDelay: 200,
   startAnswerTimeout: 1000,
-  firstBackoff: 60_000,
-  entriesStop: 300,
+  initialStartBackoff: 60_000,
+  drainPropagationTime: 300,
 } as const;
 
 async function until(what: string, holds: () => boolean, limit = 6000): Promise<void> {
--- a/measure/src/day/measureDay.ts
+++ b/measure/src/day/measureDay.ts
@@ -45,7 +45,7 @@
     return Math.max(
       ...minutes.map((minute) => {
         const loads = loadsAt(deployment, pool, seed, step * FLOOR_STEP + minute);
-        return slotsForAll(loads, defaultPolicy.onTimeShare);
+        return slotsForAll(loads, defaultPolicy.onTimeTarget);
       }),
     );
   });
@@ -100,7 +100,7 @@
     seed,
     ...result,
     onTimeShare: result.onTime / result.requests,
-    meetsTarget: result.onTime / result.requests >= defaultPolicy.onTimeShare,
+    meetsTarget: result.onTime / result.requests >= defaultPolicy.onTimeTarget,
     overFloor: result.euros / floor,
     overOnDemand: result.euros / onDemand,
   }));
--- a/measure/src/day/runDay.ts
+++ b/measure/src/day/runDay.ts
@@ -5,7 +5,7 @@
  */
 import {
   createControllerState,
-  makeReport,
+  makeDataCentreReport,
   reduceController,
   type ControllerEffect,
   type ControllerEvent,
@@ -151,7 +151,7 @@
     answers.forEach(({ controller, startToken, outcome }) => {
       this.tell(controller, { type: 'startAnswered', startToken, outcome });
     });
-    const reports = this.controllers.map((controller) => makeReport(controller, false));
+    const reports = this.controllers.map((controller) => makeDataCentreReport(controller, false));
     this.controllers.forEach((controller) => {
       reports.forEach((report) => this.tell(controller, { type: 'peerReported', report }));
       this.tell(controller, { type: 'platformListed', instances: this.platform.list });
--- a/measure/src/machineModels/leaseModel.ts
+++ b/measure/src/machineModels/leaseModel.ts
@@ -6,7 +6,7 @@
  */
 import {
   makeLeaseHolder,
-  mayGiveOrder,
+  maySendOrder,
   reduceLease,
   type LeaseEffect,
   type LeaseEvent,
@@ -86,14 +86,14 @@
 
 function copyHolder(state: LeaseState, position: number): LeaseHolder {
   const holder = state.holders[position] as LeaseHolder;
-  const copied = { ...holder, asks: new Map(holder.asks) };
+  const copied = { ...holder, requestTimes: new Map(holder.requestTimes) };
   state.holders[position] = copied;
   return copied;
 }
 
 /** An answer whose ask was answered already, or is too old, reaches nobody. */
 function isAwaited(state: LeaseState, holder: number, ask: number): boolean {
-  return state.holders[holder]?.asks.has(ask) === true;
+  return state.holders[holder]?.requestTimes.has(ask) === true;
 }
 
 /** Makes the model; `reduce` replaces the real reducer by a mutation of it. */
@@ -104,7 +104,7 @@
   const clockOf = (state: LeaseState, position: number): number =>
     state.time * (bounds.rates[position] ?? 1);
   const mayOrder = (state: LeaseState, position: number): boolean =>
-    mayGiveOrder(state.holders[position] as LeaseHolder, clockOf(state, position), false);
+    maySendOrder(state.holders[position] as LeaseHolder, clockOf(state, position), false);
   const logTime = (state: LeaseState): number => 1 + state.time + state.jumps * bounds.jump;
 
   function change(label: string, state: LeaseState, take: (next: LeaseState) => void) {
@@ -125,7 +125,7 @@
   function carryOut(state: LeaseState, holder: number, effects: readonly LeaseEffect[]): void {
     effects.forEach((effect) => {
       if (effect.type !== 'propose') return;
-      const { ask, command } = effect;
+      const { requestNumber: ask, command } = effect;
       if (command.type === 'takeLease')
         state.asks.set(`${holder}.${ask}`, { holder, ask, command, runs: 0 });
       else state.releases.add(holder);
@@ -134,7 +134,7 @@
 
   function askSteps(state: LeaseState): Step<LeaseState>[] {
     return state.holders.flatMap((holder, position) => {
-      if (holder.lastAsk >= (bounds.asks[position] ?? 0) || holder.stopped) return [];
+      if (holder.lastRequestNumber >= (bounds.asks[position] ?? 0) || holder.stopped) return [];
       const event: LeaseEvent = { type: 'askDue', now: clockOf(state, position) };
       const step = change(`${position} asks`, state, (next) =>
         carryOut(next, position, reduce(copyHolder(next, position), event)),
@@ -162,7 +162,7 @@
     return [...state.answers].flatMap(([answerKey, { holder, ask, result }]) => {
       if (!isAwaited(state, holder, ask)) return [];
       const now = clockOf(state, holder);
-      const event: LeaseHeldEvent = { ...result, type: 'leaseHeld', now, ask };
+      const event: LeaseHeldEvent = { ...result, type: 'leaseHeld', now, requestNumber: ask };
       const step = change(`${holder} gets ${answerKey}`, state, (next) => {
         next.answers.delete(answerKey);
         const own = copyHolder(next, holder);
@@ -216,7 +216,7 @@
   function keyOf(state: LeaseState): string {
     const ofHolders = state.holders.map((holder, position) => {
       const now = clockOf(state, position);
-      const asks = [...holder.asks].map(
+      const asks = [...holder.requestTimes].map(
         ([ask, askedAt]) => `${ask}:${ahead(askedAt + holder.settings.duration, now)}`,
       );
       return [
@@ -224,7 +224,7 @@
         ahead(holder.heldUntil, now),
         ahead(holder.unfencedFrom, now),
         holder.stopped,
-        holder.lastAsk,
+        holder.lastRequestNumber,
         ...asks,
         ahead((state.lastOrders[position] ?? -Infinity) + bounds.longestOrder, state.time),
         state.epochs[position]?.join('+'),
@@ -254,9 +254,9 @@
       lease: 'dakar-a',
       holder: `controller-${position}`,
       duration: bounds.durations[position] ?? 0,
-      renewEvery: 1,
-      driftBound,
-      longestOrder,
+      renewInterval: 1,
+      maxClockDriftFraction: driftBound,
+      maxOrderDuration: longestOrder,
     }),
   );
   return {
--- a/measure/src/machineModels/leases.test.ts
+++ b/measure/src/machineModels/leases.test.ts
@@ -59,7 +59,7 @@
 // before its lease ended and which acts after it.
 test('lease mutation: the successor does not wait for the longest order', (context) => {
   const reduce: ReduceLease = (holder, event) => {
-    const settings = { ...holder.settings, longestOrder: 0 };
+    const settings = { ...holder.settings, maxOrderDuration: 0 };
     const shortened: LeaseHolder = { ...holder, settings };
     const effects = reduceLease(shortened, event);
     Object.assign(holder, shortened);
@@ -72,8 +72,8 @@
 // successor from the grant, and for the length of that delay both give orders.
 test('lease mutation: the holder counts from the answer', (context) => {
   const reduce: ReduceLease = (holder, event) => {
-    if (event.type === 'leaseHeld' && holder.asks.has(event.ask)) {
-      holder.asks.set(event.ask, event.now);
+    if (event.type === 'leaseHeld' && holder.requestTimes.has(event.requestNumber)) {
+      holder.requestTimes.set(event.requestNumber, event.now);
     }
     return reduceLease(holder, event);
   };
@@ -84,7 +84,7 @@
 // giving orders when the successor, whose clock is fast, has waited its time.
 test('lease mutation: the drift of the clocks is left out', (context) => {
   const reduce: ReduceLease = (holder, event) => {
-    const settings = { ...holder.settings, driftBound: 0 };
+    const settings = { ...holder.settings, maxClockDriftFraction: 0 };
     const trusting: LeaseHolder = { ...holder, settings };
     const effects = reduceLease(trusting, event);
     Object.assign(holder, trusting);
--- a/packages/controller-core/src/buying/buyInstances.ts
+++ b/packages/controller-core/src/buying/buyInstances.ts
@@ -11,7 +11,7 @@
 import { countPending, isClosed } from '../planning/offers.js';
 import type { PlannedPlace, PoolPlan } from '../planning/PoolPlan.js';
 import type { ControllerState, HeldLease, PendingStart } from '../state.js';
-import { closeAfterRefusal } from './closures.js';
+import { closeAfterRefusal } from './placeClosures.js';
 
 /** A start that was never answered is given up after so long; if it bought, the list shows it. */
 const FORGET_AFTER = 10 * 60_000;
@@ -38,7 +38,7 @@
     startToken: `${state.dataCentre}-${lease.epoch}-${state.startSequence}`,
     pool: plan.pool,
     instanceClass: place.instanceClass,
-    askedAt: state.now,
+    requestedAt: state.now,
     resendAt: state.now + state.policy.startAnswerTimeout,
     resends: 0,
   };
@@ -89,7 +89,7 @@
 /** Sends unanswered starts again, under the same tokens. */
 function resendStarts(state: ControllerState): ControllerEffect[] {
   return [...state.pendingStarts.values()].flatMap((pending): ControllerEffect[] => {
-    if (state.now - pending.askedAt > FORGET_AFTER) {
+    if (state.now - pending.requestedAt > FORGET_AFTER) {
       state.pendingStarts.delete(pending.startToken);
       const { startToken, pool, instanceClass, resends } = pending;
       const fields = { startToken, pool, instanceClass, resends };
@@ -111,7 +111,7 @@
   return [...state.pendingStarts.values()]
     .filter(
       (pending) =>
-        state.now - pending.askedAt > state.policy.startGiveUp &&
+        state.now - pending.requestedAt > state.policy.pendingStartTimeout &&
         !isClosed(state, state.dataCentre, pending.instanceClass),
     )
     .map((pending) => {
@@ -133,7 +133,7 @@
 /** Buys, unless the lease is so fresh that the last holder's purchases may not be listed yet. */
 export function buyInstances(state: ControllerState, lease: HeldLease): ControllerEffect[] {
   const effects = [...closeUnanswered(state), ...resendStarts(state)];
-  if (state.now - lease.since < state.policy.takeoverPause) return effects;
+  if (state.now - lease.since < state.policy.takeoverPurchaseDelay) return effects;
   return [
     ...effects,
     ...state.configuration.pools.rows.flatMap((pool) => buyForPool(state, lease, pool)),
--- a/packages/controller-core/src/buying/closures.ts
+++ b/packages/controller-core/src/buying/placeClosures.ts
@@ -6,7 +6,7 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import type { Milliseconds } from '@hornbeampond/schema';
 import type { ClosedOffer } from '../events.js';
-import { placeOf, type Closure, type ControllerState } from '../state.js';
+import { placeKey, type PlaceClosure, type ControllerState } from '../state.js';
 
 /** A refusal counts as one in a row if it comes this soon after the last closure ended. */
 const ROW_GAP: Milliseconds = 10 * 60_000;
@@ -16,7 +16,7 @@
  * controllers and pools that were refused together do not all ask again together.
  */
 function backoffAfter(state: ControllerState, refusals: number): Milliseconds {
-  const { firstBackoff, longestBackoff } = state.policy;
+  const { initialStartBackoff: firstBackoff, maxStartBackoff: longestBackoff } = state.policy;
   const longest = Math.min(longestBackoff, firstBackoff * 2 ** Math.min(refusals - 1, 20));
   return uniformInt(state.random, Math.ceil(longest / 2), Math.ceil(longest));
 }
@@ -26,9 +26,9 @@
   state: ControllerState,
   instanceClass: string,
   reason: 'refused' | 'unanswered',
-): Closure {
-  const place = placeOf(state.dataCentre, instanceClass);
-  const before = state.closures.get(place);
+): PlaceClosure {
+  const place = placeKey(state.dataCentre, instanceClass);
+  const before = state.placeClosures.get(place);
   const inRow = before !== undefined && state.now < before.until + ROW_GAP;
   // Starts that were asked together are refused together; they count as one refusal.
   const together = before !== undefined && before.until > state.now && before.refusals > 0;
@@ -38,7 +38,7 @@
     before?.reason === 'reclaimed' ? before.until : 0,
   );
   const closure = { dataCentre: state.dataCentre, instanceClass, reason, until, refusals };
-  state.closures.set(place, closure);
+  state.placeClosures.set(place, closure);
   return closure;
 }
 
@@ -48,24 +48,30 @@
   dataCentre: string,
   instanceClass: string,
 ): void {
-  const place = placeOf(dataCentre, instanceClass);
-  const before = state.closures.get(place);
+  const place = placeKey(dataCentre, instanceClass);
+  const before = state.placeClosures.get(place);
   const until = Math.max(state.now + state.policy.reclaimCooldown, before?.until ?? 0);
   const refusals = before?.refusals ?? 0;
-  state.closures.set(place, { dataCentre, instanceClass, reason: 'reclaimed', until, refusals });
+  state.placeClosures.set(place, {
+    dataCentre,
+    instanceClass,
+    reason: 'reclaimed',
+    until,
+    refusals,
+  });
 }
 
 /** A start that succeeded ends the row of refusals. */
-export function openPlace(state: ControllerState, instanceClass: string): void {
-  const closure = state.closures.get(placeOf(state.dataCentre, instanceClass));
+export function reopenPlace(state: ControllerState, instanceClass: string): void {
+  const closure = state.placeClosures.get(placeKey(state.dataCentre, instanceClass));
   if (closure !== undefined && closure.reason !== 'reclaimed') {
-    state.closures.delete(placeOf(state.dataCentre, instanceClass));
+    state.placeClosures.delete(placeKey(state.dataCentre, instanceClass));
   }
 }
 
 /** The own places that are closed, for the report to the other controllers. */
-export function ownClosedOffers(state: ControllerState): ClosedOffer[] {
-  return [...state.closures.values()]
+export function listOwnClosedOffers(state: ControllerState): ClosedOffer[] {
+  return [...state.placeClosures.values()]
     .filter((closure) => closure.dataCentre === state.dataCentre && closure.until > state.now)
     .map(({ dataCentre, instanceClass, until }) => ({
       dataCentre,
--- a/packages/controller-core/src/buying/reduceBuying.ts
+++ b/packages/controller-core/src/buying/reduceBuying.ts
@@ -1,9 +1,9 @@
 /** Takes in what the platform answers to purchases and ends. */
 import type { ControllerEffect } from '../effects.js';
 import type { ControllerEvent, StartOutcome } from '../events.js';
-import { addInstance, forgetInstance } from '../fleet/fleet.js';
+import { addInstance, removeInstance } from '../fleet/fleet.js';
 import type { ControllerState, PendingStart } from '../state.js';
-import { closeAfterRefusal, openPlace } from './closures.js';
+import { closeAfterRefusal, reopenPlace } from './placeClosures.js';
 
 function takeStarted(
   state: ControllerState,
@@ -11,9 +11,10 @@
   outcome: StartOutcome & { readonly type: 'started' },
 ): ControllerEffect[] {
   state.pendingStarts.delete(pending.startToken);
-  openPlace(state, pending.instanceClass);
+  reopenPlace(state, pending.instanceClass);
   const { instance } = outcome.instance;
-  if (!state.fleet.has(instance) && !state.gone.has(instance)) addInstance(state, outcome.instance);
+  if (!state.fleet.has(instance) && !state.removedInstances.has(instance))
+    addInstance(state, outcome.instance);
   return [
     {
       type: 'log',
@@ -79,7 +80,7 @@
     case 'startAnswered':
       return takeStartAnswer(state, event.startToken, event.outcome);
     case 'endAnswered':
-      if (event.ok) forgetInstance(state, event.instance);
+      if (event.ok) removeInstance(state, event.instance);
       return [];
     default:
       return [];
--- a/packages/controller-core/src/demand/RouteDemand.ts
+++ b/packages/controller-core/src/demand/RouteDemand.ts
@@ -13,8 +13,8 @@
 import type { ControllerState } from '../state.js';
 import { minuteOfDay } from './localTime.js';
 
-export const SLOTS_PER_DAY = 96;
-const SLOT_MINUTES = (24 * 60) / SLOTS_PER_DAY;
+export const QUARTER_HOURS_PER_DAY = 96;
+const SLOT_MINUTES = (24 * 60) / QUARTER_HOURS_PER_DAY;
 /** Time constant of the level; short against a rush, long against the noise of arrivals. */
 const LEVEL_MILLISECONDS = 60_000;
 /** Weight of the newest day in the learnt shape. */
@@ -25,7 +25,7 @@
 interface DemandSource {
   requestsPerSecond: number;
   serviceMilliseconds: number;
-  heardAt: MonotonicMilliseconds;
+  lastReportAt: MonotonicMilliseconds;
   /** The data centre it speaks for. */
   readonly dataCentre: string;
 }
@@ -33,16 +33,16 @@
 export interface RouteDemand {
   readonly sources: Map<string, DemandSource>;
   /** Mean requests a second by quarter hour; null where nothing was learnt. */
-  readonly shape: (number | null)[];
+  readonly dailyProfile: (number | null)[];
   /** The quarter hour that is being measured. */
-  current: { slot: number; sum: number; samples: number };
+  currentQuarterHour: { index: number; sum: number; samples: number };
 }
 
 export function createRouteDemand(): RouteDemand {
   return {
     sources: new Map(),
-    shape: Array.from({ length: SLOTS_PER_DAY }, () => null),
-    current: { slot: -1, sum: 0, samples: 0 },
+    dailyProfile: Array.from({ length: QUARTER_HOURS_PER_DAY }, () => null),
+    currentQuarterHour: { index: -1, sum: 0, samples: 0 },
   };
 }
 
@@ -52,7 +52,7 @@
 }
 
 /** Takes in one source's report, smoothed. */
-export function addReport(
+export function addDemandReport(
   state: ControllerState,
   demand: RouteDemand,
   name: string,
@@ -62,18 +62,18 @@
   const source = demand.sources.get(name);
   if (source === undefined) {
     const { requestsPerSecond, serviceMilliseconds } = report;
-    const fresh = { requestsPerSecond, serviceMilliseconds, heardAt: state.now, dataCentre };
+    const fresh = { requestsPerSecond, serviceMilliseconds, lastReportAt: state.now, dataCentre };
     demand.sources.set(name, fresh);
     return;
   }
-  const weight = 1 - Math.exp((source.heardAt - state.now) / LEVEL_MILLISECONDS);
+  const weight = 1 - Math.exp((source.lastReportAt - state.now) / LEVEL_MILLISECONDS);
   source.requestsPerSecond += weight * (report.requestsPerSecond - source.requestsPerSecond);
   source.serviceMilliseconds += weight * (report.serviceMilliseconds - source.serviceMilliseconds);
-  source.heardAt = state.now;
+  source.lastReportAt = state.now;
 }
 
 /** Requests a second over all sources, and the mean time that one keeps a place busy. */
-export function levelOf(demand: RouteDemand): {
+export function sumDemand(demand: RouteDemand): {
   readonly requestsPerSecond: number;
   readonly serviceMilliseconds: number;
 } {
@@ -91,26 +91,30 @@
 }
 
 /** Adds the level to the quarter hour in progress; closes one that has ended into the shape. */
-export function learnShape(state: ControllerState, route: Route, demand: RouteDemand): void {
+export function updateDailyProfile(
+  state: ControllerState,
+  route: Route,
+  demand: RouteDemand,
+): void {
   const slot = Math.floor(positionInDay(route, state.wallNow));
-  const { current, shape } = demand;
-  if (slot !== current.slot) {
+  const { currentQuarterHour: current, dailyProfile: shape } = demand;
+  if (slot !== current.index) {
     if (current.samples > 0) {
       const mean = current.sum / current.samples;
-      const old = shape[current.slot] ?? null;
-      shape[current.slot] = old === null ? mean : old + NEWEST_DAY_WEIGHT * (mean - old);
+      const old = shape[current.index] ?? null;
+      shape[current.index] = old === null ? mean : old + NEWEST_DAY_WEIGHT * (mean - old);
     }
-    demand.current = { slot, sum: 0, samples: 0 };
+    demand.currentQuarterHour = { index: slot, sum: 0, samples: 0 };
   }
-  demand.current.sum += levelOf(demand).requestsPerSecond;
-  demand.current.samples += 1;
+  demand.currentQuarterHour.sum += sumDemand(demand).requestsPerSecond;
+  demand.currentQuarterHour.samples += 1;
 }
 
 /** The learnt requests a second at a time of day, between the middles of two quarter hours. */
 function shapeAt(route: Route, demand: RouteDemand, at: EpochMilliseconds): number | undefined {
-  const position = positionInDay(route, at) - 0.5 + SLOTS_PER_DAY;
-  const before = demand.shape[Math.floor(position) % SLOTS_PER_DAY] ?? null;
-  const after = demand.shape[Math.floor(position + 1) % SLOTS_PER_DAY] ?? null;
+  const position = positionInDay(route, at) - 0.5 + QUARTER_HOURS_PER_DAY;
+  const before = demand.dailyProfile[Math.floor(position) % QUARTER_HOURS_PER_DAY] ?? null;
+  const after = demand.dailyProfile[Math.floor(position + 1) % QUARTER_HOURS_PER_DAY] ?? null;
   if (before === null || after === null) return undefined;
   const share = position - Math.floor(position);
   return before + share * (after - before);
@@ -120,7 +124,7 @@
  * Requests a second to expect at a later time: the learnt shape, scaled by how today compares
  * with it so far. Undefined where the shape is not known.
  */
-export function forecastAt(
+export function forecastRequestsPerSecond(
   state: ControllerState,
   route: Route,
   demand: RouteDemand,
@@ -129,7 +133,7 @@
   const usual = shapeAt(route, demand, at);
   const usualNow = shapeAt(route, demand, state.wallNow);
   if (usual === undefined || usualNow === undefined) return undefined;
-  const level = levelOf(demand).requestsPerSecond;
+  const level = sumDemand(demand).requestsPerSecond;
   const scale = usualNow > 0 ? level / usualNow : 1;
   return usual * Math.min(MOST_SCALE, Math.max(1 / MOST_SCALE, scale));
 }
--- a/packages/controller-core/src/demand/reduceDemand.ts
+++ b/packages/controller-core/src/demand/reduceDemand.ts
@@ -9,10 +9,10 @@
 import type { ControllerEvent, DataCentreReport } from '../events.js';
 import type { ControllerState } from '../state.js';
 import {
-  addReport,
+  addDemandReport,
   createRouteDemand,
-  learnShape,
-  levelOf,
+  updateDailyProfile,
+  sumDemand,
   type RouteDemand,
 } from './RouteDemand.js';
 
@@ -31,7 +31,7 @@
   reports: readonly RouteDemandReport[],
 ): void {
   reports.forEach((report) => {
-    addReport(state, demandOf(state, report.route), name, dataCentre, report);
+    addDemandReport(state, demandOf(state, report.route), name, dataCentre, report);
   });
 }
 
@@ -39,9 +39,9 @@
   if (report.dataCentre === state.dataCentre) return;
   addReports(state, `dataCentre:${report.dataCentre}`, report.dataCentre, report.demand);
   const { closedOffers, serving } = report;
-  state.peers.set(report.dataCentre, { heardAt: state.now, closedOffers, serving });
+  state.peers.set(report.dataCentre, { lastReportAt: state.now, closedOffers, serving });
   Object.entries(report.shapes ?? {}).forEach(([route, shape]) => {
-    const known = demandOf(state, route).shape;
+    const known = demandOf(state, route).dailyProfile;
     shape.forEach((value, slot) => {
       known[slot] ??= value;
     });
@@ -68,12 +68,12 @@
 function dropSilentSources(state: ControllerState): void {
   state.demand.forEach((demand) => {
     demand.sources.forEach((source, name) => {
-      const silent = state.now - source.heardAt;
+      const silent = state.now - source.lastReportAt;
       const own = source.dataCentre === state.dataCentre;
       const dropped = own
-        ? silent > state.policy.entrySilence
-        : silent > state.policy.silentDemandMemory ||
-          (silent > state.policy.peerSilence && seemsCutOff(state, source.dataCentre));
+        ? silent > state.policy.entryTimeout
+        : silent > state.policy.unreachableDemandRetention ||
+          (silent > state.policy.peerTimeout && seemsCutOff(state, source.dataCentre));
       if (dropped) demand.sources.delete(name);
     });
   });
@@ -83,7 +83,7 @@
   dropSilentSources(state);
   state.configuration.routes.rows.forEach((route) => {
     const demand = state.demand.get(route.name);
-    if (demand !== undefined) learnShape(state, route, demand);
+    if (demand !== undefined) updateDailyProfile(state, route, demand);
   });
 }
 
@@ -97,12 +97,12 @@
 }
 
 /** The own data centre's demand, for the report to the other controllers. */
-export function ownDemand(state: ControllerState): RouteDemandReport[] {
+export function buildOwnDemandReports(state: ControllerState): RouteDemandReport[] {
   return [...state.demand].flatMap(([route, demand]) => {
     const sources = [...demand.sources].filter(
       ([, source]) => source.dataCentre === state.dataCentre,
     );
     if (sources.length === 0) return [];
-    return [{ route, ...levelOf({ ...demand, sources: new Map(sources) }) }];
+    return [{ route, ...sumDemand({ ...demand, sources: new Map(sources) }) }];
   });
 }
--- a/packages/controller-core/src/explainPlan.ts
+++ b/packages/controller-core/src/explainPlan.ts
@@ -3,7 +3,7 @@
 import { instancesOf, isKept, isServing, poolOf } from './fleet/FleetInstance.js';
 import { countPending, isClosed } from './planning/offers.js';
 import type { PlannedPlace, PoolPlan } from './planning/PoolPlan.js';
-import { placeOf, type ControllerState } from './state.js';
+import { placeKey, type ControllerState } from './state.js';
 
 export type PlanAction = 'keep' | 'buy' | 'drain' | 'wait';
 
@@ -33,7 +33,7 @@
   present: number,
 ): { readonly action: PlanAction; readonly reason: string } {
   const { dataCentre, instanceClass, wanted } = place;
-  const closure = state.closures.get(placeOf(dataCentre, instanceClass));
+  const closure = state.placeClosures.get(placeKey(dataCentre, instanceClass));
   const closed = isClosed(state, dataCentre, instanceClass);
   if (wanted > present) {
     if (closed) return { action: 'wait', reason: 'nothing is sold here for now' };
--- a/packages/controller-core/src/fleet/FleetInstance.ts
+++ b/packages/controller-core/src/fleet/FleetInstance.ts
@@ -23,7 +23,7 @@
   readonly version?: string;
 }
 
-export interface InstanceOrder {
+export interface PendingOrder {
   readonly order: Order;
   readonly sentAt: MonotonicMilliseconds;
   readonly sentAtWall: EpochMilliseconds;
@@ -40,11 +40,11 @@
   phaseSinceWall: EpochMilliseconds;
   lastListedAt: MonotonicMilliseconds;
   goneAt?: EpochMilliseconds;
-  load?: LoadReport;
-  loadReceivedAt?: MonotonicMilliseconds;
+  loadReport?: LoadReport;
+  loadReportReceivedAt?: MonotonicMilliseconds;
   loaded: LoadedModel;
   /** The one order whose answer is open. */
-  order?: InstanceOrder;
+  pendingOrder?: PendingOrder;
   orderRetryAt: MonotonicMilliseconds;
   endSentAt?: MonotonicMilliseconds;
   /** True once it has served: its time to start has been measured. */
@@ -94,14 +94,14 @@
  * drain after it, so the bound on how far clocks differ is added.
  */
 export function isIdle(state: ControllerState, instance: FleetInstance): boolean {
-  const { load } = instance;
+  const { loadReport: load } = instance;
   if (load === undefined) return false;
-  const { entriesStop, clockBound } = state.policy;
+  const { drainPropagationTime: entriesStop, maxClockSkew: clockBound } = state.policy;
   const stoppedAt = instance.phaseSinceWall + entriesStop + clockBound;
   return load.measuredAt > stoppedAt && load.running + load.queued === 0;
 }
 
-export function classOf(pool: Pool, instance: FleetInstance): InstanceClass | undefined {
+export function instanceClassOf(pool: Pool, instance: FleetInstance): InstanceClass | undefined {
   return pool.instanceClasses.find(({ name }) => name === instance.instanceClass);
 }
 
--- a/packages/controller-core/src/fleet/fleet.ts
+++ b/packages/controller-core/src/fleet/fleet.ts
@@ -28,7 +28,7 @@
  * Drops an instance for good. Its name is remembered for a while: a lagging list would otherwise
  * bring it back as live, and it would count as capacity that is not there.
  */
-export function forgetInstance(state: ControllerState, name: string): void {
+export function removeInstance(state: ControllerState, name: string): void {
   state.fleet.delete(name);
-  state.gone.set(name, state.now + state.policy.goneMemory);
+  state.removedInstances.set(name, state.now + state.policy.removedInstanceRetention);
 }
--- a/packages/controller-core/src/fleet/reduceFleet.ts
+++ b/packages/controller-core/src/fleet/reduceFleet.ts
@@ -8,9 +8,9 @@
 import type { EpochMilliseconds, LoadReport, PlatformInstance } from '@hornbeampond/schema';
 import type { ControllerEffect } from '../effects.js';
 import type { ControllerEvent } from '../events.js';
-import { noticeReclaim, recordReclaim } from '../reclaims/reclaims.js';
-import { placeOf, type ControllerState } from '../state.js';
-import { addInstance, forgetInstance } from './fleet.js';
+import { recordReclaimNotice, recordReclaim } from '../reclaims/reclaims.js';
+import { placeKey, type ControllerState } from '../state.js';
+import { addInstance, removeInstance } from './fleet.js';
 import { enterPhase, hasModel, poolOf, type FleetInstance } from './FleetInstance.js';
 
 /** Weight of the newest start in the measured time that a start takes. */
@@ -41,21 +41,21 @@
 }
 
 function takeRow(state: ControllerState, row: PlatformInstance): ControllerEffect[] {
-  if (state.gone.has(row.instance)) return [];
+  if (state.removedInstances.has(row.instance)) return [];
   const known = state.fleet.get(row.instance);
   const effects = known === undefined ? adopt(state, row) : [];
   const instance = known ?? state.fleet.get(row.instance);
   if (instance === undefined) return effects;
   applyRow(state, instance, row);
   if (row.goneAt === undefined) return effects;
-  return [...effects, ...noticeReclaim(state, instance, row.goneAt)];
+  return [...effects, ...recordReclaimNotice(state, instance, row.goneAt)];
 }
 
 function lose(state: ControllerState, instance: FleetInstance, reason: string): ControllerEffect[] {
   const { instance: name, pool, dataCentre, instanceClass, phase } = instance;
   const planned = phase === 'draining' || phase === 'leaving';
   if (!planned) recordReclaim(state, instance);
-  forgetInstance(state, name);
+  removeInstance(state, name);
   const fields = { instance: name, pool, dataCentre, instanceClass, phase, reason };
   return [{ type: 'log', event: planned ? 'instanceGone' : 'instanceVanished', fields }];
 }
@@ -63,7 +63,7 @@
 function takeList(state: ControllerState, rows: readonly PlatformInstance[]): ControllerEffect[] {
   const effects = rows.flatMap((row) => takeRow(state, row));
   const unlisted = [...state.fleet.values()].filter(
-    (instance) => state.now - instance.lastListedAt > state.policy.listLag,
+    (instance) => state.now - instance.lastListedAt > state.policy.maxListLag,
   );
   return [...effects, ...unlisted.flatMap((instance) => lose(state, instance, 'notListed'))];
 }
@@ -75,33 +75,33 @@
 }
 
 function forgetOldNames(state: ControllerState): void {
-  state.gone.forEach((until, name) => {
-    if (until <= state.now) state.gone.delete(name);
+  state.removedInstances.forEach((until, name) => {
+    if (until <= state.now) state.removedInstances.delete(name);
   });
 }
 
 /** Measures how long starts take, from the purchase to a backend server that serves. */
-export function measureStart(state: ControllerState, instance: FleetInstance): void {
+export function recordStartDuration(state: ControllerState, instance: FleetInstance): void {
   const pool = poolOf(state, instance.pool);
   if (pool === undefined || instance.startMeasured) return;
   if (instance.phase !== 'live' || !hasModel(pool, instance)) return;
   instance.startMeasured = true;
   const took = state.now - instance.firstSeenAt;
-  const before = state.startDurations.get(pool.name) ?? state.policy.startDuration;
+  const before = state.startDurations.get(pool.name) ?? state.policy.defaultStartDuration;
   state.startDurations.set(pool.name, before + NEWEST_START_WEIGHT * (took - before));
 }
 
 /** True if a report made then tells what is loaded now: nothing was ordered or changed since. */
 function isNewerThanOrder(instance: FleetInstance, measuredAt: EpochMilliseconds): boolean {
-  return instance.order === undefined || measuredAt > instance.order.sentAtWall;
+  return instance.pendingOrder === undefined || measuredAt > instance.pendingOrder.sentAtWall;
 }
 
 function takeLoad(state: ControllerState, report: LoadReport): void {
   const instance = state.fleet.get(report.instance);
   if (instance === undefined) return;
-  if (report.measuredAt < (instance.load?.measuredAt ?? 0)) return;
-  instance.load = report;
-  instance.loadReceivedAt = state.now;
+  if (report.measuredAt < (instance.loadReport?.measuredAt ?? 0)) return;
+  instance.loadReport = report;
+  instance.loadReportReceivedAt = state.now;
   if (report.model === undefined || !isNewerThanOrder(instance, report.measuredAt)) return;
   const { model, adapter, version } = report;
   instance.loaded = { model, adapter, version };
@@ -120,12 +120,12 @@
     }
     case 'pricesListed':
       event.prices.forEach(({ dataCentre, instanceClass, eurosPerHour }) => {
-        state.prices.set(placeOf(dataCentre, instanceClass), eurosPerHour);
+        state.prices.set(placeKey(dataCentre, instanceClass), eurosPerHour);
       });
       return [];
     case 'tick':
       forgetOldNames(state);
-      state.fleet.forEach((instance) => measureStart(state, instance));
+      state.fleet.forEach((instance) => recordStartDuration(state, instance));
       return dropReclaimed(state);
     default:
       return [];
--- a/packages/controller-core/src/index.ts
+++ b/packages/controller-core/src/index.ts
@@ -2,7 +2,7 @@
 export * from './events.js';
 export * from './explainPlan.js';
 export * from './lease/index.js';
-export * from './makeReport.js';
+export * from './makeDataCentreReport.js';
 export * from './planning/queueing.js';
 export { patienceOf, slotsForAll } from './planning/wantedSlots.js';
 export * from './policy.js';
--- a/packages/controller-core/src/lease/LeaseHolder.test.ts
+++ b/packages/controller-core/src/lease/LeaseHolder.test.ts
@@ -2,10 +2,10 @@
 import { test } from 'node:test';
 import { matchSnapshot } from '@hornbeampond/testing';
 import {
-  CLOCK_DRIFT_BOUND,
+  MAX_CLOCK_DRIFT_FRACTION,
   makeLeaseHolder,
-  mayGiveOrder,
-  nextOrderNumber,
+  maySendOrder,
+  nextFencingToken,
   reduceLease,
   type LeaseEvent,
   type LeaseHolder,
@@ -16,14 +16,14 @@
     lease: 'wien-a',
     holder: 'controller-1 1700000000000',
     duration: 10_000,
-    renewEvery: 3000,
-    driftBound: CLOCK_DRIFT_BOUND,
-    longestOrder: 5000,
+    renewInterval: 3000,
+    maxClockDriftFraction: MAX_CLOCK_DRIFT_FRACTION,
+    maxOrderDuration: 5000,
   });
 }
 
 function held(now: number, ask: number, epoch: number, previousDuration = 0): LeaseEvent {
-  return { type: 'leaseHeld', now, ask, epoch, duration: 10_000, previousDuration };
+  return { type: 'leaseHeld', now, requestNumber: ask, epoch, duration: 10_000, previousDuration };
 }
 
 test('lease holder: a lease taken, renewed, lost and given back', async () => {
@@ -59,17 +59,17 @@
     reduceLease(holder, { type: 'askDue', now: (ask - 1) * 3000 });
     reduceLease(holder, held((ask - 1) * 3000 + 1, ask, 2, 10_000));
   }
-  const waited = 100 + 15_000 * (1 + CLOCK_DRIFT_BOUND);
+  const waited = 100 + 15_000 * (1 + MAX_CLOCK_DRIFT_FRACTION);
   const may = [200, waited - 1, waited].map((now) => [
-    mayGiveOrder(holder, now, true),
-    mayGiveOrder(holder, now, false),
+    maySendOrder(holder, now, true),
+    maySendOrder(holder, now, false),
   ]);
   assert.deepEqual(may, [
     [true, false],
     [true, false],
     [true, true],
   ]);
-  assert.deepEqual(nextOrderNumber(holder), { epoch: 2, sequence: 1 });
+  assert.deepEqual(nextFencingToken(holder), { epoch: 2, sequence: 1 });
 });
 
 // The grant took longer than the lease is: by now another may hold it, so no order may go out.
@@ -77,5 +77,5 @@
   const holder = makeHolder();
   reduceLease(holder, { type: 'askDue', now: 0 });
   assert.deepEqual(reduceLease(holder, held(9900, 1, 1)), []);
-  assert.equal(mayGiveOrder(holder, 9900, true), false);
+  assert.equal(maySendOrder(holder, 9900, true), false);
 });
--- a/packages/controller-core/src/lease/LeaseHolder.ts
+++ b/packages/controller-core/src/lease/LeaseHolder.ts
@@ -17,15 +17,15 @@
   readonly holder: string;
   readonly duration: Milliseconds;
   /** Time between asks; a third of `duration` lets two asks be lost. */
-  readonly renewEvery: Milliseconds;
+  readonly renewInterval: Milliseconds;
   /** Most that a monotonic clock gains or loses, as a fraction of the time passed. */
-  readonly driftBound: number;
+  readonly maxClockDriftFraction: number;
   /** Longest time from the decision to give an order until it can act no more. */
-  readonly longestOrder: Milliseconds;
+  readonly maxOrderDuration: Milliseconds;
 }
 
 /** Monotonic clocks are specified to 500 parts in a million; twenty times that is allowed for. */
-export const CLOCK_DRIFT_BOUND = 0.01;
+export const MAX_CLOCK_DRIFT_FRACTION = 0.01;
 
 /** Asks whose answers are still of use; older ones would be measured as ended anyway. */
 const MOST_ASKS = 8;
@@ -40,8 +40,8 @@
   /** Number of the last order under this epoch. */
   sequence: number;
   /** When each open ask was made, by its number. */
-  readonly asks: Map<number, MonotonicMilliseconds>;
-  lastAsk: number;
+  readonly requestTimes: Map<number, MonotonicMilliseconds>;
+  lastRequestNumber: number;
   active: boolean;
   stopped: boolean;
 }
@@ -50,7 +50,7 @@
   readonly type: 'leaseHeld';
   readonly now: MonotonicMilliseconds;
   /** Number of the ask that this is the result of. */
-  readonly ask: number;
+  readonly requestNumber: number;
   readonly epoch: number;
   readonly duration: Milliseconds;
   readonly previousDuration: Milliseconds;
@@ -66,7 +66,7 @@
 export type LeaseEffect =
   | {
       readonly type: 'propose';
-      readonly ask: number;
+      readonly requestNumber: number;
       readonly command: TakeLeaseCommand | ReleaseLeaseCommand;
     }
   | { readonly type: 'startAskTimer'; readonly after: Milliseconds }
@@ -76,7 +76,7 @@
   | { readonly type: 'leaseEnded'; readonly epoch: number };
 
 /** The fencing number of one order. Engines that check refuse a lower one. */
-export interface OrderNumber {
+export interface FencingToken {
   readonly epoch: number;
   readonly sequence: number;
 }
@@ -89,15 +89,15 @@
     heldUntil: -Infinity,
     unfencedFrom: Infinity,
     sequence: 0,
-    asks: new Map(),
-    lastAsk: 0,
+    requestTimes: new Map(),
+    lastRequestNumber: 0,
     active: false,
     stopped: false,
   };
 }
 
 /** True if orders may be given now; to be asked again right before each order leaves. */
-export function mayGiveOrder(
+export function maySendOrder(
   holder: LeaseHolder,
   now: MonotonicMilliseconds,
   checksFencing: boolean,
@@ -107,7 +107,7 @@
 }
 
 /** Numbers the next order. */
-export function nextOrderNumber(holder: LeaseHolder): OrderNumber {
+export function nextFencingToken(holder: LeaseHolder): FencingToken {
   holder.sequence += 1;
   return { epoch: holder.epoch, sequence: holder.sequence };
 }
@@ -130,14 +130,14 @@
 }
 
 function ask(holder: LeaseHolder, now: MonotonicMilliseconds): LeaseEffect[] {
-  const { lease, holder: name, duration, renewEvery } = holder.settings;
-  holder.lastAsk += 1;
-  holder.asks.set(holder.lastAsk, now);
-  holder.asks.delete(holder.lastAsk - MOST_ASKS);
+  const { lease, holder: name, duration, renewInterval: renewEvery } = holder.settings;
+  holder.lastRequestNumber += 1;
+  holder.requestTimes.set(holder.lastRequestNumber, now);
+  holder.requestTimes.delete(holder.lastRequestNumber - MOST_ASKS);
   return [
     {
       type: 'propose',
-      ask: holder.lastAsk,
+      requestNumber: holder.lastRequestNumber,
       command: { type: 'takeLease', lease, holder: name, duration },
     },
     { type: 'startAskTimer', after: renewEvery },
@@ -145,12 +145,12 @@
 }
 
 function onHeld(holder: LeaseHolder, event: LeaseHeldEvent): LeaseEffect[] {
-  const askedAt = holder.asks.get(event.ask);
-  holder.asks.delete(event.ask);
+  const askedAt = holder.requestTimes.get(event.requestNumber);
+  holder.requestTimes.delete(event.requestNumber);
   if (askedAt === undefined || event.epoch < holder.epoch) return [];
   const ended = event.epoch > holder.epoch ? beginEpoch(holder, event) : [];
   // The log granted the lease after it was asked for, so a count from then on ends before its own.
-  const end = askedAt + event.duration * (1 - holder.settings.driftBound);
+  const end = askedAt + event.duration * (1 - holder.settings.maxClockDriftFraction);
   holder.heldUntil = Math.max(holder.heldUntil, end);
   if (event.now >= holder.heldUntil) return ended;
   const endTimer: LeaseEffect = { type: 'startEndTimer', after: holder.heldUntil - event.now };
@@ -165,7 +165,7 @@
  * by this process's clock, is enough, since its last ask came before this grant.
  */
 function beginEpoch(holder: LeaseHolder, event: LeaseHeldEvent): LeaseEffect[] {
-  const { driftBound, longestOrder } = holder.settings;
+  const { maxClockDriftFraction: driftBound, maxOrderDuration: longestOrder } = holder.settings;
   const wait = (event.previousDuration + longestOrder) * (1 + driftBound);
   const ended: LeaseEffect[] = holder.active ? [{ type: 'leaseEnded', epoch: holder.epoch }] : [];
   holder.active = false;
@@ -193,5 +193,5 @@
   if (epoch === 0) return [];
   const command = { type: 'releaseLease', lease, holder: name, epoch } as const;
   const ended: LeaseEffect[] = active ? [{ type: 'leaseEnded', epoch }] : [];
-  return [...ended, { type: 'propose', ask: holder.lastAsk + 1, command }];
+  return [...ended, { type: 'propose', requestNumber: holder.lastRequestNumber + 1, command }];
 }
--- a/packages/controller-core/src/orders/orders.test.ts
+++ b/packages/controller-core/src/orders/orders.test.ts
@@ -126,7 +126,7 @@
 // centre. More would queue there and all become slow; the loads are spread over the minutes.
 test('loads keep within the rate of the weight store', () => {
   const pool = { dataCentres: ['wien-a'], least: 12, most: 12 };
-  const harness = new ControllerHarness({ pool, policy: { loadsAtOnce: 12 } });
+  const harness = new ControllerHarness({ pool, policy: { maxConcurrentLoads: 12 } });
   harness.tell({ type: 'loadRateRead', loadsPerMinute: 8 });
   harness.rows = Array.from({ length: 12 }, (_, number) => row(`engine-${number}`));
   const first = [...harness.hold(), ...harness.advance(20_000)];
--- a/packages/controller-core/src/orders/giveOrders.ts
+++ b/packages/controller-core/src/orders/reconcileModels.ts
@@ -20,7 +20,7 @@
 import { canDoWithout, servingSlots } from '../planning/standing.js';
 import { isOwnTurn } from '../planning/turns.js';
 import type { ControllerState, HeldLease } from '../state.js';
-import { loadAction, mayLoad, sendOrder } from './orders.js';
+import { makeLoadAction, canStartLoad, sendOrder } from './sendOrder.js';
 
 /** Bounds how long a reload waits for an engine that never reports itself idle. */
 const SILENT_RELOAD_LIMIT = 15 * 60_000;
@@ -49,7 +49,9 @@
       const covered = servingSlots(state, pool).total / needed;
       return instancesOf(state, pool)
         .filter((instance) => instance.dataCentre === state.dataCentre)
-        .filter((instance) => instance.order === undefined && state.now >= instance.orderRetryAt)
+        .filter(
+          (instance) => instance.pendingOrder === undefined && state.now >= instance.orderRetryAt,
+        )
         .filter((instance) => !isUpToDate(pool, instance))
         .filter((instance) => isLoadable(state, pool, instance))
         .map((instance) => ({ instance, pool, covered }));
@@ -60,7 +62,7 @@
   if (instance.phase === 'reloading') return isIdle(state, instance);
   // A new holder knows of an engine before it knows what runs there. An order sent on a guess could
   // change the version under running streams, so the engine itself must have said that it is empty.
-  const { load } = instance;
+  const { loadReport: load } = instance;
   if (instance.phase !== 'live' || load === undefined) return false;
   return instance.loaded.model === undefined && load.running + load.queued === 0;
 }
@@ -77,9 +79,9 @@
 function loadMostUrgent(state: ControllerState, lease: HeldLease): ControllerEffect[] {
   const effects: ControllerEffect[] = [];
   for (const { instance, pool } of findLoadable(state, lease).sort(compareUrgency)) {
-    const action = loadAction(pool);
+    const action = makeLoadAction(pool);
     if (action === undefined) continue;
-    if (!mayLoad(state)) break;
+    if (!canStartLoad(state)) break;
     effects.push(...sendOrder(state, lease, instance, action));
   }
   return effects;
@@ -122,7 +124,7 @@
     .filter(({ dataCentre, phase }) => dataCentre === state.dataCentre && phase === 'reloading')
     .flatMap((instance): ControllerEffect[] => {
       const pool = poolOf(state, instance.pool);
-      if (pool === undefined || instance.order !== undefined) return [];
+      if (pool === undefined || instance.pendingOrder !== undefined) return [];
       const tooLong = state.now - instance.phaseSince > SILENT_RELOAD_LIMIT;
       if (!isUpToDate(pool, instance) && !tooLong) return [];
       enterPhase(state, instance, 'live');
@@ -135,7 +137,7 @@
 }
 
 /** Gives the orders that are due. */
-export function giveOrders(state: ControllerState, lease: HeldLease): ControllerEffect[] {
+export function reconcileModels(state: ControllerState, lease: HeldLease): ControllerEffect[] {
   return [
     ...restore(state),
     ...loadMostUrgent(state, lease),
--- a/packages/controller-core/src/orders/reduceOrders.ts
+++ b/packages/controller-core/src/orders/reduceOrders.ts
@@ -3,7 +3,7 @@
 import type { Milliseconds, Order } from '@hornbeampond/schema';
 import type { ControllerEffect } from '../effects.js';
 import type { ControllerEvent, OrderOutcome } from '../events.js';
-import { measureStart } from '../fleet/reduceFleet.js';
+import { recordStartDuration } from '../fleet/reduceFleet.js';
 import type { FleetInstance } from '../fleet/FleetInstance.js';
 import type { ControllerState } from '../state.js';
 
@@ -11,16 +11,16 @@
 
 /** The order stays open no longer; what the engine reports next says whether it was carried out. */
 function closeOrder(state: ControllerState, instance: FleetInstance, wait: Milliseconds): void {
-  instance.order = undefined;
+  instance.pendingOrder = undefined;
   instance.orderRetryAt = state.now + wait + uniformInt(state.random, 0, 1000);
 }
 
 function takeDone(state: ControllerState, instance: FleetInstance, order: Order): void {
-  instance.order = undefined;
+  instance.pendingOrder = undefined;
   if (order.action.type !== 'load') return;
   const { model, adapter, version } = order.action;
   instance.loaded = { model, adapter, version };
-  measureStart(state, instance);
+  recordStartDuration(state, instance);
 }
 
 function logOutcome(
@@ -50,7 +50,7 @@
       return effects;
     case 'refusedAsOld':
       // Another controller holds a newer epoch: whatever this one believes, it must act no more.
-      instance.order = undefined;
+      instance.pendingOrder = undefined;
       state.newerEpochSeen = true;
       return [...effects, { type: 'log', event: 'newerEpochSeen', fields: { epoch: order.epoch } }];
     case 'weightStoreBusy':
@@ -70,7 +70,7 @@
   event: ControllerEvent & { readonly type: 'orderAnswered' },
 ): ControllerEffect[] {
   const instance = state.fleet.get(event.instance);
-  const order = instance?.order?.order;
+  const order = instance?.pendingOrder?.order;
   if (instance === undefined || order === undefined) return [];
   if (order.epoch !== event.epoch || order.sequence !== event.sequence) return [];
   return takeOutcome(state, instance, order, event.outcome);
@@ -79,7 +79,7 @@
 /** Orders unanswered for too long: the next order, under a later number, makes it good. */
 function expireOrders(state: ControllerState): ControllerEffect[] {
   return [...state.fleet.values()].flatMap((instance) => {
-    const { order } = instance;
+    const { pendingOrder: order } = instance;
     if (order === undefined || state.now - order.sentAt < state.policy.orderTimeout) return [];
     return takeOutcome(state, instance, order.order, { type: 'lost' });
   });
--- a/packages/controller-core/src/orders/orders.ts
+++ b/packages/controller-core/src/orders/sendOrder.ts
@@ -7,7 +7,7 @@
 const MINUTE = 60_000;
 
 /** The order that makes an engine what the pools table says. */
-export function loadAction(pool: Pool): Order['action'] | undefined {
+export function makeLoadAction(pool: Pool): Order['action'] | undefined {
   if (pool.model === undefined) return undefined;
   const { model, adapter, version } = pool;
   return { type: 'load', model, adapter, version };
@@ -25,7 +25,7 @@
 ): ControllerEffect[] {
   state.orderSequence += 1;
   const order = { epoch: lease.epoch, sequence: state.orderSequence, action };
-  instance.order = { order, sentAt: state.now, sentAtWall: state.wallNow };
+  instance.pendingOrder = { order, sentAt: state.now, sentAtWall: state.wallNow };
   if (action.type === 'load') state.loadTimes.push(state.now);
   const { instance: name, pool, loaded } = instance;
   return [
@@ -36,12 +36,12 @@
 }
 
 /** True if one more load keeps within the weight store's rate and what may run at a time. */
-export function mayLoad(state: ControllerState): boolean {
+export function canStartLoad(state: ControllerState): boolean {
   state.loadTimes = state.loadTimes.filter((at) => state.now - at < MINUTE);
   const running = [...state.fleet.values()].filter(
-    ({ order }) => order?.order.action.type === 'load',
+    ({ pendingOrder: order }) => order?.order.action.type === 'load',
   ).length;
-  if (running >= state.policy.loadsAtOnce) return false;
+  if (running >= state.policy.maxConcurrentLoads) return false;
   if (state.loadsPerMinute === undefined) return true;
   const dataCentres = new Set(state.configuration.pools.rows.flatMap((pool) => pool.dataCentres));
   // Each data centre uses its share of the one weight store's rate, at least one load a minute.
--- a/packages/controller-core/src/planning/offers.ts
+++ b/packages/controller-core/src/planning/offers.ts
@@ -1,14 +1,14 @@
 /** What can be kept or bought for a pool, with prices and closures as this controller knows them. */
 import type { InstanceClass, Pool } from '@hornbeampond/schema';
 import { instancesOf, isKept } from '../fleet/FleetInstance.js';
-import { placeOf, type ControllerState } from '../state.js';
+import { placeKey, type ControllerState } from '../state.js';
 import type { Offer } from './chooseMix.js';
 
 /** True if the data centre's controller is heard, so that somebody can buy there. */
 export function isHeard(state: ControllerState, dataCentre: string): boolean {
   if (dataCentre === state.dataCentre) return true;
   const peer = state.peers.get(dataCentre);
-  return peer !== undefined && state.now - peer.heardAt <= state.policy.peerSilence;
+  return peer !== undefined && state.now - peer.lastReportAt <= state.policy.peerTimeout;
 }
 
 function isClosedByPeer(
@@ -22,7 +22,7 @@
       (offer) =>
         offer.dataCentre === dataCentre &&
         offer.instanceClass === instanceClass &&
-        peer.heardAt + offer.remaining > state.now,
+        peer.lastReportAt + offer.remaining > state.now,
     ) ?? false
   );
 }
@@ -33,13 +33,13 @@
   dataCentre: string,
   instanceClass: string,
 ): boolean {
-  const closure = state.closures.get(placeOf(dataCentre, instanceClass));
+  const closure = state.placeClosures.get(placeKey(dataCentre, instanceClass));
   if (closure !== undefined && closure.until > state.now) return true;
   return !isHeard(state, dataCentre) || isClosedByPeer(state, dataCentre, instanceClass);
 }
 
 function countWaves(state: ControllerState, dataCentre: string, instanceClass: string): number {
-  const place = placeOf(dataCentre, instanceClass);
+  const place = placeKey(dataCentre, instanceClass);
   return state.waves.filter((wave) => wave.places.has(place)).length;
 }
 
@@ -55,7 +55,7 @@
     (pending) =>
       pending.pool === pool.name &&
       pending.instanceClass === instanceClass &&
-      state.now - pending.askedAt <= state.policy.startGiveUp,
+      state.now - pending.requestedAt <= state.policy.pendingStartTimeout,
   ).length;
 }
 
@@ -66,7 +66,7 @@
   instanceClass: InstanceClass,
 ): Offer {
   const { name, reclaimable, concurrency } = instanceClass;
-  const eurosPerHour = state.prices.get(placeOf(dataCentre, name)) ?? instanceClass.eurosPerHour;
+  const eurosPerHour = state.prices.get(placeKey(dataCentre, name)) ?? instanceClass.eurosPerHour;
   const waves = reclaimable ? countWaves(state, dataCentre, name) : 0;
   const there = instancesOf(state, pool).filter(
     (instance) =>
@@ -78,7 +78,7 @@
     reclaimable,
     slotsEach: concurrency,
     eurosPerHour,
-    comparedPrice: eurosPerHour * (1 + waves * state.policy.waveHandicap),
+    comparedPrice: eurosPerHour * (1 + waves * state.policy.wavePricePenalty),
     kept: there + countPending(state, pool, dataCentre, name),
     closed: isClosed(state, dataCentre, name),
   };
--- a/packages/controller-core/src/planning/planPools.ts
+++ b/packages/controller-core/src/planning/planPools.ts
@@ -45,7 +45,7 @@
 function largestWave(state: ControllerState, pool: Pool): number {
   const shares = state.waves
     .filter((wave) => wave.pool === pool.name && wave.dataCentres.size > 1)
-    .map((wave) => Math.min(1, wave.slots / Math.max(1, wave.slotsBefore)));
+    .map((wave) => Math.min(1, wave.lostSlots / Math.max(1, wave.reclaimableSlotsBefore)));
   return Math.max(0, ...shares);
 }
 
@@ -80,7 +80,7 @@
   const waveShare = largestWave(state, pool);
   const offers = listOffers(state, pool);
   const { least, most } = pool;
-  const { stickiness } = state.policy;
+  const { retentionDiscount: stickiness } = state.policy;
   const extra = rolloutSlots(state, pool);
   const needed = { normal: need.normal + extra, afterLoss: need.afterLoss + extra };
   const request = { offers, need: needed, waveShare, least, most, stickiness };
--- a/packages/controller-core/src/planning/scaleIn.ts
+++ b/packages/controller-core/src/planning/scaleIn.ts
@@ -5,7 +5,7 @@
 import type { DrainReason, Pool } from '@hornbeampond/schema';
 import type { ControllerEffect } from '../effects.js';
 import {
-  classOf,
+  instanceClassOf,
   enterPhase,
   instancesOf,
   isIdle,
@@ -15,7 +15,7 @@
   poolOf,
   type FleetInstance,
 } from '../fleet/FleetInstance.js';
-import { placeOf, type ControllerState } from '../state.js';
+import { placeKey, type ControllerState } from '../state.js';
 import { canEndWithout } from './standing.js';
 import { isOwnTurn } from './turns.js';
 
@@ -60,8 +60,8 @@
       const there = instancesOf(state, pool).filter(
         (instance) =>
           isKept(instance) &&
-          placeOf(instance.dataCentre, instance.instanceClass) ===
-            placeOf(place.dataCentre, place.instanceClass),
+          placeKey(instance.dataCentre, instance.instanceClass) ===
+            placeKey(place.dataCentre, place.instanceClass),
       );
       return there
         .sort((a, b) => compareForRemoval(pool, a, b))
@@ -96,13 +96,13 @@
  */
 function canEnd(state: ControllerState, instance: FleetInstance): boolean {
   if (isIdle(state, instance)) return true;
-  const heardAt = instance.loadReceivedAt ?? instance.phaseSince;
+  const heardAt = instance.loadReportReceivedAt ?? instance.phaseSince;
   const silentFor = state.now - Math.max(heardAt, instance.phaseSince);
   const longest = state.configuration.routes.rows
     .filter((route) => route.pool === instance.pool)
     .flatMap((route) => [route.deadline, ...route.deadlinesByHour])
     .reduce((most, deadline) => Math.max(most, deadline.wholeAnswerMilliseconds), 0);
-  return silentFor > longest + state.policy.listLag;
+  return silentFor > longest + state.policy.maxListLag;
 }
 
 /** Ends what was drained and is idle; resends an end whose answer was lost. */
@@ -133,7 +133,9 @@
 function isStray(state: ControllerState, instance: FleetInstance): boolean {
   const pool = poolOf(state, instance.pool);
   if (pool === undefined) return true;
-  return !pool.dataCentres.includes(instance.dataCentre) || classOf(pool, instance) === undefined;
+  return (
+    !pool.dataCentres.includes(instance.dataCentre) || instanceClassOf(pool, instance) === undefined
+  );
 }
 
 /**
@@ -146,7 +148,7 @@
   if (state.configuration.pools.revision === 0) return [];
   return [...state.fleet.values()]
     .filter((instance) => instance.dataCentre === state.dataCentre && isKept(instance))
-    .filter((instance) => state.now - instance.firstSeenAt >= state.policy.strayGrace)
+    .filter((instance) => state.now - instance.firstSeenAt >= state.policy.strayGracePeriod)
     .filter((instance) => isStray(state, instance))
     .filter((instance) => {
       const pool = poolOf(state, instance.pool);
@@ -163,7 +165,7 @@
         instance.dataCentre === state.dataCentre &&
         !instance.startMeasured &&
         isKept(instance) &&
-        state.now - instance.firstSeenAt > state.policy.neverServedAfter,
+        state.now - instance.firstSeenAt > state.policy.startupTimeout,
     )
     .flatMap((instance) => drain(state, instance, 'neverServed', {}));
 }
--- a/packages/controller-core/src/planning/standing.ts
+++ b/packages/controller-core/src/planning/standing.ts
@@ -1,7 +1,12 @@
 /** What serves now, and whether a pool's deadlines still hold without certain instances. */
 import type { Pool } from '@hornbeampond/schema';
 import type { ServingReport } from '../events.js';
-import { classOf, instancesOf, isServing, type FleetInstance } from '../fleet/FleetInstance.js';
+import {
+  instanceClassOf,
+  instancesOf,
+  isServing,
+  type FleetInstance,
+} from '../fleet/FleetInstance.js';
 import type { ControllerState } from '../state.js';
 import { isHeard } from './offers.js';
 
@@ -10,7 +15,7 @@
   const classes = instancesOf(state, pool)
     .filter(({ dataCentre }) => dataCentre === state.dataCentre)
     .filter((instance) => instance !== without && isServing(pool, instance))
-    .map((instance) => classOf(pool, instance));
+    .map((instance) => instanceClassOf(pool, instance));
   const slots = classes.reduce((sum, found) => sum + (found?.concurrency ?? 0), 0);
   const firm = classes
     .filter((found) => found?.reclaimable !== true)
--- a/packages/controller-core/src/planning/wantedSlots.ts
+++ b/packages/controller-core/src/planning/wantedSlots.ts
@@ -3,7 +3,7 @@
  * capacity asked for now is there when a rush begins.
  */
 import type { EpochMilliseconds, Milliseconds, Pool, Route } from '@hornbeampond/schema';
-import { createRouteDemand, forecastAt, levelOf } from '../demand/RouteDemand.js';
+import { createRouteDemand, forecastRequestsPerSecond, sumDemand } from '../demand/RouteDemand.js';
 import type { ControllerState } from '../state.js';
 import { deadlineAt } from './deadlines.js';
 import type { NeedFigures, SlotNeed } from './PoolPlan.js';
@@ -38,9 +38,9 @@
 
 function loadAt(state: ControllerState, route: Route, at: EpochMilliseconds): RouteLoad {
   const demand = state.demand.get(route.name) ?? createRouteDemand();
-  const { requestsPerSecond, serviceMilliseconds } = levelOf(demand);
-  const forecast = forecastAt(state, route, demand, at);
-  const { headroom, headroomWithoutShape } = state.policy;
+  const { requestsPerSecond, serviceMilliseconds } = sumDemand(demand);
+  const forecast = forecastRequestsPerSecond(state, route, demand, at);
+  const { headroom, headroomWithoutProfile: headroomWithoutShape } = state.policy;
   const expected = at === state.wallNow ? requestsPerSecond : (forecast ?? requestsPerSecond);
   const factor = 1 + (forecast === undefined ? headroomWithoutShape : headroom);
   return {
@@ -74,14 +74,14 @@
 
 function needOf(state: ControllerState, loads: readonly QueueLoad[]): SlotNeed {
   return {
-    normal: slotsForAll(loads, state.policy.onTimeShare),
-    afterLoss: slotsForAll(loads, state.policy.onTimeShareAfterLoss),
+    normal: slotsForAll(loads, state.policy.onTimeTarget),
+    afterLoss: slotsForAll(loads, state.policy.onTimeTargetAfterLoss),
   };
 }
 
 /** How far ahead a start has to be asked. */
 export function startLead(state: ControllerState, pool: Pool): Milliseconds {
-  const measured = state.startDurations.get(pool.name) ?? state.policy.startDuration;
+  const measured = state.startDurations.get(pool.name) ?? state.policy.defaultStartDuration;
   return measured * START_MARGIN;
 }
 
--- a/packages/controller-core/src/reclaims/reclaims.ts
+++ b/packages/controller-core/src/reclaims/reclaims.ts
@@ -7,17 +7,17 @@
  * the spread over data centres holds, so the plan takes the next cheapest safe places.
  */
 import type { EpochMilliseconds } from '@hornbeampond/schema';
-import { closeAfterReclaim } from '../buying/closures.js';
+import { closeAfterReclaim } from '../buying/placeClosures.js';
 import type { ControllerEffect } from '../effects.js';
 import {
-  classOf,
+  instanceClassOf,
   enterPhase,
   instancesOf,
   isKept,
   poolOf,
   type FleetInstance,
 } from '../fleet/FleetInstance.js';
-import { placeOf, type ControllerState, type Wave } from '../state.js';
+import { placeKey, type ControllerState, type ReclaimWave } from '../state.js';
 
 /** Reclaims that come within this of a wave's first belong to it. */
 const WAVE_SPAN = 90_000;
@@ -27,44 +27,47 @@
   if (pool === undefined) return 0;
   return instancesOf(state, pool)
     .filter((instance) => isKept(instance) || instance.goneAt === undefined)
-    .map((instance) => classOf(pool, instance))
+    .map((instance) => instanceClassOf(pool, instance))
     .reduce((sum, found) => sum + (found?.reclaimable === true ? found.concurrency : 0), 0);
 }
 
-function waveFor(state: ControllerState, pool: string): Wave {
+function waveFor(state: ControllerState, pool: string): ReclaimWave {
   const current = state.waves.find(
     (wave) => wave.pool === pool && state.now - wave.startedAt <= WAVE_SPAN,
   );
   if (current !== undefined) return current;
-  const wave: Wave = {
+  const wave: ReclaimWave = {
     startedAt: state.now,
     pool,
     places: new Set(),
     dataCentres: new Set(),
-    slotsBefore: reclaimableSlots(state, pool),
-    slots: 0,
-    instances: 0,
+    reclaimableSlotsBefore: reclaimableSlots(state, pool),
+    lostSlots: 0,
+    lostInstances: 0,
   };
   state.waves.push(wave);
   return wave;
 }
 
 /** Adds one lost reclaimable instance to the wave in progress and closes its place. */
-export function recordReclaim(state: ControllerState, instance: FleetInstance): Wave | undefined {
+export function recordReclaim(
+  state: ControllerState,
+  instance: FleetInstance,
+): ReclaimWave | undefined {
   const pool = poolOf(state, instance.pool);
-  const instanceClass = pool === undefined ? undefined : classOf(pool, instance);
+  const instanceClass = pool === undefined ? undefined : instanceClassOf(pool, instance);
   if (instanceClass?.reclaimable !== true) return undefined;
   const wave = waveFor(state, instance.pool);
-  wave.places.add(placeOf(instance.dataCentre, instance.instanceClass));
+  wave.places.add(placeKey(instance.dataCentre, instance.instanceClass));
   wave.dataCentres.add(instance.dataCentre);
-  wave.slots += instanceClass.concurrency;
-  wave.instances += 1;
+  wave.lostSlots += instanceClass.concurrency;
+  wave.lostInstances += 1;
   closeAfterReclaim(state, instance.dataCentre, instance.instanceClass);
   return wave;
 }
 
 /** An instance is under notice: it counts as capacity no longer. */
-export function noticeReclaim(
+export function recordReclaimNotice(
   state: ControllerState,
   instance: FleetInstance,
   goneAt: EpochMilliseconds,
@@ -87,8 +90,8 @@
         dataCentre,
         instanceClass,
         noticeMilliseconds: goneAt - state.wallNow,
-        waveInstances: wave?.instances,
-        waveSlots: wave?.slots,
+        waveInstances: wave?.lostInstances,
+        waveSlots: wave?.lostSlots,
       },
     },
     { type: 'count', metric: 'instancesReclaimed' },
@@ -96,9 +99,9 @@
 }
 
 /** Drops waves that are too long ago to plan for. */
-export function forgetOldWaves(state: ControllerState): void {
+export function removeExpiredWaves(state: ControllerState): void {
   const recent = state.waves.filter(
-    (wave) => state.now - wave.startedAt <= state.policy.waveMemory,
+    (wave) => state.now - wave.startedAt <= state.policy.waveRetention,
   );
   state.waves.splice(0, state.waves.length, ...recent);
 }
--- a/packages/controller-core/src/reclaims/reduceReclaims.ts
+++ b/packages/controller-core/src/reclaims/reduceReclaims.ts
@@ -2,11 +2,11 @@
 import type { ControllerEffect } from '../effects.js';
 import type { ControllerEvent } from '../events.js';
 import type { ControllerState } from '../state.js';
-import { forgetOldWaves, noticeReclaim } from './reclaims.js';
+import { removeExpiredWaves, recordReclaimNotice } from './reclaims.js';
 
 export function reduceReclaims(state: ControllerState, event: ControllerEvent): ControllerEffect[] {
-  if (event.type === 'tick') forgetOldWaves(state);
+  if (event.type === 'tick') removeExpiredWaves(state);
   if (event.type !== 'reclaimNoticed') return [];
   const instance = state.fleet.get(event.instance);
-  return instance === undefined ? [] : noticeReclaim(state, instance, event.goneAt);
+  return instance === undefined ? [] : recordReclaimNotice(state, instance, event.goneAt);
 }
--- a/packages/controller-core/src/reduceController.ts
+++ b/packages/controller-core/src/reduceController.ts
@@ -9,16 +9,16 @@
 import { isFleetEffect, type ControllerEffect } from './effects.js';
 import type { ControllerEvent, ControllerEventType } from './events.js';
 import { reduceFleet } from './fleet/reduceFleet.js';
-import { giveOrders } from './orders/giveOrders.js';
+import { reconcileModels } from './orders/reconcileModels.js';
 import { reduceOrders } from './orders/reduceOrders.js';
 import { planPools } from './planning/planPools.js';
 import { scaleIn } from './planning/scaleIn.js';
 import { reduceReclaims } from './reclaims/reduceReclaims.js';
-import { reduceLease } from './reduceLease.js';
+import { reduceLeaseOwnership } from './reduceLeaseOwnership.js';
 import type { ControllerState, HeldLease } from './state.js';
 
 const concerns: readonly Reducer<ControllerState, ControllerEvent, ControllerEffect>[] = [
-  reduceLease,
+  reduceLeaseOwnership,
   reduceFleet,
   reduceReclaims,
   reduceDemand,
@@ -40,7 +40,7 @@
   return [
     ...planPools(state),
     ...buyInstances(state, lease),
-    ...giveOrders(state, lease),
+    ...reconcileModels(state, lease),
     ...scaleIn(state),
   ];
 }
--- a/packages/controller-core/src/reduceLease.ts
+++ b/packages/controller-core/src/reduceLeaseOwnership.ts
@@ -62,13 +62,16 @@
   const fields = { epoch, pendingStarts: state.pendingStarts.size };
   state.pendingStarts.clear();
   state.fleet.forEach((instance) => {
-    instance.order = undefined;
+    instance.pendingOrder = undefined;
     if (instance.phase === 'reloading') instance.phase = 'live';
   });
   return [{ type: 'log', event: 'fleetLeft', fields }];
 }
 
-export function reduceLease(state: ControllerState, event: ControllerEvent): ControllerEffect[] {
+export function reduceLeaseOwnership(
+  state: ControllerState,
+  event: ControllerEvent,
+): ControllerEffect[] {
   if (event.type === 'leaseHeld') return takeLease(state, event);
   if (event.type === 'leaseLost') return loseLease(state);
   return [];
--- a/packages/controller-core/src/state.ts
+++ b/packages/controller-core/src/state.ts
@@ -26,13 +26,13 @@
   readonly startToken: string;
   readonly pool: string;
   readonly instanceClass: string;
-  readonly askedAt: MonotonicMilliseconds;
+  readonly requestedAt: MonotonicMilliseconds;
   resendAt: MonotonicMilliseconds;
   resends: number;
 }
 
 /** Why and until when nothing is bought at one data centre and instance class. */
-export interface Closure {
+export interface PlaceClosure {
   readonly dataCentre: string;
   readonly instanceClass: string;
   readonly reason: 'refused' | 'reclaimed' | 'unanswered' | 'peer';
@@ -42,19 +42,19 @@
 }
 
 /** Reclaims at one place that came close together. */
-export interface Wave {
+export interface ReclaimWave {
   readonly startedAt: MonotonicMilliseconds;
   readonly pool: string;
   readonly places: Set<string>;
   readonly dataCentres: Set<string>;
   /** The pool's reclaimable slots when it began. */
-  readonly slotsBefore: number;
-  slots: number;
-  instances: number;
+  readonly reclaimableSlotsBefore: number;
+  lostSlots: number;
+  lostInstances: number;
 }
 
-export interface PeerKnowledge {
-  readonly heardAt: MonotonicMilliseconds;
+export interface PeerDataCentre {
+  readonly lastReportAt: MonotonicMilliseconds;
   readonly closedOffers: readonly ClosedOffer[];
   readonly serving: readonly ServingReport[];
 }
@@ -74,12 +74,12 @@
   readonly demand: Map<string, RouteDemand>;
   readonly fleet: Map<string, FleetInstance>;
   /** Instances that are gone for good, and until when their rows are ignored. */
-  readonly gone: Map<string, MonotonicMilliseconds>;
+  readonly removedInstances: Map<string, MonotonicMilliseconds>;
   readonly pendingStarts: Map<string, PendingStart>;
-  readonly closures: Map<string, Closure>;
-  readonly peers: Map<string, PeerKnowledge>;
+  readonly placeClosures: Map<string, PlaceClosure>;
+  readonly peers: Map<string, PeerDataCentre>;
   readonly prices: Map<string, Euros>;
-  readonly waves: Wave[];
+  readonly waves: ReclaimWave[];
   readonly plans: Map<string, PoolPlan>;
   /** Measured time from a start to a backend server that serves, by pool. */
   readonly startDurations: Map<string, Milliseconds>;
@@ -109,9 +109,9 @@
     startSequence: 0,
     demand: new Map(),
     fleet: new Map(),
-    gone: new Map(),
+    removedInstances: new Map(),
     pendingStarts: new Map(),
-    closures: new Map(),
+    placeClosures: new Map(),
     peers: new Map(),
     prices: new Map(),
     waves: [],
@@ -123,6 +123,6 @@
 }
 
 /** Key of one data centre and instance class. */
-export function placeOf(dataCentre: string, instanceClass: string): string {
+export function placeKey(dataCentre: string, instanceClass: string): string {
   return `${dataCentre}/${instanceClass}`;
 }
--- a/packages/controller-core/src/testing/ControllerHarness.ts
+++ b/packages/controller-core/src/testing/ControllerHarness.ts
@@ -126,7 +126,7 @@
   hold(epoch = 1, unfencedFrom = this.now): ControllerEffect[] {
     this.hearAll();
     const effects = this.tell({ type: 'leaseHeld', epoch, unfencedFrom });
-    return [...effects, ...this.advance(this.state.policy.takeoverPause)];
+    return [...effects, ...this.advance(this.state.policy.takeoverPurchaseDelay)];
   }
 
   /**
