--- a/apps/store/src/StoreProcess.ts
+++ b/apps/store/src/StoreProcess.ts
@@ -33,7 +33,7 @@
   memberAddresses,
   reduceConsensus,
   restoreSnapshot,
-  seedOf,
+  makeElectionSeed,
   takeSnapshot,
   type ConsensusEffect,
   type ConsensusEvent,
@@ -289,11 +289,11 @@
         cluster,
         electionTimeout: electionTimeoutMilliseconds,
         heartbeatInterval: heartbeatMilliseconds,
-        silentMemberTimeout: silentStoreMilliseconds,
+        unreachableMemberTimeout: silentStoreMilliseconds,
         leastVoters,
       },
       restored,
-      seedOf(restored.self),
+      makeElectionSeed(restored.self),
     );
     return new EventLoop<ConsensusState, ConsensusEvent, ConsensusEffect>(
       state,
--- a/apps/store/src/StoreRequests.ts
+++ b/apps/store/src/StoreRequests.ts
@@ -16,7 +16,7 @@
 } from '@hornbeampond/schema';
 import {
   currentMembership,
-  knowsCommitted,
+  hasCommittedInCurrentTerm,
   memberAddresses,
   quarantineAt,
   type ConsensusState,
@@ -129,7 +129,7 @@
    * serve by it.
    */
   advance(): void {
-    this.hasCaughtUp ||= knowsCommitted(this.options.readState());
+    this.hasCaughtUp ||= hasCommittedInCurrentTerm(this.options.readState());
     if (!this.hasCaughtUp || this.early.size === 0) return;
     const answers = [...this.early.values()];
     this.early.clear();
@@ -208,7 +208,7 @@
     const { role, settings, self } = this.options.readState();
     if (role.type !== 'leader') return false;
     if (identity === self.identity) return true;
-    const lastHeardAt = role.progress[identity]?.lastHeardAt;
+    const lastHeardAt = role.progress[identity]?.lastResponseAt;
     const patience = LOST_TIMEOUTS * settings.electionTimeout;
     return lastHeardAt !== undefined && this.options.timers.monotonicNow() - lastHeardAt < patience;
   }
--- a/apps/store/src/describeStore.ts
+++ b/apps/store/src/describeStore.ts
@@ -3,7 +3,7 @@
 import {
   currentMembership,
   leaderHint,
-  publicRole,
+  describeRole,
   quarantineAt,
   type ConsensusState,
   type MachineState,
@@ -31,7 +31,7 @@
   const leader = leaderHint(state);
   return {
     instance,
-    role: publicRole(state),
+    role: describeRole(state),
     term: state.term,
     ...(leader === undefined ? {} : { leader }),
     commitIndex: state.commitIndex,
--- a/packages/store-core/src/consensus/ConsensusState.ts
+++ b/packages/store-core/src/consensus/ConsensusState.ts
@@ -43,19 +43,19 @@
   /** Least election timeout; the timeout is drawn between it and its double. */
   readonly electionTimeout: Milliseconds;
   readonly heartbeatInterval: Milliseconds;
-  readonly mostEntriesPerAppend: number;
+  readonly maxEntriesPerAppend: number;
   /** Rough size of one append, well below the largest frame of the transport. */
-  readonly mostBytesPerAppend: number;
+  readonly maxBytesPerAppend: number;
   /** Size of the parts in which a snapshot is sent. */
-  readonly mostBytesPerSnapshotPart: number;
+  readonly maxBytesPerSnapshotPart: number;
   /** Appends under way to one peer before its first answer. */
-  readonly mostAppendsInFlight: number;
+  readonly maxAppendsInFlight: number;
   /** A member that the leader has not heard of for so long is taken for gone; 0: never. */
-  readonly silentMemberTimeout: Milliseconds;
+  readonly unreachableMemberTimeout: Milliseconds;
   /** No voter that is taken for gone is removed while fewer than so many are heard of. */
   readonly leastVoters: number;
   /** Uncommitted entries above which proposals are refused. */
-  readonly mostUncommittedEntries: number;
+  readonly maxUncommittedEntries: number;
   /** Applied entries after which a snapshot is taken. */
   readonly entriesPerSnapshot: number;
   /** Entries kept in memory below a snapshot, so that a short absence needs no snapshot. */
@@ -68,13 +68,13 @@
 export const defaultConsensusSettings: Omit<ConsensusSettings, 'cluster'> = {
   electionTimeout: 1000,
   heartbeatInterval: 150,
-  mostEntriesPerAppend: 256,
-  mostBytesPerAppend: 4 * 1024 * 1024,
-  mostBytesPerSnapshotPart: 4 * 1024 * 1024,
-  mostAppendsInFlight: 8,
-  silentMemberTimeout: 10_000,
+  maxEntriesPerAppend: 256,
+  maxBytesPerAppend: 4 * 1024 * 1024,
+  maxBytesPerSnapshotPart: 4 * 1024 * 1024,
+  maxAppendsInFlight: 8,
+  unreachableMemberTimeout: 10_000,
   leastVoters: 3,
-  mostUncommittedEntries: 20_000,
+  maxUncommittedEntries: 20_000,
   entriesPerSnapshot: 20_000,
   trailingEntries: 2_000,
   announceCommits: true,
@@ -88,7 +88,7 @@
 }
 
 /** A membership and the index of the entry that brought it. */
-export interface MembershipAt {
+export interface IndexedMembership {
   readonly index: number;
   readonly membership: Membership;
 }
@@ -103,14 +103,14 @@
   inFlight: number[];
   /** Latest quorum round answered. */
   round: number;
-  lastHeardAt: MonotonicMilliseconds;
+  lastResponseAt: MonotonicMilliseconds;
   snapshotSentAt: MonotonicMilliseconds;
   /** The snapshot being sent, and how much of it was acknowledged. */
   snapshotIndex: number;
-  snapshotBytes: number;
+  acknowledgedSnapshotBytes: number;
   run?: Sender['run'];
   /** True once its disk has shown to be older than what it acknowledged. */
-  refused: boolean;
+  diskRefused: boolean;
 }
 
 export interface PendingRead {
@@ -121,7 +121,7 @@
 }
 
 /** A message that is held back until a batch is on disk. */
-export interface HeldMessage {
+export interface PendingMessage {
   readonly batch: number;
   readonly instance: string;
   readonly envelope: Envelope;
@@ -134,7 +134,7 @@
       readonly preVote: boolean;
       votes: string[];
       /** Voters that answered no. */
-      refusals: string[];
+      rejections: string[];
     }
   | {
       readonly type: 'leader';
@@ -142,7 +142,7 @@
       round: number;
       reads: PendingRead[];
       /** Index of the first entry of this term. */
-      readonly firstIndex: number;
+      readonly termStartIndex: number;
       nextHeartbeatAt: MonotonicMilliseconds;
     };
 
@@ -154,7 +154,7 @@
   readonly term: number;
   readonly index: number;
   parts: Uint8Array[];
-  bytes: number;
+  receivedBytes: number;
 }
 
 /** Changes not yet handed to the disk. */
@@ -172,23 +172,23 @@
   votedFor?: string;
   role: RoleState;
   log: MemoryLog;
-  memberships: MembershipAt[];
+  memberships: IndexedMembership[];
   /** The newest snapshot on disk. */
   snapshot: SnapshotHeader;
-  snapshotAsked: boolean;
-  incoming?: IncomingSnapshot;
+  snapshotInProgress: boolean;
+  incomingSnapshot?: IncomingSnapshot;
   commitIndex: number;
   appliedIndex: number;
   /** Requests waiting for their entry, by index; only ours as the leader of this term. */
-  requests: { readonly index: number; readonly requestId: string }[];
+  pendingRequests: { readonly index: number; readonly requestId: string }[];
   dirty: DirtyState;
   /** Number of the last batch handed to the disk, and of the last one synced. */
   lastBatch: number;
   syncedBatch: number;
-  unsynced: { readonly batch: number; lastIndex: number }[];
+  unsyncedBatches: { readonly batch: number; lastIndex: number }[];
   /** Last index of our log that is on our disk. */
   durableIndex: number;
-  held: HeldMessage[];
+  pendingMessages: PendingMessage[];
   readOnly: boolean;
   /** True once an event has failed half-way; nothing is done or promised from then on. */
   halted: boolean;
@@ -238,16 +238,16 @@
     },
     memberships,
     snapshot,
-    snapshotAsked: false,
+    snapshotInProgress: false,
     commitIndex: snapshot.index,
     appliedIndex: snapshot.index,
-    requests: [],
+    pendingRequests: [],
     dirty: { vote: false },
     lastBatch: 0,
     syncedBatch: 0,
-    unsynced: [],
+    unsyncedBatches: [],
     durableIndex: restored.entries.at(-1)?.index ?? snapshot.index,
-    held: [],
+    pendingMessages: [],
     readOnly: false,
     halted: false,
     diskRefused: false,
--- a/packages/store-core/src/consensus/appends.ts
+++ b/packages/store-core/src/consensus/appends.ts
@@ -1,7 +1,7 @@
 /** The leader's appends to its peers: they run ahead of their answers, up to a bound. */
 import type { Member } from './consensusTypes.js';
 import type { ConsensusState, LeaderState, Progress } from './ConsensusState.js';
-import { withinBytes } from './entryBytes.js';
+import { limitEntriesToBytes } from './estimateEntryBytes.js';
 import { entriesFrom, lastIndexOf, termAt } from './memoryLog.js';
 import { otherMembers } from './membership.js';
 import { sendNow } from './persistence.js';
@@ -15,11 +15,11 @@
     mode: 'probing',
     inFlight: [],
     round: 0,
-    lastHeardAt: now,
+    lastResponseAt: now,
     snapshotSentAt: 0,
     snapshotIndex: 0,
-    snapshotBytes: 0,
-    refused: false,
+    acknowledgedSnapshotBytes: 0,
+    diskRefused: false,
   };
 }
 
@@ -32,8 +32,11 @@
   most: number,
 ): number {
   const { state } = context;
-  const { mostBytesPerAppend } = state.settings;
-  const entries = withinBytes(entriesFrom(state, previousIndex + 1, most), mostBytesPerAppend);
+  const { maxBytesPerAppend: mostBytesPerAppend } = state.settings;
+  const entries = limitEntriesToBytes(
+    entriesFrom(state, previousIndex + 1, most),
+    mostBytesPerAppend,
+  );
   const to = { instance: member.address.instance, identity: member.identity };
   sendNow(context, to, {
     type: 'appendRequest',
@@ -56,7 +59,7 @@
 ): void {
   const { state } = context;
   const progress = leader.progress[member.identity];
-  if (progress === undefined || progress.refused) return;
+  if (progress === undefined || progress.diskRefused) return;
   if (termAt(state, progress.nextIndex - 1) === undefined) {
     sendSnapshot(context, leader, member, progress);
     // An append that matches every log keeps the peer from calling an election meanwhile.
@@ -64,11 +67,11 @@
     return;
   }
   let sent = false;
-  const mostInFlight = progress.mode === 'probing' ? 1 : state.settings.mostAppendsInFlight;
+  const mostInFlight = progress.mode === 'probing' ? 1 : state.settings.maxAppendsInFlight;
   while (progress.nextIndex <= lastIndexOf(state) && progress.inFlight.length < mostInFlight) {
     const previousIndex = progress.nextIndex - 1;
     const previousTerm = termAt(state, previousIndex) ?? 0;
-    const most = state.settings.mostEntriesPerAppend;
+    const most = state.settings.maxEntriesPerAppend;
     const count = sendOneAppend(context, leader, member, previousIndex, previousTerm, most);
     progress.inFlight.push(previousIndex + count);
     sent = true;
@@ -86,7 +89,7 @@
 }
 
 /** Makes the leader's book of peers agree with the membership that has just changed. */
-export function followMembership(context: StepContext, leader: LeaderState): void {
+export function updateReplicationTargets(context: StepContext, leader: LeaderState): void {
   const { state, now } = context;
   const members = otherMembers(state);
   const known = leader.progress;
--- a/packages/store-core/src/consensus/commit.ts
+++ b/packages/store-core/src/consensus/commit.ts
@@ -6,9 +6,9 @@
 /** Answers the proposer of an entry right after it was applied, while its result is at hand. */
 function answerRequest(context: StepContext, index: number): void {
   const { state } = context;
-  const [first] = state.requests;
+  const [first] = state.pendingRequests;
   if (first?.index !== index) return;
-  state.requests.shift();
+  state.pendingRequests.shift();
   reply(context, first.requestId, { type: 'committed', index });
 }
 
--- a/packages/store-core/src/consensus/consensusEvents.ts
+++ b/packages/store-core/src/consensus/consensusEvents.ts
@@ -95,7 +95,7 @@
   readonly instance: string;
   readonly header: SnapshotHeader;
   readonly offset: number;
-  readonly mostBytes: number;
+  readonly maxBytes: number;
   readonly envelope: Envelope;
 }
 
--- a/packages/store-core/src/consensus/consensusExploration.test.ts
+++ b/packages/store-core/src/consensus/consensusExploration.test.ts
@@ -32,7 +32,7 @@
 function oldTermEntry(fault: Fault): ModelCluster {
   const leads = (instance: string) => (cluster: ModelCluster) =>
     currentLeader(cluster)?.instance === instance;
-  let cluster = lead(trio(fault, { mostEntriesPerAppend: 1 }), 'a');
+  let cluster = lead(trio(fault, { maxEntriesPerAppend: 1 }), 'a');
   cluster = syncDisk(propose(cluster, 'a'), 'a', 1);
   cluster = fireTimer({ ...crash(cluster, 'a'), network: [] }, 'c');
   cluster = syncDisk(runAmong(cluster, ['b', 'c'], leads('c')), 'c', 9);
--- a/packages/store-core/src/consensus/consensusSchedules.test.ts
+++ b/packages/store-core/src/consensus/consensusSchedules.test.ts
@@ -14,8 +14,8 @@
 const settings: Partial<ConsensusSettings> = {
   entriesPerSnapshot: 12,
   trailingEntries: 3,
-  mostEntriesPerAppend: 3,
-  mostBytesPerSnapshotPart: 60,
+  maxEntriesPerAppend: 3,
+  maxBytesPerSnapshotPart: 60,
 };
 
 const schedules = fc.array(fc.nat(), { minLength: STEPS, maxLength: STEPS, size: 'max' });
@@ -75,7 +75,7 @@
 });
 
 test('Random schedules do no harm while silent members are taken out', (context) => {
-  const taking = { ...settings, silentMemberTimeout: 1500, leastVoters: 3 };
+  const taking = { ...settings, unreachableMemberTimeout: 1500, leastVoters: 3 };
   checkSchedules(context, { voters: FIVE, spares: ['f', 'g'], settings: taking }, 503, 80);
 });
 
--- a/packages/store-core/src/consensus/diskExploration.test.ts
+++ b/packages/store-core/src/consensus/diskExploration.test.ts
@@ -57,7 +57,7 @@
 /** C lacks what a and b have compacted away. */
 function laggardBehindSnapshot(fault: Fault): ModelCluster {
   let cluster = lead(
-    trio(fault, { entriesPerSnapshot: 2, trailingEntries: 0, mostBytesPerSnapshotPart: 40 }),
+    trio(fault, { entriesPerSnapshot: 2, trailingEntries: 0, maxBytesPerSnapshotPart: 40 }),
     'a',
   );
   for (let write = 0; write < 3; write += 1) {
--- a/packages/store-core/src/consensus/election.ts
+++ b/packages/store-core/src/consensus/election.ts
@@ -5,9 +5,9 @@
  * disk.
  */
 import type { Sender, VoteRequest, VoteResponse } from './consensusTypes.js';
-import { lastIndexOf, lastTermOf, appendNew } from './memoryLog.js';
+import { lastIndexOf, lastTermOf, appendNewEntry } from './memoryLog.js';
 import { hasQuorum, isVoter, otherMembers, quorumSize, votersOf } from './membership.js';
-import { sendToOthersWhenPersisted, sendWhenPersisted } from './persistence.js';
+import { sendToVotersWhenPersisted, sendWhenPersisted } from './persistence.js';
 import { broadcastAppends, makeProgress } from './appends.js';
 import { announceRole, becomeFollower, enterTerm, resetElectionTimer } from './roles.js';
 import type { ConsensusState } from './ConsensusState.js';
@@ -19,7 +19,7 @@
 
 function requestVotes(context: StepContext, preVote: boolean, term: number): void {
   const { state } = context;
-  sendToOthersWhenPersisted(context, {
+  sendToVotersWhenPersisted(context, {
     type: 'voteRequest',
     preVote,
     term,
@@ -32,7 +32,7 @@
 function reportFailedRound({ state, effects }: StepContext): void {
   const { role, term } = state;
   if (role.type !== 'candidate') return;
-  const { preVote, votes, refusals } = role;
+  const { preVote, votes, rejections: refusals } = role;
   const answered = [...votes, ...refusals];
   const namesOf = (test: (identity: string) => boolean) =>
     votersOf(state)
@@ -59,7 +59,7 @@
     return;
   }
   reportFailedRound(context);
-  state.role = { type: 'candidate', preVote: true, votes: [state.self.identity], refusals: [] };
+  state.role = { type: 'candidate', preVote: true, votes: [state.self.identity], rejections: [] };
   announceRole(context);
   requestVotes(context, true, state.term + 1);
   countVotes(context);
@@ -70,7 +70,7 @@
   resetElectionTimer(context);
   enterTerm(state, state.term + 1);
   state.votedFor = state.self.identity;
-  state.role = { type: 'candidate', preVote: false, votes: [], refusals: [] };
+  state.role = { type: 'candidate', preVote: false, votes: [], rejections: [] };
   announceRole(context);
   requestVotes(context, false, state.term);
 }
@@ -98,18 +98,18 @@
   const progress = Object.fromEntries(
     otherMembers(state).map(({ identity }) => [identity, makeProgress(state, now)]),
   );
-  state.requests = [];
+  state.pendingRequests = [];
   state.role = {
     type: 'leader',
     progress,
     round: 0,
     reads: [],
-    firstIndex: lastIndexOf(state) + 1,
+    termStartIndex: lastIndexOf(state) + 1,
     nextHeartbeatAt: now + state.settings.heartbeatInterval,
   };
   // Entries of earlier terms can't be committed by counting copies; this one can, and takes them
   // along. Until then the leader doesn't know what is committed, so reads wait for it too.
-  appendNew(state, { type: 'noOperation' }, wallNow);
+  appendNewEntry(state, { type: 'noOperation' }, wallNow);
   announceRole(context);
   broadcastAppends(context, state.role, true);
 }
@@ -179,7 +179,7 @@
   const { role } = state;
   if (role.type !== 'candidate' || role.preVote !== response.preVote) return;
   if (!response.granted) {
-    if (!role.refusals.includes(from.identity)) role.refusals.push(from.identity);
+    if (!role.rejections.includes(from.identity)) role.rejections.push(from.identity);
     return;
   }
   const expectedTerm = role.preVote ? state.term + 1 : state.term;
--- a/packages/store-core/src/consensus/entryBytes.ts
+++ b/packages/store-core/src/consensus/estimateEntryBytes.ts
@@ -19,17 +19,17 @@
 const known = new WeakMap<LogEntry, number>();
 
 /** Entries never change, so each is measured once. */
-export function entryBytes(entry: LogEntry): number {
+export function estimateEntryBytes(entry: LogEntry): number {
   const measured = known.get(entry) ?? bytesOf(entry.body);
   known.set(entry, measured);
   return measured;
 }
 
 /** The first of `entries` whose sizes add up to at most `mostBytes`, and one in any case. */
-export function withinBytes(entries: readonly LogEntry[], mostBytes: number): LogEntry[] {
+export function limitEntriesToBytes(entries: readonly LogEntry[], mostBytes: number): LogEntry[] {
   let sum = 0;
   const tooFar = entries.findIndex((entry, position) => {
-    sum += entryBytes(entry);
+    sum += estimateEntryBytes(entry);
     return position > 0 && sum > mostBytes;
   });
   return tooFar === -1 ? [...entries] : entries.slice(0, tooFar);
--- a/packages/store-core/src/consensus/index.ts
+++ b/packages/store-core/src/consensus/index.ts
@@ -4,6 +4,10 @@
 export { currentMembership, memberAddresses, votersOf } from './membership.js';
 export { lastIndexOf } from './memoryLog.js';
 export { reduceConsensus } from './reduceConsensus.js';
-export { seedOf } from './seedOf.js';
+export { makeElectionSeed as makeElectionSeed } from './makeElectionSeed.js';
 export { fillSnapshotPart } from './snapshots.js';
-export { knowsCommitted, leaderHint, publicRole } from './roles.js';
+export {
+  hasCommittedInCurrentTerm as hasCommittedInCurrentTerm,
+  leaderHint,
+  describeRole as describeRole,
+} from './roles.js';
--- a/packages/store-core/src/consensus/seedOf.test.ts
+++ b/packages/store-core/src/consensus/makeElectionSeed.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { createConsensusState, defaultConsensusSettings } from './ConsensusState.js';
 import { reduceConsensus } from './reduceConsensus.js';
-import { seedOf } from './seedOf.js';
+import { makeElectionSeed } from './makeElectionSeed.js';
 
 const settings = { ...defaultConsensusSettings, cluster: 'tested' };
 
@@ -14,7 +14,7 @@
     run: { count: runCount, token: 'started-together' },
   };
   const restored = { self, term: 3, entries: [] };
-  const state = createConsensusState(settings, restored, seedOf(self));
+  const state = createConsensusState(settings, restored, makeElectionSeed(self));
   reduceConsensus(state, { type: 'started', now: 0, wallNow: 0 });
   return state.electionDueAt;
 }
--- a/packages/store-core/src/consensus/seedOf.ts
+++ b/packages/store-core/src/consensus/makeElectionSeed.ts
@@ -7,6 +7,6 @@
 import { createHash } from 'node:crypto';
 import type { Sender } from './consensusTypes.js';
 
-export function seedOf({ identity, run }: Sender): number {
+export function makeElectionSeed({ identity, run }: Sender): number {
   return createHash('md5').update(`${identity}/${run.count}/${run.token}`).digest().readInt32BE(0);
 }
--- a/packages/store-core/src/consensus/membership.ts
+++ b/packages/store-core/src/consensus/membership.ts
@@ -64,11 +64,11 @@
  */
 export function mayChangeMembership(state: ConsensusState, leader: LeaderState): boolean {
   if (!state.settings.safeguards.oneChangeAtATime) return true;
-  return state.commitIndex >= leader.firstIndex && !changeUnderWay(state);
+  return state.commitIndex >= leader.termStartIndex && !changeUnderWay(state);
 }
 
 /** The membership after a change, or undefined if the change makes no sense now. */
-export function changedMembership(
+export function applyMembershipChange(
   state: ConsensusState,
   change: MembershipChange,
 ): Membership | undefined {
@@ -93,10 +93,13 @@
 }
 
 /** A learner that holds all that is committed, as of the leader's knowledge. */
-export function learnerToPromote(state: ConsensusState, leader: LeaderState): Member | undefined {
+export function findPromotableLearner(
+  state: ConsensusState,
+  leader: LeaderState,
+): Member | undefined {
   const caughtUp = (member: Member) => {
     const progress = leader.progress[member.identity];
-    if (progress === undefined || progress.refused) return false;
+    if (progress === undefined || progress.diskRefused) return false;
     if (!state.settings.safeguards.promoteWhenCaughtUp) return true;
     return progress.mode === 'replicating' && progress.matchIndex >= state.commitIndex;
   };
@@ -105,7 +108,7 @@
   );
 }
 
-export function promotedMembership(state: ConsensusState, identity: string): Membership {
+export function promoteMember(state: ConsensusState, identity: string): Membership {
   const membership = currentMembership(state);
   const members = membership.members.map((member) =>
     member.identity === identity ? { ...member, role: 'voter' as const } : member,
--- a/packages/store-core/src/consensus/memoryLog.ts
+++ b/packages/store-core/src/consensus/memoryLog.ts
@@ -39,7 +39,7 @@
 }
 
 /** Makes an entry of this leader's term. Its time never goes back along the log. */
-export function appendNew(state: ConsensusState, body: EntryBody, wallNow: number): LogEntry {
+export function appendNewEntry(state: ConsensusState, body: EntryBody, wallNow: number): LogEntry {
   const previousAt = state.log.entries.at(-1)?.at ?? state.log.base.at;
   const entry = {
     index: lastIndexOf(state) + 1,
@@ -68,7 +68,7 @@
     state.dirty.firstNewIndex = undefined;
   }
   state.durableIndex = Math.min(state.durableIndex, index - 1);
-  state.unsynced.forEach((write) => {
+  state.unsyncedBatches.forEach((write) => {
     write.lastIndex = Math.min(write.lastIndex, index - 1);
   });
 }
--- a/packages/store-core/src/consensus/persistence.ts
+++ b/packages/store-core/src/consensus/persistence.ts
@@ -42,10 +42,10 @@
     return;
   }
   const envelope = makeEnvelope(context, to.identity, message);
-  state.held.push({ batch, instance: to.instance, envelope });
+  state.pendingMessages.push({ batch, instance: to.instance, envelope });
 }
 
-export function sendToOthersWhenPersisted(context: StepContext, message: ConsensusMessage): void {
+export function sendToVotersWhenPersisted(context: StepContext, message: ConsensusMessage): void {
   otherMembers(context.state)
     .filter((member) => member.role === 'voter')
     .forEach((member) => {
@@ -80,23 +80,23 @@
     entries,
   };
   effects.push(effect);
-  state.unsynced.push({ batch: state.lastBatch, lastIndex: lastIndexOf(state) });
+  state.unsyncedBatches.push({ batch: state.lastBatch, lastIndex: lastIndexOf(state) });
   state.dirty = { vote: false };
 }
 
 /** Counts batches as synced and lets go of what waited for them. */
-export function acceptPersisted(context: StepContext, batch: number): void {
+export function completeBatches(context: StepContext, batch: number): void {
   const { state, effects } = context;
   if (state.readOnly) return;
   state.syncedBatch = Math.max(state.syncedBatch, Math.min(batch, state.lastBatch));
-  state.unsynced
+  state.unsyncedBatches
     .filter((write) => write.batch <= batch)
     .forEach((write) => {
       state.durableIndex = Math.max(state.durableIndex, write.lastIndex);
     });
-  state.unsynced = state.unsynced.filter((write) => write.batch > batch);
-  const ready = state.held.filter((message) => message.batch <= batch);
-  state.held = state.held.filter((message) => message.batch > batch);
+  state.unsyncedBatches = state.unsyncedBatches.filter((write) => write.batch > batch);
+  const ready = state.pendingMessages.filter((message) => message.batch <= batch);
+  state.pendingMessages = state.pendingMessages.filter((message) => message.batch > batch);
   ready.forEach(({ instance, envelope }) => {
     effects.push({ type: 'send', instance, envelope });
   });
--- a/packages/store-core/src/consensus/proposals.ts
+++ b/packages/store-core/src/consensus/proposals.ts
@@ -1,9 +1,9 @@
 /** Requests to change the log: commands and membership changes. Only a leader takes them. */
 import type { MembershipChange, Proposal, UnavailableReason } from './consensusEvents.js';
 import type { ConsensusState } from './ConsensusState.js';
-import { appendNew, lastIndexOf } from './memoryLog.js';
-import { changedMembership, mayChangeMembership } from './membership.js';
-import { broadcastAppends, followMembership } from './appends.js';
+import { appendNewEntry, lastIndexOf } from './memoryLog.js';
+import { applyMembershipChange, mayChangeMembership } from './membership.js';
+import { broadcastAppends, updateReplicationTargets } from './appends.js';
 import { leaderHint, leaderOf, reply } from './roles.js';
 import type { StepContext } from './StepContext.js';
 
@@ -14,7 +14,7 @@
 }
 
 function isBacklogged(state: ConsensusState): boolean {
-  return lastIndexOf(state) - state.commitIndex >= state.settings.mostUncommittedEntries;
+  return lastIndexOf(state) - state.commitIndex >= state.settings.maxUncommittedEntries;
 }
 
 export function propose(context: StepContext, proposals: readonly Proposal[]): void {
@@ -29,8 +29,8 @@
       reply(context, requestId, { type: 'unavailable', reason: 'logBacklog' });
       return;
     }
-    const { index } = appendNew(state, { type: 'command', command }, wallNow);
-    state.requests.push({ index, requestId });
+    const { index } = appendNewEntry(state, { type: 'command', command }, wallNow);
+    state.pendingRequests.push({ index, requestId });
   });
   if (leader !== undefined) broadcastAppends(context, leader, false);
 }
@@ -53,12 +53,12 @@
     refuse('changeInProgress');
     return;
   }
-  const membership = changedMembership(state, change);
+  const membership = applyMembershipChange(state, change);
   if (membership === undefined) {
     refuse('changeNotPossible');
     return;
   }
-  const { index } = appendNew(state, { type: 'membership', membership }, wallNow);
-  state.requests.push({ index, requestId });
-  followMembership(context, leader);
+  const { index } = appendNewEntry(state, { type: 'membership', membership }, wallNow);
+  state.pendingRequests.push({ index, requestId });
+  updateReplicationTargets(context, leader);
 }
--- a/packages/store-core/src/consensus/reads.ts
+++ b/packages/store-core/src/consensus/reads.ts
@@ -32,7 +32,7 @@
   if (underWay || leader.reads.length === 0) return;
   // Before its first own entry is committed, a new leader's commit index may lag behind writes
   // that its predecessor has acknowledged.
-  if (state.commitIndex < leader.firstIndex) return;
+  if (state.commitIndex < leader.termStartIndex) return;
   leader.round += 1;
   leader.reads.forEach((read) => {
     read.round = leader.round;
@@ -61,6 +61,6 @@
   return hasQuorum(state, (identity) => {
     if (identity === state.self.identity) return true;
     const progress = leader.progress[identity];
-    return progress !== undefined && !progress.refused && progress.round >= round;
+    return progress !== undefined && !progress.diskRefused && progress.round >= round;
   });
 }
--- a/packages/store-core/src/consensus/reduceConsensus.test.ts
+++ b/packages/store-core/src/consensus/reduceConsensus.test.ts
@@ -162,7 +162,7 @@
 test('A run of large entries is parted into appends below the bound', () => {
   // Tables of a few megabytes each are changed while a voter is away. One append with all of them
   // would exceed the largest frame and be dropped each time, so the voter would never catch up.
-  const settings = { mostBytesPerAppend: 5000 };
+  const settings = { maxBytesPerAppend: 5000 };
   let cluster = crash(elected(makeCluster({ voters: TRIO, settings })), 'c');
   const proposals = Array.from({ length: 6 }, (_, number) => ({
     requestId: `large-${number}`,
@@ -188,11 +188,11 @@
   // A voter is far behind and gets a snapshot that is larger than a frame. In the middle of it the
   // voter restarts, and what it had taken in is gone. The leader begins again where the voter is,
   // and meanwhile takes no new snapshot that would make it begin anew for ever.
-  const settings = { entriesPerSnapshot: 10, trailingEntries: 0, mostBytesPerSnapshotPart: 50 };
+  const settings = { entriesPerSnapshot: 10, trailingEntries: 0, maxBytesPerSnapshotPart: 50 };
   let cluster = crash(elected(makeCluster({ voters: TRIO, settings })), 'c');
   for (let write = 0; write < 40; write += 1) cluster = settle(propose(cluster, 'a'));
   cluster = settle(fireTimer(restart({ ...cluster, network: [] }, 'c'), 'a'), 12);
-  assert.ok((cluster.voters.c?.state?.incoming?.bytes ?? 0) > 0);
+  assert.ok((cluster.voters.c?.state?.incomingSnapshot?.receivedBytes ?? 0) > 0);
   cluster = restart({ ...crash(cluster, 'c'), network: [] }, 'c');
   for (let beat = 0; beat < 60; beat += 1) cluster = settle(elapse(cluster, 'a', 150));
   assert.equal(cluster.voters.c?.applied.length, 41);
--- a/packages/store-core/src/consensus/reduceConsensus.ts
+++ b/packages/store-core/src/consensus/reduceConsensus.ts
@@ -14,14 +14,14 @@
   receiveVoteResponse,
   startPreVote,
 } from './election.js';
-import { followLeader, receiveAppend } from './following.js';
-import { appendNew, lastIndexOf } from './memoryLog.js';
-import { acceptPersisted, flushChanges, sendNow } from './persistence.js';
+import { followLeader, receiveAppend } from './receiveAppend.js';
+import { appendNewEntry, lastIndexOf } from './memoryLog.js';
+import { completeBatches, flushChanges, sendNow } from './persistence.js';
 import { changeMembership, propose } from './proposals.js';
 import { beginRead } from './reads.js';
-import { advanceCommit, leaderTimerFired, receiveAppendResponse } from './replication.js';
+import { advanceCommit, handleLeaderTimer, receiveAppendResponse } from './replication.js';
 import { announceRole, becomeFollower, enterTerm, leaderOf, setElectionTimer } from './roles.js';
-import { acceptCompacted, askForSnapshot, receiveSnapshot } from './snapshots.js';
+import { applyCompaction, takeSnapshotIfDue, receiveSnapshot } from './snapshots.js';
 import type { StepContext } from './StepContext.js';
 
 /**
@@ -51,7 +51,7 @@
   enterTerm(state, 1);
   state.votedFor = state.self.identity;
   const membership = { members: [{ ...event.member, role: 'voter' as const }] };
-  appendNew(state, { type: 'membership', membership }, wallNow);
+  appendNewEntry(state, { type: 'membership', membership }, wallNow);
   becomeLeader(context);
 }
 
@@ -61,7 +61,7 @@
   // early one would be the last, and this voter would never stand for election again.
   state.wakeAt = Number.MAX_SAFE_INTEGER;
   const leader = leaderOf(state);
-  if (leader !== undefined) leaderTimerFired(context, leader);
+  if (leader !== undefined) handleLeaderTimer(context, leader);
   else if (now >= state.electionDueAt) startPreVote(context);
 }
 
@@ -69,7 +69,7 @@
   const { state } = context;
   state.readOnly = true;
   // What waits for the disk will never be promised.
-  state.held = [];
+  state.pendingMessages = [];
   becomeFollower(context, state.term);
 }
 
@@ -130,7 +130,7 @@
 }
 
 function persisted(context: StepContext, batch: number): void {
-  acceptPersisted(context, batch);
+  completeBatches(context, batch);
   countOwnVote(context);
   const leader = leaderOf(context.state);
   if (leader !== undefined) advanceCommit(context, leader);
@@ -166,7 +166,7 @@
       persistFailed(context);
       break;
     case 'compacted':
-      acceptCompacted(context, event.header);
+      applyCompaction(context, event.header);
       break;
     default:
       event satisfies never;
@@ -196,7 +196,7 @@
   state.halted = true;
   dispatch(context, event);
   flushChanges(context);
-  askForSnapshot(context);
+  takeSnapshotIfDue(context);
   setTimer(context);
   state.halted = false;
   return effects;
--- a/packages/store-core/src/consensus/silentMembers.ts
+++ b/packages/store-core/src/consensus/removeUnreachableMember.ts
@@ -6,10 +6,10 @@
  */
 import type { Member } from './consensusTypes.js';
 import type { LeaderState } from './ConsensusState.js';
-import { followMembership } from './appends.js';
-import { appendNew } from './memoryLog.js';
+import { updateReplicationTargets } from './appends.js';
+import { appendNewEntry } from './memoryLog.js';
 import {
-  changedMembership,
+  applyMembershipChange,
   currentMembership,
   mayChangeMembership,
   votersOf,
@@ -22,7 +22,7 @@
 function silenceOf({ state, now }: StepContext, leader: LeaderState, identity: string): number {
   if (identity === state.self.identity) return 0;
   const progress = leader.progress[identity];
-  return progress === undefined ? 0 : now - progress.lastHeardAt;
+  return progress === undefined ? 0 : now - progress.lastResponseAt;
 }
 
 /**
@@ -40,7 +40,7 @@
 
 function findSilentMember(context: StepContext, leader: LeaderState): Member | undefined {
   const { state } = context;
-  const { silentMemberTimeout } = state.settings;
+  const { unreachableMemberTimeout: silentMemberTimeout } = state.settings;
   const votersMayGo = enoughAreHeardOf(context, leader);
   return currentMembership(state).members.find(
     ({ identity, role }) =>
@@ -50,16 +50,16 @@
 }
 
 /** Removes one member that has been silent for too long; the next one once that is committed. */
-export function removeSilentMember(context: StepContext, leader: LeaderState): void {
+export function removeUnreachableMember(context: StepContext, leader: LeaderState): void {
   const { state, wallNow, effects } = context;
-  if (state.settings.silentMemberTimeout === 0 || !mayChangeMembership(state, leader)) return;
+  if (state.settings.unreachableMemberTimeout === 0 || !mayChangeMembership(state, leader)) return;
   const silent = findSilentMember(context, leader);
   if (silent === undefined) return;
   const { identity, address } = silent;
-  const membership = changedMembership(state, { type: 'removeMember', identity });
+  const membership = applyMembershipChange(state, { type: 'removeMember', identity });
   if (membership === undefined) return;
   const silence = silenceOf(context, leader, identity);
   effects.push({ type: 'silentMemberRemoved', instance: address.instance, silence });
-  appendNew(state, { type: 'membership', membership }, wallNow);
-  followMembership(context, leader);
+  appendNewEntry(state, { type: 'membership', membership }, wallNow);
+  updateReplicationTargets(context, leader);
 }
--- a/packages/store-core/src/consensus/replacedStores.test.ts
+++ b/packages/store-core/src/consensus/replacedStores.test.ts
@@ -18,7 +18,7 @@
 const settings: Partial<ConsensusSettings> = {
   electionTimeout: 400,
   heartbeatInterval: 100,
-  silentMemberTimeout: 3000,
+  unreachableMemberTimeout: 3000,
 };
 const VOTERS = ['a', 'b', 'c', 'd'];
 const SUCCESSORS = ['e', 'f', 'g'];
--- a/packages/store-core/src/consensus/replication.ts
+++ b/packages/store-core/src/consensus/replication.ts
@@ -4,35 +4,35 @@
  */
 import type { AppendResponse, Sender } from './consensusTypes.js';
 import type { ConsensusState, LeaderState, Progress } from './ConsensusState.js';
-import { broadcastAppends, followMembership, sendAppends } from './appends.js';
+import { broadcastAppends, updateReplicationTargets, sendAppends } from './appends.js';
 import { commitThrough } from './commit.js';
-import { appendNew, termAt } from './memoryLog.js';
+import { appendNewEntry, termAt } from './memoryLog.js';
 import {
   hasQuorum,
   isVoter,
-  learnerToPromote,
+  findPromotableLearner,
   mayChangeMembership,
   memberOf,
   otherMembers,
-  promotedMembership,
+  promoteMember,
   quorumSize,
   votersOf,
 } from './membership.js';
 import { sendNow } from './persistence.js';
 import { confirmReads, startReadRound } from './reads.js';
 import { becomeFollower } from './roles.js';
-import { removeSilentMember } from './silentMembers.js';
-import { acceptPart } from './snapshots.js';
+import { removeUnreachableMember } from './removeUnreachableMember.js';
+import { handlePartResponse } from './snapshots.js';
 import type { StepContext } from './StepContext.js';
 
 function promoteLearner(context: StepContext, leader: LeaderState): void {
   const { state, wallNow } = context;
   if (!mayChangeMembership(state, leader)) return;
-  const learner = learnerToPromote(state, leader);
+  const learner = findPromotableLearner(state, leader);
   if (learner === undefined) return;
-  const membership = promotedMembership(state, learner.identity);
-  appendNew(state, { type: 'membership', membership }, wallNow);
-  followMembership(context, leader);
+  const membership = promoteMember(state, learner.identity);
+  appendNewEntry(state, { type: 'membership', membership }, wallNow);
+  updateReplicationTargets(context, leader);
 }
 
 /** A leader that the committed membership no longer names has done its last duty. */
@@ -45,7 +45,7 @@
 function matchIndexOf(state: ConsensusState, leader: LeaderState, identity: string): number {
   if (identity === state.self.identity) return state.durableIndex;
   const progress = leader.progress[identity];
-  return progress === undefined || progress.refused ? 0 : progress.matchIndex;
+  return progress === undefined || progress.diskRefused ? 0 : progress.matchIndex;
 }
 
 /** Commits what a quorum has on disk, and does what that sets free. */
@@ -85,7 +85,8 @@
   const { state, effects } = context;
   if (!state.settings.safeguards.oldDiskRefused) return false;
   const known = progress.run;
-  if (known?.count === from.run.count && known.token === from.run.token) return progress.refused;
+  if (known?.count === from.run.count && known.token === from.run.token)
+    return progress.diskRefused;
   const refuse = (reason: 'runOutdated' | 'diskOlder') => {
     sendNow(context, from, { type: 'refusal', reason, run: from.run });
     effects.push({ type: 'messageRefused', reason, from: from.instance });
@@ -93,8 +94,8 @@
   };
   if (known !== undefined && from.run.count <= known.count) return refuse('runOutdated');
   progress.run = from.run;
-  progress.refused = lastIndex < progress.matchIndex;
-  if (progress.refused) return refuse('diskOlder');
+  progress.diskRefused = lastIndex < progress.matchIndex;
+  if (progress.diskRefused) return refuse('diskOlder');
   progress.mode = 'probing';
   progress.inFlight = [];
   progress.nextIndex = Math.max(
@@ -151,13 +152,13 @@
   if (leader.type !== 'leader' || response.term !== state.term) return;
   const progress = leader.progress[from.identity];
   if (progress === undefined || refuseRun(context, progress, from, response.lastIndex)) return;
-  progress.lastHeardAt = now;
+  progress.lastResponseAt = now;
   progress.round = Math.max(progress.round, response.round);
   const { result } = response;
   const member = memberOf(state, from.identity);
   if (result.type === 'accepted') acceptMatch(state, progress, result.matchIndex);
   else if (result.type === 'conflict') backOff(state, progress, result);
-  else if (member !== undefined) acceptPart(context, leader, member, result);
+  else if (member !== undefined) handlePartResponse(context, leader, member, result);
   advanceCommit(context, leader);
   confirmReads(context, leader);
   if (state.role === leader && member !== undefined) sendAppends(context, leader, member, false);
@@ -172,11 +173,11 @@
   return hasQuorum(state, (identity) => {
     if (identity === state.self.identity) return true;
     const progress = leader.progress[identity];
-    return progress !== undefined && now - progress.lastHeardAt <= electionTimeout;
+    return progress !== undefined && now - progress.lastResponseAt <= electionTimeout;
   });
 }
 
-export function leaderTimerFired(context: StepContext, leader: LeaderState): void {
+export function handleLeaderTimer(context: StepContext, leader: LeaderState): void {
   const { state, now } = context;
   if (now < leader.nextHeartbeatAt) return;
   if (!hearsQuorum(context, leader)) {
@@ -189,5 +190,5 @@
     if (progress.mode === 'probing') progress.inFlight = [];
   });
   broadcastAppends(context, leader, true);
-  removeSilentMember(context, leader);
+  removeUnreachableMember(context, leader);
 }
--- a/packages/store-core/src/consensus/roles.ts
+++ b/packages/store-core/src/consensus/roles.ts
@@ -22,7 +22,9 @@
 }
 
 /** What this voter is, as operators are told. */
-export function publicRole(state: ConsensusState): 'leader' | 'follower' | 'candidate' | 'learner' {
+export function describeRole(
+  state: ConsensusState,
+): 'leader' | 'follower' | 'candidate' | 'learner' {
   if (state.role.type === 'leader') return 'leader';
   return isVoter(state, state.self.identity) ? state.role.type : 'learner';
 }
@@ -31,7 +33,7 @@
  * True if an entry of the present term is known to be committed. All that was committed before is
  * then known as well; a store that has just started knows only that its own log may be.
  */
-export function knowsCommitted(state: ConsensusState): boolean {
+export function hasCommittedInCurrentTerm(state: ConsensusState): boolean {
   return state.appliedIndex > 0 && termAt(state, state.appliedIndex) === state.term;
 }
 
@@ -39,7 +41,7 @@
   const { state, effects } = context;
   effects.push({
     type: 'roleChanged',
-    role: publicRole(state),
+    role: describeRole(state),
     term: state.term,
     leader: leaderHint(state),
   });
@@ -71,8 +73,8 @@
  */
 function settleRequests(context: StepContext, leader: LeaderState): void {
   const { state } = context;
-  state.requests.forEach(({ requestId }) => reply(context, requestId, { type: 'unsure' }));
-  state.requests = [];
+  state.pendingRequests.forEach(({ requestId }) => reply(context, requestId, { type: 'unsure' }));
+  state.pendingRequests = [];
   leader.reads.forEach(({ requestId }) => reply(context, requestId, { type: 'notLeader' }));
 }
 
--- a/packages/store-core/src/consensus/snapshots.ts
+++ b/packages/store-core/src/consensus/snapshots.ts
@@ -15,7 +15,7 @@
 import { compactLog, entryAt, termAt } from './memoryLog.js';
 import { membershipAt } from './membership.js';
 import { makeEnvelope } from './persistence.js';
-import { respondToAppend } from './following.js';
+import { respondToAppend } from './receiveAppend.js';
 import type { StepContext } from './StepContext.js';
 
 /** Election timeouts after which a part that wasn't acknowledged is sent again. */
@@ -47,12 +47,12 @@
 ): void {
   const { state, now, effects } = context;
   const header = state.snapshot;
-  if (progress.snapshotIndex !== header.index) progress.snapshotBytes = 0;
+  if (progress.snapshotIndex !== header.index) progress.acknowledgedSnapshotBytes = 0;
   progress.mode = 'snapshot';
   progress.inFlight = [];
   progress.snapshotIndex = header.index;
   progress.snapshotSentAt = now;
-  const offset = progress.snapshotBytes;
+  const offset = progress.acknowledgedSnapshotBytes;
   const envelope = makeEnvelope(context, member.identity, {
     type: 'snapshotRequest',
     term: state.term,
@@ -62,9 +62,9 @@
     done: true,
     round: leader.round,
   });
-  const mostBytes = state.settings.mostBytesPerSnapshotPart;
+  const mostBytes = state.settings.maxBytesPerSnapshotPart;
   const { instance } = member.address;
-  effects.push({ type: 'sendSnapshot', instance, header, offset, mostBytes, envelope });
+  effects.push({ type: 'sendSnapshot', instance, header, offset, maxBytes: mostBytes, envelope });
 }
 
 /**
@@ -72,7 +72,7 @@
  * another one by now; the leader asks again.
  */
 export function fillSnapshotPart(
-  { header, offset, mostBytes, envelope }: SendSnapshotEffect,
+  { header, offset, maxBytes: mostBytes, envelope }: SendSnapshotEffect,
   saved: { readonly header: SnapshotHeader; readonly data: Uint8Array },
 ): Envelope | undefined {
   const { message } = envelope;
@@ -83,7 +83,7 @@
 }
 
 /** Sends the next part. An answer that is not news sends nothing, or each copy of it would. */
-export function acceptPart(
+export function handlePartResponse(
   context: StepContext,
   leader: LeaderState,
   member: Member,
@@ -91,9 +91,9 @@
 ): void {
   const progress = leader.progress[member.identity];
   if (progress?.mode !== 'snapshot' || progress.snapshotIndex !== part.index) return;
-  const isNews = part.receivedBytes > progress.snapshotBytes;
+  const isNews = part.receivedBytes > progress.acknowledgedSnapshotBytes;
   // It may also be less: the peer has restarted. The next resend begins there.
-  progress.snapshotBytes = part.receivedBytes;
+  progress.acknowledgedSnapshotBytes = part.receivedBytes;
   if (isNews) sendPart(context, leader, member, progress);
 }
 
@@ -105,7 +105,7 @@
   const { role } = state;
   if (role.type !== 'leader') return false;
   return Object.values(role.progress).some(
-    ({ mode, snapshotBytes, lastHeardAt }) =>
+    ({ mode, acknowledgedSnapshotBytes: snapshotBytes, lastResponseAt: lastHeardAt }) =>
       mode === 'snapshot' &&
       snapshotBytes > 0 &&
       now - lastHeardAt <= state.settings.electionTimeout,
@@ -117,9 +117,9 @@
  * after the changes of the same event went to the disk: a snapshot that got there first could be
  * joined, after a crash, to entries which those changes were about to drop.
  */
-export function askForSnapshot(context: StepContext): void {
+export function takeSnapshotIfDue(context: StepContext): void {
   const { state, effects } = context;
-  if (state.snapshotAsked || state.readOnly || isSendingSnapshot(context)) return;
+  if (state.snapshotInProgress || state.readOnly || isSendingSnapshot(context)) return;
   if (state.appliedIndex - state.snapshot.index < state.settings.entriesPerSnapshot) return;
   const entry = entryAt(state, state.appliedIndex);
   if (entry === undefined) return;
@@ -129,13 +129,13 @@
     at: entry.at,
     membership: membershipAt(state, entry.index),
   };
-  state.snapshotAsked = true;
+  state.snapshotInProgress = true;
   effects.push({ type: 'takeSnapshot', header });
 }
 
 /** Takes note of a snapshot that is on disk, and lets go of the log below it. */
-export function acceptCompacted({ state, effects }: StepContext, header: SnapshotHeader): void {
-  state.snapshotAsked = false;
+export function applyCompaction({ state, effects }: StepContext, header: SnapshotHeader): void {
+  state.snapshotInProgress = false;
   if (header.index <= state.snapshot.index) return;
   state.snapshot = header;
   const baseIndex = Math.max(state.log.base.index, header.index - state.settings.trailingEntries);
@@ -154,15 +154,17 @@
   { term, header, offset, data, done }: SnapshotRequest,
 ): Uint8Array | undefined {
   const { index } = header;
-  const known = state.incoming;
+  const known = state.incomingSnapshot;
   const fits = known?.sender === from.identity && known.term === term && known.index === index;
   // Parts of two leaders may not be mixed: each encodes its own state machine.
-  const incoming = fits ? known : { sender: from.identity, term, index, parts: [], bytes: 0 };
-  state.incoming = incoming;
-  if (offset !== incoming.bytes) return undefined;
+  const incoming = fits
+    ? known
+    : { sender: from.identity, term, index, parts: [], receivedBytes: 0 };
+  state.incomingSnapshot = incoming;
+  if (offset !== incoming.receivedBytes) return undefined;
   incoming.parts.push(data);
-  incoming.bytes += data.length;
-  return done ? joinParts(incoming.parts, incoming.bytes) : undefined;
+  incoming.receivedBytes += data.length;
+  return done ? joinParts(incoming.parts, incoming.receivedBytes) : undefined;
 }
 
 function joinParts(parts: readonly Uint8Array[], bytes: number): Uint8Array {
@@ -177,7 +179,7 @@
 
 function installSnapshot(context: StepContext, header: SnapshotHeader, data: Uint8Array): void {
   const { state, effects } = context;
-  state.incoming = undefined;
+  state.incomingSnapshot = undefined;
   state.log = {
     base: { index: header.index, term: header.term, at: header.at },
     entries: [],
@@ -187,7 +189,7 @@
   state.commitIndex = header.index;
   state.appliedIndex = header.index;
   state.durableIndex = Math.min(state.durableIndex, header.index);
-  state.unsynced.forEach((write) => {
+  state.unsyncedBatches.forEach((write) => {
     write.lastIndex = Math.min(write.lastIndex, header.index);
   });
   state.dirty = { vote: state.dirty.vote, snapshot: { header, data } };
@@ -208,7 +210,7 @@
   else if (header.index > state.commitIndex) {
     const data = collectParts(state, from, request);
     if (data === undefined) {
-      const receivedBytes = state.incoming?.bytes ?? 0;
+      const receivedBytes = state.incomingSnapshot?.receivedBytes ?? 0;
       respondToAppend(context, from, request.round, {
         type: 'partial',
         index: header.index,
--- a/packages/store-core/src/consensus/testing/modelKeys.ts
+++ b/packages/store-core/src/consensus/testing/modelKeys.ts
@@ -50,11 +50,20 @@
   if (role.type === 'follower') return `follower ${role.leader}`;
   if (role.type === 'candidate') return `candidate ${role.preVote} ${role.votes.join()}`;
   const peers = Object.entries(role.progress).map(([identity, progress]) => {
-    const { matchIndex, nextIndex, mode, inFlight, round, run, refused, snapshotBytes } = progress;
+    const {
+      matchIndex,
+      nextIndex,
+      mode,
+      inFlight,
+      round,
+      run,
+      diskRefused: refused,
+      acknowledgedSnapshotBytes: snapshotBytes,
+    } = progress;
     const numbers = [matchIndex, nextIndex, round, run?.count, snapshotBytes];
     return [identity, mode, inFlight.join(), refused, ...numbers];
   });
-  return `leader ${role.round} ${role.firstIndex} ${peers.join(';')} ${JSON.stringify(role.reads)}`;
+  return `leader ${role.round} ${role.termStartIndex} ${peers.join(';')} ${JSON.stringify(role.reads)}`;
 }
 
 export function nameState(state: ConsensusState): string {
@@ -67,16 +76,18 @@
     state.durableIndex,
     state.lastBatch,
     state.syncedBatch,
-    state.snapshotAsked,
+    state.snapshotInProgress,
     state.readOnly,
     state.diskRefused,
     state.log.base.index,
-    state.incoming?.index,
-    state.incoming?.bytes,
+    state.incomingSnapshot?.index,
+    state.incomingSnapshot?.receivedBytes,
   ];
-  const held = state.held.map(({ batch, envelope }) => `${batch} ${nameEnvelope(envelope)}`);
-  const unsynced = state.unsynced.map(({ batch, lastIndex }) => `${batch}.${lastIndex}`);
-  const requests = state.requests.map(({ index, requestId }) => `${index}.${requestId}`);
+  const held = state.pendingMessages.map(
+    ({ batch, envelope }) => `${batch} ${nameEnvelope(envelope)}`,
+  );
+  const unsynced = state.unsyncedBatches.map(({ batch, lastIndex }) => `${batch}.${lastIndex}`);
+  const requests = state.pendingRequests.map(({ index, requestId }) => `${index}.${requestId}`);
   const log = nameEntries(state.log.entries);
   const parts = [numbers.join(), nameRole(state.role), log, nameHeader(state.snapshot)];
   return [...parts, held.join('|'), unsynced.join(), requests.join()].join('/');
@@ -85,7 +96,7 @@
 function copyRole(role: RoleState): RoleState {
   if (role.type === 'follower') return { ...role };
   if (role.type === 'candidate')
-    return { ...role, votes: [...role.votes], refusals: [...role.refusals] };
+    return { ...role, votes: [...role.votes], rejections: [...role.rejections] };
   const progress = Object.fromEntries(
     Object.entries(role.progress).map(([identity, item]) => [
       identity,
@@ -101,10 +112,13 @@
     role: copyRole(state.role),
     log: { base: { ...state.log.base }, entries: [...state.log.entries] },
     memberships: [...state.memberships],
-    requests: [...state.requests],
+    pendingRequests: [...state.pendingRequests],
     dirty: { ...state.dirty },
-    unsynced: state.unsynced.map((write) => ({ ...write })),
-    held: [...state.held],
-    incoming: state.incoming && { ...state.incoming, parts: [...state.incoming.parts] },
+    unsyncedBatches: state.unsyncedBatches.map((write) => ({ ...write })),
+    pendingMessages: [...state.pendingMessages],
+    incomingSnapshot: state.incomingSnapshot && {
+      ...state.incomingSnapshot,
+      parts: [...state.incomingSnapshot.parts],
+    },
   };
 }
