--- a/packages/store-core/src/consensus/index.ts
+++ b/packages/store-core/src/consensus/index.ts
@@ -4,10 +4,10 @@
 export { currentMembership, memberAddresses, votersOf } from './membership.js';
 export { lastIndexOf } from './memoryLog.js';
 export { reduceConsensus } from './reduceConsensus.js';
-export { makeElectionSeed as makeElectionSeed } from './makeElectionSeed.js';
+export { makeElectionSeed } from './makeElectionSeed.js';
 export { fillSnapshotPart } from './snapshots.js';
 export {
-  hasCommittedInCurrentTerm as hasCommittedInCurrentTerm,
+  hasCommittedInCurrentTerm,
   leaderHint,
-  describeRole as describeRole,
+  describeRole,
 } from './roles.js';
