--- a/packages/entry-core/src/EntryState.ts
+++ b/packages/entry-core/src/EntryState.ts
@@ -44,11 +44,11 @@
   readonly requests: Map<string, RequestState>;
   /** Attempts that have not ended, by attempt id. */
   readonly attempts: Map<string, AttemptState>;
-  /** Claimed calls whose outcome is not in the log yet, by request id. */
+  /** Claimed calls whose outcome the stores have not recorded yet, by request id. */
   readonly claims: Map<string, RequestClaim>;
   readonly demand: DemandMeter;
   readonly usage: UsageMeter;
-  /** By data centre. */
+  /** Backend servers that controllers have taken out of service, by data centre. */
   readonly drains: Map<string, FleetDrains>;
   readonly retries: RetryState;
   readonly quarantine: QuarantineState;
@@ -58,8 +58,8 @@
   /** Prompt prefixes restored from a store for backend servers that are not listed yet. */
   readonly persistedPrefixes: Map<string, readonly string[]>;
   readonly shutdown: ShutdownState;
-  /** True once new requests are refused; see `shutdown`. */
-  shuttingDown: boolean;
+  /** False until `shutdown.acceptUntil` of a started shutdown. */
+  refusesNewRequests: boolean;
   /** Timestamps of the event being handled. */
   clocks: Timestamps;
   /**
@@ -75,7 +75,7 @@
 
 const SEED_FACTOR = 31;
 
-function seedOf({ instance, incarnation }: EntryIdentity): number {
+function makeSeed({ instance, incarnation }: EntryIdentity): number {
   let seed = Math.trunc(incarnation);
   for (const character of instance) {
     seed = Math.imul(seed, SEED_FACTOR) + (character.codePointAt(0) ?? 0);
@@ -102,9 +102,9 @@
     peerWork: new PeerWork(),
     persistedPrefixes: new Map(),
     shutdown: makeShutdownState(),
-    shuttingDown: false,
+    refusesNewRequests: false,
     clocks: { now: 0, wallNow: 0 },
-    random: xoroshiro128plus(seedOf(identity)),
+    random: xoroshiro128plus(makeSeed(identity)),
     routeIndex: new RouteIndex(emptyConfiguration),
     poolStates: new Map(),
     admission: makeAdmissionState(),
--- a/packages/entry-core/src/admission/AdmissionState.ts
+++ b/packages/entry-core/src/admission/AdmissionState.ts
@@ -14,7 +14,7 @@
   return { queues: new Map(), retryTimes: new Map() };
 }
 
-export function poolQueueOf(state: EntryState, pool: string): PoolQueue {
+export function getPoolQueue(state: EntryState, pool: string): PoolQueue {
   const existing = state.admission.queues.get(pool);
   if (existing !== undefined) return existing;
   const created = new PoolQueue();
--- a/packages/entry-core/src/admission/FairQueue.ts
+++ b/packages/entry-core/src/admission/FairQueue.ts
@@ -12,7 +12,7 @@
 
 /** A request in the queue. */
 export interface QueuedRequest {
-  readonly accepted: RequestState;
+  readonly requestState: RequestState;
   /** When its next token is due. The queue is ordered by it. */
   readonly dueAt: MonotonicMilliseconds;
   /** When an answer stops being useful. A started stream stays useful after a missed `dueAt`. */
@@ -74,12 +74,12 @@
   }
 
   add(queued: QueuedRequest): void {
-    const { workspace } = queued.accepted.request;
+    const { workspace } = queued.requestState.request;
     const queue = this.workspaces.get(workspace) ?? {
       workspace,
       waiting: [],
       backlog: 0,
-      virtualTime: this.startVirtualTimeOf(workspace),
+      virtualTime: this.getStartVirtualTime(workspace),
     };
     queue.waiting.splice(findInsertionIndex(queue.waiting, queued.dueAt), 0, queued);
     queue.backlog += queued.cost;
@@ -88,7 +88,7 @@
 
   /** Removes a request without charging its workspace. */
   remove(queued: QueuedRequest): void {
-    const queue = this.workspaces.get(queued.accepted.request.workspace);
+    const queue = this.workspaces.get(queued.requestState.request.workspace);
     const index = queue?.waiting.indexOf(queued) ?? -1;
     if (queue === undefined || index < 0) return;
     queue.waiting.splice(index, 1);
@@ -113,7 +113,7 @@
 
   /** Removes a request as served and charges its workspace. */
   serve(queued: QueuedRequest): void {
-    const queue = this.workspaces.get(queued.accepted.request.workspace);
+    const queue = this.workspaces.get(queued.requestState.request.workspace);
     if (queue === undefined) return;
     this.virtualTime = Math.max(this.virtualTime, this.findMinVirtualTime());
     queue.virtualTime += queued.cost;
@@ -121,12 +121,12 @@
   }
 
   /** Work that will be served before this request, whether it is queued already or not. */
-  workAhead({ accepted, dueAt, cost }: QueuedRequest): Milliseconds {
-    const { workspace } = accepted.request;
+  workAhead({ requestState, dueAt, cost }: QueuedRequest): Milliseconds {
+    const { workspace } = requestState.request;
     let ownWork = 0;
     for (const queued of this.workspaces.get(workspace)?.waiting ?? []) {
       if (queued.dueAt > dueAt) break;
-      if (queued.accepted !== accepted) ownWork += queued.cost;
+      if (queued.requestState !== requestState) ownWork += queued.cost;
     }
     return ownWork + this.workOfOtherWorkspaces(workspace, ownWork + cost);
   }
@@ -134,7 +134,7 @@
   /** Work of other workspaces that will be served while this one is served `ownWork`. */
   workOfOtherWorkspaces(workspace: string, ownWork: Milliseconds): Milliseconds {
     const virtualTime =
-      this.workspaces.get(workspace)?.virtualTime ?? this.startVirtualTimeOf(workspace);
+      this.workspaces.get(workspace)?.virtualTime ?? this.getStartVirtualTime(workspace);
     let otherWork = 0;
     for (const queue of this.workspaces.values()) {
       if (queue.workspace !== workspace) {
@@ -161,7 +161,7 @@
   }
 
   /** The virtual time at which an idle workspace resumes. */
-  private startVirtualTimeOf(workspace: string): Milliseconds {
+  private getStartVirtualTime(workspace: string): Milliseconds {
     return Math.max(this.virtualTime, this.idleVirtualTimes.get(workspace) ?? 0);
   }
 
--- a/packages/entry-core/src/admission/PoolQueue.ts
+++ b/packages/entry-core/src/admission/PoolQueue.ts
@@ -12,8 +12,8 @@
 const LATE_LEVEL = PRIORITY_COUNT;
 
 /** The index of the level a request belongs to; lower levels are served first. */
-export function levelIndexOf({ accepted }: Pick<QueuedRequest, 'accepted'>): number {
-  return accepted.isLate === true ? LATE_LEVEL : accepted.route.priority;
+export function getLevelIndex({ requestState }: Pick<QueuedRequest, 'requestState'>): number {
+  return requestState.isLate === true ? LATE_LEVEL : requestState.route.priority;
 }
 
 export class PoolQueue {
@@ -30,18 +30,18 @@
   }
 
   add(queued: QueuedRequest): void {
-    this.waiting.set(queued.accepted.request.requestId, queued);
-    this.levelOf(queued)?.add(queued);
+    this.waiting.set(queued.requestState.request.requestId, queued);
+    this.getLevel(queued)?.add(queued);
   }
 
   remove(queued: QueuedRequest): void {
-    this.waiting.delete(queued.accepted.request.requestId);
-    this.levelOf(queued)?.remove(queued);
+    this.waiting.delete(queued.requestState.request.requestId);
+    this.getLevel(queued)?.remove(queued);
   }
 
   serve(queued: QueuedRequest): void {
-    this.waiting.delete(queued.accepted.request.requestId);
-    this.levelOf(queued)?.serve(queued);
+    this.waiting.delete(queued.requestState.request.requestId);
+    this.getLevel(queued)?.serve(queued);
   }
 
   peek(): QueuedRequest | undefined {
@@ -71,8 +71,8 @@
 
   /** Work that will be served before this request. */
   workAhead(queued: QueuedRequest): Milliseconds {
-    let ahead = this.levelOf(queued)?.workAhead(queued) ?? 0;
-    for (const level of this.levels.slice(0, levelIndexOf(queued))) ahead += level.backlog;
+    let ahead = this.getLevel(queued)?.workAhead(queued) ?? 0;
+    for (const level of this.levels.slice(0, getLevelIndex(queued))) ahead += level.backlog;
     return ahead;
   }
 
@@ -83,7 +83,7 @@
     return count;
   }
 
-  private levelOf(queued: QueuedRequest): FairQueue | undefined {
-    return this.levels[levelIndexOf(queued)];
+  private getLevel(queued: QueuedRequest): FairQueue | undefined {
+    return this.levels[getLevelIndex(queued)];
   }
 }
--- a/packages/entry-core/src/admission/admitRequest.ts
+++ b/packages/entry-core/src/admission/admitRequest.ts
@@ -114,7 +114,7 @@
   timestamps: Timestamps,
   arrivedAt = timestamps.now,
 ): EntryEffect[] {
-  if (state.shuttingDown) {
+  if (state.refusesNewRequests) {
     return refuseRequest(arrived, 'draining', 'This instance is shutting down');
   }
   if (state.configuration.revision === 0) return awaitConfiguration(state, arrived, timestamps);
--- a/packages/entry-core/src/admission/awaitConfiguration.ts
+++ b/packages/entry-core/src/admission/awaitConfiguration.ts
@@ -60,7 +60,7 @@
   state: EntryState,
   now: MonotonicMilliseconds,
 ): EntryEffect[] {
-  const { requestsAwaitingConfiguration: pending, shuttingDown } = state;
+  const { requestsAwaitingConfiguration: pending, refusesNewRequests: shuttingDown } = state;
   const expired = [...pending.values()].filter(
     ({ waitsUntil }) => shuttingDown || waitsUntil <= now,
   );
--- a/packages/entry-core/src/admission/decideAdmission.ts
+++ b/packages/entry-core/src/admission/decideAdmission.ts
@@ -21,7 +21,7 @@
 import { checkAllowance } from '../limits/checkAllowance.js';
 import { limitKey, limitOf } from '../limits/limitOf.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { countQueuedRequests, poolQueueOf } from './AdmissionState.js';
+import { countQueuedRequests, getPoolQueue } from './AdmissionState.js';
 import { placeRequest } from './placeRequest.js';
 import {
   estimateSlots,
@@ -84,7 +84,7 @@
   now: MonotonicMilliseconds,
 ): EarlyRefusal | undefined {
   const { workspace } = accepted.request;
-  const queue = poolQueueOf(state, accepted.pool.name);
+  const queue = getPoolQueue(state, accepted.pool.name);
   const free = state.identity.maxQueuedRequests - countQueuedRequests(state);
   const ownQueued = queue.countForWorkspace(workspace);
   const excess = ownQueued + 1 - Math.min(ownQueued + free, MAX_QUEUED_PER_FREE_POSITION * free);
@@ -115,7 +115,7 @@
   const lateBy = predicted - (queued.dueAt - now);
   if (lateBy <= 0) return undefined;
   const pool = accepted.pool.name;
-  const workspaces = Math.max(1, poolQueueOf(state, pool).countWorkspaces());
+  const workspaces = Math.max(1, getPoolQueue(state, pool).countWorkspaces());
   const interval = (queued.cost * workspaces) / estimateSlots(state, pool);
   const key = `queue/${pool}/${accepted.request.workspace}`;
   const retryAfterMilliseconds = assignRetryAfter(state, key, lateBy + interval, interval, now);
--- a/packages/entry-core/src/admission/enqueue.ts
+++ b/packages/entry-core/src/admission/enqueue.ts
@@ -3,7 +3,7 @@
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { countQueuedRequests, poolQueueOf } from './AdmissionState.js';
+import { countQueuedRequests, getPoolQueue } from './AdmissionState.js';
 import { makeQueuedRequest } from './predictWait.js';
 
 export function enqueue(
@@ -11,7 +11,7 @@
   accepted: RequestState,
   now: MonotonicMilliseconds,
 ): EntryEffect[] {
-  const queue = poolQueueOf(state, accepted.pool.name);
+  const queue = getPoolQueue(state, accepted.pool.name);
   const { requestId } = accepted.request;
   const queued = makeQueuedRequest(state, accepted);
   if (!queue.waiting.has(requestId)) queue.add(queued);
--- a/packages/entry-core/src/admission/failUnreachableDeadlines.ts
+++ b/packages/entry-core/src/admission/failUnreachableDeadlines.ts
@@ -42,7 +42,7 @@
   walk(queue: PoolQueue): void {
     const first = queue.peek();
     this.areServersFull =
-      first !== undefined && chooseBackendServer(this.state, first.accepted) === undefined;
+      first !== undefined && chooseBackendServer(this.state, first.requestState) === undefined;
     let workBefore = 0;
     for (const level of queue.levels) {
       for (const workspace of level.backlogged) this.walkWorkspace(level, workspace, workBefore);
@@ -59,12 +59,12 @@
     for (const queued of waiting) {
       const otherWork = level.workOfOtherWorkspaces(workspace, ownWork + queued.cost);
       const wait = (workBefore + ownWork + otherWork) / this.slots;
-      if (this.isUnreachable(queued, wait)) this.found.push(queued);
+      if (this.isDeadlineUnreachable(queued, wait)) this.found.push(queued);
       else ownWork += queued.cost;
     }
   }
 
-  private isUnreachable(queued: QueuedRequest, wait: Milliseconds): boolean {
+  private isDeadlineUnreachable(queued: QueuedRequest, wait: Milliseconds): boolean {
     const predicted = this.areServersFull ? wait * (1 - PREDICTION_TOLERANCE) : 0;
     return missesDeadlineAfter(this.state, queued, predicted, this.now);
   }
@@ -73,27 +73,27 @@
 /** True if the request misses its deadline when it is sent after `wait`. */
 export function missesDeadlineAfter(
   state: EntryState,
-  { accepted, expiresAt }: QueuedRequest,
+  { requestState, expiresAt }: QueuedRequest,
   wait: Milliseconds,
   now: MonotonicMilliseconds,
 ): boolean {
-  return now + wait + expectedFirstTokenDelay(state, accepted) > expiresAt;
+  return now + wait + expectedFirstTokenDelay(state, requestState) > expiresAt;
 }
 
 /** Ends a request that was removed from the queue because it cannot meet its deadline. */
 export function failQueuedRequest(
   state: EntryState,
-  { accepted, cost }: QueuedRequest,
+  { requestState, cost }: QueuedRequest,
   now: MonotonicMilliseconds,
 ): EntryEffect[] {
-  const { pool, request } = accepted;
+  const { pool, request } = requestState;
   const interval = cost / estimateSlots(state, pool.name);
   const key = `queue/${pool.name}/${request.workspace}`;
   const retryAfterMilliseconds = assignRetryAfter(state, key, interval, interval, now);
-  const ran = accepted.attemptsStarted === 0 ? 'no' : 'unknown';
+  const ran = requestState.attemptsStarted === 0 ? 'no' : 'unknown';
   const detail = 'The deadline can no longer be met';
   const problem = { ran, retryAfterMilliseconds } as const;
-  return failRequest(state, accepted, 'deadlineUnreachable', detail, problem);
+  return failRequest(state, requestState, 'deadlineUnreachable', detail, problem);
 }
 
 /**
@@ -105,7 +105,7 @@
   queued: QueuedRequest,
   now: MonotonicMilliseconds,
 ): EntryEffect[] {
-  if (canServeLate(state, queued.accepted, now)) return requeueAsLate(state, queued);
+  if (canServeLate(state, queued.requestState, now)) return requeueAsLate(state, queued);
   queue.remove(queued);
   return failQueuedRequest(state, queued, now);
 }
--- a/packages/entry-core/src/admission/interruptedStreams.test.ts
+++ b/packages/entry-core/src/admission/interruptedStreams.test.ts
@@ -57,7 +57,7 @@
   const queue = new FairQueue();
   queue.add(makeQueuedRequest(state, makeAccepted(world, 'new', {})));
   queue.add(makeQueuedRequest(state, makeAccepted(world, 'stream', interrupted)));
-  assert.equal(queue.peek()?.accepted.request.requestId, 'stream');
+  assert.equal(queue.peek()?.requestState.request.requestId, 'stream');
 });
 
 // The answer of a stream whose pause exceeds the limit is late but still useful to its caller.
--- a/packages/entry-core/src/admission/orderQueueForServer.ts
+++ b/packages/entry-core/src/admission/orderQueueForServer.ts
@@ -2,8 +2,8 @@
  * Orders the queued requests that are tried on backend servers. If a server has just been freed,
  * the requests whose prompt prefix it has cached go before the others: under load it would
  * otherwise rarely get them, and caches would be evicted when they are needed most. This applies
- * only while the first request in the queue has enough time left. Fairness is unaffected:
- * their workspaces are charged as usual.
+ * only while the first request in the queue has enough time left. Fairness is unaffected: their
+ * workspaces are charged as usual.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
@@ -20,7 +20,7 @@
 const MIN_REMAINING_FRACTION_OF_TIME_TO_DEADLINE = 0.3;
 
 function canWait(state: EntryState, first: QueuedRequest, now: MonotonicMilliseconds): boolean {
-  const timeToDeadline = first.dueAt - first.accepted.arrivedAt;
+  const timeToDeadline = first.dueAt - first.requestState.arrivedAt;
   return !missesDeadlineAfter(
     state,
     first,
@@ -42,9 +42,9 @@
   if (first === undefined || freedServer === undefined || !canWait(state, first, now)) {
     return candidates.slice(0, MAX_CANDIDATES);
   }
-  const { prefixCacheIndex } = getPoolState(state, first.accepted.pool.name);
-  const isCached = ({ accepted }: QueuedRequest) =>
-    prefixCacheIndex.cachedFractionAt(freedServer, accepted.request, now) >=
+  const { prefixCacheIndex } = getPoolState(state, first.requestState.pool.name);
+  const isCached = ({ requestState }: QueuedRequest) =>
+    prefixCacheIndex.cachedFractionAt(freedServer, requestState.request, now) >=
     MIN_CACHED_FRACTION_OF_PROMPT;
   const [cached, rest] = [
     candidates.filter(isCached),
--- a/packages/entry-core/src/admission/placeRequest.ts
+++ b/packages/entry-core/src/admission/placeRequest.ts
@@ -12,9 +12,9 @@
 } from '../backendServers/chooseBackendServer.js';
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { poolQueueOf } from './AdmissionState.js';
+import { getPoolQueue } from './AdmissionState.js';
 import { shouldWaitForCache } from './shouldWaitForCache.js';
-import { levelIndexOf } from './PoolQueue.js';
+import { getLevelIndex } from './PoolQueue.js';
 import { makeQueuedRequest, predictWait, expectedFirstTokenDelay } from './predictWait.js';
 
 export type Placement =
@@ -29,8 +29,10 @@
 const MAX_LOCAL_WAIT_FRACTION_OF_TIME_LEFT = 0.5;
 
 function isQueueAhead(state: EntryState, accepted: RequestState): boolean {
-  const { levels } = poolQueueOf(state, accepted.pool.name);
-  return levels.slice(0, levelIndexOf({ accepted }) + 1).some((level) => !level.isEmpty);
+  const { levels } = getPoolQueue(state, accepted.pool.name);
+  return levels
+    .slice(0, getLevelIndex({ requestState: accepted }) + 1)
+    .some((level) => !level.isEmpty);
 }
 
 /** True if the wait for local servers endangers the deadline. */
@@ -50,10 +52,11 @@
   now: MonotonicMilliseconds,
 ): Placement {
   if (!hasUntriedServer(state, accepted)) return { type: 'none' };
-  const local = chooseBackendServer(state, accepted);
-  if (local !== undefined) {
-    const waits = isQueueAhead(state, accepted) || shouldWaitForCache(state, accepted, local, now);
-    return waits ? { type: 'wait', availableServer: local } : { type: 'start', server: local };
+  const nearest = chooseBackendServer(state, accepted);
+  if (nearest !== undefined) {
+    const waits =
+      isQueueAhead(state, accepted) || shouldWaitForCache(state, accepted, nearest, now);
+    return waits ? { type: 'wait', availableServer: nearest } : { type: 'start', server: nearest };
   }
   const remote = isLocalWaitTooLong(state, accepted, now)
     ? chooseBackendServer(state, accepted, { where: 'remote' })
--- a/packages/entry-core/src/admission/predictWait.ts
+++ b/packages/entry-core/src/admission/predictWait.ts
@@ -9,7 +9,7 @@
 import { getPoolState } from '../backendServers/getPoolState.js';
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { poolQueueOf } from './AdmissionState.js';
+import { getPoolQueue } from './AdmissionState.js';
 import type { QueuedRequest } from './FairQueue.js';
 
 /** Number of slots of backend servers that serve this entry while requests are queued. */
@@ -24,13 +24,13 @@
   const cost = getPoolState(state, accepted.pool.name).estimateServiceTime(accepted.route.name);
   const dueAt = nextTokenDueAt(accepted);
   const expiresAt = accepted.firstTokenAt === undefined ? dueAt : accepted.wholeAnswerDueAt;
-  return { accepted, dueAt, expiresAt, cost };
+  return { requestState: accepted, dueAt, expiresAt, cost };
 }
 
 /** Predicted time until the request can be sent to a backend server. */
 export function predictWait(state: EntryState, queued: QueuedRequest): Milliseconds {
-  const pool = queued.accepted.pool.name;
-  const ahead = poolQueueOf(state, pool).workAhead(queued);
+  const pool = queued.requestState.pool.name;
+  const ahead = getPoolQueue(state, pool).workAhead(queued);
   return (ahead + queued.cost) / estimateSlots(state, pool);
 }
 
--- a/packages/entry-core/src/admission/reduceAdmission.ts
+++ b/packages/entry-core/src/admission/reduceAdmission.ts
@@ -1,15 +1,16 @@
 /**
- * Updates admission after each event: releases ended requests, ends queued requests that can no
- * longer meet their deadline, and starts those that backend servers have capacity for.
+ * Updates admission after each event: frees the concurrency limits held by ended requests, ends
+ * queued requests that can no longer meet their deadline, and starts those that backend servers
+ * have capacity for.
  */
 import { endExpiredEjections } from '../backendServers/ejectOutliers.js';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryEvent } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import { releaseEndedRequests, requestIdOf } from '../limits/releaseEndedRequests.js';
-import { drainQueues } from './drainQueues.js';
+import { startQueuedRequests } from './startQueuedRequests.js';
 import { failUnreachableDeadlines } from './failUnreachableDeadlines.js';
-import { leaveQueue } from './leaveQueue.js';
+import { removeEndedFromQueue } from './removeEndedFromQueue.js';
 import { expireRetryTimes } from './assignRetryAfter.js';
 
 /**
@@ -39,7 +40,7 @@
   { requestId, instance }: AffectedIds,
 ): EntryEffect[] {
   releaseEndedRequests(state, event, requestId);
-  leaveQueue(state, requestId);
-  const failed = event.type === 'tick' ? handleTick(state, event.now) : [];
-  return [...failed, ...drainQueues(state, event, instance)];
+  removeEndedFromQueue(state, requestId);
+  const tickEffects = event.type === 'tick' ? handleTick(state, event.now) : [];
+  return [...tickEffects, ...startQueuedRequests(state, event, instance)];
 }
--- a/packages/entry-core/src/admission/serveLate.ts
+++ b/packages/entry-core/src/admission/serveLate.ts
@@ -8,7 +8,7 @@
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { poolQueueOf } from './AdmissionState.js';
+import { getPoolQueue } from './AdmissionState.js';
 import type { QueuedRequest } from './FairQueue.js';
 import { makeQueuedRequest, predictWait, expectedFirstTokenDelay } from './predictWait.js';
 
@@ -30,7 +30,7 @@
   if (predictWait(state, queued) > timeLeft * MAX_WAIT_FRACTION_OF_TIME_LEFT) return false;
   const { local, remote } = getPoolState(state, pool.name);
   const servers = local.candidates.length + remote.candidates.length;
-  return poolQueueOf(state, pool.name).lateCount < servers * MAX_LATE_REQUESTS_PER_SERVER;
+  return getPoolQueue(state, pool.name).lateCount < servers * MAX_LATE_REQUESTS_PER_SERVER;
 }
 
 /** Marks a request to be served after all that can meet their deadline. */
@@ -45,10 +45,10 @@
 
 /** Marks a queued request as late and moves it to the end of the queue. */
 export function requeueAsLate(state: EntryState, queued: QueuedRequest): EntryEffect[] {
-  const { accepted } = queued;
-  const queue = poolQueueOf(state, accepted.pool.name);
+  const { requestState } = queued;
+  const queue = getPoolQueue(state, requestState.pool.name);
   queue.remove(queued);
-  const effects = markLate(accepted);
-  queue.add(makeQueuedRequest(state, accepted));
+  const effects = markLate(requestState);
+  queue.add(makeQueuedRequest(state, requestState));
   return effects;
 }
--- a/packages/entry-core/src/admission/drainQueues.ts
+++ b/packages/entry-core/src/admission/startQueuedRequests.ts
@@ -1,6 +1,6 @@
 /**
- * Starts queued requests as soon as backend servers have capacity: when an attempt ends, when a
- * list of instances, a load report or a configuration is received, and on each tick.
+ * Starts queued requests that backend servers have capacity for, and ends or requeues as late those
+ * that would miss their deadline. It runs on the events in `queueTriggers`.
  */
 import { startAttempt } from '../attempts/startAttempt.js';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
@@ -18,24 +18,25 @@
 import type { PoolQueue } from './PoolQueue.js';
 
 /** False for a request that has ended or has an attempt in progress. */
-function isStillQueued(state: EntryState, { accepted }: QueuedRequest): boolean {
+function isStillQueued(state: EntryState, { requestState }: QueuedRequest): boolean {
   return (
-    state.requests.get(accepted.request.requestId) === accepted && accepted.attemptId === undefined
+    state.requests.get(requestState.request.requestId) === requestState &&
+    requestState.attemptId === undefined
   );
 }
 
 function findServer(
   state: EntryState,
-  { accepted }: QueuedRequest,
+  { requestState }: QueuedRequest,
   freedServer: BackendServerState | undefined,
   now: number,
 ): BackendServerState | undefined {
-  const local = chooseBackendServer(state, accepted, { freedServer });
-  if (local !== undefined || !isLocalWaitTooLong(state, accepted, now)) return local;
-  return chooseBackendServer(state, accepted, { where: 'remote', freedServer });
+  const nearest = chooseBackendServer(state, requestState, { freedServer });
+  if (nearest !== undefined || !isLocalWaitTooLong(state, requestState, now)) return nearest;
+  return chooseBackendServer(state, requestState, { where: 'remote', freedServer });
 }
 
-function startQueued(
+function startQueuedRequest(
   state: EntryState,
   queue: PoolQueue,
   queued: QueuedRequest,
@@ -43,14 +44,17 @@
   now: number,
 ): EntryEffect[] {
   queue.serve(queued);
-  const started = startAttempt(state, queued.accepted, now, server);
+  const started = startAttempt(state, queued.requestState, now, server);
   // Counted immediately, so that the next choice during the same event takes it into account.
   observeAttemptStarts(state, started, now);
   return started;
 }
 
-/** Removes one request from the queue, or returns undefined if none can leave it now. */
-function dequeueOne(
+/**
+ * Starts, ends or requeues as late one queued request and returns the effects, or returns undefined
+ * if all of them have to wait.
+ */
+function processNext(
   state: EntryState,
   queue: PoolQueue,
   freedServer: BackendServerState | undefined,
@@ -65,26 +69,26 @@
       return serveLateOrFail(state, queue, queued, now);
     }
     const server = findServer(state, queued, freedServer, now);
-    if (server !== undefined && !shouldWaitForCache(state, queued.accepted, server, now)) {
-      return startQueued(state, queue, queued, server, now);
+    if (server !== undefined && !shouldWaitForCache(state, queued.requestState, server, now)) {
+      return startQueuedRequest(state, queue, queued, server, now);
     }
   }
   return undefined;
 }
 
-function drainPool(
+function startQueuedInPool(
   state: EntryState,
   queue: PoolQueue,
   freedServer: BackendServerState | undefined,
   now: number,
 ): EntryEffect[] {
   const effects: EntryEffect[] = [];
-  const dequeue = () => dequeueOne(state, queue, freedServer, now);
-  for (let dequeued = dequeue(); dequeued !== undefined; dequeued = dequeue())
-    effects.push(...dequeued);
+  const next = () => processNext(state, queue, freedServer, now);
+  for (let result = next(); result !== undefined; result = next()) effects.push(...result);
   return effects;
 }
 
+/** The server whose capacity the event may have changed, or undefined if it may be any server. */
 function findFreedServer(
   state: EntryState,
   event: EntryEvent,
@@ -94,8 +98,8 @@
   return instance === undefined ? undefined : state.backendServers.get(instance);
 }
 
-/** Events after which a backend server may have capacity again. */
-const capacityEvents: ReadonlySet<EntryEvent['type']> = new Set<EntryEvent['type']>([
+/** Events that may free capacity, or that queue a request. */
+const queueTriggers: ReadonlySet<EntryEvent['type']> = new Set<EntryEvent['type']>([
   'tick',
   'configurationReceived',
   'instancesListed',
@@ -108,18 +112,18 @@
 ]);
 
 /** @param instance - The backend server of the attempt that the event belongs to. */
-export function drainQueues(
+export function startQueuedRequests(
   state: EntryState,
   event: EntryEvent,
   instance: string | undefined,
 ): EntryEffect[] {
-  if (!capacityEvents.has(event.type)) return [];
+  if (!queueTriggers.has(event.type)) return [];
   const freedServer = findFreedServer(state, event, instance);
   const effects: EntryEffect[] = [];
   for (const [pool, queue] of state.admission.queues) {
     const mayHaveCapacity = freedServer === undefined || freedServer.platformInstance.pool === pool;
     if (queue.size > 0 && mayHaveCapacity) {
-      effects.push(...drainPool(state, queue, freedServer, event.now));
+      effects.push(...startQueuedInPool(state, queue, freedServer, event.now));
     }
   }
   if (effects.length === 0) return [];
--- a/packages/entry-core/src/entryEvents.ts
+++ b/packages/entry-core/src/entryEvents.ts
@@ -66,9 +66,9 @@
 /** The outcome of a proposal to the store. */
 export type ClaimAnswer =
   | { readonly type: 'result'; readonly result: ClaimResult }
-  /** The command is certainly not in the log. */
+  /** The command is certainly not in the stores' replicated log. */
   | { readonly type: 'unavailable' }
-  /** The command may or may not be in the log. */
+  /** The command may or may not be in the stores' replicated log. */
   | { readonly type: 'unsure' };
 
 /** The monotonic and the wall clock of this process at an event. */
--- a/packages/entry-core/src/routing/RouteIndex.ts
+++ b/packages/entry-core/src/routing/RouteIndex.ts
@@ -28,9 +28,10 @@
   }
 
   find(workspace: string): Route | undefined {
-    const named = this.byWorkspace.get(workspace);
-    if (named === undefined || this.shared === undefined) return (named ?? this.shared)?.route;
-    return named.row < this.shared.row ? named.route : this.shared.route;
+    const forWorkspace = this.byWorkspace.get(workspace);
+    if (forWorkspace === undefined || this.shared === undefined)
+      return (forWorkspace ?? this.shared)?.route;
+    return forWorkspace.row < this.shared.row ? forWorkspace.route : this.shared.route;
   }
 }
 
--- a/packages/entry-core/src/shutdown/ShutdownState.ts
+++ b/packages/entry-core/src/shutdown/ShutdownState.ts
@@ -2,9 +2,12 @@
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 
 export interface ShutdownState {
-  /** True once the shutdown has started. */
+  /** Reported to peers from then on; requests are still accepted until `acceptUntil`. */
   started: boolean;
-  /** Until when requests are accepted, because the load balancer may still send them here. */
+  /**
+   * Once the shutdown has started, requests are accepted until then, because the load balancer may
+   * still send them here.
+   */
   acceptUntil: MonotonicMilliseconds;
   /** When the remaining requests are ended, shortly before the platform's time limit. */
   endAt: MonotonicMilliseconds;
--- a/packages/entry-core/src/shutdown/advanceShutdown.ts
+++ b/packages/entry-core/src/shutdown/advanceShutdown.ts
@@ -26,7 +26,7 @@
   return advanceShutdown(state, event);
 }
 
-function failAtLimit(state: EntryState, accepted: RequestState): EntryEffect[] {
+function failRemainingRequest(state: EntryState, accepted: RequestState): EntryEffect[] {
   const ran = determineRan(accepted);
   const detail = 'This instance is stopping; send the request again to continue';
   const kind = ran === 'no' ? 'draining' : 'answerCut';
@@ -34,24 +34,25 @@
   return failRequest(state, accepted, kind, detail, problem);
 }
 
-function failAllAtLimit(state: EntryState): EntryEffect[] {
+function failRemainingRequests(state: EntryState): EntryEffect[] {
   const requests = [...state.requests.values()];
   if (requests.length === 0) return [];
   return [
     { type: 'log', event: 'shutdownLimitReached', fields: { requests: requests.length } },
-    ...requests.flatMap((accepted) => failAtLimit(state, accepted)),
+    ...requests.flatMap((accepted) => failRemainingRequest(state, accepted)),
   ];
 }
 
 export function advanceShutdown(state: EntryState, { now }: Timestamps): EntryEffect[] {
   const { shutdown } = state;
   if (!shutdown.started) return [];
-  state.shuttingDown = shutdown.acceptUntil <= now;
-  const effects = shutdown.endAt <= now ? failAllAtLimit(state) : [];
-  // Until the outcome of a claimed call is in the log, a resend of it would be answered `unknown`.
-  const claimsOpen = state.claims.size > 0 && now < shutdown.endAt;
-  const inProgress = state.requests.size > 0 || claimsOpen;
-  if (!state.shuttingDown || inProgress || shutdown.readyReported) return effects;
+  state.refusesNewRequests = shutdown.acceptUntil <= now;
+  const effects = shutdown.endAt <= now ? failRemainingRequests(state) : [];
+  // Until the stores have recorded the outcome of a claimed call, a resend of it would be answered
+  // with `ran: 'unknown'`.
+  const mustWaitForClaims = state.claims.size > 0 && now < shutdown.endAt;
+  const inProgress = state.requests.size > 0 || mustWaitForClaims;
+  if (!state.refusesNewRequests || inProgress || shutdown.readyReported) return effects;
   shutdown.readyReported = true;
   return [...effects, { type: 'shutdownReady' }];
 }
