--- a/packages/entry-core/src/backendServers/BackendServerState.ts
+++ b/packages/entry-core/src/backendServers/BackendServerState.ts
@@ -10,13 +10,13 @@
 export interface BackendServerState {
   /** The platform's latest record of the instance. */
   platformInstance: PlatformInstance;
-  /** When the instance goes away. From the reclaim notice on it gets no new work. */
+  /** When the instance goes away. It gets no new work from the reclaim notice on. */
   goneAt: EpochMilliseconds | undefined;
   /** Attempts of this entry in progress at the server. */
   readonly attemptIds: Set<string>;
   load: LoadReport | undefined;
   loadReceivedAt: MonotonicMilliseconds | undefined;
-  /** The basis for choosing among the servers of a pool. */
+  /** What the choice among the servers of a pool is based on. */
   readonly balancing: BalancingState;
 }
 
--- a/packages/entry-core/src/backendServers/BalancingState.ts
+++ b/packages/entry-core/src/backendServers/BalancingState.ts
@@ -1,5 +1,5 @@
 /**
- * Load-balancing state of one backend server, estimated by an entry from its own attempts and from
+ * Load-balancing state that an entry keeps for one backend server, from its own attempts and from
  * load reports.
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
@@ -14,14 +14,14 @@
 export interface PendingPrompt {
   /** Tokens estimated not to be in the prefix cache of the server. */
   readonly uncachedTokens: number;
-  /** `uncachedTokens` and the tokens that were pending at the server when the prompt was sent. */
+  /** `uncachedTokens` plus the tokens that were pending at the server when the prompt was sent. */
   readonly tokensUntilFirstToken: number;
 }
 
 export interface BalancingState {
-  /** Concurrency of the instance class; `limit` never exceeds it. */
+  /** Concurrency of the instance class, which is the maximum of `limit`. */
   maxLimit: number;
-  /** Adaptive limit of the requests that all entries together have in progress at the server. */
+  /** Adaptive concurrency limit, for the requests of all entries together. */
   limit: number;
   limitLoweredAt: MonotonicMilliseconds;
   /** When slow start began; undefined for a server that was running before this entry. */
@@ -34,21 +34,23 @@
   measuredAt: MonotonicMilliseconds | undefined;
   /** Recently ended attempts of this entry, oldest first. */
   readonly endedAttempts: EndedAttempt[];
-  /** Prompts of this entry that have no first token yet, by attempt id. */
+  /** Prompts of this entry that have no first token yet, keyed by attempt id. */
   readonly pendingPrompts: Map<string, PendingPrompt>;
   /** Moving average of the ratio of measured to predicted first-token delay. */
   slowness: number;
   slownessUpdatedAt: MonotonicMilliseconds;
   consecutiveFailures: number;
-  /** Recent outcomes: both counts are halved regularly. */
+  /**
+   * Outcomes of attempts; both counts are halved from time to time, so that recent ones weigh more.
+   */
   successes: number;
   failures: number;
   ejectedUntil: MonotonicMilliseconds | undefined;
-  /** Ejections since the server last recovered; each one lasts longer. */
+  /** Ejections since the server last had enough successes; each one lasts longer. */
   consecutiveEjections: number;
   /** Sequence number of the last cache event. */
   lastCacheSequence: number | undefined;
-  /** Incremented to invalidate all that `PrefixCacheIndex` holds about the server. */
+  /** Incremented to invalidate all copies that `PrefixCacheIndex` holds for the server. */
   cacheGeneration: number;
   /** Position among the candidates of its group; undefined if it is not one of them. */
   candidateIndex: number | undefined;
@@ -85,8 +87,9 @@
 const MIN_SLOW_START_FRACTION_OF_LIMIT = 0.2;
 
 /**
- * The adaptive limit, reduced during slow start. A server that has just started has cold caches but
- * looks idle; without slow start it would receive a burst of requests and answer all of them late.
+ * The adaptive concurrency limit, reduced during slow start. A server that has just started has
+ * cold caches but looks idle; without slow start it would receive a burst of requests and answer
+ * all of them late.
  */
 export function currentLimit(balancing: BalancingState, now: MonotonicMilliseconds): number {
   const { slowStartAt, limit } = balancing;
@@ -102,8 +105,8 @@
 const SLOWNESS_HALF_LIFE_MILLISECONDS: Milliseconds = 10_000;
 
 /**
- * `slowness`, decaying to 1. A slow server is given little work, so without the decay nothing would
- * show that it has recovered.
+ * The current slowness, which decays towards 1. A slow server gets little work, so without the
+ * decay no new sample would show that it has recovered.
  */
 export function currentSlowness(balancing: BalancingState, now: MonotonicMilliseconds): number {
   const age = now - balancing.slownessUpdatedAt;
--- a/packages/entry-core/src/backendServers/DelayRegression.ts
+++ b/packages/entry-core/src/backendServers/DelayRegression.ts
@@ -42,14 +42,14 @@
     this.meanXY = (maxPriorWork * (baseDelay + slope * maxPriorWork)) / 2;
   }
 
-  /** The estimate for other entries to adopt; undefined while the prior still dominates. */
+  /** The estimate, for other entries to adopt; undefined while the prior still dominates. */
   toLearntDelay(): LearntDelay | undefined {
     const { samples, meanX, meanY, meanXX, meanXY } = this;
     if (samples < MIN_TRUSTED_SAMPLES) return undefined;
     return { samples, meanX, meanY, meanXX, meanXY };
   }
 
-  /** Adopts another entry's estimate, unless this one has enough samples of its own. */
+  /** Adopts the estimate of another entry, unless this one has enough samples of its own. */
   adopt({ samples, meanX, meanY, meanXX, meanXY }: LearntDelay): void {
     if (this.samples >= MIN_TRUSTED_SAMPLES) return;
     Object.assign(this, { meanX, meanY, meanXX, meanXY });
@@ -85,8 +85,7 @@
 
   /**
    * The slope, drawn towards the prior when the samples have nearly equal work: such samples say
-   * little about the cost per token, and one slow server among them could make the line far too
-   * steep.
+   * little about the cost per token, and a single slow server could make the line far too steep.
    */
   private slope(): number {
     const variance = Math.max(0, this.meanXX - this.meanX ** 2);
--- a/packages/entry-core/src/backendServers/MovingAverage.ts
+++ b/packages/entry-core/src/backendServers/MovingAverage.ts
@@ -6,7 +6,7 @@
 export class MovingAverage {
   private mean: Milliseconds | undefined;
 
-  /** @param defaultValue - The value before the first sample. */
+  /** @param defaultValue - Returned until the first sample, which replaces it. */
   constructor(private readonly defaultValue: Milliseconds) {}
 
   get value(): Milliseconds {
--- a/packages/entry-core/src/backendServers/PeerWork.ts
+++ b/packages/entry-core/src/backendServers/PeerWork.ts
@@ -1,8 +1,8 @@
 /**
- * Tracks the work that the other entries have in progress at backend servers, from their reports,
- * and the changes of this entry's own work that are still to be reported. Load reports of backend
- * servers can be seconds old and omit prompts without a first token; with these alone, several
- * entries would send long prompts to one engine while others are idle.
+ * Tracks the requests that other entries have reported in progress at backend servers, and collects
+ * the changes of this entry's own work for its next report. Load reports of backend servers alone
+ * are too old, and do not tell how many prompt tokens are still to be prefilled: several entries
+ * would send long prompts to one server while other servers are idle.
  */
 import type { MonotonicMilliseconds, ServerWork, WorkReport } from '@hornbeampond/schema';
 
@@ -10,25 +10,31 @@
 
 interface PeerWorkState {
   readonly incarnation: number;
-  /** By backend server. */
+  /** Keyed by backend server. */
   readonly work: Map<string, ServerWork>;
 }
 
 const MIN_REPORT_INTERVAL_MILLISECONDS = 50;
-/** With more entries the interval grows in proportion, so that report traffic stays bounded. */
+/**
+ * With more entries the interval grows in proportion, so that the messages that each entry sends
+ * per second stay bounded.
+ */
 const MAX_ENTRIES_AT_MIN_INTERVAL = 8;
 
 export class PeerWork {
-  /** By instance of the peer. */
+  /** Keyed by the instance name of the peer. */
   private readonly peers = new Map<string, PeerWorkState>();
 
-  /** Sum over all peers, by backend server. */
+  /** Sum over all peers, keyed by backend server. */
   private readonly totals = new Map<string, { inProgress: number; promptTokens: number }>();
 
   /** Backend servers at which this entry's own work has changed since the last report. */
   private readonly changedServers = new Set<string>();
 
-  /** Prefixes computed since the last report, by backend server. */
+  /**
+   * Digests of the prefixes that backend servers have prefilled for this entry since its last
+   * report, keyed by backend server.
+   */
   private readonly prefilledPrefixes = new Map<string, Set<string>>();
 
   private lastSentAt: MonotonicMilliseconds = Number.NEGATIVE_INFINITY;
@@ -38,6 +44,7 @@
     return this.totals.get(backendServer) ?? NO_WORK;
   }
 
+  /** Marks this entry's own work at a backend server as changed since the last report. */
   markChanged(backendServer: string): void {
     this.changedServers.add(backendServer);
   }
@@ -71,6 +78,11 @@
     return { work, computed };
   }
 
+  /**
+   * Merges a report, which lists only the servers whose work has changed. Reports of an earlier
+   * process of the peer are ignored; a later incarnation means that the peer has restarted and its
+   * earlier work is gone.
+   */
   applyReport({ instance: peer, incarnation, work }: WorkReport): void {
     const previousState = this.peers.get(peer);
     if (previousState !== undefined && incarnation < previousState.incarnation) return;
@@ -89,8 +101,8 @@
   }
 
   /**
-   * Removes the work of a peer that is unreachable or was removed; its calls are assumed to have
-   * ended.
+   * Removes the work of a peer that is unreachable or has restarted; its requests are assumed to
+   * have ended.
    */
   removePeerWork(peer: string): void {
     this.peers
--- a/packages/entry-core/src/backendServers/PoolState.ts
+++ b/packages/entry-core/src/backendServers/PoolState.ts
@@ -1,6 +1,7 @@
 /**
- * State of one pool: the backend servers that can be chosen, in one group for the data centre of
- * this entry and one for all others, and delay estimates for the whole pool. A group holds its
+ * Load-balancing state of one pool: its backend servers in two groups, those in the data centre of
+ * this entry and those in all other data centres; its prefix cache index and prefix hash ring; the
+ * attempts of this entry in the pool; and averages over all servers of the pool. A group holds its
  * candidates in an array, so that drawing a random one takes constant time.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
@@ -11,14 +12,17 @@
 import { PrefixCacheIndex } from './PrefixCacheIndex.js';
 import { PrefixHashRing } from './PrefixHashRing.js';
 
-/** The backend servers of a pool in the data centre of this entry, or in all others. */
+/**
+ * The backend servers of a pool in one place: the data centre of this entry, or all other data
+ * centres. Candidates are the servers that can be chosen: they accept new work and are not ejected.
+ */
 export class CandidateGroup {
   readonly candidates: BackendServerState[] = [];
 
-  /** Servers that accept new work but were ejected as outliers. */
+  /** Live servers that are ejected as outliers; they are no candidates until reinstated. */
   readonly ejected = new Set<BackendServerState>();
 
-  /** Sum of the adaptive limits of all candidates. */
+  /** Sum of the adaptive concurrency limits of all candidates. */
   limitSum = 0;
 
   clear(): void {
@@ -33,7 +37,7 @@
     this.limitSum += server.balancing.limit;
   }
 
-  /** Removes a server by moving the last candidate to its position. */
+  /** Removes a candidate by moving the last one to its position. */
   removeCandidate(server: BackendServerState): void {
     const index = server.balancing.candidateIndex;
     if (index === undefined || this.candidates[index] !== server) return;
@@ -51,7 +55,8 @@
   }
 
   /**
-   * The candidate at an index, or undefined if it no longer accepts new work; it is then removed.
+   * The candidate at an index. One that no longer accepts new work is removed, and undefined is
+   * returned.
    */
   getCandidateOrRemove(index: number): BackendServerState | undefined {
     const server = this.candidates[index];
@@ -62,7 +67,8 @@
 }
 
 /**
- * Assumed ratio of service times on busy and other servers while none was measured on a busy one.
+ * Assumed ratio of the service time on a busy server to that on a non-busy one, until a busy one
+ * has been measured.
  */
 const BUSY_SERVICE_TIME_FACTOR = 2;
 const DEFAULT_SERVICE_TIME_MILLISECONDS: Milliseconds = 1000;
@@ -74,19 +80,25 @@
 
   readonly remote = new CandidateGroup();
 
-  /** First-token delay by the number of tokens that are prefilled until then. */
+  /**
+   * Predicts the first-token delay from the number of tokens that the server prefills first: those
+   * of pending prompts and of the request itself.
+   */
   readonly firstTokenRegression = new DelayRegression(
     PRIOR_FIRST_TOKEN_DELAY_MILLISECONDS,
     PRIOR_PREFILL_MILLISECONDS_PER_TOKEN,
   );
 
-  /** Duration of attempts that finished on servers with little load, by route. */
+  /** Average duration of attempts that finished on servers that were not busy, keyed by route. */
   private readonly nonBusyServiceTimes = new Map<string, MovingAverage>();
 
-  /** Duration of attempts that finished on busy servers, by route. */
+  /** The same for busy servers, those near their concurrency limit (see `observeFinish`). */
   private readonly busyServiceTimes = new Map<string, MovingAverage>();
 
-  /** Prompt tokens that had to be prefilled, by route. */
+  /**
+   * Average number of prompt tokens estimated to be uncached when an attempt starts, keyed by
+   * route.
+   */
   private readonly averageUncachedTokens = new Map<string, MovingAverage>();
 
   /** Attempts of this entry in progress in the pool. */
@@ -103,7 +115,7 @@
     return [this.local, this.remote];
   }
 
-  /** True if any backend server accepts new work, or will once its ejection ends. */
+  /** True if the pool has any candidate or ejected server. */
   get hasServers(): boolean {
     return this.groups.some((group) => group.candidates.length + group.ejected.size > 0);
   }
@@ -113,11 +125,12 @@
     return this.local.candidates.length > 0 ? this.local : this.remote;
   }
 
+  /** The group that holds the server as a candidate or ejected; `local` if neither does. */
   groupOf(server: BackendServerState): CandidateGroup {
     return this.remote.has(server) || this.remote.ejected.has(server) ? this.remote : this.local;
   }
 
-  /** Sets a server's adaptive limit and updates the sum of its group. */
+  /** Sets a server's adaptive concurrency limit and updates the sum of its group. */
   setLimit(server: BackendServerState, limit: number): void {
     const { balancing } = server;
     if (balancing.candidateIndex !== undefined) {
@@ -126,7 +139,7 @@
     balancing.limit = limit;
   }
 
-  /** Expected duration of an answer of the route on a busy server. */
+  /** Expected duration of an attempt for the route on a busy server. */
   estimateServiceTime(route: string): Milliseconds {
     const busy = this.busyServiceTimes.get(route)?.value;
     if (busy !== undefined) return busy;
@@ -136,7 +149,7 @@
       : nonBusy * BUSY_SERVICE_TIME_FACTOR;
   }
 
-  /** Expected prefill time of a request of the route. */
+  /** Expected prefill time of the uncached part of a prompt of the route. */
   estimatePrefillTime(route: string): Milliseconds {
     return this.firstTokenRegression.predictMarginalDelay(
       this.averageUncachedTokens.get(route)?.value ?? 0,
--- a/packages/entry-core/src/backendServers/PrefixCacheIndex.ts
+++ b/packages/entry-core/src/backendServers/PrefixCacheIndex.ts
@@ -1,8 +1,9 @@
 /**
- * Estimates which backend servers of a pool have which prompt prefixes in their cache. Cache events
- * are late and may be lost, so the index is only a hint: what it holds expires, and all of it about
- * one server becomes invalid when an event is missing or the cache was cleared. A wrong estimate
- * costs one prefill and nothing else, because an engine computes whatever it has not cached.
+ * Estimates which backend servers of a pool have cached which prompt prefixes. Cache events are
+ * late and may be lost, so the index is only a hint: cached copies expire, and all copies of a
+ * server become invalid when one of its events is missing or its cache was cleared. A wrong
+ * estimate costs one prefill and nothing else, because a server computes whatever it has not
+ * cached.
  */
 import type { CacheEvent, Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { CallerRequest } from '../entryEvents.js';
@@ -31,8 +32,8 @@
 export type PromptPrefixes = Pick<CallerRequest, 'prefixDigests' | 'prefixTokens' | 'promptTokens'>;
 
 /**
- * Fraction of the prompt covered by its first `prefixCount` parts. By tokens if their counts are
- * known; otherwise all parts count as equally long.
+ * Fraction of the prompt covered by its first `prefixCount` prefix parts: of its tokens if the
+ * token counts are known, otherwise of its number of parts.
  */
 function computeCachedFraction(
   { prefixDigests, prefixTokens, promptTokens }: PromptPrefixes,
@@ -112,8 +113,8 @@
     const isNext = (balancing.lastCacheSequence ?? event.sequence - 1) + 1 === event.sequence;
     balancing.lastCacheSequence = event.sequence;
     // A missing event may have been an eviction, and requests would be sent to a server that no
-    // longer has their prefix. Invalidating all that is known about this server is enough, because
-    // the index is only a hint.
+    // longer has their prefix. Invalidating all copies of this server is enough, because the index
+    // is only a hint.
     if (!isNext || event.change === 'cleared') balancing.cacheGeneration += 1;
     if (event.change === 'stored') this.recordCached(server, event.prefixDigests, now);
     if (event.change === 'evicted') this.recordEvicted(server, event.prefixDigests, now);
--- a/packages/entry-core/src/backendServers/PrefixHashRing.ts
+++ b/packages/entry-core/src/backendServers/PrefixHashRing.ts
@@ -6,7 +6,7 @@
 import { createHash } from 'node:crypto';
 import { acceptsNewWork, type BackendServerState } from './BackendServerState.js';
 
-/** Spreads prefixes over a few servers so that none gets much more than an equal share. */
+/** Enough that no server of a small pool gets much more than an equal share of the prefixes. */
 const POINTS_PER_SERVER = 16;
 
 interface RingPoint {
--- a/packages/entry-core/src/backendServers/adaptConcurrency.ts
+++ b/packages/entry-core/src/backendServers/adaptConcurrency.ts
@@ -1,7 +1,7 @@
 /**
  * Adapts the concurrency limit of a backend server to the first-token delays that this entry
  * measures, without waiting for a load report: additive increase while delays are as expected,
- * multiplicative decrease when one is far above. Without it, an engine that cannot sustain the
+ * multiplicative decrease when one is far above. Otherwise a server that cannot sustain the
  * concurrency of its class would queue requests internally, where neither deadlines nor fair shares
  * apply.
  */
@@ -21,7 +21,7 @@
 const MAX_SLOWNESS_SAMPLE = 10;
 
 /**
- * Updates the limit and the slowness of a server from one first-token delay.
+ * Updates the concurrency limit and the slowness of a server from one first-token delay.
  *
  * @param expectedDelay - The delay that the pool's regression predicts for such a prompt.
  * @returns False if the delay was far above the expected one.
@@ -54,8 +54,8 @@
 }
 
 /**
- * Lowers the limit of a server that answered that it is busy: it is full, whatever its class
- * allows.
+ * Lowers the concurrency limit of a server that rejected a request as busy: it is full, whatever
+ * its class allows.
  */
 export function lowerConcurrency(
   pool: PoolState,
--- a/packages/entry-core/src/backendServers/applyInstanceList.ts
+++ b/packages/entry-core/src/backendServers/applyInstanceList.ts
@@ -1,6 +1,7 @@
 /**
- * Applies the platform's list of instances. The list lags: a reclaim notice received in another way
- * stays in force although the list still shows the instance as live.
+ * Applies the platform's list of instances to the backend servers, their concurrency limits and the
+ * candidate groups. The list lags: a reclaim notice received in another way stays in force although
+ * the list still shows the instance as live.
  */
 import type { MonotonicMilliseconds, PlatformInstance } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
@@ -37,9 +38,7 @@
   return server;
 }
 
-/**
- * Updates the limits of all servers when the list of instances or the configuration has changed.
- */
+/** Updates the concurrency limits when the list of instances or the configuration has changed. */
 export function refreshConcurrencyLimits(state: EntryState): void {
   for (const { balancing, platformInstance } of state.backendServers.values()) {
     const maxLimit = findConcurrency(state, platformInstance);
--- a/packages/entry-core/src/backendServers/chooseBackendServer.ts
+++ b/packages/entry-core/src/backendServers/chooseBackendServer.ts
@@ -1,10 +1,9 @@
 /**
- * Chooses the backend server for an attempt. The candidates are the servers estimated to have
- * cached the longest prefix of the prompt, and all servers of a small group or a few random ones of
- * a large group, so the cost does not grow with the pool. Two random choices keep the load even,
- * and keep entries with the same old load reports from all choosing one server. Another data centre
- * is preferred if the local one has no candidate or would be late, or if it saves more than the
- * transfer costs.
+ * Chooses the backend server with the lowest cost for an attempt. It compares the affinity target,
+ * the servers estimated to have cached the longest prefix of the prompt, and all servers of a small
+ * group or a few random ones of a large group. Two random choices keep the load even, also when
+ * entries choose by the same old load reports. Another data centre is preferred if the local one
+ * has no candidate or would be late, or if it saves more than the transfer costs.
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
@@ -32,8 +31,8 @@
 const MIN_REMOTE_SAVING_MILLISECONDS: Milliseconds = 30;
 
 /**
- * A server is busy if its predicted first token takes more than this fraction of the time that
- * remains. Below it a caller gains little from another data centre.
+ * A local server counts as slow if its predicted first token takes more than this fraction of the
+ * remaining time. Below it a caller gains little from another data centre.
  */
 const SLOW_FRACTION_OF_REMAINING_TIME = 0.25;
 
@@ -221,7 +220,7 @@
 
 /**
  * True if the remote server is in time and the local one is not, or if it saves enough because it
- * has cached the prompt or the local one is busy.
+ * has cached more of the prompt or the local one is slow.
  */
 function isRemoteBetter(
   bestLocal: ScoredServer,
--- a/packages/entry-core/src/backendServers/ejectOutliers.ts
+++ b/packages/entry-core/src/backendServers/ejectOutliers.ts
@@ -11,7 +11,7 @@
 const MAX_CONSECUTIVE_FAILURES = 3;
 const MAX_FAILED_FRACTION_OF_OUTCOMES = 0.5;
 const MIN_OUTCOMES = 10;
-/** At this number all counts are halved, so that recent outcomes have more weight. */
+/** A server with this many outcomes has its counts halved, so that recent outcomes weigh more. */
 const MAX_OUTCOMES = 40;
 const MIN_EJECTION_MILLISECONDS: Milliseconds = 5000;
 const MAX_EJECTION_MILLISECONDS: Milliseconds = 60_000;
--- a/packages/entry-core/src/backendServers/estimateInProgress.ts
+++ b/packages/entry-core/src/backendServers/estimateInProgress.ts
@@ -1,16 +1,16 @@
 /**
  * Estimates the requests in progress at a backend server: those of this entry, and those that the
- * other entries report. If their reports are incomplete, the last load report of the server is
- * split into own and other requests at the time of measurement, and own requests are counted
- * exactly from then on. With the load report alone, all entries would see the same idle server and
- * send to it until its next report.
+ * other entries report. If the reports are incomplete, the last load report of the server is split
+ * into own and other requests at the time of measurement, and own requests are counted exactly from
+ * then on. With the load report alone, all entries would see the same idle server and send to it
+ * until its next report.
  */
 import type { EpochMilliseconds, LoadReport, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 import type { BackendServerState } from './BackendServerState.js';
 import type { EndedAttempt } from './BalancingState.js';
 
-/** Per server; when exceeded, the older half is dropped. */
+/** Limit per server; when it is exceeded, the older half is dropped. */
 const MAX_ENDED_ATTEMPTS = 512;
 
 /** Older load reports are ignored. */
@@ -60,8 +60,7 @@
 }
 
 /**
- * True if there are other entries and all of them are connected, so that their work reports are
- * complete.
+ * True if there are other entries and all of them are connected, so that work reports are complete.
  */
 function isEveryPeerConnected({ membership }: EntryState): boolean {
   if (membership.peers.size === 0) return false;
--- a/packages/entry-core/src/backendServers/hasCapacity.ts
+++ b/packages/entry-core/src/backendServers/hasCapacity.ts
@@ -8,7 +8,8 @@
 import { currentLimit } from './BalancingState.js';
 
 /**
- * Late requests may use only this fraction of a server, because a full server is slower for all.
+ * Late requests may use only this fraction of the concurrency limit, because a full server is
+ * slower for all.
  */
 const LATE_FRACTION_OF_LIMIT = 0.5;
 
--- a/packages/entry-core/src/backendServers/observeAttempt.ts
+++ b/packages/entry-core/src/backendServers/observeAttempt.ts
@@ -58,7 +58,7 @@
 }
 
 /**
- * Weight of a first-token delay far above the expected one. It is not zero, so that the estimate
+ * Weight of a first-token delay far above the expected one. It is not zero, so that the regression
  * adapts when all servers of a pool have become slower.
  */
 const OVERLOADED_SAMPLE_WEIGHT = 0.1;
@@ -76,7 +76,7 @@
   const weight = isTypical ? 1 : OVERLOADED_SAMPLE_WEIGHT;
   const cappedDelay = Math.min(delay, TOLERATED_SLOWDOWN_FACTOR * expectedDelay);
   pool.firstTokenRegression.addSample(pending.tokensUntilFirstToken, cappedDelay, now, weight);
-  // The server has just prefilled the prompt, so its prefixes are cached there; the engine's own
+  // The server has just prefilled the prompt, so its prefixes are cached there; the server's own
   // cache event arrives later.
   const { prefixDigests } = accepted.request;
   pool.prefixCacheIndex.recordCached(server, prefixDigests, now);
@@ -110,7 +110,7 @@
   recordEndedAttempt(server, { startedAt: attempt.startedAt, endedAt: now });
 }
 
-/** At this utilization a server is nearly as slow as at full load. */
+/** A server counts as busy from this utilization on: it is nearly as slow as at its limit. */
 const BUSY_FRACTION_OF_LIMIT = 0.8;
 
 function observeFinish(state: EntryState, context: AttemptContext): void {
--- a/packages/entry-core/src/backendServers/predictFirstTokenDelay.ts
+++ b/packages/entry-core/src/backendServers/predictFirstTokenDelay.ts
@@ -1,7 +1,7 @@
 /**
- * Predicts the time from sending a request to its first token at a backend server. An engine
- * prefills prompts one after another, so the prediction is based on the tokens of this prompt and
- * of those still pending at the server, less what is estimated to be in the prefix cache.
+ * Predicts the time from sending a request to its first token at a backend server. A server
+ * prefills prompts one after another, so the prediction is based on the uncached tokens of this
+ * prompt and of all prompts pending at the server.
  */
 import type { LogFields, Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { CallerRequest } from '../entryEvents.js';
@@ -12,7 +12,7 @@
 import type { PoolState } from './PoolState.js';
 import { currentLimit, currentSlowness } from './BalancingState.js';
 
-/** How much longer the first token takes on a full server than on an idle one. */
+/** How much longer the first token takes on a full server than on an idle one, as a fraction. */
 const FULL_SERVER_EXTRA_FRACTION_OF_DELAY = 0.5;
 
 /** Tokens of the prompt that the server is estimated to have to prefill. */
@@ -43,8 +43,8 @@
 }
 
 /**
- * Longest prefill queue inside an engine, for all entries together. An engine serves it in order of
- * arrival; requests that wait in the entry are ordered by deadline and workspace.
+ * Longest prefill queue inside a server, for the prompts of all entries together. A server prefills
+ * in order of arrival; requests that wait in the entry are ordered by deadline and workspace.
  */
 const MAX_PENDING_PREFILL_MILLISECONDS: Milliseconds = 400;
 
@@ -69,7 +69,7 @@
   return pendingTime > MAX_PENDING_PREFILL_MILLISECONDS + savedTime;
 }
 
-/** What remains of the delay that the last load report predicted. */
+/** What remains of the first-token delay that the last load report predicted. */
 function remainingReportedDelay(
   server: BackendServerState,
   now: MonotonicMilliseconds,
@@ -121,9 +121,10 @@
 }
 
 /**
- * True if a predicted delay above `maxDelay` may be a reason to refuse. It must be based on recent
- * samples or on the last load report: a pool that refuses everything gets no samples, so one slow
- * moment would close it for good. Without a recent sample a request is admitted to get one.
+ * True if a predicted delay above `maxDelay` may be a reason to refuse a request. The prediction
+ * must rest on recent samples or on the last load report: a pool that refuses everything gets no
+ * samples, so a wrong prediction would never be corrected. Without a recent sample a request is
+ * admitted to get one.
  */
 export function isPredictionTrusted(
   pool: PoolState,
--- a/packages/entry-core/src/backendServers/rebuildCandidateGroups.ts
+++ b/packages/entry-core/src/backendServers/rebuildCandidateGroups.ts
@@ -1,7 +1,8 @@
 /**
- * Assigns the backend servers to the candidate groups of their pools. It iterates over all servers
- * and runs when the list of instances is received, not per request; a server that stops accepting
- * new work in between is removed when it is sampled.
+ * Rebuilds the candidate groups and the prefix hash ring of every pool from the list of instances.
+ * This visits all servers, so it is done when the list is received, not per request. A server that
+ * stops accepting new work in between may stay in its group until the next list; the choice of a
+ * server therefore checks `acceptsNewWork`.
  */
 import type { EntryState } from '../EntryState.js';
 import { acceptsNewWork, type BackendServerState } from './BackendServerState.js';
--- a/packages/entry-core/src/backendServers/receiveCacheEvents.ts
+++ b/packages/entry-core/src/backendServers/receiveCacheEvents.ts
@@ -1,4 +1,4 @@
-/** Applies the cache events of engines to the prefix cache index of their pool. */
+/** Applies the cache events of backend servers to the prefix cache index of their pool. */
 import type { CacheEvent, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 import { getPoolState } from './getPoolState.js';
--- a/packages/entry-core/src/backendServers/shareWork.ts
+++ b/packages/entry-core/src/backendServers/shareWork.ts
@@ -1,6 +1,6 @@
 /**
- * Exchanges work reports with the other entries: the requests and pending prompt tokens that each
- * has at backend servers.
+ * Exchanges work reports with the other entries: the requests and pending prompt tokens of each
+ * entry at backend servers, and the prefixes that were prefilled for it.
  */
 import type { MonotonicMilliseconds, ServerWork, WorkReport } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
