--- a/packages/entry-core/src/backendServers/MovingAverage.ts
+++ b/packages/entry-core/src/backendServers/MovingAverage.ts
@@ -1,19 +1,18 @@
 /** An exponential moving average. */
-import type { Milliseconds } from '@hornbeampond/schema';
 
 const SAMPLE_WEIGHT = 0.1;
 
 export class MovingAverage {
-  private mean: Milliseconds | undefined;
+  private mean: number | undefined;
 
   /** @param defaultValue - Returned until the first sample, which replaces it. */
-  constructor(private readonly defaultValue: Milliseconds) {}
+  constructor(private readonly defaultValue: number) {}
 
-  get value(): Milliseconds {
+  get value(): number {
     return this.mean ?? this.defaultValue;
   }
 
-  addSample(sample: Milliseconds): void {
+  addSample(sample: number): void {
     this.mean = this.mean === undefined ? sample : this.mean + (sample - this.mean) * SAMPLE_WEIGHT;
   }
 }
