--- a/packages/entry-core/src/backendServers/backendServers.test.ts
+++ b/packages/entry-core/src/backendServers/backendServers.test.ts
@@ -18,7 +18,7 @@
 const CONCURRENCY = 8;
 const SECOND = 1000;
 
-const slowAnswers = {
+const slowDecodeSpeed = {
   concurrency: CONCURRENCY,
   prefillMillisecondsPerToken: 0.2,
   decodeMillisecondsPerToken: 100,
@@ -46,7 +46,7 @@
   return pool;
 }
 
-/** Sends one request per interval. */
+/** Sends a request every `interval` milliseconds of virtual time, up to the time `until`. */
 function sendEvery(harness: EntryHarness, interval: number, until: number): void {
   let number = 0;
   harness.timeline.every(interval, () => {
@@ -60,7 +60,11 @@
   return harness.entries[0]?.backendServers.get(instance)?.attemptIds.size ?? 0;
 }
 
-function sendAndFindInstance(
+/**
+ * Sends a request, advances the timeline by 5 seconds, in which it is answered, and returns the
+ * instance that it was sent to.
+ */
+function sendAndAwaitAnswer(
   harness: EntryHarness,
   requestId: string,
   prefixDigests: string[],
@@ -83,19 +87,19 @@
   harness.timeline.runUntil(30 * SECOND);
   const outcomes = [...harness.outcomes.values()];
   assert.ok(outcomes.every(({ finishedAt }) => finishedAt !== undefined));
-  const failedFirst = harness.counts.get('retries/backendServerError') ?? 0;
+  const failedFirstAttempts = harness.counts.get('retries/backendServerError') ?? 0;
   assert.ok(
-    failedFirst <= 0.05 * outcomes.length,
-    `${failedFirst} of ${outcomes.length} failed first`,
+    failedFirstAttempts <= 0.05 * outcomes.length,
+    `${failedFirstAttempts} of ${outcomes.length} requests failed at their first attempt`,
   );
-  assert.ok(failedFirst > 3, 'it is tried again after a while');
+  assert.ok(failedFirstAttempts > 3, 'engine-2 was not tried again after its ejection');
 });
 
-// After the engine recovers and its ejection has expired, it must get its share of the work again.
+// After the engine recovers and its ejection has expired, it must get requests again.
 test('a recovered outlier gets work again', () => {
   const harness = makeHarness();
-  // Not a failed connection: that starts a probe, which keeps work away before the engine is
-  // ejected.
+  // 'connectFailed' would start a probe, during which the engine gets no requests, so it would not
+  // fail often enough to be ejected.
   harness.failureByInstance.set('engine-2', 'serverError');
   sendEvery(harness, 50, 60 * SECOND);
   harness.timeline.runUntil(10 * SECOND);
@@ -106,32 +110,37 @@
   assert.ok(inProgressAt(harness, 'engine-2') > 0);
 });
 
-// Whatever fails, ejection must leave half of the engines of each group in use, also when other
-// engines leave meanwhile.
+// However many engines fail, ejection must leave at least half of each group in use, also after
+// other engines have left the list.
 test('ejection always leaves half of a group in use', () => {
-  const failure = fc.record({
-    server: fc.nat({ max: 9 }),
+  const failureArbitrary = fc.record({
+    serverNumber: fc.nat({ max: 9 }),
     failure: fc.constantFrom<AttemptFailure>(...attemptFailures),
   });
   fc.assert(
     fc.property(
       fc.integer({ min: 1, max: 10 }),
-      fc.array(failure, { maxLength: 120 }),
+      fc.array(failureArbitrary, { maxLength: 120 }),
       fc.integer({ min: 1, max: 10 }),
-      (servers, failures, remaining) => {
-        const harness = makeHarness({ servers });
+      (serverCount, failures, remainingCount) => {
+        const harness = makeHarness({ servers: serverCount });
         const pool = getPool(harness);
-        const checkFloor = (live: number) => {
+        const checkMinInUse = (listedCount: number) => {
           const inUse = pool.local.candidates.length;
-          assert.ok(inUse >= Math.max(1, Math.ceil(live / 2)), `${inUse} of ${live} in use`);
+          assert.ok(
+            inUse >= Math.max(1, Math.ceil(listedCount / 2)),
+            `${inUse} of ${listedCount} in use`,
+          );
         };
-        for (const { server } of failures) {
-          const found = harness.entries[0]?.backendServers.get(`engine-${server % servers}`);
-          if (found !== undefined) recordFailure(pool, found, harness.timeline.now);
-          checkFloor(servers);
+        for (const { serverNumber } of failures) {
+          const server = harness.entries[0]?.backendServers.get(
+            `engine-${serverNumber % serverCount}`,
+          );
+          if (server !== undefined) recordFailure(pool, server, harness.timeline.now);
+          checkMinInUse(serverCount);
         }
-        harness.listEngines(Math.min(remaining, servers));
-        checkFloor(Math.min(remaining, servers));
+        harness.listEngines(Math.min(remainingCount, serverCount));
+        checkMinInUse(Math.min(remainingCount, serverCount));
       },
     ),
     { seed: 7, numRuns: 200 },
@@ -142,14 +151,13 @@
   return { prefixDigests, promptTokens: 0 };
 }
 
-// Later requests of a conversation follow its cached prompt. A lost cache event may have been an
-// eviction, so after a missing sequence number the engine must no longer count as having the
-// prefix.
-test('a missing cache event invalidates the cached prefixes of the engine', () => {
+// Later requests of a conversation must go to the engine that has cached its prompt, until a cache
+// event is missing (it may have been an eviction) or the cache was cleared.
+test('affinity ends when a cache event is missing or the cache is cleared', () => {
   const harness = makeHarness();
-  const cachedAt = sendAndFindInstance(harness, 'turn-1', ['a', 'b']);
+  const cachedAt = sendAndAwaitAnswer(harness, 'turn-1', ['a', 'b']);
   for (const turn of [2, 3, 4]) {
-    assert.equal(sendAndFindInstance(harness, `turn-${turn}`, ['a', 'b', `c${turn}`]), cachedAt);
+    assert.equal(sendAndAwaitAnswer(harness, `turn-${turn}`, ['a', 'b', `c${turn}`]), cachedAt);
   }
   const sendStored = (sequence: number) => {
     const change = 'stored' as const;
@@ -161,21 +169,21 @@
       .length > 0;
   sendStored(1);
   sendStored(2);
-  assert.ok(isCached(), 'consecutive events keep it');
+  assert.ok(isCached(), 'the prefix was lost after consecutive events');
   sendStored(4);
-  assert.ok(!isCached(), 'a missing event invalidates it');
-  const next = sendAndFindInstance(harness, 'turn-5', ['a', 'b']);
+  assert.ok(!isCached(), 'the prefix still counts as cached after a missing event');
+  const next = sendAndAwaitAnswer(harness, 'turn-5', ['a', 'b']);
   assert.ok(isCached());
   const cleared = { instance: next, sequence: 5, change: 'cleared' as const, prefixDigests: [] };
   harness.send({ type: 'cacheEventsReceived', events: [cleared] });
-  assert.ok(!isCached(), 'a cleared cache invalidates it');
+  assert.ok(!isCached(), 'the prefix still counts as cached after the cache was cleared');
 });
 
-// A system prompt is short and a conversation long. Counted by parts, an engine that has cached
-// only the system prompt would seem to have half of what an engine with the conversation has.
-test('a cached prefix counts by its tokens', () => {
+// If the fraction were computed from the number of digests, a cached system prompt alone would
+// count half as much as a cached conversation, although it is much shorter.
+test('the cached fraction of a prompt is computed from tokens', () => {
   const harness = makeHarness();
-  const cachedAt = sendAndFindInstance(harness, 'turn-1', ['system', 'conversation']);
+  const cachedAt = sendAndAwaitAnswer(harness, 'turn-1', ['system', 'conversation']);
   const { prefixCacheIndex } = getPool(harness);
   const findHolder = (prefixDigests: string[]) =>
     prefixCacheIndex.findHolders(
@@ -215,8 +223,8 @@
   assert.equal(instanceOf('second.1'), 'engine-0');
 });
 
-// Entries that get the first requests of a conversation at the same time must choose the same
-// engine. Otherwise its prompt is prefilled several times and held in several caches.
+// Entries must choose the same engine for requests of one conversation, or its prompt is prefilled
+// and cached at several engines.
 test('all entries start a conversation at the same engine', () => {
   const harness = makeHarness({ entries: 3 });
   const chosenInstances = ['one', 'two', 'three', 'four'].map((conversation) => {
@@ -235,26 +243,26 @@
     assert.equal(new Set(instances).size, 1, `${instances}`);
     return instances[0];
   });
-  assert.ok(new Set(chosenInstances).size > 1, 'not all at one engine');
+  assert.ok(new Set(chosenInstances).size > 1, 'all conversations started at one engine');
 });
 
-// A prefix that no event has confirmed for two minutes must no longer count as cached: an engine
-// that reports nothing may have evicted it.
+// A prefix must no longer count as cached when nothing has confirmed it for two minutes: an engine
+// that sends no cache events may have evicted it.
 test('a cached prefix expires', () => {
   const harness = makeHarness();
-  sendAndFindInstance(harness, 'turn-1', ['a']);
+  sendAndAwaitAnswer(harness, 'turn-1', ['a']);
   const isCachedAt = (now: number) =>
     getPool(harness).prefixCacheIndex.findHolders(makePrompt('a'), now).length > 0;
   assert.ok(isCachedAt(100 * SECOND));
   assert.ok(!isCachedAt(130 * SECOND));
 });
 
-// A request waits for the full engine that has cached its prefix, but only for a third of the time
-// it has. Then it must go to another engine and still be in time.
+// A request waits for the full engine that has cached its prefix only for a fraction of its
+// first-token deadline. Then it must go to another engine and still meet the deadline.
 test('a request goes to another engine if the one with its prefix stays full', () => {
   const harness = makeHarness({ servers: 2 });
-  const cachedAt = sendAndFindInstance(harness, 'turn-1', ['a']);
-  const other = cachedAt === 'engine-0' ? 'engine-1' : 'engine-0';
+  const cachedAt = sendAndAwaitAnswer(harness, 'turn-1', ['a']);
+  const otherInstance = cachedAt === 'engine-0' ? 'engine-1' : 'engine-0';
   for (let number = 0; number < CONCURRENCY; number += 1) {
     const request = exampleRequest(`full-${number}`, { prefixDigests: ['a'], promptTokens: 4000 });
     harness.submitRequest(request, 4000);
@@ -262,12 +270,12 @@
   }
   assert.equal(inProgressAt(harness, cachedAt), CONCURRENCY);
   const request = exampleRequest('turn-2', { prefixDigests: ['a'], promptTokens: 4000 });
-  const turn = harness.submitRequest(request, 20);
-  assert.equal(inProgressAt(harness, other), 0);
-  harness.timeline.runUntil(turn.arrivedAt + 700);
-  assert.equal(inProgressAt(harness, other), 1);
-  harness.timeline.runUntil(turn.arrivedAt + 5 * SECOND);
-  assert.ok((turn.firstTokenAt ?? Infinity) - turn.arrivedAt <= 2000);
+  const outcome = harness.submitRequest(request, 20);
+  assert.equal(inProgressAt(harness, otherInstance), 0);
+  harness.timeline.runUntil(outcome.arrivedAt + 700);
+  assert.equal(inProgressAt(harness, otherInstance), 1);
+  harness.timeline.runUntil(outcome.arrivedAt + 5 * SECOND);
+  assert.ok((outcome.firstTokenAt ?? Infinity) - outcome.arrivedAt <= 2000);
 });
 
 // Conversations that share one system prompt must not all go to the engine that has cached it: the
@@ -287,10 +295,10 @@
   assert.ok(Math.min(...loads) >= 1, loads.join());
 });
 
-// A new engine that looks idle must not get a whole burst of requests while it warms up, and must
-// get its full share after the slow start.
-test('a new engine starts slowly', () => {
-  const harness = makeHarness({ servers: 5, speed: slowAnswers });
+// A new engine looks idle. It must not get a whole burst of requests while its slow start lasts,
+// and must fill up to its limit afterwards.
+test('a new engine gets little work at first and its full share after the slow start', () => {
+  const harness = makeHarness({ servers: 5, speed: slowDecodeSpeed });
   harness.listEngines(4);
   harness.timeline.runUntil(SECOND);
   harness.listEngines(5);
@@ -306,46 +314,47 @@
   assert.equal(inProgressAt(harness, 'engine-4'), CONCURRENCY);
 });
 
-// Requests must not queue inside an engine that has become slow, where no deadline applies. Its
-// limit must drop after the first slow answers and recover with the engine.
+// No deadline applies to requests that queue inside an engine. The limit of an engine that has
+// become slow must drop while it is slow, and recover with the engine.
 test('the concurrency limit of a slow engine is lowered and recovers', () => {
   const harness = makeHarness();
-  const slow = harness.engines.get('engine-1');
-  assert.ok(slow);
-  const normalSpeed = slow.speed;
+  const slowEngine = harness.engines.get('engine-1');
+  assert.ok(slowEngine);
+  const normalSpeed = slowEngine.speed;
   sendEvery(harness, 16, 60 * SECOND);
   harness.timeline.runUntil(5 * SECOND);
-  slow.speed = { ...normalSpeed, prefillMillisecondsPerToken: 5 };
+  slowEngine.speed = { ...normalSpeed, prefillMillisecondsPerToken: 5 };
   harness.timeline.runUntil(20 * SECOND);
   const balancing = harness.entries[0]?.backendServers.get('engine-1')?.balancing;
   assert.ok((balancing?.limit ?? 0) < 0.5 * CONCURRENCY, `limit ${balancing?.limit}`);
-  slow.speed = normalSpeed;
+  slowEngine.speed = normalSpeed;
   harness.timeline.runUntil(59 * SECOND);
   assert.ok((balancing?.limit ?? 0) > 0.9 * CONCURRENCY, `limit ${balancing?.limit}`);
 });
 
-// A slow engine must get less work while others have capacity. The estimate of its slowness decays,
-// so that it must get work again after it has recovered.
+// A slow engine must get less work while others have capacity. Because the estimated slowness
+// decays, the engine must get work again after it has recovered.
 test('a slow engine gets less work and is tried again later', () => {
   const harness = makeHarness();
-  const slow = harness.engines.get('engine-1');
-  assert.ok(slow);
-  const normalSpeed = slow.speed;
+  const slowEngine = harness.engines.get('engine-1');
+  assert.ok(slowEngine);
+  const normalSpeed = slowEngine.speed;
   sendEvery(harness, 40, 60 * SECOND);
   harness.timeline.runUntil(5 * SECOND);
-  slow.speed = { ...normalSpeed, prefillMillisecondsPerToken: 5 };
+  slowEngine.speed = { ...normalSpeed, prefillMillisecondsPerToken: 5 };
   harness.timeline.runUntil(20 * SECOND);
-  const late = [...harness.outcomes.values()].filter(
+  const slowOutcomes = [...harness.outcomes.values()].filter(
     ({ arrivedAt, firstTokenAt = 0 }) => firstTokenAt - arrivedAt > 400,
   );
-  assert.ok(late.length <= 0.05 * 15 * 25, `${late.length} were slow`);
-  slow.speed = normalSpeed;
+  // 5 % of 25 requests per second, over the 15 seconds in which the engine is slow.
+  assert.ok(slowOutcomes.length <= 0.05 * 15 * 25, `${slowOutcomes.length} were slow`);
+  slowEngine.speed = normalSpeed;
   harness.timeline.runUntil(59 * SECOND);
-  assert.ok(slow.running > 0);
+  assert.ok(slowEngine.running > 0);
 });
 
-// One random choice would pile up requests on single engines; two must keep the busiest near the
-// mean.
+// With one random choice per request, some engines would get several times the mean load; with two,
+// the busiest must stay near the mean.
 test('two random choices keep the load of a thousand engines even', () => {
   const harness = makeHarness({ servers: 1000 });
   for (let number = 0; number < 2000; number += 1) {
@@ -355,17 +364,21 @@
   assert.ok(Math.max(...loads) <= 4, `${Math.max(...loads)} on one engine`);
 });
 
-/** In the future for every test run; a notice whose time has passed is not in force. */
-const NEXT_CENTURY = Date.UTC(2100, 0, 1);
+/** Later than the virtual time of the test: notices that have expired are ignored. */
+const FUTURE_GONE_AT = Date.UTC(2100, 0, 1);
 
-// After a reclaim notice a server must get no new work, and leave the candidates before the next
-// list of instances arrives.
+// With notices for all but one server, a request must still be answered; servers with a notice that
+// are drawn are removed from the candidates before the next list of instances.
 test('a server with a reclaim notice gets no new work', () => {
   const harness = makeHarness({ servers: 20 });
   const [state] = harness.entries;
   assert.ok(state);
-  for (let server = 0; server < 19; server += 1) {
-    harness.send({ type: 'reclaimNoticed', instance: `engine-${server}`, goneAt: NEXT_CENTURY });
+  for (let serverNumber = 0; serverNumber < 19; serverNumber += 1) {
+    harness.send({
+      type: 'reclaimNoticed',
+      instance: `engine-${serverNumber}`,
+      goneAt: FUTURE_GONE_AT,
+    });
   }
   harness.submitRequest(exampleRequest('one'), 20);
   harness.timeline.runUntil(SECOND);
--- a/packages/entry-core/src/backendServers/sharedPrompts.test.ts
+++ b/packages/entry-core/src/backendServers/sharedPrompts.test.ts
@@ -84,7 +84,7 @@
 
 // Without work reports, entries send long prompts to engines that look idle but have just been sent
 // others, and have prefixes prefilled again that are cached elsewhere.
-test('work reports spread long prompts over the engines and keep shared prefixes on one', () => {
+test('work reports reduce late answers and repeated prefills of shared prefixes', () => {
   seeds.forEach((seed) => {
     const withReports = simulate(seed, {});
     const withoutReports = simulate(seed, { losesWorkReports: true });
