--- a/packages/entry-core/src/backendServers/PrefixHashRing.ts
+++ b/packages/entry-core/src/backendServers/PrefixHashRing.ts
@@ -1,12 +1,15 @@
 /**
- * Consistent hashing of prompt prefixes that no server is known to have cached: all entries choose
- * the same backend server for a new conversation without communicating. If each entry chose on its
- * own, several servers would prefill and cache the same prefix.
+ * Consistent hashing of prompt prefixes that no server is known to have cached: all entries with
+ * the same list of servers choose the same one for a prefix without communicating. If the choices
+ * differed, several servers would prefill and cache the same prefix.
  */
 import { createHash } from 'node:crypto';
 import { acceptsNewWork, type BackendServerState } from './BackendServerState.js';
 
-/** Enough that no server of a small pool gets much more than an equal share of the prefixes. */
+/**
+ * More points make the servers' shares of the prefixes more equal; the ring is sorted again
+ * whenever the servers change.
+ */
 const POINTS_PER_SERVER = 16;
 
 interface RingPoint {
@@ -41,16 +44,19 @@
     const { length } = servers;
     const isSame =
       length === this.servers.length &&
-      servers.every((server, position) => server === this.servers[position]);
+      servers.every((server, index) => server === this.servers[index]);
     if (isSame) return;
     this.servers = [...servers];
     this.ring = servers.flatMap(makeRingPoints).sort((a, b) => a.position - b.position);
   }
 
-  /** The affinity target of a prefix: the first available server from its position on the ring. */
+  /**
+   * The first available server at or after the prefix's position on the ring, which wraps around.
+   * Undefined if no server is available.
+   */
   findServer(digest: string): BackendServerState | undefined {
     const { ring } = this;
-    const start = this.findFirstIndexFrom(hashPosition(digest));
+    const start = this.findIndexAtOrAfter(hashPosition(digest));
     for (let step = 0; step < ring.length; step += 1) {
       const server = ring[(start + step) % ring.length]?.server;
       if (server !== undefined && isAvailable(server)) return server;
@@ -58,7 +64,8 @@
     return undefined;
   }
 
-  private findFirstIndexFrom(position: number): number {
+  /** Binary search for the first point at or after a position. */
+  private findIndexAtOrAfter(position: number): number {
     let low = 0;
     let high = this.ring.length;
     while (low < high) {
--- a/packages/entry-core/src/backendServers/ejectOutliers.ts
+++ b/packages/entry-core/src/backendServers/ejectOutliers.ts
@@ -51,7 +51,7 @@
   group.addCandidate(server);
 }
 
-/** Reinstates ejected servers while too few are in use, as when others have left. */
+/** Reinstates ejected servers while too few are in use, for example after others have left. */
 export function enforceMinServersInUse(group: CandidateGroup): void {
   for (const server of group.ejected) {
     if (group.candidates.length >= countMinServersInUse(group)) return;
--- a/packages/entry-core/src/backendServers/hasCapacity.ts
+++ b/packages/entry-core/src/backendServers/hasCapacity.ts
@@ -1,4 +1,7 @@
-/** Whether a backend server can be sent a request now. */
+/**
+ * Whether a request fits under a backend server's concurrency limit and into its prefill queue now.
+ * Does not check whether the server accepts new work.
+ */
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
 import type { BackendServerState } from './BackendServerState.js';
@@ -8,10 +11,10 @@
 import { currentLimit } from './BalancingState.js';
 
 /**
- * Late requests may use only this fraction of the concurrency limit, because a full server is
- * slower for all.
+ * A request that will miss its first-token deadline is sent only to a server whose requests in
+ * progress, of all kinds, are below this fraction of its limit: a fuller batch slows every answer.
  */
-const LATE_FRACTION_OF_LIMIT = 0.5;
+const MAX_UTILIZATION_FOR_LATE_REQUESTS = 0.5;
 
 export function hasCapacity(
   state: EntryState,
@@ -20,8 +23,8 @@
   accepted: RequestState,
 ): boolean {
   const limit = currentLimit(server.balancing, state.clocks.now);
-  const limitFraction = accepted.isLate === true ? LATE_FRACTION_OF_LIMIT : 1;
-  const maxInProgress = Math.max(1, Math.floor(limit * limitFraction));
+  const maxUtilization = accepted.isLate === true ? MAX_UTILIZATION_FOR_LATE_REQUESTS : 1;
+  const maxInProgress = Math.max(1, Math.floor(limit * maxUtilization));
   if (estimateInProgress(state, server) >= maxInProgress) return false;
   return !isPrefillQueueFull(state, pool, server, accepted);
 }
--- a/packages/entry-core/src/backendServers/receiveDrains.ts
+++ b/packages/entry-core/src/backendServers/receiveDrains.ts
@@ -1,15 +1,15 @@
 /**
- * Records which backend servers a data centre's controller has taken out of service. They get no
- * new work; their requests in progress continue.
- *
- * Messages of an earlier epoch are ignored: a controller that has lost its lease without noticing
- * could otherwise return a server to service that its successor is about to stop.
+ * Records the backend servers that a data centre's controller has taken out of service; each
+ * message replaces the previous list of that data centre. Listed servers get no new work, and their
+ * requests in progress continue. A message with an earlier lease epoch is ignored: otherwise a
+ * controller that has lost its lease without noticing could put a server back into service while
+ * its successor is about to stop that server.
  */
 import type { FleetDrains } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 
 export function receiveDrains(state: EntryState, drains: FleetDrains): void {
-  const known = state.drains.get(drains.dataCentre);
-  if (known !== undefined && known.epoch > drains.epoch) return;
+  const previous = state.drains.get(drains.dataCentre);
+  if (previous !== undefined && previous.epoch > drains.epoch) return;
   state.drains.set(drains.dataCentre, drains);
 }
