--- a/packages/entry-core/src/backendServers/ejectOutliers.ts
+++ b/packages/entry-core/src/backendServers/ejectOutliers.ts
@@ -11,7 +11,7 @@
 const MAX_CONSECUTIVE_FAILURES = 3;
 const MAX_FAILED_FRACTION_OF_OUTCOMES = 0.5;
 const MIN_OUTCOMES = 10;
-/** At this number all counts are halved, so that recent outcomes have more weight. */
+/** A server with this many outcomes has its counts halved, so that recent outcomes weigh more. */
 const MAX_OUTCOMES = 40;
 const MIN_EJECTION_MILLISECONDS: Milliseconds = 5000;
 const MAX_EJECTION_MILLISECONDS: Milliseconds = 60_000;
@@ -51,7 +51,7 @@
   group.addCandidate(server);
 }
 
-/** Reinstates ejected servers while too few are in use, as when others have left. */
+/** Reinstates ejected servers while too few are in use, for example after others have left. */
 export function enforceMinServersInUse(group: CandidateGroup): void {
   for (const server of group.ejected) {
     if (group.candidates.length >= countMinServersInUse(group)) return;
