--- a/packages/entry-core/src/attempts/AttemptState.ts
+++ b/packages/entry-core/src/attempts/AttemptState.ts
@@ -9,7 +9,7 @@
   /** Tokens of the answer that earlier attempts had produced when this one started. */
   readonly resumedFromTokens: number;
   /** True once the backend server may have received a byte of the call. */
-  sent: boolean;
+  maybeSent: boolean;
   firstTokenAt: MonotonicMilliseconds | undefined;
   /** Tokens of the answer so far, including those of earlier attempts. */
   tokens: number;
@@ -18,7 +18,7 @@
   pausedByCaller?: boolean;
   /** When its backend server was last probed because this stream stalled. */
   stallProbedAt?: MonotonicMilliseconds;
-  /** True once the attempt has timed out; it keeps running, as its answer may still come first. */
+  /** True once the attempt has timed out but is kept, as its answer may still arrive first. */
   givenUp: boolean;
 }
 
--- a/packages/entry-core/src/attempts/RetryState.ts
+++ b/packages/entry-core/src/attempts/RetryState.ts
@@ -8,7 +8,7 @@
 
 /** Retries that are still allowed for one route, or after failures of one backend server. */
 export interface RetryBudget {
-  tokens: number;
+  remainingRetries: number;
 }
 
 /** A request between two attempts that waits for its back-off to end or for a backend server. */
--- a/packages/entry-core/src/attempts/advanceRetries.ts
+++ b/packages/entry-core/src/attempts/advanceRetries.ts
@@ -36,9 +36,9 @@
     (a, b) => getCrashExposure(state, a) - getCrashExposure(state, b) || a.dueAt - b.dueAt,
   );
   return selected.flatMap(({ requestId }) => {
-    const accepted = state.requests.get(requestId);
+    const requestState = state.requests.get(requestId);
     state.retries.waiting.delete(requestId);
-    if (accepted === undefined || accepted.attemptId !== undefined) return [];
-    return startAttempt(state, accepted, now);
+    if (requestState === undefined || requestState.attemptId !== undefined) return [];
+    return startAttempt(state, requestState, now);
   });
 }
--- a/packages/entry-core/src/attempts/chooseServerForAttempt.ts
+++ b/packages/entry-core/src/attempts/chooseServerForAttempt.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses the backend server for the next attempt of a request, and decides whether a request for
- * which there is none now waits for one.
+ * Chooses the backend server for the next attempt of a request, and decides whether the request may
+ * wait if no server can take it now.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
@@ -12,14 +12,14 @@
 /** Prefers a backend server that was not tried yet, then any other than the last one tried. */
 export function chooseServerForAttempt(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   options: ChoiceOptions = {},
 ): BackendServerState | undefined {
-  const untried = chooseBackendServer(state, accepted, options);
-  if (untried !== undefined || accepted.attemptsStarted === 0) return untried;
-  const tried = [...accepted.triedInstances];
+  const untried = chooseBackendServer(state, requestState, options);
+  if (untried !== undefined || requestState.attemptsStarted === 0) return untried;
+  const tried = [...requestState.triedInstances];
   const chooseExcept = (instances: readonly string[]) =>
-    chooseBackendServer(state, { ...accepted, triedInstances: new Set(instances) }, options);
+    chooseBackendServer(state, { ...requestState, triedInstances: new Set(instances) }, options);
   return chooseExcept(tried.slice(-1)) ?? chooseExcept([]);
 }
 
@@ -27,43 +27,43 @@
 const MAX_EMPTY_POOL_WAIT_MILLISECONDS = 30_000;
 
 /** True if the pool has a backend server that is neither removed nor being reclaimed. */
-function hasRemainingServer(state: EntryState, accepted: RequestState): boolean {
+function hasRemainingServer(state: EntryState, requestState: RequestState): boolean {
   return [...state.backendServers.values()].some(
     ({ platformInstance, goneAt }) =>
-      platformInstance.pool === accepted.pool.name && goneAt === undefined,
+      platformInstance.pool === requestState.pool.name && goneAt === undefined,
   );
 }
 
 /** True if a backend server that is only temporarily excluded could take the request later. */
 function hasTemporarilyExcludedServer(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   now: MonotonicMilliseconds,
 ): boolean {
-  const excluded = findTemporarilyExcludedInstances(state, accepted, now);
+  const excluded = findTemporarilyExcludedInstances(state, requestState, now);
   return [...state.backendServers.values()].some(
     ({ platformInstance, goneAt }) =>
-      platformInstance.pool === accepted.pool.name &&
+      platformInstance.pool === requestState.pool.name &&
       goneAt === undefined &&
       excluded.has(platformInstance.instance),
   );
 }
 
 /**
- * True if a request that no backend server can take now should wait. A request that was started
- * before waits while its pool has a server, even a full or failed one, and for a limited time in an
- * empty pool: otherwise a reclaim of the whole pool would fail it before replacements start.
+ * True if a request that no server can take now may wait. Every request waits for a temporarily
+ * excluded server. A started one also waits for a full or failed server and, for a limited time, for
+ * replacements in an empty pool, so that it survives the reclaim of a whole pool.
  */
 export function canWaitForBackendServer(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   now: MonotonicMilliseconds,
 ): boolean {
-  if (hasTemporarilyExcludedServer(state, accepted, now)) return true;
-  if (accepted.attemptsStarted === 0) return false;
-  accepted.waitingForServerSince ??= now;
+  if (hasTemporarilyExcludedServer(state, requestState, now)) return true;
+  if (requestState.attemptsStarted === 0) return false;
+  requestState.waitingForServerSince ??= now;
   return (
-    hasRemainingServer(state, accepted) ||
-    now - accepted.waitingForServerSince < MAX_EMPTY_POOL_WAIT_MILLISECONDS
+    hasRemainingServer(state, requestState) ||
+    now - requestState.waitingForServerSince < MAX_EMPTY_POOL_WAIT_MILLISECONDS
   );
 }
--- a/packages/entry-core/src/attempts/drawBackOff.ts
+++ b/packages/entry-core/src/attempts/drawBackOff.ts
@@ -1,6 +1,6 @@
 /**
- * Exponential back-off with full jitter: a random delay between zero and a maximum that doubles with
- * each attempt. With equal delays, requests that failed together would be retried together.
+ * Exponential back-off with full jitter: a random delay between zero and a maximum that doubles
+ * with each attempt. With equal delays, requests that failed together would be retried together.
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import type { Milliseconds } from '@hornbeampond/schema';
--- a/packages/entry-core/src/attempts/failAttempt.ts
+++ b/packages/entry-core/src/attempts/failAttempt.ts
@@ -1,5 +1,6 @@
 /**
- * Handles the failure of an attempt: removes the attempt, then retries or fails its request.
+ * Handles the failure of an attempt: removes it, or keeps it if it only timed out, then retries or
+ * fails its request.
  */
 import type { RecomputeReason, RetryReason } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -28,8 +29,8 @@
   malformed: 'backendServerError',
 };
 
-/** Failures that lose tokens which the engine has computed. */
-const recomputeByFailure: Readonly<Partial<Record<AttemptFailure, RecomputeReason>>> = {
+/** Why tokens are recomputed, by the failures that lose what the engine has computed. */
+const recomputeReasonByFailure: Readonly<Partial<Record<AttemptFailure, RecomputeReason>>> = {
   serverError: 'lossResume',
   malformed: 'lossResume',
   connectionLost: 'lossResume',
@@ -37,47 +38,47 @@
 };
 
 /**
- * Counts a lost stream; true if its retry is exempt from the retry budget. Otherwise the failure of
- * one busy server would exhaust the budget of its route and fail accepted requests. The exemption
- * cannot cause a retry storm, since the number of lost streams per request is limited.
+ * Counts a lost stream; true if its retry is exempt from the retry budget. Without the exemption,
+ * the loss of one server with many streams would exhaust the budget of its route and fail requests.
+ * It cannot cause a retry storm, since the number of exempt retries per request is limited.
  */
-function isExemptFromBudget(
-  accepted: RequestState,
+function countLossAndCheckExemption(
+  requestState: RequestState,
   { failure, tokens }: AttemptFailedEvent,
 ): boolean {
   if (failure !== 'connectionLost' && failure !== 'silent') return false;
   if (failure === 'silent' && tokens === 0) return false;
-  accepted.lossCount = (accepted.lossCount ?? 0) + 1;
-  return accepted.lossCount <= MAX_RECOVERIES_EXEMPT_FROM_BUDGET;
+  requestState.lossCount = (requestState.lossCount ?? 0) + 1;
+  return requestState.lossCount <= MAX_RECOVERIES_EXEMPT_FROM_BUDGET;
 }
 
 /**
- * Keeps a timed-out attempt that has produced nothing yet alongside the next one, as its answer may
- * still arrive first. One that has produced tokens is dropped, since the next attempt resumes after
- * those tokens.
+ * Keeps an attempt that timed out before its first token running alongside the next one, as its
+ * answer may still arrive first. Only for idempotent routes. An attempt that has produced tokens is
+ * dropped, since the next one resumes after them.
  */
-function keepAbandonedAttempt(
+function keepTimedOutAttempt(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   attempt: AttemptState,
   event: AttemptFailedEvent,
 ): void {
-  if (event.failure !== 'silent' || accepted.tokens > 0 || event.answerStarted) return;
-  if (!accepted.route.idempotent) return;
+  if (event.failure !== 'silent' || requestState.tokens > 0 || event.answerStarted) return;
+  if (!requestState.route.idempotent) return;
   attempt.givenUp = true;
   state.attempts.set(attempt.attemptId, attempt);
-  (accepted.abandonedAttemptIds ??= []).push(attempt.attemptId);
+  (requestState.abandonedAttemptIds ??= []).push(attempt.attemptId);
 }
 
-function detachAttempt(
-  accepted: RequestState,
+function recordFailureInRequest(
+  requestState: RequestState,
   attempt: AttemptState,
   event: AttemptFailedEvent,
 ): void {
-  accepted.attemptId = undefined;
-  accepted.tokens = Math.max(accepted.tokens, event.tokens);
-  if (accepted.firstTokenAt !== undefined) accepted.interruptedAt = event.now;
-  if (event.sent === 'maybe' || attempt.sent) accepted.maybeSent = true;
+  requestState.attemptId = undefined;
+  requestState.tokens = Math.max(requestState.tokens, event.tokens);
+  if (requestState.firstTokenAt !== undefined) requestState.interruptedAt = event.now;
+  if (event.sent === 'maybe' || attempt.maybeSent) requestState.maybeSent = true;
 }
 
 function logFailure(attempt: AttemptState, event: AttemptFailedEvent): EntryEffect {
@@ -90,29 +91,29 @@
   };
 }
 
-/** Retries or fails a request whose attempt has just failed. */
 function retryOrFail(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   attempt: AttemptState,
   event: AttemptFailedEvent,
 ): EntryEffect[] {
   if (event.failure === 'clientError') {
     const detail = 'The backend server rejected the request';
-    return failRequest(state, accepted, 'backendServerFailed', detail, {
-      ran: determineRan(accepted),
+    return failRequest(state, requestState, 'backendServerFailed', detail, {
+      ran: determineRan(requestState),
     });
   }
-  if (event.answerStarted) return failInterruptedAnswer(state, accepted);
-  keepAbandonedAttempt(state, accepted, attempt, event);
+  if (event.answerStarted) return failInterruptedAnswer(state, requestState);
+  keepTimedOutAttempt(state, requestState, attempt, event);
   const cause = {
     reason: retryReasonByFailure[event.failure],
     instance: attempt.instance,
-    exemptFromBudget: isExemptFromBudget(accepted, event),
+    exemptFromBudget: countLossAndCheckExemption(requestState, event),
     retryAfter: event.retryAfter,
-    recompute: accepted.maybeSent === true ? recomputeByFailure[event.failure] : undefined,
+    recompute:
+      requestState.maybeSent === true ? recomputeReasonByFailure[event.failure] : undefined,
   };
-  return retryRequest(state, accepted, cause, event.now);
+  return retryRequest(state, requestState, cause, event.now);
 }
 
 export function failAttempt(
@@ -120,18 +121,18 @@
   attempt: AttemptState,
   event: AttemptFailedEvent,
 ): EntryEffect[] {
-  const accepted = state.requests.get(attempt.requestId);
-  if (accepted === undefined || accepted.attemptId !== attempt.attemptId) {
+  const requestState = state.requests.get(attempt.requestId);
+  if (requestState === undefined || requestState.attemptId !== attempt.attemptId) {
     removeAttempt(state, attempt);
     return [];
   }
-  const lossEffects = recordLoss(state, accepted, attempt, event);
+  const lossEffects = recordLoss(state, requestState, attempt, event);
   removeAttempt(state, attempt);
   removeCacheMove(state, attempt.requestId);
-  detachAttempt(accepted, attempt, event);
+  recordFailureInRequest(requestState, attempt, event);
   return [
     logFailure(attempt, event),
     ...lossEffects,
-    ...retryOrFail(state, accepted, attempt, event),
+    ...retryOrFail(state, requestState, attempt, event),
   ];
 }
--- a/packages/entry-core/src/attempts/findExcludedInstances.ts
+++ b/packages/entry-core/src/attempts/findExcludedInstances.ts
@@ -12,11 +12,11 @@
 /** Backend servers that are excluded for a short time and may take the request soon. */
 export function findTemporarilyExcludedInstances(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   now: MonotonicMilliseconds,
 ): Set<string> {
   const instances = new Set(state.quarantine.unresolvedLosses.keys());
-  const { digest, requestId } = accepted.request;
+  const { digest, requestId } = requestState.request;
   if (state.retries.policy.isolateSuspects && isSuspect(state, digest)) {
     listInstancesRunningSuspects(state, requestId).forEach((instance) => instances.add(instance));
     listInstancesOutsideSlot(state, now).forEach((instance) => instances.add(instance));
@@ -27,10 +27,10 @@
 /** All excluded backend servers, including those that are down or taken out of service. */
 export function findExcludedInstances(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   now: MonotonicMilliseconds,
 ): Set<string> {
-  const instances = findTemporarilyExcludedInstances(state, accepted, now);
+  const instances = findTemporarilyExcludedInstances(state, requestState, now);
   state.quarantine.down.forEach((_, instance) => instances.add(instance));
   state.drains.forEach((drains) => drains.instances.forEach((instance) => instances.add(instance)));
   return instances;
--- a/packages/entry-core/src/attempts/interleavings.test.ts
+++ b/packages/entry-core/src/attempts/interleavings.test.ts
@@ -5,27 +5,32 @@
 
 const engineNames = ['wien-a-engine-1', 'wien-a-engine-2', 'wien-b-engine-1', 'wien-b-engine-2'];
 
-/** A list of faults and requests, each with the delay before the next one. */
-const actions = fc.array(
+/**
+ * Generates lists of faults and requests, each with the delay before the next one. `magnitude` is
+ * the `maxTokens` of a request, or the notice of a reclaim in units of 20 ms.
+ */
+const actionLists = fc.array(
   fc.record({
     kind: fc.constantFrom(
       ...(['submit', 'submit', 'submit', 'die', 'loseHost', 'revive', 'stall', 'reclaim'] as const),
-      ...(['busy', 'free', 'disconnect', 'resendEvents', 'failMoves', 'submitCrashing'] as const),
+      ...(['busy', 'free', 'disconnect', 'unknownEvents', 'failMoves', 'submitCrashing'] as const),
     ),
     engine: fc.constantFrom(...engineNames),
-    tokens: fc.integer({ min: 1, max: 120 }),
+    magnitude: fc.integer({ min: 1, max: 120 }),
     delaySteps: fc.integer({ min: 0, max: 60 }),
   }),
   { minLength: 5, maxLength: 40 },
 );
 
-type Action = typeof actions extends fc.Arbitrary<readonly (infer One)[]> ? One : never;
+type Action = typeof actionLists extends fc.Arbitrary<readonly (infer One)[]> ? One : never;
 
-/** Sends stream events of attempts that have already ended, as delayed duplicates would arrive. */
-function resendStreamEvents(cluster: SimulatedCluster): void {
+/**
+ * Sends stream events for attempts that have ended or never started; the entry must ignore them.
+ */
+function sendEventsOfUnknownAttempts(cluster: SimulatedCluster): void {
   cluster.callers().forEach(({ request: { requestId } }) => {
-    ['1', '2', '3'].forEach((number) => {
-      const attemptId = `${requestId}.${number}`;
+    ['1', '2', '3'].forEach((attemptNumber) => {
+      const attemptId = `${requestId}.${attemptNumber}`;
       if (cluster.entry.state.attempts.has(attemptId)) return;
       cluster.entry.send({ type: 'firstTokenReceived', attemptId });
       cluster.entry.send({ type: 'attemptFinished', attemptId, tokens: 7 });
@@ -35,15 +40,17 @@
 
 function applyAction(
   cluster: SimulatedCluster,
-  { kind, engine: name, tokens }: Action,
-  number: number,
+  { kind, engine: name, magnitude }: Action,
+  actionIndex: number,
 ): void {
   const engine = cluster.engine(name);
-  const digest = kind === 'submitCrashing' ? 'digest-bad' : `digest-${number}`;
+  const digest = kind === 'submitCrashing' ? 'digest-crashing' : `digest-${actionIndex}`;
   switch (kind) {
     case 'submit':
     case 'submitCrashing':
-      cluster.entry.submitRequest(makeRequest(`request-${number}`, { maxTokens: tokens, digest }));
+      cluster.entry.submitRequest(
+        makeRequest(`request-${actionIndex}`, { maxTokens: magnitude, digest }),
+      );
       return;
     case 'die':
       engine.die();
@@ -64,7 +71,7 @@
       });
       return;
     case 'reclaim':
-      cluster.reclaim([name], tokens * 20);
+      cluster.reclaim([name], magnitude * 20);
       return;
     case 'busy':
     case 'free':
@@ -73,24 +80,24 @@
     case 'failMoves':
       cluster.movesFail = !cluster.movesFail;
       return;
-    case 'resendEvents':
-      resendStreamEvents(cluster);
+    case 'unknownEvents':
+      sendEventsOfUnknownAttempts(cluster);
       return;
     default:
       cluster.disconnectCaller(0);
   }
 }
 
-function runActions(steps: readonly Action[]): SimulatedCluster {
-  const crashTokenByDigest = new Map([['digest-bad', 3]]);
+function runActions(actions: readonly Action[]): SimulatedCluster {
+  const crashTokenByDigest = new Map([['digest-crashing', 3]]);
   const engines = { 'wien-a': 2, 'wien-b': 2 };
   const cluster = new SimulatedCluster({
     engines,
     crashTokenByDigest,
     wholeAnswerMilliseconds: 8000,
   });
-  steps.forEach((action, number) => {
-    applyAction(cluster, action, number);
+  actions.forEach((action, actionIndex) => {
+    applyAction(cluster, action, actionIndex);
     cluster.advance(action.delaySteps * 10);
   });
   cluster.runUntilAnswered(10_000);
@@ -101,8 +108,8 @@
 // engine received its request. No state may remain, since a leak would block the entry's shutdown.
 test('random interleavings of failures never break the guarantees given to callers', () => {
   fc.assert(
-    fc.property(actions, (steps) => {
-      const cluster = runActions(steps);
+    fc.property(actionLists, (actions) => {
+      const cluster = runActions(actions);
       assert.deepEqual(cluster.findViolations(), []);
       assert.equal(cluster.entry.state.requests.size, 0);
       assert.equal(cluster.entry.state.attempts.size, 0);
@@ -116,8 +123,8 @@
   );
 });
 
-// Checks that `findViolations` can fail: the event claims that an attempt ended before its last token.
-test('finishing an attempt before its last token is reported as a violation', () => {
+// Guards against a `findViolations` that never reports anything.
+test('findViolations reports an answer that was finished before its last token', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 2 } });
   cluster.entry.submitRequest(makeRequest('one'));
   cluster.advance(1000);
--- a/packages/entry-core/src/attempts/launchAttempt.ts
+++ b/packages/entry-core/src/attempts/launchAttempt.ts
@@ -24,33 +24,40 @@
 
 const MIN_FIRST_BYTE_TIMEOUT_MILLISECONDS = 1000;
 
-/** An attempt may spend this fraction of the time until the first token is due without a byte. */
+/**
+ * Fraction of the time until the first token is due after which an attempt without data times out.
+ */
 const MAX_FIRST_BYTE_FRACTION_OF_TIME_LEFT = 0.6;
 
 /** How many times longer than estimated a prefill may take before the attempt times out. */
 const MAX_PREFILL_SLOWDOWN = 3;
 
 /**
- * How long to wait for the first byte. A call that cannot be retried may use all the time until its
- * deadline. Any other leaves time for another attempt before the first token is due, but allows for
- * the prefill of the prompt and, on a resume, of the tokens generated so far.
+ * How long to wait for the first byte. An attempt that no other can follow may use all the time
+ * until the deadline. Any other leaves time for another attempt before the first token is due, but
+ * allows for the prefill of the prompt and, on a resume, of the tokens generated so far.
  */
-function computeFirstByteTimeout(accepted: RequestState, now: MonotonicMilliseconds): Milliseconds {
-  const timeUntilDeadline = Math.max(1, accepted.wholeAnswerDueAt - now);
-  const isLastAttempt = accepted.attemptsStarted >= (accepted.route.mostAttempts ?? Infinity);
-  if (!accepted.route.idempotent || isLastAttempt) return timeUntilDeadline;
-  const allowedWait = (accepted.firstTokenDueAt - now) * MAX_FIRST_BYTE_FRACTION_OF_TIME_LEFT;
+function computeFirstByteTimeout(
+  requestState: RequestState,
+  now: MonotonicMilliseconds,
+): Milliseconds {
+  const timeUntilDeadline = Math.max(1, requestState.wholeAnswerDueAt - now);
+  const isLastAttempt =
+    requestState.attemptsStarted >= (requestState.route.mostAttempts ?? Infinity);
+  if (!requestState.route.idempotent || isLastAttempt) return timeUntilDeadline;
+  const allowedWait = (requestState.firstTokenDueAt - now) * MAX_FIRST_BYTE_FRACTION_OF_TIME_LEFT;
   const minTimeout =
-    MIN_FIRST_BYTE_TIMEOUT_MILLISECONDS + estimatePrefillDuration(accepted) * MAX_PREFILL_SLOWDOWN;
+    MIN_FIRST_BYTE_TIMEOUT_MILLISECONDS +
+    estimatePrefillDuration(requestState) * MAX_PREFILL_SLOWDOWN;
   return Math.min(timeUntilDeadline, Math.max(minTimeout, allowedWait));
 }
 
 /** Counts the tokens that the engine has to recompute for this attempt. */
-function countRecomputed(accepted: RequestState): EntryEffect[] {
-  const { recompute } = accepted;
-  accepted.recompute = undefined;
+function countRecomputed(requestState: RequestState): EntryEffect[] {
+  const { recompute } = requestState;
+  requestState.recompute = undefined;
   if (recompute === undefined || recompute.tokens === 0) return [];
-  const { workspace } = accepted.request;
+  const { workspace } = requestState.request;
   const { reason, tokens } = recompute;
   return [
     { type: 'count', metric: 'recomputedTokens', label: reason, amount: tokens },
@@ -60,24 +67,25 @@
 
 export function launchAttempt(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   server: BackendServerState,
   now: MonotonicMilliseconds,
 ): EntryEffect[] {
-  const { requestId } = accepted.request;
+  const { requestId } = requestState.request;
   const { instance } = server.platformInstance;
-  const pool = getPoolState(state, accepted.pool.name);
-  if (accepted.attemptsStarted === 0) earnRetries(state.retries, accepted.route.name, instance);
-  accepted.attemptsStarted += 1;
-  const attemptId = attemptIdOf(requestId, accepted.attemptsStarted);
-  const resumeFromTokens = state.retries.policy.resumeFromOffset ? accepted.tokens : 0;
-  accepted.attemptId = attemptId;
-  accepted.waitingForServerSince = undefined;
+  const pool = getPoolState(state, requestState.pool.name);
+  if (requestState.attemptsStarted === 0)
+    earnRetries(state.retries, requestState.route.name, instance);
+  requestState.attemptsStarted += 1;
+  const attemptId = attemptIdOf(requestId, requestState.attemptsStarted);
+  const resumeFromTokens = state.retries.policy.resumeFromOffset ? requestState.tokens : 0;
+  requestState.attemptId = attemptId;
+  requestState.waitingForServerSince = undefined;
   // Peers must know where a suspect runs before they place their own suspects.
-  if (isSuspect(state, accepted.request.digest)) reportSoon(state);
+  if (isSuspect(state, requestState.request.digest)) reportSoon(state);
   // Deleted first, so that the server tried last is always the last element.
-  accepted.triedInstances.delete(instance);
-  accepted.triedInstances.add(instance);
+  requestState.triedInstances.delete(instance);
+  requestState.triedInstances.add(instance);
   state.retries.waiting.delete(requestId);
   server.attemptIds.add(attemptId);
   state.attempts.set(attemptId, {
@@ -86,31 +94,31 @@
     instance,
     startedAt: now,
     resumedFromTokens: resumeFromTokens,
-    sent: false,
+    maybeSent: false,
     firstTokenAt: undefined,
     tokens: resumeFromTokens,
     tokensUpdatedAt: undefined,
     givenUp: false,
   });
   return [
-    ...countRecomputed(accepted),
+    ...countRecomputed(requestState),
     {
       type: 'startAttempt',
       requestId,
       attemptId,
-      target: makeAttemptTarget(server, accepted.pool),
-      workspace: accepted.request.workspace,
-      timeLeft: Math.max(1, accepted.wholeAnswerDueAt - now),
+      target: makeAttemptTarget(server, requestState.pool),
+      workspace: requestState.request.workspace,
+      timeLeft: Math.max(1, requestState.wholeAnswerDueAt - now),
       resumeFromTokens,
-      priority: accepted.isLate === true ? LOWEST_PRIORITY : accepted.route.priority,
-      sendOnce: !accepted.route.idempotent,
-      firstByteTimeout: computeFirstByteTimeout(accepted, now),
+      priority: requestState.isLate === true ? LOWEST_PRIORITY : requestState.route.priority,
+      sendOnce: !requestState.route.idempotent,
+      firstByteTimeout: computeFirstByteTimeout(requestState, now),
       streamIdleTimeout: STREAM_IDLE_TIMEOUT_MILLISECONDS,
     },
     {
       type: 'log',
       event: 'attemptStarted',
-      fields: { requestId, attemptId, ...describePrediction(state, pool, server, accepted) },
+      fields: { requestId, attemptId, ...describePrediction(state, pool, server, requestState) },
     },
   ];
 }
--- a/packages/entry-core/src/attempts/loss.test.ts
+++ b/packages/entry-core/src/attempts/loss.test.ts
@@ -29,7 +29,8 @@
 }
 
 // The stream times out, but a probe over a new connection is answered. The answer is resumed on the
-// same engine, the only one; the engine is not marked as down, and the request does not become a suspect.
+// same engine, the only one; the engine is not marked as down, and the request does not become a
+// suspect.
 test('a stalled connection is not treated as a failed backend server', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 1 } });
   const caller = cluster.entry.submitRequest(makeRequest('one'));
@@ -88,8 +89,8 @@
   assert.equal(entry.state.retries.waiting.size, 0);
 });
 
-// The second attempt has already produced tokens, so using the late answer of the first would mix two
-// answers.
+// The second attempt has already produced tokens, so using the late answer of the first would mix
+// two answers.
 test('a late answer is dropped and counted once a retry has produced tokens', () => {
   const cluster = new SimulatedCluster({ engines });
   const { entry } = cluster;
@@ -107,8 +108,8 @@
   assert.equal(caller.tokens.join(''), expectedAnswer(request));
 });
 
-// Missing progress starts a probe well before the stream timeout; the unanswered probe then ends all
-// streams of the host.
+// Missing progress starts a probe well before the stream timeout; the unanswered probe then ends
+// all streams of the host.
 test('an unreachable host is detected by its stalled streams before they time out', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 1, 'wien-b': 1 }, losesHost: true });
   const callers = ['one', 'two'].map((name) => cluster.entry.submitRequest(makeRequest(name)));
@@ -124,7 +125,8 @@
   );
 });
 
-// An engine too busy to accept new connections does not answer the probe, but still serves its streams.
+// An engine too busy to accept new connections does not answer the probe, but still serves its
+// streams.
 test('an unanswered probe does not end streams that still produce tokens', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 1 } });
   const callers = ['one', 'two', 'three'].map((name) =>
--- a/packages/entry-core/src/attempts/opaqueCalls.test.ts
+++ b/packages/entry-core/src/attempts/opaqueCalls.test.ts
@@ -136,9 +136,9 @@
   assert.deepEqual(describeEffects(entry.submitRequest()), ['notConfigured ran undefined']);
 });
 
-// A caller with a short deadline is refused early enough to try elsewhere; a disconnected caller gets
-// no answer, and a shutdown refuses all that wait.
-test('waiting for the configuration ends early on a short deadline, a disconnect or a shutdown', () => {
+// A caller with a short deadline is refused early enough to try elsewhere; a disconnected caller
+// gets no answer, and a shutdown refuses all that wait.
+test('a short deadline, a disconnect or a shutdown ends the wait for the configuration', () => {
   const impatient = makeEntry(nonIdempotentRoute, false, RECENT_INCARNATION);
   impatient.submitRequest({ patience: 300 });
   assert.deepEqual(describeEffects(impatient.advanceTime(100)), ['notConfigured ran undefined']);
@@ -154,8 +154,8 @@
   );
 });
 
-// Requests beyond the allowance are refused however large the fleet is, so counting them would order
-// instances that no request could use.
+// Requests beyond the allowance are refused however large the fleet is, so counting them would
+// order instances that no request could use.
 test('requests beyond an allowance are not counted as demand', () => {
   const allowance: Allowance = {
     unit: 'requests',
@@ -179,7 +179,7 @@
 });
 
 // A busy backend server rejects the call without running it, so a retry cannot run it twice.
-test('a non-idempotent call that certainly did not run is retried on another backend server', () => {
+test('a non-idempotent call that certainly did not run is retried elsewhere', () => {
   const entry = makeEntry(nonIdempotentRoute);
   entry.submitRequest();
   assert.deepEqual(entry.failAttempt(1, 'busy', 'nothing'), []);
@@ -216,7 +216,7 @@
   ]);
 });
 
-test('the time left that is sent to the backend server is limited by the caller’s patience', () => {
+test('the time that an attempt may take is limited by the caller’s patience', () => {
   const [start] = makeEntry(nonIdempotentRoute).submitRequest({ patience: 700 });
   assert.ok(start?.type === 'startAttempt');
   assert.equal(start.timeLeft, 700);
--- a/packages/entry-core/src/attempts/plainService.test.ts
+++ b/packages/entry-core/src/attempts/plainService.test.ts
@@ -28,8 +28,8 @@
   cluster.engine(attempt.instance).die();
 }
 
-// The call was in transit when the backend server crashed, so it may have run. Sending it again could
-// book the seat twice.
+// The call was in transit when the backend server crashed, so it may have run. Sending it again
+// could book the seat twice.
 test('a non-idempotent call is never sent twice', () => {
   const cluster = makeCluster();
   const caller = cluster.entry.submitRequest(makeCall('/reservations', 50));
@@ -57,7 +57,7 @@
   assert.equal(countReceived(cluster), 1);
 });
 
-// A second answer need not begin with the same bytes, so it cannot be appended to the first. The caller
+// A second answer need not begin with the same bytes, so it cannot complete the first. The caller
 // must get an error instead of an answer that looks complete.
 test('an answer of a plain service that has begun is not retried', () => {
   const cluster = makeCluster();
@@ -81,7 +81,8 @@
   assert.deepEqual(cluster.findViolations(), []);
 });
 
-// The host becomes unreachable: one connection is reset, the other is ended by the unanswered probe.
+// The host becomes unreachable: one connection is reset, the other is ended by the unanswered
+// probe.
 test('an answer of a plain service that is ended by an unanswered probe is not retried', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 1 }, pool: 'bookings' });
   const callers = ['one', 'two'].map((name) =>
--- a/packages/entry-core/src/attempts/reduceAttempts.ts
+++ b/packages/entry-core/src/attempts/reduceAttempts.ts
@@ -1,8 +1,8 @@
 /**
  * Applies the events of an attempt's stream to its request. Every event names its attempt, and only
  * the attempt that the request is currently bound to changes the request; events of other attempts
- * could otherwise duplicate the answer or splice two answers together. One exception: an abandoned
- * attempt may still deliver the answer while the caller has received nothing.
+ * could otherwise duplicate the answer or splice two answers together. One exception: an
+ * attempt that timed out may still deliver the answer while the caller has received nothing.
  */
 import { assertNever } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -38,49 +38,54 @@
 
 function recordFirstToken(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   attempt: AttemptState,
   { now, wallNow }: EntryEvent,
 ): EntryEffect[] {
-  if (attempt.firstTokenAt === undefined) state.usage.record(accepted.request.workspace, wallNow);
+  if (attempt.firstTokenAt === undefined)
+    state.usage.record(requestState.request.workspace, wallNow);
   attempt.firstTokenAt ??= now;
-  if (accepted.firstTokenAt !== undefined) return [];
-  accepted.firstTokenAt = now;
+  if (requestState.firstTokenAt !== undefined) return [];
+  requestState.firstTokenAt = now;
   return [
     {
       type: 'observe',
       metric: 'firstTokenSeconds',
-      value: (now - accepted.arrivedAt) / 1000,
-      label: accepted.route.name,
+      value: (now - requestState.arrivedAt) / 1000,
+      label: requestState.route.name,
     },
   ];
 }
 
 function recordProgress(
-  accepted: RequestState,
+  requestState: RequestState,
   attempt: AttemptState,
   event: Extract<EntryEvent, { type: 'attemptProgressed' }>,
 ): void {
   attempt.firstTokenAt ??= event.now;
   attempt.tokens = Math.max(attempt.tokens, event.tokens);
   attempt.tokensUpdatedAt = event.now;
-  accepted.tokens = Math.max(accepted.tokens, event.tokens);
+  requestState.tokens = Math.max(requestState.tokens, event.tokens);
 }
 
 /**
  * Handles the complete answer of an attempt that had timed out. If the caller has received nothing
  * yet, the answer is used and the newer attempt is cancelled.
  */
-function finishAbandonedAttempt(
+function finishTimedOutAttempt(
   state: EntryState,
-  accepted: RequestState | undefined,
+  requestState: RequestState | undefined,
   { attemptId, longestPause }: AttemptFinishedEvent,
 ): EntryEffect[] {
   state.attempts.delete(attemptId);
-  if (accepted === undefined || accepted.firstTokenAt !== undefined || accepted.tokens > 0) {
+  if (
+    requestState === undefined ||
+    requestState.firstTokenAt !== undefined ||
+    requestState.tokens > 0
+  ) {
     return countLateAnswer();
   }
-  return finishRequest(state, accepted, attemptId, longestPause);
+  return finishRequest(state, requestState, attemptId, longestPause);
 }
 
 function finishAttempt(
@@ -88,13 +93,14 @@
   attempt: AttemptState,
   event: AttemptFinishedEvent,
 ): EntryEffect[] {
-  const accepted = state.requests.get(attempt.requestId);
-  if (attempt.givenUp) return finishAbandonedAttempt(state, accepted, event);
+  const requestState = state.requests.get(attempt.requestId);
+  if (attempt.givenUp) return finishTimedOutAttempt(state, requestState, event);
   removeAttempt(state, attempt);
-  if (accepted === undefined || accepted.attemptId !== attempt.attemptId) return countLateAnswer();
-  accepted.attemptId = undefined;
-  accepted.maybeSent = true;
-  return finishRequest(state, accepted, attempt.attemptId, event.longestPause);
+  if (requestState === undefined || requestState.attemptId !== attempt.attemptId)
+    return countLateAnswer();
+  requestState.attemptId = undefined;
+  requestState.maybeSent = true;
+  return finishRequest(state, requestState, attempt.attemptId, event.longestPause);
 }
 
 export function reduceAttempts(state: EntryState, event: AttemptEvent): EntryEffect[] {
@@ -102,17 +108,17 @@
   if (attempt === undefined) return event.type === 'attemptFinished' ? countLateAnswer() : [];
   if (event.type === 'attemptFinished') return finishAttempt(state, attempt, event);
   if (event.type === 'attemptFailed') return failAttempt(state, attempt, event);
-  const accepted = state.requests.get(attempt.requestId);
-  if (accepted === undefined || accepted.attemptId !== attempt.attemptId) return [];
+  const requestState = state.requests.get(attempt.requestId);
+  if (requestState === undefined || requestState.attemptId !== attempt.attemptId) return [];
   switch (event.type) {
     case 'attemptSent':
-      attempt.sent = true;
-      accepted.maybeSent = true;
+      attempt.maybeSent = true;
+      requestState.maybeSent = true;
       return [];
     case 'firstTokenReceived':
-      return recordFirstToken(state, accepted, attempt, event);
+      return recordFirstToken(state, requestState, attempt, event);
     case 'attemptProgressed':
-      recordProgress(accepted, attempt, event);
+      recordProgress(requestState, attempt, event);
       return [];
     case 'attemptHeld':
       attempt.pausedByCaller = event.held;
--- a/packages/entry-core/src/attempts/releaseAttempts.ts
+++ b/packages/entry-core/src/attempts/releaseAttempts.ts
@@ -18,17 +18,17 @@
 }
 
 /** Cancels the current attempt of a request. It may have sent bytes, so `maybeSent` is set. */
-export function cancelAttempt(state: EntryState, accepted: RequestState): EntryEffect[] {
-  const { attemptId } = accepted;
+export function cancelAttempt(state: EntryState, requestState: RequestState): EntryEffect[] {
+  const { attemptId } = requestState;
   if (attemptId === undefined) return [];
   const attempt = state.attempts.get(attemptId);
   if (attempt !== undefined) removeAttempt(state, attempt);
-  accepted.attemptId = undefined;
-  accepted.maybeSent = true;
+  requestState.attemptId = undefined;
+  requestState.maybeSent = true;
   return [{ type: 'cancelAttempt', attemptId }];
 }
 
-/** Removes a running move of the request's KV cache and its reservation at the target. */
+/** Removes the move of the request's KV cache, if one is in progress, and its reservation. */
 export function removeCacheMove(state: EntryState, requestId: string): void {
   const move = state.reclaims.moves.get(requestId);
   if (move === undefined) return;
@@ -45,15 +45,15 @@
 }
 
 /**
- * Releases what a request holds when it ends. The attempt of a claimed call keeps running, since its
- * outcome still has to be recorded; all others are cancelled.
+ * Releases what a request holds when it ends. The attempt of a claimed call keeps running, since
+ * its outcome still has to be recorded; all others are cancelled.
  */
-export function releaseAttempts(state: EntryState, accepted: RequestState): EntryEffect[] {
-  const { requestId } = accepted.request;
+export function releaseAttempts(state: EntryState, requestState: RequestState): EntryEffect[] {
+  const { requestId } = requestState.request;
   state.retries.waiting.delete(requestId);
   removeCacheMove(state, requestId);
-  const effects = isClaimed(accepted.route) ? [] : cancelAttempt(state, accepted);
-  accepted.abandonedAttemptIds?.forEach((attemptId) => {
+  const effects = isClaimed(requestState.route) ? [] : cancelAttempt(state, requestState);
+  requestState.abandonedAttemptIds?.forEach((attemptId) => {
     if (state.attempts.delete(attemptId)) effects.push({ type: 'cancelAttempt', attemptId });
   });
   return effects;
--- a/packages/entry-core/src/attempts/retryRequest.ts
+++ b/packages/entry-core/src/attempts/retryRequest.ts
@@ -20,7 +20,7 @@
 import { spendRetry } from './retryBudget.js';
 import { startAttempt } from './startAttempt.js';
 
-/** `Retry-After` of a request that fails because its retry was refused. */
+/** Delay after which the caller may send a request again whose retry was refused. */
 const REFUSED_RETRY_AFTER_MILLISECONDS = 1000;
 
 /** Why a request needs another attempt. */
@@ -28,7 +28,7 @@
   readonly reason: RetryReason;
   /** Where the attempt failed. */
   readonly instance: string;
-  /** True if the retry uses no budget and starts without a back-off; see `isExemptFromBudget`. */
+  /** True if the retry uses no budget and starts without a back-off; see `failAttempt`. */
   readonly exemptFromBudget: boolean;
   /** Delay that the backend server asked for. */
   readonly retryAfter?: Milliseconds;
@@ -38,60 +38,68 @@
 
 function refuseRetry(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   reason: RetryRefusalReason,
   kind: ErrorKind,
   detail: string,
 ): EntryEffect[] {
   return [
     { type: 'count', metric: 'retriesRefused', label: reason },
-    ...failRequest(state, accepted, kind, detail, {
-      ran: determineRan(accepted),
+    ...failRequest(state, requestState, kind, detail, {
+      ran: determineRan(requestState),
       retryAfterMilliseconds: REFUSED_RETRY_AFTER_MILLISECONDS,
     }),
   ];
 }
 
-export function failInterruptedAnswer(state: EntryState, accepted: RequestState): EntryEffect[] {
+export function failInterruptedAnswer(
+  state: EntryState,
+  requestState: RequestState,
+): EntryEffect[] {
   const detail = 'The backend server failed after part of the answer was sent';
-  return refuseRetry(state, accepted, 'answerStarted', 'answerCut', detail);
+  return refuseRetry(state, requestState, 'answerStarted', 'answerCut', detail);
 }
 
-function recordRecompute(accepted: RequestState, cause: RetryCause): void {
+function recordRecompute(requestState: RequestState, cause: RetryCause): void {
   if (cause.recompute === undefined) return;
-  const tokens = accepted.request.promptTokens + accepted.tokens;
-  accepted.recompute = { reason: cause.recompute, tokens };
+  const tokens = requestState.request.promptTokens + requestState.tokens;
+  requestState.recompute = { reason: cause.recompute, tokens };
 }
 
 export function retryRequest(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   cause: RetryCause,
   now: MonotonicMilliseconds,
 ): EntryEffect[] {
-  if (!accepted.route.idempotent && accepted.maybeSent === true) {
+  if (!requestState.route.idempotent && requestState.maybeSent === true) {
     const detail = 'The call may have run and is not idempotent, so it is not retried';
-    const kind = isClaimed(accepted.route) ? 'outcomeUnknown' : 'backendServerFailed';
-    return refuseRetry(state, accepted, 'notIdempotent', kind, detail);
+    const kind = isClaimed(requestState.route) ? 'outcomeUnknown' : 'backendServerFailed';
+    return refuseRetry(state, requestState, 'notIdempotent', kind, detail);
   }
-  if (accepted.attemptsStarted >= (accepted.route.mostAttempts ?? Infinity)) {
-    const detail = `The route allows at most ${accepted.attemptsStarted} attempts`;
-    return refuseRetry(state, accepted, 'attemptsUsedUp', 'backendServerFailed', detail);
+  if (requestState.attemptsStarted >= (requestState.route.mostAttempts ?? Infinity)) {
+    const detail = `The route allows at most ${requestState.attemptsStarted} attempts`;
+    return refuseRetry(state, requestState, 'attemptsUsedUp', 'backendServerFailed', detail);
   }
-  const backOff = cause.exemptFromBudget ? 0 : drawBackOff(state.retries, accepted.attemptsStarted);
+  const backOff = cause.exemptFromBudget
+    ? 0
+    : drawBackOff(state.retries, requestState.attemptsStarted);
   const delay = Math.max(backOff, cause.retryAfter ?? 0);
-  if (now + delay >= accepted.wholeAnswerDueAt) {
+  if (now + delay >= requestState.wholeAnswerDueAt) {
     const detail = 'The deadline is too near for another attempt';
-    return refuseRetry(state, accepted, 'deadlineTooNear', 'deadlineExceeded', detail);
+    return refuseRetry(state, requestState, 'deadlineTooNear', 'deadlineExceeded', detail);
   }
-  if (!cause.exemptFromBudget && !spendRetry(state.retries, accepted.route.name, cause.instance)) {
+  if (
+    !cause.exemptFromBudget &&
+    !spendRetry(state.retries, requestState.route.name, cause.instance)
+  ) {
     const detail = 'The backend server failed and the retry budget is exhausted';
-    return refuseRetry(state, accepted, 'budgetSpent', 'backendServerFailed', detail);
+    return refuseRetry(state, requestState, 'budgetSpent', 'backendServerFailed', detail);
   }
-  recordRecompute(accepted, cause);
+  recordRecompute(requestState, cause);
   const countEffect: EntryEffect = { type: 'count', metric: 'retries', label: cause.reason };
-  if (delay === 0) return [countEffect, ...startAttempt(state, accepted, now)];
-  const { requestId } = accepted.request;
+  if (delay === 0) return [countEffect, ...startAttempt(state, requestState, now)];
+  const { requestId } = requestState.request;
   state.retries.waiting.set(requestId, { requestId, waitsFor: 'backOff', dueAt: now + delay });
   return [countEffect];
 }
--- a/packages/entry-core/src/attempts/retryStorm.test.ts
+++ b/packages/entry-core/src/attempts/retryStorm.test.ts
@@ -4,8 +4,8 @@
 
 const REQUEST_COUNT = 300;
 
-// All engines are busy, so each retry only adds load. The budget allows an initial burst and a fraction
-// of the first attempts; all other requests fail with a retry delay.
+// All engines are busy, so each retry only adds load. The budget allows an initial burst and a
+// fraction of the first attempts; all other requests fail with a retry delay.
 test('the retry budget limits retries when all engines are busy', () => {
   const cluster = runRetryStorm(REQUEST_COUNT, true);
   const retries = cluster.entry.count('retries/backendServerBusy');
@@ -18,7 +18,7 @@
   });
 });
 
-// Checks that the scenario above would otherwise cause a retry storm.
+// Checks that the scenario above causes a retry storm if there is no budget.
 test('without a budget the same scenario multiplies the requests', () => {
   const retries = runRetryStorm(REQUEST_COUNT, false).entry.count('retries/backendServerBusy');
   assert.equal(retries > 3 * REQUEST_COUNT, true, `${retries} retries`);
--- a/packages/entry-core/src/attempts/startAttempt.ts
+++ b/packages/entry-core/src/attempts/startAttempt.ts
@@ -1,6 +1,6 @@
 /**
- * Starts the next attempt of a request. If no backend server can take it now, the request is queued
- * or waits for one; if none can take it before its deadline, the request fails.
+ * Starts the next attempt of a request. If no backend server can take it now, the request is
+ * queued, waits until one becomes usable, or fails.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -18,21 +18,21 @@
 /** Interval at which a request that waits for a backend server tries again. */
 const SERVER_RECHECK_MILLISECONDS = 50;
 
-/** `Retry-After` of a request that fails because its pool has no usable backend server. */
+/** Delay after which the caller may send a request again for which no backend server was usable. */
 const NO_SERVER_RETRY_AFTER_MILLISECONDS = 2000;
 
 function refuseQuarantined(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   now: MonotonicMilliseconds,
 ): EntryEffect[] | undefined {
-  const quarantined = state.quarantine.quarantined.get(accepted.request.digest);
+  const quarantined = state.quarantine.quarantined.get(requestState.request.digest);
   if (quarantined === undefined || quarantined.endsAt <= now) return undefined;
   const detail = 'The request is quarantined because it crashed backend servers';
   return [
-    ...(accepted.attemptsStarted === 0 ? [] : countRefusedRetry('quarantined')),
-    ...failRequest(state, accepted, 'quarantined', detail, {
-      ran: determineRan(accepted),
+    ...(requestState.attemptsStarted === 0 ? [] : countRefusedRetry('quarantined')),
+    ...failRequest(state, requestState, 'quarantined', detail, {
+      ran: determineRan(requestState),
       retryAfterMilliseconds: quarantined.endsAt - now,
     }),
   ];
@@ -42,18 +42,18 @@
   return [{ type: 'count', metric: 'retriesRefused', label }];
 }
 
-function failWithoutServer(state: EntryState, accepted: RequestState): EntryEffect[] {
-  const detail = `Pool "${accepted.pool.name}" has no backend server that can take the request`;
+function failWithoutServer(state: EntryState, requestState: RequestState): EntryEffect[] {
+  const detail = `Pool "${requestState.pool.name}" has no backend server that can take the request`;
   return [
-    ...(accepted.attemptsStarted === 0 ? [] : countRefusedRetry('noOtherBackendServer')),
-    ...failRequest(state, accepted, 'noBackendServer', detail, {
-      ran: determineRan(accepted),
+    ...(requestState.attemptsStarted === 0 ? [] : countRefusedRetry('noOtherBackendServer')),
+    ...failRequest(state, requestState, 'noBackendServer', detail, {
+      ran: determineRan(requestState),
       retryAfterMilliseconds: NO_SERVER_RETRY_AFTER_MILLISECONDS,
     }),
   ];
 }
 
-/** Tries the request again after the recheck interval, or earlier when a loss is classified. */
+/** Schedules another try after the recheck interval; a classified loss triggers it earlier. */
 function waitForBackendServer(
   state: EntryState,
   { request }: RequestState,
@@ -69,26 +69,27 @@
  */
 export function startAttempt(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   now: MonotonicMilliseconds,
   chosenServer?: BackendServerState,
 ): EntryEffect[] {
-  const refusal = refuseQuarantined(state, accepted, now);
+  const refusal = refuseQuarantined(state, requestState, now);
   if (refusal !== undefined) return refusal;
   if (
     state.retries.policy.isolateSuspects &&
-    mustDelaySuspect(state, accepted.request.digest, now)
+    mustDelaySuspect(state, requestState.request.digest, now)
   ) {
-    waitForBackendServer(state, accepted, now);
+    waitForBackendServer(state, requestState, now);
     return [];
   }
-  if (chosenServer !== undefined) return launchAttempt(state, accepted, chosenServer, now);
-  const placement = placeRequest(state, accepted, now);
-  if (placement.type === 'start') return launchAttempt(state, accepted, placement.server, now);
-  if (placement.type === 'wait') return enqueue(state, accepted, now);
-  const server = chooseServerForAttempt(state, accepted);
-  if (server !== undefined) return launchAttempt(state, accepted, server, now);
-  if (!canWaitForBackendServer(state, accepted, now)) return failWithoutServer(state, accepted);
-  waitForBackendServer(state, accepted, now);
+  if (chosenServer !== undefined) return launchAttempt(state, requestState, chosenServer, now);
+  const placement = placeRequest(state, requestState, now);
+  if (placement.type === 'start') return launchAttempt(state, requestState, placement.server, now);
+  if (placement.type === 'wait') return enqueue(state, requestState, now);
+  const server = chooseServerForAttempt(state, requestState);
+  if (server !== undefined) return launchAttempt(state, requestState, server, now);
+  if (!canWaitForBackendServer(state, requestState, now))
+    return failWithoutServer(state, requestState);
+  waitForBackendServer(state, requestState, now);
   return [];
 }
--- a/packages/entry-core/src/claims/ClaimedCall.ts
+++ b/packages/entry-core/src/claims/ClaimedCall.ts
@@ -1,6 +1,7 @@
 /**
- * State, events and effects of one attempt at a call that may run at most once. The attempt claims
- * the call in the replicated log, sends it, and records its outcome there.
+ * State, events and effects of the claim by which one request sends a call that may run at most
+ * once. A call is identified by its workspace and idempotency key; when a caller sends it again,
+ * that is another request for the same call, with its own claim state.
  */
 import type {
   ErrorKind,
@@ -14,8 +15,8 @@
   StoredAnswer,
 } from '@hornbeampond/schema';
 
-/** The call that is claimed, and the entry that claims it. */
-export interface ClaimIntent {
+/** The call to be claimed, and the entry that claims it. */
+export interface ClaimSubject {
   readonly workspace: string;
   readonly key: string;
   readonly digest: string;
@@ -25,9 +26,9 @@
 export type ClaimCommand = OpenClaimCommand | ReleaseClaimCommand | SettleClaimCommand;
 
 /**
- * `opening`: the claim was requested. `sending`: this attempt holds the claim and sends the call once.
- * `settling`: the outcome is being recorded. `releasing`: the call was not and will not be sent, and
- * the claim is being released.
+ * `opening`: the claim was requested. `sending`: this request holds the claim and sends the call
+ * once. `settling`: the outcome is being recorded in the log. `releasing`: the call was not and
+ * will not be sent, and the claim is being released.
  */
 export type ClaimedCallPhase = 'opening' | 'sending' | 'settling' | 'releasing' | 'finished';
 
@@ -35,19 +36,19 @@
 export type AfterRelease = 'tryElsewhere' | 'nothing';
 
 export interface ClaimedCall {
-  readonly intent: ClaimIntent;
-  /** Unique for all time, also across restarts of the entry. */
+  readonly intent: ClaimSubject;
+  /** Identifies this request in the log: its request id, not the id of an `AttemptState`. */
   readonly attemptId: string;
   readonly startedAt: MonotonicMilliseconds;
   readonly expiresAfter: Milliseconds;
   phase: ClaimedCallPhase;
   /** The command that awaits acknowledgement; resent unchanged. */
   pending: ClaimCommand | undefined;
-  /** How often the pending command was sent. */
+  /** Times that the pending command was sent since the log last answered it. */
   tries: number;
-  /** True while another attempt holds the claim, so that the call may be running there. */
+  /** True from when the log reports that another request holds the claim until this one gets it. */
   heldElsewhere: boolean;
-  /** True once the caller has received its final answer. */
+  /** True once the caller's final answer or `tryElsewhere` was decided; no other may follow. */
   answered: boolean;
   afterRelease: AfterRelease;
 }
@@ -75,14 +76,16 @@
 
 export type ClaimedCallEffect =
   | { readonly type: 'propose'; readonly command: ClaimCommand }
-  /** The caller of the reducer adds jitter and sends `resendDue` afterwards. */
+  /**
+   * Whoever applies the effect adds jitter to the delay and sends `resendDue` when it has passed.
+   */
   | { readonly type: 'startResendTimer'; readonly after: Milliseconds }
   | { readonly type: 'sendCall'; readonly attemptId: string }
   | { readonly type: 'answer'; readonly answer: StoredAnswer; readonly replayed: boolean }
   | { readonly type: 'refuse'; readonly kind: ErrorKind; readonly ran: Ran }
   /**
-   * The attempt was not sent and never will be. The receiver may start a new attempt on another
-   * backend server, or fail the request with `ran: no`.
+   * The call was not sent and the claim is released. Whoever applies the effect may try another
+   * backend server under a new claim, or fail the request with `ran: no`.
    */
   | { readonly type: 'tryElsewhere' }
   /** The state is no longer needed. */
--- a/packages/entry-core/src/claims/RequestClaim.ts
+++ b/packages/entry-core/src/claims/RequestClaim.ts
@@ -6,7 +6,7 @@
 export interface RequestClaim {
   readonly call: ClaimedCall;
   /** May already be answered; the claim is kept until its outcome or release is in the log. */
-  readonly accepted: RequestState;
-  /** When the pending command is resent, or the outcome of another attempt is queried again. */
+  readonly requestState: RequestState;
+  /** When the pending command is resent, or the log is asked again for the outcome. */
   resendAt: MonotonicMilliseconds;
 }
--- a/packages/entry-core/src/claims/applyClaimEffect.ts
+++ b/packages/entry-core/src/claims/applyClaimEffect.ts
@@ -1,6 +1,6 @@
 /**
- * Passes events to the state machine of a claimed call and turns the effects it returns into effects
- * of the entry.
+ * Passes events to the state machine of a claimed call and turns the effects it returns into
+ * effects of the entry.
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { assertNever, type ErrorKind } from '@hornbeampond/schema';
@@ -32,7 +32,7 @@
   timestamps: Timestamps,
 ): EntryEffect[] {
   const effects = reduceClaimedCall(claim.call, event);
-  claim.accepted.mayRunElsewhere = claim.call.heldElsewhere;
+  claim.requestState.mayRunElsewhere = claim.call.heldElsewhere;
   return effects.flatMap((effect) => applyClaimEffect(state, claim, effect, timestamps));
 }
 
@@ -42,8 +42,8 @@
   effect: ClaimedCallEffect,
   timestamps: Timestamps,
 ): EntryEffect[] {
-  const { accepted } = claim;
-  const { requestId } = accepted.request;
+  const { requestState } = claim;
+  const { requestId } = requestState.request;
   switch (effect.type) {
     case 'propose':
       return [{ type: 'proposeClaim', requestId, command: effect.command }];
@@ -63,10 +63,10 @@
     case 'refuse': {
       if (!state.requests.has(requestId)) return [];
       const detail = detailByKind[effect.kind] ?? 'The call could not be claimed';
-      return failRequest(state, accepted, effect.kind, detail, { ran: effect.ran });
+      return failRequest(state, requestState, effect.kind, detail, { ran: effect.ran });
     }
     case 'tryElsewhere':
-      // Not needed here: the entry retries attempts that sent nothing under the same claim.
+      // Ignored: an entry retries attempts that provably sent nothing under the same claim.
       return [];
     case 'finished':
       state.claims.delete(requestId);
@@ -78,22 +78,22 @@
 
 /** Sends the call once its claim is held, unless the caller has its final answer by then. */
 function sendCall(state: EntryState, claim: RequestClaim, timestamps: Timestamps): EntryEffect[] {
-  if (state.requests.has(claim.accepted.request.requestId)) {
-    return startAttempt(state, claim.accepted, timestamps.now);
+  if (state.requests.has(claim.requestState.request.requestId)) {
+    return startAttempt(state, claim.requestState, timestamps.now);
   }
   return handleClaimEvent(state, claim, { type: 'sendFailed', beforeFirstByte: true }, timestamps);
 }
 
-/** Gives the caller the stored answer of the attempt that ran. */
+/** Gives the caller the answer that the log has stored for the call. */
 function replayAnswer(
   state: EntryState,
-  { accepted }: RequestClaim,
+  { requestState }: RequestClaim,
   { answer, replayed }: Extract<ClaimedCallEffect, { type: 'answer' }>,
 ): EntryEffect[] {
-  const { requestId } = accepted.request;
+  const { requestId } = requestState.request;
   if (!replayed || !state.requests.delete(requestId)) return [];
   return [
-    ...releaseAttempts(state, accepted),
+    ...releaseAttempts(state, requestState),
     { type: 'replayAnswer', requestId, answer },
     { type: 'log', event: 'answerReplayed', fields: { requestId } },
   ];
--- a/packages/entry-core/src/claims/beginClaim.ts
+++ b/packages/entry-core/src/claims/beginClaim.ts
@@ -1,6 +1,6 @@
 /**
- * Claims a call that may run at most once in the replicated log before it is sent to a backend
- * server. Without the claim, two entries that receive the same call would both send it.
+ * Before a call that may run at most once is sent to a backend server, claims it in the replicated
+ * log. Without the claim, two entries that receive the same call would both send it.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -15,12 +15,12 @@
 /** How long after the deadline the claim expires, so that a late outcome can still be recorded. */
 const EXPIRY_MARGIN_MILLISECONDS: Milliseconds = 30_000;
 
-/** Unacknowledged releases above which new calls are refused without asking the log. */
+/** Number of unacknowledged releases from which new calls are refused without asking the log. */
 const MAX_PENDING_RELEASES = 64;
 
 /**
- * True if too many releases are unacknowledged. Without a quorum, each new call would otherwise wait
- * until its own claim fails and add one more release that has to be resent.
+ * True if too many releases are unacknowledged. New calls are then refused: with no quorum, each
+ * would wait until its claim fails and leave one more release to resend.
  */
 function isLogUnresponsive({ claims }: EntryState): boolean {
   if (claims.size < MAX_PENDING_RELEASES) return false;
@@ -30,20 +30,21 @@
 
 export function beginClaim(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   timestamps: Timestamps,
 ): EntryEffect[] {
-  const { requestId, workspace, idempotencyKey, digest } = accepted.request;
-  if (idempotencyKey === undefined) throw new TypeError(`${requestId} has no idempotency key`);
+  const { requestId, workspace, idempotencyKey, digest } = requestState.request;
+  if (idempotencyKey === undefined)
+    throw new TypeError(`request ${requestId} cannot be claimed without an idempotency key`);
   if (isLogUnresponsive(state)) {
     const detail = 'No quorum of stores responds, so the call was not sent';
-    return failRequest(state, accepted, 'claimsUnavailable', detail, { ran: 'no' });
+    return failRequest(state, requestState, 'claimsUnavailable', detail, { ran: 'no' });
   }
   const holder = state.identity.instance;
   const intent = { workspace, key: idempotencyKey, digest, holder };
-  const expiresAfter = accepted.wholeAnswerDueAt - timestamps.now + EXPIRY_MARGIN_MILLISECONDS;
+  const expiresAfter = requestState.wholeAnswerDueAt - timestamps.now + EXPIRY_MARGIN_MILLISECONDS;
   const { call, effects } = startClaimedCall(intent, requestId, timestamps.now, expiresAfter);
-  const claim: RequestClaim = { call, accepted, resendAt: timestamps.now };
+  const claim: RequestClaim = { call, requestState, resendAt: timestamps.now };
   state.claims.set(requestId, claim);
   return effects.flatMap((effect) => applyClaimEffect(state, claim, effect, timestamps));
 }
--- a/packages/entry-core/src/claims/reduceClaimedCall.test.ts
+++ b/packages/entry-core/src/claims/reduceClaimedCall.test.ts
@@ -121,7 +121,7 @@
   });
 });
 
-test('claimed call: a resend gets the stored answer', () => {
+test('claimed call: a second request gets the stored answer', () => {
   const result = { type: 'claimDone', answer } as const;
   const effects = reduceClaimedCall(startCall(), {
     type: 'claimResult',
@@ -132,8 +132,8 @@
   assert.deepEqual(effects, [{ type: 'answer', answer, replayed: true }, { type: 'finished' }]);
 });
 
-// The caller resends through another entry before the log has the outcome of the first attempt.
-test('claimed call: a resend waits for the outcome of the first attempt', () => {
+// The caller sends the call again through another entry before the log has the first outcome.
+test('claimed call: a second request waits for the outcome of the first', () => {
   const call = startCall();
   const waiting = reduceClaimedCall(call, claimResult('claimRunning', 'openClaim'));
   assert.deepEqual(waiting, [{ type: 'startResendTimer', after: 50 }]);
@@ -165,7 +165,7 @@
 });
 
 // Without a quorum the release may be acknowledged only long after the caller's deadline.
-test('claimed call: a failed claim is refused without waiting for its release', () => {
+test('claimed call: a failed claim is reported before its release is acknowledged', () => {
   const call = startCall();
   let effects: ClaimedCallEffect[] = [];
   [200, 600, 1400].forEach((now) => {
--- a/packages/entry-core/src/claims/reduceClaimedCall.ts
+++ b/packages/entry-core/src/claims/reduceClaimedCall.ts
@@ -1,7 +1,8 @@
 /**
- * The state machine of one attempt at a claimed call. Together with the log it guarantees that the
- * call is sent at most once, that `ran: no` is reported only for a call that was not sent and never
- * will be, and that an attempt that failed unsent does not block a resend by the caller.
+ * The state machine of a claim: one request for a call that may run at most once. Together with the
+ * log it guarantees that the call is sent at most once, that `ran: no` is reported only if this
+ * request did not and will not send it, and that a request that failed unsent does not block the
+ * caller from sending the call again.
  */
 import {
   LARGEST_STORED_ANSWER_BYTES,
@@ -17,16 +18,16 @@
   ClaimedCall,
   ClaimedCallEffect,
   ClaimedCallEvent,
-  ClaimIntent,
+  ClaimSubject,
 } from './ClaimedCall.js';
 
-/** How often `openClaim` is sent before the attempt fails; leaves time to elect a new leader. */
+/** Times that `openClaim` is sent before the request fails; leaves time to elect a new leader. */
 export const MAX_OPEN_TRIES = 3;
 
 /** Doubles with each resend. */
 export const FIRST_RESEND_DELAY_MILLISECONDS: Milliseconds = 400;
 
-/** Bounds of the delay before the log is asked again for the outcome of another attempt. */
+/** Bounds of the delay before the log is asked again for the outcome of another request. */
 export const MIN_OUTCOME_POLL_DELAY_MILLISECONDS: Milliseconds = 50;
 export const MAX_OUTCOME_POLL_DELAY_MILLISECONDS: Milliseconds = 1000;
 
@@ -37,9 +38,9 @@
 
 type EventOf<Type extends ClaimedCallEvent['type']> = Extract<ClaimedCallEvent, { type: Type }>;
 
-/** Creates the state of an attempt, with the effects that request its claim. */
+/** Creates the state of a claim, with the effects that ask the log for it. */
 export function startClaimedCall(
-  intent: ClaimIntent,
+  intent: ClaimSubject,
   attemptId: string,
   now: MonotonicMilliseconds,
   expiresAfter: Milliseconds,
@@ -60,7 +61,7 @@
   return { call, effects };
 }
 
-/** Applies one event to the attempt, changing `call` in place. */
+/** Applies one event to the claim, changing `call` in place. */
 export function reduceClaimedCall(call: ClaimedCall, event: ClaimedCallEvent): ClaimedCallEffect[] {
   switch (event.type) {
     case 'claimResult':
@@ -114,8 +115,8 @@
 }
 
 /**
- * Releases the claim of a call that will never be sent. The release is resent until the log
- * acknowledges it, because a delayed `openClaim` could otherwise open the claim later.
+ * Releases the claim of a request that will never send the call. The release is resent until the
+ * log acknowledges it, because a delayed `openClaim` could otherwise open the claim later.
  */
 function release(call: ClaimedCall, afterRelease: AfterRelease): ClaimedCallEffect[] {
   const { attemptId } = call;
@@ -126,8 +127,8 @@
 }
 
 /**
- * Fails a call that was not sent, immediately: `ran: no` is known without the log, which may lack a
- * quorum for a long time. If another attempt was seen to hold the claim, the call may have run there.
+ * Fails a request that has not sent the call, without waiting for the log, which may lack a quorum
+ * for a long time. If another request held the claim, the call may have run for that one.
  */
 function refuseAndRelease(call: ClaimedCall, kind: ErrorKind): ClaimedCallEffect[] {
   const refusal = call.heldElsewhere
@@ -137,9 +138,9 @@
 }
 
 /**
- * Waits for the outcome of the attempt that holds the claim. That attempt answers its caller before
- * the outcome is in the log, so an immediate resend by the caller finds the claim still open. If it
- * were refused, the caller would never get the answer.
+ * Waits for the outcome of the request that holds the claim. That request is answered before its
+ * outcome is in the log, so a caller that sends the call again immediately still finds the claim
+ * open. Refusing it then would keep an existing answer from the caller.
  */
 function awaitOutcome(call: ClaimedCall, now: MonotonicMilliseconds): ClaimedCallEffect[] {
   call.heldElsewhere = true;
@@ -179,8 +180,8 @@
 }
 
 /**
- * Sends the call unless the claim has expired meanwhile: the log then reports its outcome as unknown
- * and may later let another attempt open it.
+ * Sends the call, unless the claim has expired: the log reports an unknown outcome for an expired
+ * claim, and later lets another request open it.
  */
 function onOpened(call: ClaimedCall, now: MonotonicMilliseconds): ClaimedCallEffect[] {
   if (now - call.startedAt >= call.expiresAfter) return refuseAndRelease(call, 'claimsUnavailable');
@@ -210,8 +211,8 @@
 }
 
 /**
- * Skips the release only if the store guarantees that the open is never applied and no earlier copy
- * of it was sent, since that copy could still be applied.
+ * Skips the release only if the store guarantees that this `openClaim` is never applied, and if no
+ * earlier copy was sent, which could still be applied.
  */
 function onStoreFailed(call: ClaimedCall, event: EventOf<'storeFailed'>): ClaimedCallEffect[] {
   const isFirstOpen = call.phase === 'opening' && call.tries === 1 && !call.heldElsewhere;
@@ -234,7 +235,7 @@
 
 /**
  * How long after the start a command is still resent. A release is resent until it is acknowledged,
- * since a delayed open could otherwise be applied later and block resends by the caller.
+ * since a delayed `openClaim` would otherwise block the caller from sending the call again.
  */
 function getMaxResendDuration(call: ClaimedCall): Milliseconds {
   if (call.phase === 'releasing') return Number.POSITIVE_INFINITY;
@@ -257,7 +258,7 @@
   return isLate ? settling : [{ type: 'answer', answer, replayed: false }, ...settling];
 }
 
-/** Drops a body too large for the log; resends are then told that the call ran. */
+/** Drops a body too large for the log. Later requests are told only that the call ran. */
 function omitOversizedBody(answer: StoredAnswer): StoredAnswer {
   const bytes = answer.body?.byteLength ?? 0;
   if (bytes <= LARGEST_STORED_ANSWER_BYTES) return answer;
@@ -275,8 +276,8 @@
 }
 
 /**
- * Fails the request with `ran: unknown`, since no release is acknowledged yet. An attempt that was
- * sent keeps running, and its late answer is stored for a resend by the caller.
+ * Fails the request with `ran: unknown`, since no release is acknowledged yet. A call that was sent
+ * keeps running, and its late answer is stored in case the caller sends the call again.
  */
 function onDeadline(call: ClaimedCall): ClaimedCallEffect[] {
   const refusal = refuse(call, 'deadlineExceeded', 'unknown');
--- a/packages/entry-core/src/claims/updateClaims.test.ts
+++ b/packages/entry-core/src/claims/updateClaims.test.ts
@@ -19,12 +19,13 @@
   return effects.map(({ type }) => type).filter((type) => type !== 'log' && type !== 'count');
 }
 
-// If the call were sent first, a simultaneous resend through another entry would be sent as well.
+// Otherwise the same call could be sent at the same time through another entry.
 test('a claimed call is not sent before its claim is granted', () => {
   assert.deepEqual(listEffectTypes(submitRequest(makeCluster(), 'one')), ['proposeClaim']);
 });
 
-// The data centre is partitioned and 64 releases are unacknowledged; another claim would only time out.
+// The data centre is partitioned and 64 releases are unacknowledged; another claim would only time
+// out.
 test('a call is refused immediately while the log does not acknowledge releases', () => {
   const cluster = makeCluster();
   for (let number = 0; number < 64; number += 1) submitRequest(cluster, `earlier-${number}`);
@@ -37,8 +38,8 @@
   assert.deepEqual([problem?.kind, problem?.ran], ['claimsUnavailable', 'no']);
 });
 
-// The deadline passes while the claim is still being opened. Sending the call then would run it after
-// its caller was answered.
+// The deadline passes while the claim is still being opened. Sending the call then would run it
+// after its caller was answered.
 test('a claim granted after the final answer is released without sending the call', () => {
   const cluster = makeCluster();
   submitRequest(cluster, 'one');
@@ -57,9 +58,9 @@
   assert.equal(state.claims.get('one')?.call.phase, 'releasing');
 });
 
-// The first attempt still runs at the deadline of the resend. With `ran: no` the caller could make the
-// call a second time.
-test('a resend whose deadline passes while the first attempt runs is answered `ran: unknown`', () => {
+// The first request still runs the call when the deadline of the second passes. With `ran: no` the
+// caller could send the call once more and have it run twice.
+test('a request that times out while another runs the call is answered `ran: unknown`', () => {
   const cluster = makeCluster();
   submitRequest(cluster, 'one');
   const { state } = cluster.entry;
--- a/packages/entry-core/src/claims/updateClaims.ts
+++ b/packages/entry-core/src/claims/updateClaims.ts
@@ -32,12 +32,13 @@
   return { type: 'answered', answer: event.storedAnswer ?? { status: 200, headers: {} } };
 }
 
-/** The outcome to record for a request that failed, or undefined while its attempt still runs. */
-function toProblemOutcome(state: EntryState, { call, accepted }: RequestClaim) {
+/** The claim event for a request that failed, or undefined while its attempt still runs. */
+function toProblemOutcome(state: EntryState, { call, requestState }: RequestClaim) {
   if (call.phase === 'opening') return { type: 'deadlineReached' } as const;
-  const attemptRuns = accepted.attemptId !== undefined && state.attempts.has(accepted.attemptId);
+  const attemptRuns =
+    requestState.attemptId !== undefined && state.attempts.has(requestState.attemptId);
   if (attemptRuns) return undefined;
-  return { type: 'sendFailed', beforeFirstByte: accepted.maybeSent !== true } as const;
+  return { type: 'sendFailed', beforeFirstByte: requestState.maybeSent !== true } as const;
 }
 
 /** Passes the outcome to the claim when an effect gives the caller its final answer. */
