--- a/packages/entry-core/src/quarantine/advanceSuspects.ts
+++ b/packages/entry-core/src/quarantine/advanceSuspects.ts
@@ -28,8 +28,8 @@
     suspect.exposure * ISOLATION_EXPOSURE_FACTOR + ISOLATION_MARGIN_MILLISECONDS,
   );
   return [...state.attempts.values()].some((attempt) => {
-    const accepted = state.requests.get(attempt.requestId);
-    if (accepted?.request.digest !== suspect.digest) return false;
+    const requestState = state.requests.get(attempt.requestId);
+    if (requestState?.request.digest !== suspect.digest) return false;
     return (
       attempt.firstTokenAt !== undefined &&
       now - attempt.startedAt > requiredDuration &&
--- a/packages/entry-core/src/quarantine/classifyLoss.ts
+++ b/packages/entry-core/src/quarantine/classifyLoss.ts
@@ -12,7 +12,7 @@
 import { attributeCrash, removeProvisionalSuspects } from './attributeCrash.js';
 import { crashIdOf } from './crashIdOf.js';
 import { failAttemptsAt } from './failAttemptsAt.js';
-import { hasRestarted, recordResets, type ProbeResult } from './hasRestarted.js';
+import { hasRestarted, recordResetsWithoutCrash, type ProbeResult } from './hasRestarted.js';
 import { detectMassLoss } from './detectMassLoss.js';
 import { probeBackendServer } from './probeBackendServer.js';
 import type { ConnectionLoss } from './QuarantineState.js';
@@ -58,7 +58,7 @@
   reportSoon(state);
   const alive = result.answered || isStillServing(state, loss);
   if (alive && !(result.answered && hasRestarted(state, loss, result))) {
-    recordResets(state, loss);
+    recordResetsWithoutCrash(state, loss);
     const lost = removeProvisionalSuspects(state, instance);
     if (lost === 0) return [];
     return [
--- a/packages/entry-core/src/quarantine/crashIdOf.ts
+++ b/packages/entry-core/src/quarantine/crashIdOf.ts
@@ -27,8 +27,8 @@
   if (last !== undefined && openedAt - last.confirmedAt <= SAME_CRASH_WINDOW_MILLISECONDS) {
     return last.crashId;
   }
-  const incarnation =
+  const incarnationOrSecond =
     state.quarantine.incarnations.get(instance) ??
     `second-${Math.floor((wallNow - now + openedAt) / CRASH_TIME_BUCKET_MILLISECONDS)}`;
-  return `${instance}/${incarnation}`;
+  return `${instance}/${incarnationOrSecond}`;
 }
--- a/packages/entry-core/src/quarantine/detectMassLoss.ts
+++ b/packages/entry-core/src/quarantine/detectMassLoss.ts
@@ -19,14 +19,14 @@
 const SAME_CAUSE_WINDOW_MILLISECONDS: Milliseconds = 2000;
 
 /** Another backend server that is lost or down at the same time. */
-interface ConcurrentLoss {
+interface LostServer {
   readonly instance: string;
   readonly lostAt: number;
   readonly digests: readonly string[];
   readonly crashId?: string;
 }
 
-function listOtherLosses(state: EntryState): ConcurrentLoss[] {
+function listLostServers(state: EntryState): LostServer[] {
   const down = [...state.quarantine.down].map(([instance, { since, digests, crashId }]) => ({
     instance,
     lostAt: since,
@@ -73,7 +73,7 @@
 /** Also exonerates the suspects of earlier losses that turn out to be part of the same outage. */
 export function detectMassLoss(state: EntryState, loss: ConnectionLoss): boolean {
   const dataCentre = dataCentreOf(state, loss.instance);
-  const concurrent = listOtherLosses(state).filter(
+  const concurrent = listLostServers(state).filter(
     ({ instance, lostAt, digests }) =>
       instance !== loss.instance &&
       dataCentreOf(state, instance) === dataCentre &&
--- a/packages/entry-core/src/quarantine/failAttemptsAt.ts
+++ b/packages/entry-core/src/quarantine/failAttemptsAt.ts
@@ -9,9 +9,9 @@
 import { failAttempt } from '../attempts/failAttempt.js';
 
 /** True if part of the answer has been received; another backend server cannot resume it. */
-function hasStartedPlainAnswer(state: EntryState, attempt: AttemptState): boolean {
-  const accepted = state.requests.get(attempt.requestId);
-  return accepted?.pool.kind === 'plainService' && attempt.firstTokenAt !== undefined;
+function hasPartialPlainServiceAnswer(state: EntryState, attempt: AttemptState): boolean {
+  const requestState = state.requests.get(attempt.requestId);
+  return requestState?.pool.kind === 'plainService' && attempt.firstTokenAt !== undefined;
 }
 
 function failAsLost(
@@ -27,7 +27,7 @@
     failure: 'connectionLost',
     sent: 'maybe',
     tokens,
-    answerStarted: hasStartedPlainAnswer(state, attempt),
+    answerStarted: hasPartialPlainServiceAnswer(state, attempt),
     now,
     wallNow,
   } as const;
@@ -46,8 +46,8 @@
   const attemptIds = [...(state.backendServers.get(instance)?.attemptIds ?? [])];
   return attemptIds.flatMap((attemptId) => {
     const attempt = state.attempts.get(attemptId);
-    const accepted = attempt && state.requests.get(attempt.requestId);
-    if (attempt === undefined || accepted?.route.idempotent !== true) return [];
+    const requestState = attempt && state.requests.get(attempt.requestId);
+    if (attempt === undefined || requestState?.route.idempotent !== true) return [];
     return failAsLost(state, attempt, timestamps);
   });
 }
--- a/packages/entry-core/src/quarantine/hasRestarted.ts
+++ b/packages/entry-core/src/quarantine/hasRestarted.ts
@@ -36,7 +36,7 @@
 }
 
 /** Marks the requests whose connection was reset although the backend server answered its probe. */
-export function recordResets(state: EntryState, loss: ConnectionLoss): void {
+export function recordResetsWithoutCrash(state: EntryState, loss: ConnectionLoss): void {
   loss.resetDigests.forEach((digest) => {
     const suspect = state.quarantine.suspects.get(digest);
     if (suspect === undefined) return;
--- a/packages/entry-core/src/quarantine/listInstancesOutsideSlot.ts
+++ b/packages/entry-core/src/quarantine/listInstancesOutsideSlot.ts
@@ -14,7 +14,7 @@
 /** Only within this time from the start of a slot may its owner start suspects. */
 const START_WINDOW_MILLISECONDS = 250;
 
-function wallClock(state: EntryState, now: MonotonicMilliseconds): EpochMilliseconds {
+function getWallClock(state: EntryState, now: MonotonicMilliseconds): EpochMilliseconds {
   return now + state.membership.wallOffset;
 }
 
@@ -29,11 +29,11 @@
   if (participants.length === 0) return [];
   participants.push(state.identity.instance);
   const ownIndex = participants.sort().indexOf(state.identity.instance);
-  const slot = Math.floor(wallClock(state, now) / SLOT_DURATION_MILLISECONDS);
+  const slot = Math.floor(getWallClock(state, now) / SLOT_DURATION_MILLISECONDS);
   const isInStartWindow =
-    wallClock(state, now) % SLOT_DURATION_MILLISECONDS < START_WINDOW_MILLISECONDS;
+    getWallClock(state, now) % SLOT_DURATION_MILLISECONDS < START_WINDOW_MILLISECONDS;
   const instances = [...state.backendServers.keys()].sort();
   return instances.filter(
-    (_, rank) => !isInStartWindow || (rank + slot) % participants.length !== ownIndex,
+    (_, position) => !isInStartWindow || (position + slot) % participants.length !== ownIndex,
   );
 }
--- a/packages/entry-core/src/quarantine/quarantineDigest.ts
+++ b/packages/entry-core/src/quarantine/quarantineDigest.ts
@@ -22,18 +22,18 @@
  */
 function failQuarantinedRequest(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   endsAt: number,
   { now }: Timestamps,
 ) {
   const refusalCount = { type: 'count', metric: 'retriesRefused', label: 'quarantined' } as const;
   const detail = 'This request crashed backend servers and is quarantined for a limited time';
-  const cancelled = accepted.route.idempotent ? cancelAttempt(state, accepted) : [];
-  const problem = { ran: determineRan(accepted), retryAfterMilliseconds: endsAt - now };
+  const cancelled = requestState.route.idempotent ? cancelAttempt(state, requestState) : [];
+  const problem = { ran: determineRan(requestState), retryAfterMilliseconds: endsAt - now };
   return [
     refusalCount,
     ...cancelled,
-    ...failRequest(state, accepted, 'quarantined', detail, problem),
+    ...failRequest(state, requestState, 'quarantined', detail, problem),
   ];
 }
 
@@ -45,7 +45,7 @@
 ): EntryEffect[] {
   return [...state.requests.values()]
     .filter(({ request }) => request.digest === digest)
-    .flatMap((accepted) => failQuarantinedRequest(state, accepted, endsAt, timestamps));
+    .flatMap((requestState) => failQuarantinedRequest(state, requestState, endsAt, timestamps));
 }
 
 export function quarantineDigest(
--- a/packages/entry-core/src/quarantine/recordLoss.ts
+++ b/packages/entry-core/src/quarantine/recordLoss.ts
@@ -52,7 +52,7 @@
 /** Must be called before the attempt is removed, while it still counts as in progress. */
 export function recordLoss(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   attempt: AttemptState,
   event: AttemptFailedEvent,
 ): EntryEffect[] {
@@ -64,9 +64,9 @@
   // Nothing of the refused request was sent, so it cannot have caused the loss.
   const excludedAttemptId = event.failure === 'connectFailed' ? attempt.attemptId : undefined;
   const loss = existing ?? openLoss(state, instance, event.now, excludedAttemptId);
-  if (event.failure === 'connectionLost') loss.resetDigests.add(accepted.request.digest);
+  if (event.failure === 'connectionLost') loss.resetDigests.add(requestState.request.digest);
   if (event.failure !== 'connectFailed')
-    addProvisionalSuspect(state, accepted.request, loss, event.now);
+    addProvisionalSuspect(state, requestState.request, loss, event.now);
   // A resend through another entry must not run until the loss is classified.
   reportSoon(state);
   return existing === undefined ? probeBackendServer(state, instance) : [];
--- a/packages/entry-core/src/reclaims/migrateStreams.ts
+++ b/packages/entry-core/src/reclaims/migrateStreams.ts
@@ -23,7 +23,7 @@
 import { resumeElsewhere } from './resumeElsewhere.js';
 
 interface Stream {
-  readonly accepted: RequestState;
+  readonly requestState: RequestState;
   readonly attempt: AttemptState;
 }
 
@@ -32,9 +32,9 @@
   const attemptIds = state.backendServers.get(instance)?.attemptIds ?? [];
   return [...attemptIds].flatMap((attemptId) => {
     const attempt = state.attempts.get(attemptId);
-    const accepted = attempt && state.requests.get(attempt.requestId);
-    if (attempt === undefined || accepted === undefined) return [];
-    return canMigrate(accepted, attempt) ? [{ accepted, attempt }] : [];
+    const requestState = attempt && state.requests.get(attempt.requestId);
+    if (attempt === undefined || requestState === undefined) return [];
+    return canMigrate(requestState, attempt) ? [{ requestState, attempt }] : [];
   });
 }
 
@@ -43,14 +43,16 @@
  * its KV cache, which continues the same run. The answer of a plain service cannot move once it
  * has started.
  */
-function canMigrate(accepted: RequestState, attempt: AttemptState): boolean {
-  if (accepted.attemptId !== attempt.attemptId) return false;
-  if (!accepted.route.idempotent) {
+function canMigrate(requestState: RequestState, attempt: AttemptState): boolean {
+  if (requestState.attemptId !== attempt.attemptId) return false;
+  if (!requestState.route.idempotent) {
     return (
-      !isClaimed(accepted.route) && canMoveCache(accepted) && attempt.firstTokenAt !== undefined
+      !isClaimed(requestState.route) &&
+      canMoveCache(requestState) &&
+      attempt.firstTokenAt !== undefined
     );
   }
-  return accepted.pool.kind === 'modelEngine' || attempt.firstTokenAt === undefined;
+  return requestState.pool.kind === 'modelEngine' || attempt.firstTokenAt === undefined;
 }
 
 /** Fraction of the total prefill time over which resumes are spread at the end of a notice. */
@@ -62,17 +64,20 @@
  * reach the targets at the same time.
  */
 function estimateResumeLeadTime(streams: readonly Stream[], targets: number): Milliseconds {
-  const prefill = streams.reduce((sum, { accepted }) => sum + estimatePrefillDuration(accepted), 0);
+  const prefill = streams.reduce(
+    (sum, { requestState }) => sum + estimatePrefillDuration(requestState),
+    0,
+  );
   return (
     NOTICE_MARGIN_MILLISECONDS +
     (prefill * RESUME_SPREAD_FRACTION_OF_PREFILL) / Math.max(1, targets)
   );
 }
 
-function countTargets(state: EntryState, { accepted }: Stream): number {
+function countTargets(state: EntryState, { requestState }: Stream): number {
   return [...state.backendServers.values()].filter(
     ({ platformInstance, goneAt }) =>
-      platformInstance.pool === accepted.pool.name &&
+      platformInstance.pool === requestState.pool.name &&
       platformInstance.state === 'live' &&
       goneAt === undefined,
   ).length;
@@ -84,13 +89,13 @@
  */
 function planCacheMoves(streams: readonly Stream[], timeLeft: Milliseconds) {
   const byCost = [...streams].sort(
-    (a, b) => countTokensToRecompute(b.accepted) - countTokensToRecompute(a.accepted),
+    (a, b) => countTokensToRecompute(b.requestState) - countTokensToRecompute(a.requestState),
   );
   let timeForMoves = timeLeft - NOTICE_MARGIN_MILLISECONDS;
   const moved: Stream[] = [];
   const resumed: Stream[] = [];
   byCost.forEach((stream) => {
-    const duration = estimateMoveDuration(stream.accepted);
+    const duration = estimateMoveDuration(stream.requestState);
     if (duration > timeForMoves) {
       resumed.push(stream);
       return;
@@ -115,12 +120,12 @@
   const first = streams[0];
   if (first === undefined) return [];
   const targets = countTargets(state, first);
-  const countRemainingTokens = ({ accepted }: Stream) =>
-    accepted.request.maxTokens - accepted.tokens;
+  const countRemainingTokens = ({ requestState }: Stream) =>
+    requestState.request.maxTokens - requestState.tokens;
   const ordered = streams.sort((a, b) => countRemainingTokens(b) - countRemainingTokens(a));
-  return ordered.flatMap(({ accepted }, position) => {
+  return ordered.flatMap(({ requestState }, position) => {
     if (timeLeft > estimateResumeLeadTime(ordered.slice(position), targets)) return [];
-    return resumeElsewhere(state, accepted, 'reclaimNotice', timestamps);
+    return resumeElsewhere(state, requestState, 'reclaimNotice', timestamps);
   });
 }
 
@@ -129,17 +134,17 @@
  * the request restarts elsewhere immediately.
  */
 function groupByProgress(streams: readonly Stream[]) {
-  const engine = streams.filter(({ accepted }) => accepted.pool.kind === 'modelEngine');
+  const engine = streams.filter(({ requestState }) => requestState.pool.kind === 'modelEngine');
   return {
     withoutFirstToken: engine.filter(({ attempt }) => attempt.firstTokenAt === undefined),
     withFirstToken: engine.filter(({ attempt }) => attempt.firstTokenAt !== undefined),
-    plainService: streams.filter(({ accepted }) => accepted.pool.kind !== 'modelEngine'),
+    plainService: streams.filter(({ requestState }) => requestState.pool.kind !== 'modelEngine'),
   };
 }
 
 /** False if the stream has to stay where it is unless its KV cache can be moved. */
-function isRepeatable({ accepted }: Stream): boolean {
-  return accepted.route.idempotent;
+function isRepeatable({ requestState }: Stream): boolean {
+  return requestState.route.idempotent;
 }
 
 export function migrateStreams(
@@ -150,9 +155,9 @@
   if (!state.retries.policy.migrateOnNotice) return [];
   const timeLeft = (state.reclaims.leaving.get(instance) ?? Infinity) - timestamps.wallNow;
   const streams = listMigratableStreams(state, instance).filter(
-    ({ accepted, attempt }) =>
-      !canFinishWithinNotice(accepted, attempt, timeLeft) &&
-      !state.reclaims.moves.has(accepted.request.requestId),
+    ({ requestState, attempt }) =>
+      !canFinishWithinNotice(requestState, attempt, timeLeft) &&
+      !state.reclaims.moves.has(requestState.request.requestId),
   );
   if (streams.length === 0) return [];
   const { withoutFirstToken, withFirstToken, plainService } = groupByProgress(streams);
@@ -161,10 +166,12 @@
     : { moved: [], resumed: withFirstToken };
   const next = hasMoveFrom(state, instance) ? undefined : moved[0];
   return [
-    ...withoutFirstToken.flatMap(({ accepted }) =>
-      resumeElsewhere(state, accepted, 'reclaimNotice', timestamps),
+    ...withoutFirstToken.flatMap(({ requestState }) =>
+      resumeElsewhere(state, requestState, 'reclaimNotice', timestamps),
     ),
-    ...(next === undefined ? [] : startCacheMove(state, next.accepted, next.attempt, timestamps)),
+    ...(next === undefined
+      ? []
+      : startCacheMove(state, next.requestState, next.attempt, timestamps)),
     ...resumeDueStreams(
       state,
       [...resumed, ...plainService].filter(isRepeatable),
--- a/packages/entry-core/src/reclaims/moveCache.ts
+++ b/packages/entry-core/src/reclaims/moveCache.ts
@@ -31,20 +31,20 @@
 
 export function startCacheMove(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   { attemptId, instance }: AttemptState,
   { now }: Timestamps,
 ): EntryEffect[] {
-  const { requestId } = accepted.request;
+  const { requestId } = requestState.request;
   const source = state.backendServers.get(instance);
-  const target = chooseServerForAttempt(state, accepted, { spreadEvenly: true });
+  const target = chooseServerForAttempt(state, requestState, { spreadEvenly: true });
   if (source === undefined || target === undefined) return [];
   const timeout = Math.max(
     MIN_MOVE_TIMEOUT_MILLISECONDS,
-    estimateMoveDuration(accepted) * MOVE_TIMEOUT_FACTOR,
+    estimateMoveDuration(requestState) * MOVE_TIMEOUT_FACTOR,
   );
   const to = target.platformInstance.instance;
-  const { tokens } = accepted;
+  const { tokens } = requestState;
   const move: CacheMove = {
     requestId,
     attemptId,
@@ -55,9 +55,9 @@
   };
   state.reclaims.moves.set(requestId, move);
   target.attemptIds.add(reservationIdOf(requestId));
-  const from = makeAttemptTarget(source, accepted.pool);
-  const nextAttemptId = attemptIdOf(requestId, accepted.attemptsStarted + 1);
-  const toTarget = makeAttemptTarget(target, accepted.pool);
+  const from = makeAttemptTarget(source, requestState.pool);
+  const nextAttemptId = attemptIdOf(requestId, requestState.attemptsStarted + 1);
+  const toTarget = makeAttemptTarget(target, requestState.pool);
   return [{ type: 'moveCache', requestId, attemptId, nextAttemptId, from, to: toTarget }];
 }
 
@@ -76,30 +76,30 @@
   outcome: CacheMoveOutcome,
   timestamps: Timestamps,
 ): EntryEffect[] {
-  const accepted = state.requests.get(move.requestId);
+  const requestState = state.requests.get(move.requestId);
   removeCacheMove(state, move.requestId);
-  if (accepted === undefined) return [];
+  if (requestState === undefined) return [];
   // Prefer other servers for the next attempt, since the target may have caused the failure.
-  accepted.triedInstances.add(move.to);
+  requestState.triedInstances.add(move.to);
   // A call that may not be repeated continues at the source for as long as it can.
-  if (!accepted.route.idempotent) return [countMove(outcome)];
-  return [countMove(outcome), ...resumeElsewhere(state, accepted, 'reclaimNotice', timestamps)];
+  if (!requestState.route.idempotent) return [countMove(outcome)];
+  return [countMove(outcome), ...resumeElsewhere(state, requestState, 'reclaimNotice', timestamps)];
 }
 
 /** Completes a move. The answer to a move that was abandoned or replaced meanwhile is ignored. */
 export function finishCacheMove(state: EntryState, event: CacheMovedEvent): EntryEffect[] {
   const move = state.reclaims.moves.get(event.requestId);
-  const accepted = state.requests.get(event.requestId);
-  if (move === undefined || accepted === undefined) return [];
+  const requestState = state.requests.get(event.requestId);
+  if (move === undefined || requestState === undefined) return [];
   if (event.attemptId !== undefined && event.attemptId !== move.attemptId) return [];
   if (!event.moved) return abandonMove(state, move, 'failed', event);
   const target = findUsableServer(state, move.to);
   if (target === undefined) return abandonMove(state, move, 'targetLost', event);
-  const tokensToRecompute = Math.max(0, accepted.tokens - (event.tokens ?? move.tokens));
+  const tokensToRecompute = Math.max(0, requestState.tokens - (event.tokens ?? move.tokens));
   return [
     { type: 'count', metric: 'retries', label: 'reclaimNotice' },
     countMove('moved'),
-    ...migrateToServer(state, accepted, target, tokensToRecompute, event.now),
+    ...migrateToServer(state, requestState, target, tokensToRecompute, event.now),
   ];
 }
 
--- a/packages/entry-core/src/reclaims/recoveryCosts.ts
+++ b/packages/entry-core/src/reclaims/recoveryCosts.ts
@@ -28,14 +28,16 @@
 const MIN_RATE_SAMPLE_MILLISECONDS: Milliseconds = 200;
 
 /** Returns how many tokens another engine has to recompute to resume the stream. */
-export function countTokensToRecompute(accepted: RequestState): number {
-  return accepted.request.promptTokens + accepted.tokens;
+export function countTokensToRecompute(requestState: RequestState): number {
+  return requestState.request.promptTokens + requestState.tokens;
 }
 
-export function estimateMoveDuration(accepted: RequestState): Milliseconds {
+export function estimateMoveDuration(requestState: RequestState): Milliseconds {
   const rate =
-    accepted.pool.streams?.movedTokensPerMillisecond ?? DEFAULT_MOVED_TOKENS_PER_MILLISECOND;
-  return rate > 0 ? MOVE_OVERHEAD_MILLISECONDS + countTokensToRecompute(accepted) / rate : Infinity;
+    requestState.pool.streams?.movedTokensPerMillisecond ?? DEFAULT_MOVED_TOKENS_PER_MILLISECOND;
+  return rate > 0
+    ? MOVE_OVERHEAD_MILLISECONDS + countTokensToRecompute(requestState) / rate
+    : Infinity;
 }
 
 /** True if the engines of the pool can exchange KV caches. */
@@ -43,8 +45,8 @@
   return pool.kind === 'modelEngine' && pool.streams?.movedTokensPerMillisecond !== 0;
 }
 
-export function estimatePrefillDuration(accepted: RequestState): Milliseconds {
-  return countTokensToRecompute(accepted) / PREFILL_TOKENS_PER_MILLISECOND;
+export function estimatePrefillDuration(requestState: RequestState): Milliseconds {
+  return countTokensToRecompute(requestState) / PREFILL_TOKENS_PER_MILLISECOND;
 }
 
 /**
@@ -70,13 +72,13 @@
  * time to measure its rate first: migrating too early recomputes the prompt for nothing.
  */
 export function canFinishWithinNotice(
-  accepted: RequestState,
+  requestState: RequestState,
   attempt: AttemptState,
   timeLeft: Milliseconds,
 ): boolean {
   const rate = measureTokenRate(attempt);
   if (rate === undefined) return timeLeft > MIN_NOTICE_TO_MEASURE_MILLISECONDS;
-  if (rate <= 0 || accepted.request.maxTokens <= 0) return false;
-  const remaining = Math.max(0, accepted.request.maxTokens - accepted.tokens);
+  if (rate <= 0 || requestState.request.maxTokens <= 0) return false;
+  const remaining = Math.max(0, requestState.request.maxTokens - requestState.tokens);
   return (remaining / rate) * FINISH_SAFETY_FACTOR + NOTICE_MARGIN_MILLISECONDS <= timeLeft;
 }
--- a/packages/entry-core/src/reclaims/resumeElsewhere.ts
+++ b/packages/entry-core/src/reclaims/resumeElsewhere.ts
@@ -16,16 +16,16 @@
 /** Cancels the current attempt and continues at `server`, which recomputes `tokens` tokens. */
 export function migrateToServer(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   server: BackendServerState,
   tokens: number,
   now: MonotonicMilliseconds,
 ): EntryEffect[] {
-  const { requestId } = accepted.request;
+  const { requestId } = requestState.request;
   const { instance } = server.platformInstance;
   removeCacheMove(state, requestId);
-  const cancelled = cancelAttempt(state, accepted);
-  accepted.recompute = { reason: 'reclaimResume', tokens };
+  const cancelled = cancelAttempt(state, requestState);
+  requestState.recompute = { reason: 'reclaimResume', tokens };
   return [
     ...cancelled,
     {
@@ -33,20 +33,20 @@
       event: 'streamHandedOn',
       fields: { requestId, backendServer: instance, tokens },
     },
-    ...launchAttempt(state, accepted, server, now),
+    ...launchAttempt(state, requestState, server, now),
   ];
 }
 
 export function resumeElsewhere(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   reason: RetryReason,
   { now }: Timestamps,
 ): EntryEffect[] {
-  const server = chooseServerForAttempt(state, accepted, { spreadEvenly: true });
+  const server = chooseServerForAttempt(state, requestState, { spreadEvenly: true });
   if (server === undefined) return [];
   return [
     { type: 'count', metric: 'retries', label: reason },
-    ...migrateToServer(state, accepted, server, countTokensToRecompute(accepted), now),
+    ...migrateToServer(state, requestState, server, countTokensToRecompute(requestState), now),
   ];
 }
--- a/packages/entry-core/src/testing/examples.ts
+++ b/packages/entry-core/src/testing/examples.ts
@@ -9,7 +9,7 @@
 import type { CallerRequest } from '../entryEvents.js';
 
 /** Returns a route with the defaults of the table filled in. */
-export function exampleRoute(row: Record<string, unknown> = {}): Route {
+export function exampleRoute(overrides: Record<string, unknown> = {}): Route {
   const checked = checkRoutes([
     {
       name: 'appraisals',
@@ -18,7 +18,7 @@
       idempotent: true,
       timeZone: 'Europe/Vienna',
       deadline: { firstTokenMilliseconds: 1000, wholeAnswerMilliseconds: 30_000 },
-      ...row,
+      ...overrides,
     },
   ]);
   if (!checked.ok) throw new Error(JSON.stringify(checked.faults));
@@ -43,7 +43,7 @@
 
 export function exampleRequest(
   requestId: string,
-  request: Partial<CallerRequest> = {},
+  overrides: Partial<CallerRequest> = {},
 ): CallerRequest {
   return {
     requestId,
@@ -54,7 +54,7 @@
     prefixDigests: [],
     promptTokens: 100,
     maxTokens: 100,
-    ...request,
+    ...overrides,
   };
 }
 
