--- a/packages/entry-core/src/driver/SimulatedCluster.ts
+++ b/packages/entry-core/src/driver/SimulatedCluster.ts
@@ -1,6 +1,6 @@
 /**
- * Runs entries and simulated engines together in virtual time. Time advances in fixed steps, and
- * tasks due in the same step run in the order in which they were scheduled, so runs are
+ * Runs simulated entries and engines together in virtual time. Time advances in fixed steps, and
+ * due tasks run by due time and then in the order in which they were scheduled, so runs are
  * deterministic.
  */
 import type {
@@ -32,7 +32,7 @@
   readonly wholeAnswerMilliseconds?: number;
   /** Pool of the engines; those of `bookings` act as plain services. */
   readonly pool?: 'engines' | 'bookings';
-  /** True if hosts disappear with their engines: connections are neither reset nor refused. */
+  /** True if hosts disappear with their engines: connections are not reset, and probes time out. */
   readonly losesHost?: boolean;
 }
 
@@ -154,7 +154,7 @@
     return this.entries.flatMap((entry) => [...entry.callers.values()]);
   }
 
-  /** Sends one entry a reclaim notice for these engines, which die when it ends. */
+  /** Sends one entry a reclaim notice for these engines, which die when the notice ends. */
   reclaim(instances: readonly string[], notice: number, entry: SimulatedEntry = this.entry): void {
     const goneAt = this.clock().wallNow + notice;
     instances.forEach((instance) => {
@@ -163,7 +163,10 @@
     });
   }
 
-  /** Marks these engines as leaving in the list of the platform, all in the same update. */
+  /**
+   * Marks these engines as leaving in one update of the platform list; they die when the notice
+   * ends.
+   */
   reclaimByPlatformList(instances: readonly string[], notice: number): void {
     const goneAt = this.clock().wallNow + notice;
     const leaving = new Set(instances);
@@ -207,7 +210,7 @@
       .forEach((entry) => this.schedule(1, () => entry.send({ type: 'workReported', work })));
   }
 
-  /** Simulates a store that quarantines a digest at its second reported crash. */
+  /** Simulates a store that quarantines a digest at the second different crash reported for it. */
   applyCrashReport({ crashId, digests }: ReportCrashCommand): void {
     if (!this.storeReachable) return;
     const until = this.clock().wallNow + 600_000;
--- a/packages/entry-core/src/driver/SimulatedEngine.ts
+++ b/packages/entry-core/src/driver/SimulatedEngine.ts
@@ -34,8 +34,7 @@
 export type CrashTokenByDigest = ReadonlyMap<string, number>;
 
 /**
- * Returns the number of tokens in the answer; a digest ending in `early` stops at half of the
- * maximum.
+ * Returns the number of answer tokens: `maxTokens`, or half of it if the digest ends in `early`.
  */
 export function answerLength({ maxTokens, digest }: CallerRequest): number {
   const lengthDivisor = digest.endsWith('early') ? 2 : 1;
@@ -64,10 +63,10 @@
 
   deaths = 0;
 
-  /** True if dying resets no connections, as when the host disappears. */
+  /** True if the death of the engine resets no connections, as when its host disappears. */
   omitsReset = false;
 
-  /** True if connections to a dead engine time out instead of being refused. */
+  /** True if probes of the dead engine time out instead of being refused. */
   unreachable = false;
 
   readonly streams = new Map<string, EngineStream>();
--- a/packages/entry-core/src/driver/batchScenarios.ts
+++ b/packages/entry-core/src/driver/batchScenarios.ts
@@ -15,7 +15,7 @@
   /** Token position at which the poison request crashes its engine. */
   readonly crashAtToken: number;
   readonly isolateSuspects: boolean;
-  /** True if connections to a dead engine time out instead of being refused. */
+  /** True if probes of a dead engine time out instead of being refused. */
   readonly unreachable: boolean;
   /** True if a crashed engine restarts immediately, so that it answers its probe. */
   readonly restartsImmediately: boolean;
--- a/packages/entry-core/src/driver/runFaultScenario.ts
+++ b/packages/entry-core/src/driver/runFaultScenario.ts
@@ -1,7 +1,7 @@
 /**
- * Simulates one minute of traffic with faults: data centres are reclaimed with notice, engines die
- * without notice, and connections stall. A seed determines the requests and the faults,
- * independent of the policy, so that policies can be compared.
+ * Simulates steady traffic with faults: data centres are reclaimed with notice, engines die
+ * without notice, and connections stall. The seed alone determines the requests and the faults, so
+ * that policies can be compared.
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -121,7 +121,10 @@
   };
 }
 
-/** Runs the scenario with one policy. With `losesHost`, engines that die reset no connections. */
+/**
+ * Runs the scenario with one policy. With `losesHost`, engines that die reset no connections and
+ * leave probes unanswered.
+ */
 export function runFaultScenario(
   policy: RecoveryPolicy,
   seed: number,
--- a/packages/entry-core/src/quarantine/QuarantineState.ts
+++ b/packages/entry-core/src/quarantine/QuarantineState.ts
@@ -1,34 +1,38 @@
 /**
- * In-memory state for finding requests that crash backend servers. A connection loss stays
- * unresolved until a probe shows whether the server crashed; requests in progress at a crash
- * become suspects, and a digest that is identified as the cause is quarantined.
+ * State for finding requests that crash backend servers. A connection loss is unresolved until its
+ * probe is answered or times out. Requests that lost their connection, and all that were in
+ * progress at a crash, are suspects. The digest of a request that is identified as the cause is
+ * quarantined.
  */
 import type { EpochMilliseconds, Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 
-/** A request that was in progress on a backend server when the entry lost its connection to it. */
+/**
+ * A request that may have crashed a backend server, as seen by this entry or reported by a peer.
+ */
 export interface Suspect {
   readonly digest: string;
-  /** Crashes at which the request was in progress; empty while its only loss is being probed. */
+  /** Confirmed crashes at which the request was in progress. */
   readonly crashIds: Set<string>;
-  /** Instance of the loss that is still being probed. */
+  /** Backend server at which a loss of this request is being probed, if any. */
   lossInstance: string | undefined;
-  /** How long the request had run when the connection was lost. */
+  /** Running time of the request until the loss was recorded. */
   exposure: Milliseconds;
-  /** Number of answer tokens received when the connection was lost. */
+  /** Number of answer tokens until the loss was recorded. */
   tokens: number;
   /** Expires at this time. */
   until: MonotonicMilliseconds;
-  /** Not started before this time, so that peers first receive the report that lists it. */
+  /** Earliest time to start the request, so that peers receive the report that lists it first. */
   readonly heldUntil?: MonotonicMilliseconds;
   /**
-   * True once the request has run past its crash point on another server; see `advanceSuspects`.
+   * True if the request may run alongside other suspects again; set by `advanceSuspects` and
+   * `recordResetsWithoutCrash`.
    */
   isolationLifted?: boolean;
-  /** True if its connection was reset earlier although the backend server answered the probe. */
+  /** True if its connection was reset earlier although the backend server did not crash. */
   resetBefore?: boolean;
 }
 
-/** A lost or stalled connection to a backend server, until a probe shows whether it crashed. */
+/** A lost, refused or stalled connection to a backend server, whose cause a probe is to show. */
 export interface ConnectionLoss {
   readonly instance: string;
   readonly openedAt: MonotonicMilliseconds;
@@ -37,15 +41,15 @@
     string,
     { readonly exposure: Milliseconds; readonly tokens: number }
   >;
-  /** Digests whose own connection was reset. */
+  /** Digests of requests whose own connection was reset. */
   readonly resetDigests: Set<string>;
 }
 
-/** A backend server that is considered crashed until it answers a probe. */
+/** A backend server that is considered crashed or unreachable until it answers a probe. */
 export interface DownServer {
   readonly since: MonotonicMilliseconds;
   probeDueAt: MonotonicMilliseconds;
-  /** Digests that were in progress on it. */
+  /** Digests of requests that were in progress on it. */
   readonly digests: ReadonlySet<string>;
   readonly crashId: string;
 }
@@ -57,22 +61,22 @@
 }
 
 export interface QuarantineState {
-  /** Digests that may not be sent to any backend server. */
+  /** Digests whose requests may not be sent to any backend server. */
   readonly quarantined: Map<string, QuarantinedDigest>;
   /** By digest. */
   readonly suspects: Map<string, Suspect>;
   /** Losses being probed, by instance. */
   readonly unresolvedLosses: Map<string, ConnectionLoss>;
-  /** Backend servers considered crashed, by instance. */
+  /** Backend servers considered crashed or unreachable, by instance. */
   readonly down: Map<string, DownServer>;
-  /** Most recent crash of each backend server, by instance. */
+  /** Most recent crash, or part in a mass loss, of each backend server, by instance. */
   readonly lastCrashes: Map<
     string,
     { readonly crashId: string; readonly confirmedAt: MonotonicMilliseconds }
   >;
-  /** Digests that were in progress at a mass loss, with the time at which each entry expires. */
+  /** Digests of requests that were in progress at a mass loss, with their expiry time. */
   readonly massLossDigests: Map<string, MonotonicMilliseconds>;
-  /** Most recent incarnation that each backend server reported in a probe answer, by instance. */
+  /** Incarnation that each backend server last reported in a probe answer, by instance. */
   readonly incarnations: Map<string, string>;
 }
 
--- a/packages/entry-core/src/quarantine/advanceSuspects.ts
+++ b/packages/entry-core/src/quarantine/advanceSuspects.ts
@@ -1,9 +1,9 @@
 /**
- * Expires suspects and quarantines, and lifts the isolation of suspects. Isolation ends once the
- * request has run on another backend server past the point of its crash: otherwise long answers
- * would run one at a time and miss their deadlines. A request that is in progress at another crash
- * afterwards stays isolated until it completes, so a poison request that crashes late costs three
- * servers instead of two.
+ * Expires suspects and quarantines, and lifts the isolation of suspects. Isolation ends once a
+ * request has run again past the point of its crash; otherwise long answers would run one at a
+ * time and miss their deadlines. The price is that a poison request which crashes after that is
+ * identified only at its third crash. From its second crash on, it stays isolated until it
+ * completes or expires.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
@@ -13,12 +13,12 @@
 const ISOLATION_MARGIN_MILLISECONDS = 1000;
 
 /**
- * Upper limit for long-running requests. A longer isolation detects more poison requests, but also
- * attributes more unrelated crashes to harmless ones.
+ * Upper limit of the running time after which isolation ends. A higher limit detects more poison
+ * requests, but also attributes more unrelated crashes to harmless ones.
  */
 const MAX_ISOLATION_MILLISECONDS = 2500;
 
-/** An engine may have generated this many tokens that were not relayed before it crashed. */
+/** Tokens that an engine may have generated before its crash and that the entry did not receive. */
 const MAX_UNRELAYED_TOKENS = 16;
 
 function hasRunPastCrash(state: EntryState, suspect: Suspect, now: MonotonicMilliseconds): boolean {
--- a/packages/entry-core/src/quarantine/attributeCrash.ts
+++ b/packages/entry-core/src/quarantine/attributeCrash.ts
@@ -1,7 +1,8 @@
 /**
- * Attributes a crash to one of the requests that were in progress on the server. If exactly one of
- * them was also in progress at an earlier crash, it is quarantined, and all other suspects of
- * these crashes are exonerated. Otherwise the requests in progress become or stay suspects.
+ * Attributes a crash to one of the requests in progress on the server. If exactly one of them was
+ * in progress at an earlier crash, it is quarantined, and suspects of no other crashes are
+ * exonerated. If there are several, they remain suspects; if there is none, all requests become
+ * suspects. If a peer ran a suspect there, this entry quarantines none.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -19,8 +20,8 @@
 } from './suspects.js';
 
 /**
- * Removes suspects that are held only because of this loss. Returns how many requests the loss
- * affected.
+ * Ends the suspicion that this loss alone caused; suspects of a crash or an earlier reset remain.
+ * Returns the number of requests that were suspected because of the loss.
  */
 export function removeProvisionalSuspects(state: EntryState, instance: string): number {
   const affected = [...state.quarantine.suspects.values()].filter(
@@ -60,9 +61,9 @@
 }
 
 /**
- * Proposes one crash report for each crash of the identified request, listing no other digest. The
- * store quarantines a digest at its second reported crash, so an unrelated request that was in
- * progress at two crashes by chance would otherwise be quarantined too.
+ * Proposes one report for each crash of the identified request, listing no other digest. The store
+ * quarantines a digest at its second reported crash; if all requests in progress were reported,
+ * one that was in progress at two crashes by chance would be quarantined too.
  */
 function proposeCrashReports(digest: string, crashIds: ReadonlySet<string>): EntryEffect[] {
   return [...crashIds].map((crashId) => {
@@ -72,7 +73,7 @@
   });
 }
 
-/** Returns the effects of a quarantine if the crash can be attributed to a single request. */
+/** Quarantines the request that caused the crash, or records suspects if it is not identified. */
 export function attributeCrash(
   state: EntryState,
   loss: ConnectionLoss,
@@ -82,7 +83,7 @@
   const priorSuspects = findPriorSuspects(state, loss, crashId);
   removeProvisionalSuspects(state, loss.instance);
   const poisonDigest = priorSuspects[0];
-  // A peer ran a suspect on this server: the peer attributes the crash to it.
+  // A peer runs a suspect on this server, and attributes the crash to that suspect.
   if (poisonDigest === undefined && peerHasSuspectAt(state, loss.instance)) return [];
   if (poisonDigest === undefined) {
     addSuspects(state, loss, [...loss.requestsInProgress.keys()], crashId, timestamps.now);
--- a/packages/entry-core/src/quarantine/classifyLoss.ts
+++ b/packages/entry-core/src/quarantine/classifyLoss.ts
@@ -17,7 +17,7 @@
 import { probeBackendServer } from './probeBackendServer.js';
 import type { ConnectionLoss } from './QuarantineState.js';
 
-/** A backend server that does not answer a probe within this time is considered crashed. */
+/** How long to wait for the answer to a probe. */
 export const PROBE_TIMEOUT_MILLISECONDS = 1000;
 
 /** Interval between probes of a backend server that is down. */
@@ -36,9 +36,9 @@
 }
 
 /**
- * True if the server still sends tokens although its probe timed out: it may be too busy to accept
- * new connections. A stream that its caller pauses counts as well, since no token is expected from
- * it. Ending these attempts would interrupt healthy streams.
+ * True if the server has sent tokens since the loss was recorded, or if a caller has paused one of
+ * its streams, from which no tokens are expected. A server that is too busy to answer a probe may
+ * still serve these streams, and failing them would interrupt healthy answers.
  */
 function isStillServing(state: EntryState, { instance, openedAt }: ConnectionLoss): boolean {
   return [...(state.backendServers.get(instance)?.attemptIds ?? [])].some((attemptId) => {
@@ -68,7 +68,7 @@
   const crashId = crashIdOf(state, loss, timestamps);
   state.quarantine.lastCrashes.set(instance, { crashId, confirmedAt: timestamps.now });
   const mass = !result.answered && detectMassLoss(state, loss);
-  // Applies to a restarted server too: suspects must not be sent to it before its next probe.
+  // Also if the server has restarted, so that suspects do not return to it before its next probe.
   markDown(state, loss, crashId, timestamps.now);
   const attributionEffects = mass ? [] : attributeCrash(state, loss, crashId, timestamps);
   if (mass) removeProvisionalSuspects(state, instance);
@@ -101,7 +101,10 @@
     : [...effects, ...startRetriesAwaitingServer(state, timestamps.now)];
 }
 
-/** Classifies losses whose probe timed out, and probes again the servers that are down. */
+/**
+ * Classifies losses whose probe timed out, and probes again the servers that are down. Servers
+ * that are no longer listed are removed.
+ */
 export function advanceLosses(state: EntryState, timestamps: Timestamps): EntryEffect[] {
   const overdue = [...state.quarantine.unresolvedLosses.values()].filter(
     ({ openedAt }) => openedAt + PROBE_TIMEOUT_MILLISECONDS <= timestamps.now,
--- a/packages/entry-core/src/quarantine/crashIdOf.ts
+++ b/packages/entry-core/src/quarantine/crashIdOf.ts
@@ -1,7 +1,7 @@
 /**
- * Derives crash ids. All entries must derive the same id for the same crash: a digest is
- * quarantined once it was in progress at two different crashes, and two ids for one crash would
- * count as two.
+ * Derives crash ids, which should be the same at all entries: a request in progress at two
+ * different crashes can be quarantined, so two ids for one crash could quarantine a harmless
+ * request.
  */
 import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
@@ -10,13 +10,15 @@
 /** Without an incarnation, losses within the same time bucket share one crash id. */
 const CRASH_TIME_BUCKET_MILLISECONDS = 1000;
 
-/** A connection that is lost this soon after a crash was confirmed belongs to that crash. */
+/** A loss that is recorded this soon after a crash was confirmed belongs to that crash. */
 const SAME_CRASH_WINDOW_MILLISECONDS = 1000;
 
 /**
- * Returns backend server and incarnation, or backend server and wall-clock second if no
- * incarnation is reported. Two entries that see one crash in different seconds derive different
- * ids; its suspects are then released only when their isolation is lifted.
+ * Returns the id of the previous crash if that was confirmed just before this loss. Otherwise the
+ * id consists of the backend server and its last reported incarnation, or the wall-clock second of
+ * the loss if none was reported. Two entries that see one crash in different seconds derive
+ * different ids; attributing the crash under one id then does not exonerate the suspects recorded
+ * under the other.
  */
 export function crashIdOf(
   state: EntryState,
--- a/packages/entry-core/src/quarantine/detectMassLoss.ts
+++ b/packages/entry-core/src/quarantine/detectMassLoss.ts
@@ -1,9 +1,8 @@
 /**
- * Distinguishes the outage of a data centre, or of the network to it, from a crash. A request runs
- * on one backend server at a time and cannot take down several at once, so the requests of a mass
- * loss are not suspects. A poison request that its caller sent several times looks similar: a mass
- * loss therefore takes the majority of the data centre, and no request in progress was a suspect
- * or in an earlier mass loss.
+ * Distinguishes the outage of a data centre, or of the network to it, from a crash. One request
+ * cannot crash several backend servers at the same time, so the requests of a mass loss are not
+ * suspects. Copies of a poison request could: a mass loss therefore affects the majority of a data
+ * centre, its servers share no request, and no request is a suspect or was in a mass loss before.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
@@ -18,7 +17,7 @@
 /** Losses within this time of each other are assumed to have the same cause. */
 const SAME_CAUSE_WINDOW_MILLISECONDS: Milliseconds = 2000;
 
-/** Another backend server that is lost or down at the same time. */
+/** A backend server that is down or whose loss is unresolved. */
 interface LostServer {
   readonly instance: string;
   readonly lostAt: number;
@@ -53,7 +52,7 @@
   ).length;
 }
 
-/** True if a request that may have caused the loss was in progress on the server. */
+/** True if a suspect, or a request of an earlier mass loss, was in progress on the server. */
 function hasKnownSuspect(state: EntryState, loss: ConnectionLoss): boolean {
   const { massLossDigests } = state.quarantine;
   return (
@@ -70,7 +69,10 @@
   );
 }
 
-/** Also exonerates the suspects of earlier losses that turn out to be part of the same outage. */
+/**
+ * True if the loss is part of a mass loss. Its digests are then recorded, and suspects of the
+ * other servers that crashed in it are exonerated.
+ */
 export function detectMassLoss(state: EntryState, loss: ConnectionLoss): boolean {
   const dataCentre = dataCentreOf(state, loss.instance);
   const concurrent = listLostServers(state).filter(
--- a/packages/entry-core/src/quarantine/failAttemptsAt.ts
+++ b/packages/entry-core/src/quarantine/failAttemptsAt.ts
@@ -8,7 +8,9 @@
 import type { AttemptState } from '../attempts/AttemptState.js';
 import { failAttempt } from '../attempts/failAttempt.js';
 
-/** True if part of the answer has been received; another backend server cannot resume it. */
+/**
+ * True if a plain service has sent part of its answer, which no other backend server can resume.
+ */
 function hasPartialPlainServiceAnswer(state: EntryState, attempt: AttemptState): boolean {
   const requestState = state.requests.get(attempt.requestId);
   return requestState?.pool.kind === 'plainService' && attempt.firstTokenAt !== undefined;
@@ -35,8 +37,8 @@
 }
 
 /**
- * Fails the attempts of idempotent requests only. A call that may not be repeated keeps its
- * connection, the only source of its outcome.
+ * Fails the attempts of idempotent requests only. Any other call keeps its connection, which alone
+ * can still deliver its outcome.
  */
 export function failAttemptsAt(
   state: EntryState,
--- a/packages/entry-core/src/quarantine/hasRestarted.ts
+++ b/packages/entry-core/src/quarantine/hasRestarted.ts
@@ -13,10 +13,11 @@
 }
 
 /**
- * True if a server that answers its probe has crashed and restarted meanwhile. A changed
- * incarnation shows it. Without incarnations it is assumed if most connections were reset
- * together, or if a reset request was a suspect or had been reset before. A poison request that
- * runs alone on such a server is therefore detected one crash later.
+ * True if a backend server that answers its probe has crashed and restarted meanwhile. If
+ * incarnations are missing, a restart is assumed if at least two and most of the requests in
+ * progress lost their connection to a reset, if one of these had a reset before, or if a reset
+ * occurred while a suspect of an earlier crash was in progress. A single request that crashes a
+ * server without incarnations is therefore detected one crash later.
  */
 export function hasRestarted(
   state: EntryState,
@@ -35,7 +36,10 @@
   return isMajorityReset || hasRepeatedReset || findPriorSuspects(state, loss).length > 0;
 }
 
-/** Marks the requests whose connection was reset although the backend server answered its probe. */
+/**
+ * Marks requests whose connection was reset although the backend server did not crash, and lifts
+ * their isolation.
+ */
 export function recordResetsWithoutCrash(state: EntryState, loss: ConnectionLoss): void {
   loss.resetDigests.forEach((digest) => {
     const suspect = state.quarantine.suspects.get(digest);
--- a/packages/entry-core/src/quarantine/listInstancesOutsideSlot.ts
+++ b/packages/entry-core/src/quarantine/listInstancesOutsideSlot.ts
@@ -1,9 +1,9 @@
 /**
  * Divides the backend servers among the entries that have suspects, by time slots of the wall
- * clock. Each server belongs to one entry per slot, and an entry starts suspects only early in its
- * slot; its report reaches the others before the next slot. So two entries never start a suspect
- * on the same server, where a crash could not be attributed. This holds while clock differences
- * and report delays together are shorter than the rest of a slot.
+ * clock. In each slot every server belongs to one entry, and suspects start only early in a slot,
+ * so that their report reaches the other entries before the next slot. Two entries then never run
+ * suspects on the same server. This holds while clock differences and report delays together are
+ * shorter than the rest of a slot.
  */
 import type { EpochMilliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
@@ -11,7 +11,7 @@
 
 const SLOT_DURATION_MILLISECONDS = 500;
 
-/** Only within this time from the start of a slot may its owner start suspects. */
+/** Suspects start only within this time from the beginning of a slot. */
 const START_WINDOW_MILLISECONDS = 250;
 
 function getWallClock(state: EntryState, now: MonotonicMilliseconds): EpochMilliseconds {
@@ -19,8 +19,8 @@
 }
 
 /**
- * Returns the backend servers on which this entry may not start a suspect now. Only entries that
- * have reported pending suspects take part, so an entry that is alone never waits.
+ * Returns the backend servers on which this entry may not start a suspect now. Without reachable
+ * peers that have reported pending suspects, there are none.
  */
 export function listInstancesOutsideSlot(state: EntryState, now: MonotonicMilliseconds): string[] {
   const participants = livePeers(state)
--- a/packages/entry-core/src/quarantine/openLoss.ts
+++ b/packages/entry-core/src/quarantine/openLoss.ts
@@ -1,4 +1,4 @@
-/** Records the loss of a backend server together with the requests in progress on it. */
+/** Adds an unresolved connection loss, with the requests in progress on the backend server. */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 import type { ConnectionLoss } from './QuarantineState.js';
--- a/packages/entry-core/src/quarantine/poison.test.ts
+++ b/packages/entry-core/src/quarantine/poison.test.ts
@@ -10,12 +10,12 @@
 
 const BATCH_SIZE = 30;
 
-// Guards against a poison request that crashes more than two engines, or causes other callers to be
-// refused. The first crash makes all requests on the engine suspects; the second identifies the
-// poison request.
+// Guards against a poison request that crashes more than two engines or makes harmless requests
+// fail. The first crash makes all requests on the engine suspects; the second identifies the poison
+// request.
 for (const crashAtToken of [0, 40, 150]) {
   for (const unreachable of [false, true]) {
-    const failureMode = unreachable ? 'times out' : 'refuses connections';
+    const failureMode = unreachable ? 'leaves probes unanswered' : 'refuses probes';
     test(`a poison request is quarantined after two crashes at token ${crashAtToken} if the engine ${failureMode}`, () => {
       const cluster = runPoisonBatch({ crashAtToken, unreachable });
       assert.deepEqual(cluster.findViolations(), []);
@@ -33,8 +33,8 @@
   }
 }
 
-// The same scenario with engines that restart before the probe. Many connections reset together
-// must be treated as a crash.
+// The same scenario with engines that restart before the probe: several connections that are reset
+// together must be treated as a crash.
 for (const crashAtToken of [0, 40]) {
   test(`a poison request is quarantined after two crashes at token ${crashAtToken} if engines restart immediately`, () => {
     const cluster = runPoisonBatch({ crashAtToken, restartsImmediately: true });
@@ -90,8 +90,9 @@
   return cluster;
 }
 
-// Guards against a resend through another entry that crashes a third engine. Peers report their
-// suspects, so the resend is isolated, never runs concurrently, and is refused once quarantined.
+// Guards against a resend through another entry that crashes a third engine. Entries report their
+// suspects to each other, so the resend is isolated, does not run concurrently with the original,
+// and is refused once the digest is quarantined.
 for (const crashAtToken of [0, 20, 100]) {
   for (const firstDelay of [200, 700, 1500]) {
     test(`resends ${firstDelay} ms after a crash at token ${crashAtToken} crash no third engine`, () => {
@@ -108,7 +109,7 @@
 }
 
 // Guards against quarantining a request that was in progress at two unrelated crashes. It ran well
-// past the point of the first crash, so the second one does not identify it.
+// past the point of the first crash, so the second crash is not attributed to it.
 test('a request that is interrupted by two unrelated crashes is not quarantined', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 6 } });
   const caller = cluster.entry.submitRequest(makeRequest('unlucky', { maxTokens: 800 }));
@@ -123,8 +124,8 @@
   assert.deepEqual(cluster.findViolations(), []);
 });
 
-// Guards against a quarantine that depends on the store: the entry enforces it alone, and its
-// report spreads it.
+// Guards against a quarantine that depends on the store: the entry that starts it enforces it and
+// announces it to its peers.
 test('a quarantine is enforced at all entries while the store is unreachable', () => {
   const crashTokenByDigest = new Map([[POISON_DIGEST, 20]]);
   const cluster = new SimulatedCluster({
--- a/packages/entry-core/src/quarantine/probeStalledServers.ts
+++ b/packages/entry-core/src/quarantine/probeStalledServers.ts
@@ -1,8 +1,8 @@
 /**
  * Probes backend servers whose streams have stalled. A host that disappears resets no connections,
- * and the probe detects it sooner than the idle time-out of each stream. A stream that its caller
- * pauses is not stalled: on a busy instance one late probe answer would be treated as a crash and
- * end every stream on that server.
+ * and a probe detects it sooner than the idle time-out of each stream. A stream that its caller
+ * has paused does not count: if the probe timed out, the server would be considered crashed and
+ * its streams would be failed.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { AttemptState } from '../attempts/AttemptState.js';
@@ -11,7 +11,10 @@
 import { openLoss } from './openLoss.js';
 import { probeBackendServer } from './probeBackendServer.js';
 
-/** A stream without a token for this long has stalled. */
+/**
+ * A stream has stalled if it delivers no token for this long; it is probed again after the same
+ * time.
+ */
 const STALL_TIMEOUT_MILLISECONDS = 1500;
 
 function isStalled(attempt: AttemptState, now: MonotonicMilliseconds): boolean {
@@ -21,7 +24,8 @@
 }
 
 /**
- * Returns backend servers with a stalled stream that are neither being probed, down nor leaving.
+ * Returns the backend servers to probe: those with a stalled stream that are not being probed,
+ * down or leaving. Records the time of the probe in the stalled attempts.
  */
 function findStalledInstances(state: EntryState, now: MonotonicMilliseconds): Set<string> {
   const { unresolvedLosses, down } = state.quarantine;
--- a/packages/entry-core/src/quarantine/quarantineDigest.ts
+++ b/packages/entry-core/src/quarantine/quarantineDigest.ts
@@ -1,6 +1,7 @@
 /**
- * Quarantines the digest of a request that crashed backend servers, at every entry. A quarantined
- * request is sent to no backend server until the quarantine ends.
+ * Quarantines the digest of a request that crashed backend servers. Until the quarantine ends,
+ * requests with this digest are failed and sent to no backend server. Peers apply it when they
+ * receive the next report of this entry.
  */
 import type { QuarantineEntry } from '@hornbeampond/schema';
 import { cancelAttempt } from '../attempts/releaseAttempts.js';
@@ -13,12 +14,12 @@
 import type { RequestState } from '../requests/RequestState.js';
 import { exonerateSuspectsOf, collectCrashIds } from './suspects.js';
 
-/** How long this entry enforces its own quarantine if the store's does not arrive. */
+/** How long a quarantine that this entry starts lasts, unless the store sets a later end. */
 const LOCAL_QUARANTINE_MILLISECONDS = 600_000;
 
 /**
- * Fails a request that is now quarantined. Its attempt is cancelled, since it may crash its
- * backend server at any moment.
+ * Fails a request whose digest is now quarantined. The attempt of an idempotent request is
+ * cancelled, since it may crash its backend server at any moment.
  */
 function failQuarantinedRequest(
   state: EntryState,
@@ -65,8 +66,8 @@
 }
 
 /**
- * Applies the quarantines of the store or of a peer. Entries are only added or extended: a
- * quarantine that this entry started itself stays in force.
+ * Applies the quarantines of the store or of a peer. They only add to or extend those of this
+ * entry. Other suspects of the same crashes are exonerated.
  */
 export function receiveQuarantine(
   state: EntryState,
--- a/packages/entry-core/src/quarantine/randomPoisonBatches.test.ts
+++ b/packages/entry-core/src/quarantine/randomPoisonBatches.test.ts
@@ -119,8 +119,8 @@
   ],
 };
 
-// Guards against losing more than two engines, or a harmless request, for any timing of the batch,
-// the crash and the resends through other entries.
+// Guards against a poison request that crashes more than two engines or makes harmless requests
+// fail, for random timings of the batch, the crash and the resends through other entries.
 test('random batches with one poison request crash at most two engines', () => {
   fc.assert(
     fc.property(batchArbitrary, (batch) => assertDeathsBounded(batch, false, 2)),
@@ -128,8 +128,8 @@
   );
 });
 
-// The same for engines that restart before their probe. Running alone on its engine, a poison
-// request is detected only at its second crash and identified at its third.
+// The same for engines that restart before their probe. A poison request that runs alone on its
+// engine is detected only at its second crash and identified at its third.
 test('engines that restart immediately crash at most three times', () => {
   fc.assert(
     fc.property(batchArbitrary, (batch) => assertDeathsBounded(batch, true, 3)),
--- a/packages/entry-core/src/quarantine/recordLoss.ts
+++ b/packages/entry-core/src/quarantine/recordLoss.ts
@@ -1,7 +1,7 @@
 /**
- * Records that a connection to a backend server was lost or stalled, and probes the server over a
- * new connection. Until the probe is answered or times out, the requests that lost their
- * connection are suspects, so that a request which crashes servers is not retried next to others.
+ * Records that a connection to a backend server was lost, refused or timed out, and probes the
+ * server over a new connection. Until the probe is answered or times out, requests that lost an
+ * open connection are suspects, so that one which crashes servers is not retried alongside others.
  */
 import type { AttemptState } from '../attempts/AttemptState.js';
 import type { AttemptFailedEvent } from '../attempts/failAttempt.js';
@@ -43,7 +43,7 @@
 
 /**
  * True if the backend server may have crashed. A refused connection counts too: a crashed server
- * without streams would otherwise stay the least loaded one and be chosen for every request.
+ * without streams would otherwise remain the least loaded one and be chosen for every request.
  */
 function needsProbe(failure: AttemptFailure): boolean {
   return failure === 'connectionLost' || failure === 'silent' || failure === 'connectFailed';
--- a/packages/entry-core/src/quarantine/slowCaller.test.ts
+++ b/packages/entry-core/src/quarantine/slowCaller.test.ts
@@ -9,8 +9,8 @@
 }
 
 /**
- * Starts a stream at one of two engines; `stall` stops the tokens and probe answers of that
- * engine.
+ * Starts a stream at one of two engines. The returned `stall` stops the delivery of tokens by that
+ * engine and leaves every probe in the cluster unanswered.
  */
 function startStream() {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 2 } });
@@ -28,8 +28,8 @@
   return { cluster, attemptId, stall };
 }
 
-// Guards against probing an engine because a slow caller pauses its stream: a probe answered late
-// would end every stream on that engine.
+// Guards against probing an engine only because a slow caller pauses a stream. If the probe timed
+// out, the engine would be considered crashed and its streams would be failed.
 test('a stream paused by its caller does not cause a probe', () => {
   const { cluster, attemptId, stall } = startStream();
   cluster.entry.send({ type: 'attemptHeld', attemptId, held: true });
@@ -44,8 +44,7 @@
   assert.equal(isProbedOrDown(cluster), true);
 });
 
-// Guards against ending a stream because of a probe that was sent before its caller paused it and
-// was answered too late.
+// Guards against failing a paused stream when a probe that was sent before the pause times out.
 test('an unanswered probe does not end a stream that its caller paused', () => {
   const { cluster, attemptId, stall } = startStream();
   stall();
--- a/packages/entry-core/src/quarantine/suspects.ts
+++ b/packages/entry-core/src/quarantine/suspects.ts
@@ -1,7 +1,7 @@
 /**
- * Tracks suspects: requests that were in progress on a backend server when it was lost. Any of
- * them may have crashed it, so they are run isolated from each other; the next crash then
- * identifies a single request.
+ * Tracks suspects: requests that were in progress on a backend server when it was lost, any of
+ * which may have crashed it. They run isolated from each other, so that a second crash can be
+ * attributed to one of them.
  */
 import type { Milliseconds, MonotonicMilliseconds, PeerSuspect } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
@@ -9,7 +9,7 @@
 import { reportSoon } from '../membership/advanceReports.js';
 import type { ConnectionLoss, Suspect } from './QuarantineState.js';
 
-/** A suspect expires after this time unless its caller sends the request again. */
+/** How long a request stays a suspect, and how long the digests of a mass loss are kept. */
 export const SUSPECT_LIFETIME_MILLISECONDS = 600_000;
 
 /** Time within which a report sent with the next tick reaches the peers. */
@@ -32,7 +32,10 @@
   );
 }
 
-/** Returns the crashes at which the digest was in progress, as seen by this entry and its peers. */
+/**
+ * Returns the ids of all crashes at which a request with this digest was in progress, as seen by
+ * this entry and its peers.
+ */
 export function collectCrashIds(state: EntryState, digest: string): Set<string> {
   const crashes = new Set(state.quarantine.suspects.get(digest)?.crashIds);
   listPeerSuspects(state)
@@ -41,6 +44,7 @@
   return crashes;
 }
 
+/** True if the request must run isolated from other suspects. */
 export function isSuspect(state: EntryState, digest: string): boolean {
   const own = state.quarantine.suspects.get(digest);
   return (
@@ -50,8 +54,9 @@
 }
 
 /**
- * Makes a suspect reported by peers a suspect of this entry too. It waits until this entry has
- * reported it as pending, so that only one of several entries runs it.
+ * Returns the suspect with this digest. One that only peers have reported becomes a suspect of
+ * this entry too, and is held until this entry has reported it, so that only one of several
+ * entries runs it.
  */
 function adoptSuspect(state: EntryState, digest: string, now: MonotonicMilliseconds): Suspect {
   const existing = state.quarantine.suspects.get(digest);
@@ -72,8 +77,8 @@
 }
 
 /**
- * True if a reachable peer whose name sorts before this entry has the same suspect pending; that
- * peer runs it.
+ * True if a reachable peer whose name sorts before that of this entry has the same suspect
+ * pending; that peer runs it.
  */
 function isPendingAtEarlierPeer(state: EntryState, digest: string): boolean {
   return [...state.membership.peers.values()].some(
@@ -94,9 +99,10 @@
 }
 
 /**
- * True if a suspect must not start now: its loss is still being probed, or the request is already
- * running here or at a peer. Otherwise a poison request could crash several servers before its
- * first crash is classified, and a resend would run concurrently with the original.
+ * True if the request is a suspect and must not start now: its loss is being probed, its report
+ * has not reached the peers, another entry runs it first, or it is already running. Otherwise a
+ * poison request could crash several servers before its first crash is classified, and a resend
+ * could run concurrently with the original.
  */
 export function mustDelaySuspect(
   state: EntryState,
@@ -119,7 +125,9 @@
   return runsHere || runsAtPeer;
 }
 
-/** Returns the instances on which suspects of other requests are running, here or at peers. */
+/**
+ * Returns the instances on which suspects other than this request are running, here or at peers.
+ */
 export function listInstancesRunningSuspects(
   state: EntryState,
   excludedRequestId: string,
@@ -136,12 +144,14 @@
   return instances;
 }
 
-/** Called when a request completes: it did not crash its backend server. */
+/** Removes the suspect, because its request completed without crashing its backend server. */
 export function exonerateSuspect(state: EntryState, digest: string): void {
   state.quarantine.suspects.delete(digest);
 }
 
-/** Exonerates suspects that were in progress only at these crashes, whose cause is now known. */
+/**
+ * Exonerates suspects that were in progress at these crashes only, because another cause is known.
+ */
 export function exonerateSuspectsOf(state: EntryState, crashIds: ReadonlySet<string>): void {
   state.quarantine.suspects.forEach((suspect, digest) => {
     const isExplained = [...suspect.crashIds].every((crashId) => crashIds.has(crashId));
@@ -153,7 +163,10 @@
   return state.quarantine.suspects.get(digest)?.isolationLifted === true;
 }
 
-/** Returns the requests of the loss that were also in progress at a crash other than `crashId`. */
+/**
+ * Returns the requests of the loss that were also in progress at a crash other than `crashId`,
+ * except those whose isolation was lifted.
+ */
 export function findPriorSuspects(
   state: EntryState,
   loss: ConnectionLoss,
@@ -167,7 +180,8 @@
 }
 
 /**
- * True if a peer runs a suspect on the instance; this entry alone cannot attribute a crash then.
+ * True if a peer last reported that a suspect runs on the instance; this entry alone cannot
+ * attribute a crash then.
  */
 export function peerHasSuspectAt(state: EntryState, instance: string): boolean {
   return [...state.membership.peers.values()].some(({ report }) =>
--- a/packages/entry-core/src/reclaims/ReclaimState.ts
+++ b/packages/entry-core/src/reclaims/ReclaimState.ts
@@ -17,7 +17,9 @@
 }
 
 export interface ReclaimState {
-  /** When each backend server stops running, by instance; entries may precede its first listing. */
+  /**
+   * When each backend server stops running, by instance; known even before the instance is listed.
+   */
   readonly leaving: Map<string, EpochMilliseconds>;
   /** Cache moves in progress, by request id. */
   readonly moves: Map<string, CacheMove>;
--- a/packages/entry-core/src/reclaims/migrateStreams.ts
+++ b/packages/entry-core/src/reclaims/migrateStreams.ts
@@ -1,9 +1,9 @@
 /**
  * Migrates the streams of a backend server that is being reclaimed, until its notice period ends.
- * A stream that finishes in time stays. The others are moved with their KV cache, most expensive
- * to recompute first and one at a time; those that do not fit the remaining time run on as long as
- * possible and are then resumed elsewhere. Every call plans from the current state, so failed
- * moves and shortened notices need no special handling.
+ * Streams that finish in time stay, and those without a first token restart elsewhere immediately.
+ * The others are moved with their KV cache one at a time, most expensive to recompute first; those
+ * that do not fit the remaining time run on as long as possible and are then resumed elsewhere.
+ * Every call plans from the current state.
  */
 import { isClaimed, type Milliseconds } from '@hornbeampond/schema';
 import type { AttemptState } from '../attempts/AttemptState.js';
@@ -55,13 +55,13 @@
   return requestState.pool.kind === 'modelEngine' || attempt.firstTokenAt === undefined;
 }
 
-/** Fraction of the total prefill time over which resumes are spread at the end of a notice. */
+/** Resumes are spread over this fraction of their total prefill time per target. */
 const RESUME_SPREAD_FRACTION_OF_PREFILL = 0.25;
 
 /**
- * Returns how long before the end of the notice the streams must start to be resumed. The time is
- * kept short, since a stream may still finish; spreading the resumes limits how many prefills
- * reach the targets at the same time.
+ * Returns how long before the end of the notice the first of these streams is to be resumed. The
+ * time is kept short, since a stream may still finish; spreading the resumes limits how many
+ * prefills reach the targets at the same time.
  */
 function estimateResumeLeadTime(streams: readonly Stream[], targets: number): Milliseconds {
   const prefill = streams.reduce(
@@ -130,8 +130,8 @@
 }
 
 /**
- * Groups streams by whether there is a KV cache to move. Without a first token there is none, and
- * the request restarts elsewhere immediately.
+ * Separates streams that have a KV cache to move from those without a first token, which restart
+ * elsewhere, and from requests to plain services.
  */
 function groupByProgress(streams: readonly Stream[]) {
   const engine = streams.filter(({ requestState }) => requestState.pool.kind === 'modelEngine');
@@ -142,7 +142,7 @@
   };
 }
 
-/** False if the stream has to stay where it is unless its KV cache can be moved. */
+/** False if the stream must stay where it is unless its KV cache can be moved. */
 function isRepeatable({ requestState }: Stream): boolean {
   return requestState.route.idempotent;
 }
--- a/packages/entry-core/src/reclaims/moveCache.ts
+++ b/packages/entry-core/src/reclaims/moveCache.ts
@@ -61,6 +61,7 @@
   return [{ type: 'moveCache', requestId, attemptId, nextAttemptId, from, to: toTarget }];
 }
 
+/** Returns the server unless it is unlisted, leaving, down or being probed. */
 function findUsableServer(state: EntryState, instance: string): BackendServerState | undefined {
   const server = state.backendServers.get(instance);
   const { down, unresolvedLosses } = state.quarantine;
@@ -69,7 +70,10 @@
   return isUsable ? server : undefined;
 }
 
-/** Ends a move that delivered no cache; the stream is resumed from its offset. */
+/**
+ * Ends a move that delivered no cache. The stream is resumed elsewhere if its request may be
+ * repeated.
+ */
 function abandonMove(
   state: EntryState,
   move: CacheMove,
@@ -86,7 +90,10 @@
   return [countMove(outcome), ...resumeElsewhere(state, requestState, 'reclaimNotice', timestamps)];
 }
 
-/** Completes a move. The answer to a move that was abandoned or replaced meanwhile is ignored. */
+/**
+ * Handles the answer to a move: the stream migrates to the target, or the move is abandoned if it
+ * failed. The answer to a move that was abandoned or replaced meanwhile is ignored.
+ */
 export function finishCacheMove(state: EntryState, event: CacheMovedEvent): EntryEffect[] {
   const move = state.reclaims.moves.get(event.requestId);
   const requestState = state.requests.get(event.requestId);
--- a/packages/entry-core/src/reclaims/receiveCacheMoved.ts
+++ b/packages/entry-core/src/reclaims/receiveCacheMoved.ts
@@ -1,6 +1,6 @@
 /**
- * Completes a cache move and immediately starts the next one from the same backend server, so that
- * its link does not stay idle during the notice.
+ * Handles the answer to a cache move and plans the next one from the same backend server
+ * immediately, so that its link is not idle during the notice.
  */
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
--- a/packages/entry-core/src/reclaims/recoveryCosts.ts
+++ b/packages/entry-core/src/reclaims/recoveryCosts.ts
@@ -1,6 +1,6 @@
 /**
- * Estimates how long it takes to move, resume or finish a stream. The default rates are
- * deliberately low: a move that wrongly appears to fit into the notice wastes the rest of it.
+ * Estimates how long it takes to move, resume or finish a stream. The rates are deliberately low:
+ * a move that wrongly appears to fit into the notice wastes the rest of it.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 import type { AttemptState } from '../attempts/AttemptState.js';
@@ -16,8 +16,8 @@
 export const PREFILL_TOKENS_PER_MILLISECOND = 4;
 
 /**
- * A stream may finish in place only if the notice exceeds its estimated remaining time by this
- * factor.
+ * A stream may finish in place only if the notice is at least this multiple of the estimated
+ * remaining time of the stream.
  */
 const FINISH_SAFETY_FACTOR = 1.25;
 
@@ -69,7 +69,8 @@
 
 /**
  * True if the longest answer that the caller allows finishes within `timeLeft`, or if there is
- * time to measure its rate first: migrating too early recomputes the prompt for nothing.
+ * time to measure the rate first: migrating a stream that would have finished recomputes its
+ * prompt for nothing.
  */
 export function canFinishWithinNotice(
   requestState: RequestState,
--- a/packages/entry-core/src/testing/EntryHarness.ts
+++ b/packages/entry-core/src/testing/EntryHarness.ts
@@ -60,7 +60,7 @@
 
   readonly outcomes = new Map<string, CallerOutcome>();
 
-  /** Failure of every attempt at an instance. */
+  /** How every attempt at an instance fails, by instance; other attempts succeed. */
   readonly failureByInstance = new Map<string, AttemptFailure>();
 
   /** Sums of `count` effects, with `metric/label` as the key. */
@@ -112,7 +112,7 @@
     return outcome;
   }
 
-  /** Lists the first `count` engines on the platform. */
+  /** Sends all entries a platform list with the first `count` engines. */
   listEngines(count: number = this.options.servers): void {
     const { pool, dataCentreOf = () => 'dc-a' } = this.options;
     const instances = [...this.engines.keys()].slice(0, count).map((instance, number) => ({
--- a/packages/entry-core/src/testing/examples.ts
+++ b/packages/entry-core/src/testing/examples.ts
@@ -8,7 +8,10 @@
 } from '@hornbeampond/schema';
 import type { CallerRequest } from '../entryEvents.js';
 
-/** Returns a route with the defaults of the table filled in. */
+/**
+ * Returns a valid example route; `overrides` replaces single fields, and the schema fills in its
+ * defaults.
+ */
 export function exampleRoute(overrides: Record<string, unknown> = {}): Route {
   const checked = checkRoutes([
     {
@@ -41,6 +44,7 @@
   return checked.rows[0] as Pool;
 }
 
+/** Returns an example request; `overrides` replaces single fields. */
 export function exampleRequest(
   requestId: string,
   overrides: Partial<CallerRequest> = {},
@@ -58,7 +62,10 @@
   };
 }
 
-/** Returns deadlines with the given first-token limit and a long limit for the complete answer. */
+/**
+ * Returns the fields of a route whose first-token deadline is the given one and whose whole-answer
+ * deadline is long.
+ */
 export function firstTokenWithin(firstTokenMilliseconds: Milliseconds): Record<string, unknown> {
   return { deadline: { firstTokenMilliseconds, wholeAnswerMilliseconds: 600_000 } };
 }
