--- a/packages/entry-core/src/quarantine/recordLoss.ts
+++ b/packages/entry-core/src/quarantine/recordLoss.ts
@@ -1,7 +1,7 @@
 /**
- * Records that a connection to a backend server was lost or stalled, and probes the server over a
- * new connection. Until the probe is answered or times out, the requests that lost their
- * connection are suspects, so that a request which crashes servers is not retried next to others.
+ * Records that a connection to a backend server was lost, refused or timed out, and probes the
+ * server over a new connection. Until the probe is answered or times out, requests that lost an
+ * open connection are suspects, so that one which crashes servers is not retried alongside others.
  */
 import type { AttemptState } from '../attempts/AttemptState.js';
 import type { AttemptFailedEvent } from '../attempts/failAttempt.js';
@@ -43,7 +43,7 @@
 
 /**
  * True if the backend server may have crashed. A refused connection counts too: a crashed server
- * without streams would otherwise stay the least loaded one and be chosen for every request.
+ * without streams would otherwise remain the least loaded one and be chosen for every request.
  */
 function needsProbe(failure: AttemptFailure): boolean {
   return failure === 'connectionLost' || failure === 'silent' || failure === 'connectFailed';
@@ -52,7 +52,7 @@
 /** Must be called before the attempt is removed, while it still counts as in progress. */
 export function recordLoss(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   attempt: AttemptState,
   event: AttemptFailedEvent,
 ): EntryEffect[] {
@@ -64,9 +64,9 @@
   // Nothing of the refused request was sent, so it cannot have caused the loss.
   const excludedAttemptId = event.failure === 'connectFailed' ? attempt.attemptId : undefined;
   const loss = existing ?? openLoss(state, instance, event.now, excludedAttemptId);
-  if (event.failure === 'connectionLost') loss.resetDigests.add(accepted.request.digest);
+  if (event.failure === 'connectionLost') loss.resetDigests.add(requestState.request.digest);
   if (event.failure !== 'connectFailed')
-    addProvisionalSuspect(state, accepted.request, loss, event.now);
+    addProvisionalSuspect(state, requestState.request, loss, event.now);
   // A resend through another entry must not run until the loss is classified.
   reportSoon(state);
   return existing === undefined ? probeBackendServer(state, instance) : [];
