--- a/packages/controller-core/src/buying/buyInstances.ts
+++ b/packages/controller-core/src/buying/buyInstances.ts
@@ -14,9 +14,9 @@
 import { closeAfterRefusal } from './placeClosures.js';
 
 /** A start that was never answered is given up after so long; if it bought, the list shows it. */
-const FORGET_AFTER = 10 * 60_000;
+const MAX_PENDING_START_AGE_MILLISECONDS = 10 * 60_000;
 
-function effectOf(state: ControllerState, pending: PendingStart): StartInstanceEffect {
+function makeStartEffect(state: ControllerState, pending: PendingStart): StartInstanceEffect {
   const { pool, instanceClass, startToken } = pending;
   return {
     type: 'startInstance',
@@ -27,7 +27,7 @@
   };
 }
 
-function buy(
+function requestStart(
   state: ControllerState,
   lease: HeldLease,
   plan: PoolPlan,
@@ -44,7 +44,7 @@
   };
   state.pendingStarts.set(pending.startToken, pending);
   return [
-    effectOf(state, pending),
+    makeStartEffect(state, pending),
     {
       type: 'log',
       event: 'startAsked',
@@ -64,14 +64,14 @@
   ];
 }
 
-function countThere(state: ControllerState, pool: Pool, place: PlannedPlace): number {
-  const there = instancesOf(state, pool).filter(
+function countKeptAndPending(state: ControllerState, pool: Pool, place: PlannedPlace): number {
+  const kept = instancesOf(state, pool).filter(
     (instance) =>
       instance.dataCentre === state.dataCentre &&
       instance.instanceClass === place.instanceClass &&
       isKept(instance),
   );
-  return there.length + countPending(state, pool, state.dataCentre, place.instanceClass);
+  return kept.length + countPending(state, pool, state.dataCentre, place.instanceClass);
 }
 
 function buyForPool(state: ControllerState, lease: HeldLease, pool: Pool): ControllerEffect[] {
@@ -81,15 +81,17 @@
     .filter((place) => place.dataCentre === state.dataCentre)
     .filter((place) => !isClosed(state, place.dataCentre, place.instanceClass))
     .flatMap((place) => {
-      const lacking = Math.max(0, place.wanted - countThere(state, pool, place));
-      return Array.from({ length: lacking }, () => buy(state, lease, plan, place)).flat();
+      const missingCount = Math.max(0, place.wanted - countKeptAndPending(state, pool, place));
+      return Array.from({ length: missingCount }, () =>
+        requestStart(state, lease, plan, place),
+      ).flat();
     });
 }
 
 /** Sends unanswered starts again, under the same tokens. */
 function resendStarts(state: ControllerState): ControllerEffect[] {
   return [...state.pendingStarts.values()].flatMap((pending): ControllerEffect[] => {
-    if (state.now - pending.requestedAt > FORGET_AFTER) {
+    if (state.now - pending.requestedAt > MAX_PENDING_START_AGE_MILLISECONDS) {
       state.pendingStarts.delete(pending.startToken);
       const { startToken, pool, instanceClass, resends } = pending;
       const fields = { startToken, pool, instanceClass, resends };
@@ -100,14 +102,14 @@
     pending.resendAt =
       state.now + state.policy.startAnswerTimeout * 2 ** Math.min(pending.resends, 3);
     return [
-      effectOf(state, pending),
+      makeStartEffect(state, pending),
       { type: 'count', metric: 'fleetRetries', label: 'startAnswerLost' },
     ];
   });
 }
 
 /** Purchases that went unanswered too long no longer hold the next cheapest place back. */
-function closeUnanswered(state: ControllerState): ControllerEffect[] {
+function closePlacesOfUnansweredStarts(state: ControllerState): ControllerEffect[] {
   return [...state.pendingStarts.values()]
     .filter(
       (pending) =>
@@ -132,7 +134,7 @@
 
 /** Buys, unless the lease is so fresh that the last holder's purchases may not be listed yet. */
 export function buyInstances(state: ControllerState, lease: HeldLease): ControllerEffect[] {
-  const effects = [...closeUnanswered(state), ...resendStarts(state)];
+  const effects = [...closePlacesOfUnansweredStarts(state), ...resendStarts(state)];
   if (state.now - lease.since < state.policy.takeoverPurchaseDelay) return effects;
   return [
     ...effects,
--- a/packages/controller-core/src/buying/placeClosures.ts
+++ b/packages/controller-core/src/buying/placeClosures.ts
@@ -9,16 +9,19 @@
 import { placeKey, type PlaceClosure, type ControllerState } from '../state.js';
 
 /** A refusal counts as one in a row if it comes this soon after the last closure ended. */
-const ROW_GAP: Milliseconds = 10 * 60_000;
+const CONSECUTIVE_REFUSAL_GAP_MILLISECONDS: Milliseconds = 10 * 60_000;
 
 /**
  * The wait doubles with each refusal in a row. A random half of it is left out, so that the
  * controllers and pools that were refused together do not all ask again together.
  */
-function backoffAfter(state: ControllerState, refusals: number): Milliseconds {
-  const { initialStartBackoff: firstBackoff, maxStartBackoff: longestBackoff } = state.policy;
-  const longest = Math.min(longestBackoff, firstBackoff * 2 ** Math.min(refusals - 1, 20));
-  return uniformInt(state.random, Math.ceil(longest / 2), Math.ceil(longest));
+function drawBackoff(state: ControllerState, refusals: number): Milliseconds {
+  const { initialStartBackoff, maxStartBackoff } = state.policy;
+  const backoffLimit = Math.min(
+    maxStartBackoff,
+    initialStartBackoff * 2 ** Math.min(refusals - 1, 20),
+  );
+  return uniformInt(state.random, Math.ceil(backoffLimit / 2), Math.ceil(backoffLimit));
 }
 
 /** Closes an own place after a refused or unanswered start. */
@@ -28,14 +31,15 @@
   reason: 'refused' | 'unanswered',
 ): PlaceClosure {
   const place = placeKey(state.dataCentre, instanceClass);
-  const before = state.placeClosures.get(place);
-  const inRow = before !== undefined && state.now < before.until + ROW_GAP;
+  const previous = state.placeClosures.get(place);
+  const isConsecutive =
+    previous !== undefined && state.now < previous.until + CONSECUTIVE_REFUSAL_GAP_MILLISECONDS;
   // Starts that were asked together are refused together; they count as one refusal.
-  const together = before !== undefined && before.until > state.now && before.refusals > 0;
-  const refusals = (inRow ? before.refusals : 0) + (together ? 0 : 1);
+  const isSameBatch = previous !== undefined && previous.until > state.now && previous.refusals > 0;
+  const refusals = (isConsecutive ? previous.refusals : 0) + (isSameBatch ? 0 : 1);
   const until = Math.max(
-    state.now + backoffAfter(state, refusals),
-    before?.reason === 'reclaimed' ? before.until : 0,
+    state.now + drawBackoff(state, refusals),
+    previous?.reason === 'reclaimed' ? previous.until : 0,
   );
   const closure = { dataCentre: state.dataCentre, instanceClass, reason, until, refusals };
   state.placeClosures.set(place, closure);
@@ -49,9 +53,9 @@
   instanceClass: string,
 ): void {
   const place = placeKey(dataCentre, instanceClass);
-  const before = state.placeClosures.get(place);
-  const until = Math.max(state.now + state.policy.reclaimCooldown, before?.until ?? 0);
-  const refusals = before?.refusals ?? 0;
+  const previous = state.placeClosures.get(place);
+  const until = Math.max(state.now + state.policy.reclaimCooldown, previous?.until ?? 0);
+  const refusals = previous?.refusals ?? 0;
   state.placeClosures.set(place, {
     dataCentre,
     instanceClass,
--- a/packages/controller-core/src/buying/reduceBuying.ts
+++ b/packages/controller-core/src/buying/reduceBuying.ts
@@ -5,7 +5,7 @@
 import type { ControllerState, PendingStart } from '../state.js';
 import { closeAfterRefusal, reopenPlace } from './placeClosures.js';
 
-function takeStarted(
+function handleStarted(
   state: ControllerState,
   pending: PendingStart,
   outcome: StartOutcome & { readonly type: 'started' },
@@ -32,7 +32,7 @@
   ];
 }
 
-function takeRefused(
+function handleRefused(
   state: ControllerState,
   pending: PendingStart,
   reason: string,
@@ -57,7 +57,7 @@
   ];
 }
 
-function takeStartAnswer(
+function handleStartAnswer(
   state: ControllerState,
   startToken: string,
   outcome: StartOutcome,
@@ -66,9 +66,9 @@
   if (pending === undefined) return [];
   switch (outcome.type) {
     case 'started':
-      return takeStarted(state, pending, outcome);
+      return handleStarted(state, pending, outcome);
     case 'refused':
-      return takeRefused(state, pending, outcome.reason);
+      return handleRefused(state, pending, outcome.reason);
     default:
       // Lost: it stays pending, and is resent under its token when its timeout has passed.
       return [];
@@ -78,7 +78,7 @@
 export function reduceBuying(state: ControllerState, event: ControllerEvent): ControllerEffect[] {
   switch (event.type) {
     case 'startAnswered':
-      return takeStartAnswer(state, event.startToken, event.outcome);
+      return handleStartAnswer(state, event.startToken, event.outcome);
     case 'endAnswered':
       if (event.ok) removeInstance(state, event.instance);
       return [];
--- a/packages/controller-core/src/demand/RouteDemand.ts
+++ b/packages/controller-core/src/demand/RouteDemand.ts
@@ -14,13 +14,13 @@
 import { minuteOfDay } from './localTime.js';
 
 export const QUARTER_HOURS_PER_DAY = 96;
-const SLOT_MINUTES = (24 * 60) / QUARTER_HOURS_PER_DAY;
+const QUARTER_HOUR_MINUTES = (24 * 60) / QUARTER_HOURS_PER_DAY;
 /** Time constant of the level; short against a rush, long against the noise of arrivals. */
-const LEVEL_MILLISECONDS = 60_000;
+const SMOOTHING_TIME_CONSTANT_MILLISECONDS = 60_000;
 /** Weight of the newest day in the learnt shape. */
 const NEWEST_DAY_WEIGHT = 0.5;
 /** Today may differ from the learnt shape by this factor before the shape stops being believed. */
-const MOST_SCALE = 2;
+const MAX_PROFILE_SCALE = 2;
 
 interface DemandSource {
   requestsPerSecond: number;
@@ -47,26 +47,32 @@
 }
 
 /** Position in the local day, in quarter hours with a fraction. */
-function positionInDay(route: Route, at: EpochMilliseconds): number {
-  return minuteOfDay(route.timeZone, at) / SLOT_MINUTES;
+function quarterHoursSinceMidnight(route: Route, at: EpochMilliseconds): number {
+  return minuteOfDay(route.timeZone, at) / QUARTER_HOUR_MINUTES;
 }
 
 /** Takes in one source's report, smoothed. */
 export function addDemandReport(
   state: ControllerState,
   demand: RouteDemand,
-  name: string,
+  sourceName: string,
   dataCentre: string,
   report: RouteDemandReport,
 ): void {
-  const source = demand.sources.get(name);
+  const source = demand.sources.get(sourceName);
   if (source === undefined) {
     const { requestsPerSecond, serviceMilliseconds } = report;
-    const fresh = { requestsPerSecond, serviceMilliseconds, lastReportAt: state.now, dataCentre };
-    demand.sources.set(name, fresh);
+    const newSource = {
+      requestsPerSecond,
+      serviceMilliseconds,
+      lastReportAt: state.now,
+      dataCentre,
+    };
+    demand.sources.set(sourceName, newSource);
     return;
   }
-  const weight = 1 - Math.exp((source.lastReportAt - state.now) / LEVEL_MILLISECONDS);
+  const weight =
+    1 - Math.exp((source.lastReportAt - state.now) / SMOOTHING_TIME_CONSTANT_MILLISECONDS);
   source.requestsPerSecond += weight * (report.requestsPerSecond - source.requestsPerSecond);
   source.serviceMilliseconds += weight * (report.serviceMilliseconds - source.serviceMilliseconds);
   source.lastReportAt = state.now;
@@ -78,15 +84,16 @@
   readonly serviceMilliseconds: number;
 } {
   let requestsPerSecond = 0;
-  let busy = 0;
+  let busyMilliseconds = 0;
   demand.sources.forEach((source) => {
     requestsPerSecond += source.requestsPerSecond;
-    busy += source.requestsPerSecond * source.serviceMilliseconds;
+    busyMilliseconds += source.requestsPerSecond * source.serviceMilliseconds;
   });
-  const first = demand.sources.values().next().value?.serviceMilliseconds ?? 0;
+  const firstServiceMilliseconds = demand.sources.values().next().value?.serviceMilliseconds ?? 0;
   return {
     requestsPerSecond,
-    serviceMilliseconds: requestsPerSecond > 0 ? busy / requestsPerSecond : first,
+    serviceMilliseconds:
+      requestsPerSecond > 0 ? busyMilliseconds / requestsPerSecond : firstServiceMilliseconds,
   };
 }
 
@@ -96,28 +103,33 @@
   route: Route,
   demand: RouteDemand,
 ): void {
-  const slot = Math.floor(positionInDay(route, state.wallNow));
-  const { currentQuarterHour: current, dailyProfile: shape } = demand;
-  if (slot !== current.index) {
-    if (current.samples > 0) {
-      const mean = current.sum / current.samples;
-      const old = shape[current.index] ?? null;
-      shape[current.index] = old === null ? mean : old + NEWEST_DAY_WEIGHT * (mean - old);
+  const index = Math.floor(quarterHoursSinceMidnight(route, state.wallNow));
+  const { currentQuarterHour, dailyProfile } = demand;
+  if (index !== currentQuarterHour.index) {
+    if (currentQuarterHour.samples > 0) {
+      const mean = currentQuarterHour.sum / currentQuarterHour.samples;
+      const previousMean = dailyProfile[currentQuarterHour.index] ?? null;
+      dailyProfile[currentQuarterHour.index] =
+        previousMean === null ? mean : previousMean + NEWEST_DAY_WEIGHT * (mean - previousMean);
     }
-    demand.currentQuarterHour = { index: slot, sum: 0, samples: 0 };
+    demand.currentQuarterHour = { index, sum: 0, samples: 0 };
   }
   demand.currentQuarterHour.sum += sumDemand(demand).requestsPerSecond;
   demand.currentQuarterHour.samples += 1;
 }
 
 /** The learnt requests a second at a time of day, between the middles of two quarter hours. */
-function shapeAt(route: Route, demand: RouteDemand, at: EpochMilliseconds): number | undefined {
-  const position = positionInDay(route, at) - 0.5 + QUARTER_HOURS_PER_DAY;
+function profileRateAt(
+  route: Route,
+  demand: RouteDemand,
+  at: EpochMilliseconds,
+): number | undefined {
+  const position = quarterHoursSinceMidnight(route, at) - 0.5 + QUARTER_HOURS_PER_DAY;
   const before = demand.dailyProfile[Math.floor(position) % QUARTER_HOURS_PER_DAY] ?? null;
   const after = demand.dailyProfile[Math.floor(position + 1) % QUARTER_HOURS_PER_DAY] ?? null;
   if (before === null || after === null) return undefined;
-  const share = position - Math.floor(position);
-  return before + share * (after - before);
+  const fraction = position - Math.floor(position);
+  return before + fraction * (after - before);
 }
 
 /**
@@ -130,10 +142,10 @@
   demand: RouteDemand,
   at: EpochMilliseconds,
 ): number | undefined {
-  const usual = shapeAt(route, demand, at);
-  const usualNow = shapeAt(route, demand, state.wallNow);
-  if (usual === undefined || usualNow === undefined) return undefined;
-  const level = sumDemand(demand).requestsPerSecond;
-  const scale = usualNow > 0 ? level / usualNow : 1;
-  return usual * Math.min(MOST_SCALE, Math.max(1 / MOST_SCALE, scale));
+  const profileRate = profileRateAt(route, demand, at);
+  const profileRateNow = profileRateAt(route, demand, state.wallNow);
+  if (profileRate === undefined || profileRateNow === undefined) return undefined;
+  const measuredRate = sumDemand(demand).requestsPerSecond;
+  const scale = profileRateNow > 0 ? measuredRate / profileRateNow : 1;
+  return profileRate * Math.min(MAX_PROFILE_SCALE, Math.max(1 / MAX_PROFILE_SCALE, scale));
 }
--- a/packages/controller-core/src/demand/localTime.ts
+++ b/packages/controller-core/src/demand/localTime.ts
@@ -2,26 +2,26 @@
 import { DateTime } from 'luxon';
 import type { EpochMilliseconds } from '@hornbeampond/schema';
 
-const MINUTE = 60_000;
+const MINUTE_MILLISECONDS = 60_000;
 /** Zones change their offset at whole quarter hours only. */
-const QUARTER_HOUR = 15 * MINUTE;
+const QUARTER_HOUR_MILLISECONDS = 15 * MINUTE_MILLISECONDS;
 
 /** Offsets that were looked up; asking the zone data for each forecast would cost most of a plan. */
-const offsets = new Map<string, number>();
-const MOST_OFFSETS = 2000;
+const offsetCache = new Map<string, number>();
+const MAX_CACHED_OFFSETS = 2000;
 
-function offsetAt(timeZone: string, at: EpochMilliseconds): number {
-  const key = `${timeZone} ${Math.floor(at / QUARTER_HOUR)}`;
-  const known = offsets.get(key);
-  if (known !== undefined) return known;
+function utcOffsetMinutesAt(timeZone: string, at: EpochMilliseconds): number {
+  const key = `${timeZone} ${Math.floor(at / QUARTER_HOUR_MILLISECONDS)}`;
+  const cached = offsetCache.get(key);
+  if (cached !== undefined) return cached;
   const { offset } = DateTime.fromMillis(at, { zone: timeZone });
-  if (offsets.size >= MOST_OFFSETS) offsets.clear();
-  offsets.set(key, offset);
+  if (offsetCache.size >= MAX_CACHED_OFFSETS) offsetCache.clear();
+  offsetCache.set(key, offset);
   return offset;
 }
 
 /** Minutes since local midnight by the clock on the wall, with a fraction. */
 export function minuteOfDay(timeZone: string, at: EpochMilliseconds): number {
-  const day = 24 * 60;
-  return (at / MINUTE + offsetAt(timeZone, at)) % day;
+  const minutesPerDay = 24 * 60;
+  return (at / MINUTE_MILLISECONDS + utcOffsetMinutesAt(timeZone, at)) % minutesPerDay;
 }
--- a/packages/controller-core/src/demand/reduceDemand.ts
+++ b/packages/controller-core/src/demand/reduceDemand.ts
@@ -16,47 +16,47 @@
   type RouteDemand,
 } from './RouteDemand.js';
 
-function demandOf(state: ControllerState, route: string): RouteDemand {
-  const known = state.demand.get(route);
-  if (known !== undefined) return known;
+function getOrCreateDemand(state: ControllerState, route: string): RouteDemand {
+  const existing = state.demand.get(route);
+  if (existing !== undefined) return existing;
   const created = createRouteDemand();
   state.demand.set(route, created);
   return created;
 }
 
-function addReports(
+function addDemandReports(
   state: ControllerState,
-  name: string,
+  sourceName: string,
   dataCentre: string,
   reports: readonly RouteDemandReport[],
 ): void {
   reports.forEach((report) => {
-    addDemandReport(state, demandOf(state, report.route), name, dataCentre, report);
+    addDemandReport(state, getOrCreateDemand(state, report.route), sourceName, dataCentre, report);
   });
 }
 
-function takePeerReport(state: ControllerState, report: DataCentreReport): void {
+function receivePeerReport(state: ControllerState, report: DataCentreReport): void {
   if (report.dataCentre === state.dataCentre) return;
-  addReports(state, `dataCentre:${report.dataCentre}`, report.dataCentre, report.demand);
+  addDemandReports(state, `dataCentre:${report.dataCentre}`, report.dataCentre, report.demand);
   const { closedOffers, serving } = report;
   state.peers.set(report.dataCentre, { lastReportAt: state.now, closedOffers, serving });
   Object.entries(report.shapes ?? {}).forEach(([route, shape]) => {
-    const known = demandOf(state, route).dailyProfile;
-    shape.forEach((value, slot) => {
-      known[slot] ??= value;
+    const ownProfile = getOrCreateDemand(state, route).dailyProfile;
+    shape.forEach((value, index) => {
+      ownProfile[index] ??= value;
     });
   });
 }
 
 /** True if the platform still lists instances of a data centre. */
-function hasInstances(state: ControllerState, dataCentre: string): boolean {
+function hasListedInstances(state: ControllerState, dataCentre: string): boolean {
   return [...state.fleet.values()].some((instance) => instance.dataCentre === dataCentre);
 }
 
 /** True if a silent data centre had instances when it was last heard and none is listed now. */
-function seemsCutOff(state: ControllerState, dataCentre: string): boolean {
-  const served = state.peers.get(dataCentre)?.serving.some(({ instances }) => instances > 0);
-  return served === true && !hasInstances(state, dataCentre);
+function hasLostAllInstances(state: ControllerState, dataCentre: string): boolean {
+  const hadInstances = state.peers.get(dataCentre)?.serving.some(({ instances }) => instances > 0);
+  return hadInstances === true && !hasListedInstances(state, dataCentre);
 }
 
 /**
@@ -65,22 +65,23 @@
  * here or there; so its demand keeps counting for a while, beside its listed instances, unless
  * those have vanished with it.
  */
-function dropSilentSources(state: ControllerState): void {
+function removeUnreachableSources(state: ControllerState): void {
   state.demand.forEach((demand) => {
     demand.sources.forEach((source, name) => {
-      const silent = state.now - source.lastReportAt;
-      const own = source.dataCentre === state.dataCentre;
-      const dropped = own
-        ? silent > state.policy.entryTimeout
-        : silent > state.policy.unreachableDemandRetention ||
-          (silent > state.policy.peerTimeout && seemsCutOff(state, source.dataCentre));
-      if (dropped) demand.sources.delete(name);
+      const sinceLastReport = state.now - source.lastReportAt;
+      const isOwnDataCentre = source.dataCentre === state.dataCentre;
+      const isExpired = isOwnDataCentre
+        ? sinceLastReport > state.policy.entryTimeout
+        : sinceLastReport > state.policy.unreachableDemandRetention ||
+          (sinceLastReport > state.policy.peerTimeout &&
+            hasLostAllInstances(state, source.dataCentre));
+      if (isExpired) demand.sources.delete(name);
     });
   });
 }
 
-function learn(state: ControllerState): void {
-  dropSilentSources(state);
+function advanceDemand(state: ControllerState): void {
+  removeUnreachableSources(state);
   state.configuration.routes.rows.forEach((route) => {
     const demand = state.demand.get(route.name);
     if (demand !== undefined) updateDailyProfile(state, route, demand);
@@ -89,10 +90,10 @@
 
 export function reduceDemand(state: ControllerState, event: ControllerEvent): ControllerEffect[] {
   if (event.type === 'demandReported') {
-    addReports(state, `entry:${event.entry}`, state.dataCentre, event.demand);
+    addDemandReports(state, `entry:${event.entry}`, state.dataCentre, event.demand);
   }
-  if (event.type === 'peerReported') takePeerReport(state, event.report);
-  if (event.type === 'tick') learn(state);
+  if (event.type === 'peerReported') receivePeerReport(state, event.report);
+  if (event.type === 'tick') advanceDemand(state);
   return [];
 }
 
--- a/packages/controller-core/src/explainPlan.ts
+++ b/packages/controller-core/src/explainPlan.ts
@@ -27,7 +27,7 @@
   readonly patienceMilliseconds: Milliseconds;
 }
 
-function decide(
+function explainPlace(
   state: ControllerState,
   place: PlannedPlace,
   present: number,
@@ -51,13 +51,13 @@
 
 function toRow(state: ControllerState, plan: PoolPlan, place: PlannedPlace): PlanRow {
   const pool = poolOf(state, plan.pool);
-  const there = (pool === undefined ? [] : instancesOf(state, pool)).filter(
+  const instances = (pool === undefined ? [] : instancesOf(state, pool)).filter(
     (instance) =>
       instance.dataCentre === place.dataCentre && instance.instanceClass === place.instanceClass,
   );
   const pending =
     pool === undefined ? 0 : countPending(state, pool, place.dataCentre, place.instanceClass);
-  const present = there.filter(isKept).length + pending;
+  const present = instances.filter(isKept).length + pending;
   return {
     pool: plan.pool,
     dataCentre: place.dataCentre,
@@ -66,8 +66,8 @@
     eurosPerHour: place.eurosPerHour,
     wanted: place.wanted,
     present,
-    serving: there.filter((instance) => pool !== undefined && isServing(pool, instance)).length,
-    ...decide(state, place, present),
+    serving: instances.filter((instance) => pool !== undefined && isServing(pool, instance)).length,
+    ...explainPlace(state, place, present),
     slotsNeeded: plan.need.normal,
     slotsNeededAfterLoss: plan.need.afterLoss,
     missingSlots: plan.missingSlots,
--- a/packages/controller-core/src/fleet/FleetInstance.ts
+++ b/packages/controller-core/src/fleet/FleetInstance.ts
@@ -94,11 +94,11 @@
  * drain after it, so the bound on how far clocks differ is added.
  */
 export function isIdle(state: ControllerState, instance: FleetInstance): boolean {
-  const { loadReport: load } = instance;
-  if (load === undefined) return false;
-  const { drainPropagationTime: entriesStop, maxClockSkew: clockBound } = state.policy;
-  const stoppedAt = instance.phaseSinceWall + entriesStop + clockBound;
-  return load.measuredAt > stoppedAt && load.running + load.queued === 0;
+  const { loadReport } = instance;
+  if (loadReport === undefined) return false;
+  const { drainPropagationTime, maxClockSkew } = state.policy;
+  const trafficStoppedAt = instance.phaseSinceWall + drainPropagationTime + maxClockSkew;
+  return loadReport.measuredAt > trafficStoppedAt && loadReport.running + loadReport.queued === 0;
 }
 
 export function instanceClassOf(pool: Pool, instance: FleetInstance): InstanceClass | undefined {
--- a/packages/controller-core/src/fleet/fleet.ts
+++ b/packages/controller-core/src/fleet/fleet.ts
@@ -5,7 +5,7 @@
 
 /** Takes a new instance into the fleet. */
 export function addInstance(state: ControllerState, row: PlatformInstance): FleetInstance {
-  const serves = row.state === 'live' && poolOf(state, row.pool)?.kind === 'plainService';
+  const isServing = row.state === 'live' && poolOf(state, row.pool)?.kind === 'plainService';
   const instance: FleetInstance = {
     instance: row.instance,
     dataCentre: row.dataCentre,
@@ -18,7 +18,7 @@
     lastListedAt: state.now,
     loaded: {},
     orderRetryAt: state.now,
-    startMeasured: serves || row.state !== 'starting',
+    startMeasured: isServing || row.state !== 'starting',
   };
   state.fleet.set(row.instance, instance);
   return instance;
--- a/packages/controller-core/src/fleet/reduceFleet.ts
+++ b/packages/controller-core/src/fleet/reduceFleet.ts
@@ -16,10 +16,10 @@
 /** Weight of the newest start in the measured time that a start takes. */
 const NEWEST_START_WEIGHT = 0.3;
 /** A reclaimed instance is dropped this long after it should be gone. */
-const GONE_MARGIN = 1000;
+const RECLAIM_REMOVAL_DELAY_MILLISECONDS = 1000;
 
 /** Takes in an instance that this controller did not know. */
-function adopt(state: ControllerState, row: PlatformInstance): ControllerEffect[] {
+function addListedInstance(state: ControllerState, row: PlatformInstance): ControllerEffect[] {
   const instance = addInstance(state, row);
   const pending =
     row.startToken === undefined ? undefined : state.pendingStarts.get(row.startToken);
@@ -33,48 +33,65 @@
 }
 
 /** Moves a known instance forward by its row; never backward. */
-function applyRow(state: ControllerState, instance: FleetInstance, row: PlatformInstance): void {
+function updateFromRow(
+  state: ControllerState,
+  instance: FleetInstance,
+  row: PlatformInstance,
+): void {
   instance.lastListedAt = state.now;
   if (row.state === 'live' && instance.phase === 'starting') enterPhase(state, instance, 'live');
-  const leaves = row.state === 'leaving' && row.goneAt === undefined;
-  if (leaves && instance.phase !== 'leaving') enterPhase(state, instance, 'draining');
+  const isLeaving = row.state === 'leaving' && row.goneAt === undefined;
+  if (isLeaving && instance.phase !== 'leaving') enterPhase(state, instance, 'draining');
 }
 
-function takeRow(state: ControllerState, row: PlatformInstance): ControllerEffect[] {
+function receiveRow(state: ControllerState, row: PlatformInstance): ControllerEffect[] {
   if (state.removedInstances.has(row.instance)) return [];
   const known = state.fleet.get(row.instance);
-  const effects = known === undefined ? adopt(state, row) : [];
+  const effects = known === undefined ? addListedInstance(state, row) : [];
   const instance = known ?? state.fleet.get(row.instance);
   if (instance === undefined) return effects;
-  applyRow(state, instance, row);
+  updateFromRow(state, instance, row);
   if (row.goneAt === undefined) return effects;
   return [...effects, ...recordReclaimNotice(state, instance, row.goneAt)];
 }
 
-function lose(state: ControllerState, instance: FleetInstance, reason: string): ControllerEffect[] {
+function removeLostInstance(
+  state: ControllerState,
+  instance: FleetInstance,
+  reason: string,
+): ControllerEffect[] {
   const { instance: name, pool, dataCentre, instanceClass, phase } = instance;
-  const planned = phase === 'draining' || phase === 'leaving';
-  if (!planned) recordReclaim(state, instance);
+  const wasPlanned = phase === 'draining' || phase === 'leaving';
+  if (!wasPlanned) recordReclaim(state, instance);
   removeInstance(state, name);
   const fields = { instance: name, pool, dataCentre, instanceClass, phase, reason };
-  return [{ type: 'log', event: planned ? 'instanceGone' : 'instanceVanished', fields }];
+  return [{ type: 'log', event: wasPlanned ? 'instanceGone' : 'instanceVanished', fields }];
 }
 
-function takeList(state: ControllerState, rows: readonly PlatformInstance[]): ControllerEffect[] {
-  const effects = rows.flatMap((row) => takeRow(state, row));
+function receiveList(
+  state: ControllerState,
+  rows: readonly PlatformInstance[],
+): ControllerEffect[] {
+  const effects = rows.flatMap((row) => receiveRow(state, row));
   const unlisted = [...state.fleet.values()].filter(
     (instance) => state.now - instance.lastListedAt > state.policy.maxListLag,
   );
-  return [...effects, ...unlisted.flatMap((instance) => lose(state, instance, 'notListed'))];
+  return [
+    ...effects,
+    ...unlisted.flatMap((instance) => removeLostInstance(state, instance, 'notListed')),
+  ];
 }
 
-function dropReclaimed(state: ControllerState): ControllerEffect[] {
+function removeReclaimed(state: ControllerState): ControllerEffect[] {
   return [...state.fleet.values()]
-    .filter(({ goneAt }) => goneAt !== undefined && state.wallNow > goneAt + GONE_MARGIN)
-    .flatMap((instance) => lose(state, instance, 'reclaimed'));
+    .filter(
+      ({ goneAt }) =>
+        goneAt !== undefined && state.wallNow > goneAt + RECLAIM_REMOVAL_DELAY_MILLISECONDS,
+    )
+    .flatMap((instance) => removeLostInstance(state, instance, 'reclaimed'));
 }
 
-function forgetOldNames(state: ControllerState): void {
+function expireRemovedInstances(state: ControllerState): void {
   state.removedInstances.forEach((until, name) => {
     if (until <= state.now) state.removedInstances.delete(name);
   });
@@ -86,9 +103,12 @@
   if (pool === undefined || instance.startMeasured) return;
   if (instance.phase !== 'live' || !hasModel(pool, instance)) return;
   instance.startMeasured = true;
-  const took = state.now - instance.firstSeenAt;
-  const before = state.startDurations.get(pool.name) ?? state.policy.defaultStartDuration;
-  state.startDurations.set(pool.name, before + NEWEST_START_WEIGHT * (took - before));
+  const startDuration = state.now - instance.firstSeenAt;
+  const previousEstimate = state.startDurations.get(pool.name) ?? state.policy.defaultStartDuration;
+  state.startDurations.set(
+    pool.name,
+    previousEstimate + NEWEST_START_WEIGHT * (startDuration - previousEstimate),
+  );
 }
 
 /** True if a report made then tells what is loaded now: nothing was ordered or changed since. */
@@ -96,7 +116,7 @@
   return instance.pendingOrder === undefined || measuredAt > instance.pendingOrder.sentAtWall;
 }
 
-function takeLoad(state: ControllerState, report: LoadReport): void {
+function receiveLoadReport(state: ControllerState, report: LoadReport): void {
   const instance = state.fleet.get(report.instance);
   if (instance === undefined) return;
   if (report.measuredAt < (instance.loadReport?.measuredAt ?? 0)) return;
@@ -110,13 +130,13 @@
 export function reduceFleet(state: ControllerState, event: ControllerEvent): ControllerEffect[] {
   switch (event.type) {
     case 'platformListed':
-      return takeList(state, event.instances);
+      return receiveList(state, event.instances);
     case 'loadReported':
-      takeLoad(state, event.report);
+      receiveLoadReport(state, event.report);
       return [];
     case 'instanceLost': {
       const instance = state.fleet.get(event.instance);
-      return instance === undefined ? [] : lose(state, instance, 'dead');
+      return instance === undefined ? [] : removeLostInstance(state, instance, 'dead');
     }
     case 'pricesListed':
       event.prices.forEach(({ dataCentre, instanceClass, eurosPerHour }) => {
@@ -124,9 +144,9 @@
       });
       return [];
     case 'tick':
-      forgetOldNames(state);
+      expireRemovedInstances(state);
       state.fleet.forEach((instance) => recordStartDuration(state, instance));
-      return dropReclaimed(state);
+      return removeReclaimed(state);
     default:
       return [];
   }
--- a/packages/controller-core/src/lease/LeaseHolder.test.ts
+++ b/packages/controller-core/src/lease/LeaseHolder.test.ts
@@ -22,8 +22,8 @@
   });
 }
 
-function held(now: number, ask: number, epoch: number, previousDuration = 0): LeaseEvent {
-  return { type: 'leaseHeld', now, requestNumber: ask, epoch, duration: 10_000, previousDuration };
+function held(now: number, requestNumber: number, epoch: number, previousDuration = 0): LeaseEvent {
+  return { type: 'leaseHeld', now, requestNumber, epoch, duration: 10_000, previousDuration };
 }
 
 test('lease holder: a lease taken, renewed, lost and given back', async () => {
@@ -55,9 +55,9 @@
   const holder = makeHolder();
   reduceLease(holder, { type: 'askDue', now: 0 });
   reduceLease(holder, held(100, 1, 2, 10_000));
-  for (let ask = 2; ask <= 8; ask += 1) {
-    reduceLease(holder, { type: 'askDue', now: (ask - 1) * 3000 });
-    reduceLease(holder, held((ask - 1) * 3000 + 1, ask, 2, 10_000));
+  for (let requestNumber = 2; requestNumber <= 8; requestNumber += 1) {
+    reduceLease(holder, { type: 'askDue', now: (requestNumber - 1) * 3000 });
+    reduceLease(holder, held((requestNumber - 1) * 3000 + 1, requestNumber, 2, 10_000));
   }
   const waited = 100 + 15_000 * (1 + MAX_CLOCK_DRIFT_FRACTION);
   const may = [200, waited - 1, waited].map((now) => [
--- a/packages/controller-core/src/lease/LeaseHolder.ts
+++ b/packages/controller-core/src/lease/LeaseHolder.ts
@@ -28,7 +28,7 @@
 export const MAX_CLOCK_DRIFT_FRACTION = 0.01;
 
 /** Asks whose answers are still of use; older ones would be measured as ended anyway. */
-const MOST_ASKS = 8;
+const MAX_OPEN_REQUESTS = 8;
 
 export interface LeaseHolder {
   readonly settings: LeaseSettings;
@@ -117,46 +117,46 @@
   if (holder.stopped) return [];
   switch (event.type) {
     case 'askDue':
-      return ask(holder, event.now);
+      return requestLease(holder, event.now);
     case 'leaseHeld':
-      return onHeld(holder, event);
+      return handleLeaseHeld(holder, event);
     case 'endDue':
-      return onEndDue(holder, event.now);
+      return handleEndDue(holder, event.now);
     case 'stop':
-      return stop(holder);
+      return releaseLease(holder);
     default:
       return event satisfies never;
   }
 }
 
-function ask(holder: LeaseHolder, now: MonotonicMilliseconds): LeaseEffect[] {
-  const { lease, holder: name, duration, renewInterval: renewEvery } = holder.settings;
+function requestLease(holder: LeaseHolder, now: MonotonicMilliseconds): LeaseEffect[] {
+  const { lease, holder: name, duration, renewInterval } = holder.settings;
   holder.lastRequestNumber += 1;
   holder.requestTimes.set(holder.lastRequestNumber, now);
-  holder.requestTimes.delete(holder.lastRequestNumber - MOST_ASKS);
+  holder.requestTimes.delete(holder.lastRequestNumber - MAX_OPEN_REQUESTS);
   return [
     {
       type: 'propose',
       requestNumber: holder.lastRequestNumber,
       command: { type: 'takeLease', lease, holder: name, duration },
     },
-    { type: 'startAskTimer', after: renewEvery },
+    { type: 'startAskTimer', after: renewInterval },
   ];
 }
 
-function onHeld(holder: LeaseHolder, event: LeaseHeldEvent): LeaseEffect[] {
-  const askedAt = holder.requestTimes.get(event.requestNumber);
+function handleLeaseHeld(holder: LeaseHolder, event: LeaseHeldEvent): LeaseEffect[] {
+  const requestedAt = holder.requestTimes.get(event.requestNumber);
   holder.requestTimes.delete(event.requestNumber);
-  if (askedAt === undefined || event.epoch < holder.epoch) return [];
-  const ended = event.epoch > holder.epoch ? beginEpoch(holder, event) : [];
+  if (requestedAt === undefined || event.epoch < holder.epoch) return [];
+  const endEffects = event.epoch > holder.epoch ? startEpoch(holder, event) : [];
   // The log granted the lease after it was asked for, so a count from then on ends before its own.
-  const end = askedAt + event.duration * (1 - holder.settings.maxClockDriftFraction);
-  holder.heldUntil = Math.max(holder.heldUntil, end);
-  if (event.now >= holder.heldUntil) return ended;
+  const safeEnd = requestedAt + event.duration * (1 - holder.settings.maxClockDriftFraction);
+  holder.heldUntil = Math.max(holder.heldUntil, safeEnd);
+  if (event.now >= holder.heldUntil) return endEffects;
   const endTimer: LeaseEffect = { type: 'startEndTimer', after: holder.heldUntil - event.now };
   if (holder.active) return [endTimer];
   holder.active = true;
-  return [...ended, { type: 'leaseStarted', epoch: holder.epoch }, endTimer];
+  return [...endEffects, { type: 'leaseStarted', epoch: holder.epoch }, endTimer];
 }
 
 /**
@@ -164,19 +164,21 @@
  * is a wall clock and may have jumped when its leader changed. Waiting its whole lease from now,
  * by this process's clock, is enough, since its last ask came before this grant.
  */
-function beginEpoch(holder: LeaseHolder, event: LeaseHeldEvent): LeaseEffect[] {
-  const { maxClockDriftFraction: driftBound, maxOrderDuration: longestOrder } = holder.settings;
-  const wait = (event.previousDuration + longestOrder) * (1 + driftBound);
-  const ended: LeaseEffect[] = holder.active ? [{ type: 'leaseEnded', epoch: holder.epoch }] : [];
+function startEpoch(holder: LeaseHolder, event: LeaseHeldEvent): LeaseEffect[] {
+  const { maxClockDriftFraction, maxOrderDuration } = holder.settings;
+  const unfencedDelay = (event.previousDuration + maxOrderDuration) * (1 + maxClockDriftFraction);
+  const endEffects: LeaseEffect[] = holder.active
+    ? [{ type: 'leaseEnded', epoch: holder.epoch }]
+    : [];
   holder.active = false;
   holder.epoch = event.epoch;
   holder.sequence = 0;
   holder.heldUntil = -Infinity;
-  holder.unfencedFrom = event.now + (event.previousDuration > 0 ? wait : 0);
-  return ended;
+  holder.unfencedFrom = event.now + (event.previousDuration > 0 ? unfencedDelay : 0);
+  return endEffects;
 }
 
-function onEndDue(holder: LeaseHolder, now: MonotonicMilliseconds): LeaseEffect[] {
+function handleEndDue(holder: LeaseHolder, now: MonotonicMilliseconds): LeaseEffect[] {
   if (!holder.active) return [];
   // Timers cut fractions of milliseconds off; one that fired too early has to be set again, or the
   // end would never be told.
@@ -185,13 +187,13 @@
   return [{ type: 'leaseEnded', epoch: holder.epoch }];
 }
 
-function stop(holder: LeaseHolder): LeaseEffect[] {
+function releaseLease(holder: LeaseHolder): LeaseEffect[] {
   const { lease, holder: name } = holder.settings;
   const { epoch, active } = holder;
   holder.stopped = true;
   holder.active = false;
   if (epoch === 0) return [];
   const command = { type: 'releaseLease', lease, holder: name, epoch } as const;
-  const ended: LeaseEffect[] = active ? [{ type: 'leaseEnded', epoch }] : [];
-  return [...ended, { type: 'propose', requestNumber: holder.lastRequestNumber + 1, command }];
+  const endEffects: LeaseEffect[] = active ? [{ type: 'leaseEnded', epoch }] : [];
+  return [...endEffects, { type: 'propose', requestNumber: holder.lastRequestNumber + 1, command }];
 }
--- a/packages/controller-core/src/makeDataCentreReport.ts
+++ b/packages/controller-core/src/makeDataCentreReport.ts
@@ -18,7 +18,7 @@
   };
   if (!withShapes) return report;
   const shapes = [...state.demand].map(
-    ([route, { dailyProfile: shape }]) => [route, shape] as const,
+    ([route, { dailyProfile }]) => [route, dailyProfile] as const,
   );
   return { ...report, shapes: Object.fromEntries(shapes) };
 }
--- a/packages/controller-core/src/orders/orders.test.ts
+++ b/packages/controller-core/src/orders/orders.test.ts
@@ -14,7 +14,7 @@
 const firm = { instanceClass: 'firm' };
 
 /** Four on-demand engines of one data centre with version 1, and demand for three of them. */
-function serving(least = 4): ControllerHarness {
+function makeServingHarness(least = 4): ControllerHarness {
   const pool = { ...oneDataCentre, least, instanceClasses: modelPool.instanceClasses.slice(1) };
   const harness = new ControllerHarness({ pool });
   harness.rate = 8;
@@ -27,7 +27,7 @@
   return harness;
 }
 
-function putVersion(harness: ControllerHarness, version: string): ControllerEffect[] {
+function setVersion(harness: ControllerHarness, version: string): ControllerEffect[] {
   const configuration = configure({ ...harness.pool, version }, 2);
   return harness.tell({ type: 'configurationApplied', configuration });
 }
@@ -36,34 +36,34 @@
 // to load only after its entries have stopped sending and it has reported no running stream, so no
 // stream sees two versions; and only one at a time is out, so the deadline's capacity stays.
 test('a rollout reloads one idle engine after another and keeps the capacity', () => {
-  const harness = serving();
-  const outNow = new Set<string>();
+  const harness = makeServingHarness();
+  const outOfService = new Set<string>();
   const reloaded = new Set<string>();
-  const carryOut = (effect: ControllerEffect): void => {
-    if (effect.type === 'drainInstance') outNow.add(effect.instance);
-    if (effect.type === 'restoreInstance') outNow.delete(effect.instance);
-    assert.ok(outNow.size <= 1, `out of service: ${[...outNow].join()}`);
+  const applyEffect = (effect: ControllerEffect): void => {
+    if (effect.type === 'drainInstance') outOfService.add(effect.instance);
+    if (effect.type === 'restoreInstance') outOfService.delete(effect.instance);
+    assert.ok(outOfService.size <= 1, `out of service: ${[...outOfService].join()}`);
     if (effect.type !== 'sendOrder') return;
     assert.equal(harness.running.get(effect.instance), 0, 'a stream would see two versions');
     harness.loaded.set(effect.instance, { model: 'appraiser', version: '2' });
     reloaded.add(effect.instance);
-    harness.answerOrder(effect, { type: 'done' }).forEach(carryOut);
+    harness.answerOrder(effect, { type: 'done' }).forEach(applyEffect);
   };
-  putVersion(harness, '2').forEach(carryOut);
+  setVersion(harness, '2').forEach(applyEffect);
   for (let second = 1; second < 900 && reloaded.size < 4; second += 1) {
-    harness.advance(1000).forEach(carryOut);
+    harness.advance(1000).forEach(applyEffect);
     // Streams of an engine that is out take up to ten more seconds to end.
-    if (second % 10 === 0) outNow.forEach((instance) => harness.running.set(instance, 0));
+    if (second % 10 === 0) outOfService.forEach((instance) => harness.running.set(instance, 0));
   }
   assert.equal(reloaded.size, 4);
-  assert.equal(outNow.size, 0);
+  assert.equal(outOfService.size, 0);
 });
 
 // The engine carried the load out but its answer was lost. The controller does not guess: after
 // the timeout it takes the order for lost, and the engine's own report shows that it was done, so
 // nothing is sent again.
 test('a lost answer to a done order sends nothing twice', () => {
-  const harness = serving(5);
+  const harness = makeServingHarness(5);
   harness.rows?.push(row('fresh', 'wien-a', firm));
   const [order] = pick(harness.advance(2000), 'sendOrder');
   assert.equal(order?.instance, 'fresh');
@@ -78,13 +78,13 @@
 // would stand idle for ever), sees what is loaded from reports, and goes on under its own epoch,
 // so that a late order of the dead holder is refused.
 test("a dead holder's half-done reload is finished under the next epoch", () => {
-  const first = serving();
-  const started = [...putVersion(first, '2'), ...first.advance(90_000)];
+  const first = makeServingHarness();
+  const started = [...setVersion(first, '2'), ...first.advance(90_000)];
   const drained = pick(started, 'drainInstance')[0]?.instance ?? '';
   assert.notEqual(drained, '');
 
-  const next = serving();
-  putVersion(next, '2');
+  const next = makeServingHarness();
+  setVersion(next, '2');
   next.tell({ type: 'leaseLost' });
   const taken = next.tell({ type: 'leaseHeld', epoch: 2, unfencedFrom: next.now });
   const restored = pick(taken, 'restoreInstance').map(({ instance }) => instance);
@@ -108,12 +108,12 @@
 // A partition hid a change of holder from this controller, and an engine refuses its order as
 // old. Whatever it believes of its lease, another one acts: it sends nothing more at all.
 test('an order refused as old silences the controller', () => {
-  const harness = serving(5);
+  const harness = makeServingHarness(5);
   harness.rows?.push(row('fresh', 'wien-a', firm));
   const [order] = pick(harness.advance(2000), 'sendOrder');
   assert.ok(order !== undefined);
   harness.answerOrder(order, { type: 'refusedAsOld' });
-  putVersion(harness, '2');
+  setVersion(harness, '2');
   harness.rows = [];
   const effects = harness.advance(10 * 60_000);
   assert.deepEqual(
@@ -137,7 +137,7 @@
 // The weight store refuses a load for now. The order was not sent; it is tried again after the
 // span that the store named, not before.
 test('a busy weight store is asked again when it says', () => {
-  const harness = serving(5);
+  const harness = makeServingHarness(5);
   harness.rows?.push(row('fresh', 'wien-a', firm));
   const [order] = pick(harness.advance(2000), 'sendOrder');
   assert.ok(order !== undefined);
@@ -150,7 +150,7 @@
 // Callers' streams of the old version may run there. It gets no order on the guess that it is
 // empty; once it has reported its version, it is drained first.
 test('an engine that has not reported yet gets no order', () => {
-  const harness = serving();
+  const harness = makeServingHarness();
   const next = new ControllerHarness({ pool: { ...harness.pool, version: '2' } });
   next.rate = 8;
   next.rows = harness.rows;
@@ -171,10 +171,10 @@
 // its drain began. Its entries may still send for five seconds, so a report that only looks newer
 // must not start the reload: the next call would see the version change.
 test('an engine whose clock is ahead is not taken for idle too early', () => {
-  const harness = serving();
+  const harness = makeServingHarness();
   harness.clockAhead = 2000;
   harness.rows?.forEach(({ instance }) => harness.running.set(instance, 0));
-  const [drained] = pick(putVersion(harness, '2'), 'drainInstance');
+  const [drained] = pick(setVersion(harness, '2'), 'drainInstance');
   assert.ok(drained !== undefined);
   assert.deepEqual(pick(harness.advance(5000), 'sendOrder'), []);
   assert.equal(pick(harness.advance(5000), 'sendOrder').length, 1);
--- a/packages/controller-core/src/orders/reconcileModels.ts
+++ b/packages/controller-core/src/orders/reconcileModels.ts
@@ -23,62 +23,66 @@
 import { makeLoadAction, canStartLoad, sendOrder } from './sendOrder.js';
 
 /** Bounds how long a reload waits for an engine that never reports itself idle. */
-const SILENT_RELOAD_LIMIT = 15 * 60_000;
+const MAX_RELOAD_DURATION_MILLISECONDS = 15 * 60_000;
 
 /**
  * An engine that ignores fencing numbers would also carry out the last holder's late orders, so
  * nothing is sent to it until the last of those must have arrived.
  */
-function mayOrder(state: ControllerState, lease: HeldLease, pool: Pool): boolean {
+function canSendOrders(state: ControllerState, lease: HeldLease, pool: Pool): boolean {
   return pool.checksFencing || state.now >= lease.unfencedFrom;
 }
 
-interface Waiting {
+interface LoadCandidate {
   readonly instance: FleetInstance;
   readonly pool: Pool;
   /** Share of the need that the pool's serving instances cover; the lowest is loaded first. */
-  readonly covered: number;
+  readonly coveredFraction: number;
 }
 
 /** Engines that can be loaded now: they run no stream and have no order open. */
-function findLoadable(state: ControllerState, lease: HeldLease): Waiting[] {
+function findLoadCandidates(state: ControllerState, lease: HeldLease): LoadCandidate[] {
   return state.configuration.pools.rows
-    .filter((pool) => pool.kind === 'modelEngine' && mayOrder(state, lease, pool))
+    .filter((pool) => pool.kind === 'modelEngine' && canSendOrders(state, lease, pool))
     .flatMap((pool) => {
       const needed = Math.max(1, state.plans.get(pool.name)?.need.normal ?? 1);
-      const covered = servingSlots(state, pool).total / needed;
+      const coveredFraction = servingSlots(state, pool).total / needed;
       return instancesOf(state, pool)
         .filter((instance) => instance.dataCentre === state.dataCentre)
         .filter(
           (instance) => instance.pendingOrder === undefined && state.now >= instance.orderRetryAt,
         )
         .filter((instance) => !isUpToDate(pool, instance))
-        .filter((instance) => isLoadable(state, pool, instance))
-        .map((instance) => ({ instance, pool, covered }));
+        .filter((instance) => canLoadWithoutInterruption(state, pool, instance))
+        .map((instance) => ({ instance, pool, coveredFraction }));
     });
 }
 
-function isLoadable(state: ControllerState, pool: Pool, instance: FleetInstance): boolean {
+function canLoadWithoutInterruption(
+  state: ControllerState,
+  pool: Pool,
+  instance: FleetInstance,
+): boolean {
   if (instance.phase === 'reloading') return isIdle(state, instance);
   // A new holder knows of an engine before it knows what runs there. An order sent on a guess could
   // change the version under running streams, so the engine itself must have said that it is empty.
-  const { loadReport: load } = instance;
-  if (instance.phase !== 'live' || load === undefined) return false;
-  return instance.loaded.model === undefined && load.running + load.queued === 0;
+  const { loadReport } = instance;
+  if (instance.phase !== 'live' || loadReport === undefined) return false;
+  return instance.loaded.model === undefined && loadReport.running + loadReport.queued === 0;
 }
 
-function compareUrgency(a: Waiting, b: Waiting): number {
+function compareUrgency(a: LoadCandidate, b: LoadCandidate): number {
   return (
-    a.covered - b.covered ||
+    a.coveredFraction - b.coveredFraction ||
     Number(hasModel(b.pool, b.instance)) - Number(hasModel(a.pool, a.instance)) ||
     a.instance.firstSeenAt - b.instance.firstSeenAt ||
     a.instance.instance.localeCompare(b.instance.instance)
   );
 }
 
-function loadMostUrgent(state: ControllerState, lease: HeldLease): ControllerEffect[] {
+function loadInOrderOfUrgency(state: ControllerState, lease: HeldLease): ControllerEffect[] {
   const effects: ControllerEffect[] = [];
-  for (const { instance, pool } of findLoadable(state, lease).sort(compareUrgency)) {
+  for (const { instance, pool } of findLoadCandidates(state, lease).sort(compareUrgency)) {
     const action = makeLoadAction(pool);
     if (action === undefined) continue;
     if (!canStartLoad(state)) break;
@@ -88,11 +92,13 @@
 }
 
 /** Takes at most one engine of a pool in this data centre out of service for a reload. */
-function rollOut(state: ControllerState, lease: HeldLease, pool: Pool): ControllerEffect[] {
-  if (pool.kind !== 'modelEngine' || !mayOrder(state, lease, pool)) return [];
-  const all = instancesOf(state, pool).filter(({ dataCentre }) => dataCentre === state.dataCentre);
-  if (all.some(({ phase }) => phase === 'reloading') || !isOwnTurn(state, pool)) return [];
-  const next = all.find(
+function startNextReload(state: ControllerState, lease: HeldLease, pool: Pool): ControllerEffect[] {
+  if (pool.kind !== 'modelEngine' || !canSendOrders(state, lease, pool)) return [];
+  const ownInstances = instancesOf(state, pool).filter(
+    ({ dataCentre }) => dataCentre === state.dataCentre,
+  );
+  if (ownInstances.some(({ phase }) => phase === 'reloading') || !isOwnTurn(state, pool)) return [];
+  const candidate = ownInstances.find(
     (instance) =>
       instance.phase === 'live' &&
       instance.loaded.model !== undefined &&
@@ -100,38 +106,42 @@
       state.now >= instance.orderRetryAt &&
       (!hasModel(pool, instance) || canDoWithout(state, pool, instance)),
   );
-  if (next === undefined) return [];
-  enterPhase(state, next, 'reloading');
-  const { total, largestLoss } = servingSlots(state, pool);
+  if (candidate === undefined) return [];
+  enterPhase(state, candidate, 'reloading');
+  const { total: slotsServing, largestLoss } = servingSlots(state, pool);
   const fields = {
-    instance: next.instance,
+    instance: candidate.instance,
     pool: pool.name,
-    loaded: next.loaded,
+    loaded: candidate.loaded,
     version: pool.version,
-    slotsServing: total,
+    slotsServing,
     largestLoss,
     slotsNeeded: state.plans.get(pool.name)?.need.normal,
   };
   return [
-    { type: 'drainInstance', instance: next.instance, reason: 'reload' },
+    { type: 'drainInstance', instance: candidate.instance, reason: 'reload' },
     { type: 'log', event: 'reloadStarted', fields },
   ];
 }
 
 /** Puts reloaded engines back into service, and those whose reload is no longer wanted. */
-function restore(state: ControllerState): ControllerEffect[] {
+function finishReloads(state: ControllerState): ControllerEffect[] {
   return [...state.fleet.values()]
     .filter(({ dataCentre, phase }) => dataCentre === state.dataCentre && phase === 'reloading')
     .flatMap((instance): ControllerEffect[] => {
       const pool = poolOf(state, instance.pool);
       if (pool === undefined || instance.pendingOrder !== undefined) return [];
-      const tooLong = state.now - instance.phaseSince > SILENT_RELOAD_LIMIT;
-      if (!isUpToDate(pool, instance) && !tooLong) return [];
+      const hasTimedOut = state.now - instance.phaseSince > MAX_RELOAD_DURATION_MILLISECONDS;
+      if (!isUpToDate(pool, instance) && !hasTimedOut) return [];
       enterPhase(state, instance, 'live');
       const { instance: name, loaded } = instance;
       return [
         { type: 'restoreInstance', instance: name },
-        { type: 'log', event: 'reloadFinished', fields: { instance: name, loaded, tooLong } },
+        {
+          type: 'log',
+          event: 'reloadFinished',
+          fields: { instance: name, loaded, tooLong: hasTimedOut },
+        },
       ];
     });
 }
@@ -139,8 +149,8 @@
 /** Gives the orders that are due. */
 export function reconcileModels(state: ControllerState, lease: HeldLease): ControllerEffect[] {
   return [
-    ...restore(state),
-    ...loadMostUrgent(state, lease),
-    ...state.configuration.pools.rows.flatMap((pool) => rollOut(state, lease, pool)),
+    ...finishReloads(state),
+    ...loadInOrderOfUrgency(state, lease),
+    ...state.configuration.pools.rows.flatMap((pool) => startNextReload(state, lease, pool)),
   ];
 }
--- a/packages/controller-core/src/orders/reduceOrders.ts
+++ b/packages/controller-core/src/orders/reduceOrders.ts
@@ -7,15 +7,19 @@
 import type { FleetInstance } from '../fleet/FleetInstance.js';
 import type { ControllerState } from '../state.js';
 
-const FAILED_ORDER_WAIT: Milliseconds = 15_000;
+const FAILED_ORDER_RETRY_DELAY_MILLISECONDS: Milliseconds = 15_000;
 
 /** The order stays open no longer; what the engine reports next says whether it was carried out. */
-function closeOrder(state: ControllerState, instance: FleetInstance, wait: Milliseconds): void {
+function closeForRetry(
+  state: ControllerState,
+  instance: FleetInstance,
+  retryDelay: Milliseconds,
+): void {
   instance.pendingOrder = undefined;
-  instance.orderRetryAt = state.now + wait + uniformInt(state.random, 0, 1000);
+  instance.orderRetryAt = state.now + retryDelay + uniformInt(state.random, 0, 1000);
 }
 
-function takeDone(state: ControllerState, instance: FleetInstance, order: Order): void {
+function handleDone(state: ControllerState, instance: FleetInstance, order: Order): void {
   instance.pendingOrder = undefined;
   if (order.action.type !== 'load') return;
   const { model, adapter, version } = order.action;
@@ -23,7 +27,7 @@
   recordStartDuration(state, instance);
 }
 
-function logOutcome(
+function makeOutcomeLog(
   instance: FleetInstance,
   order: Order,
   outcome: OrderOutcome,
@@ -37,16 +41,16 @@
   };
 }
 
-function takeOutcome(
+function handleOutcome(
   state: ControllerState,
   instance: FleetInstance,
   order: Order,
   outcome: OrderOutcome,
 ): ControllerEffect[] {
-  const effects = [logOutcome(instance, order, outcome)];
+  const effects = [makeOutcomeLog(instance, order, outcome)];
   switch (outcome.type) {
     case 'done':
-      takeDone(state, instance, order);
+      handleDone(state, instance, order);
       return effects;
     case 'refusedAsOld':
       // Another controller holds a newer epoch: whatever this one believes, it must act no more.
@@ -54,18 +58,18 @@
       state.newerEpochSeen = true;
       return [...effects, { type: 'log', event: 'newerEpochSeen', fields: { epoch: order.epoch } }];
     case 'weightStoreBusy':
-      closeOrder(state, instance, outcome.retryAfter);
+      closeForRetry(state, instance, outcome.retryAfter);
       return [...effects, { type: 'count', metric: 'fleetRetries', label: 'weightStoreBusy' }];
     case 'failed':
-      closeOrder(state, instance, FAILED_ORDER_WAIT);
+      closeForRetry(state, instance, FAILED_ORDER_RETRY_DELAY_MILLISECONDS);
       return [...effects, { type: 'count', metric: 'fleetRetries', label: 'orderFailed' }];
     default:
-      closeOrder(state, instance, FAILED_ORDER_WAIT);
+      closeForRetry(state, instance, FAILED_ORDER_RETRY_DELAY_MILLISECONDS);
       return [...effects, { type: 'count', metric: 'fleetRetries', label: 'orderAnswerLost' }];
   }
 }
 
-function takeAnswer(
+function handleAnswer(
   state: ControllerState,
   event: ControllerEvent & { readonly type: 'orderAnswered' },
 ): ControllerEffect[] {
@@ -73,22 +77,23 @@
   const order = instance?.pendingOrder?.order;
   if (instance === undefined || order === undefined) return [];
   if (order.epoch !== event.epoch || order.sequence !== event.sequence) return [];
-  return takeOutcome(state, instance, order, event.outcome);
+  return handleOutcome(state, instance, order, event.outcome);
 }
 
 /** Orders unanswered for too long: the next order, under a later number, makes it good. */
 function expireOrders(state: ControllerState): ControllerEffect[] {
   return [...state.fleet.values()].flatMap((instance) => {
-    const { pendingOrder: order } = instance;
-    if (order === undefined || state.now - order.sentAt < state.policy.orderTimeout) return [];
-    return takeOutcome(state, instance, order.order, { type: 'lost' });
+    const { pendingOrder } = instance;
+    if (pendingOrder === undefined || state.now - pendingOrder.sentAt < state.policy.orderTimeout)
+      return [];
+    return handleOutcome(state, instance, pendingOrder.order, { type: 'lost' });
   });
 }
 
 export function reduceOrders(state: ControllerState, event: ControllerEvent): ControllerEffect[] {
   switch (event.type) {
     case 'orderAnswered':
-      return takeAnswer(state, event);
+      return handleAnswer(state, event);
     case 'loadRateRead':
       state.loadsPerMinute = event.loadsPerMinute;
       return [];
--- a/packages/controller-core/src/orders/sendOrder.ts
+++ b/packages/controller-core/src/orders/sendOrder.ts
@@ -4,7 +4,7 @@
 import type { FleetInstance } from '../fleet/FleetInstance.js';
 import type { ControllerState, HeldLease } from '../state.js';
 
-const MINUTE = 60_000;
+const MINUTE_MILLISECONDS = 60_000;
 
 /** The order that makes an engine what the pools table says. */
 export function makeLoadAction(pool: Pool): Order['action'] | undefined {
@@ -37,14 +37,17 @@
 
 /** True if one more load keeps within the weight store's rate and what may run at a time. */
 export function canStartLoad(state: ControllerState): boolean {
-  state.loadTimes = state.loadTimes.filter((at) => state.now - at < MINUTE);
-  const running = [...state.fleet.values()].filter(
-    ({ pendingOrder: order }) => order?.order.action.type === 'load',
+  state.loadTimes = state.loadTimes.filter((at) => state.now - at < MINUTE_MILLISECONDS);
+  const loadsInProgress = [...state.fleet.values()].filter(
+    ({ pendingOrder }) => pendingOrder?.order.action.type === 'load',
   ).length;
-  if (running >= state.policy.maxConcurrentLoads) return false;
+  if (loadsInProgress >= state.policy.maxConcurrentLoads) return false;
   if (state.loadsPerMinute === undefined) return true;
   const dataCentres = new Set(state.configuration.pools.rows.flatMap((pool) => pool.dataCentres));
   // Each data centre uses its share of the one weight store's rate, at least one load a minute.
-  const share = Math.max(1, Math.floor(state.loadsPerMinute / Math.max(1, dataCentres.size)));
-  return state.loadTimes.length < share;
+  const maxLoadsPerMinute = Math.max(
+    1,
+    Math.floor(state.loadsPerMinute / Math.max(1, dataCentres.size)),
+  );
+  return state.loadTimes.length < maxLoadsPerMinute;
 }
--- a/packages/controller-core/src/randomFaults.test.ts
+++ b/packages/controller-core/src/randomFaults.test.ts
@@ -7,16 +7,16 @@
 import { configure, ControllerHarness, row } from './testing/ControllerHarness.js';
 
 /** One controller, a platform that misbehaves at random, and entries that obey after a delay. */
-class RandomWorld {
+class RandomFaultSimulation {
   readonly harness = new ControllerHarness({ pool: { least: 2, most: 16 } });
 
   /** What the platform really has; the list is shown some seconds later, or not at all. */
-  private readonly real = new Map<string, ReturnType<typeof row>>();
+  private readonly existingInstances = new Map<string, ReturnType<typeof row>>();
 
-  private readonly sold = new Map<string, string>();
+  private readonly instanceByStartToken = new Map<string, string>();
 
   /** Tokens whose answer has reached the controller. */
-  private readonly settled = new Set<string>();
+  private readonly answeredTokens = new Set<string>();
 
   private readonly drainedAt = new Map<string, number>();
 
@@ -35,28 +35,28 @@
   }
 
   /** True once in `count` on average. */
-  private once(count: number): boolean {
+  private oneIn(count: number): boolean {
     return uniformInt(this.generator, 1, count) === 1;
   }
 
-  private carryOut(effect: ControllerEffect): void {
+  private applyEffect(effect: ControllerEffect): void {
     if (!isFleetEffect(effect)) return;
     const { harness } = this;
     assert.ok(harness.state.lease !== undefined, `${effect.type} without the lease`);
-    if (effect.type === 'startInstance') this.sell(effect);
+    if (effect.type === 'startInstance') this.answerPurchase(effect);
     if (effect.type === 'drainInstance') this.drainedAt.set(effect.instance, harness.now);
     if (effect.type === 'restoreInstance') this.drainedAt.delete(effect.instance);
     if (effect.type === 'endInstance') {
       this.assertStopped(effect.instance);
-      this.real.delete(effect.instance);
+      this.existingInstances.delete(effect.instance);
       const { instance } = effect;
       this.answers.push(() => harness.tell({ type: 'endAnswered', instance, ok: true }));
     }
     if (effect.type !== 'sendOrder' || effect.order.action.type !== 'load') return;
     this.assertStopped(effect.instance);
     const { model, version } = effect.order.action;
-    if (!this.once(4)) harness.loaded.set(effect.instance, { model, version });
-    const type = this.once(4) ? 'lost' : 'done';
+    if (!this.oneIn(4)) harness.loaded.set(effect.instance, { model, version });
+    const type = this.oneIn(4) ? 'lost' : 'done';
     if (type === 'done') harness.loaded.set(effect.instance, { model, version });
     this.answers.push(() => harness.answerOrder(effect, { type }));
   }
@@ -69,27 +69,28 @@
     assert.ok(drainedFor >= 5000, `entries may send for ${5000 - drainedFor} ms more`);
   }
 
-  private sell(effect: StartInstanceEffect): void {
+  private answerPurchase(effect: StartInstanceEffect): void {
     const { startToken, dataCentre, instanceClass } = effect;
     assert.equal(dataCentre, this.harness.state.dataCentre, 'bought for another data centre');
-    assert.ok(!this.settled.has(startToken), `${startToken} was answered before`);
+    assert.ok(!this.answeredTokens.has(startToken), `${startToken} was answered before`);
     this.starts += 1;
-    if (!this.sold.has(startToken) && this.once(5)) {
+    if (!this.instanceByStartToken.has(startToken) && this.oneIn(5)) {
       const refused = { type: 'refused', reason: 'none left' } as const;
       this.answerStart(startToken, refused);
       return;
     }
-    const name = this.sold.get(startToken) ?? `instance-${this.sold.size}`;
+    const name =
+      this.instanceByStartToken.get(startToken) ?? `instance-${this.instanceByStartToken.size}`;
     const instance = row(name, dataCentre, { instanceClass, startToken });
-    if (!this.sold.has(startToken)) this.real.set(name, instance);
-    this.sold.set(startToken, name);
-    if (this.once(5)) return;
+    if (!this.instanceByStartToken.has(startToken)) this.existingInstances.set(name, instance);
+    this.instanceByStartToken.set(startToken, name);
+    if (this.oneIn(5)) return;
     this.answerStart(startToken, { type: 'started', instance });
   }
 
   private answerStart(startToken: string, outcome: StartOutcome): void {
     this.answers.push(() => {
-      this.settled.add(startToken);
+      this.answeredTokens.add(startToken);
       return this.harness.answerStart(startToken, outcome);
     });
   }
@@ -97,68 +98,73 @@
   /** Entries send to what serves and is not drained; for five seconds after a drain they still may. */
   private sendCalls(): void {
     const { harness } = this;
-    this.real.forEach((_, instance) => {
+    this.existingInstances.forEach((_, instance) => {
       const drained = this.drainedAt.get(instance);
       const sends = drained === undefined || harness.now - drained < 5000;
       const serves = harness.loaded.get(instance)?.model !== undefined;
-      const ended = this.once(20);
+      const ended = this.oneIn(20);
       if (sends && serves) harness.running.set(instance, uniformInt(this.generator, 0, 3));
       else if (ended) harness.running.set(instance, 0);
     });
   }
 
-  private disturb(): void {
+  private injectFaults(): void {
     const { harness } = this;
-    if (this.once(300)) harness.rate = uniformInt(this.generator, 1, 60);
-    if (this.once(200)) harness.peersHeard = !harness.peersHeard;
-    if (this.once(400)) this.loseLease();
-    if (this.once(500)) this.putVersion();
-    if (this.once(150)) this.reclaimOne();
+    if (this.oneIn(300)) harness.rate = uniformInt(this.generator, 1, 60);
+    if (this.oneIn(200)) harness.peersHeard = !harness.peersHeard;
+    if (this.oneIn(400)) this.loseLease();
+    if (this.oneIn(500)) this.setVersion();
+    if (this.oneIn(150)) this.reclaimOne();
   }
 
   /** Another holder acts meanwhile and puts everything back into service. */
   private loseLease(): void {
     this.answers.splice(0);
     this.drainedAt.clear();
-    if (this.once(3)) this.takeLease();
-    else this.tellAll(() => this.harness.tell({ type: 'leaseLost' }));
+    if (this.oneIn(3)) this.takeLease();
+    else this.applyEffectsOf(() => this.harness.tell({ type: 'leaseLost' }));
   }
 
   private takeLease(): void {
     this.epoch += 1;
     const { epoch, harness } = this;
-    this.tellAll(() => harness.tell({ type: 'leaseHeld', epoch, unfencedFrom: harness.now }));
+    this.applyEffectsOf(() =>
+      harness.tell({ type: 'leaseHeld', epoch, unfencedFrom: harness.now }),
+    );
   }
 
-  private putVersion(): void {
+  private setVersion(): void {
     this.revision += 1;
     const version = String(this.revision);
     const configuration = configure({ ...this.harness.pool, version }, this.revision);
-    this.tellAll(() => this.harness.tell({ type: 'configurationApplied', configuration }));
+    this.applyEffectsOf(() => this.harness.tell({ type: 'configurationApplied', configuration }));
   }
 
   private reclaimOne(): void {
-    const [instance] = this.real.keys();
+    const [instance] = this.existingInstances.keys();
     if (instance === undefined) return;
     const goneAt = this.harness.wallNow + 30_000;
-    this.real.delete(instance);
-    this.tellAll(() => this.harness.tell({ type: 'reclaimNoticed', instance, goneAt }));
+    this.existingInstances.delete(instance);
+    this.applyEffectsOf(() => this.harness.tell({ type: 'reclaimNoticed', instance, goneAt }));
   }
 
-  private tellAll(tell: () => ControllerEffect[]): void {
-    tell().forEach((effect) => this.carryOut(effect));
+  private applyEffectsOf(produceEffects: () => ControllerEffect[]): void {
+    produceEffects().forEach((effect) => this.applyEffect(effect));
   }
 
-  second(): void {
+  advanceSecond(): void {
     const { harness } = this;
-    if (harness.state.lease === undefined && this.once(30)) this.takeLease();
-    this.disturb();
+    if (harness.state.lease === undefined && this.oneIn(30)) this.takeLease();
+    this.injectFaults();
     this.sendCalls();
-    if (this.once(3)) harness.rows = [...this.real.values()];
-    this.answers.splice(0).forEach((answer) => this.tellAll(answer));
-    this.tellAll(() => harness.advance(1000));
-    const listed = [...this.real.values()].length;
-    assert.ok(listed <= harness.pool.most, `${listed} instances at most ${harness.pool.most}`);
+    if (this.oneIn(3)) harness.rows = [...this.existingInstances.values()];
+    this.answers.splice(0).forEach((answer) => this.applyEffectsOf(answer));
+    this.applyEffectsOf(() => harness.advance(1000));
+    const instanceCount = [...this.existingInstances.values()].length;
+    assert.ok(
+      instanceCount <= harness.pool.most,
+      `${instanceCount} instances at most ${harness.pool.most}`,
+    );
   }
 }
 
@@ -167,8 +173,8 @@
 // without the lease or for another data centre, and no call in progress is cut or changed.
 test('no promise is broken by faults in random order', () => {
   for (let seed = 1; seed <= 12; seed += 1) {
-    const world = new RandomWorld(seed);
-    for (let second = 0; second < 1800; second += 1) world.second();
-    assert.ok(world.starts > 0, `seed ${seed} bought nothing`);
+    const simulation = new RandomFaultSimulation(seed);
+    for (let second = 0; second < 1800; second += 1) simulation.advanceSecond();
+    assert.ok(simulation.starts > 0, `seed ${seed} bought nothing`);
   }
 });
--- a/packages/controller-core/src/reclaims/reclaims.ts
+++ b/packages/controller-core/src/reclaims/reclaims.ts
@@ -20,9 +20,9 @@
 import { placeKey, type ControllerState, type ReclaimWave } from '../state.js';
 
 /** Reclaims that come within this of a wave's first belong to it. */
-const WAVE_SPAN = 90_000;
+const MAX_WAVE_DURATION_MILLISECONDS = 90_000;
 
-function reclaimableSlots(state: ControllerState, name: string): number {
+function countReclaimableSlots(state: ControllerState, name: string): number {
   const pool = poolOf(state, name);
   if (pool === undefined) return 0;
   return instancesOf(state, pool)
@@ -31,9 +31,9 @@
     .reduce((sum, found) => sum + (found?.reclaimable === true ? found.concurrency : 0), 0);
 }
 
-function waveFor(state: ControllerState, pool: string): ReclaimWave {
+function getOrStartWave(state: ControllerState, pool: string): ReclaimWave {
   const current = state.waves.find(
-    (wave) => wave.pool === pool && state.now - wave.startedAt <= WAVE_SPAN,
+    (wave) => wave.pool === pool && state.now - wave.startedAt <= MAX_WAVE_DURATION_MILLISECONDS,
   );
   if (current !== undefined) return current;
   const wave: ReclaimWave = {
@@ -41,7 +41,7 @@
     pool,
     places: new Set(),
     dataCentres: new Set(),
-    reclaimableSlotsBefore: reclaimableSlots(state, pool),
+    reclaimableSlotsBefore: countReclaimableSlots(state, pool),
     lostSlots: 0,
     lostInstances: 0,
   };
@@ -57,7 +57,7 @@
   const pool = poolOf(state, instance.pool);
   const instanceClass = pool === undefined ? undefined : instanceClassOf(pool, instance);
   if (instanceClass?.reclaimable !== true) return undefined;
-  const wave = waveFor(state, instance.pool);
+  const wave = getOrStartWave(state, instance.pool);
   wave.places.add(placeKey(instance.dataCentre, instance.instanceClass));
   wave.dataCentres.add(instance.dataCentre);
   wave.lostSlots += instanceClass.concurrency;
--- a/packages/controller-core/src/reduceController.ts
+++ b/packages/controller-core/src/reduceController.ts
@@ -17,7 +17,7 @@
 import { reduceLeaseOwnership } from './reduceLeaseOwnership.js';
 import type { ControllerState, HeldLease } from './state.js';
 
-const concerns: readonly Reducer<ControllerState, ControllerEvent, ControllerEffect>[] = [
+const reducers: readonly Reducer<ControllerState, ControllerEvent, ControllerEffect>[] = [
   reduceLeaseOwnership,
   reduceFleet,
   reduceReclaims,
@@ -27,7 +27,7 @@
 ];
 
 /** Events after which waiting for the next tick would cost capacity in time. */
-const urgentEvents: ReadonlySet<ControllerEventType> = new Set([
+const replanningEvents: ReadonlySet<ControllerEventType> = new Set([
   'tick',
   'configurationApplied',
   'reclaimNoticed',
@@ -36,7 +36,7 @@
   'orderAnswered',
 ]);
 
-function act(state: ControllerState, lease: HeldLease): ControllerEffect[] {
+function planAndAct(state: ControllerState, lease: HeldLease): ControllerEffect[] {
   return [
     ...planPools(state),
     ...buyInstances(state, lease),
@@ -53,13 +53,13 @@
   state.now = event.now;
   state.wallNow = event.wallNow;
   if (event.type === 'configurationApplied') {
-    const newer = event.configuration.revision >= state.configuration.revision;
-    if (newer) state.configuration = event.configuration;
+    const isCurrent = event.configuration.revision >= state.configuration.revision;
+    if (isCurrent) state.configuration = event.configuration;
   }
-  const effects = concerns.flatMap((reduce) => reduce(state, event));
+  const effects = reducers.flatMap((reduce) => reduce(state, event));
   const { lease } = state;
   if (lease !== undefined && !state.newerEpochSeen) {
-    return urgentEvents.has(event.type) ? [...effects, ...act(state, lease)] : effects;
+    return replanningEvents.has(event.type) ? [...effects, ...planAndAct(state, lease)] : effects;
   }
   // Without the lease another controller may act: two would buy twice and undo each other's work.
   if (event.type === 'tick') planPools(state);
--- a/packages/controller-core/src/reduceLeaseOwnership.ts
+++ b/packages/controller-core/src/reduceLeaseOwnership.ts
@@ -11,7 +11,7 @@
  * such an engine out of service for ever: the new holder restores whatever it does not drain
  * itself. Restoring one that was not drained changes nothing.
  */
-function restoreAll(state: ControllerState): ControllerEffect[] {
+function restoreLiveInstances(state: ControllerState): ControllerEffect[] {
   return [...state.fleet.values()]
     .filter(({ dataCentre, phase }) => dataCentre === state.dataCentre && phase === 'live')
     .map(({ instance }) => ({ type: 'restoreInstance', instance }));
@@ -22,7 +22,7 @@
  * there again. It is told anew, and the wait until the entries have stopped begins anew; an end on
  * the strength of the old drain would cut those calls.
  */
-function drainAnew(state: ControllerState): ControllerEffect[] {
+function repeatDrains(state: ControllerState): ControllerEffect[] {
   return [...state.fleet.values()]
     .filter(({ dataCentre, phase }) => dataCentre === state.dataCentre && phase === 'draining')
     .map((instance) => {
@@ -33,29 +33,29 @@
     });
 }
 
-function takeLease(
+function handleLeaseHeld(
   state: ControllerState,
   event: ControllerEvent & { readonly type: 'leaseHeld' },
 ): ControllerEffect[] {
   const { epoch, unfencedFrom } = event;
   if (state.lease?.epoch === epoch) return [];
   // A new epoch without a word of the old one's end: somebody else may have acted in between.
-  const left = loseLease(state);
+  const lossEffects = handleLeaseLost(state);
   state.lease = { epoch, unfencedFrom, since: state.now };
   state.newerEpochSeen = false;
   state.orderSequence = 0;
   state.startSequence = 0;
   const fields = { epoch, unfencedWaitMilliseconds: Math.max(0, unfencedFrom - state.now) };
   return [
-    ...left,
+    ...lossEffects,
     { type: 'log', event: 'fleetTakenOver', fields },
-    ...restoreAll(state),
-    ...drainAnew(state),
+    ...restoreLiveInstances(state),
+    ...repeatDrains(state),
   ];
 }
 
 /** Open answers belong to the old epoch: whoever holds the next one finds what they led to. */
-function loseLease(state: ControllerState): ControllerEffect[] {
+function handleLeaseLost(state: ControllerState): ControllerEffect[] {
   if (state.lease === undefined) return [];
   const { epoch } = state.lease;
   state.lease = undefined;
@@ -72,7 +72,7 @@
   state: ControllerState,
   event: ControllerEvent,
 ): ControllerEffect[] {
-  if (event.type === 'leaseHeld') return takeLease(state, event);
-  if (event.type === 'leaseLost') return loseLease(state);
+  if (event.type === 'leaseHeld') return handleLeaseHeld(state, event);
+  if (event.type === 'leaseLost') return handleLeaseLost(state);
   return [];
 }
