--- a/packages/controller-core/src/buying/buying.test.ts
+++ b/packages/controller-core/src/buying/buying.test.ts
@@ -4,11 +4,9 @@
 
 const oneDataCentre = { pool: { dataCentres: ['wien-a'], least: 2, most: 4 } };
 
-// The operator sees a pool below its size and the platform refusing its cheapest class. The
-// refusal closes that place with a growing wait and the next cheapest is bought in the same
-// event; when the wait is over the cheap place is asked again. Without the back-off the platform
-// would be asked the same thing for ever while the deadline is missed.
-test('a refused start goes to the next cheapest place and comes back', () => {
+// Guards against requesting a refused place over and over while the pool stays too small, and
+// against never trying that place again.
+test('after a refusal the next cheapest place is bought and the refused one retried later', () => {
   const harness = new ControllerHarness(oneDataCentre);
   const first = pick(harness.hold(), 'startInstance');
   assert.deepEqual(placesOf(first), ['wien-a/spot', 'wien-a/spot']);
@@ -33,14 +31,12 @@
       harness.answerStart(startToken, { type: 'refused', reason: 'none left' }),
     );
   }
-  assert.ok(asked.includes('wien-a/spot'), 'the cheap place is asked again');
-  assert.ok(asked.length <= 16, `asked ${asked.length} times in 15 minutes`);
+  assert.ok(asked.includes('wien-a/spot'), 'the cheap place is retried');
+  assert.ok(asked.length <= 16, `${asked.length} starts in 15 minutes`);
 });
 
-// The platform sells the instance but its answer is lost, so the caller's capacity is on its way
-// while the controller cannot know. It resends under the same token, which the platform answers
-// with the same instance. A new token would buy, and bill, a second one.
-test('a lost answer to a purchase never buys twice', () => {
+// Guards against a second purchase under a new token when only the platform's answer was lost.
+test('a lost answer to a start never buys a second instance', () => {
   const harness = new ControllerHarness(oneDataCentre);
   const tokens = new Set(pick(harness.hold(), 'startInstance').map((start) => start.startToken));
   tokens.forEach((startToken) => harness.answerStart(startToken, { type: 'lost' }));
@@ -55,10 +51,8 @@
   assert.equal(harness.state.pendingStarts.size, 1);
 });
 
-// The platform answers nothing at all for one class for over a minute. The purchases stay open
-// under their tokens, but no longer count as capacity to come: the next cheapest is bought, for
-// otherwise a dead interface for one class would keep the pool below its need.
-test('starts that stay unanswered do not hold up the next cheapest place', () => {
+// Guards against a pool that stays too small because the platform never answers for one class.
+test('unanswered starts do not block purchases at the next cheapest place', () => {
   const harness = new ControllerHarness(oneDataCentre);
   harness.hold();
   const later = harness.advance(70_000);
@@ -66,10 +60,9 @@
   assert.ok(placesOf(later).includes('wien-a/firm'));
 });
 
-// A holder buys and dies before it could note the purchase. The list shows its successor an
-// instance that it never bought; it is claimed for its pool, so nothing is bought in its place.
-// One whose pool is in no table would be paid for ever; it is drained and, once idle, ended.
-test('orphans are claimed, or drained and ended if no pool wants them', () => {
+// Guards against buying a second instance for one that a crashed holder bought, and against paying
+// indefinitely for an instance whose pool is not in the table.
+test('an unknown listed instance joins its pool, or is drained and ended if it has none', () => {
   const harness = new ControllerHarness({ pool: { ...oneDataCentre.pool, least: 1 } });
   harness.rows = [
     row('orphan', 'wien-a', { startToken: 'wien-a-1-1' }),
@@ -89,10 +82,9 @@
   );
 });
 
-// A holder buys two instances and dies; its successor's first list does not show them yet. It
-// waits before it buys, and by then the list shows them. Without the wait the pool would be
-// bought a second time at each change of holder.
-test("a new holder does not buy again what its predecessor's last purchases bring", () => {
+// Guards against buying the pool again at a takeover, while the list does not show the
+// predecessor's last purchases yet.
+test('a new holder waits for the purchases of its predecessor to be listed', () => {
   const harness = new ControllerHarness(oneDataCentre);
   harness.tell({ type: 'leaseHeld', epoch: 2, unfencedFrom: 0 });
   const early = harness.advance(5000);
@@ -101,9 +93,8 @@
   assert.deepEqual(placesOf([...early, ...late]), []);
 });
 
-// An end's answer is lost. The instance is still listed as leaving and billed; the end is sent
-// again until it is answered, which is harmless where it had been carried out.
-test('an end whose answer was lost is sent again', () => {
+// Guards against paying for an instance whose end request or answer was lost.
+test('an unanswered end is resent until it is answered', () => {
   const harness = new ControllerHarness(oneDataCentre);
   harness.rows = [row('a'), row('b'), row('old', 'wien-a', { state: 'leaving' })];
   harness.hold();
--- a/packages/controller-core/src/demand/demand.test.ts
+++ b/packages/controller-core/src/demand/demand.test.ts
@@ -6,14 +6,14 @@
 import { appraisalRoute, ControllerHarness } from '../testing/ControllerHarness.js';
 import { minuteOfDay } from './localTime.js';
 
-test('local time follows the daylight-saving change', () => {
+test('the local time of day follows a daylight-saving change', () => {
   const winter = Date.UTC(2026, 2, 28, 11);
   const summer = Date.UTC(2026, 2, 29, 11);
   assert.equal(minuteOfDay('Europe/Vienna', winter), 12 * 60);
   assert.equal(minuteOfDay('Europe/Vienna', summer), 13 * 60);
 });
 
-test('a deadline span over midnight holds on both sides of it', () => {
+test('a deadline for hours across midnight applies before and after midnight', () => {
   const night = { firstTokenMilliseconds: 9000, wholeAnswerMilliseconds: 90_000 };
   const route = { ...appraisalRoute, deadlinesByHour: [{ from: '22:00', to: '06:00', ...night }] };
   const at = (hour: number) => deadlineAt(route, Date.UTC(2026, 0, 15, hour));
@@ -22,7 +22,7 @@
   assert.equal(at(5).firstTokenMilliseconds, 2000);
 });
 
-test('less patience needs more places, and more load needs more', () => {
+test('a shorter allowed wait needs more slots, and so does more load', () => {
   const load = { requestsPerSecond: 20, serviceMilliseconds: 1000, patience: 1000 };
   const slots = slotsFor(load, 0.998);
   assert.ok(slots > 20);
@@ -30,9 +30,9 @@
   assert.ok(slotsFor({ ...load, requestsPerSecond: 40 }, 0.998) > slots);
 });
 
-// A rush begins at noon every day. A start takes minutes, so capacity that is asked for when the
-// rush shows comes too late for its first callers. The learnt shape raises the need ahead of it.
-test('a known rush is planned for before it begins', () => {
+// Guards against buying for a daily peak only once it has begun, which is too late for its first
+// callers because a start takes minutes.
+test('a peak in the daily profile is planned for before it begins', () => {
   const harness = new ControllerHarness();
   const quiet = Array.from({ length: 96 }, (_, slot) => (slot >= 48 && slot < 56 ? 40 : 5));
   const shapes = { appraisals: quiet };
--- a/packages/controller-core/src/fleet/listLag.test.ts
+++ b/packages/controller-core/src/fleet/listLag.test.ts
@@ -4,10 +4,8 @@
 
 const oneDataCentre = { pool: { dataCentres: ['wien-a'], least: 1, most: 4 } };
 
-// The platform's list is some seconds old: it does not show an instance that was just bought.
-// The instance is kept, else it would be bought again at each list. Only after the bound on the
-// lag is it taken for gone and replaced.
-test('a list older than a purchase does not end or replace the new instance', () => {
+// Guards against buying an instance again because the platform's stale list does not show it yet.
+test('an instance missing from the list is replaced only after the maximum list lag', () => {
   const harness = new ControllerHarness(oneDataCentre);
   const [start] = pick(harness.hold(), 'startInstance');
   assert.ok(start !== undefined);
@@ -18,13 +16,12 @@
   assert.ok(harness.state.fleet.has('new'));
   const after = harness.advance(10_000);
   assert.ok(logged(after).includes('instanceVanished'));
-  // A vanished reclaimable instance closes its place, so the replacement is bought elsewhere.
+  // A lost reclaimable instance closes its place, so the replacement is bought elsewhere.
   assert.deepEqual(placesOf(after), ['wien-a/firm']);
 });
 
-// An instance is dead, and its replacement is bought. Older lists still show it as live. Taking
-// their word would count it as capacity and drain the replacement; its name is remembered.
-test('a list older than a death does not bring the instance back', () => {
+// Guards against counting a failed instance as capacity because a stale list shows it as live.
+test('a stale list does not add a failed instance again', () => {
   const harness = new ControllerHarness(oneDataCentre);
   harness.rows = [row('dying')];
   harness.hold();
--- a/packages/controller-core/src/lease/LeaseHolder.test.ts
+++ b/packages/controller-core/src/lease/LeaseHolder.test.ts
@@ -26,7 +26,7 @@
   return { type: 'leaseHeld', now, requestNumber, epoch, duration: 10_000, previousDuration };
 }
 
-test('lease holder: a lease taken, renewed, lost and given back', async () => {
+test('lease holder: a lease is granted, renewed, lost and released', async () => {
   const holder = makeHolder();
   const events: LeaseEvent[] = [
     { type: 'askDue', now: 0 },
@@ -49,9 +49,9 @@
   await matchSnapshot(import.meta.url, 'life', lines.join('\n'));
 });
 
-// The controller before was cut off. Orders to engines that check fencing go out at once, as the
-// epoch outranks it; others wait out its lease and its last order.
-test('lease holder: a successor waits before unfenced backend servers only', () => {
+// Guards against two holders that send orders to the same unfenced backend server. Engines that
+// check fencing refuse the previous holder's orders themselves, so they need no wait.
+test('lease holder: a successor delays orders to unfenced backend servers only', () => {
   const holder = makeHolder();
   reduceLease(holder, { type: 'askDue', now: 0 });
   reduceLease(holder, held(100, 1, 2, 10_000));
@@ -72,8 +72,8 @@
   assert.deepEqual(nextFencingToken(holder), { epoch: 2, sequence: 1 });
 });
 
-// The grant took longer than the lease is: by now another may hold it, so no order may go out.
-test('lease holder: a grant older than its lease gives nothing', () => {
+// Guards against orders under a lease that another holder may have by now.
+test('lease holder: a grant that arrives after its lease has ended is not used', () => {
   const holder = makeHolder();
   reduceLease(holder, { type: 'askDue', now: 0 });
   assert.deepEqual(reduceLease(holder, held(9900, 1, 1)), []);
--- a/packages/controller-core/src/orders/orders.test.ts
+++ b/packages/controller-core/src/orders/orders.test.ts
@@ -13,7 +13,7 @@
 const oneDataCentre = { dataCentres: ['wien-a'], least: 4, most: 6 };
 const firm = { instanceClass: 'firm' };
 
-/** Four on-demand engines of one data centre with version 1, and demand for three of them. */
+/** Four on-demand engines with version 1 in one data centre, and demand for three of them. */
 function makeServingHarness(least = 4): ControllerHarness {
   const pool = { ...oneDataCentre, least, instanceClasses: modelPool.instanceClasses.slice(1) };
   const harness = new ControllerHarness({ pool });
@@ -32,10 +32,9 @@
   return harness.tell({ type: 'configurationApplied', configuration });
 }
 
-// An operator puts a new version while callers' streams run on every engine. An engine is ordered
-// to load only after its entries have stopped sending and it has reported no running stream, so no
-// stream sees two versions; and only one at a time is out, so the deadline's capacity stays.
-test('a rollout reloads one idle engine after another and keeps the capacity', () => {
+// Guards against streams that see two versions, and against too little capacity for the deadlines,
+// while a new version is rolled out to engines in use.
+test('a rollout reloads one idle engine at a time', () => {
   const harness = makeServingHarness();
   const outOfService = new Set<string>();
   const reloaded = new Set<string>();
@@ -52,17 +51,16 @@
   setVersion(harness, '2').forEach(applyEffect);
   for (let second = 1; second < 900 && reloaded.size < 4; second += 1) {
     harness.advance(1000).forEach(applyEffect);
-    // Streams of an engine that is out take up to ten more seconds to end.
+    // Streams of an engine out of service end after up to ten seconds.
     if (second % 10 === 0) outOfService.forEach((instance) => harness.running.set(instance, 0));
   }
   assert.equal(reloaded.size, 4);
   assert.equal(outOfService.size, 0);
 });
 
-// The engine carried the load out but its answer was lost. The controller does not guess: after
-// the timeout it takes the order for lost, and the engine's own report shows that it was done, so
-// nothing is sent again.
-test('a lost answer to a done order sends nothing twice', () => {
+// Guards against loading a model twice when only the answer to the first order was lost; the
+// engine's load report shows that the order was carried out.
+test('an order that was carried out is not resent when its answer is lost', () => {
   const harness = makeServingHarness(5);
   harness.rows?.push(row('fresh', 'wien-a', firm));
   const [order] = pick(harness.advance(2000), 'sendOrder');
@@ -73,11 +71,9 @@
   assert.deepEqual(pick(later, 'sendOrder'), []);
 });
 
-// A holder drains an engine for a reload, orders the load and dies; the engine may have loaded or
-// not. Its successor has no memory of this. It puts every engine back into service (else this one
-// would stand idle for ever), sees what is loaded from reports, and goes on under its own epoch,
-// so that a late order of the dead holder is refused.
-test("a dead holder's half-done reload is finished under the next epoch", () => {
+// Guards against an engine that stays drained because the holder crashed during its reload, and
+// against late orders of that holder: the successor restores the engine and uses its own epoch.
+test('a reload interrupted by a crash of the holder is finished under the next epoch', () => {
   const first = makeServingHarness();
   const started = [...setVersion(first, '2'), ...first.advance(90_000)];
   const drained = pick(started, 'drainInstance')[0]?.instance ?? '';
@@ -94,9 +90,9 @@
   assert.equal(order?.order.epoch, 2);
 });
 
-// Engines that ignore fencing numbers would also carry out the last holder's late orders. Until
-// the lease part says that the last of those must have arrived, they get no order at all.
-test('engines that check no fencing get no order before the wait is over', () => {
+// Guards against mixing orders with late ones of the previous holder, which engines without
+// fencing checks would also carry out.
+test('engines that do not check fencing get no order before the takeover wait has passed', () => {
   const pool = { ...oneDataCentre, checksFencing: false };
   const harness = new ControllerHarness({ pool });
   harness.rows = ['a', 'b', 'c', 'd'].map((name) => row(name));
@@ -105,9 +101,9 @@
   assert.ok(pick(harness.advance(3000), 'sendOrder').length > 0);
 });
 
-// A partition hid a change of holder from this controller, and an engine refuses its order as
-// old. Whatever it believes of its lease, another one acts: it sends nothing more at all.
-test('an order refused as old silences the controller', () => {
+// Guards against two controllers that change the fleet after a partition hid the takeover from the
+// old holder.
+test('a controller whose order is refused as old no longer changes the fleet', () => {
   const harness = makeServingHarness(5);
   harness.rows?.push(row('fresh', 'wien-a', firm));
   const [order] = pick(harness.advance(2000), 'sendOrder');
@@ -122,9 +118,8 @@
   );
 });
 
-// Twelve engines start at once and the weight store allows eight loads a minute for one data
-// centre. More would queue there and all become slow; the loads are spread over the minutes.
-test('loads keep within the rate of the weight store', () => {
+// Guards against overloading the weight store, which would slow all loads down.
+test('loads stay within the rate limit of the weight store', () => {
   const pool = { dataCentres: ['wien-a'], least: 12, most: 12 };
   const harness = new ControllerHarness({ pool, policy: { maxConcurrentLoads: 12 } });
   harness.tell({ type: 'loadRateRead', loadsPerMinute: 8 });
@@ -134,9 +129,8 @@
   assert.equal(pick(harness.advance(60_000), 'sendOrder').length, 4);
 });
 
-// The weight store refuses a load for now. The order was not sent; it is tried again after the
-// span that the store named, not before.
-test('a busy weight store is asked again when it says', () => {
+// Guards against retrying a load before the time that the busy weight store gave.
+test('a load refused by a busy weight store is retried after the given delay', () => {
   const harness = makeServingHarness(5);
   harness.rows?.push(row('fresh', 'wien-a', firm));
   const [order] = pick(harness.advance(2000), 'sendOrder');
@@ -146,10 +140,9 @@
   assert.equal(pick(harness.advance(5000), 'sendOrder').length, 1);
 });
 
-// A new holder hears of an engine from the platform's list before the engine's first load report.
-// Callers' streams of the old version may run there. It gets no order on the guess that it is
-// empty; once it has reported its version, it is drained first.
-test('an engine that has not reported yet gets no order', () => {
+// Guards against changing the version under running streams when a new holder sees an engine in
+// the platform's list before the engine's first load report.
+test('an engine without a load report gets no order, and is drained once it reports', () => {
   const harness = makeServingHarness();
   const next = new ControllerHarness({ pool: { ...harness.pool, version: '2' } });
   next.rate = 8;
@@ -167,10 +160,9 @@
   assert.equal(pick(known, 'drainInstance').length, 1);
 });
 
-// An engine's clock is two seconds ahead, and between two calls it reports itself idle just after
-// its drain began. Its entries may still send for five seconds, so a report that only looks newer
-// must not start the reload: the next call would see the version change.
-test('an engine whose clock is ahead is not taken for idle too early', () => {
+// Guards against reloading while entries may still send: a clock that is ahead makes an idle report
+// look as if it was measured after they stopped.
+test('an engine whose clock is ahead is not considered idle too early', () => {
   const harness = makeServingHarness();
   harness.clockAhead = 2000;
   harness.rows?.forEach(({ instance }) => harness.running.set(instance, 0));
--- a/packages/controller-core/src/randomFaults.test.ts
+++ b/packages/controller-core/src/randomFaults.test.ts
@@ -6,16 +6,16 @@
 import type { StartOutcome } from './events.js';
 import { configure, ControllerHarness, row } from './testing/ControllerHarness.js';
 
-/** One controller, a platform that misbehaves at random, and entries that obey after a delay. */
+/** One controller, a platform with random faults, and entries that apply drains after a delay. */
 class RandomFaultSimulation {
   readonly harness = new ControllerHarness({ pool: { least: 2, most: 16 } });
 
-  /** What the platform really has; the list is shown some seconds later, or not at all. */
+  /** Rows of the instances that exist; the controller sees them in a list that may be stale. */
   private readonly existingInstances = new Map<string, ReturnType<typeof row>>();
 
   private readonly instanceByStartToken = new Map<string, string>();
 
-  /** Tokens whose answer has reached the controller. */
+  /** Start tokens whose answer has reached the controller. */
   private readonly answeredTokens = new Set<string>();
 
   private readonly drainedAt = new Map<string, number>();
@@ -61,7 +61,7 @@
     this.answers.push(() => harness.answerOrder(effect, { type }));
   }
 
-  /** Nothing runs there, and no entry can send to it any more. */
+  /** Fails if calls are in progress at the instance, or entries may still send it new ones. */
   private assertStopped(instance: string): void {
     assert.equal(this.harness.running.get(instance) ?? 0, 0, 'calls are in progress');
     if (this.harness.loaded.get(instance)?.model === undefined) return;
@@ -71,7 +71,7 @@
 
   private answerPurchase(effect: StartInstanceEffect): void {
     const { startToken, dataCentre, instanceClass } = effect;
-    assert.equal(dataCentre, this.harness.state.dataCentre, 'bought for another data centre');
+    assert.equal(dataCentre, this.harness.state.dataCentre, 'start in another data centre');
     assert.ok(!this.answeredTokens.has(startToken), `${startToken} was answered before`);
     this.starts += 1;
     if (!this.instanceByStartToken.has(startToken) && this.oneIn(5)) {
@@ -95,7 +95,7 @@
     });
   }
 
-  /** Entries send to what serves and is not drained; for five seconds after a drain they still may. */
+  /** Entries send calls to instances that serve, until five seconds after their drain. */
   private sendCalls(): void {
     const { harness } = this;
     this.existingInstances.forEach((_, instance) => {
@@ -117,7 +117,7 @@
     if (this.oneIn(150)) this.reclaimOne();
   }
 
-  /** Another holder acts meanwhile and puts everything back into service. */
+  /** Another holder takes over and restores all drained instances. */
   private loseLease(): void {
     this.answers.splice(0);
     this.drainedAt.clear();
@@ -168,10 +168,10 @@
   }
 }
 
-// Everything goes wrong at once, at random: refusals, lost answers, a list that lags, reclaims,
-// data centres out of hearing, lost leases, new versions. Whatever happens, nothing is done
-// without the lease or for another data centre, and no call in progress is cut or changed.
-test('no promise is broken by faults in random order', () => {
+// Guards against changes without the lease or in another data centre, and against ending or
+// reloading an instance with calls in progress, under random refusals, lost answers, stale lists,
+// reclaims, unreachable data centres, lost leases and new versions.
+test('random faults break no safety rule of the controller', () => {
   for (let seed = 1; seed <= 12; seed += 1) {
     const simulation = new RandomFaultSimulation(seed);
     for (let second = 0; second < 1800; second += 1) simulation.advanceSecond();
--- a/packages/controller-core/src/reclaims/wave.test.ts
+++ b/packages/controller-core/src/reclaims/wave.test.ts
@@ -4,7 +4,7 @@
 import { listOffers } from '../planning/offers.js';
 import { ControllerHarness, logged, row } from '../testing/ControllerHarness.js';
 
-/** A controller in the rush: three data centres with just what the plan wants. */
+/** A controller at peak demand: three data centres with just the instances that the plan wants. */
 function makeHarnessAtPeak(): ControllerHarness {
   const pool = { dataCentres: ['wien-a', 'wien-b', 'stpoelten'] };
   const harness = new ControllerHarness({ pool });
@@ -22,10 +22,9 @@
   );
 }
 
-// At noon the platform takes every reclaimable instance of one data centre on seconds of notice.
-// Callers must not notice: what is left still meets the deadline. In the very event of the notice
-// the plan replaces the lost slots, in other places than the one hit, and not all in one.
-test('a wave during the rush leaves enough, and is replaced at once in several places', () => {
+// Guards against missed deadlines when all reclaimable instances of one data centre are reclaimed
+// at peak demand, and against replacing them all at one place.
+test('a wave at peak demand leaves enough capacity and is replaced at several places', () => {
   const harness = makeHarnessAtPeak();
   const before = countWantedByPlace(harness);
   const plan = harness.state.plans.get('models');
@@ -43,19 +42,18 @@
   );
   assert.ok(logged(effects).includes('planChanged'));
   const after = countWantedByPlace(harness);
-  assert.equal(after['stpoelten/spot'], undefined, 'nothing is bought where the wave was');
+  assert.equal(after['stpoelten/spot'], undefined, 'nothing is bought at the place of the wave');
   const grown = Object.keys(after).filter((place) => (after[place] ?? 0) > (before[place] ?? 0));
   const replaced = grown.reduce(
     (sum, place) => sum + (after[place] ?? 0) - (before[place] ?? 0),
     0,
   );
   assert.ok(replaced >= reclaimed.length);
-  assert.ok(grown.length > 1, `all in ${grown.join()}`);
+  assert.ok(grown.length > 1, `replaced only at ${grown.join()}`);
 });
 
-// Only some of a data centre's instances are under notice. The others stay in the plan, and
-// nothing is drained because of it.
-test('a partial notice replaces only what it takes', () => {
+// Guards against dropping instances from the plan that are not under notice.
+test('a notice for one instance removes only that instance from the plan', () => {
   const harness = makeHarnessAtPeak();
   const before = countWantedByPlace(harness);
   const place = Object.keys(before).find((name) => (before[name] ?? 0) > 1);
@@ -67,10 +65,8 @@
   assert.equal(after[place], (before[place] ?? 0) - 1);
 });
 
-// After the wave its place opens again. The plan does not run back and forth between places: an
-// instance is worth keeping where it stands unless another place is cheaper by a good share, so
-// within an hour of steady demand the plan changes only a few times.
-test('recovery from a wave does not oscillate', () => {
+// Guards against moving instances back and forth between places once the place of a wave reopens.
+test('the plan does not oscillate after a wave', () => {
   const harness = makeHarnessAtPeak();
   const goneAt = harness.wallNow + 30_000;
   (harness.rows ?? [])
--- a/packages/controller-core/src/reduceController.test.ts
+++ b/packages/controller-core/src/reduceController.test.ts
@@ -12,10 +12,9 @@
   row,
 } from './testing/ControllerHarness.js';
 
-// A partition cuts a controller off and its lease ends; a successor acts elsewhere. Whatever the
-// cut-off one still hears (demand, notices, tables, late answers) it must buy, drain and order
-// nothing, else two controllers would undo each other's work.
-test('a controller without the lease changes nothing, whatever it hears', () => {
+// Guards against two controllers that undo each other's changes when a partitioned one still
+// receives events after its lease has ended.
+test('a controller without the lease changes nothing in the fleet, whatever events arrive', () => {
   const harness = new ControllerHarness();
   harness.rate = 60;
   harness.rows = [row('a'), row('b', 'wien-b'), row('stray', 'wien-a', { pool: 'gone' })];
@@ -32,10 +31,9 @@
   assert.deepEqual(effects.filter(isFleetEffect), []);
 });
 
-// The other data centres are not heard for a while; they may be cut off, or only their controllers
-// may be dead. As long as their instances are listed, their demand and their capacity both stay
-// in the plan: this controller neither buys the whole fleet a second time nor drains its part.
-test('a data centre that is not heard keeps its part of the plan', () => {
+// Guards against buying the fleet a second time, or draining it, when the controllers of the other
+// data centres are unreachable but their instances are still listed.
+test('an unreachable data centre stays in the plan while its instances are listed', () => {
   const harness = new ControllerHarness();
   harness.rate = 5;
   harness.peerRate = 5;
@@ -52,9 +50,8 @@
   assert.ok(Math.abs(counted - expected) < 0.01, `${counted} requests a second`);
 });
 
-// Demand falls and each data centre has an instance too many. Were all to drain one at the same
-// moment, each trusting the others' capacity, the pool would fall below its need; so a controller
-// drains only in its data centre's turn by the wall clock.
+// Guards against a pool that falls below its need because all data centres drain at the same time,
+// each relying on the capacity of the others.
 test('a controller scales in only in the turn of its data centre', () => {
   const harness = new ControllerHarness();
   harness.rate = 80;
@@ -72,9 +69,9 @@
   assert.ok(drained >= 2);
 });
 
-// All controllers plan for all data centres, each from its own state. Given the same figures
-// their plans are the same, so their purchases add up to it with no message about the split.
-test('the controllers of all data centres make the same plan and buy its parts', () => {
+// Guards against missing or duplicate purchases: each controller plans for all data centres and
+// buys only in its own, without negotiation.
+test('controllers with the same input make the same plan and together buy all of it', () => {
   const harnesses = ['wien-a', 'wien-b', 'stpoelten', 'eisenstadt'].map(
     (dataCentre, position) => new ControllerHarness({ dataCentre, seed: position }),
   );
@@ -92,9 +89,9 @@
   assert.deepEqual(bought.sort(), wanted.sort());
 });
 
-// Demand falls. Instances leave by drain only, one data centre's turn after another, and are
-// ended once idle; none is drained on the strength of a short dip.
-test('scale-in waits, drains, and ends only what is idle', () => {
+// Guards against draining for a short dip in demand, and against ending an instance with calls in
+// progress.
+test('scale-in waits, then drains, and ends only idle instances', () => {
   const instanceClasses = modelPool.instanceClasses.slice(1);
   const pool = { dataCentres: ['wien-a'], instanceClasses, least: 1, most: 8 };
   const harness = new ControllerHarness({ pool });
@@ -113,10 +110,9 @@
   assert.deepEqual(ended.sort(), drained.map(({ instance }) => instance).sort());
 });
 
-// An operator takes a class out of a pool's row while all its instances are of that class and
-// serve the rush. They stay until instances of the other class serve in their place; drained at
-// once, they would leave callers without any backend server for minutes.
-test('a class taken out of the table serves until it is replaced', () => {
+// Guards against draining all instances of a pool at once when an operator removes their class from
+// the pools table.
+test('instances of a removed class serve until instances of another class replace them', () => {
   const harness = new ControllerHarness({ pool: { dataCentres: ['wien-a'], least: 1, most: 12 } });
   harness.rate = 20;
   harness.furnish();
@@ -139,7 +135,7 @@
   assert.equal(pick(replaced, 'drainInstance').length, old);
 });
 
-test('the plan explains itself in rows', async () => {
+test('the plan is explained in rows', async () => {
   const harness = new ControllerHarness();
   harness.rate = 12;
   const effects = harness.hold();
