--- a/packages/controller-core/src/buying/buyInstances.ts
+++ b/packages/controller-core/src/buying/buyInstances.ts
@@ -1,9 +1,10 @@
 /**
- * Buys what the plan wants in the own data centre and is not there or on its way.
+ * Buys the instances that the plan wants in the controller's data centre beyond those kept or
+ * pending, and resends unanswered starts.
  *
- * A start token names one purchase for all time: the lease's epoch is in it, so that no two
- * holders ever use the same. A start without an answer is resent under its token, for the platform
- * may have sold the instance and only its answer was lost; a new token would buy a second one.
+ * A start token identifies one purchase: it contains the lease's epoch, so no two holders use the
+ * same one. An unanswered start is resent under its token, because the platform may have sold the
+ * instance and a new token would buy a second one.
  */
 import type { Pool } from '@hornbeampond/schema';
 import type { ControllerEffect, StartInstanceEffect } from '../effects.js';
@@ -13,7 +14,7 @@
 import type { ControllerState, HeldLease, PendingStart } from '../state.js';
 import { closeAfterRefusal } from './placeClosures.js';
 
-/** A start that was never answered is given up after so long; if it bought, the list shows it. */
+/** A start is dropped after this long without an answer; an instance it bought will be listed. */
 const MAX_PENDING_START_AGE_MILLISECONDS = 10 * 60_000;
 
 function makeStartEffect(state: ControllerState, pending: PendingStart): StartInstanceEffect {
@@ -27,6 +28,7 @@
   };
 }
 
+/** Records a pending start under a new token and returns the effects that request it. */
 function requestStart(
   state: ControllerState,
   lease: HeldLease,
@@ -88,7 +90,7 @@
     });
 }
 
-/** Sends unanswered starts again, under the same tokens. */
+/** Resends unanswered starts with exponential backoff, and drops those that are too old. */
 function resendStarts(state: ControllerState): ControllerEffect[] {
   return [...state.pendingStarts.values()].flatMap((pending): ControllerEffect[] => {
     if (state.now - pending.requestedAt > MAX_PENDING_START_AGE_MILLISECONDS) {
@@ -108,7 +110,7 @@
   });
 }
 
-/** Purchases that went unanswered too long no longer hold the next cheapest place back. */
+/** Closes the places of long unanswered starts, so that the plan moves to other places. */
 function closePlacesOfUnansweredStarts(state: ControllerState): ControllerEffect[] {
   return [...state.pendingStarts.values()]
     .filter(
@@ -132,7 +134,7 @@
     });
 }
 
-/** Buys, unless the lease is so fresh that the last holder's purchases may not be listed yet. */
+/** Buys nothing new right after a takeover: the predecessor's purchases may not be listed yet. */
 export function buyInstances(state: ControllerState, lease: HeldLease): ControllerEffect[] {
   const effects = [...closePlacesOfUnansweredStarts(state), ...resendStarts(state)];
   if (state.now - lease.since < state.policy.takeoverPurchaseDelay) return effects;
--- a/packages/controller-core/src/buying/placeClosures.ts
+++ b/packages/controller-core/src/buying/placeClosures.ts
@@ -1,19 +1,18 @@
 /**
- * Places where nothing is bought for a while: starts were refused or went unanswered, or instances
- * were reclaimed there lately. The plan then takes the next cheapest place, and comes back when
- * the closure ends.
+ * Closes places to purchases for a while: after refused or unanswered starts, and after reclaims.
+ * Until a closure ends, the plan uses the next cheapest place.
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import type { Milliseconds } from '@hornbeampond/schema';
 import type { ClosedOffer } from '../events.js';
 import { placeKey, type PlaceClosure, type ControllerState } from '../state.js';
 
-/** A refusal counts as one in a row if it comes this soon after the last closure ended. */
+/** Refusals are consecutive if the next comes within this time after the previous closure. */
 const CONSECUTIVE_REFUSAL_GAP_MILLISECONDS: Milliseconds = 10 * 60_000;
 
 /**
- * The wait doubles with each refusal in a row. A random half of it is left out, so that the
- * controllers and pools that were refused together do not all ask again together.
+ * Draws a wait between half and all of a limit that doubles with each consecutive refusal. The
+ * jitter keeps controllers and pools that were refused together from retrying together.
  */
 function drawBackoff(state: ControllerState, refusals: number): Milliseconds {
   const { initialStartBackoff, maxStartBackoff } = state.policy;
@@ -24,7 +23,7 @@
   return uniformInt(state.random, Math.ceil(backoffLimit / 2), Math.ceil(backoffLimit));
 }
 
-/** Closes an own place after a refused or unanswered start. */
+/** Closes a place in the controller's own data centre after a refused or unanswered start. */
 export function closeAfterRefusal(
   state: ControllerState,
   instanceClass: string,
@@ -34,7 +33,7 @@
   const previous = state.placeClosures.get(place);
   const isConsecutive =
     previous !== undefined && state.now < previous.until + CONSECUTIVE_REFUSAL_GAP_MILLISECONDS;
-  // Starts that were asked together are refused together; they count as one refusal.
+  // Starts of one batch are refused together while the place is closed; they count as one refusal.
   const isSameBatch = previous !== undefined && previous.until > state.now && previous.refusals > 0;
   const refusals = (isConsecutive ? previous.refusals : 0) + (isSameBatch ? 0 : 1);
   const until = Math.max(
@@ -46,7 +45,7 @@
   return closure;
 }
 
-/** Closes a place where reclaimable instances were taken away. */
+/** Closes a place after a reclaim there. */
 export function closeAfterReclaim(
   state: ControllerState,
   dataCentre: string,
@@ -65,7 +64,7 @@
   });
 }
 
-/** A start that succeeded ends the row of refusals. */
+/** Reopens a place after a successful start, unless it is closed because of a reclaim. */
 export function reopenPlace(state: ControllerState, instanceClass: string): void {
   const closure = state.placeClosures.get(placeKey(state.dataCentre, instanceClass));
   if (closure !== undefined && closure.reason !== 'reclaimed') {
@@ -73,7 +72,7 @@
   }
 }
 
-/** The own places that are closed, for the report to the other controllers. */
+/** Closed places of the own data centre, for the report to the other controllers. */
 export function listOwnClosedOffers(state: ControllerState): ClosedOffer[] {
   return [...state.placeClosures.values()]
     .filter((closure) => closure.dataCentre === state.dataCentre && closure.until > state.now)
--- a/packages/controller-core/src/buying/reduceBuying.ts
+++ b/packages/controller-core/src/buying/reduceBuying.ts
@@ -1,4 +1,4 @@
-/** Takes in what the platform answers to purchases and ends. */
+/** Handles the platform's answers to starts and ends of instances. */
 import type { ControllerEffect } from '../effects.js';
 import type { ControllerEvent, StartOutcome } from '../events.js';
 import { addInstance, removeInstance } from '../fleet/fleet.js';
@@ -70,7 +70,7 @@
     case 'refused':
       return handleRefused(state, pending, outcome.reason);
     default:
-      // Lost: it stays pending, and is resent under its token when its timeout has passed.
+      // Lost: the start stays pending and is resent under its token after the answer timeout.
       return [];
   }
 }
--- a/packages/controller-core/src/demand/RouteDemand.ts
+++ b/packages/controller-core/src/demand/RouteDemand.ts
@@ -1,8 +1,8 @@
 /**
- * Measured demand of one route: the level now, summed over its sources, and the shape of its day.
+ * Demand of one route: the smoothed rate of each source, and a daily profile to forecast from.
  *
- * The shape is kept by quarter hour of the route's own time zone, so that a rush stays at the
- * same local time when daylight saving changes.
+ * The profile holds a mean rate for each quarter hour in the route's time zone, so a peak stays at
+ * its local time when daylight saving changes.
  */
 import type {
   EpochMilliseconds,
@@ -15,26 +15,27 @@
 
 export const QUARTER_HOURS_PER_DAY = 96;
 const QUARTER_HOUR_MINUTES = (24 * 60) / QUARTER_HOURS_PER_DAY;
-/** Time constant of the level; short against a rush, long against the noise of arrivals. */
+/** Short enough to follow a peak, long enough to average out random arrivals. */
 const SMOOTHING_TIME_CONSTANT_MILLISECONDS = 60_000;
-/** Weight of the newest day in the learnt shape. */
+/** Weight of the newest day in the moving average of the profile. */
 const NEWEST_DAY_WEIGHT = 0.5;
-/** Today may differ from the learnt shape by this factor before the shape stops being believed. */
+/** Limit on the factor by which a forecast scales the profile, up or down. */
 const MAX_PROFILE_SCALE = 2;
 
+/** An entry of the own data centre, or the controller of another data centre. */
 interface DemandSource {
   requestsPerSecond: number;
   serviceMilliseconds: number;
   lastReportAt: MonotonicMilliseconds;
-  /** The data centre it speaks for. */
+  /** The data centre whose demand this source reports. */
   readonly dataCentre: string;
 }
 
 export interface RouteDemand {
   readonly sources: Map<string, DemandSource>;
-  /** Mean requests a second by quarter hour; null where nothing was learnt. */
+  /** Mean requests a second by quarter hour of the local day; null where unknown. */
   readonly dailyProfile: (number | null)[];
-  /** The quarter hour that is being measured. */
+  /** Running sum of the rate in the quarter hour in progress. */
   currentQuarterHour: { index: number; sum: number; samples: number };
 }
 
@@ -46,12 +47,11 @@
   };
 }
 
-/** Position in the local day, in quarter hours with a fraction. */
 function quarterHoursSinceMidnight(route: Route, at: EpochMilliseconds): number {
   return minuteOfDay(route.timeZone, at) / QUARTER_HOUR_MINUTES;
 }
 
-/** Takes in one source's report, smoothed. */
+/** Updates one source by its report, with exponential smoothing. */
 export function addDemandReport(
   state: ControllerState,
   demand: RouteDemand,
@@ -78,7 +78,7 @@
   source.lastReportAt = state.now;
 }
 
-/** Requests a second over all sources, and the mean time that one keeps a place busy. */
+/** Total rate over all sources, and the mean service time of a request weighted by rate. */
 export function sumDemand(demand: RouteDemand): {
   readonly requestsPerSecond: number;
   readonly serviceMilliseconds: number;
@@ -97,7 +97,7 @@
   };
 }
 
-/** Adds the level to the quarter hour in progress; closes one that has ended into the shape. */
+/** Adds the current rate to its quarter hour; merges a finished quarter hour into the profile. */
 export function updateDailyProfile(
   state: ControllerState,
   route: Route,
@@ -118,7 +118,7 @@
   demand.currentQuarterHour.samples += 1;
 }
 
-/** The learnt requests a second at a time of day, between the middles of two quarter hours. */
+/** The profile's rate at a time of day, interpolated between the midpoints of quarter hours. */
 function profileRateAt(
   route: Route,
   demand: RouteDemand,
@@ -133,8 +133,8 @@
 }
 
 /**
- * Requests a second to expect at a later time: the learnt shape, scaled by how today compares
- * with it so far. Undefined where the shape is not known.
+ * Expected requests a second at a later time: the profile's rate, scaled by the ratio of the rate
+ * now to the profile's rate now. Undefined where the profile is unknown.
  */
 export function forecastRequestsPerSecond(
   state: ControllerState,
--- a/packages/controller-core/src/demand/localTime.ts
+++ b/packages/controller-core/src/demand/localTime.ts
@@ -1,12 +1,12 @@
-/** The local time of day in a named time zone. */
+/** Computes the local time of day in a named time zone, with a cache of its UTC offsets. */
 import { DateTime } from 'luxon';
 import type { EpochMilliseconds } from '@hornbeampond/schema';
 
 const MINUTE_MILLISECONDS = 60_000;
-/** Zones change their offset at whole quarter hours only. */
+/** Time zones change their UTC offset at whole quarter hours only. */
 const QUARTER_HOUR_MILLISECONDS = 15 * MINUTE_MILLISECONDS;
 
-/** Offsets that were looked up; asking the zone data for each forecast would cost most of a plan. */
+/** Offsets in minutes by zone and quarter hour; a lookup per forecast would dominate planning. */
 const offsetCache = new Map<string, number>();
 const MAX_CACHED_OFFSETS = 2000;
 
@@ -20,7 +20,7 @@
   return offset;
 }
 
-/** Minutes since local midnight by the clock on the wall, with a fraction. */
+/** Minutes since midnight on the local clock, with a fraction. */
 export function minuteOfDay(timeZone: string, at: EpochMilliseconds): number {
   const minutesPerDay = 24 * 60;
   return (at / MINUTE_MILLISECONDS + utcOffsetMinutesAt(timeZone, at)) % minutesPerDay;
--- a/packages/controller-core/src/demand/reduceDemand.ts
+++ b/packages/controller-core/src/demand/reduceDemand.ts
@@ -1,8 +1,7 @@
 /**
- * Keeps the measured demand: reports of the own entries, sums from the other data centres'
- * controllers, and the shape of the day.
- *
- * Controllers send each other one report a second; nothing is sent per request.
+ * Tracks the demand of all routes: reports from the entries of the own data centre, totals from
+ * the controllers of the others, and the daily profiles. Sources that stop reporting are removed
+ * after a while.
  */
 import type { RouteDemandReport } from '@hornbeampond/schema';
 import type { ControllerEffect } from '../effects.js';
@@ -53,17 +52,16 @@
   return [...state.fleet.values()].some((instance) => instance.dataCentre === dataCentre);
 }
 
-/** True if a silent data centre had instances when it was last heard and none is listed now. */
+/** True if a data centre reported serving instances last time and none of its own is listed now. */
 function hasLostAllInstances(state: ControllerState, dataCentre: string): boolean {
   const hadInstances = state.peers.get(dataCentre)?.serving.some(({ instances }) => instances > 0);
   return hadInstances === true && !hasListedInstances(state, dataCentre);
 }
 
 /**
- * Drops sources that speak no longer. A silent entry's callers have gone to other entries. A
- * silent data centre may only have lost its controllers, and then its callers still need places
- * here or there; so its demand keeps counting for a while, beside its listed instances, unless
- * those have vanished with it.
+ * Removes sources that no longer report. Callers of a failed entry retry at other entries, so its
+ * demand is dropped soon. An unreachable data centre may still be serving without its controllers,
+ * so its demand counts for longer, unless none of its instances is listed any more.
  */
 function removeUnreachableSources(state: ControllerState): void {
   state.demand.forEach((demand) => {
@@ -97,7 +95,7 @@
   return [];
 }
 
-/** The own data centre's demand, for the report to the other controllers. */
+/** Demand of the own data centre by route, for the report to the other controllers. */
 export function buildOwnDemandReports(state: ControllerState): RouteDemandReport[] {
   return [...state.demand].flatMap(([route, demand]) => {
     const sources = [...demand.sources].filter(
--- a/packages/controller-core/src/effects.ts
+++ b/packages/controller-core/src/effects.ts
@@ -1,7 +1,7 @@
-/** Everything a controller can ask its shell to do. */
+/** The effects that the controller's reducer returns and the process around it carries out. */
 import type { CountEffect, DrainReason, LogEffect, Order } from '@hornbeampond/schema';
 
-/** Buys one instance. The same token never buys twice, so the shell may resend it. */
+/** Buys one instance. The platform sells one instance per token, so a resend is harmless. */
 export interface StartInstanceEffect {
   readonly type: 'startInstance';
   readonly pool: string;
@@ -10,33 +10,33 @@
   readonly startToken: string;
 }
 
-/** Tells the entries to send this backend server nothing new; running calls go on. */
+/** Makes the entries send this backend server no new calls; calls in progress continue. */
 export interface DrainInstanceEffect {
   readonly type: 'drainInstance';
   readonly instance: string;
   readonly reason: DrainReason;
 }
 
-/** Tells the entries that they may send to this backend server (again). */
+/** Lets the entries send calls to this backend server; no effect unless it was drained. */
 export interface RestoreInstanceEffect {
   readonly type: 'restoreInstance';
   readonly instance: string;
 }
 
-/** Gives an idle, drained instance back to the platform. */
+/** Returns an idle, drained instance to the platform. */
 export interface EndInstanceEffect {
   readonly type: 'endInstance';
   readonly instance: string;
 }
 
-/** Sends an order; before a load the shell asks the weight store for leave. */
+/** Sends an order to an engine; a load is sent only after the weight store has permitted it. */
 export interface SendOrderEffect {
   readonly type: 'sendOrder';
   readonly instance: string;
   readonly order: Order;
 }
 
-/** Effects that change the fleet; none leaves a controller that holds no lease. */
+/** Effects that change the fleet; a controller without the lease returns none. */
 export type FleetEffect =
   | StartInstanceEffect
   | DrainInstanceEffect
@@ -46,7 +46,6 @@
 
 export type ControllerEffect = FleetEffect | LogEffect | CountEffect;
 
-/** True for effects that change the fleet. */
 export function isFleetEffect(effect: ControllerEffect): effect is FleetEffect {
   return effect.type !== 'log' && effect.type !== 'count';
 }
--- a/packages/controller-core/src/events.ts
+++ b/packages/controller-core/src/events.ts
@@ -1,6 +1,6 @@
 /**
- * Everything a controller can be told. The shell turns answers, lists, reports and timers into
- * these; each carries the time at which the shell saw it.
+ * The events that the controller's reducer handles, and the reports that active controllers
+ * exchange. Each event carries both clocks as read when the process dispatched it.
  */
 import type {
   Configuration,
@@ -19,26 +19,26 @@
   readonly wallNow: EpochMilliseconds;
 }
 
-/** What the platform said to a start; `lost` means that no answer came and nothing is known. */
+/** The platform's answer to a start; `lost`: no answer came, so an instance may have been sold. */
 export type StartOutcome =
   | { readonly type: 'started'; readonly instance: PlatformInstance }
   | { readonly type: 'refused'; readonly reason: string }
   | { readonly type: 'lost' };
 
-/** What became of an order. `weightStoreBusy`: the order was not sent, come back later. */
+/** Result of an order. `lost`: no answer came. `weightStoreBusy`: not sent; retry it later. */
 export type OrderOutcome =
   | { readonly type: OrderResult }
   | { readonly type: 'lost' }
   | { readonly type: 'weightStoreBusy'; readonly retryAfter: Milliseconds };
 
-/** A data centre and instance class that the platform will not sell, or should not be asked for. */
+/** A data centre and instance class where nothing is bought for the remaining time. */
 export interface ClosedOffer {
   readonly dataCentre: string;
   readonly instanceClass: string;
   readonly remaining: Milliseconds;
 }
 
-/** Places for requests at the instances of one pool and data centre that take requests now. */
+/** Capacity of one pool's serving instances in one data centre; a slot is one request at a time. */
 export interface ServingReport {
   readonly pool: string;
   readonly instances: number;
@@ -46,14 +46,17 @@
   readonly reclaimableSlots: number;
 }
 
-/** What the active controllers tell one another about once a second. */
+/** The report that active controllers send each other about once a second. */
 export interface DataCentreReport {
   readonly dataCentre: string;
   readonly demand: readonly RouteDemandReport[];
   readonly closedOffers: readonly ClosedOffer[];
-  /** Only the own controller knows what the engines of a data centre have loaded. */
+  /** Reported because a controller receives load reports from its own data centre only. */
   readonly serving: readonly ServingReport[];
-  /** Requests a second by quarter hour of the day, for controllers that have learnt none yet. */
+  /**
+   * Daily profiles by route: mean requests a second for each quarter hour, null where unknown.
+   * Fills the gaps in the receiver's own profiles.
+   */
   readonly shapes?: Readonly<Record<string, readonly (number | null)[]>>;
 }
 
@@ -69,7 +72,7 @@
       readonly type: 'configurationApplied';
       readonly configuration: Configuration;
     })
-  /** The lease is held; orders to engines that check no fencing wait until `unfencedFrom`. */
+  /** The lease is held; engines that do not check fencing get no order before `unfencedFrom`. */
   | (EventBase & {
       readonly type: 'leaseHeld';
       readonly epoch: number;
@@ -80,7 +83,7 @@
       readonly type: 'platformListed';
       readonly instances: readonly PlatformInstance[];
     })
-  /** Prices by data centre, where the platform tells them; else the pools table's price holds. */
+  /** Current prices from the platform; without one, the price in the pools table applies. */
   | (EventBase & { readonly type: 'pricesListed'; readonly prices: readonly OfferPrice[] })
   | (EventBase & {
       readonly type: 'startAnswered';
@@ -93,10 +96,10 @@
       readonly instance: string;
       readonly goneAt: EpochMilliseconds;
     })
-  /** The instance is dead beyond doubt: new connections to it fail. */
+  /** The instance has failed: new connections to it fail. */
   | (EventBase & { readonly type: 'instanceLost'; readonly instance: string })
   | (EventBase & { readonly type: 'loadReported'; readonly report: LoadReport })
-  /** From one entry of this controller's own data centre. */
+  /** From one entry in this controller's data centre. */
   | (EventBase & {
       readonly type: 'demandReported';
       readonly entry: string;
@@ -110,7 +113,7 @@
       readonly sequence: number;
       readonly outcome: OrderOutcome;
     })
-  /** The weight store's rate; each data centre's controller uses its share of it. */
+  /** The weight store's load limit for all data centres; each controller uses an equal share. */
   | (EventBase & { readonly type: 'loadRateRead'; readonly loadsPerMinute: number });
 
 export type ControllerEventType = ControllerEvent['type'];
--- a/packages/controller-core/src/explainPlan.ts
+++ b/packages/controller-core/src/explainPlan.ts
@@ -1,4 +1,7 @@
-/** The plan in rows, for `hornbeampondctl plan`: what would be done, and from which figures. */
+/**
+ * Explains the current plans for `hornbeampondctl plan`: the action at each place, its reason, and
+ * the figures it was planned from. A place is one instance class in one data centre.
+ */
 import type { Euros, Milliseconds } from '@hornbeampond/schema';
 import { instancesOf, isKept, isServing, poolOf } from './fleet/FleetInstance.js';
 import { countPending, isClosed } from './planning/offers.js';
@@ -14,7 +17,7 @@
   readonly reclaimable: boolean;
   readonly eurosPerHour: Euros;
   readonly wanted: number;
-  /** Kept or on their way. */
+  /** Instances that are kept, plus starts that were not answered yet. */
   readonly present: number;
   readonly serving: number;
   readonly action: PlanAction;
@@ -77,7 +80,7 @@
   };
 }
 
-/** One row for each place of each pool, as last planned. */
+/** Returns one row for each place of each pool, from the latest plan. */
 export function explainPlan(state: ControllerState): PlanRow[] {
   return [...state.plans.values()].flatMap((plan) =>
     plan.places.map((place) => toRow(state, plan, place)),
--- a/packages/controller-core/src/fleet/FleetInstance.ts
+++ b/packages/controller-core/src/fleet/FleetInstance.ts
@@ -1,4 +1,4 @@
-/** One instance as a controller knows it, and what can be said of it. */
+/** One instance in the controller's view of the fleet, and queries on its state. */
 import type {
   EpochMilliseconds,
   InstanceClass,
@@ -10,9 +10,9 @@
 import type { ControllerState } from '../state.js';
 
 /**
- * `reloading`: drained of streams so that an order can change what it has loaded. `draining`: will
- * be ended once idle. `leaving`: the platform takes it away. Phases only go forward, but for
- * `reloading`, which goes back to `live`.
+ * `reloading`: drained so that its model can be changed. `draining`: will be ended once idle.
+ * `leaving`: the platform is reclaiming it. Phases only move forward, except that `reloading`
+ * returns to `live`.
  */
 export type InstancePhase = 'starting' | 'live' | 'reloading' | 'draining' | 'leaving';
 
@@ -23,6 +23,7 @@
   readonly version?: string;
 }
 
+/** An order that the engine has not answered yet. */
 export interface PendingOrder {
   readonly order: Order;
   readonly sentAt: MonotonicMilliseconds;
@@ -43,15 +44,15 @@
   loadReport?: LoadReport;
   loadReportReceivedAt?: MonotonicMilliseconds;
   loaded: LoadedModel;
-  /** The one order whose answer is open. */
+  /** At most one order is sent at a time. */
   pendingOrder?: PendingOrder;
   orderRetryAt: MonotonicMilliseconds;
   endSentAt?: MonotonicMilliseconds;
-  /** True once it has served: its time to start has been measured. */
+  /** True once its start duration was recorded, or if its start was not observed. */
   startMeasured: boolean;
 }
 
-/** Moves an instance to another phase. */
+/** Moves an instance to another phase, and records the time if the phase changes. */
 export function enterPhase(
   state: ControllerState,
   instance: FleetInstance,
@@ -63,12 +64,12 @@
   instance.phaseSinceWall = state.wallNow;
 }
 
-/** True if requests of the pool can be answered there, with whatever version. */
+/** True if it has the pool's model in any version; a plain service needs none. */
 export function hasModel(pool: Pool, instance: FleetInstance): boolean {
   return pool.kind === 'plainService' || instance.loaded.model === pool.model;
 }
 
-/** True if it has loaded just what the pools table says. */
+/** True if its model, adapter and version are those of the pools table. */
 export function isUpToDate(pool: Pool, { loaded }: FleetInstance): boolean {
   if (pool.kind === 'plainService') return true;
   return (
@@ -78,20 +79,20 @@
   );
 }
 
-/** True if it takes requests now. */
+/** True if entries may send it the pool's requests now. */
 export function isServing(pool: Pool, instance: FleetInstance): boolean {
   return instance.phase === 'live' && hasModel(pool, instance);
 }
 
-/** True if it serves now or will without being bought. */
+/** True unless it is being drained for its end or reclaimed; it may not serve yet. */
 export function isKept(instance: FleetInstance): boolean {
   return instance.phase !== 'draining' && instance.phase !== 'leaving';
 }
 
 /**
- * True if its own report, made after the entries have stopped sending, shows no call. The report
- * carries the clock of its own instance: one that is ahead would date a report from before the
- * drain after it, so the bound on how far clocks differ is added.
+ * True if a load report measured after entries stopped sending shows no call. The report carries
+ * the instance's own clock, which may be ahead: the bound on clock skew is added, so that no report
+ * from before that time counts.
  */
 export function isIdle(state: ControllerState, instance: FleetInstance): boolean {
   const { loadReport } = instance;
--- a/packages/controller-core/src/fleet/fleet.ts
+++ b/packages/controller-core/src/fleet/fleet.ts
@@ -1,9 +1,9 @@
-/** Changes to the set of known instances. */
+/** Adds instances to the fleet and removes them; no other module changes its set of instances. */
 import type { PlatformInstance } from '@hornbeampond/schema';
 import { poolOf, type FleetInstance } from './FleetInstance.js';
 import type { ControllerState } from '../state.js';
 
-/** Takes a new instance into the fleet. */
+/** Adds an instance as described by a row of the platform. */
 export function addInstance(state: ControllerState, row: PlatformInstance): FleetInstance {
   const isServing = row.state === 'live' && poolOf(state, row.pool)?.kind === 'plainService';
   const instance: FleetInstance = {
@@ -25,8 +25,8 @@
 }
 
 /**
- * Drops an instance for good. Its name is remembered for a while: a lagging list would otherwise
- * bring it back as live, and it would count as capacity that is not there.
+ * Removes an instance, and makes its rows ignored for a while: a stale list would otherwise add it
+ * again as live, and it would count as capacity.
  */
 export function removeInstance(state: ControllerState, name: string): void {
   state.fleet.delete(name);
--- a/packages/controller-core/src/fleet/reduceFleet.ts
+++ b/packages/controller-core/src/fleet/reduceFleet.ts
@@ -1,9 +1,8 @@
 /**
- * Keeps the known instances by the platform's lagging list and by load reports.
+ * Updates the fleet from the platform's list, load reports, failures, prices and time.
  *
- * What a list says is believed one way only. A row of an instance that is gone is ignored, and an
- * instance that a list does not show is kept until the lag's bound has passed: the list may be
- * older than its purchase.
+ * The list may be stale. Rows of removed instances are ignored, and an instance is removed as
+ * unlisted only after the maximum list lag, because the list may be older than its purchase.
  */
 import type { EpochMilliseconds, LoadReport, PlatformInstance } from '@hornbeampond/schema';
 import type { ControllerEffect } from '../effects.js';
@@ -13,12 +12,12 @@
 import { addInstance, removeInstance } from './fleet.js';
 import { enterPhase, hasModel, poolOf, type FleetInstance } from './FleetInstance.js';
 
-/** Weight of the newest start in the measured time that a start takes. */
+/** Weight of the newest start in the moving average of start durations. */
 const NEWEST_START_WEIGHT = 0.3;
-/** A reclaimed instance is dropped this long after it should be gone. */
+/** A reclaimed instance is removed this long after the announced time. */
 const RECLAIM_REMOVAL_DELAY_MILLISECONDS = 1000;
 
-/** Takes in an instance that this controller did not know. */
+/** Adds an instance that was not in the fleet, and completes its pending start if there is one. */
 function addListedInstance(state: ControllerState, row: PlatformInstance): ControllerEffect[] {
   const instance = addInstance(state, row);
   const pending =
@@ -27,12 +26,12 @@
   if (row.dataCentre !== state.dataCentre || state.lease === undefined) return [];
   const { instance: name, pool, instanceClass } = instance;
   const fields = { instance: name, pool, instanceClass, startToken: row.startToken };
-  // A purchase whose answer was lost, or one of an earlier holder: it is paid for, so it is used.
+  // Either the answer to its start was lost, or an earlier holder bought it; it is used as well.
   const event = pending === undefined ? 'orphanClaimed' : 'purchaseFound';
   return [{ type: 'log', event, fields }];
 }
 
-/** Moves a known instance forward by its row; never backward. */
+/** Updates an instance from its row; a stale row never moves its phase backward. */
 function updateFromRow(
   state: ControllerState,
   instance: FleetInstance,
@@ -97,7 +96,7 @@
   });
 }
 
-/** Measures how long starts take, from the purchase to a backend server that serves. */
+/** Adds the time from first sight to serving to the pool's moving average, once per instance. */
 export function recordStartDuration(state: ControllerState, instance: FleetInstance): void {
   const pool = poolOf(state, instance.pool);
   if (pool === undefined || instance.startMeasured) return;
@@ -111,7 +110,7 @@
   );
 }
 
-/** True if a report made then tells what is loaded now: nothing was ordered or changed since. */
+/** False if an order was sent after the measurement; the report may show the model before it. */
 function isNewerThanOrder(instance: FleetInstance, measuredAt: EpochMilliseconds): boolean {
   return instance.pendingOrder === undefined || measuredAt > instance.pendingOrder.sentAtWall;
 }
--- a/packages/controller-core/src/lease/LeaseHolder.ts
+++ b/packages/controller-core/src/lease/LeaseHolder.ts
@@ -1,8 +1,8 @@
 /**
- * The holder's side of a lease. Two controllers must never give orders at once to a backend server
- * that does not check fencing numbers; between them only clocks and waiting can keep order. The
- * holder therefore counts its lease from when it asked, and a successor waits until that count
- * and the last order of the one before must have ended, whatever wall clocks say.
+ * The holder's side of a lease: requests and renews it, tracks its end, and numbers orders with
+ * fencing tokens. Two holders must never send orders to the same unfenced backend server at the
+ * same time. A holder therefore counts its lease from the time of its request, and a successor
+ * waits out the previous lease and its last order. Only monotonic clocks are used.
  */
 import type {
   Milliseconds,
@@ -16,30 +16,30 @@
   /** Unique to this process start: a restarted process must not renew its predecessor's lease. */
   readonly holder: string;
   readonly duration: Milliseconds;
-  /** Time between asks; a third of `duration` lets two asks be lost. */
+  /** Time between requests; with a third of `duration`, two requests may be lost. */
   readonly renewInterval: Milliseconds;
-  /** Most that a monotonic clock gains or loses, as a fraction of the time passed. */
+  /** Largest gain or loss of a monotonic clock, as a fraction of the elapsed time. */
   readonly maxClockDriftFraction: number;
-  /** Longest time from the decision to give an order until it can act no more. */
+  /** Longest time from the decision to send an order until it can no longer take effect. */
   readonly maxOrderDuration: Milliseconds;
 }
 
-/** Monotonic clocks are specified to 500 parts in a million; twenty times that is allowed for. */
+/** Twenty times the specified drift of monotonic clocks, 500 parts per million. */
 export const MAX_CLOCK_DRIFT_FRACTION = 0.01;
 
-/** Asks whose answers are still of use; older ones would be measured as ended anyway. */
+/** Older requests are dropped; a lease counted from one of them would already have ended. */
 const MAX_OPEN_REQUESTS = 8;
 
 export interface LeaseHolder {
   readonly settings: LeaseSettings;
-  /** The newest epoch granted to this process; 0 if none was. */
+  /** The newest epoch granted to this process; 0 before the first. */
   epoch: number;
   heldUntil: MonotonicMilliseconds;
-  /** From when on orders may go to backend servers that do not check fencing. */
+  /** From then on orders may go to backend servers that do not check fencing. */
   unfencedFrom: MonotonicMilliseconds;
-  /** Number of the last order under this epoch. */
+  /** Sequence number of the last order in this epoch. */
   sequence: number;
-  /** When each open ask was made, by its number. */
+  /** When each unanswered request was made, by its number. */
   readonly requestTimes: Map<number, MonotonicMilliseconds>;
   lastRequestNumber: number;
   active: boolean;
@@ -49,7 +49,7 @@
 export interface LeaseHeldEvent {
   readonly type: 'leaseHeld';
   readonly now: MonotonicMilliseconds;
-  /** Number of the ask that this is the result of. */
+  /** Number of the request that this answers. */
   readonly requestNumber: number;
   readonly epoch: number;
   readonly duration: Milliseconds;
@@ -60,7 +60,7 @@
   | { readonly type: 'askDue'; readonly now: MonotonicMilliseconds }
   | LeaseHeldEvent
   | { readonly type: 'endDue'; readonly now: MonotonicMilliseconds }
-  /** Sent once the last order has ended: gives the lease back, for a planned replacement. */
+  /** Releases the lease for a planned replacement; dispatched once the last order has ended. */
   | { readonly type: 'stop' };
 
 export type LeaseEffect =
@@ -70,18 +70,18 @@
       readonly command: TakeLeaseCommand | ReleaseLeaseCommand;
     }
   | { readonly type: 'startAskTimer'; readonly after: Milliseconds }
-  /** Replaces the last such timer. */
+  /** Replaces the previous end timer. */
   | { readonly type: 'startEndTimer'; readonly after: Milliseconds }
   | { readonly type: 'leaseStarted'; readonly epoch: number }
   | { readonly type: 'leaseEnded'; readonly epoch: number };
 
-/** The fencing number of one order. Engines that check refuse a lower one. */
+/** Identifies one order; engines that check fencing refuse a token below one already seen. */
 export interface FencingToken {
   readonly epoch: number;
   readonly sequence: number;
 }
 
-/** A holder that holds nothing yet; `askDue` makes it ask. */
+/** Makes a holder without a lease; an `askDue` event starts its requests. */
 export function makeLeaseHolder(settings: LeaseSettings): LeaseHolder {
   return {
     settings,
@@ -96,7 +96,7 @@
   };
 }
 
-/** True if orders may be given now; to be asked again right before each order leaves. */
+/** True if an order may be sent now; to be checked again right before each one is sent. */
 export function maySendOrder(
   holder: LeaseHolder,
   now: MonotonicMilliseconds,
@@ -106,13 +106,13 @@
   return checksFencing || now >= holder.unfencedFrom;
 }
 
-/** Numbers the next order. */
+/** Returns the token of the next order and advances the sequence. */
 export function nextFencingToken(holder: LeaseHolder): FencingToken {
   holder.sequence += 1;
   return { epoch: holder.epoch, sequence: holder.sequence };
 }
 
-/** Decides what one event means for the lease; changes `holder` in place. */
+/** Handles one event; changes `holder` in place. */
 export function reduceLease(holder: LeaseHolder, event: LeaseEvent): LeaseEffect[] {
   if (holder.stopped) return [];
   switch (event.type) {
@@ -149,7 +149,7 @@
   holder.requestTimes.delete(event.requestNumber);
   if (requestedAt === undefined || event.epoch < holder.epoch) return [];
   const endEffects = event.epoch > holder.epoch ? startEpoch(holder, event) : [];
-  // The log granted the lease after it was asked for, so a count from then on ends before its own.
+  // The store grants the lease after the request, so counting from the request is safe.
   const safeEnd = requestedAt + event.duration * (1 - holder.settings.maxClockDriftFraction);
   holder.heldUntil = Math.max(holder.heldUntil, safeEnd);
   if (event.now >= holder.heldUntil) return endEffects;
@@ -160,9 +160,9 @@
 }
 
 /**
- * The holder before may still count its lease, and its last order may still act: the log's clock
- * is a wall clock and may have jumped when its leader changed. Waiting its whole lease from now,
- * by this process's clock, is enough, since its last ask came before this grant.
+ * Starts a new epoch. The previous holder may still count on its lease, because the store's wall
+ * clock may have jumped when its leader changed. It requested that lease before this grant, so
+ * waiting the whole previous lease and its longest order from now on is enough.
  */
 function startEpoch(holder: LeaseHolder, event: LeaseHeldEvent): LeaseEffect[] {
   const { maxClockDriftFraction, maxOrderDuration } = holder.settings;
@@ -180,8 +180,8 @@
 
 function handleEndDue(holder: LeaseHolder, now: MonotonicMilliseconds): LeaseEffect[] {
   if (!holder.active) return [];
-  // Timers cut fractions of milliseconds off; one that fired too early has to be set again, or the
-  // end would never be told.
+  // Timers drop fractions of milliseconds; without a new one after an early timeout, the end of the
+  // lease would never be reported.
   if (now < holder.heldUntil) return [{ type: 'startEndTimer', after: holder.heldUntil - now }];
   holder.active = false;
   return [{ type: 'leaseEnded', epoch: holder.epoch }];
--- a/packages/controller-core/src/makeDataCentreReport.ts
+++ b/packages/controller-core/src/makeDataCentreReport.ts
@@ -1,11 +1,11 @@
-/** What an active controller tells those of the other data centres about once a second. */
+/** The report of an active controller to those of the other data centres. */
 import { listOwnClosedOffers } from './buying/placeClosures.js';
 import { ownServing } from './planning/standing.js';
 import { buildOwnDemandReports } from './demand/reduceDemand.js';
 import type { DataCentreReport } from './events.js';
 import type { ControllerState } from './state.js';
 
-/** With `withShapes` it also carries the learnt days; once a minute is often enough for those. */
+/** `withShapes` adds the daily profiles; they change slowly, so not every report carries them. */
 export function makeDataCentreReport(
   state: ControllerState,
   withShapes: boolean,
--- a/packages/controller-core/src/orders/reconcileModels.ts
+++ b/packages/controller-core/src/orders/reconcileModels.ts
@@ -1,10 +1,10 @@
 /**
- * Brings model engines to what the pools table says: fresh ones at once, serving ones by a rollout
- * that drains each before it reloads.
+ * Loads the models of the pools table into model engines: empty engines directly, serving engines
+ * by a rolling reload that drains each one first.
  *
- * A stream never sees two versions, because an engine is reloaded only after the entries have
- * stopped sending to it and it reports no call. The deadline holds during a rollout, because an
- * engine is taken out only while the others meet the planned need, one data centre at a time.
+ * A stream never sees two versions: an engine reloads only after entries have stopped sending to
+ * it and it reports no call. Deadlines hold during a rollout: an engine is drained only if the
+ * rest meet the planned need, and in one data centre at a time.
  */
 import type { Pool } from '@hornbeampond/schema';
 import type { ControllerEffect } from '../effects.js';
@@ -22,25 +22,26 @@
 import type { ControllerState, HeldLease } from '../state.js';
 import { makeLoadAction, canStartLoad, sendOrder } from './sendOrder.js';
 
-/** Bounds how long a reload waits for an engine that never reports itself idle. */
+/** A reload that takes longer is abandoned, for example if the engine never reports itself idle. */
 const MAX_RELOAD_DURATION_MILLISECONDS = 15 * 60_000;
 
 /**
- * An engine that ignores fencing numbers would also carry out the last holder's late orders, so
- * nothing is sent to it until the last of those must have arrived.
+ * Engines that do not check fencing also carry out late orders of the previous holder, so they get
+ * no orders until those can no longer take effect.
  */
 function canSendOrders(state: ControllerState, lease: HeldLease, pool: Pool): boolean {
   return pool.checksFencing || state.now >= lease.unfencedFrom;
 }
 
+/** An engine that can be loaded now. */
 interface LoadCandidate {
   readonly instance: FleetInstance;
   readonly pool: Pool;
-  /** Share of the need that the pool's serving instances cover; the lowest is loaded first. */
+  /** Serving slots of the pool as a fraction of its need; the lowest is loaded first. */
   readonly coveredFraction: number;
 }
 
-/** Engines that can be loaded now: they run no stream and have no order open. */
+/** Finds outdated engines in the own data centre with no call, pending order or retry delay. */
 function findLoadCandidates(state: ControllerState, lease: HeldLease): LoadCandidate[] {
   return state.configuration.pools.rows
     .filter((pool) => pool.kind === 'modelEngine' && canSendOrders(state, lease, pool))
@@ -64,13 +65,14 @@
   instance: FleetInstance,
 ): boolean {
   if (instance.phase === 'reloading') return isIdle(state, instance);
-  // A new holder knows of an engine before it knows what runs there. An order sent on a guess could
-  // change the version under running streams, so the engine itself must have said that it is empty.
+  // A new holder sees an engine in the list before its first load report. A load could then change
+  // the version under running streams, so the engine must have reported that it is empty.
   const { loadReport } = instance;
   if (instance.phase !== 'live' || loadReport === undefined) return false;
   return instance.loaded.model === undefined && loadReport.running + loadReport.queued === 0;
 }
 
+/** Orders by the pool's coverage, then engines that have the model, then the oldest. */
 function compareUrgency(a: LoadCandidate, b: LoadCandidate): number {
   return (
     a.coveredFraction - b.coveredFraction ||
@@ -91,7 +93,7 @@
   return effects;
 }
 
-/** Takes at most one engine of a pool in this data centre out of service for a reload. */
+/** In the data centre's turn, drains one engine to reload if none of the pool is reloading here. */
 function startNextReload(state: ControllerState, lease: HeldLease, pool: Pool): ControllerEffect[] {
   if (pool.kind !== 'modelEngine' || !canSendOrders(state, lease, pool)) return [];
   const ownInstances = instancesOf(state, pool).filter(
@@ -124,7 +126,7 @@
   ];
 }
 
-/** Puts reloaded engines back into service, and those whose reload is no longer wanted. */
+/** Restores reloading engines that are up to date now, or whose reload took too long. */
 function finishReloads(state: ControllerState): ControllerEffect[] {
   return [...state.fleet.values()]
     .filter(({ dataCentre, phase }) => dataCentre === state.dataCentre && phase === 'reloading')
@@ -146,7 +148,7 @@
     });
 }
 
-/** Gives the orders that are due. */
+/** Finishes reloads, sends the loads that are due, and starts the next reload of each pool. */
 export function reconcileModels(state: ControllerState, lease: HeldLease): ControllerEffect[] {
   return [
     ...finishReloads(state),
--- a/packages/controller-core/src/orders/reduceOrders.ts
+++ b/packages/controller-core/src/orders/reduceOrders.ts
@@ -1,4 +1,7 @@
-/** Takes in what became of orders, and notices orders that were never answered. */
+/**
+ * Handles the outcomes of orders, treats orders without an answer as lost, and applies the load
+ * limit of the weight store.
+ */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import type { Milliseconds, Order } from '@hornbeampond/schema';
 import type { ControllerEffect } from '../effects.js';
@@ -9,7 +12,10 @@
 
 const FAILED_ORDER_RETRY_DELAY_MILLISECONDS: Milliseconds = 15_000;
 
-/** The order stays open no longer; what the engine reports next says whether it was carried out. */
+/**
+ * Clears the pending order and delays the next one. The next load report shows whether the order
+ * was carried out; if so, it is not sent again.
+ */
 function closeForRetry(
   state: ControllerState,
   instance: FleetInstance,
@@ -53,7 +59,7 @@
       handleDone(state, instance, order);
       return effects;
     case 'refusedAsOld':
-      // Another controller holds a newer epoch: whatever this one believes, it must act no more.
+      // Another controller holds a newer epoch, so this one must not change the fleet any more.
       instance.pendingOrder = undefined;
       state.newerEpochSeen = true;
       return [...effects, { type: 'log', event: 'newerEpochSeen', fields: { epoch: order.epoch } }];
@@ -80,7 +86,7 @@
   return handleOutcome(state, instance, order, event.outcome);
 }
 
-/** Orders unanswered for too long: the next order, under a later number, makes it good. */
+/** Treats unanswered orders as lost after a timeout; a retry gets a higher sequence number. */
 function expireOrders(state: ControllerState): ControllerEffect[] {
   return [...state.fleet.values()].flatMap((instance) => {
     const { pendingOrder } = instance;
--- a/packages/controller-core/src/orders/sendOrder.ts
+++ b/packages/controller-core/src/orders/sendOrder.ts
@@ -1,4 +1,7 @@
-/** Sending one order and keeping count of the weight store's rate. */
+/**
+ * Sends orders to engines and limits model loads: by the weight store's rate and by the number in
+ * progress in the data centre.
+ */
 import type { Order, Pool } from '@hornbeampond/schema';
 import type { ControllerEffect } from '../effects.js';
 import type { FleetInstance } from '../fleet/FleetInstance.js';
@@ -6,7 +9,7 @@
 
 const MINUTE_MILLISECONDS = 60_000;
 
-/** The order that makes an engine what the pools table says. */
+/** The load of the pool's model; undefined if the pool has none. */
 export function makeLoadAction(pool: Pool): Order['action'] | undefined {
   if (pool.model === undefined) return undefined;
   const { model, adapter, version } = pool;
@@ -14,8 +17,8 @@
 }
 
 /**
- * Sends an order under the lease's epoch and the next sequence number, so that an engine that
- * checks refuses whatever was sent before it but comes in later.
+ * Sends an order with the lease's epoch and the next sequence number. Engines that check fencing
+ * then refuse older orders that arrive later.
  */
 export function sendOrder(
   state: ControllerState,
@@ -35,7 +38,7 @@
   ];
 }
 
-/** True if one more load keeps within the weight store's rate and what may run at a time. */
+/** True if one more load stays within both limits; also drops load times older than a minute. */
 export function canStartLoad(state: ControllerState): boolean {
   state.loadTimes = state.loadTimes.filter((at) => state.now - at < MINUTE_MILLISECONDS);
   const loadsInProgress = [...state.fleet.values()].filter(
@@ -44,7 +47,7 @@
   if (loadsInProgress >= state.policy.maxConcurrentLoads) return false;
   if (state.loadsPerMinute === undefined) return true;
   const dataCentres = new Set(state.configuration.pools.rows.flatMap((pool) => pool.dataCentres));
-  // Each data centre uses its share of the one weight store's rate, at least one load a minute.
+  // Each data centre gets an equal share of the weight store's rate, at least one load a minute.
   const maxLoadsPerMinute = Math.max(
     1,
     Math.floor(state.loadsPerMinute / Math.max(1, dataCentres.size)),
--- a/packages/controller-core/src/policy.ts
+++ b/packages/controller-core/src/policy.ts
@@ -1,61 +1,62 @@
 /**
- * The figures that steer a controller's decisions. The defaults were weighed in
- * `docs/design/fleet.md`; nothing here is a promise to callers.
+ * Tuning parameters of the controller's decisions, and their defaults. They are internal: no
+ * setting exposes them, and callers must not rely on any value.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 
 export interface ControllerPolicy {
-  /** Share of requests that should meet the deadline while all capacity stands. */
+  /** Fraction of requests to serve within the deadline while all capacity is available. */
   readonly onTimeTarget: number;
-  /** Share that should meet it just after a data centre's reclaimable instances are gone. */
+  /** The same fraction right after one data centre's reclaimable instances were reclaimed. */
   readonly onTimeTargetAfterLoss: number;
-  /** Demand that is planned for beyond what was measured or foretold, as a share of it. */
+  /** Extra demand to plan for, as a fraction of the measured or forecast demand. */
   readonly headroom: number;
-  /** The same where no daily shape has been learnt yet. */
+  /** The same fraction for routes without a daily profile to forecast from. */
   readonly headroomWithoutProfile: number;
-  /** An instance that is there is left for another place only if that is cheaper by this share. */
+  /** Fraction taken off an existing instance's price when prices are compared, to avoid moves. */
   readonly retentionDiscount: number;
-  /** Each recent wave at a place makes its reclaimable instances look dearer by this share. */
+  /** Fraction added to a place's reclaimable price, when compared, for each recent reclaim wave. */
   readonly wavePricePenalty: number;
-  /** How long a wave is remembered for. */
+  /** How long a reclaim wave counts as recent. */
   readonly waveRetention: Milliseconds;
-  /** No reclaimable instance is bought where one was reclaimed so lately. */
+  /** How long a place stays closed to purchases after a reclaim. */
   readonly reclaimCooldown: Milliseconds;
-  /** Wanted capacity falls only after it was lower for so long. */
+  /** Planned capacity falls only after the need has been lower for this long. */
   readonly scaleInDelay: Milliseconds;
-  /** From a start to a backend server that serves, until one has been measured. */
+  /** Assumed time from a start to a serving backend server, until one is measured. */
   readonly defaultStartDuration: Milliseconds;
-  /** Bounds on the platform's lag: how long a new instance may be unlisted, a gone one listed. */
+  /** How long the platform's list may omit an instance before it is considered lost. */
   readonly maxListLag: Milliseconds;
-  /** How long a gone instance's rows are ignored. */
+  /** How long rows of a removed instance are ignored; the list may still show it as live. */
   readonly removedInstanceRetention: Milliseconds;
-  /** A start without an answer for so long is resent under its token. */
+  /** An unanswered start is first resent after this long; the waits between resends grow. */
   readonly startAnswerTimeout: Milliseconds;
-  /** A start unanswered for so long no longer counts as capacity to come. */
+  /** An unanswered start counts as upcoming capacity for this long. */
   readonly pendingStartTimeout: Milliseconds;
+  /** Limit of the random wait after one refused start; doubled for each further one in a row. */
   readonly initialStartBackoff: Milliseconds;
   readonly maxStartBackoff: Milliseconds;
-  /** A new holder buys nothing for so long: its predecessor's last purchases are still unlisted. */
+  /** Nothing is bought for this long after a takeover: earlier purchases may not be listed yet. */
   readonly takeoverPurchaseDelay: Milliseconds;
-  /** An instance of no pool is drained after so long. */
+  /** Time since first sight after which an instance without a row in the pools table is drained. */
   readonly strayGracePeriod: Milliseconds;
-  /** An instance that has not served so long after its purchase is drained. */
+  /** Time since first sight after which an instance that has never served is drained. */
   readonly startupTimeout: Milliseconds;
-  /** After a drain, entries may send for so long. */
+  /** How long entries may still send new calls to an instance after its drain. */
   readonly drainPropagationTime: Milliseconds;
-  /** Wall clocks of instances are taken to differ by no more than this. */
+  /** Assumed bound on the difference between the wall clocks of two instances. */
   readonly maxClockSkew: Milliseconds;
-  /** Each data centre may take capacity out of service only in its own turn of this length. */
+  /** Data centres take turns of this length to take capacity out of service. */
   readonly turnDuration: Milliseconds;
-  /** An order without an answer for so long is taken for lost. */
+  /** An order without an answer for this long is considered lost. */
   readonly orderTimeout: Milliseconds;
-  /** A data centre whose controller has been silent for so long is planned around. */
+  /** A data centre without a controller report for this long is considered unreachable. */
   readonly peerTimeout: Milliseconds;
-  /** Demand of a silent data centre that seems not to be cut off counts for so long. */
+  /** How long an unreachable data centre's demand counts while its instances are still listed. */
   readonly unreachableDemandRetention: Milliseconds;
-  /** Demand of an entry that has been silent for so long counts no longer. */
+  /** An entry's demand is dropped after this long without a report. */
   readonly entryTimeout: Milliseconds;
-  /** Loads that may run at a time in this data centre. */
+  /** Limit on model loads in progress at the same time in one data centre. */
   readonly maxConcurrentLoads: number;
 }
 
--- a/packages/controller-core/src/reclaims/reclaims.ts
+++ b/packages/controller-core/src/reclaims/reclaims.ts
@@ -1,10 +1,9 @@
 /**
- * Reclaims: what they take from the fleet, how large the waves are that they come in, and where
- * replacements are not bought for a while.
+ * Records reclaims: marks instances under notice as leaving, groups reclaims of a pool into waves
+ * and closes their places to purchases for a while.
  *
- * The replacement itself needs no code of its own. An instance under notice counts no longer, so
- * the plan that follows the very same event lacks its slots; its place is closed for a while and
- * the spread over data centres holds, so the plan takes the next cheapest safe places.
+ * Nothing here buys replacements: an instance under notice no longer counts as capacity, so the
+ * next plan makes up for its slots at other places.
  */
 import type { EpochMilliseconds } from '@hornbeampond/schema';
 import { closeAfterReclaim } from '../buying/placeClosures.js';
@@ -19,7 +18,7 @@
 } from '../fleet/FleetInstance.js';
 import { placeKey, type ControllerState, type ReclaimWave } from '../state.js';
 
-/** Reclaims that come within this of a wave's first belong to it. */
+/** A reclaim belongs to a wave if it comes within this time after the wave's first. */
 const MAX_WAVE_DURATION_MILLISECONDS = 90_000;
 
 function countReclaimableSlots(state: ControllerState, name: string): number {
@@ -49,7 +48,10 @@
   return wave;
 }
 
-/** Adds one lost reclaimable instance to the wave in progress and closes its place. */
+/**
+ * Adds a reclaimed instance to the pool's current or a new wave, and closes its place. Does nothing
+ * for an instance that is not reclaimable.
+ */
 export function recordReclaim(
   state: ControllerState,
   instance: FleetInstance,
@@ -66,7 +68,10 @@
   return wave;
 }
 
-/** An instance is under notice: it counts as capacity no longer. */
+/**
+ * Marks an instance as leaving at its first notice. Records the reclaim unless the instance was
+ * already being drained.
+ */
 export function recordReclaimNotice(
   state: ControllerState,
   instance: FleetInstance,
@@ -74,7 +79,7 @@
 ): ControllerEffect[] {
   if (instance.goneAt !== undefined) return [];
   const wasKept = instance.phase !== 'draining';
-  // Recorded first: the wave's share is taken of what stood before it.
+  // Recorded before the phase changes, so that the wave counts this instance in its slots before.
   const wave = wasKept ? recordReclaim(state, instance) : undefined;
   instance.goneAt = goneAt;
   enterPhase(state, instance, 'leaving');
@@ -98,7 +103,7 @@
   ];
 }
 
-/** Drops waves that are too long ago to plan for. */
+/** Removes waves that began too long ago to affect the plan. */
 export function removeExpiredWaves(state: ControllerState): void {
   const recent = state.waves.filter(
     (wave) => state.now - wave.startedAt <= state.policy.waveRetention,
--- a/packages/controller-core/src/reclaims/reduceReclaims.ts
+++ b/packages/controller-core/src/reclaims/reduceReclaims.ts
@@ -1,4 +1,4 @@
-/** Takes in reclaim notices that come outside the platform's list. */
+/** Handles reclaim notices that arrive outside the platform's list, and expires old waves. */
 import type { ControllerEffect } from '../effects.js';
 import type { ControllerEvent } from '../events.js';
 import type { ControllerState } from '../state.js';
--- a/packages/controller-core/src/reduceController.ts
+++ b/packages/controller-core/src/reduceController.ts
@@ -1,6 +1,7 @@
 /**
- * The controller: one reducer over all events. The concerns take in the event one after another;
- * then, where the event can change what is wanted, the fleet is planned anew and acted on.
+ * The controller's main reducer. It applies an event to each part of the state in turn, then plans
+ * the fleet again if the event calls for it and returns the effects that bring the fleet closer to
+ * the plan. Without the lease it returns no effect that changes the fleet.
  */
 import type { Reducer } from '@hornbeampond/schema';
 import { buyInstances } from './buying/buyInstances.js';
@@ -26,7 +27,7 @@
   reduceOrders,
 ];
 
-/** Events after which waiting for the next tick would cost capacity in time. */
+/** Events after which the fleet is planned at once, so that no capacity is missing until a tick. */
 const replanningEvents: ReadonlySet<ControllerEventType> = new Set([
   'tick',
   'configurationApplied',
@@ -45,7 +46,7 @@
   ];
 }
 
-/** Decides what one event means for the fleet of this controller's data centre. */
+/** Handles one event for the fleet of this controller's data centre; changes `state` in place. */
 export const reduceController: Reducer<ControllerState, ControllerEvent, ControllerEffect> = (
   state,
   event,
@@ -61,7 +62,8 @@
   if (lease !== undefined && !state.newerEpochSeen) {
     return replanningEvents.has(event.type) ? [...effects, ...planAndAct(state, lease)] : effects;
   }
-  // Without the lease another controller may act: two would buy twice and undo each other's work.
+  // Without the lease another controller may be active: two would buy twice and undo each other's
+  // changes. The plan is still kept up to date for operators to read.
   if (event.type === 'tick') planPools(state);
   return effects.filter((effect) => !isFleetEffect(effect));
 };
--- a/packages/controller-core/src/reduceLeaseOwnership.ts
+++ b/packages/controller-core/src/reduceLeaseOwnership.ts
@@ -1,15 +1,15 @@
 /**
- * What holding the lease means for the fleet. The lease part of the controller decides when it is
- * held and tells it by events.
+ * Applies the gain and loss of the lease to the fleet. A new holder repeats the drains and
+ * restores of its data centre, because it cannot know which of them its predecessor changed. When
+ * the lease is lost, pending starts and orders are dropped.
  */
 import type { ControllerEffect } from './effects.js';
 import type { ControllerEvent } from './events.js';
 import type { ControllerState } from './state.js';
 
 /**
- * The last holder may have died between a drain for a reload and its end, and entries would keep
- * such an engine out of service for ever: the new holder restores whatever it does not drain
- * itself. Restoring one that was not drained changes nothing.
+ * The previous holder may have crashed while an engine was drained for a reload, and entries would
+ * never use that engine again. Restoring an instance that was not drained changes nothing.
  */
 function restoreLiveInstances(state: ControllerState): ControllerEffect[] {
   return [...state.fleet.values()]
@@ -18,9 +18,9 @@
 }
 
 /**
- * A drain from before this lease may have been undone by a holder in between, and then calls run
- * there again. It is told anew, and the wait until the entries have stopped begins anew; an end on
- * the strength of the old drain would cut those calls.
+ * A holder in between may have restored an instance that this controller had drained, so calls may
+ * run there again. The drain is sent again and its start time reset; otherwise the instance could
+ * be ended while entries still send to it.
  */
 function repeatDrains(state: ControllerState): ControllerEffect[] {
   return [...state.fleet.values()]
@@ -39,7 +39,7 @@
 ): ControllerEffect[] {
   const { epoch, unfencedFrom } = event;
   if (state.lease?.epoch === epoch) return [];
-  // A new epoch without a word of the old one's end: somebody else may have acted in between.
+  // A new epoch without a loss event: another holder may have acted in between.
   const lossEffects = handleLeaseLost(state);
   state.lease = { epoch, unfencedFrom, since: state.now };
   state.newerEpochSeen = false;
@@ -54,7 +54,7 @@
   ];
 }
 
-/** Open answers belong to the old epoch: whoever holds the next one finds what they led to. */
+/** Drops pending starts and orders; the next holder sees their outcome in lists and reports. */
 function handleLeaseLost(state: ControllerState): ControllerEffect[] {
   if (state.lease === undefined) return [];
   const { epoch } = state.lease;
--- a/packages/controller-core/src/state.ts
+++ b/packages/controller-core/src/state.ts
@@ -1,4 +1,7 @@
-/** All that one controller knows. Only the reducers change it, in place. */
+/**
+ * The state of one controller and the types in it. It is kept in memory only; the reducers change
+ * it in place.
+ */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
 import {
@@ -18,10 +21,11 @@
 export interface HeldLease {
   readonly epoch: number;
   readonly since: MonotonicMilliseconds;
+  /** From then on orders may go to engines that do not check fencing. */
   readonly unfencedFrom: MonotonicMilliseconds;
 }
 
-/** A purchase whose answer is still open. */
+/** A start that the platform has not answered yet. */
 export interface PendingStart {
   readonly startToken: string;
   readonly pool: string;
@@ -31,28 +35,29 @@
   resends: number;
 }
 
-/** Why and until when nothing is bought at one data centre and instance class. */
+/** A period in which nothing is bought at one place, and the reason. */
 export interface PlaceClosure {
   readonly dataCentre: string;
   readonly instanceClass: string;
   readonly reason: 'refused' | 'reclaimed' | 'unanswered' | 'peer';
   until: MonotonicMilliseconds;
-  /** Refusals in a row. */
+  /** Consecutive refusals of starts. */
   refusals: number;
 }
 
-/** Reclaims at one place that came close together. */
+/** Reclaims in one pool that came close together, at any number of places. */
 export interface ReclaimWave {
   readonly startedAt: MonotonicMilliseconds;
   readonly pool: string;
   readonly places: Set<string>;
   readonly dataCentres: Set<string>;
-  /** The pool's reclaimable slots when it began. */
+  /** The pool's reclaimable slots before its first reclaim. */
   readonly reclaimableSlotsBefore: number;
   lostSlots: number;
   lostInstances: number;
 }
 
+/** The latest report from the active controller of another data centre. */
 export interface PeerDataCentre {
   readonly lastReportAt: MonotonicMilliseconds;
   readonly closedOffers: readonly ClosedOffer[];
@@ -67,13 +72,13 @@
   wallNow: EpochMilliseconds;
   configuration: Configuration;
   lease: HeldLease | undefined;
-  /** Highest epoch that an engine has shown us to be in use. */
+  /** True once an engine has refused an order as old: another controller holds a newer epoch. */
   newerEpochSeen: boolean;
   orderSequence: number;
   startSequence: number;
   readonly demand: Map<string, RouteDemand>;
   readonly fleet: Map<string, FleetInstance>;
-  /** Instances that are gone for good, and until when their rows are ignored. */
+  /** Removed instances, and until when their rows in the platform's list are ignored. */
   readonly removedInstances: Map<string, MonotonicMilliseconds>;
   readonly pendingStarts: Map<string, PendingStart>;
   readonly placeClosures: Map<string, PlaceClosure>;
@@ -81,10 +86,10 @@
   readonly prices: Map<string, Euros>;
   readonly waves: ReclaimWave[];
   readonly plans: Map<string, PoolPlan>;
-  /** Measured time from a start to a backend server that serves, by pool. */
+  /** Moving average of the time from first sight of an instance until it serves, by pool. */
   readonly startDurations: Map<string, Milliseconds>;
   loadsPerMinute: number | undefined;
-  /** When the last loads were ordered, oldest first; bounds the rate at the weight store. */
+  /** When the most recent loads were ordered, oldest first; enforces the weight store's limit. */
   loadTimes: MonotonicMilliseconds[];
 }
 
@@ -94,7 +99,7 @@
   readonly policy?: Partial<ControllerPolicy>;
 }
 
-/** A controller that knows nothing yet and holds no lease. */
+/** Makes the state of a controller without configuration or lease. */
 export function createControllerState(options: ControllerOptions): ControllerState {
   return {
     dataCentre: options.dataCentre,
@@ -122,7 +127,7 @@
   };
 }
 
-/** Key of one data centre and instance class. */
+/** Key of a place: one instance class in one data centre. */
 export function placeKey(dataCentre: string, instanceClass: string): string {
   return `${dataCentre}/${instanceClass}`;
 }
