--- a/packages/controller-core/src/buying/buying.test.ts
+++ b/packages/controller-core/src/buying/buying.test.ts
@@ -23,16 +23,16 @@
   });
   harness.loaded.set('firm-0', { model: 'appraiser', version: '1' });
   harness.loaded.set('firm-1', { model: 'appraiser', version: '1' });
-  const asked: string[] = [];
+  const requestedPlaces: string[] = [];
   for (let second = 0; second < 900; second += 1) {
     const starts = pick(harness.advance(1000), 'startInstance');
-    asked.push(...placesOf(starts));
+    requestedPlaces.push(...placesOf(starts));
     starts.forEach(({ startToken }) =>
       harness.answerStart(startToken, { type: 'refused', reason: 'none left' }),
     );
   }
-  assert.ok(asked.includes('wien-a/spot'), 'the cheap place is retried');
-  assert.ok(asked.length <= 16, `${asked.length} starts in 15 minutes`);
+  assert.ok(requestedPlaces.includes('wien-a/spot'), 'the cheap place is retried');
+  assert.ok(requestedPlaces.length <= 16, `${requestedPlaces.length} starts in 15 minutes`);
 });
 
 // Guards against a second purchase under a new token when only the platform's answer was lost.
--- a/packages/controller-core/src/fleet/fleet.ts
+++ b/packages/controller-core/src/fleet/fleet.ts
@@ -5,7 +5,8 @@
 
 /** Adds an instance as described by a row of the platform. */
 export function addInstance(state: ControllerState, row: PlatformInstance): FleetInstance {
-  const isServing = row.state === 'live' && poolOf(state, row.pool)?.kind === 'plainService';
+  const servesImmediately =
+    row.state === 'live' && poolOf(state, row.pool)?.kind === 'plainService';
   const instance: FleetInstance = {
     instance: row.instance,
     dataCentre: row.dataCentre,
@@ -18,7 +19,7 @@
     lastListedAt: state.now,
     loaded: {},
     orderRetryAt: state.now,
-    startMeasured: isServing || row.state !== 'starting',
+    startMeasured: servesImmediately || row.state !== 'starting',
   };
   state.fleet.set(row.instance, instance);
   return instance;
--- a/packages/controller-core/src/fleet/listLag.test.ts
+++ b/packages/controller-core/src/fleet/listLag.test.ts
@@ -25,8 +25,8 @@
   const harness = new ControllerHarness(oneDataCentre);
   harness.rows = [row('dying')];
   harness.hold();
-  const died = harness.tell({ type: 'instanceLost', instance: 'dying' });
-  assert.equal(placesOf(died).length, 1);
+  const lossEffects = harness.tell({ type: 'instanceLost', instance: 'dying' });
+  assert.equal(placesOf(lossEffects).length, 1);
   harness.advance(30_000);
   assert.ok(!harness.state.fleet.has('dying'));
 });
--- a/packages/controller-core/src/fleet/reduceFleet.ts
+++ b/packages/controller-core/src/fleet/reduceFleet.ts
@@ -60,11 +60,11 @@
   reason: string,
 ): ControllerEffect[] {
   const { instance: name, pool, dataCentre, instanceClass, phase } = instance;
-  const wasPlanned = phase === 'draining' || phase === 'leaving';
-  if (!wasPlanned) recordReclaim(state, instance);
+  const wasExpected = phase === 'draining' || phase === 'leaving';
+  if (!wasExpected) recordReclaim(state, instance);
   removeInstance(state, name);
   const fields = { instance: name, pool, dataCentre, instanceClass, phase, reason };
-  return [{ type: 'log', event: wasPlanned ? 'instanceGone' : 'instanceVanished', fields }];
+  return [{ type: 'log', event: wasExpected ? 'instanceGone' : 'instanceVanished', fields }];
 }
 
 function receiveList(
--- a/packages/controller-core/src/lease/LeaseHolder.test.ts
+++ b/packages/controller-core/src/lease/LeaseHolder.test.ts
@@ -22,7 +22,12 @@
   });
 }
 
-function held(now: number, requestNumber: number, epoch: number, previousDuration = 0): LeaseEvent {
+function makeLeaseHeld(
+  now: number,
+  requestNumber: number,
+  epoch: number,
+  previousDuration = 0,
+): LeaseEvent {
   return { type: 'leaseHeld', now, requestNumber, epoch, duration: 10_000, previousDuration };
 }
 
@@ -30,14 +35,14 @@
   const holder = makeHolder();
   const events: LeaseEvent[] = [
     { type: 'askDue', now: 0 },
-    held(100, 1, 1),
+    makeLeaseHeld(100, 1, 1),
     { type: 'askDue', now: 3000 },
-    held(3100, 2, 1),
-    held(3200, 2, 1),
+    makeLeaseHeld(3100, 2, 1),
+    makeLeaseHeld(3200, 2, 1),
     { type: 'endDue', now: 9900 },
     { type: 'endDue', now: 12_900 },
     { type: 'askDue', now: 20_000 },
-    held(20_100, 3, 3, 10_000),
+    makeLeaseHeld(20_100, 3, 3, 10_000),
     { type: 'stop' },
     { type: 'askDue', now: 23_000 },
   ];
@@ -54,17 +59,17 @@
 test('lease holder: a successor delays orders to unfenced backend servers only', () => {
   const holder = makeHolder();
   reduceLease(holder, { type: 'askDue', now: 0 });
-  reduceLease(holder, held(100, 1, 2, 10_000));
+  reduceLease(holder, makeLeaseHeld(100, 1, 2, 10_000));
   for (let requestNumber = 2; requestNumber <= 8; requestNumber += 1) {
     reduceLease(holder, { type: 'askDue', now: (requestNumber - 1) * 3000 });
-    reduceLease(holder, held((requestNumber - 1) * 3000 + 1, requestNumber, 2, 10_000));
+    reduceLease(holder, makeLeaseHeld((requestNumber - 1) * 3000 + 1, requestNumber, 2, 10_000));
   }
-  const waited = 100 + 15_000 * (1 + MAX_CLOCK_DRIFT_FRACTION);
-  const may = [200, waited - 1, waited].map((now) => [
+  const unfencedFrom = 100 + 15_000 * (1 + MAX_CLOCK_DRIFT_FRACTION);
+  const permissions = [200, unfencedFrom - 1, unfencedFrom].map((now) => [
     maySendOrder(holder, now, true),
     maySendOrder(holder, now, false),
   ]);
-  assert.deepEqual(may, [
+  assert.deepEqual(permissions, [
     [true, false],
     [true, false],
     [true, true],
@@ -76,6 +81,6 @@
 test('lease holder: a grant that arrives after its lease has ended is not used', () => {
   const holder = makeHolder();
   reduceLease(holder, { type: 'askDue', now: 0 });
-  assert.deepEqual(reduceLease(holder, held(9900, 1, 1)), []);
+  assert.deepEqual(reduceLease(holder, makeLeaseHeld(9900, 1, 1)), []);
   assert.equal(maySendOrder(holder, 9900, true), false);
 });
--- a/packages/controller-core/src/orders/orders.test.ts
+++ b/packages/controller-core/src/orders/orders.test.ts
@@ -82,8 +82,8 @@
   const next = makeServingHarness();
   setVersion(next, '2');
   next.tell({ type: 'leaseLost' });
-  const taken = next.tell({ type: 'leaseHeld', epoch: 2, unfencedFrom: next.now });
-  const restored = pick(taken, 'restoreInstance').map(({ instance }) => instance);
+  const takeoverEffects = next.tell({ type: 'leaseHeld', epoch: 2, unfencedFrom: next.now });
+  const restored = pick(takeoverEffects, 'restoreInstance').map(({ instance }) => instance);
   assert.ok(restored.includes(drained));
   next.rows?.forEach(({ instance }) => next.running.set(instance, 0));
   const [order] = pick(next.advance(60_000), 'sendOrder');
@@ -148,16 +148,16 @@
   next.rate = 8;
   next.rows = harness.rows;
   next.reporting = false;
-  const unknown = [...next.hold(2), ...next.advance(60_000)];
-  assert.deepEqual(pick(unknown, 'sendOrder'), []);
+  const effectsBeforeReports = [...next.hold(2), ...next.advance(60_000)];
+  assert.deepEqual(pick(effectsBeforeReports, 'sendOrder'), []);
   harness.loaded.forEach((loaded, instance) => {
     next.loaded.set(instance, loaded);
     next.running.set(instance, 2);
   });
   next.reporting = true;
-  const known = next.advance(90_000);
-  assert.deepEqual(pick(known, 'sendOrder'), []);
-  assert.equal(pick(known, 'drainInstance').length, 1);
+  const effectsAfterReports = next.advance(90_000);
+  assert.deepEqual(pick(effectsAfterReports, 'sendOrder'), []);
+  assert.equal(pick(effectsAfterReports, 'drainInstance').length, 1);
 });
 
 // Guards against reloading while entries may still send: a clock that is ahead makes an idle report
--- a/packages/controller-core/src/reduceController.test.ts
+++ b/packages/controller-core/src/reduceController.test.ts
@@ -124,15 +124,15 @@
   const changed = harness.tell({ type: 'configurationApplied', configuration });
   const waiting = [...changed, ...harness.advance(120_000)];
   assert.deepEqual(pick(waiting, 'drainInstance'), []);
-  const old = harness.rows?.length ?? 0;
-  assert.ok(old > 0);
+  const oldInstanceCount = harness.rows?.length ?? 0;
+  assert.ok(oldInstanceCount > 0);
   [...harness.state.pendingStarts.values()].forEach(({ startToken }) => {
     const instance = row(startToken, 'wien-a', { instanceClass: 'new', startToken });
     harness.rows?.push(instance);
     harness.loaded.set(startToken, { model: 'appraiser', version: '1' });
   });
   const replaced = harness.advance(120_000);
-  assert.equal(pick(replaced, 'drainInstance').length, old);
+  assert.equal(pick(replaced, 'drainInstance').length, oldInstanceCount);
 });
 
 test('the plan is explained in rows', async () => {
