--- a/packages/controller-core/src/buying/buyInstances.ts
+++ b/packages/controller-core/src/buying/buyInstances.ts
@@ -1,6 +1,6 @@
 /**
  * Buys the instances that the plan wants in the controller's data centre beyond those kept or
- * pending, and resends unanswered starts.
+ * pending. Resends unanswered starts, and closes places where starts stay unanswered.
  *
  * A start token identifies one purchase: it contains the lease's epoch, so no two holders use the
  * same one. An unanswered start is resent under its token, because the platform may have sold the
@@ -134,7 +134,10 @@
     });
 }
 
-/** Buys nothing new right after a takeover: the predecessor's purchases may not be listed yet. */
+/**
+ * Handles unanswered starts and buys missing instances. Nothing is bought right after a takeover,
+ * because the predecessor's purchases may not be listed yet.
+ */
 export function buyInstances(state: ControllerState, lease: HeldLease): ControllerEffect[] {
   const effects = [...closePlacesOfUnansweredStarts(state), ...resendStarts(state)];
   if (state.now - lease.since < state.policy.takeoverPurchaseDelay) return effects;
--- a/packages/controller-core/src/buying/placeClosures.ts
+++ b/packages/controller-core/src/buying/placeClosures.ts
@@ -7,7 +7,7 @@
 import type { ClosedOffer } from '../events.js';
 import { placeKey, type PlaceClosure, type ControllerState } from '../state.js';
 
-/** Refusals are consecutive if the next comes within this time after the previous closure. */
+/** A refusal is consecutive if it comes less than this long after the previous closure's end. */
 const CONSECUTIVE_REFUSAL_GAP_MILLISECONDS: Milliseconds = 10 * 60_000;
 
 /**
@@ -33,7 +33,7 @@
   const previous = state.placeClosures.get(place);
   const isConsecutive =
     previous !== undefined && state.now < previous.until + CONSECUTIVE_REFUSAL_GAP_MILLISECONDS;
-  // Starts of one batch are refused together while the place is closed; they count as one refusal.
+  // A refusal while the place is closed by an earlier one is of the same batch; both count as one.
   const isSameBatch = previous !== undefined && previous.until > state.now && previous.refusals > 0;
   const refusals = (isConsecutive ? previous.refusals : 0) + (isSameBatch ? 0 : 1);
   const until = Math.max(
--- a/packages/controller-core/src/events.ts
+++ b/packages/controller-core/src/events.ts
@@ -25,7 +25,7 @@
   | { readonly type: 'refused'; readonly reason: string }
   | { readonly type: 'lost' };
 
-/** Result of an order. `lost`: no answer came. `weightStoreBusy`: not sent; retry it later. */
+/** Result of an order. `lost`: it may have been carried out or not. `weightStoreBusy`: not sent. */
 export type OrderOutcome =
   | { readonly type: OrderResult }
   | { readonly type: 'lost' }
--- a/packages/controller-core/src/fleet/reduceFleet.ts
+++ b/packages/controller-core/src/fleet/reduceFleet.ts
@@ -1,5 +1,6 @@
 /**
- * Updates the fleet from the platform's list, load reports, failures, prices and time.
+ * Updates the fleet from the platform's list, load reports, failures and time, and stores the
+ * platform's prices.
  *
  * The list may be stale. Rows of removed instances are ignored, and an instance is removed as
  * unlisted only after the maximum list lag, because the list may be older than its purchase.
@@ -26,7 +27,8 @@
   if (row.dataCentre !== state.dataCentre || state.lease === undefined) return [];
   const { instance: name, pool, instanceClass } = instance;
   const fields = { instance: name, pool, instanceClass, startToken: row.startToken };
-  // Either the answer to its start was lost, or an earlier holder bought it; it is used as well.
+  // With a pending start it is that purchase. Otherwise an earlier holder bought it, or its start
+  // was dropped; it is paid for, so it joins its pool.
   const event = pending === undefined ? 'orphanClaimed' : 'purchaseFound';
   return [{ type: 'log', event, fields }];
 }
--- a/packages/controller-core/src/orders/reconcileModels.ts
+++ b/packages/controller-core/src/orders/reconcileModels.ts
@@ -3,8 +3,8 @@
  * by a rolling reload that drains each one first.
  *
  * A stream never sees two versions: an engine reloads only after entries have stopped sending to
- * it and it reports no call. Deadlines hold during a rollout: an engine is drained only if the
- * rest meet the planned need, and in one data centre at a time.
+ * it and it reports no call. Deadlines hold during a rollout: an engine that serves is drained
+ * only in its data centre's turn, and only if the rest meet the planned need.
  */
 import type { Pool } from '@hornbeampond/schema';
 import type { ControllerEffect } from '../effects.js';
@@ -22,7 +22,7 @@
 import type { ControllerState, HeldLease } from '../state.js';
 import { makeLoadAction, canStartLoad, sendOrder } from './sendOrder.js';
 
-/** A reload that takes longer is abandoned, for example if the engine never reports itself idle. */
+/** A longer reload is abandoned, for example because the engine never reports itself idle. */
 const MAX_RELOAD_DURATION_MILLISECONDS = 15 * 60_000;
 
 /**
@@ -72,7 +72,7 @@
   return instance.loaded.model === undefined && loadReport.running + loadReport.queued === 0;
 }
 
-/** Orders by the pool's coverage, then engines that have the model, then the oldest. */
+/** Sorts by the pool's coverage, then engines that have the model, then the oldest. */
 function compareUrgency(a: LoadCandidate, b: LoadCandidate): number {
   return (
     a.coveredFraction - b.coveredFraction ||
--- a/packages/controller-core/src/orders/reduceOrders.ts
+++ b/packages/controller-core/src/orders/reduceOrders.ts
@@ -1,5 +1,5 @@
 /**
- * Handles the outcomes of orders, treats orders without an answer as lost, and applies the load
+ * Handles the outcomes of orders, treats orders without an answer as lost, and stores the load
  * limit of the weight store.
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
--- a/packages/controller-core/src/policy.ts
+++ b/packages/controller-core/src/policy.ts
@@ -13,7 +13,7 @@
   readonly headroom: number;
   /** The same fraction for routes without a daily profile to forecast from. */
   readonly headroomWithoutProfile: number;
-  /** Fraction taken off an existing instance's price when prices are compared, to avoid moves. */
+  /** Discount on existing instances in price comparisons, so small differences cause no moves. */
   readonly retentionDiscount: number;
   /** Fraction added to a place's reclaimable price, when compared, for each recent reclaim wave. */
   readonly wavePricePenalty: number;
@@ -31,9 +31,9 @@
   readonly removedInstanceRetention: Milliseconds;
   /** An unanswered start is first resent after this long; the waits between resends grow. */
   readonly startAnswerTimeout: Milliseconds;
-  /** An unanswered start counts as upcoming capacity for this long. */
+  /** An unanswered start counts as upcoming capacity for this long; then its place is closed. */
   readonly pendingStartTimeout: Milliseconds;
-  /** Limit of the random wait after one refused start; doubled for each further one in a row. */
+  /** Upper bound of the random wait after a refusal; doubles with each consecutive one. */
   readonly initialStartBackoff: Milliseconds;
   readonly maxStartBackoff: Milliseconds;
   /** Nothing is bought for this long after a takeover: earlier purchases may not be listed yet. */
--- a/packages/controller-core/src/randomFaults.test.ts
+++ b/packages/controller-core/src/randomFaults.test.ts
@@ -163,7 +163,7 @@
     const instanceCount = [...this.existingInstances.values()].length;
     assert.ok(
       instanceCount <= harness.pool.most,
-      `${instanceCount} instances at most ${harness.pool.most}`,
+      `${instanceCount} instances, but at most ${harness.pool.most} are allowed`,
     );
   }
 }
--- a/packages/controller-core/src/reclaims/reclaims.ts
+++ b/packages/controller-core/src/reclaims/reclaims.ts
@@ -79,7 +79,7 @@
 ): ControllerEffect[] {
   if (instance.goneAt !== undefined) return [];
   const wasKept = instance.phase !== 'draining';
-  // Recorded before the phase changes, so that the wave counts this instance in its slots before.
+  // Recorded before the phase changes, so that `reclaimableSlotsBefore` includes this instance.
   const wave = wasKept ? recordReclaim(state, instance) : undefined;
   instance.goneAt = goneAt;
   enterPhase(state, instance, 'leaving');
--- a/packages/controller-core/src/reduceLeaseOwnership.ts
+++ b/packages/controller-core/src/reduceLeaseOwnership.ts
@@ -54,7 +54,10 @@
   ];
 }
 
-/** Drops pending starts and orders; the next holder sees their outcome in lists and reports. */
+/**
+ * Drops pending starts and orders, and treats reloading engines as live again. The next holder sees
+ * the outcomes in lists and load reports.
+ */
 function handleLeaseLost(state: ControllerState): ControllerEffect[] {
   if (state.lease === undefined) return [];
   const { epoch } = state.lease;
--- a/packages/controller-core/src/state.ts
+++ b/packages/controller-core/src/state.ts
@@ -51,7 +51,7 @@
   readonly pool: string;
   readonly places: Set<string>;
   readonly dataCentres: Set<string>;
-  /** The pool's reclaimable slots before its first reclaim. */
+  /** The pool's reclaimable slots before the wave's first reclaim. */
   readonly reclaimableSlotsBefore: number;
   lostSlots: number;
   lostInstances: number;
@@ -80,14 +80,19 @@
   readonly fleet: Map<string, FleetInstance>;
   /** Removed instances, and until when their rows in the platform's list are ignored. */
   readonly removedInstances: Map<string, MonotonicMilliseconds>;
+  /** By start token. */
   readonly pendingStarts: Map<string, PendingStart>;
+  /** By place key. */
   readonly placeClosures: Map<string, PlaceClosure>;
+  /** By data centre. */
   readonly peers: Map<string, PeerDataCentre>;
+  /** Euros an hour by place key, where the platform gave a price. */
   readonly prices: Map<string, Euros>;
   readonly waves: ReclaimWave[];
   readonly plans: Map<string, PoolPlan>;
   /** Moving average of the time from first sight of an instance until it serves, by pool. */
   readonly startDurations: Map<string, Milliseconds>;
+  /** The weight store's load limit for all data centres; undefined until it was read. */
   loadsPerMinute: number | undefined;
   /** When the most recent loads were ordered, oldest first; enforces the weight store's limit. */
   loadTimes: MonotonicMilliseconds[];
