--- a/packages/controller-core/src/buying/buyInstances.ts
+++ b/packages/controller-core/src/buying/buyInstances.ts
@@ -1,9 +1,10 @@
 /**
- * Buys what the plan wants in the own data centre and is not there or on its way.
+ * Buys the instances that the plan wants in the controller's data centre beyond those kept or
+ * pending. Resends unanswered starts, and closes places where starts stay unanswered.
  *
- * A start token names one purchase for all time: the lease's epoch is in it, so that no two
- * holders ever use the same. A start without an answer is resent under its token, for the platform
- * may have sold the instance and only its answer was lost; a new token would buy a second one.
+ * A start token identifies one purchase: it contains the lease's epoch, so no two holders use the
+ * same one. An unanswered start is resent under its token, because the platform may have sold the
+ * instance and a new token would buy a second one.
  */
 import type { Pool } from '@hornbeampond/schema';
 import type { ControllerEffect, StartInstanceEffect } from '../effects.js';
@@ -13,10 +14,10 @@
 import type { ControllerState, HeldLease, PendingStart } from '../state.js';
 import { closeAfterRefusal } from './placeClosures.js';
 
-/** A start that was never answered is given up after so long; if it bought, the list shows it. */
-const FORGET_AFTER = 10 * 60_000;
+/** A start is dropped after this long without an answer; an instance it bought will be listed. */
+const MAX_PENDING_START_AGE_MILLISECONDS = 10 * 60_000;
 
-function effectOf(state: ControllerState, pending: PendingStart): StartInstanceEffect {
+function makeStartEffect(state: ControllerState, pending: PendingStart): StartInstanceEffect {
   const { pool, instanceClass, startToken } = pending;
   return {
     type: 'startInstance',
@@ -27,7 +28,8 @@
   };
 }
 
-function buy(
+/** Records a pending start under a new token and returns the effects that request it. */
+function requestStart(
   state: ControllerState,
   lease: HeldLease,
   plan: PoolPlan,
@@ -44,7 +46,7 @@
   };
   state.pendingStarts.set(pending.startToken, pending);
   return [
-    effectOf(state, pending),
+    makeStartEffect(state, pending),
     {
       type: 'log',
       event: 'startAsked',
@@ -64,14 +66,14 @@
   ];
 }
 
-function countThere(state: ControllerState, pool: Pool, place: PlannedPlace): number {
-  const there = instancesOf(state, pool).filter(
+function countKeptAndPending(state: ControllerState, pool: Pool, place: PlannedPlace): number {
+  const kept = instancesOf(state, pool).filter(
     (instance) =>
       instance.dataCentre === state.dataCentre &&
       instance.instanceClass === place.instanceClass &&
       isKept(instance),
   );
-  return there.length + countPending(state, pool, state.dataCentre, place.instanceClass);
+  return kept.length + countPending(state, pool, state.dataCentre, place.instanceClass);
 }
 
 function buyForPool(state: ControllerState, lease: HeldLease, pool: Pool): ControllerEffect[] {
@@ -81,15 +83,17 @@
     .filter((place) => place.dataCentre === state.dataCentre)
     .filter((place) => !isClosed(state, place.dataCentre, place.instanceClass))
     .flatMap((place) => {
-      const lacking = Math.max(0, place.wanted - countThere(state, pool, place));
-      return Array.from({ length: lacking }, () => buy(state, lease, plan, place)).flat();
+      const missingCount = Math.max(0, place.wanted - countKeptAndPending(state, pool, place));
+      return Array.from({ length: missingCount }, () =>
+        requestStart(state, lease, plan, place),
+      ).flat();
     });
 }
 
-/** Sends unanswered starts again, under the same tokens. */
+/** Resends unanswered starts with exponential backoff, and drops those that are too old. */
 function resendStarts(state: ControllerState): ControllerEffect[] {
   return [...state.pendingStarts.values()].flatMap((pending): ControllerEffect[] => {
-    if (state.now - pending.requestedAt > FORGET_AFTER) {
+    if (state.now - pending.requestedAt > MAX_PENDING_START_AGE_MILLISECONDS) {
       state.pendingStarts.delete(pending.startToken);
       const { startToken, pool, instanceClass, resends } = pending;
       const fields = { startToken, pool, instanceClass, resends };
@@ -100,14 +104,14 @@
     pending.resendAt =
       state.now + state.policy.startAnswerTimeout * 2 ** Math.min(pending.resends, 3);
     return [
-      effectOf(state, pending),
+      makeStartEffect(state, pending),
       { type: 'count', metric: 'fleetRetries', label: 'startAnswerLost' },
     ];
   });
 }
 
-/** Purchases that went unanswered too long no longer hold the next cheapest place back. */
-function closeUnanswered(state: ControllerState): ControllerEffect[] {
+/** Closes the places of long unanswered starts, so that the plan moves to other places. */
+function closePlacesOfUnansweredStarts(state: ControllerState): ControllerEffect[] {
   return [...state.pendingStarts.values()]
     .filter(
       (pending) =>
@@ -130,9 +134,12 @@
     });
 }
 
-/** Buys, unless the lease is so fresh that the last holder's purchases may not be listed yet. */
+/**
+ * Handles unanswered starts and buys missing instances. Nothing is bought right after a takeover,
+ * because the predecessor's purchases may not be listed yet.
+ */
 export function buyInstances(state: ControllerState, lease: HeldLease): ControllerEffect[] {
-  const effects = [...closeUnanswered(state), ...resendStarts(state)];
+  const effects = [...closePlacesOfUnansweredStarts(state), ...resendStarts(state)];
   if (state.now - lease.since < state.policy.takeoverPurchaseDelay) return effects;
   return [
     ...effects,
--- a/packages/controller-core/src/buying/placeClosures.ts
+++ b/packages/controller-core/src/buying/placeClosures.ts
@@ -1,57 +1,60 @@
 /**
- * Places where nothing is bought for a while: starts were refused or went unanswered, or instances
- * were reclaimed there lately. The plan then takes the next cheapest place, and comes back when
- * the closure ends.
+ * Closes places to purchases for a while: after refused or unanswered starts, and after reclaims.
+ * Until a closure ends, the plan uses the next cheapest place.
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import type { Milliseconds } from '@hornbeampond/schema';
 import type { ClosedOffer } from '../events.js';
 import { placeKey, type PlaceClosure, type ControllerState } from '../state.js';
 
-/** A refusal counts as one in a row if it comes this soon after the last closure ended. */
-const ROW_GAP: Milliseconds = 10 * 60_000;
+/** A refusal is consecutive if it comes less than this long after the previous closure's end. */
+const CONSECUTIVE_REFUSAL_GAP_MILLISECONDS: Milliseconds = 10 * 60_000;
 
 /**
- * The wait doubles with each refusal in a row. A random half of it is left out, so that the
- * controllers and pools that were refused together do not all ask again together.
+ * Draws a wait between half and all of a limit that doubles with each consecutive refusal. The
+ * jitter keeps controllers and pools that were refused together from retrying together.
  */
-function backoffAfter(state: ControllerState, refusals: number): Milliseconds {
-  const { initialStartBackoff: firstBackoff, maxStartBackoff: longestBackoff } = state.policy;
-  const longest = Math.min(longestBackoff, firstBackoff * 2 ** Math.min(refusals - 1, 20));
-  return uniformInt(state.random, Math.ceil(longest / 2), Math.ceil(longest));
+function drawBackoff(state: ControllerState, refusals: number): Milliseconds {
+  const { initialStartBackoff, maxStartBackoff } = state.policy;
+  const backoffLimit = Math.min(
+    maxStartBackoff,
+    initialStartBackoff * 2 ** Math.min(refusals - 1, 20),
+  );
+  return uniformInt(state.random, Math.ceil(backoffLimit / 2), Math.ceil(backoffLimit));
 }
 
-/** Closes an own place after a refused or unanswered start. */
+/** Closes a place in the controller's own data centre after a refused or unanswered start. */
 export function closeAfterRefusal(
   state: ControllerState,
   instanceClass: string,
   reason: 'refused' | 'unanswered',
 ): PlaceClosure {
   const place = placeKey(state.dataCentre, instanceClass);
-  const before = state.placeClosures.get(place);
-  const inRow = before !== undefined && state.now < before.until + ROW_GAP;
-  // Starts that were asked together are refused together; they count as one refusal.
-  const together = before !== undefined && before.until > state.now && before.refusals > 0;
-  const refusals = (inRow ? before.refusals : 0) + (together ? 0 : 1);
+  const previous = state.placeClosures.get(place);
+  const isConsecutive =
+    previous !== undefined && state.now < previous.until + CONSECUTIVE_REFUSAL_GAP_MILLISECONDS;
+  // A refusal while the place is closed by an earlier one is of the same batch; both count as one.
+  const isSameBatch = previous !== undefined && previous.until > state.now && previous.refusals > 0;
+  const refusals = (isConsecutive ? previous.refusals : 0) + (isSameBatch ? 0 : 1);
   const until = Math.max(
-    state.now + backoffAfter(state, refusals),
-    before?.reason === 'reclaimed' ? before.until : 0,
+    state.now + drawBackoff(state, refusals),
+    previous?.reason === 'reclaimed' ? previous.until : 0,
   );
   const closure = { dataCentre: state.dataCentre, instanceClass, reason, until, refusals };
   state.placeClosures.set(place, closure);
   return closure;
 }
 
-/** Closes a place where reclaimable instances were taken away. */
+/** Closes a place after a reclaim there. */
 export function closeAfterReclaim(
   state: ControllerState,
   dataCentre: string,
   instanceClass: string,
 ): void {
   const place = placeKey(dataCentre, instanceClass);
-  const before = state.placeClosures.get(place);
-  const until = Math.max(state.now + state.policy.reclaimCooldown, before?.until ?? 0);
-  const refusals = before?.refusals ?? 0;
+  const previous = state.placeClosures.get(place);
+  const until = Math.max(state.now + state.policy.reclaimCooldown, previous?.until ?? 0);
+  const refusals = previous?.refusals ?? 0;
   state.placeClosures.set(place, {
     dataCentre,
     instanceClass,
@@ -61,7 +64,7 @@
   });
 }
 
-/** A start that succeeded ends the row of refusals. */
+/** Reopens a place after a successful start, unless it is closed because of a reclaim. */
 export function reopenPlace(state: ControllerState, instanceClass: string): void {
   const closure = state.placeClosures.get(placeKey(state.dataCentre, instanceClass));
   if (closure !== undefined && closure.reason !== 'reclaimed') {
@@ -69,7 +72,7 @@
   }
 }
 
-/** The own places that are closed, for the report to the other controllers. */
+/** Closed places of the own data centre, for the report to the other controllers. */
 export function listOwnClosedOffers(state: ControllerState): ClosedOffer[] {
   return [...state.placeClosures.values()]
     .filter((closure) => closure.dataCentre === state.dataCentre && closure.until > state.now)
--- a/packages/controller-core/src/explainPlan.ts
+++ b/packages/controller-core/src/explainPlan.ts
@@ -1,4 +1,7 @@
-/** The plan in rows, for `hornbeampondctl plan`: what would be done, and from which figures. */
+/**
+ * Explains the current plans for `hornbeampondctl plan`: the action at each place, its reason, and
+ * the figures it was planned from. A place is one instance class in one data centre.
+ */
 import type { Euros, Milliseconds } from '@hornbeampond/schema';
 import { instancesOf, isKept, isServing, poolOf } from './fleet/FleetInstance.js';
 import { countPending, isClosed } from './planning/offers.js';
@@ -14,7 +17,7 @@
   readonly reclaimable: boolean;
   readonly eurosPerHour: Euros;
   readonly wanted: number;
-  /** Kept or on their way. */
+  /** Instances that are kept, plus starts that were not answered yet. */
   readonly present: number;
   readonly serving: number;
   readonly action: PlanAction;
@@ -27,7 +30,7 @@
   readonly patienceMilliseconds: Milliseconds;
 }
 
-function decide(
+function explainPlace(
   state: ControllerState,
   place: PlannedPlace,
   present: number,
@@ -51,13 +54,13 @@
 
 function toRow(state: ControllerState, plan: PoolPlan, place: PlannedPlace): PlanRow {
   const pool = poolOf(state, plan.pool);
-  const there = (pool === undefined ? [] : instancesOf(state, pool)).filter(
+  const instances = (pool === undefined ? [] : instancesOf(state, pool)).filter(
     (instance) =>
       instance.dataCentre === place.dataCentre && instance.instanceClass === place.instanceClass,
   );
   const pending =
     pool === undefined ? 0 : countPending(state, pool, place.dataCentre, place.instanceClass);
-  const present = there.filter(isKept).length + pending;
+  const present = instances.filter(isKept).length + pending;
   return {
     pool: plan.pool,
     dataCentre: place.dataCentre,
@@ -66,8 +69,8 @@
     eurosPerHour: place.eurosPerHour,
     wanted: place.wanted,
     present,
-    serving: there.filter((instance) => pool !== undefined && isServing(pool, instance)).length,
-    ...decide(state, place, present),
+    serving: instances.filter((instance) => pool !== undefined && isServing(pool, instance)).length,
+    ...explainPlace(state, place, present),
     slotsNeeded: plan.need.normal,
     slotsNeededAfterLoss: plan.need.afterLoss,
     missingSlots: plan.missingSlots,
@@ -77,7 +80,7 @@
   };
 }
 
-/** One row for each place of each pool, as last planned. */
+/** Returns one row for each place of each pool, from the latest plan. */
 export function explainPlan(state: ControllerState): PlanRow[] {
   return [...state.plans.values()].flatMap((plan) =>
     plan.places.map((place) => toRow(state, plan, place)),
--- a/packages/controller-core/src/orders/orders.test.ts
+++ b/packages/controller-core/src/orders/orders.test.ts
@@ -13,8 +13,8 @@
 const oneDataCentre = { dataCentres: ['wien-a'], least: 4, most: 6 };
 const firm = { instanceClass: 'firm' };
 
-/** Four on-demand engines of one data centre with version 1, and demand for three of them. */
-function serving(least = 4): ControllerHarness {
+/** Four on-demand engines with version 1 in one data centre, and demand for three of them. */
+function makeServingHarness(least = 4): ControllerHarness {
   const pool = { ...oneDataCentre, least, instanceClasses: modelPool.instanceClasses.slice(1) };
   const harness = new ControllerHarness({ pool });
   harness.rate = 8;
@@ -27,43 +27,41 @@
   return harness;
 }
 
-function putVersion(harness: ControllerHarness, version: string): ControllerEffect[] {
+function setVersion(harness: ControllerHarness, version: string): ControllerEffect[] {
   const configuration = configure({ ...harness.pool, version }, 2);
   return harness.tell({ type: 'configurationApplied', configuration });
 }
 
-// An operator puts a new version while callers' streams run on every engine. An engine is ordered
-// to load only after its entries have stopped sending and it has reported no running stream, so no
-// stream sees two versions; and only one at a time is out, so the deadline's capacity stays.
-test('a rollout reloads one idle engine after another and keeps the capacity', () => {
-  const harness = serving();
-  const outNow = new Set<string>();
+// Guards against streams that see two versions, and against too little capacity for the deadlines,
+// while a new version is rolled out to engines in use.
+test('a rollout reloads one idle engine at a time', () => {
+  const harness = makeServingHarness();
+  const outOfService = new Set<string>();
   const reloaded = new Set<string>();
-  const carryOut = (effect: ControllerEffect): void => {
-    if (effect.type === 'drainInstance') outNow.add(effect.instance);
-    if (effect.type === 'restoreInstance') outNow.delete(effect.instance);
-    assert.ok(outNow.size <= 1, `out of service: ${[...outNow].join()}`);
+  const applyEffect = (effect: ControllerEffect): void => {
+    if (effect.type === 'drainInstance') outOfService.add(effect.instance);
+    if (effect.type === 'restoreInstance') outOfService.delete(effect.instance);
+    assert.ok(outOfService.size <= 1, `out of service: ${[...outOfService].join()}`);
     if (effect.type !== 'sendOrder') return;
     assert.equal(harness.running.get(effect.instance), 0, 'a stream would see two versions');
     harness.loaded.set(effect.instance, { model: 'appraiser', version: '2' });
     reloaded.add(effect.instance);
-    harness.answerOrder(effect, { type: 'done' }).forEach(carryOut);
+    harness.answerOrder(effect, { type: 'done' }).forEach(applyEffect);
   };
-  putVersion(harness, '2').forEach(carryOut);
+  setVersion(harness, '2').forEach(applyEffect);
   for (let second = 1; second < 900 && reloaded.size < 4; second += 1) {
-    harness.advance(1000).forEach(carryOut);
-    // Streams of an engine that is out take up to ten more seconds to end.
-    if (second % 10 === 0) outNow.forEach((instance) => harness.running.set(instance, 0));
+    harness.advance(1000).forEach(applyEffect);
+    // Streams of an engine out of service end after up to ten seconds.
+    if (second % 10 === 0) outOfService.forEach((instance) => harness.running.set(instance, 0));
   }
   assert.equal(reloaded.size, 4);
-  assert.equal(outNow.size, 0);
+  assert.equal(outOfService.size, 0);
 });
 
-// The engine carried the load out but its answer was lost. The controller does not guess: after
-// the timeout it takes the order for lost, and the engine's own report shows that it was done, so
-// nothing is sent again.
-test('a lost answer to a done order sends nothing twice', () => {
-  const harness = serving(5);
+// Guards against loading a model twice when only the answer to the first order was lost; the
+// engine's load report shows that the order was carried out.
+test('an order that was carried out is not resent when its answer is lost', () => {
+  const harness = makeServingHarness(5);
   harness.rows?.push(row('fresh', 'wien-a', firm));
   const [order] = pick(harness.advance(2000), 'sendOrder');
   assert.equal(order?.instance, 'fresh');
@@ -73,30 +71,28 @@
   assert.deepEqual(pick(later, 'sendOrder'), []);
 });
 
-// A holder drains an engine for a reload, orders the load and dies; the engine may have loaded or
-// not. Its successor has no memory of this. It puts every engine back into service (else this one
-// would stand idle for ever), sees what is loaded from reports, and goes on under its own epoch,
-// so that a late order of the dead holder is refused.
-test("a dead holder's half-done reload is finished under the next epoch", () => {
-  const first = serving();
-  const started = [...putVersion(first, '2'), ...first.advance(90_000)];
+// Guards against an engine that stays drained because the holder crashed during its reload, and
+// against late orders of that holder: the successor restores the engine and uses its own epoch.
+test('a reload interrupted by a crash of the holder is finished under the next epoch', () => {
+  const first = makeServingHarness();
+  const started = [...setVersion(first, '2'), ...first.advance(90_000)];
   const drained = pick(started, 'drainInstance')[0]?.instance ?? '';
   assert.notEqual(drained, '');
 
-  const next = serving();
-  putVersion(next, '2');
+  const next = makeServingHarness();
+  setVersion(next, '2');
   next.tell({ type: 'leaseLost' });
-  const taken = next.tell({ type: 'leaseHeld', epoch: 2, unfencedFrom: next.now });
-  const restored = pick(taken, 'restoreInstance').map(({ instance }) => instance);
+  const takeoverEffects = next.tell({ type: 'leaseHeld', epoch: 2, unfencedFrom: next.now });
+  const restored = pick(takeoverEffects, 'restoreInstance').map(({ instance }) => instance);
   assert.ok(restored.includes(drained));
   next.rows?.forEach(({ instance }) => next.running.set(instance, 0));
   const [order] = pick(next.advance(60_000), 'sendOrder');
   assert.equal(order?.order.epoch, 2);
 });
 
-// Engines that ignore fencing numbers would also carry out the last holder's late orders. Until
-// the lease part says that the last of those must have arrived, they get no order at all.
-test('engines that check no fencing get no order before the wait is over', () => {
+// Guards against mixing orders with late ones of the previous holder, which engines without
+// fencing checks would also carry out.
+test('engines that do not check fencing get no order before the takeover wait has passed', () => {
   const pool = { ...oneDataCentre, checksFencing: false };
   const harness = new ControllerHarness({ pool });
   harness.rows = ['a', 'b', 'c', 'd'].map((name) => row(name));
@@ -105,15 +101,15 @@
   assert.ok(pick(harness.advance(3000), 'sendOrder').length > 0);
 });
 
-// A partition hid a change of holder from this controller, and an engine refuses its order as
-// old. Whatever it believes of its lease, another one acts: it sends nothing more at all.
-test('an order refused as old silences the controller', () => {
-  const harness = serving(5);
+// Guards against two controllers that change the fleet after a partition hid the takeover from the
+// old holder.
+test('a controller whose order is refused as old no longer changes the fleet', () => {
+  const harness = makeServingHarness(5);
   harness.rows?.push(row('fresh', 'wien-a', firm));
   const [order] = pick(harness.advance(2000), 'sendOrder');
   assert.ok(order !== undefined);
   harness.answerOrder(order, { type: 'refusedAsOld' });
-  putVersion(harness, '2');
+  setVersion(harness, '2');
   harness.rows = [];
   const effects = harness.advance(10 * 60_000);
   assert.deepEqual(
@@ -122,9 +118,8 @@
   );
 });
 
-// Twelve engines start at once and the weight store allows eight loads a minute for one data
-// centre. More would queue there and all become slow; the loads are spread over the minutes.
-test('loads keep within the rate of the weight store', () => {
+// Guards against overloading the weight store, which would slow all loads down.
+test('loads stay within the rate limit of the weight store', () => {
   const pool = { dataCentres: ['wien-a'], least: 12, most: 12 };
   const harness = new ControllerHarness({ pool, policy: { maxConcurrentLoads: 12 } });
   harness.tell({ type: 'loadRateRead', loadsPerMinute: 8 });
@@ -134,10 +129,9 @@
   assert.equal(pick(harness.advance(60_000), 'sendOrder').length, 4);
 });
 
-// The weight store refuses a load for now. The order was not sent; it is tried again after the
-// span that the store named, not before.
-test('a busy weight store is asked again when it says', () => {
-  const harness = serving(5);
+// Guards against retrying a load before the time that the busy weight store gave.
+test('a load refused by a busy weight store is retried after the given delay', () => {
+  const harness = makeServingHarness(5);
   harness.rows?.push(row('fresh', 'wien-a', firm));
   const [order] = pick(harness.advance(2000), 'sendOrder');
   assert.ok(order !== undefined);
@@ -146,35 +140,33 @@
   assert.equal(pick(harness.advance(5000), 'sendOrder').length, 1);
 });
 
-// A new holder hears of an engine from the platform's list before the engine's first load report.
-// Callers' streams of the old version may run there. It gets no order on the guess that it is
-// empty; once it has reported its version, it is drained first.
-test('an engine that has not reported yet gets no order', () => {
-  const harness = serving();
+// Guards against changing the version under running streams when a new holder sees an engine in
+// the platform's list before the engine's first load report.
+test('an engine without a load report gets no order, and is drained once it reports', () => {
+  const harness = makeServingHarness();
   const next = new ControllerHarness({ pool: { ...harness.pool, version: '2' } });
   next.rate = 8;
   next.rows = harness.rows;
   next.reporting = false;
-  const unknown = [...next.hold(2), ...next.advance(60_000)];
-  assert.deepEqual(pick(unknown, 'sendOrder'), []);
+  const effectsBeforeReports = [...next.hold(2), ...next.advance(60_000)];
+  assert.deepEqual(pick(effectsBeforeReports, 'sendOrder'), []);
   harness.loaded.forEach((loaded, instance) => {
     next.loaded.set(instance, loaded);
     next.running.set(instance, 2);
   });
   next.reporting = true;
-  const known = next.advance(90_000);
-  assert.deepEqual(pick(known, 'sendOrder'), []);
-  assert.equal(pick(known, 'drainInstance').length, 1);
+  const effectsAfterReports = next.advance(90_000);
+  assert.deepEqual(pick(effectsAfterReports, 'sendOrder'), []);
+  assert.equal(pick(effectsAfterReports, 'drainInstance').length, 1);
 });
 
-// An engine's clock is two seconds ahead, and between two calls it reports itself idle just after
-// its drain began. Its entries may still send for five seconds, so a report that only looks newer
-// must not start the reload: the next call would see the version change.
-test('an engine whose clock is ahead is not taken for idle too early', () => {
-  const harness = serving();
+// Guards against reloading while entries may still send: a clock that is ahead makes an idle report
+// look as if it was measured after they stopped.
+test('an engine whose clock is ahead is not considered idle too early', () => {
+  const harness = makeServingHarness();
   harness.clockAhead = 2000;
   harness.rows?.forEach(({ instance }) => harness.running.set(instance, 0));
-  const [drained] = pick(putVersion(harness, '2'), 'drainInstance');
+  const [drained] = pick(setVersion(harness, '2'), 'drainInstance');
   assert.ok(drained !== undefined);
   assert.deepEqual(pick(harness.advance(5000), 'sendOrder'), []);
   assert.equal(pick(harness.advance(5000), 'sendOrder').length, 1);
--- a/packages/controller-core/src/orders/reconcileModels.ts
+++ b/packages/controller-core/src/orders/reconcileModels.ts
@@ -1,10 +1,10 @@
 /**
- * Brings model engines to what the pools table says: fresh ones at once, serving ones by a rollout
- * that drains each before it reloads.
+ * Loads the models of the pools table into model engines: empty engines directly, serving engines
+ * by a rolling reload that drains each one first.
  *
- * A stream never sees two versions, because an engine is reloaded only after the entries have
- * stopped sending to it and it reports no call. The deadline holds during a rollout, because an
- * engine is taken out only while the others meet the planned need, one data centre at a time.
+ * A stream never sees two versions: an engine reloads only after entries have stopped sending to
+ * it and it reports no call. Deadlines hold during a rollout: an engine that serves is drained
+ * only in its data centre's turn, and only if the rest meet the planned need.
  */
 import type { Pool } from '@hornbeampond/schema';
 import type { ControllerEffect } from '../effects.js';
@@ -22,63 +22,69 @@
 import type { ControllerState, HeldLease } from '../state.js';
 import { makeLoadAction, canStartLoad, sendOrder } from './sendOrder.js';
 
-/** Bounds how long a reload waits for an engine that never reports itself idle. */
-const SILENT_RELOAD_LIMIT = 15 * 60_000;
+/** A longer reload is abandoned, for example because the engine never reports itself idle. */
+const MAX_RELOAD_DURATION_MILLISECONDS = 15 * 60_000;
 
 /**
- * An engine that ignores fencing numbers would also carry out the last holder's late orders, so
- * nothing is sent to it until the last of those must have arrived.
+ * Engines that do not check fencing also carry out late orders of the previous holder, so they get
+ * no orders until those can no longer take effect.
  */
-function mayOrder(state: ControllerState, lease: HeldLease, pool: Pool): boolean {
+function canSendOrders(state: ControllerState, lease: HeldLease, pool: Pool): boolean {
   return pool.checksFencing || state.now >= lease.unfencedFrom;
 }
 
-interface Waiting {
+/** An engine that can be loaded now. */
+interface LoadCandidate {
   readonly instance: FleetInstance;
   readonly pool: Pool;
-  /** Share of the need that the pool's serving instances cover; the lowest is loaded first. */
-  readonly covered: number;
+  /** Serving slots of the pool as a fraction of its need; the lowest is loaded first. */
+  readonly coveredFraction: number;
 }
 
-/** Engines that can be loaded now: they run no stream and have no order open. */
-function findLoadable(state: ControllerState, lease: HeldLease): Waiting[] {
+/** Finds outdated engines in the own data centre with no call, pending order or retry delay. */
+function findLoadCandidates(state: ControllerState, lease: HeldLease): LoadCandidate[] {
   return state.configuration.pools.rows
-    .filter((pool) => pool.kind === 'modelEngine' && mayOrder(state, lease, pool))
+    .filter((pool) => pool.kind === 'modelEngine' && canSendOrders(state, lease, pool))
     .flatMap((pool) => {
       const needed = Math.max(1, state.plans.get(pool.name)?.need.normal ?? 1);
-      const covered = servingSlots(state, pool).total / needed;
+      const coveredFraction = servingSlots(state, pool).total / needed;
       return instancesOf(state, pool)
         .filter((instance) => instance.dataCentre === state.dataCentre)
         .filter(
           (instance) => instance.pendingOrder === undefined && state.now >= instance.orderRetryAt,
         )
         .filter((instance) => !isUpToDate(pool, instance))
-        .filter((instance) => isLoadable(state, pool, instance))
-        .map((instance) => ({ instance, pool, covered }));
+        .filter((instance) => canLoadWithoutInterruption(state, pool, instance))
+        .map((instance) => ({ instance, pool, coveredFraction }));
     });
 }
 
-function isLoadable(state: ControllerState, pool: Pool, instance: FleetInstance): boolean {
+function canLoadWithoutInterruption(
+  state: ControllerState,
+  pool: Pool,
+  instance: FleetInstance,
+): boolean {
   if (instance.phase === 'reloading') return isIdle(state, instance);
-  // A new holder knows of an engine before it knows what runs there. An order sent on a guess could
-  // change the version under running streams, so the engine itself must have said that it is empty.
-  const { loadReport: load } = instance;
-  if (instance.phase !== 'live' || load === undefined) return false;
-  return instance.loaded.model === undefined && load.running + load.queued === 0;
+  // A new holder sees an engine in the list before its first load report. A load could then change
+  // the version under running streams, so the engine must have reported that it is empty.
+  const { loadReport } = instance;
+  if (instance.phase !== 'live' || loadReport === undefined) return false;
+  return instance.loaded.model === undefined && loadReport.running + loadReport.queued === 0;
 }
 
-function compareUrgency(a: Waiting, b: Waiting): number {
+/** Sorts by the pool's coverage, then engines that have the model, then the oldest. */
+function compareUrgency(a: LoadCandidate, b: LoadCandidate): number {
   return (
-    a.covered - b.covered ||
+    a.coveredFraction - b.coveredFraction ||
     Number(hasModel(b.pool, b.instance)) - Number(hasModel(a.pool, a.instance)) ||
     a.instance.firstSeenAt - b.instance.firstSeenAt ||
     a.instance.instance.localeCompare(b.instance.instance)
   );
 }
 
-function loadMostUrgent(state: ControllerState, lease: HeldLease): ControllerEffect[] {
+function loadInOrderOfUrgency(state: ControllerState, lease: HeldLease): ControllerEffect[] {
   const effects: ControllerEffect[] = [];
-  for (const { instance, pool } of findLoadable(state, lease).sort(compareUrgency)) {
+  for (const { instance, pool } of findLoadCandidates(state, lease).sort(compareUrgency)) {
     const action = makeLoadAction(pool);
     if (action === undefined) continue;
     if (!canStartLoad(state)) break;
@@ -87,12 +93,14 @@
   return effects;
 }
 
-/** Takes at most one engine of a pool in this data centre out of service for a reload. */
-function rollOut(state: ControllerState, lease: HeldLease, pool: Pool): ControllerEffect[] {
-  if (pool.kind !== 'modelEngine' || !mayOrder(state, lease, pool)) return [];
-  const all = instancesOf(state, pool).filter(({ dataCentre }) => dataCentre === state.dataCentre);
-  if (all.some(({ phase }) => phase === 'reloading') || !isOwnTurn(state, pool)) return [];
-  const next = all.find(
+/** In the data centre's turn, drains one engine to reload if none of the pool is reloading here. */
+function startNextReload(state: ControllerState, lease: HeldLease, pool: Pool): ControllerEffect[] {
+  if (pool.kind !== 'modelEngine' || !canSendOrders(state, lease, pool)) return [];
+  const ownInstances = instancesOf(state, pool).filter(
+    ({ dataCentre }) => dataCentre === state.dataCentre,
+  );
+  if (ownInstances.some(({ phase }) => phase === 'reloading') || !isOwnTurn(state, pool)) return [];
+  const candidate = ownInstances.find(
     (instance) =>
       instance.phase === 'live' &&
       instance.loaded.model !== undefined &&
@@ -100,47 +108,51 @@
       state.now >= instance.orderRetryAt &&
       (!hasModel(pool, instance) || canDoWithout(state, pool, instance)),
   );
-  if (next === undefined) return [];
-  enterPhase(state, next, 'reloading');
-  const { total, largestLoss } = servingSlots(state, pool);
+  if (candidate === undefined) return [];
+  enterPhase(state, candidate, 'reloading');
+  const { total: slotsServing, largestLoss } = servingSlots(state, pool);
   const fields = {
-    instance: next.instance,
+    instance: candidate.instance,
     pool: pool.name,
-    loaded: next.loaded,
+    loaded: candidate.loaded,
     version: pool.version,
-    slotsServing: total,
+    slotsServing,
     largestLoss,
     slotsNeeded: state.plans.get(pool.name)?.need.normal,
   };
   return [
-    { type: 'drainInstance', instance: next.instance, reason: 'reload' },
+    { type: 'drainInstance', instance: candidate.instance, reason: 'reload' },
     { type: 'log', event: 'reloadStarted', fields },
   ];
 }
 
-/** Puts reloaded engines back into service, and those whose reload is no longer wanted. */
-function restore(state: ControllerState): ControllerEffect[] {
+/** Restores reloading engines that are up to date now, or whose reload took too long. */
+function finishReloads(state: ControllerState): ControllerEffect[] {
   return [...state.fleet.values()]
     .filter(({ dataCentre, phase }) => dataCentre === state.dataCentre && phase === 'reloading')
     .flatMap((instance): ControllerEffect[] => {
       const pool = poolOf(state, instance.pool);
       if (pool === undefined || instance.pendingOrder !== undefined) return [];
-      const tooLong = state.now - instance.phaseSince > SILENT_RELOAD_LIMIT;
-      if (!isUpToDate(pool, instance) && !tooLong) return [];
+      const hasTimedOut = state.now - instance.phaseSince > MAX_RELOAD_DURATION_MILLISECONDS;
+      if (!isUpToDate(pool, instance) && !hasTimedOut) return [];
       enterPhase(state, instance, 'live');
       const { instance: name, loaded } = instance;
       return [
         { type: 'restoreInstance', instance: name },
-        { type: 'log', event: 'reloadFinished', fields: { instance: name, loaded, tooLong } },
+        {
+          type: 'log',
+          event: 'reloadFinished',
+          fields: { instance: name, loaded, tooLong: hasTimedOut },
+        },
       ];
     });
 }
 
-/** Gives the orders that are due. */
+/** Finishes reloads, sends the loads that are due, and starts the next reload of each pool. */
 export function reconcileModels(state: ControllerState, lease: HeldLease): ControllerEffect[] {
   return [
-    ...restore(state),
-    ...loadMostUrgent(state, lease),
-    ...state.configuration.pools.rows.flatMap((pool) => rollOut(state, lease, pool)),
+    ...finishReloads(state),
+    ...loadInOrderOfUrgency(state, lease),
+    ...state.configuration.pools.rows.flatMap((pool) => startNextReload(state, lease, pool)),
   ];
 }
--- a/packages/controller-core/src/reduceController.ts
+++ b/packages/controller-core/src/reduceController.ts
@@ -1,6 +1,7 @@
 /**
- * The controller: one reducer over all events. The concerns take in the event one after another;
- * then, where the event can change what is wanted, the fleet is planned anew and acted on.
+ * The controller's main reducer. It applies an event to each part of the state in turn, then plans
+ * the fleet again if the event calls for it and returns the effects that bring the fleet closer to
+ * the plan. Without the lease it returns no effect that changes the fleet.
  */
 import type { Reducer } from '@hornbeampond/schema';
 import { buyInstances } from './buying/buyInstances.js';
@@ -17,7 +18,7 @@
 import { reduceLeaseOwnership } from './reduceLeaseOwnership.js';
 import type { ControllerState, HeldLease } from './state.js';
 
-const concerns: readonly Reducer<ControllerState, ControllerEvent, ControllerEffect>[] = [
+const reducers: readonly Reducer<ControllerState, ControllerEvent, ControllerEffect>[] = [
   reduceLeaseOwnership,
   reduceFleet,
   reduceReclaims,
@@ -26,8 +27,8 @@
   reduceOrders,
 ];
 
-/** Events after which waiting for the next tick would cost capacity in time. */
-const urgentEvents: ReadonlySet<ControllerEventType> = new Set([
+/** Events after which the fleet is planned at once, so that no capacity is missing until a tick. */
+const replanningEvents: ReadonlySet<ControllerEventType> = new Set([
   'tick',
   'configurationApplied',
   'reclaimNoticed',
@@ -36,7 +37,7 @@
   'orderAnswered',
 ]);
 
-function act(state: ControllerState, lease: HeldLease): ControllerEffect[] {
+function planAndAct(state: ControllerState, lease: HeldLease): ControllerEffect[] {
   return [
     ...planPools(state),
     ...buyInstances(state, lease),
@@ -45,7 +46,7 @@
   ];
 }
 
-/** Decides what one event means for the fleet of this controller's data centre. */
+/** Handles one event for the fleet of this controller's data centre; changes `state` in place. */
 export const reduceController: Reducer<ControllerState, ControllerEvent, ControllerEffect> = (
   state,
   event,
@@ -53,15 +54,16 @@
   state.now = event.now;
   state.wallNow = event.wallNow;
   if (event.type === 'configurationApplied') {
-    const newer = event.configuration.revision >= state.configuration.revision;
-    if (newer) state.configuration = event.configuration;
+    const isCurrent = event.configuration.revision >= state.configuration.revision;
+    if (isCurrent) state.configuration = event.configuration;
   }
-  const effects = concerns.flatMap((reduce) => reduce(state, event));
+  const effects = reducers.flatMap((reduce) => reduce(state, event));
   const { lease } = state;
   if (lease !== undefined && !state.newerEpochSeen) {
-    return urgentEvents.has(event.type) ? [...effects, ...act(state, lease)] : effects;
+    return replanningEvents.has(event.type) ? [...effects, ...planAndAct(state, lease)] : effects;
   }
-  // Without the lease another controller may act: two would buy twice and undo each other's work.
+  // Without the lease another controller may be active: two would buy twice and undo each other's
+  // changes. The plan is still kept up to date for operators to read.
   if (event.type === 'tick') planPools(state);
   return effects.filter((effect) => !isFleetEffect(effect));
 };
--- a/packages/controller-core/src/reduceLeaseOwnership.ts
+++ b/packages/controller-core/src/reduceLeaseOwnership.ts
@@ -1,28 +1,28 @@
 /**
- * What holding the lease means for the fleet. The lease part of the controller decides when it is
- * held and tells it by events.
+ * Applies the gain and loss of the lease to the fleet. A new holder repeats the drains and
+ * restores of its data centre, because it cannot know which of them its predecessor changed. When
+ * the lease is lost, pending starts and orders are dropped.
  */
 import type { ControllerEffect } from './effects.js';
 import type { ControllerEvent } from './events.js';
 import type { ControllerState } from './state.js';
 
 /**
- * The last holder may have died between a drain for a reload and its end, and entries would keep
- * such an engine out of service for ever: the new holder restores whatever it does not drain
- * itself. Restoring one that was not drained changes nothing.
+ * The previous holder may have crashed while an engine was drained for a reload, and entries would
+ * never use that engine again. Restoring an instance that was not drained changes nothing.
  */
-function restoreAll(state: ControllerState): ControllerEffect[] {
+function restoreLiveInstances(state: ControllerState): ControllerEffect[] {
   return [...state.fleet.values()]
     .filter(({ dataCentre, phase }) => dataCentre === state.dataCentre && phase === 'live')
     .map(({ instance }) => ({ type: 'restoreInstance', instance }));
 }
 
 /**
- * A drain from before this lease may have been undone by a holder in between, and then calls run
- * there again. It is told anew, and the wait until the entries have stopped begins anew; an end on
- * the strength of the old drain would cut those calls.
+ * A holder in between may have restored an instance that this controller had drained, so calls may
+ * run there again. The drain is sent again and its start time reset; otherwise the instance could
+ * be ended while entries still send to it.
  */
-function drainAnew(state: ControllerState): ControllerEffect[] {
+function repeatDrains(state: ControllerState): ControllerEffect[] {
   return [...state.fleet.values()]
     .filter(({ dataCentre, phase }) => dataCentre === state.dataCentre && phase === 'draining')
     .map((instance) => {
@@ -33,29 +33,32 @@
     });
 }
 
-function takeLease(
+function handleLeaseHeld(
   state: ControllerState,
   event: ControllerEvent & { readonly type: 'leaseHeld' },
 ): ControllerEffect[] {
   const { epoch, unfencedFrom } = event;
   if (state.lease?.epoch === epoch) return [];
-  // A new epoch without a word of the old one's end: somebody else may have acted in between.
-  const left = loseLease(state);
+  // A new epoch without a loss event: another holder may have acted in between.
+  const lossEffects = handleLeaseLost(state);
   state.lease = { epoch, unfencedFrom, since: state.now };
   state.newerEpochSeen = false;
   state.orderSequence = 0;
   state.startSequence = 0;
   const fields = { epoch, unfencedWaitMilliseconds: Math.max(0, unfencedFrom - state.now) };
   return [
-    ...left,
+    ...lossEffects,
     { type: 'log', event: 'fleetTakenOver', fields },
-    ...restoreAll(state),
-    ...drainAnew(state),
+    ...restoreLiveInstances(state),
+    ...repeatDrains(state),
   ];
 }
 
-/** Open answers belong to the old epoch: whoever holds the next one finds what they led to. */
-function loseLease(state: ControllerState): ControllerEffect[] {
+/**
+ * Drops pending starts and orders, and treats reloading engines as live again. The next holder sees
+ * the outcomes in lists and load reports.
+ */
+function handleLeaseLost(state: ControllerState): ControllerEffect[] {
   if (state.lease === undefined) return [];
   const { epoch } = state.lease;
   state.lease = undefined;
@@ -72,7 +75,7 @@
   state: ControllerState,
   event: ControllerEvent,
 ): ControllerEffect[] {
-  if (event.type === 'leaseHeld') return takeLease(state, event);
-  if (event.type === 'leaseLost') return loseLease(state);
+  if (event.type === 'leaseHeld') return handleLeaseHeld(state, event);
+  if (event.type === 'leaseLost') return handleLeaseLost(state);
   return [];
 }
