--- a/packages/entry-core/src/backendServers/MovingAverage.ts
+++ b/packages/entry-core/src/backendServers/MovingAverage.ts
@@ -1,18 +1,19 @@
 /** An exponential moving average. */
+import type { Milliseconds } from '@hornbeampond/schema';
 
 const SAMPLE_WEIGHT = 0.1;
 
 export class MovingAverage {
-  private mean: number | undefined;
+  private mean: Milliseconds | undefined;
 
   /** @param defaultValue - Returned until the first sample, which replaces it. */
-  constructor(private readonly defaultValue: number) {}
+  constructor(private readonly defaultValue: Milliseconds) {}
 
-  get value(): number {
+  get value(): Milliseconds {
     return this.mean ?? this.defaultValue;
   }
 
-  addSample(sample: number): void {
+  addSample(sample: Milliseconds): void {
     this.mean = this.mean === undefined ? sample : this.mean + (sample - this.mean) * SAMPLE_WEIGHT;
   }
 }
--- a/packages/entry-core/src/backendServers/PoolState.ts
+++ b/packages/entry-core/src/backendServers/PoolState.ts
@@ -73,7 +73,7 @@
 const BUSY_SERVICE_TIME_FACTOR = 2;
 const DEFAULT_SERVICE_TIME_MILLISECONDS: Milliseconds = 1000;
 const PRIOR_FIRST_TOKEN_DELAY_MILLISECONDS: Milliseconds = 50;
-const PRIOR_PREFILL_MILLISECONDS_PER_TOKEN = 0.1;
+const PRIOR_PREFILL_MILLISECONDS_PER_TOKEN: Milliseconds = 0.1;
 
 export class PoolState {
   readonly local = new CandidateGroup();
