--- a/packages/entry-core/src/attempts/RetryState.ts
+++ b/packages/entry-core/src/attempts/RetryState.ts
@@ -1,6 +1,7 @@
 /**
- * The part of an entry's state that limits retries: the retry budgets, the requests that wait for
- * their next attempt, and the policy switches.
+ * The part of an entry's state that concerns retries: the budgets that limit them, the requests
+ * that wait for an attempt, the random generator for back-off delays, and the switches of the
+ * recovery mechanisms.
  */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
@@ -11,10 +12,14 @@
   remainingRetries: number;
 }
 
-/** A request between two attempts that waits for its back-off to end or for a backend server. */
-export interface WaitingRetry {
+/**
+ * A request that waits to start its next attempt, possibly its first: for its back-off to end or
+ * for a backend server.
+ */
+export interface WaitingRequest {
   readonly requestId: string;
   readonly waitsFor: 'backOff' | 'backendServer';
+  /** When the back-off ends, or when a request that waits for a backend server checks again. */
   readonly dueAt: MonotonicMilliseconds;
 }
 
@@ -46,15 +51,15 @@
   readonly budgetsByRoute: Map<string, RetryBudget>;
   readonly budgetsByInstance: Map<string, RetryBudget>;
   /** By request id. */
-  readonly waiting: Map<string, WaitingRetry>;
+  readonly waiting: Map<string, WaitingRequest>;
 }
 
-/** Hashes a name with FNV-1a, so that entries with different names draw different jitter. */
-function hashName(name: string): number {
+/** Hashes the seed text with FNV-1a, so that each entry process draws its own back-off delays. */
+function hashSeedText(seedText: string): number {
   let hash = 0x811c9dc5;
-  for (let position = 0; position < name.length; position += 1) {
+  for (let position = 0; position < seedText.length; position += 1) {
     // eslint-disable-next-line no-bitwise
-    hash = Math.imul(hash ^ name.charCodeAt(position), 0x01000193);
+    hash = Math.imul(hash ^ seedText.charCodeAt(position), 0x01000193);
   }
   return hash;
 }
@@ -62,7 +67,7 @@
 export function makeRetryState(seedText: string): RetryState {
   return {
     policy: fullRecoveryPolicy,
-    generator: xoroshiro128plus(hashName(seedText)),
+    generator: xoroshiro128plus(hashSeedText(seedText)),
     budgetsByRoute: new Map(),
     budgetsByInstance: new Map(),
     waiting: new Map(),
--- a/packages/entry-core/src/attempts/chooseServerForAttempt.ts
+++ b/packages/entry-core/src/attempts/chooseServerForAttempt.ts
@@ -51,8 +51,8 @@
 
 /**
  * True if a request that no server can take now may wait. Every request waits for a temporarily
- * excluded server. A started one also waits for a full or failed server and, for a limited time, for
- * replacements in an empty pool, so that it survives the reclaim of a whole pool.
+ * excluded server. A started one also waits for a full or failed server and, for a limited time,
+ * for replacements in an empty pool, so that it survives the reclaim of a whole pool.
  */
 export function canWaitForBackendServer(
   state: EntryState,
--- a/packages/entry-core/src/attempts/loss.test.ts
+++ b/packages/entry-core/src/attempts/loss.test.ts
@@ -28,8 +28,8 @@
   });
 }
 
-// The stream times out, but a probe over a new connection is answered. The answer is resumed on the
-// same engine, the only one; the engine is not marked as down, and the request does not become a
+// The stream times out, but a probe over a new connection succeeds. The stream is resumed on the
+// same engine, the only one; the engine is not marked as down, and the request does not remain a
 // suspect.
 test('a stalled connection is not treated as a failed backend server', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 1 } });
@@ -50,7 +50,7 @@
   );
 });
 
-// The engine neither resets its connections nor answers the probe that the stream timeout starts.
+// The engine neither resets its connections nor answers the probe that its stalled streams start.
 test('an unreachable engine is detected and its streams are completed elsewhere', () => {
   const cluster = new SimulatedCluster({ engines });
   const callers = ['one', 'two', 'three', 'four', 'five', 'six', 'seven', 'eight'].map((name) =>
@@ -72,8 +72,8 @@
   assert.equal(cluster.entry.state.quarantine.down.has('wien-a-engine-1'), true);
 });
 
-// The first attempt times out and a second is started, but the first delivers its complete answer
-// before the second has produced a token.
+// The first attempt times out, but delivers its complete answer while the request still waits for
+// its retry.
 test('the answer of a timed-out attempt is used if it arrives first', () => {
   const cluster = new SimulatedCluster({ engines });
   const { entry } = cluster;
@@ -91,7 +91,7 @@
 
 // The second attempt has already produced tokens, so using the late answer of the first would mix
 // two answers.
-test('a late answer is dropped and counted once a retry has produced tokens', () => {
+test('a late answer is dropped and counted after a retry has produced tokens', () => {
   const cluster = new SimulatedCluster({ engines });
   const { entry } = cluster;
   const request = makeRequest('one');
--- a/packages/entry-core/src/attempts/retryRequest.ts
+++ b/packages/entry-core/src/attempts/retryRequest.ts
@@ -20,7 +20,7 @@
 import { spendRetry } from './retryBudget.js';
 import { startAttempt } from './startAttempt.js';
 
-/** Delay after which the caller may send a request again whose retry was refused. */
+/** Retry delay reported to the caller when a retry is refused. */
 const REFUSED_RETRY_AFTER_MILLISECONDS = 1000;
 
 /** Why a request needs another attempt. */
--- a/packages/entry-core/src/attempts/startAttempt.ts
+++ b/packages/entry-core/src/attempts/startAttempt.ts
@@ -18,7 +18,7 @@
 /** Interval at which a request that waits for a backend server tries again. */
 const SERVER_RECHECK_MILLISECONDS = 50;
 
-/** Delay after which the caller may send a request again for which no backend server was usable. */
+/** Retry delay reported to the caller when no backend server is usable. */
 const NO_SERVER_RETRY_AFTER_MILLISECONDS = 2000;
 
 function refuseQuarantined(
--- a/packages/entry-core/src/claims/applyClaimEffect.ts
+++ b/packages/entry-core/src/claims/applyClaimEffect.ts
@@ -14,7 +14,9 @@
 import type { ClaimedCallEffect, ClaimedCallEvent } from './ClaimedCall.js';
 import { reduceClaimedCall } from './reduceClaimedCall.js';
 
-/** Spreads the resends of entries that lost the same leader at the same moment. */
+/**
+ * Keeps entries from resending claim commands at the same moment after a leader of the log failed.
+ */
 const MAX_JITTER_FRACTION_OF_DELAY = 0.25;
 
 const detailByKind: Readonly<Partial<Record<ErrorKind, string>>> = {
@@ -66,7 +68,8 @@
       return failRequest(state, requestState, effect.kind, detail, { ran: effect.ran });
     }
     case 'tryElsewhere':
-      // Ignored: an entry retries attempts that provably sent nothing under the same claim.
+      // Ignored: if an attempt provably sent nothing, the entry has already retried it, under this
+      // claim.
       return [];
     case 'finished':
       state.claims.delete(requestId);
@@ -84,7 +87,10 @@
   return handleClaimEvent(state, claim, { type: 'sendFailed', beforeFirstByte: true }, timestamps);
 }
 
-/** Gives the caller the answer that the log has stored for the call. */
+/**
+ * Gives the caller the answer stored in the log. Does nothing for a fresh answer (`replayed:
+ * false`), which reaches the caller from the attempt itself.
+ */
 function replayAnswer(
   state: EntryState,
   { requestState }: RequestClaim,
--- a/packages/entry-core/src/claims/reduceClaimedCall.test.ts
+++ b/packages/entry-core/src/claims/reduceClaimedCall.test.ts
@@ -132,7 +132,8 @@
   assert.deepEqual(effects, [{ type: 'answer', answer, replayed: true }, { type: 'finished' }]);
 });
 
-// The caller sends the call again through another entry before the log has the first outcome.
+// The first request, present here only as the result `claimRunning`, has run the call, but the log
+// receives its outcome later.
 test('claimed call: a second request waits for the outcome of the first', () => {
   const call = startCall();
   const waiting = reduceClaimedCall(call, claimResult('claimRunning', 'openClaim'));
--- a/packages/entry-core/src/claims/updateClaims.test.ts
+++ b/packages/entry-core/src/claims/updateClaims.test.ts
@@ -58,8 +58,9 @@
   assert.equal(state.claims.get('one')?.call.phase, 'releasing');
 });
 
-// The first request still runs the call when the deadline of the second passes. With `ran: no` the
-// caller could send the call once more and have it run twice.
+// Another request, present here only as the result `claimRunning`, still runs the call when the
+// deadline of this one passes. With `ran: no` the caller could send the call again and have it run
+// twice.
 test('a request that times out while another runs the call is answered `ran: unknown`', () => {
   const cluster = makeCluster();
   submitRequest(cluster, 'one');
