--- a/packages/controller-core/src/demand/demand.test.ts
+++ b/packages/controller-core/src/demand/demand.test.ts
@@ -34,7 +34,7 @@
 // callers because a start takes minutes.
 test('a peak in the daily profile is planned for before it begins', () => {
   const harness = new ControllerHarness();
-  const profile = Array.from({ length: 96 }, (_, slot) => (slot >= 48 && slot < 56 ? 40 : 5));
+  const profile = Array.from({ length: 96 }, (_, index) => (index >= 48 && index < 56 ? 40 : 5));
   const shapes = { appraisals: profile };
   const report = { dataCentre: 'wien-b', demand: [], closedOffers: [], serving: [], shapes };
   harness.tell({ type: 'peerReported', report });
--- a/packages/controller-core/src/reduceController.ts
+++ b/packages/controller-core/src/reduceController.ts
@@ -27,7 +27,7 @@
   reduceOrders,
 ];
 
-/** Events after which the fleet is planned at once, so that no capacity is missing until a tick. */
+/** Ticks, and events after which capacity could be missing if planning waited for the next tick. */
 const replanningEvents: ReadonlySet<ControllerEventType> = new Set([
   'tick',
   'configurationApplied',
