--- a/packages/store-core/src/consensus/appends.ts
+++ b/packages/store-core/src/consensus/appends.ts
@@ -29,13 +29,13 @@
   member: Member,
   previousIndex: number,
   previousTerm: number,
-  most: number,
+  maxEntries: number,
 ): number {
   const { state } = context;
-  const { maxBytesPerAppend: mostBytesPerAppend } = state.settings;
+  const { maxBytesPerAppend } = state.settings;
   const entries = limitEntriesToBytes(
-    entriesFrom(state, previousIndex + 1, most),
-    mostBytesPerAppend,
+    entriesFrom(state, previousIndex + 1, maxEntries),
+    maxBytesPerAppend,
   );
   const to = { instance: member.address.instance, identity: member.identity };
   sendNow(context, to, {
@@ -55,7 +55,7 @@
   context: StepContext,
   leader: LeaderState,
   member: Member,
-  always: boolean,
+  evenIfEmpty: boolean,
 ): void {
   const { state } = context;
   const progress = leader.progress[member.identity];
@@ -63,38 +63,54 @@
   if (termAt(state, progress.nextIndex - 1) === undefined) {
     sendSnapshot(context, leader, member, progress);
     // An append that matches every log keeps the peer from calling an election meanwhile.
-    if (always) sendOneAppend(context, leader, member, 0, 0, 0);
+    if (evenIfEmpty) sendOneAppend(context, leader, member, 0, 0, 0);
     return;
   }
   let sent = false;
-  const mostInFlight = progress.mode === 'probing' ? 1 : state.settings.maxAppendsInFlight;
-  while (progress.nextIndex <= lastIndexOf(state) && progress.inFlight.length < mostInFlight) {
+  const maxInFlight = progress.mode === 'probing' ? 1 : state.settings.maxAppendsInFlight;
+  while (progress.nextIndex <= lastIndexOf(state) && progress.inFlight.length < maxInFlight) {
     const previousIndex = progress.nextIndex - 1;
     const previousTerm = termAt(state, previousIndex) ?? 0;
-    const most = state.settings.maxEntriesPerAppend;
-    const count = sendOneAppend(context, leader, member, previousIndex, previousTerm, most);
-    progress.inFlight.push(previousIndex + count);
+    const maxEntries = state.settings.maxEntriesPerAppend;
+    const entryCount = sendOneAppend(
+      context,
+      leader,
+      member,
+      previousIndex,
+      previousTerm,
+      maxEntries,
+    );
+    progress.inFlight.push(previousIndex + entryCount);
     sent = true;
     if (progress.mode === 'probing') break;
-    progress.nextIndex += count;
+    progress.nextIndex += entryCount;
   }
-  if (always && !sent) {
+  if (evenIfEmpty && !sent) {
     const previousIndex = progress.nextIndex - 1;
     sendOneAppend(context, leader, member, previousIndex, termAt(state, previousIndex) ?? 0, 0);
   }
 }
 
-export function broadcastAppends(context: StepContext, leader: LeaderState, always: boolean): void {
-  otherMembers(context.state).forEach((member) => sendAppends(context, leader, member, always));
+export function broadcastAppends(
+  context: StepContext,
+  leader: LeaderState,
+  evenIfEmpty: boolean,
+): void {
+  otherMembers(context.state).forEach((member) =>
+    sendAppends(context, leader, member, evenIfEmpty),
+  );
 }
 
 /** Makes the leader's book of peers agree with the membership that has just changed. */
 export function updateReplicationTargets(context: StepContext, leader: LeaderState): void {
   const { state, now } = context;
   const members = otherMembers(state);
-  const known = leader.progress;
+  const previousProgress = leader.progress;
   leader.progress = Object.fromEntries(
-    members.map(({ identity }) => [identity, known[identity] ?? makeProgress(state, now)]),
+    members.map(({ identity }) => [
+      identity,
+      previousProgress[identity] ?? makeProgress(state, now),
+    ]),
   );
   broadcastAppends(context, leader, true);
 }
--- a/packages/store-core/src/consensus/commit.ts
+++ b/packages/store-core/src/consensus/commit.ts
@@ -4,12 +4,12 @@
 import type { StepContext } from './StepContext.js';
 
 /** Answers the proposer of an entry right after it was applied, while its result is at hand. */
-function answerRequest(context: StepContext, index: number): void {
+function replyToProposer(context: StepContext, index: number): void {
   const { state } = context;
-  const [first] = state.pendingRequests;
-  if (first?.index !== index) return;
+  const [oldestRequest] = state.pendingRequests;
+  if (oldestRequest?.index !== index) return;
   state.pendingRequests.shift();
-  reply(context, first.requestId, { type: 'committed', index });
+  reply(context, oldestRequest.requestId, { type: 'committed', index });
 }
 
 function applyEntries(context: StepContext): void {
@@ -20,7 +20,7 @@
     if (entry === undefined) throw new Error(`The committed entry at index ${index} is missing`);
     effects.push({ type: 'apply', index, entry });
     state.appliedIndex = index;
-    answerRequest(context, index);
+    replyToProposer(context, index);
     if (entry.body.type === 'membership') {
       effects.push({ type: 'membershipChanged', membership: entry.body.membership });
     }
--- a/packages/store-core/src/consensus/consensusEvents.ts
+++ b/packages/store-core/src/consensus/consensusEvents.ts
@@ -12,7 +12,7 @@
   SnapshotHeader,
 } from './consensusTypes.js';
 
-interface Timed {
+interface Timestamps {
   readonly now: MonotonicMilliseconds;
   readonly wallNow: EpochMilliseconds;
 }
@@ -29,7 +29,7 @@
   /** As `removeMember`, for good: the identity is not let in again. */
   | { readonly type: 'takeOutMember'; readonly identity: string };
 
-export type ConsensusEvent = Timed &
+export type ConsensusEvent = Timestamps &
   (
     | { readonly type: 'started' }
     /** Founds a new cluster whose only voter is this one; refused unless the disk is empty. */
--- a/packages/store-core/src/consensus/consensusExploration.test.ts
+++ b/packages/store-core/src/consensus/consensusExploration.test.ts
@@ -21,7 +21,7 @@
 } from './testing/scenario.js';
 
 /** Two voters have won their pre-votes and have asked for votes in the same term. */
-function twoCandidates(fault: Fault): ModelCluster {
+function prepareTwoCandidates(fault: Fault): ModelCluster {
   let cluster = fireTimer(fireTimer(trio(fault), 'a'), 'c');
   cluster = deliverAll(cluster, (message) => message.instance === 'b');
   cluster = deliverAll(cluster, (message) => message.envelope.from.instance === 'b');
@@ -29,25 +29,25 @@
 }
 
 /** A leads again, and holds an entry of an older term that c, elected in between, lacks. */
-function oldTermEntry(fault: Fault): ModelCluster {
-  const leads = (instance: string) => (cluster: ModelCluster) =>
+function prepareOldTermEntry(fault: Fault): ModelCluster {
+  const isLedBy = (instance: string) => (cluster: ModelCluster) =>
     currentLeader(cluster)?.instance === instance;
   let cluster = lead(trio(fault, { maxEntriesPerAppend: 1 }), 'a');
   cluster = syncDisk(propose(cluster, 'a'), 'a', 1);
   cluster = fireTimer({ ...crash(cluster, 'a'), network: [] }, 'c');
-  cluster = syncDisk(runAmong(cluster, ['b', 'c'], leads('c')), 'c', 9);
+  cluster = syncDisk(runAmong(cluster, ['b', 'c'], isLedBy('c')), 'c', 9);
   cluster = restart(restart({ ...crash(cluster, 'c'), network: [] }, 'c'), 'a');
   // The first attempt only tells a of the newer term.
-  cluster = runAmong(fireTimer(cluster, 'a'), ['a', 'b'], leads('a'));
-  cluster = runAmong(fireTimer(cluster, 'a'), ['a', 'b'], leads('a'));
+  cluster = runAmong(fireTimer(cluster, 'a'), ['a', 'b'], isLedBy('a'));
+  cluster = runAmong(fireTimer(cluster, 'a'), ['a', 'b'], isLedBy('a'));
   assert.equal(currentLeader(cluster)?.instance, 'a');
   // Until here c was out of reach.
-  const reachable = cluster.network.filter(({ instance }) => instance !== 'c');
-  return { ...cluster, network: reachable };
+  const withoutC = cluster.network.filter(({ instance }) => instance !== 'c');
+  return { ...cluster, network: withoutC };
 }
 
 /** The first leader is cut off while the second acknowledges a write. */
-function twoLeaders(fault: Fault): ModelCluster {
+function prepareTwoLeaders(fault: Fault): ModelCluster {
   const first = lead(trio(fault), 'a');
   return settleWithout(propose(lead(first, 'b', ['a']), 'b'), ['a']);
 }
@@ -55,7 +55,7 @@
 const scenarios: readonly Scenario[] = [
   {
     name: 'an election between two candidates',
-    prepare: twoCandidates,
+    prepare: prepareTwoCandidates,
     budget: { crashes: 1, duplicates: 1 },
     mostSteps: 9,
     faults: [{ off: 'oneVotePerTerm' }, { mutation: 'voteForgotten' }],
@@ -69,14 +69,14 @@
   },
   {
     name: 'an entry of an older term',
-    prepare: oldTermEntry,
+    prepare: prepareOldTermEntry,
     budget: { timeouts: { c: 2 } },
     mostSteps: 16,
     faults: [{ off: 'commitOwnTermOnly' }],
   },
   {
     name: 'a read at a leader that has a successor',
-    prepare: twoLeaders,
+    prepare: prepareTwoLeaders,
     budget: { timeouts: { c: 1 }, reads: 2, proposals: 1 },
     mostSteps: 8,
     faults: [{ off: 'readNeedsRound' }],
--- a/packages/store-core/src/consensus/consensusSchedules.test.ts
+++ b/packages/store-core/src/consensus/consensusSchedules.test.ts
@@ -10,7 +10,7 @@
 } from './testing/modelCluster.js';
 import { hasQuorumOfDisks, heal, runSchedule } from './testing/randomSchedule.js';
 
-const STEPS = 400;
+const PICKS_PER_SCHEDULE = 400;
 const settings: Partial<ConsensusSettings> = {
   entriesPerSnapshot: 12,
   trailingEntries: 3,
@@ -18,7 +18,11 @@
   maxBytesPerSnapshotPart: 60,
 };
 
-const schedules = fc.array(fc.nat(), { minLength: STEPS, maxLength: STEPS, size: 'max' });
+const schedules = fc.array(fc.nat(), {
+  minLength: PICKS_PER_SCHEDULE,
+  maxLength: PICKS_PER_SCHEDULE,
+  size: 'max',
+});
 
 interface Totals {
   runs: number;
@@ -26,10 +30,10 @@
   reads: number;
   leaders: number;
   restores: number;
-  live: number;
+  quorate: number;
 }
 
-function addTo(totals: Totals, cluster: ModelCluster): void {
+function addToTotals(totals: Totals, cluster: ModelCluster): void {
   totals.runs += 1;
   totals.committed += cluster.committed.length;
   totals.reads += cluster.answeredReads;
@@ -43,40 +47,48 @@
   seed: number,
   numRuns: number,
 ): void {
-  const totals: Totals = { runs: 0, committed: 0, reads: 0, leaders: 0, restores: 0, live: 0 };
+  const totals: Totals = { runs: 0, committed: 0, reads: 0, leaders: 0, restores: 0, quorate: 0 };
   const property = fc.property(schedules, (picks) => {
     const schedule = runSchedule(makeCluster({ settings, ...options }), picks);
     assert.equal(schedule.cluster.violation, undefined);
-    addTo(totals, schedule.cluster);
-    const before = schedule.cluster.acknowledgedIndex;
+    addToTotals(totals, schedule.cluster);
+    const indexBefore = schedule.cluster.acknowledgedIndex;
     heal(schedule);
     assert.equal(schedule.cluster.violation, undefined);
     if (!hasQuorumOfDisks(schedule)) return;
-    totals.live += 1;
-    assert.ok(schedule.cluster.acknowledgedIndex > before, 'the healed cluster takes no write');
+    totals.quorate += 1;
+    assert.ok(
+      schedule.cluster.acknowledgedIndex > indexBefore,
+      'the healed cluster takes no write',
+    );
   });
   fc.assert(property, { seed, numRuns, endOnFailure: true });
   context.diagnostic(JSON.stringify(totals));
 }
 
-const TRIO = ['a', 'b', 'c'];
-const FIVE = ['a', 'b', 'c', 'd', 'e'];
+const THREE_VOTERS = ['a', 'b', 'c'];
+const FIVE_VOTERS = ['a', 'b', 'c', 'd', 'e'];
 
 test('Random schedules do no harm to three voters', (context) => {
-  checkSchedules(context, { voters: TRIO }, 301, 150);
+  checkSchedules(context, { voters: THREE_VOTERS }, 301, 150);
 });
 
 test('Random schedules do no harm to five voters', (context) => {
-  checkSchedules(context, { voters: FIVE }, 501, 80);
+  checkSchedules(context, { voters: FIVE_VOTERS }, 501, 80);
 });
 
 test('Random schedules do no harm to three voters and two spares', (context) => {
-  checkSchedules(context, { voters: TRIO, spares: ['d', 'e'] }, 302, 80);
+  checkSchedules(context, { voters: THREE_VOTERS, spares: ['d', 'e'] }, 302, 80);
 });
 
 test('Random schedules do no harm while silent members are taken out', (context) => {
-  const taking = { ...settings, unreachableMemberTimeout: 1500, leastVoters: 3 };
-  checkSchedules(context, { voters: FIVE, spares: ['f', 'g'], settings: taking }, 503, 80);
+  const removalSettings = { ...settings, unreachableMemberTimeout: 1500, leastVoters: 3 };
+  checkSchedules(
+    context,
+    { voters: FIVE_VOTERS, spares: ['f', 'g'], settings: removalSettings },
+    503,
+    80,
+  );
 });
 
 interface Fault {
@@ -98,14 +110,14 @@
 faults.forEach(({ off, mutation }) => {
   test(`Random schedules catch ${off ?? mutation}`, (context) => {
     const safeguards = off === undefined ? allSafeguards : { ...allSafeguards, [off]: false };
-    const options = { voters: TRIO, settings: { ...settings, safeguards }, mutation };
-    let found: string | undefined;
+    const options = { voters: THREE_VOTERS, settings: { ...settings, safeguards }, mutation };
+    let violation: string | undefined;
     const property = fc.property(schedules, (picks) => {
-      found = runSchedule(makeCluster(options), picks).cluster.violation;
-      return found === undefined;
+      violation = runSchedule(makeCluster(options), picks).cluster.violation;
+      return violation === undefined;
     });
     const details = fc.check(property, { seed: 303, numRuns: 600, endOnFailure: true });
-    context.diagnostic(`after ${details.numRuns} schedules: ${found}`);
+    context.diagnostic(`after ${details.numRuns} schedules: ${violation}`);
     assert.equal(details.failed, true);
   });
 });
--- a/packages/store-core/src/consensus/diskExploration.test.ts
+++ b/packages/store-core/src/consensus/diskExploration.test.ts
@@ -20,12 +20,12 @@
 } from './testing/scenario.js';
 
 /** A write is acknowledged with copies at a and b alone. */
-function writeWithoutC(fault: Fault): ModelCluster {
+function prepareWriteWithoutC(fault: Fault): ModelCluster {
   return settleWithout(propose(lead(trio(fault), 'a'), 'a'), ['c']);
 }
 
 /** The leader is asked to remove both others at once. */
-function twoRemovals(fault: Fault): ModelCluster {
+function prepareTwoRemovals(fault: Fault): ModelCluster {
   return ['b1', 'c1'].reduce(
     (cluster, identity) =>
       happen(cluster, 'a', {
@@ -38,7 +38,7 @@
 }
 
 /** A new disk has just been named a learner; nothing was sent to it yet. */
-function newLearner(fault: Fault): ModelCluster {
+function prepareNewLearner(fault: Fault): ModelCluster {
   const safeguards =
     fault.off === undefined ? allSafeguards : { ...allSafeguards, [fault.off]: false };
   const cluster = lead(
@@ -55,7 +55,7 @@
 }
 
 /** C lacks what a and b have compacted away. */
-function laggardBehindSnapshot(fault: Fault): ModelCluster {
+function prepareVoterBehindSnapshot(fault: Fault): ModelCluster {
   let cluster = lead(
     trio(fault, { entriesPerSnapshot: 2, trailingEntries: 0, maxBytesPerSnapshotPart: 40 }),
     'a',
@@ -72,28 +72,28 @@
 const scenarios: readonly Scenario[] = [
   {
     name: 'a lost disk',
-    prepare: writeWithoutC,
+    prepare: prepareWriteWithoutC,
     budget: { timeouts: { b: 1, c: 1 }, crashes: 2, lostDisks: 2, duplicates: 1 },
     mostSteps: 10,
     faults: [{ mutation: 'lostDiskKeepsIdentity' }, { off: 'voteForNewerLog' }],
   },
   {
     name: 'two removals asked for at once',
-    prepare: twoRemovals,
+    prepare: prepareTwoRemovals,
     budget: { timeouts: { b: 1, c: 1 }, proposals: 1, crashes: 1 },
     mostSteps: 10,
     faults: [{ off: 'oneChangeAtATime' }],
   },
   {
     name: 'a new learner',
-    prepare: newLearner,
+    prepare: prepareNewLearner,
     budget: { timeouts: { b: 1, c: 1 }, crashes: 1 },
     mostSteps: 16,
     faults: [{ off: 'promoteWhenCaughtUp' }],
   },
   {
     name: 'a laggard behind a snapshot',
-    prepare: laggardBehindSnapshot,
+    prepare: prepareVoterBehindSnapshot,
     budget: { timeouts: { b: 1 }, crashes: 1, duplicates: 1 },
     mostSteps: 10,
     faults: [],
--- a/packages/store-core/src/consensus/election.ts
+++ b/packages/store-core/src/consensus/election.ts
@@ -13,7 +13,7 @@
 import type { ConsensusState } from './ConsensusState.js';
 import type { StepContext } from './StepContext.js';
 
-function mayStand(state: ConsensusState): boolean {
+function canCampaign(state: ConsensusState): boolean {
   return !state.readOnly && !state.diskRefused && isVoter(state, state.self.identity);
 }
 
@@ -29,23 +29,23 @@
 }
 
 /** Tells why the round before this one gave no leader: whether voters said no, or nothing at all. */
-function reportFailedRound({ state, effects }: StepContext): void {
+function reportFailedElection({ state, effects }: StepContext): void {
   const { role, term } = state;
   if (role.type !== 'candidate') return;
-  const { preVote, votes, rejections: refusals } = role;
-  const answered = [...votes, ...refusals];
-  const namesOf = (test: (identity: string) => boolean) =>
+  const { preVote, votes, rejections } = role;
+  const answered = [...votes, ...rejections];
+  const instancesWhere = (matches: (identity: string) => boolean) =>
     votersOf(state)
-      .filter(({ identity }) => test(identity))
+      .filter(({ identity }) => matches(identity))
       .map(({ address }) => address.instance);
   effects.push({
     type: 'electionFailed',
     preVote,
     term,
     quorum: quorumSize(state),
-    granted: namesOf((identity) => votes.includes(identity)),
-    refused: namesOf((identity) => refusals.includes(identity)),
-    silent: namesOf((identity) => !answered.includes(identity)),
+    granted: instancesWhere((identity) => votes.includes(identity)),
+    refused: instancesWhere((identity) => rejections.includes(identity)),
+    silent: instancesWhere((identity) => !answered.includes(identity)),
   });
 }
 
@@ -53,12 +53,12 @@
 export function startPreVote(context: StepContext): void {
   const { state } = context;
   resetElectionTimer(context);
-  if (!mayStand(state)) {
+  if (!canCampaign(state)) {
     // Heard of no leader either; one that is still named would be followed for ever.
     becomeFollower(context, state.term);
     return;
   }
-  reportFailedRound(context);
+  reportFailedElection(context);
   state.role = { type: 'candidate', preVote: true, votes: [state.self.identity], rejections: [] };
   announceRole(context);
   requestVotes(context, true, state.term + 1);
@@ -118,18 +118,18 @@
  * A live leader is not voted out by a voter that merely can't hear it. A voter that has just
  * started waits for a while too, because it may have heard a leader right before it stopped.
  */
-function leaderIsAlive({ state, now }: StepContext): boolean {
+function mustWithholdVote({ state, now }: StepContext): boolean {
   return state.role.type === 'leader' || now < state.voteAfter;
 }
 
-function logIsAsNew(state: ConsensusState, request: VoteRequest): boolean {
+function isLogUpToDate(state: ConsensusState, request: VoteRequest): boolean {
   if (!state.settings.safeguards.voteForNewerLog) return true;
   const lastTerm = lastTermOf(state);
   if (request.lastTerm !== lastTerm) return request.lastTerm > lastTerm;
   return request.lastIndex >= lastIndexOf(state);
 }
 
-function voteIsFree(state: ConsensusState, candidate: string): boolean {
+function canVoteFor(state: ConsensusState, candidate: string): boolean {
   if (!state.settings.safeguards.oneVotePerTerm) return true;
   return state.votedFor === undefined || state.votedFor === candidate;
 }
@@ -147,17 +147,17 @@
     };
     sendWhenPersisted(context, from, response);
   };
-  if (leaderIsAlive(context)) {
+  if (mustWithholdVote(context)) {
     respond(false);
     return;
   }
   if (preVote) {
-    respond(term > state.term && logIsAsNew(state, request));
+    respond(term > state.term && isLogUpToDate(state, request));
     return;
   }
   if (term > state.term) becomeFollower(context, term);
   const granted =
-    term === state.term && voteIsFree(state, from.identity) && logIsAsNew(state, request);
+    term === state.term && canVoteFor(state, from.identity) && isLogUpToDate(state, request);
   if (granted) {
     state.dirty.vote ||= state.votedFor !== from.identity;
     state.votedFor = from.identity;
--- a/packages/store-core/src/consensus/estimateEntryBytes.ts
+++ b/packages/store-core/src/consensus/estimateEntryBytes.ts
@@ -4,33 +4,33 @@
  */
 import type { LogEntry } from './consensusTypes.js';
 
-const BYTES_PER_VALUE = 9;
+const OVERHEAD_BYTES_PER_VALUE = 9;
 
-function bytesOf(value: unknown): number {
-  if (typeof value === 'string') return BYTES_PER_VALUE + value.length * 3;
-  if (value instanceof Uint8Array) return BYTES_PER_VALUE + value.length;
-  if (typeof value !== 'object' || value === null) return BYTES_PER_VALUE;
+function estimateValueBytes(value: unknown): number {
+  if (typeof value === 'string') return OVERHEAD_BYTES_PER_VALUE + value.length * 3;
+  if (value instanceof Uint8Array) return OVERHEAD_BYTES_PER_VALUE + value.length;
+  if (typeof value !== 'object' || value === null) return OVERHEAD_BYTES_PER_VALUE;
   return Object.entries(value).reduce(
-    (sum, [name, item]) => sum + BYTES_PER_VALUE + name.length + bytesOf(item),
-    BYTES_PER_VALUE,
+    (sum, [name, item]) => sum + OVERHEAD_BYTES_PER_VALUE + name.length + estimateValueBytes(item),
+    OVERHEAD_BYTES_PER_VALUE,
   );
 }
 
-const known = new WeakMap<LogEntry, number>();
+const cachedBytes = new WeakMap<LogEntry, number>();
 
 /** Entries never change, so each is measured once. */
 export function estimateEntryBytes(entry: LogEntry): number {
-  const measured = known.get(entry) ?? bytesOf(entry.body);
-  known.set(entry, measured);
-  return measured;
+  const bytes = cachedBytes.get(entry) ?? estimateValueBytes(entry.body);
+  cachedBytes.set(entry, bytes);
+  return bytes;
 }
 
 /** The first of `entries` whose sizes add up to at most `mostBytes`, and one in any case. */
-export function limitEntriesToBytes(entries: readonly LogEntry[], mostBytes: number): LogEntry[] {
+export function limitEntriesToBytes(entries: readonly LogEntry[], maxBytes: number): LogEntry[] {
   let sum = 0;
-  const tooFar = entries.findIndex((entry, position) => {
+  const firstExcluded = entries.findIndex((entry, position) => {
     sum += estimateEntryBytes(entry);
-    return position > 0 && sum > mostBytes;
+    return position > 0 && sum > maxBytes;
   });
-  return tooFar === -1 ? [...entries] : entries.slice(0, tooFar);
+  return firstExcluded === -1 ? [...entries] : entries.slice(0, firstExcluded);
 }
--- a/packages/store-core/src/consensus/index.ts
+++ b/packages/store-core/src/consensus/index.ts
@@ -6,8 +6,4 @@
 export { reduceConsensus } from './reduceConsensus.js';
 export { makeElectionSeed } from './makeElectionSeed.js';
 export { fillSnapshotPart } from './snapshots.js';
-export {
-  hasCommittedInCurrentTerm,
-  leaderHint,
-  describeRole,
-} from './roles.js';
+export { hasCommittedInCurrentTerm, leaderHint, describeRole } from './roles.js';
--- a/packages/store-core/src/consensus/makeElectionSeed.test.ts
+++ b/packages/store-core/src/consensus/makeElectionSeed.test.ts
@@ -7,10 +7,10 @@
 const settings = { ...defaultConsensusSettings, cluster: 'tested' };
 
 /** The moment at which a store that starts now stands for election. */
-function standsAt(number: number, runCount: number): number {
+function electionTimeOf(storeNumber: number, runCount: number): number {
   const self = {
-    instance: `store-${number}`,
-    identity: `identity-${number}`,
+    instance: `store-${storeNumber}`,
+    identity: `identity-${storeNumber}`,
     run: { count: runCount, token: 'started-together' },
   };
   const restored = { self, term: 3, entries: [] };
@@ -24,14 +24,18 @@
 // wins, and with the same draws the next round goes the same way.
 test('stores that start together stand for election at different moments', () => {
   [1, 2, 3].forEach((runCount) => {
-    const moments = [1, 2, 3, 4].map((number) => standsAt(number, runCount)).sort((a, b) => a - b);
-    const gaps = moments.slice(1).map((moment, position) => moment - (moments[position] ?? 0));
+    const electionTimes = [1, 2, 3, 4]
+      .map((storeNumber) => electionTimeOf(storeNumber, runCount))
+      .sort((a, b) => a - b);
+    const differences = electionTimes
+      .slice(1)
+      .map((electionTime, position) => electionTime - (electionTimes[position] ?? 0));
     assert.ok(
-      gaps.some((gap) => gap > 20),
-      `run ${runCount}: ${moments}`,
+      differences.some((difference) => difference > 20),
+      `run ${runCount}: ${electionTimes}`,
     );
-    assert.equal(new Set(moments).size, 4, `run ${runCount}: ${moments}`);
+    assert.equal(new Set(electionTimes).size, 4, `run ${runCount}: ${electionTimes}`);
   });
-  const runs = [1, 2, 3, 4, 5].map((runCount) => standsAt(1, runCount));
+  const runs = [1, 2, 3, 4, 5].map((runCount) => electionTimeOf(1, runCount));
   assert.ok(new Set(runs).size > 3, `${runs}`);
 });
--- a/packages/store-core/src/consensus/membership.ts
+++ b/packages/store-core/src/consensus/membership.ts
@@ -47,12 +47,15 @@
 }
 
 /** True if a quorum of the voters satisfies `test`. */
-export function hasQuorum(state: ConsensusState, test: (identity: string) => boolean): boolean {
-  const agreeing = votersOf(state).filter((member) => test(member.identity));
-  return agreeing.length >= quorumSize(state);
+export function hasQuorum(
+  state: ConsensusState,
+  isCounted: (identity: string) => boolean,
+): boolean {
+  const counted = votersOf(state).filter((member) => isCounted(member.identity));
+  return counted.length >= quorumSize(state);
 }
 
-function changeUnderWay(state: ConsensusState): boolean {
+function hasUncommittedChange(state: ConsensusState): boolean {
   if (!state.settings.safeguards.oneChangeAtATime) return false;
   return (state.memberships.at(-1)?.index ?? 0) > state.commitIndex;
 }
@@ -64,7 +67,7 @@
  */
 export function mayChangeMembership(state: ConsensusState, leader: LeaderState): boolean {
   if (!state.settings.safeguards.oneChangeAtATime) return true;
-  return state.commitIndex >= leader.termStartIndex && !changeUnderWay(state);
+  return state.commitIndex >= leader.termStartIndex && !hasUncommittedChange(state);
 }
 
 /** The membership after a change, or undefined if the change makes no sense now. */
@@ -79,17 +82,17 @@
     if (takenOut.includes(identity)) return undefined;
     // An instance has one member at a time: a lost disk's old identity is removed first, so that
     // it can't be counted beside the new one.
-    const taken = members.some(
+    const alreadyMember = members.some(
       (member) => member.identity === identity || member.address.instance === address.instance,
     );
-    if (taken) return undefined;
+    if (alreadyMember) return undefined;
     return { ...membership, members: [...members, { ...change.member, role: 'learner' }] };
   }
-  const left = members.filter((member) => member.identity !== change.identity);
-  const votersLeft = left.filter((member) => member.role === 'voter');
-  if (left.length === members.length || votersLeft.length === 0) return undefined;
-  if (change.type === 'removeMember') return { ...membership, members: left };
-  return { members: left, takenOut: [...takenOut, change.identity] };
+  const remainingMembers = members.filter((member) => member.identity !== change.identity);
+  const remainingVoters = remainingMembers.filter((member) => member.role === 'voter');
+  if (remainingMembers.length === members.length || remainingVoters.length === 0) return undefined;
+  if (change.type === 'removeMember') return { ...membership, members: remainingMembers };
+  return { members: remainingMembers, takenOut: [...takenOut, change.identity] };
 }
 
 /** A learner that holds all that is committed, as of the leader's knowledge. */
@@ -97,14 +100,14 @@
   state: ConsensusState,
   leader: LeaderState,
 ): Member | undefined {
-  const caughtUp = (member: Member) => {
+  const hasCaughtUp = (member: Member) => {
     const progress = leader.progress[member.identity];
     if (progress === undefined || progress.diskRefused) return false;
     if (!state.settings.safeguards.promoteWhenCaughtUp) return true;
     return progress.mode === 'replicating' && progress.matchIndex >= state.commitIndex;
   };
   return currentMembership(state).members.find(
-    (member) => member.role === 'learner' && caughtUp(member),
+    (member) => member.role === 'learner' && hasCaughtUp(member),
   );
 }
 
--- a/packages/store-core/src/consensus/memoryLog.ts
+++ b/packages/store-core/src/consensus/memoryLog.ts
@@ -20,19 +20,19 @@
   return entryAt(state, index)?.term;
 }
 
-export function entriesFrom(state: ConsensusState, index: number, most: number): LogEntry[] {
+export function entriesFrom(state: ConsensusState, index: number, maxEntries: number): LogEntry[] {
   const start = index - state.log.base.index - 1;
-  return state.log.entries.slice(start, start + most);
+  return state.log.entries.slice(start, start + maxEntries);
 }
 
-function markNew(state: ConsensusState, index: number): void {
+function markUnpersisted(state: ConsensusState, index: number): void {
   state.dirty.firstNewIndex = Math.min(state.dirty.firstNewIndex ?? index, index);
 }
 
 /** Adds an entry that the leader has made. */
 export function appendEntry(state: ConsensusState, entry: LogEntry): void {
   state.log.entries.push(entry);
-  markNew(state, entry.index);
+  markUnpersisted(state, entry.index);
   if (entry.body.type === 'membership') {
     state.memberships.push({ index: entry.index, membership: entry.body.membership });
   }
@@ -68,8 +68,8 @@
     state.dirty.firstNewIndex = undefined;
   }
   state.durableIndex = Math.min(state.durableIndex, index - 1);
-  state.unsyncedBatches.forEach((write) => {
-    write.lastIndex = Math.min(write.lastIndex, index - 1);
+  state.unsyncedBatches.forEach((unsyncedBatch) => {
+    unsyncedBatch.lastIndex = Math.min(unsyncedBatch.lastIndex, index - 1);
   });
 }
 
--- a/packages/store-core/src/consensus/persistence.ts
+++ b/packages/store-core/src/consensus/persistence.ts
@@ -36,7 +36,7 @@
   message: ConsensusMessage,
 ): void {
   const { state } = context;
-  const batch = isDirty(context) ? state.lastBatch + 1 : state.lastBatch;
+  const batch = hasUnpersistedChanges(context) ? state.lastBatch + 1 : state.lastBatch;
   if (batch <= state.syncedBatch) {
     sendNow(context, to, message);
     return;
@@ -54,7 +54,7 @@
     });
 }
 
-function isDirty({ state }: StepContext): boolean {
+function hasUnpersistedChanges({ state }: StepContext): boolean {
   const { vote, truncateFrom, firstNewIndex, snapshot } = state.dirty;
   return (
     vote || truncateFrom !== undefined || firstNewIndex !== undefined || snapshot !== undefined
@@ -63,7 +63,7 @@
 
 /** Hands all changes since the last call to the disk as one batch. */
 export function flushChanges(context: StepContext): void {
-  if (!isDirty(context)) return;
+  if (!hasUnpersistedChanges(context)) return;
   const { state, effects } = context;
   const { vote, truncateFrom, firstNewIndex, snapshot } = state.dirty;
   state.lastBatch += 1;
@@ -95,9 +95,9 @@
       state.durableIndex = Math.max(state.durableIndex, write.lastIndex);
     });
   state.unsyncedBatches = state.unsyncedBatches.filter((write) => write.batch > batch);
-  const ready = state.pendingMessages.filter((message) => message.batch <= batch);
+  const sendable = state.pendingMessages.filter((message) => message.batch <= batch);
   state.pendingMessages = state.pendingMessages.filter((message) => message.batch > batch);
-  ready.forEach(({ instance, envelope }) => {
+  sendable.forEach(({ instance, envelope }) => {
     effects.push({ type: 'send', instance, envelope });
   });
 }
--- a/packages/store-core/src/consensus/proposals.ts
+++ b/packages/store-core/src/consensus/proposals.ts
@@ -7,7 +7,7 @@
 import { leaderHint, leaderOf, reply } from './roles.js';
 import type { StepContext } from './StepContext.js';
 
-function refuseIfNotLeader(context: StepContext, requestId: string): void {
+function refuseAsNonLeader(context: StepContext, requestId: string): void {
   const { state } = context;
   if (state.readOnly) reply(context, requestId, { type: 'unavailable', reason: 'diskFull' });
   else reply(context, requestId, { type: 'notLeader', leader: leaderHint(state) });
@@ -22,7 +22,7 @@
   const leader = leaderOf(state);
   proposals.forEach(({ requestId, command }) => {
     if (leader === undefined) {
-      refuseIfNotLeader(context, requestId);
+      refuseAsNonLeader(context, requestId);
       return;
     }
     if (isBacklogged(state)) {
@@ -43,7 +43,7 @@
   const { state, wallNow } = context;
   const leader = leaderOf(state);
   if (leader === undefined) {
-    refuseIfNotLeader(context, requestId);
+    refuseAsNonLeader(context, requestId);
     return;
   }
   const refuse = (reason: UnavailableReason) => {
--- a/packages/store-core/src/consensus/reads.ts
+++ b/packages/store-core/src/consensus/reads.ts
@@ -28,8 +28,8 @@
 /** Begins a round for the waiting reads, unless one is under way. */
 export function startReadRound(context: StepContext, leader: LeaderState): void {
   const { state } = context;
-  const underWay = leader.reads.some((read) => read.round > 0);
-  if (underWay || leader.reads.length === 0) return;
+  const roundInProgress = leader.reads.some((read) => read.round > 0);
+  if (roundInProgress || leader.reads.length === 0) return;
   // Before its first own entry is committed, a new leader's commit index may lag behind writes
   // that its predecessor has acknowledged.
   if (state.commitIndex < leader.termStartIndex) return;
@@ -47,7 +47,7 @@
   const { state } = context;
   if (state.role !== leader) return;
   const confirmed = leader.reads.filter(
-    (read) => read.round > 0 && roundIsAnswered(context, leader, read.round),
+    (read) => read.round > 0 && hasQuorumAnswered(context, leader, read.round),
   );
   if (confirmed.length === 0) return;
   leader.reads = leader.reads.filter((read) => !confirmed.includes(read));
@@ -57,7 +57,7 @@
   startReadRound(context, leader);
 }
 
-function roundIsAnswered({ state }: StepContext, leader: LeaderState, round: number): boolean {
+function hasQuorumAnswered({ state }: StepContext, leader: LeaderState, round: number): boolean {
   return hasQuorum(state, (identity) => {
     if (identity === state.self.identity) return true;
     const progress = leader.progress[identity];
--- a/packages/store-core/src/consensus/receiveAppend.ts
+++ b/packages/store-core/src/consensus/receiveAppend.ts
@@ -43,7 +43,7 @@
   return true;
 }
 
-function conflictOf(state: ConsensusState, request: AppendRequest): AppendResponse['result'] {
+function locateConflict(state: ConsensusState, request: AppendRequest): AppendResponse['result'] {
   const { previousIndex } = request;
   const lastIndex = lastIndexOf(state);
   if (previousIndex > lastIndex) {
@@ -60,12 +60,12 @@
   return { type: 'conflict', previousIndex, conflictIndex, conflictTerm };
 }
 
-function takeEntries(state: ConsensusState, entries: readonly LogEntry[]): void {
+function mergeEntries(state: ConsensusState, entries: readonly LogEntry[]): void {
   entries.forEach((entry) => {
     if (entry.index <= state.log.base.index) return;
-    const known = termAt(state, entry.index);
-    if (known === entry.term) return;
-    if (known !== undefined) truncateLog(state, entry.index);
+    const localTerm = termAt(state, entry.index);
+    if (localTerm === entry.term) return;
+    if (localTerm !== undefined) truncateLog(state, entry.index);
     appendEntry(state, entry);
   });
 }
@@ -74,13 +74,13 @@
   const { state } = context;
   const { previousIndex, previousTerm, entries, round } = request;
   // What is committed agrees with every leader, so an append that starts below it needs no check.
-  const agrees =
+  const matchesLog =
     previousIndex <= state.commitIndex || termAt(state, previousIndex) === previousTerm;
-  if (!agrees) {
-    respondToAppend(context, from, round, conflictOf(state, request));
+  if (!matchesLog) {
+    respondToAppend(context, from, round, locateConflict(state, request));
     return;
   }
-  takeEntries(state, entries);
+  mergeEntries(state, entries);
   const matchIndex = previousIndex + entries.length;
   commitThrough(context, Math.min(request.commitIndex, matchIndex));
   respondToAppend(context, from, round, { type: 'accepted', matchIndex });
--- a/packages/store-core/src/consensus/reduceConsensus.test.ts
+++ b/packages/store-core/src/consensus/reduceConsensus.test.ts
@@ -22,9 +22,9 @@
   type ModelCluster,
 } from './testing/modelCluster.js';
 
-const TRIO = ['a', 'b', 'c'];
+const VOTERS = ['a', 'b', 'c'];
 
-function elected(cluster: ModelCluster, instance = 'a'): ModelCluster {
+function electLeader(cluster: ModelCluster, instance = 'a'): ModelCluster {
   const next = settle(fireTimer(cluster, instance));
   assert.equal(next.violation, undefined);
   assert.equal(currentLeader(next)?.instance, instance);
@@ -32,7 +32,7 @@
 }
 
 test('A leader is elected, commits a proposal and answers a read', () => {
-  let cluster = elected(makeCluster({ voters: TRIO }));
+  let cluster = electLeader(makeCluster({ voters: VOTERS }));
   cluster = settle(propose(cluster, 'a'));
   cluster = settle(read(cluster, 'a'));
   assert.deepEqual(cluster.committed, ['1:noOperation', '1:write-0']);
@@ -42,7 +42,7 @@
 });
 
 test('A founder takes in two more and each becomes a voter once caught up', () => {
-  let cluster = makeCluster({ voters: [], spares: TRIO });
+  let cluster = makeCluster({ voters: [], spares: VOTERS });
   const memberOf = (instance: string) => ({
     identity: `${instance}1`,
     address: addressOf(instance),
@@ -63,7 +63,7 @@
 
 test('A laggard gets a snapshot, and the log stays bounded', () => {
   const settings = { entriesPerSnapshot: 10, trailingEntries: 2 };
-  let cluster = elected(makeCluster({ voters: TRIO, settings }));
+  let cluster = electLeader(makeCluster({ voters: VOTERS, settings }));
   cluster = crash(cluster, 'c');
   for (let write = 0; write < 100; write += 1) cluster = settle(propose(cluster, 'a'));
   assert.ok((cluster.voters.a?.state?.log.entries.length ?? 99) < 15);
@@ -77,7 +77,7 @@
   // The callers see no gap: two voters go on while the third has lost its disk. Its old identity
   // is removed, its new one enters as a learner, catches up and is made a voter; only then does
   // the cluster survive the loss of another voter.
-  let cluster = settle(propose(elected(makeCluster({ voters: TRIO })), 'a'));
+  let cluster = settle(propose(electLeader(makeCluster({ voters: VOTERS })), 'a'));
   cluster = restart(loseDisk(crash(cluster, 'c'), 'c'), 'c');
   const member = { identity: "c1'", address: addressOf('c') };
   const remove = { type: 'removeMember', identity: 'c1' } as const;
@@ -98,17 +98,17 @@
 test('A leader that hears no quorum steps down and answers no read', () => {
   // A read sent to an isolated leader would see an old state while the others go on. It gets no
   // round from a quorum, and the leader steps down after an election timeout.
-  let cluster = elected(makeCluster({ voters: TRIO }));
+  let cluster = electLeader(makeCluster({ voters: VOTERS }));
   cluster = read(cluster, 'a');
-  for (let beat = 0; beat < 10; beat += 1) cluster = elapse(cluster, 'a', 150);
+  for (let heartbeat = 0; heartbeat < 10; heartbeat += 1) cluster = elapse(cluster, 'a', 150);
   assert.equal(currentLeader(cluster), undefined);
   assert.equal(cluster.answeredReads, 0);
 });
 
 /** B acknowledged a write that c lacks; then b's disk is replaced by an older copy of itself. */
-function withOlderDisk(oldDiskRefused: boolean): ModelCluster {
+function restoreOlderDisk(oldDiskRefused: boolean): ModelCluster {
   const safeguards = { ...allSafeguards, oldDiskRefused };
-  let cluster = elected(makeCluster({ voters: TRIO, settings: { safeguards } }));
+  let cluster = electLeader(makeCluster({ voters: VOTERS, settings: { safeguards } }));
   cluster = settle(fireTimer(cluster, 'a'));
   const { b } = cluster.voters;
   assert.ok(b !== undefined);
@@ -124,7 +124,7 @@
 }
 
 /** C, which lacks the write, stands for election once a has stopped. */
-function electWithout(cluster: ModelCluster): ModelCluster {
+function electC(cluster: ModelCluster): ModelCluster {
   let next: ModelCluster = { ...crash(cluster, 'a'), network: [] };
   next = settle(fireTimer(next, 'c'));
   return settle(fireTimer(next, 'c'));
@@ -134,21 +134,21 @@
   // A caller's write was acknowledged with copies at a and b; b's instance is then rebuilt from an
   // older copy of its disk. If it voted, c could lead without the write. The leader notices that
   // b's log has become shorter, within the time that b waits before it votes, and refuses it.
-  const cluster = withOlderDisk(true);
+  const cluster = restoreOlderDisk(true);
   assert.equal(cluster.voters.b?.state?.diskRefused, true);
-  assert.equal(electWithout(cluster).violation, undefined);
+  assert.equal(electC(cluster).violation, undefined);
 });
 
 test('A vote of an older disk would be noticed', () => {
   // The same without the refusal: b votes, c leads without the write that a caller was promised.
-  const cluster = electWithout(withOlderDisk(false));
+  const cluster = electC(restoreOlderDisk(false));
   assert.match(cluster.violation ?? '', /lacks the committed index 2/);
 });
 
 test('A full disk ends the leadership; what was proposed is unsure and nothing is acknowledged', () => {
   // The caller's write is in the log of a leader whose disk takes no more. It can't know whether
   // the write will survive, so it says unsure, and takes no new one.
-  let cluster = propose(elected(makeCluster({ voters: TRIO })), 'a');
+  let cluster = propose(electLeader(makeCluster({ voters: VOTERS })), 'a');
   cluster = happen(cluster, 'a', { type: 'persistFailed', reason: 'ENOSPC' });
   assert.equal(cluster.voters.a?.state?.readOnly, true);
   assert.equal(cluster.voters.a.state.role.type, 'follower');
@@ -163,7 +163,7 @@
   // Tables of a few megabytes each are changed while a voter is away. One append with all of them
   // would exceed the largest frame and be dropped each time, so the voter would never catch up.
   const settings = { maxBytesPerAppend: 5000 };
-  let cluster = crash(elected(makeCluster({ voters: TRIO, settings })), 'c');
+  let cluster = crash(electLeader(makeCluster({ voters: VOTERS, settings })), 'c');
   const proposals = Array.from({ length: 6 }, (_, number) => ({
     requestId: `large-${number}`,
     command: new Uint8Array(2000),
@@ -177,7 +177,7 @@
     const { message: body } = message.envelope;
     if (body.type === 'appendRequest') sizes.push(body.entries.length);
     cluster = deliver(cluster, message);
-    cluster = TRIO.reduce((next, instance) => syncDisk(next, instance, 9), cluster);
+    cluster = VOTERS.reduce((next, instance) => syncDisk(next, instance, 9), cluster);
   }
   assert.equal(Math.max(...sizes), 2);
   assert.equal(cluster.voters.c?.applied.length, 7);
@@ -189,12 +189,13 @@
   // voter restarts, and what it had taken in is gone. The leader begins again where the voter is,
   // and meanwhile takes no new snapshot that would make it begin anew for ever.
   const settings = { entriesPerSnapshot: 10, trailingEntries: 0, maxBytesPerSnapshotPart: 50 };
-  let cluster = crash(elected(makeCluster({ voters: TRIO, settings })), 'c');
+  let cluster = crash(electLeader(makeCluster({ voters: VOTERS, settings })), 'c');
   for (let write = 0; write < 40; write += 1) cluster = settle(propose(cluster, 'a'));
   cluster = settle(fireTimer(restart({ ...cluster, network: [] }, 'c'), 'a'), 12);
   assert.ok((cluster.voters.c?.state?.incomingSnapshot?.receivedBytes ?? 0) > 0);
   cluster = restart({ ...crash(cluster, 'c'), network: [] }, 'c');
-  for (let beat = 0; beat < 60; beat += 1) cluster = settle(elapse(cluster, 'a', 150));
+  for (let heartbeat = 0; heartbeat < 60; heartbeat += 1)
+    cluster = settle(elapse(cluster, 'a', 150));
   assert.equal(cluster.voters.c?.applied.length, 41);
   assert.equal(cluster.restores, 1);
   assert.equal(cluster.violation, undefined);
@@ -203,7 +204,7 @@
 test('A stranger, another cluster and a message for a lost disk are refused', async () => {
   // A message reaches a store that it isn't meant for: from another cluster, or for the disk that
   // the instance had before. It changes nothing, and the sender of the latter is told.
-  const { state } = makeCluster({ voters: TRIO }).voters.a ?? {};
+  const { state } = makeCluster({ voters: VOTERS }).voters.a ?? {};
   assert.ok(state !== undefined);
   const from = { instance: 'b', identity: 'b1', run: { count: 1, token: 'b1-1' } };
   const message: ConsensusMessage = {
@@ -228,7 +229,7 @@
   // A leader sends another entry where one is committed: a disk or a voter has broken a promise.
   // Taking it would give callers two histories. The voter throws, and acknowledges nothing more
   // even if its shell goes on.
-  const cluster = settle(fireTimer(elected(makeCluster({ voters: TRIO })), 'a'));
+  const cluster = settle(fireTimer(electLeader(makeCluster({ voters: VOTERS })), 'a'));
   const { state } = cluster.voters.b ?? {};
   assert.ok(state?.commitIndex === 1);
   const from = { instance: 'c', identity: 'c1', run: { count: 1, token: 'c1-1' } };
@@ -251,33 +252,33 @@
 
 test('The steps of an election and a write', async () => {
   // What the shell sees from the first timer to the reply, with the order of its effects.
-  let cluster = makeCluster({ voters: TRIO });
-  const seen: string[] = [];
-  const note = (title: string) => {
+  let cluster = makeCluster({ voters: VOTERS });
+  const steps: string[] = [];
+  const recordStep = (title: string) => {
     const { role, term, commitIndex } = cluster.voters.a?.state ?? {};
     const sent = cluster.network.map(({ key }) => key).join('; ');
-    seen.push(`${title}: ${role?.type}, term ${term}, commit ${commitIndex}; under way: ${sent}`);
+    steps.push(`${title}: ${role?.type}, term ${term}, commit ${commitIndex}; under way: ${sent}`);
   };
   const deliverTo = (instance: string) => {
     cluster = cluster.network
       .filter((message) => message.instance === instance)
       .reduce((next, message) => deliver(next, message), cluster);
     cluster = syncDisk(cluster, instance, 9);
-    note(`${instance} has received and synced`);
+    recordStep(`${instance} has received and synced`);
   };
   cluster = fireTimer(cluster, 'a');
-  note('the timer of a has fired');
+  recordStep('the timer of a has fired');
   ['b', 'a', 'b', 'a', 'b', 'a'].forEach(deliverTo);
   cluster = syncDisk(propose(cluster, 'a'), 'a', 9);
-  note('a has proposed and synced');
+  recordStep('a has proposed and synced');
   ['b', 'a'].forEach(deliverTo);
-  await matchSnapshot(import.meta.url, 'election and write', seen.join('\n'));
+  await matchSnapshot(import.meta.url, 'election and write', steps.join('\n'));
 });
 
 // Callers find no leader for good: a machine's timer fires a fraction of a millisecond early, which
 // is too early to stand for election, and if no later wake is asked for then none ever comes.
 test('A timer that fires a moment early is asked for again', () => {
-  const cluster = makeCluster({ voters: TRIO });
+  const cluster = makeCluster({ voters: VOTERS });
   const state = cluster.voters.a?.state;
   assert.ok(state !== undefined);
   const early = { now: state.electionDueAt - 0.4, wallNow: 0 };
--- a/packages/store-core/src/consensus/reduceConsensus.ts
+++ b/packages/store-core/src/consensus/reduceConsensus.ts
@@ -30,14 +30,14 @@
  * first connection. Where all were stopped at once there is none, and nothing can be changed or
  * read until one is elected: waiting the whole timeout doubled the time that callers went without.
  */
-const START_SHARE = 0.5;
+const INITIAL_WAIT_FRACTION_OF_ELECTION_TIMEOUT = 0.5;
 
-function start(context: StepContext): void {
+function handleStart(context: StepContext): void {
   const { state, now } = context;
-  const wait = state.settings.electionTimeout * START_SHARE;
-  setElectionTimer(context, wait);
+  const initialWait = state.settings.electionTimeout * INITIAL_WAIT_FRACTION_OF_ELECTION_TIMEOUT;
+  setElectionTimer(context, initialWait);
   // An empty disk has promised nothing; any other may have heard a leader just before it stopped.
-  if (state.term > 0) state.voteAfter = now + wait;
+  if (state.term > 0) state.voteAfter = now + initialWait;
   announceRole(context);
 }
 
@@ -45,7 +45,10 @@
  * Founds a cluster with this one as its only voter; all others are then added through the log. It
  * is for a disk that has never been part of a cluster, so that no lost disk founds a second one.
  */
-function found(context: StepContext, event: Extract<ConsensusEvent, { type: 'found' }>): void {
+function foundCluster(
+  context: StepContext,
+  event: Extract<ConsensusEvent, { type: 'found' }>,
+): void {
   const { state, wallNow } = context;
   if (state.term > 0 || lastIndexOf(state) > 0) return;
   enterTerm(state, 1);
@@ -55,7 +58,7 @@
   becomeLeader(context);
 }
 
-function timerFired(context: StepContext): void {
+function handleTimer(context: StepContext): void {
   const { state, now } = context;
   // Timers may fire a moment early. What was asked for is used up either way; without a new wake an
   // early one would be the last, and this voter would never stand for election again.
@@ -65,7 +68,7 @@
   else if (now >= state.electionDueAt) startPreVote(context);
 }
 
-function persistFailed(context: StepContext): void {
+function handlePersistFailure(context: StepContext): void {
   const { state } = context;
   state.readOnly = true;
   // What waits for the disk will never be promised.
@@ -84,7 +87,7 @@
 }
 
 /** True if the message is from our cluster and for this very disk; a stranger is refused. */
-function isForUs(context: StepContext, envelope: Envelope): boolean {
+function verifyOrRefuse(context: StepContext, envelope: Envelope): boolean {
   const { state, effects } = context;
   const { cluster, from, to } = envelope;
   if (cluster !== state.settings.cluster) {
@@ -103,7 +106,7 @@
 }
 
 function receive(context: StepContext, envelope: Envelope): void {
-  if (!isForUs(context, envelope)) return;
+  if (!verifyOrRefuse(context, envelope)) return;
   const { from, message } = envelope;
   switch (message.type) {
     case 'voteRequest':
@@ -129,7 +132,7 @@
   }
 }
 
-function persisted(context: StepContext, batch: number): void {
+function handlePersisted(context: StepContext, batch: number): void {
   completeBatches(context, batch);
   countOwnVote(context);
   const leader = leaderOf(context.state);
@@ -139,13 +142,13 @@
 function dispatch(context: StepContext, event: ConsensusEvent): void {
   switch (event.type) {
     case 'started':
-      start(context);
+      handleStart(context);
       break;
     case 'found':
-      found(context, event);
+      foundCluster(context, event);
       break;
     case 'timerFired':
-      timerFired(context);
+      handleTimer(context);
       break;
     case 'received':
       receive(context, event.envelope);
@@ -160,10 +163,10 @@
       changeMembership(context, event.requestId, event.change);
       break;
     case 'persisted':
-      persisted(context, event.batch);
+      handlePersisted(context, event.batch);
       break;
     case 'persistFailed':
-      persistFailed(context);
+      handlePersistFailure(context);
       break;
     case 'compacted':
       applyCompaction(context, event.header);
@@ -173,7 +176,7 @@
   }
 }
 
-function setTimer({ state, effects }: StepContext): void {
+function scheduleWake({ state, effects }: StepContext): void {
   const at = leaderOf(state)?.nextHeartbeatAt ?? state.electionDueAt;
   if (at === state.wakeAt) return;
   state.wakeAt = at;
@@ -197,7 +200,7 @@
   dispatch(context, event);
   flushChanges(context);
   takeSnapshotIfDue(context);
-  setTimer(context);
+  scheduleWake(context);
   state.halted = false;
   return effects;
 };
--- a/packages/store-core/src/consensus/removeUnreachableMember.ts
+++ b/packages/store-core/src/consensus/removeUnreachableMember.ts
@@ -17,9 +17,13 @@
 import type { StepContext } from './StepContext.js';
 
 /** A quorum is two of three as well as two of two, so the third of three is worth keeping. */
-const FEWEST_VOTERS = 3;
+const MIN_REACHABLE_VOTERS = 3;
 
-function silenceOf({ state, now }: StepContext, leader: LeaderState, identity: string): number {
+function millisecondsSinceResponse(
+  { state, now }: StepContext,
+  leader: LeaderState,
+  identity: string,
+): number {
   if (identity === state.self.identity) return 0;
   const progress = leader.progress[identity];
   return progress === undefined ? 0 : now - progress.lastResponseAt;
@@ -29,23 +33,23 @@
  * True if the deployment's bounds on losses still hold without the silent voters. Those that are
  * merely cut off come back, and changes must outlive as many lost disks meanwhile as at other times.
  */
-function enoughAreHeardOf(context: StepContext, leader: LeaderState): boolean {
+function hasEnoughReachableVoters(context: StepContext, leader: LeaderState): boolean {
   const { state } = context;
   const { electionTimeout, leastVoters } = state.settings;
-  const heardOf = votersOf(state).filter(
-    ({ identity }) => silenceOf(context, leader, identity) <= electionTimeout,
+  const reachableVoters = votersOf(state).filter(
+    ({ identity }) => millisecondsSinceResponse(context, leader, identity) <= electionTimeout,
   );
-  return heardOf.length >= Math.max(leastVoters, FEWEST_VOTERS);
+  return reachableVoters.length >= Math.max(leastVoters, MIN_REACHABLE_VOTERS);
 }
 
-function findSilentMember(context: StepContext, leader: LeaderState): Member | undefined {
+function findUnreachableMember(context: StepContext, leader: LeaderState): Member | undefined {
   const { state } = context;
-  const { unreachableMemberTimeout: silentMemberTimeout } = state.settings;
-  const votersMayGo = enoughAreHeardOf(context, leader);
+  const { unreachableMemberTimeout } = state.settings;
+  const canRemoveVoter = hasEnoughReachableVoters(context, leader);
   return currentMembership(state).members.find(
     ({ identity, role }) =>
-      (role === 'learner' || votersMayGo) &&
-      silenceOf(context, leader, identity) > silentMemberTimeout,
+      (role === 'learner' || canRemoveVoter) &&
+      millisecondsSinceResponse(context, leader, identity) > unreachableMemberTimeout,
   );
 }
 
@@ -53,12 +57,12 @@
 export function removeUnreachableMember(context: StepContext, leader: LeaderState): void {
   const { state, wallNow, effects } = context;
   if (state.settings.unreachableMemberTimeout === 0 || !mayChangeMembership(state, leader)) return;
-  const silent = findSilentMember(context, leader);
-  if (silent === undefined) return;
-  const { identity, address } = silent;
+  const unreachableMember = findUnreachableMember(context, leader);
+  if (unreachableMember === undefined) return;
+  const { identity, address } = unreachableMember;
   const membership = applyMembershipChange(state, { type: 'removeMember', identity });
   if (membership === undefined) return;
-  const silence = silenceOf(context, leader, identity);
+  const silence = millisecondsSinceResponse(context, leader, identity);
   effects.push({ type: 'silentMemberRemoved', instance: address.instance, silence });
   appendNewEntry(state, { type: 'membership', membership }, wallNow);
   updateReplicationTargets(context, leader);
--- a/packages/store-core/src/consensus/replacedStores.test.ts
+++ b/packages/store-core/src/consensus/replacedStores.test.ts
@@ -21,14 +21,14 @@
   unreachableMemberTimeout: 3000,
 };
 const VOTERS = ['a', 'b', 'c', 'd'];
-const SUCCESSORS = ['e', 'f', 'g'];
+const REPLACEMENTS = ['e', 'f', 'g'];
 
 /** Between two exchanges of stores a successor has this long to take its place. */
 const CATCH_UP_MILLISECONDS = 4000;
 
 function startCluster(): Schedule {
-  const cluster = makeCluster({ voters: VOTERS, spares: SUCCESSORS, settings });
-  const schedule: Schedule = { cluster: SUCCESSORS.reduce(crash, cluster), cutOff: [] };
+  const cluster = makeCluster({ voters: VOTERS, spares: REPLACEMENTS, settings });
+  const schedule: Schedule = { cluster: REPLACEMENTS.reduce(crash, cluster), cutOff: [] };
   passTime(schedule, 2000);
   return schedule;
 }
@@ -41,9 +41,9 @@
   schedule.cluster = restart(schedule.cluster, instance);
 }
 
-function replace(schedule: Schedule, gone: string, successor: string): void {
-  stop(schedule, gone);
-  start(schedule, successor);
+function replace(schedule: Schedule, removed: string, replacement: string): void {
+  stop(schedule, removed);
+  start(schedule, replacement);
   passTime(schedule, CATCH_UP_MILLISECONDS);
 }
 
@@ -53,7 +53,7 @@
   return leader.instance;
 }
 
-function votersNamedBy(schedule: Schedule, instance: string): string[] {
+function listVotersAccordingTo(schedule: Schedule, instance: string): string[] {
   const state = schedule.cluster.voters[instance]?.state;
   assert.ok(state !== undefined);
   return votersOf(state).map(({ address }) => address.instance);
@@ -64,11 +64,11 @@
   schedule.cluster = happen(schedule.cluster, leaderOf(schedule), event);
 }
 
-function assertTakesWrite(schedule: Schedule): void {
-  const before = schedule.cluster.acknowledgedIndex;
+function assertAcceptsWrite(schedule: Schedule): void {
+  const indexBefore = schedule.cluster.acknowledgedIndex;
   schedule.cluster = propose(schedule.cluster, leaderOf(schedule));
   passTime(schedule, 500);
-  assert.ok(schedule.cluster.acknowledgedIndex > before, 'a write is not acknowledged');
+  assert.ok(schedule.cluster.acknowledgedIndex > indexBefore, 'a write is not acknowledged');
   assert.equal(schedule.cluster.violation, undefined);
 }
 
@@ -77,34 +77,34 @@
   const schedule = startCluster();
   replace(schedule, 'b', 'e');
   replace(schedule, 'c', 'f');
-  assertTakesWrite(schedule);
-  const wiped = leaderOf(schedule);
-  stop(schedule, wiped);
-  schedule.cluster = loseDisk(schedule.cluster, wiped);
-  start(schedule, wiped);
+  assertAcceptsWrite(schedule);
+  const storeWithLostDisk = leaderOf(schedule);
+  stop(schedule, storeWithLostDisk);
+  schedule.cluster = loseDisk(schedule.cluster, storeWithLostDisk);
+  start(schedule, storeWithLostDisk);
   passTime(schedule, CATCH_UP_MILLISECONDS);
-  assertTakesWrite(schedule);
+  assertAcceptsWrite(schedule);
   replace(schedule, 'd', 'g');
-  assertTakesWrite(schedule);
+  assertAcceptsWrite(schedule);
   const running = ['a', 'e', 'f', 'g'];
   running.forEach((instance) => stop(schedule, instance));
   running.forEach((instance) => start(schedule, instance));
   passTime(schedule, 2000);
-  assertTakesWrite(schedule);
+  assertAcceptsWrite(schedule);
 });
 
 // Guards against a store that stands for election for ever after a long cut, as its log still has it vote.
 test('a store that was cut off until it was taken out votes again once it is back', () => {
   const schedule = startCluster();
-  const cut = leaderOf(schedule);
-  schedule.cutOff = [cut];
+  const isolated = leaderOf(schedule);
+  schedule.cutOff = [isolated];
   passTime(schedule, CATCH_UP_MILLISECONDS + 1500);
-  assert.equal(votersNamedBy(schedule, leaderOf(schedule)).includes(cut), false);
-  assertTakesWrite(schedule);
+  assert.equal(listVotersAccordingTo(schedule, leaderOf(schedule)).includes(isolated), false);
+  assertAcceptsWrite(schedule);
   schedule.cutOff = [];
   passTime(schedule, 2000);
-  assert.deepEqual(votersNamedBy(schedule, cut).toSorted(), VOTERS);
-  assertTakesWrite(schedule);
+  assert.deepEqual(listVotersAccordingTo(schedule, isolated).toSorted(), VOTERS);
+  assertAcceptsWrite(schedule);
 });
 
 // Guards against so few voters that the next lost disk takes acknowledged changes with it.
@@ -115,10 +115,10 @@
   passTime(schedule, CATCH_UP_MILLISECONDS);
   stop(schedule, second);
   passTime(schedule, CATCH_UP_MILLISECONDS);
-  const voters = votersNamedBy(schedule, leaderOf(schedule));
+  const voters = listVotersAccordingTo(schedule, leaderOf(schedule));
   assert.equal(voters.length, 3);
   assert.ok(voters.includes(second));
-  assertTakesWrite(schedule);
+  assertAcceptsWrite(schedule);
 });
 
 // Guards against a store that comes back by itself after an operator has taken it out.
@@ -128,6 +128,6 @@
   const identity = schedule.cluster.voters[removed]?.identity ?? '';
   changeMembers(schedule, { type: 'takeOutMember', identity });
   passTime(schedule, CATCH_UP_MILLISECONDS);
-  assert.equal(votersNamedBy(schedule, leaderOf(schedule)).includes(removed), false);
-  assertTakesWrite(schedule);
+  assert.equal(listVotersAccordingTo(schedule, leaderOf(schedule)).includes(removed), false);
+  assertAcceptsWrite(schedule);
 });
--- a/packages/store-core/src/consensus/replication.ts
+++ b/packages/store-core/src/consensus/replication.ts
@@ -25,7 +25,7 @@
 import { handlePartResponse } from './snapshots.js';
 import type { StepContext } from './StepContext.js';
 
-function promoteLearner(context: StepContext, leader: LeaderState): void {
+function promoteCaughtUpLearner(context: StepContext, leader: LeaderState): void {
   const { state, wallNow } = context;
   if (!mayChangeMembership(state, leader)) return;
   const learner = findPromotableLearner(state, leader);
@@ -36,7 +36,7 @@
 }
 
 /** A leader that the committed membership no longer names has done its last duty. */
-function leaveIfRemoved(context: StepContext): void {
+function stepDownIfRemoved(context: StepContext): void {
   const { state } = context;
   const committed = (state.memberships.at(-1)?.index ?? 0) <= state.commitIndex;
   if (committed && !isVoter(state, state.self.identity)) becomeFollower(context, state.term);
@@ -51,32 +51,32 @@
 /** Commits what a quorum has on disk, and does what that sets free. */
 export function advanceCommit(context: StepContext, leader: LeaderState): void {
   const { state } = context;
-  const matches = votersOf(state)
+  const matchIndexes = votersOf(state)
     .map(({ identity }) => matchIndexOf(state, leader, identity))
     .sort((a, b) => b - a);
-  const index = matches[quorumSize(state) - 1] ?? 0;
+  const index = matchIndexes[quorumSize(state) - 1] ?? 0;
   // Copies of an older term's entry prove nothing: a voter with a newer, shorter log can still be
   // elected and overwrite it after it was acknowledged.
-  const ownTerm = termAt(state, index) === state.term;
-  if (index > state.commitIndex && (ownTerm || !state.settings.safeguards.commitOwnTermOnly)) {
+  const isOwnTerm = termAt(state, index) === state.term;
+  if (index > state.commitIndex && (isOwnTerm || !state.settings.safeguards.commitOwnTermOnly)) {
     commitThrough(context, index);
-    if (state.settings.announceCommits) announceCommit(context, leader);
-    leaveIfRemoved(context);
+    if (state.settings.announceCommits) sendCommitIndex(context, leader);
+    stepDownIfRemoved(context);
   }
   if (state.role !== leader) return;
   startReadRound(context, leader);
-  promoteLearner(context, leader);
+  promoteCaughtUpLearner(context, leader);
 }
 
 /** Tells idle peers at once, so that they needn't wait for the next heartbeat to apply. */
-function announceCommit(context: StepContext, leader: LeaderState): void {
+function sendCommitIndex(context: StepContext, leader: LeaderState): void {
   otherMembers(context.state)
     .filter(({ identity }) => leader.progress[identity]?.mode === 'replicating')
     .forEach((member) => sendAppends(context, leader, member, true));
 }
 
 /** True if the answer comes from a run, or a disk, that the leader can't count on. */
-function refuseRun(
+function refuseUntrustedRun(
   context: StepContext,
   progress: Progress,
   from: Sender,
@@ -84,15 +84,15 @@
 ): boolean {
   const { state, effects } = context;
   if (!state.settings.safeguards.oldDiskRefused) return false;
-  const known = progress.run;
-  if (known?.count === from.run.count && known.token === from.run.token)
+  const knownRun = progress.run;
+  if (knownRun?.count === from.run.count && knownRun.token === from.run.token)
     return progress.diskRefused;
   const refuse = (reason: 'runOutdated' | 'diskOlder') => {
     sendNow(context, from, { type: 'refusal', reason, run: from.run });
     effects.push({ type: 'messageRefused', reason, from: from.instance });
     return true;
   };
-  if (known !== undefined && from.run.count <= known.count) return refuse('runOutdated');
+  if (knownRun !== undefined && from.run.count <= knownRun.count) return refuse('runOutdated');
   progress.run = from.run;
   progress.diskRefused = lastIndex < progress.matchIndex;
   if (progress.diskRefused) return refuse('diskOlder');
@@ -105,35 +105,40 @@
   return false;
 }
 
-function acceptMatch(state: ConsensusState, progress: Progress, matchIndex: number): void {
+function advanceMatchIndex(state: ConsensusState, progress: Progress, matchIndex: number): void {
   progress.matchIndex = Math.max(progress.matchIndex, matchIndex);
   progress.inFlight = progress.inFlight.filter((index) => index > progress.matchIndex);
   const wasBehind = progress.matchIndex < progress.nextIndex - 1;
   progress.nextIndex = Math.max(progress.nextIndex, progress.matchIndex + 1);
   // A heartbeat that was answered while the peer waits for its snapshot says nothing of its log.
-  const reachable = termAt(state, progress.nextIndex - 1) !== undefined;
-  if (progress.mode !== 'replicating' && !wasBehind && reachable) {
+  const isPreviousEntryInLog = termAt(state, progress.nextIndex - 1) !== undefined;
+  if (progress.mode !== 'replicating' && !wasBehind && isPreviousEntryInLog) {
     progress.mode = 'replicating';
     progress.inFlight = [];
   }
 }
 
-function backOff(
+function rewindNextIndex(
   state: ConsensusState,
   progress: Progress,
   conflict: Extract<AppendResponse['result'], { type: 'conflict' }>,
 ): void {
   if (conflict.previousIndex <= progress.matchIndex || progress.mode === 'snapshot') return;
-  const stale = progress.mode === 'probing' && conflict.previousIndex !== progress.nextIndex - 1;
-  if (stale) return;
-  let next = conflict.conflictIndex;
+  const isStale = progress.mode === 'probing' && conflict.previousIndex !== progress.nextIndex - 1;
+  if (isStale) return;
+  let nextIndex = conflict.conflictIndex;
   if (conflict.conflictTerm !== undefined) {
-    const shared = state.log.entries.findLast((entry) => entry.term === conflict.conflictTerm);
-    if (shared !== undefined && shared.index < conflict.previousIndex) {
-      next = Math.max(next, shared.index + 1);
+    const lastOfConflictTerm = state.log.entries.findLast(
+      (entry) => entry.term === conflict.conflictTerm,
+    );
+    if (lastOfConflictTerm !== undefined && lastOfConflictTerm.index < conflict.previousIndex) {
+      nextIndex = Math.max(nextIndex, lastOfConflictTerm.index + 1);
     }
   }
-  progress.nextIndex = Math.max(progress.matchIndex + 1, Math.min(next, conflict.previousIndex));
+  progress.nextIndex = Math.max(
+    progress.matchIndex + 1,
+    Math.min(nextIndex, conflict.previousIndex),
+  );
   progress.mode = 'probing';
   progress.inFlight = [];
 }
@@ -151,13 +156,14 @@
   const leader = state.role;
   if (leader.type !== 'leader' || response.term !== state.term) return;
   const progress = leader.progress[from.identity];
-  if (progress === undefined || refuseRun(context, progress, from, response.lastIndex)) return;
+  if (progress === undefined || refuseUntrustedRun(context, progress, from, response.lastIndex))
+    return;
   progress.lastResponseAt = now;
   progress.round = Math.max(progress.round, response.round);
   const { result } = response;
   const member = memberOf(state, from.identity);
-  if (result.type === 'accepted') acceptMatch(state, progress, result.matchIndex);
-  else if (result.type === 'conflict') backOff(state, progress, result);
+  if (result.type === 'accepted') advanceMatchIndex(state, progress, result.matchIndex);
+  else if (result.type === 'conflict') rewindNextIndex(state, progress, result);
   else if (member !== undefined) handlePartResponse(context, leader, member, result);
   advanceCommit(context, leader);
   confirmReads(context, leader);
@@ -168,7 +174,7 @@
  * An isolated leader would keep its callers waiting while the others go on under a new one. It
  * steps down once it hasn't heard from a quorum for an election timeout.
  */
-function hearsQuorum({ state, now }: StepContext, leader: LeaderState): boolean {
+function isQuorumReachable({ state, now }: StepContext, leader: LeaderState): boolean {
   const { electionTimeout } = state.settings;
   return hasQuorum(state, (identity) => {
     if (identity === state.self.identity) return true;
@@ -180,7 +186,7 @@
 export function handleLeaderTimer(context: StepContext, leader: LeaderState): void {
   const { state, now } = context;
   if (now < leader.nextHeartbeatAt) return;
-  if (!hearsQuorum(context, leader)) {
+  if (!isQuorumReachable(context, leader)) {
     becomeFollower(context, state.term);
     return;
   }
--- a/packages/store-core/src/consensus/roles.ts
+++ b/packages/store-core/src/consensus/roles.ts
@@ -51,9 +51,9 @@
  * Draws the next election timeout, between `least` and twice that; drawn apart, two voters seldom
  * split the votes twice.
  */
-export function setElectionTimer({ state, now }: StepContext, least: Milliseconds): void {
+export function setElectionTimer({ state, now }: StepContext, minDelay: Milliseconds): void {
   const generator = xoroshiro128plusFromState(state.random);
-  state.electionDueAt = now + least + uniformInt(generator, 0, Math.ceil(least));
+  state.electionDueAt = now + minDelay + uniformInt(generator, 0, Math.ceil(minDelay));
   state.random = [...generator.getState()];
 }
 
@@ -71,7 +71,7 @@
  * Settles what a leader still owed. An entry in the log may yet be committed by the next leader,
  * so its proposer is told `unsure`; a read has done nothing and may simply be asked elsewhere.
  */
-function settleRequests(context: StepContext, leader: LeaderState): void {
+function replyLeadershipLost(context: StepContext, leader: LeaderState): void {
   const { state } = context;
   state.pendingRequests.forEach(({ requestId }) => reply(context, requestId, { type: 'unsure' }));
   state.pendingRequests = [];
@@ -80,12 +80,12 @@
 
 export function becomeFollower(context: StepContext, term: number, leader?: string): void {
   const { state } = context;
-  const before = state.role;
-  if (before.type === 'leader') settleRequests(context, before);
+  const previousRole = state.role;
+  if (previousRole.type === 'leader') replyLeadershipLost(context, previousRole);
   const termChanged = term > state.term;
   if (termChanged) enterTerm(state, term);
-  if (before.type !== 'follower') resetElectionTimer(context);
+  if (previousRole.type !== 'follower') resetElectionTimer(context);
   state.role = { type: 'follower', leader };
-  const sameRole = before.type === 'follower' && before.leader === leader;
-  if (termChanged || !sameRole) announceRole(context);
+  const sameLeader = previousRole.type === 'follower' && previousRole.leader === leader;
+  if (termChanged || !sameLeader) announceRole(context);
 }
--- a/packages/store-core/src/consensus/snapshots.ts
+++ b/packages/store-core/src/consensus/snapshots.ts
@@ -19,14 +19,14 @@
 import type { StepContext } from './StepContext.js';
 
 /** Election timeouts after which a part that wasn't acknowledged is sent again. */
-const RESEND_AFTER_TIMEOUTS = 4;
+const RESEND_DELAY_IN_ELECTION_TIMEOUTS = 4;
 
 const NO_DATA = new Uint8Array(0);
 
-function awaitsAnswer({ state, now }: StepContext, progress: Progress): boolean {
+function isAwaitingAnswer({ state, now }: StepContext, progress: Progress): boolean {
   if (progress.mode !== 'snapshot' || progress.snapshotIndex !== state.snapshot.index) return false;
-  const patience = RESEND_AFTER_TIMEOUTS * state.settings.electionTimeout;
-  return now - progress.snapshotSentAt < patience;
+  const resendDelay = RESEND_DELAY_IN_ELECTION_TIMEOUTS * state.settings.electionTimeout;
+  return now - progress.snapshotSentAt < resendDelay;
 }
 
 /** Asks the shell to send a part of the newest snapshot, unless one is under way. */
@@ -36,10 +36,10 @@
   member: Member,
   progress: Progress,
 ): void {
-  if (!awaitsAnswer(context, progress)) sendPart(context, leader, member, progress);
+  if (!isAwaitingAnswer(context, progress)) sendSnapshotPart(context, leader, member, progress);
 }
 
-function sendPart(
+function sendSnapshotPart(
   context: StepContext,
   leader: LeaderState,
   member: Member,
@@ -62,9 +62,9 @@
     done: true,
     round: leader.round,
   });
-  const mostBytes = state.settings.maxBytesPerSnapshotPart;
+  const maxBytes = state.settings.maxBytesPerSnapshotPart;
   const { instance } = member.address;
-  effects.push({ type: 'sendSnapshot', instance, header, offset, maxBytes: mostBytes, envelope });
+  effects.push({ type: 'sendSnapshot', instance, header, offset, maxBytes, envelope });
 }
 
 /**
@@ -72,12 +72,12 @@
  * another one by now; the leader asks again.
  */
 export function fillSnapshotPart(
-  { header, offset, maxBytes: mostBytes, envelope }: SendSnapshotEffect,
+  { header, offset, maxBytes, envelope }: SendSnapshotEffect,
   saved: { readonly header: SnapshotHeader; readonly data: Uint8Array },
 ): Envelope | undefined {
   const { message } = envelope;
   if (saved.header.index !== header.index || message.type !== 'snapshotRequest') return undefined;
-  const data = saved.data.subarray(offset, offset + mostBytes);
+  const data = saved.data.subarray(offset, offset + maxBytes);
   const done = offset + data.length >= saved.data.length;
   return { ...envelope, message: { ...message, data, done } };
 }
@@ -91,24 +91,24 @@
 ): void {
   const progress = leader.progress[member.identity];
   if (progress?.mode !== 'snapshot' || progress.snapshotIndex !== part.index) return;
-  const isNews = part.receivedBytes > progress.acknowledgedSnapshotBytes;
+  const hasAdvanced = part.receivedBytes > progress.acknowledgedSnapshotBytes;
   // It may also be less: the peer has restarted. The next resend begins there.
   progress.acknowledgedSnapshotBytes = part.receivedBytes;
-  if (isNews) sendPart(context, leader, member, progress);
+  if (hasAdvanced) sendSnapshotPart(context, leader, member, progress);
 }
 
 /**
  * True while a peer takes in a snapshot; a new one now would make it begin anew. A peer that has
  * gone silent doesn't count, or the log would grow for as long as it is away.
  */
-function isSendingSnapshot({ state, now }: StepContext): boolean {
+function hasSnapshotTransferInProgress({ state, now }: StepContext): boolean {
   const { role } = state;
   if (role.type !== 'leader') return false;
   return Object.values(role.progress).some(
-    ({ mode, acknowledgedSnapshotBytes: snapshotBytes, lastResponseAt: lastHeardAt }) =>
+    ({ mode, acknowledgedSnapshotBytes, lastResponseAt }) =>
       mode === 'snapshot' &&
-      snapshotBytes > 0 &&
-      now - lastHeardAt <= state.settings.electionTimeout,
+      acknowledgedSnapshotBytes > 0 &&
+      now - lastResponseAt <= state.settings.electionTimeout,
   );
 }
 
@@ -119,7 +119,7 @@
  */
 export function takeSnapshotIfDue(context: StepContext): void {
   const { state, effects } = context;
-  if (state.snapshotInProgress || state.readOnly || isSendingSnapshot(context)) return;
+  if (state.snapshotInProgress || state.readOnly || hasSnapshotTransferInProgress(context)) return;
   if (state.appliedIndex - state.snapshot.index < state.settings.entriesPerSnapshot) return;
   const entry = entryAt(state, state.appliedIndex);
   if (entry === undefined) return;
@@ -148,17 +148,18 @@
 }
 
 /** Adds a part to the snapshot that is coming in; returns all of it once it is whole. */
-function collectParts(
+function addPart(
   state: ConsensusState,
   from: Sender,
   { term, header, offset, data, done }: SnapshotRequest,
 ): Uint8Array | undefined {
   const { index } = header;
-  const known = state.incomingSnapshot;
-  const fits = known?.sender === from.identity && known.term === term && known.index === index;
+  const current = state.incomingSnapshot;
+  const continuesCurrent =
+    current?.sender === from.identity && current.term === term && current.index === index;
   // Parts of two leaders may not be mixed: each encodes its own state machine.
-  const incoming = fits
-    ? known
+  const incoming = continuesCurrent
+    ? current
     : { sender: from.identity, term, index, parts: [], receivedBytes: 0 };
   state.incomingSnapshot = incoming;
   if (offset !== incoming.receivedBytes) return undefined;
@@ -168,13 +169,13 @@
 }
 
 function joinParts(parts: readonly Uint8Array[], bytes: number): Uint8Array {
-  const whole = new Uint8Array(bytes);
+  const joined = new Uint8Array(bytes);
   let offset = 0;
   parts.forEach((part) => {
-    whole.set(part, offset);
+    joined.set(part, offset);
     offset += part.length;
   });
-  return whole;
+  return joined;
 }
 
 function installSnapshot(context: StepContext, header: SnapshotHeader, data: Uint8Array): void {
@@ -189,8 +190,8 @@
   state.commitIndex = header.index;
   state.appliedIndex = header.index;
   state.durableIndex = Math.min(state.durableIndex, header.index);
-  state.unsyncedBatches.forEach((write) => {
-    write.lastIndex = Math.min(write.lastIndex, header.index);
+  state.unsyncedBatches.forEach((unsyncedBatch) => {
+    unsyncedBatch.lastIndex = Math.min(unsyncedBatch.lastIndex, header.index);
   });
   state.dirty = { vote: state.dirty.vote, snapshot: { header, data } };
   effects.push({ type: 'restore', header, data });
@@ -208,7 +209,7 @@
   // and dropping them would take back a copy that the leader has counted.
   if (termAt(state, header.index) === header.term) commitThrough(context, header.index);
   else if (header.index > state.commitIndex) {
-    const data = collectParts(state, from, request);
+    const data = addPart(state, from, request);
     if (data === undefined) {
       const receivedBytes = state.incomingSnapshot?.receivedBytes ?? 0;
       respondToAppend(context, from, request.round, {
