--- a/packages/store-core/src/consensus/ConsensusState.ts
+++ b/packages/store-core/src/consensus/ConsensusState.ts
@@ -1,29 +1,37 @@
 /**
- * The state of one voter. It is plain data and changed in place by the reducer alone. What must
- * outlive the process is handed to the disk by `persist` effects (see `persistence.ts`); all else
- * is rebuilt by elections and appends.
+ * Settings and state of one store in the replicated log. The state is plain data and changed in
+ * place by the reducer alone. `persist` effects write what must survive a restart (see
+ * `persistence.ts`); the rest is rebuilt by elections and appends.
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { Envelope, LogEntry, Membership, Sender, SnapshotHeader } from './consensusTypes.js';
 
-/** Safeguards that tests switch off one by one, to show that the checks notice. */
+/**
+ * Safety rules of the protocol. Production has all of them on; tests turn one off at a time to show
+ * that their checks detect the violation.
+ */
 export interface Safeguards {
   /** A quorum is more than half of the voters. */
   readonly quorumIsMajority: boolean;
-  /** A read waits for a round of answers that proves the leader still leads. */
+  /** A read waits until a quorum has confirmed that the leader still leads. */
   readonly readNeedsRound: boolean;
-  /** Only an entry of the leader's own term is committed by counting copies. */
+  /** Counting copies commits only entries of the leader's own term. */
   readonly commitOwnTermOnly: boolean;
-  /** A membership change waits until the one before is committed. */
+  /**
+   * A membership change is refused until the previous one, and an entry of the leader's own term,
+   * are committed.
+   */
   readonly oneChangeAtATime: boolean;
-  /** A learner becomes a voter only when it holds all that is committed. */
+  /** A learner becomes a voter only once it holds all committed entries. */
   readonly promoteWhenCaughtUp: boolean;
-  /** One vote a term. */
+  /** A store votes for at most one candidate per term. */
   readonly oneVotePerTerm: boolean;
-  /** A vote goes only to a candidate whose log is at least as new. */
+  /** A vote goes only to a candidate whose log is at least as up to date as the voter's. */
   readonly voteForNewerLog: boolean;
-  /** A voter that acknowledged more than its disk now holds is turned away. */
+  /**
+   * Responses are refused from a disk that lacks entries it acknowledged, and from an outdated run.
+   */
   readonly oldDiskRefused: boolean;
 }
 
@@ -40,27 +48,38 @@
 
 export interface ConsensusSettings {
   readonly cluster: string;
-  /** Least election timeout; the timeout is drawn between it and its double. */
+  /** Minimum election timeout; each timeout is drawn between it and its double. */
   readonly electionTimeout: Milliseconds;
   readonly heartbeatInterval: Milliseconds;
   readonly maxEntriesPerAppend: number;
-  /** Rough size of one append, well below the largest frame of the transport. */
+  /**
+   * Approximate size limit of one append, well below the largest frame of the transport. A single
+   * larger entry is still sent.
+   */
   readonly maxBytesPerAppend: number;
-  /** Size of the parts in which a snapshot is sent. */
+  /** Size limit of the parts in which a snapshot is sent. */
   readonly maxBytesPerSnapshotPart: number;
-  /** Appends under way to one peer before its first answer. */
+  /** Unanswered appends to one peer. */
   readonly maxAppendsInFlight: number;
-  /** A member that the leader has not heard of for so long is taken for gone; 0: never. */
+  /** A member from which the leader receives nothing for longer than this is removed; 0: never. */
   readonly unreachableMemberTimeout: Milliseconds;
-  /** No voter that is taken for gone is removed while fewer than so many are heard of. */
+  /**
+   * Number of reachable voters below which no unreachable voter is removed; values below 3 count as
+   * 3.
+   */
   readonly leastVoters: number;
-  /** Uncommitted entries above which proposals are refused. */
+  /** Number of uncommitted entries at which proposals are refused. */
   readonly maxUncommittedEntries: number;
-  /** Applied entries after which a snapshot is taken. */
+  /** Number of entries applied after the last snapshot at which the next one is taken. */
   readonly entriesPerSnapshot: number;
-  /** Entries kept in memory below a snapshot, so that a short absence needs no snapshot. */
+  /**
+   * Entries kept in memory below a snapshot, so that a member that misses only these needs no
+   * snapshot.
+   */
   readonly trailingEntries: number;
-  /** Tells idle peers of each commit at once, at the price of a message. */
+  /**
+   * Sends each new commit index to replicating peers immediately, at the cost of one message each.
+   */
   readonly announceCommits: boolean;
   readonly safeguards: Safeguards;
 }
@@ -87,40 +106,43 @@
   entries: LogEntry[];
 }
 
-/** A membership and the index of the entry that brought it. */
+/** A membership and the index of the log entry or snapshot that introduced it. */
 export interface IndexedMembership {
   readonly index: number;
   readonly membership: Membership;
 }
 
-/** What a leader knows of one other member. */
+/** What a leader tracks about one other member. */
 export interface Progress {
   matchIndex: number;
   nextIndex: number;
-  /** `probing` sends one append and waits; `replicating` runs ahead; `snapshot` waits for one. */
+  /**
+   * Entries are sent one append at a time while `probing`, pipelined while `replicating`, and not
+   * at all while the peer first needs a `snapshot`.
+   */
   mode: 'probing' | 'replicating' | 'snapshot';
-  /** Last indexes of the appends under way. */
+  /** Last index of each unanswered append that carries entries. */
   inFlight: number[];
-  /** Latest quorum round answered. */
+  /** Number of the latest quorum round that this peer answered; see `reads.ts`. */
   round: number;
   lastResponseAt: MonotonicMilliseconds;
   snapshotSentAt: MonotonicMilliseconds;
-  /** The snapshot being sent, and how much of it was acknowledged. */
+  /** The snapshot being sent, and how many of its bytes were acknowledged. */
   snapshotIndex: number;
   acknowledgedSnapshotBytes: number;
   run?: Sender['run'];
-  /** True once its disk has shown to be older than what it acknowledged. */
+  /** True once the peer's disk has turned out to be older than what it acknowledged. */
   diskRefused: boolean;
 }
 
 export interface PendingRead {
   readonly requestId: string;
-  /** Round that must be answered by a quorum; 0 while the read waits for one to begin. */
+  /** Number of the quorum round that must be answered; 0 until one begins for this read. */
   round: number;
   readIndex: number;
 }
 
-/** A message that is held back until a batch is on disk. */
+/** A message that is sent only once `batch` is on disk. */
 export interface PendingMessage {
   readonly batch: number;
   readonly instance: string;
@@ -133,7 +155,7 @@
       readonly type: 'candidate';
       readonly preVote: boolean;
       votes: string[];
-      /** Voters that answered no. */
+      /** Voters that denied their vote. */
       rejections: string[];
     }
   | {
@@ -148,7 +170,7 @@
 
 export type LeaderState = Extract<RoleState, { type: 'leader' }>;
 
-/** A snapshot that is coming in, in parts that all come from one leader. */
+/** A snapshot that is being received, in parts that all come from one leader. */
 export interface IncomingSnapshot {
   readonly sender: string;
   readonly term: number;
@@ -157,7 +179,7 @@
   receivedBytes: number;
 }
 
-/** Changes not yet handed to the disk. */
+/** Changes that no `persist` effect covers yet. */
 export interface DirtyState {
   vote: boolean;
   truncateFrom?: number;
@@ -173,36 +195,48 @@
   role: RoleState;
   log: MemoryLog;
   memberships: IndexedMembership[];
-  /** The newest snapshot on disk. */
+  /** Header of the newest snapshot, saved here or received from a leader. */
   snapshot: SnapshotHeader;
+  /** True from the `takeSnapshot` effect to the `compacted` event. */
   snapshotInProgress: boolean;
   incomingSnapshot?: IncomingSnapshot;
   commitIndex: number;
   appliedIndex: number;
-  /** Requests waiting for their entry, by index; only ours as the leader of this term. */
+  /**
+   * Requests that wait for the commit of their entry, in order of index; only those that this store
+   * accepted as leader of the current term.
+   */
   pendingRequests: { readonly index: number; readonly requestId: string }[];
   dirty: DirtyState;
-  /** Number of the last batch handed to the disk, and of the last one synced. */
+  /** Number of the last batch sent to the disk, and of the last one synced. */
   lastBatch: number;
   syncedBatch: number;
   unsyncedBatches: { readonly batch: number; lastIndex: number }[];
-  /** Last index of our log that is on our disk. */
+  /** Last index of this log that is on disk. */
   durableIndex: number;
   pendingMessages: PendingMessage[];
+  /**
+   * True once a write to the disk has failed; the store then neither follows, votes nor campaigns.
+   */
   readOnly: boolean;
-  /** True once an event has failed half-way; nothing is done or promised from then on. */
+  /**
+   * True while an event is handled, and for good if that throws: all later events are then ignored.
+   */
   halted: boolean;
-  /** True once a peer has shown that this disk is older than its promises. */
+  /**
+   * True once a peer has reported that this disk is older than its acknowledgements, or this run
+   * outdated.
+   */
   diskRefused: boolean;
   electionDueAt: MonotonicMilliseconds;
-  /** Until then this voter votes for no one: it has heard a leader, or has just started. */
+  /** Until then this store grants no vote: it has received from a leader, or has just started. */
   voteAfter: MonotonicMilliseconds;
-  /** State of the seeded generator. */
+  /** State of the seeded random number generator. */
   random: readonly number[];
   wakeAt: MonotonicMilliseconds;
 }
 
-/** What was read from the disk. */
+/** What the disk held at the start of the process. */
 export interface RestoredState {
   readonly self: Sender;
   readonly term: number;
@@ -213,7 +247,7 @@
 
 const EMPTY_HEADER: SnapshotHeader = { index: 0, term: 0, at: 0, membership: { members: [] } };
 
-/** Makes the state of a voter that has just started, from what its disk holds. */
+/** Makes the state of a store that has just started. */
 export function createConsensusState(
   settings: ConsensusSettings,
   restored: RestoredState,
--- a/packages/store-core/src/consensus/StepContext.ts
+++ b/packages/store-core/src/consensus/StepContext.ts
@@ -1,4 +1,6 @@
-/** What the sub-reducers share while one event is being reduced. */
+/**
+ * The state, the times and the collected effects that all modules share while one event is handled.
+ */
 import type { EpochMilliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { ConsensusEffect } from './consensusEvents.js';
 import type { ConsensusState } from './ConsensusState.js';
--- a/packages/store-core/src/consensus/appends.ts
+++ b/packages/store-core/src/consensus/appends.ts
@@ -1,4 +1,7 @@
-/** The leader's appends to its peers: they run ahead of their answers, up to a bound. */
+/**
+ * Appends from the leader to its peers, pipelined up to `maxAppendsInFlight`. A peer that needs a
+ * compacted entry is sent a snapshot instead.
+ */
 import type { Member } from './consensusTypes.js';
 import type { ConsensusState, LeaderState, Progress } from './ConsensusState.js';
 import { limitEntriesToBytes } from './estimateEntryBytes.js';
@@ -50,7 +53,10 @@
   return entries.length;
 }
 
-/** Sends all that may be under way now, and at least one message if `always`. */
+/**
+ * Sends as many appends as may be unanswered at a time, or one empty append if there are none and
+ * `evenIfEmpty`. A peer with a refused disk gets none.
+ */
 export function sendAppends(
   context: StepContext,
   leader: LeaderState,
@@ -62,7 +68,7 @@
   if (progress === undefined || progress.diskRefused) return;
   if (termAt(state, progress.nextIndex - 1) === undefined) {
     sendSnapshot(context, leader, member, progress);
-    // An append that matches every log keeps the peer from calling an election meanwhile.
+    // An empty append that matches every log keeps the peer from campaigning meanwhile.
     if (evenIfEmpty) sendOneAppend(context, leader, member, 0, 0, 0);
     return;
   }
@@ -101,7 +107,10 @@
   );
 }
 
-/** Makes the leader's book of peers agree with the membership that has just changed. */
+/**
+ * Adjusts the tracked peers to a membership that has just changed, then sends appends to all of
+ * them.
+ */
 export function updateReplicationTargets(context: StepContext, leader: LeaderState): void {
   const { state, now } = context;
   const members = otherMembers(state);
--- a/packages/store-core/src/consensus/commit.ts
+++ b/packages/store-core/src/consensus/commit.ts
@@ -1,9 +1,11 @@
-/** Moves the commit index on, hands committed entries to the state machine, answers proposers. */
+/** Advances the commit index, applies committed entries in order and answers their proposers. */
 import { entryAt } from './memoryLog.js';
 import { reply } from './roles.js';
 import type { StepContext } from './StepContext.js';
 
-/** Answers the proposer of an entry right after it was applied, while its result is at hand. */
+/**
+ * Answers the proposer directly after its entry is applied, while the shell still has the result.
+ */
 function replyToProposer(context: StepContext, index: number): void {
   const { state } = context;
   const [oldestRequest] = state.pendingRequests;
--- a/packages/store-core/src/consensus/consensusEvents.ts
+++ b/packages/store-core/src/consensus/consensusEvents.ts
@@ -1,6 +1,6 @@
 /**
- * What happens to a voter (events) and what its shell must do about it (effects). The shell
- * carries out the effects of one event in their order before it hands in the next event.
+ * Inputs of the consensus reducer (events), its outputs (effects) and the outcomes of requests. The
+ * shell carries out the effects of one event in order before it passes in the next event.
  */
 import type { EpochMilliseconds, Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type {
@@ -23,20 +23,20 @@
 }
 
 export type MembershipChange =
-  /** The learner is made a voter by the leader as soon as it has caught up. */
+  /** The leader makes the learner a voter as soon as it has caught up. */
   | { readonly type: 'addLearner'; readonly member: Omit<Member, 'role'> }
   | { readonly type: 'removeMember'; readonly identity: string }
-  /** As `removeMember`, for good: the identity is not let in again. */
+  /** As `removeMember`, but for good: the identity cannot join again. */
   | { readonly type: 'takeOutMember'; readonly identity: string };
 
 export type ConsensusEvent = Timestamps &
   (
     | { readonly type: 'started' }
-    /** Founds a new cluster whose only voter is this one; refused unless the disk is empty. */
+    /** Founds a new cluster with this store as its only voter; ignored unless the disk is empty. */
     | { readonly type: 'found'; readonly member: Omit<Member, 'role'> }
     | { readonly type: 'timerFired' }
     | { readonly type: 'received'; readonly envelope: Envelope }
-    /** Proposals that came in together go into the log as one batch. */
+    /** Proposals that arrived together are appended in one step and written as one batch. */
     | { readonly type: 'propose'; readonly proposals: readonly Proposal[] }
     | { readonly type: 'read'; readonly requestId: string }
     | {
@@ -46,23 +46,25 @@
       }
     /** All batches up to this one are synced. */
     | { readonly type: 'persisted'; readonly batch: number }
-    /** A batch could not be written; the disk takes no more. */
+    /** A batch could not be written; the disk accepts no further writes. */
     | { readonly type: 'persistFailed'; readonly reason: string }
-    /** The snapshot asked for by `takeSnapshot` is synced. */
+    /** The snapshot requested by `takeSnapshot` is synced. */
     | { readonly type: 'compacted'; readonly header: SnapshotHeader }
   );
 
-/** The fate of a request. */
+/** The result of a proposal, a read or a membership change. */
 export type RequestOutcome =
-  /** The entry is committed; its `apply` effect came right before this reply. */
+  /** The entry is committed; its `apply` effect comes directly before this reply. */
   | { readonly type: 'committed'; readonly index: number }
-  /** The state machine may be read now: it holds every write acknowledged before the read came. */
+  /**
+   * The state machine may be read now: it holds every write acknowledged before the read arrived.
+   */
   | { readonly type: 'readable'; readonly index: number }
-  /** Nothing was done here; `leader` is an instance name. */
+  /** The request had no effect here; `leader` is the instance name of the leader, if known. */
   | { readonly type: 'notLeader'; readonly leader?: string }
-  /** Nothing was appended and nothing will be. */
+  /** Nothing was appended for this request. */
   | { readonly type: 'unavailable'; readonly reason: UnavailableReason }
-  /** Leadership was lost with the entry in the log; it may or may not be committed. */
+  /** Leadership was lost after the entry was appended; it may or may not be committed. */
   | { readonly type: 'unsure' };
 
 export const unavailableReasons = [
@@ -73,22 +75,22 @@
 ] as const;
 export type UnavailableReason = (typeof unavailableReasons)[number];
 
-/** One write to the disk. Everything in it is durable, or counts for nothing. */
+/** One write to the disk. It is durable as a whole or not at all. */
 export interface PersistEffect {
   readonly type: 'persist';
   readonly batch: number;
   /** Present if the term or the vote has changed. */
   readonly vote?: { readonly term: number; readonly votedFor?: string };
-  /** Replaces the log up to its index, and all of it where the log differs there. */
+  /** Replaces the log up to its index, or all of it if the log has no entry of that term there. */
   readonly snapshot?: { readonly header: SnapshotHeader; readonly data: Uint8Array };
-  /** Everything from this index on is dropped before `entries` are added. */
+  /** All entries from this index on are dropped before `entries` are added. */
   readonly truncateFrom?: number;
   readonly entries: readonly LogEntry[];
 }
 
 /**
- * Sends `envelope` with a part of the newest snapshot in it; `fillSnapshotPart` puts it there. The
- * next part is asked for when this one was acknowledged.
+ * Sends `envelope` with a part of the newest snapshot, which `fillSnapshotPart` adds. The next part
+ * is sent once this one is acknowledged.
  */
 export interface SendSnapshotEffect {
   readonly type: 'sendSnapshot';
@@ -108,14 +110,14 @@
     }
   | SendSnapshotEffect
   | { readonly type: 'apply'; readonly index: number; readonly entry: LogEntry }
-  /** The state machine is to be replaced by this snapshot. */
+  /** Replaces the state machine by this snapshot. */
   | { readonly type: 'restore'; readonly header: SnapshotHeader; readonly data: Uint8Array }
-  /** The state machine as it is now is to be saved under this header. */
+  /** Saves the current state machine under this header. */
   | { readonly type: 'takeSnapshot'; readonly header: SnapshotHeader }
-  /** Segments that hold nothing above this index may go. */
+  /** Log segments without entries above this index may be deleted. */
   | { readonly type: 'discardLog'; readonly throughIndex: number }
   | { readonly type: 'reply'; readonly requestId: string; readonly outcome: RequestOutcome }
-  /** Calls for `timerFired` at this time; it replaces the time asked for before. */
+  /** Requests `timerFired` at this time, in place of the time requested before. */
   | { readonly type: 'wake'; readonly at: MonotonicMilliseconds }
   | { readonly type: 'membershipChanged'; readonly membership: Membership }
   | {
@@ -124,7 +126,7 @@
       readonly term: number;
       readonly leader?: string;
     }
-  /** A round of votes has ended without a quorum; names are instances. */
+  /** A pre-vote or an election has ended without a quorum; names are instances. */
   | {
       readonly type: 'electionFailed';
       readonly preVote: boolean;
@@ -132,16 +134,20 @@
       readonly quorum: number;
       readonly granted: readonly string[];
       readonly refused: readonly string[];
-      /** Voters that have not answered. */
+      /** Voters that did not answer. */
       readonly silent: readonly string[];
     }
-  /** A member was taken for gone. */
+  /** The leader has appended the removal of an unreachable member. */
   | {
       readonly type: 'silentMemberRemoved';
       readonly instance: string;
+      /** Time since the member's last response. */
       readonly silence: Milliseconds;
     }
-  /** A message was refused; for counters. */
+  /** A message was refused. */
   | { readonly type: 'messageRefused'; readonly reason: RefusalReason; readonly from: string }
-  /** This disk is older than what it has promised. The shell makes a new identity and restarts. */
+  /**
+   * Peers refuse this disk as older than its acknowledgements, or this run as outdated. The shell
+   * makes a new identity and restarts.
+   */
   | { readonly type: 'diskRefused'; readonly reason: RefusalReason };
--- a/packages/store-core/src/consensus/consensusExploration.test.ts
+++ b/packages/store-core/src/consensus/consensusExploration.test.ts
@@ -20,7 +20,7 @@
   type Scenario,
 } from './testing/scenario.js';
 
-/** Two voters have won their pre-votes and have asked for votes in the same term. */
+/** a and c have won their pre-votes and have requested votes in the same term. */
 function prepareTwoCandidates(fault: Fault): ModelCluster {
   let cluster = fireTimer(fireTimer(trio(fault), 'a'), 'c');
   cluster = deliverAll(cluster, (message) => message.instance === 'b');
@@ -28,7 +28,7 @@
   return syncDisk(syncDisk({ ...cluster, network: [] }, 'a', 1), 'c', 1);
 }
 
-/** A leads again, and holds an entry of an older term that c, elected in between, lacks. */
+/** a leads again, and has an entry of an earlier term that c, elected in between, lacks. */
 function prepareOldTermEntry(fault: Fault): ModelCluster {
   const isLedBy = (instance: string) => (cluster: ModelCluster) =>
     currentLeader(cluster)?.instance === instance;
@@ -37,16 +37,16 @@
   cluster = fireTimer({ ...crash(cluster, 'a'), network: [] }, 'c');
   cluster = syncDisk(runAmong(cluster, ['b', 'c'], isLedBy('c')), 'c', 9);
   cluster = restart(restart({ ...crash(cluster, 'c'), network: [] }, 'c'), 'a');
-  // The first attempt only tells a of the newer term.
+  // The first election fails, but a receives the newer term.
   cluster = runAmong(fireTimer(cluster, 'a'), ['a', 'b'], isLedBy('a'));
   cluster = runAmong(fireTimer(cluster, 'a'), ['a', 'b'], isLedBy('a'));
   assert.equal(currentLeader(cluster)?.instance, 'a');
-  // Until here c was out of reach.
+  // c was unreachable until here, so the messages to it are dropped.
   const withoutC = cluster.network.filter(({ instance }) => instance !== 'c');
   return { ...cluster, network: withoutC };
 }
 
-/** The first leader is cut off while the second acknowledges a write. */
+/** a, the first leader, is partitioned while b, the second, acknowledges a write. */
 function prepareTwoLeaders(fault: Fault): ModelCluster {
   const first = lead(trio(fault), 'a');
   return settleWithout(propose(lead(first, 'b', ['a']), 'b'), ['a']);
@@ -61,7 +61,7 @@
     faults: [{ off: 'oneVotePerTerm' }, { mutation: 'voteForgotten' }],
   },
   {
-    name: 'a write and a change of leader',
+    name: 'a write during a change of leader',
     prepare: (fault) => lead(trio(fault), 'a'),
     budget: { timeouts: { b: 1 }, proposals: 1, crashes: 1, duplicates: 1 },
     mostSteps: 10,
@@ -75,7 +75,7 @@
     faults: [{ off: 'commitOwnTermOnly' }],
   },
   {
-    name: 'a read at a leader that has a successor',
+    name: 'a read at a leader that was replaced',
     prepare: prepareTwoLeaders,
     budget: { timeouts: { c: 1 }, reads: 2, proposals: 1 },
     mostSteps: 8,
@@ -84,13 +84,13 @@
 ];
 
 scenarios.forEach((scenario) => {
-  test(`Nothing goes wrong in ${scenario.name}`, (context) => {
+  test(`No check fails in ${scenario.name}`, (context) => {
     const exploration = explore(context, scenario, {});
     assert.equal(exploration.violation, undefined);
     assert.equal(exploration.exhaustive, true);
   });
   scenario.faults.forEach((fault) => {
-    test(`${fault.off ?? fault.mutation} is caught in ${scenario.name}`, (context) => {
+    test(`${fault.off ?? fault.mutation} is detected in ${scenario.name}`, (context) => {
       const exploration = explore(context, scenario, fault);
       assert.ok(exploration.violation !== undefined);
       context.diagnostic(exploration.violation.reason);
--- a/packages/store-core/src/consensus/consensusSchedules.test.ts
+++ b/packages/store-core/src/consensus/consensusSchedules.test.ts
@@ -59,7 +59,7 @@
     totals.quorate += 1;
     assert.ok(
       schedule.cluster.acknowledgedIndex > indexBefore,
-      'the healed cluster takes no write',
+      'the healed cluster accepts no write',
     );
   });
   fc.assert(property, { seed, numRuns, endOnFailure: true });
@@ -69,19 +69,19 @@
 const THREE_VOTERS = ['a', 'b', 'c'];
 const FIVE_VOTERS = ['a', 'b', 'c', 'd', 'e'];
 
-test('Random schedules do no harm to three voters', (context) => {
+test('Random schedules fail no check with three voters', (context) => {
   checkSchedules(context, { voters: THREE_VOTERS }, 301, 150);
 });
 
-test('Random schedules do no harm to five voters', (context) => {
+test('Random schedules fail no check with five voters', (context) => {
   checkSchedules(context, { voters: FIVE_VOTERS }, 501, 80);
 });
 
-test('Random schedules do no harm to three voters and two spares', (context) => {
+test('Random schedules fail no check with three voters and two spares', (context) => {
   checkSchedules(context, { voters: THREE_VOTERS, spares: ['d', 'e'] }, 302, 80);
 });
 
-test('Random schedules do no harm while silent members are taken out', (context) => {
+test('Random schedules fail no check while unreachable members are removed', (context) => {
   const removalSettings = { ...settings, unreachableMemberTimeout: 1500, leastVoters: 3 };
   checkSchedules(
     context,
@@ -96,7 +96,7 @@
   readonly mutation?: ShellMutation;
 }
 
-// A forgotten vote is left to the explorer: the wait after a start hides it from real timers.
+// voteForgotten is left to the explorer: here the wait after a start hides it.
 const faults: readonly Fault[] = [
   { mutation: 'acknowledgeBeforeSync' },
   { mutation: 'lostDiskKeepsIdentity' },
@@ -108,7 +108,7 @@
 ];
 
 faults.forEach(({ off, mutation }) => {
-  test(`Random schedules catch ${off ?? mutation}`, (context) => {
+  test(`Random schedules detect ${off ?? mutation}`, (context) => {
     const safeguards = off === undefined ? allSafeguards : { ...allSafeguards, [off]: false };
     const options = { voters: THREE_VOTERS, settings: { ...settings, safeguards }, mutation };
     let violation: string | undefined;
--- a/packages/store-core/src/consensus/consensusTypes.ts
+++ b/packages/store-core/src/consensus/consensusTypes.ts
@@ -1,17 +1,16 @@
 /**
- * The values that the replicated log is made of: members, entries, messages. All are plain data,
- * so that they pass through a codec, a structured clone and the state explorer unchanged.
- *
- * A member is known by the random identity of its disk, never by its instance name alone. An
- * instance whose disk was lost comes back under a new identity, so whatever the old disk has
- * promised (votes, copies of entries) can't be claimed by the empty one.
+ * The values that the replicated log is made of: members, entries, messages. All are plain data, so
+ * that they pass through a codec, a structured clone and the state explorer unchanged. A member is
+ * identified by the random identity of its disk, never by its instance name alone: an instance
+ * whose disk was lost gets a new identity, so that votes and acknowledgements of the lost disk are
+ * never attributed to the empty one.
  */
 import type { EpochMilliseconds, VoterAddress } from '@hornbeampond/schema';
 
 export type MemberRole = 'voter' | 'learner';
 
 export interface Member {
-  /** Random name of the member's disk, made when its data folder was made. */
+  /** Random name of the member's disk, generated together with its data folder. */
   readonly identity: string;
   readonly role: MemberRole;
   readonly address: VoterAddress;
@@ -19,7 +18,7 @@
 
 export interface Membership {
   readonly members: readonly Member[];
-  /** Identities that an operator has taken out; they are not let in again. */
+  /** Identities that an operator removed for good; they cannot join again. */
   readonly takenOut?: readonly string[];
 }
 
@@ -27,18 +26,18 @@
 export type EntryBody =
   | { readonly type: 'command'; readonly command: unknown }
   | { readonly type: 'membership'; readonly membership: Membership }
-  /** Written by each new leader, so that entries of earlier terms can be committed under it. */
+  /** Appended by each new leader; committing it also commits the entries of earlier terms. */
   | { readonly type: 'noOperation' };
 
 export interface LogEntry {
   readonly index: number;
   readonly term: number;
-  /** Wall clock of the leader that made the entry; it never goes back along the log. */
+  /** Wall clock of the leader that made the entry; it never decreases along the log. */
   readonly at: EpochMilliseconds;
   readonly body: EntryBody;
 }
 
-/** What a snapshot stands for: the log up to and including `index`. */
+/** The part of the log that a snapshot replaces: all entries up to and including `index`. */
 export interface SnapshotHeader {
   readonly index: number;
   readonly term: number;
@@ -49,20 +48,20 @@
 
 /** One run of a store process on its disk. */
 export interface ProcessRun {
-  /** Grows with each start and is synced before the first message is sent. */
+  /** Increases with each start and is synced before the first message is sent. */
   readonly count: number;
-  /** Random; tells two runs apart that were started from copies of one disk. */
+  /** Random; distinguishes two runs that were started from copies of one disk. */
   readonly token: string;
 }
 
-/** Who sent a message. */
+/** The sender of a message. */
 export interface Sender {
   readonly instance: string;
   readonly identity: string;
   readonly run: ProcessRun;
 }
 
-/** Asks for a vote, or with `preVote` only whether one would be given. */
+/** Requests a vote, or with `preVote` only asks whether one would be granted. */
 export interface VoteRequest {
   readonly type: 'voteRequest';
   readonly preVote: boolean;
@@ -74,7 +73,7 @@
 export interface VoteResponse {
   readonly type: 'voteResponse';
   readonly preVote: boolean;
-  /** The term that was asked for if granted, else the term of the responder. */
+  /** The requested term if granted, otherwise the responder's term. */
   readonly term: number;
   readonly granted: boolean;
 }
@@ -94,19 +93,25 @@
   readonly type: 'appendResponse';
   readonly term: number;
   readonly round: number;
-  /** The responder's last index on disk; one that shrinks within a term gives away an old disk. */
+  /**
+   * Last index on the responder's disk. One below what it acknowledged shows that the disk is
+   * older.
+   */
   readonly lastIndex: number;
   readonly result:
     | { readonly type: 'accepted'; readonly matchIndex: number }
     | {
         readonly type: 'conflict';
         readonly previousIndex: number;
-        /** Where the leader may go on; everything from here on differs or is missing. */
+        /**
+         * Index to resend from: the start of the differing term, but above the commit index, or the
+         * index after the last entry if the log is too short.
+         */
         readonly conflictIndex: number;
         /** Term of the differing entry; missing if the log is too short. */
         readonly conflictTerm?: number;
       }
-    /** A part of a snapshot is there; the next begins at `receivedBytes`. */
+    /** Part of a snapshot was received; the next part begins at `receivedBytes`. */
     | { readonly type: 'partial'; readonly index: number; readonly receivedBytes: number };
 }
 
@@ -114,7 +119,7 @@
   readonly type: 'snapshotRequest';
   readonly term: number;
   readonly header: SnapshotHeader;
-  /** Where `data` begins in the snapshot. */
+  /** Offset of `data` in the snapshot, in bytes. */
   readonly offset: number;
   readonly data: Uint8Array;
   /** True if the snapshot ends with `data`. */
@@ -130,22 +135,22 @@
 ] as const;
 export type RefusalReason = (typeof refusalReasons)[number];
 
-/** Tells a sender that its messages don't count, and why. */
+/** Reports to a sender that its messages are refused, and why. */
 export interface Refusal {
   readonly type: 'refusal';
   readonly reason: RefusalReason;
-  /** The run that is meant, so that a delayed refusal doesn't hit a later run. */
+  /** The refused run, so that a delayed refusal does not affect a later run. */
   readonly run: ProcessRun;
 }
 
 export type ConsensusMessage =
   VoteRequest | VoteResponse | AppendRequest | AppendResponse | SnapshotRequest | Refusal;
 
-/** A message on its way. */
+/** A message with its sender and recipient. */
 export interface Envelope {
   readonly cluster: string;
   readonly from: Sender;
-  /** Identity that the message is meant for. */
+  /** Identity of the recipient. */
   readonly to: string;
   readonly message: ConsensusMessage;
 }
--- a/packages/store-core/src/consensus/diskExploration.test.ts
+++ b/packages/store-core/src/consensus/diskExploration.test.ts
@@ -19,12 +19,12 @@
   type Scenario,
 } from './testing/scenario.js';
 
-/** A write is acknowledged with copies at a and b alone. */
+/** A write is acknowledged with copies at a and b only. */
 function prepareWriteWithoutC(fault: Fault): ModelCluster {
   return settleWithout(propose(lead(trio(fault), 'a'), 'a'), ['c']);
 }
 
-/** The leader is asked to remove both others at once. */
+/** The leader is asked to remove both other voters, one directly after the other. */
 function prepareTwoRemovals(fault: Fault): ModelCluster {
   return ['b1', 'c1'].reduce(
     (cluster, identity) =>
@@ -37,7 +37,7 @@
   );
 }
 
-/** A new disk has just been named a learner; nothing was sent to it yet. */
+/** A new disk has just been added as a learner; no message has reached it yet. */
 function prepareNewLearner(fault: Fault): ModelCluster {
   const safeguards =
     fault.off === undefined ? allSafeguards : { ...allSafeguards, [fault.off]: false };
@@ -54,7 +54,7 @@
   return happen(cluster, 'a', { type: 'changeMembership', requestId: 'add', change });
 }
 
-/** C lacks what a and b have compacted away. */
+/** c lacks entries that a and b have compacted. */
 function prepareVoterBehindSnapshot(fault: Fault): ModelCluster {
   let cluster = lead(
     trio(fault, { entriesPerSnapshot: 2, trailingEntries: 0, maxBytesPerSnapshotPart: 40 }),
@@ -63,7 +63,7 @@
   for (let write = 0; write < 3; write += 1) {
     cluster = settleWithout(propose(cluster, 'a'), ['c']);
   }
-  // The leader learns how far c is behind, and sends the first part.
+  // The leader finds out how far c is behind, and sends the first part of a snapshot.
   cluster = deliverAll(fireTimer(cluster, 'a'), (message) => message.instance === 'c');
   cluster = deliverAll(cluster, (message) => message.envelope.from.instance === 'c');
   return cluster;
@@ -78,7 +78,7 @@
     faults: [{ mutation: 'lostDiskKeepsIdentity' }, { off: 'voteForNewerLog' }],
   },
   {
-    name: 'two removals asked for at once',
+    name: 'two removals requested together',
     prepare: prepareTwoRemovals,
     budget: { timeouts: { b: 1, c: 1 }, proposals: 1, crashes: 1 },
     mostSteps: 10,
@@ -92,7 +92,7 @@
     faults: [{ off: 'promoteWhenCaughtUp' }],
   },
   {
-    name: 'a laggard behind a snapshot',
+    name: 'a voter that needs a snapshot',
     prepare: prepareVoterBehindSnapshot,
     budget: { timeouts: { b: 1 }, crashes: 1, duplicates: 1 },
     mostSteps: 10,
@@ -101,13 +101,13 @@
 ];
 
 scenarios.forEach((scenario) => {
-  test(`Nothing goes wrong in ${scenario.name}`, (context) => {
+  test(`No check fails in ${scenario.name}`, (context) => {
     const exploration = explore(context, scenario, {});
     assert.equal(exploration.violation, undefined);
     assert.equal(exploration.exhaustive, true);
   });
   scenario.faults.forEach((fault) => {
-    test(`${fault.off ?? fault.mutation} is caught in ${scenario.name}`, (context) => {
+    test(`${fault.off ?? fault.mutation} is detected in ${scenario.name}`, (context) => {
       const exploration = explore(context, scenario, fault);
       assert.ok(exploration.violation !== undefined);
       context.diagnostic(exploration.violation.reason);
--- a/packages/store-core/src/consensus/election.ts
+++ b/packages/store-core/src/consensus/election.ts
@@ -1,8 +1,8 @@
 /**
- * Elections: a pre-vote finds out whether an election could be won before any term is raised, so
- * that a voter coming back from a partition doesn't unseat a leader that others still hear. A vote
- * is given once a term, only for a log at least as new as our own, and leaves only when it is on
- * disk.
+ * Elections. A pre-vote finds out whether an election could be won before the term is raised, so
+ * that a voter that returns from a partition does not unseat a leader that still reaches a quorum.
+ * A vote is granted once per term, only for a log at least as up to date as the voter's, and is
+ * sent once it is on disk. The winner becomes leader and appends an entry of its own term.
  */
 import type { Sender, VoteRequest, VoteResponse } from './consensusTypes.js';
 import { lastIndexOf, lastTermOf, appendNewEntry } from './memoryLog.js';
@@ -28,7 +28,7 @@
   });
 }
 
-/** Tells why the round before this one gave no leader: whether voters said no, or nothing at all. */
+/** Reports that the previous pre-vote or election gave no leader, with the answer of each voter. */
 function reportFailedElection({ state, effects }: StepContext): void {
   const { role, term } = state;
   if (role.type !== 'candidate') return;
@@ -49,12 +49,12 @@
   });
 }
 
-/** Runs when no leader was heard for an election timeout. */
+/** Called when the election timer has expired. */
 export function startPreVote(context: StepContext): void {
   const { state } = context;
   resetElectionTimer(context);
   if (!canCampaign(state)) {
-    // Heard of no leader either; one that is still named would be followed for ever.
+    // The leader hint is cleared; otherwise it would name an unreachable leader indefinitely.
     becomeFollower(context, state.term);
     return;
   }
@@ -75,7 +75,7 @@
   requestVotes(context, false, state.term);
 }
 
-/** Our own vote counts like any other: once it is on disk. */
+/** Counts this store's own vote once it is on disk. */
 export function countOwnVote(context: StepContext): void {
   const { state } = context;
   const { role, self } = state;
@@ -107,16 +107,16 @@
     termStartIndex: lastIndexOf(state) + 1,
     nextHeartbeatAt: now + state.settings.heartbeatInterval,
   };
-  // Entries of earlier terms can't be committed by counting copies; this one can, and takes them
-  // along. Until then the leader doesn't know what is committed, so reads wait for it too.
+  // Entries of earlier terms can't be committed by counting copies; committing this entry commits
+  // them too. Until then the leader doesn't know the commit index, so reads also wait for it.
   appendNewEntry(state, { type: 'noOperation' }, wallNow);
   announceRole(context);
   broadcastAppends(context, state.role, true);
 }
 
 /**
- * A live leader is not voted out by a voter that merely can't hear it. A voter that has just
- * started waits for a while too, because it may have heard a leader right before it stopped.
+ * True while a leader may be alive: this store leads, has received from a leader within the
+ * election timeout, or has just started and may have received from one before it stopped.
  */
 function mustWithholdVote({ state, now }: StepContext): boolean {
   return state.role.type === 'leader' || now < state.voteAfter;
--- a/packages/store-core/src/consensus/estimateEntryBytes.ts
+++ b/packages/store-core/src/consensus/estimateEntryBytes.ts
@@ -4,28 +4,29 @@
  */
 import type { LogEntry } from './consensusTypes.js';
 
-const OVERHEAD_BYTES_PER_VALUE = 9;
+/** Encoding overhead of one value. */
+const BYTES_PER_VALUE = 9;
 
 function estimateValueBytes(value: unknown): number {
-  if (typeof value === 'string') return OVERHEAD_BYTES_PER_VALUE + value.length * 3;
-  if (value instanceof Uint8Array) return OVERHEAD_BYTES_PER_VALUE + value.length;
-  if (typeof value !== 'object' || value === null) return OVERHEAD_BYTES_PER_VALUE;
+  if (typeof value === 'string') return BYTES_PER_VALUE + value.length * 3;
+  if (value instanceof Uint8Array) return BYTES_PER_VALUE + value.length;
+  if (typeof value !== 'object' || value === null) return BYTES_PER_VALUE;
   return Object.entries(value).reduce(
-    (sum, [name, item]) => sum + OVERHEAD_BYTES_PER_VALUE + name.length + estimateValueBytes(item),
-    OVERHEAD_BYTES_PER_VALUE,
+    (sum, [name, item]) => sum + BYTES_PER_VALUE + name.length + estimateValueBytes(item),
+    BYTES_PER_VALUE,
   );
 }
 
 const cachedBytes = new WeakMap<LogEntry, number>();
 
-/** Entries never change, so each is measured once. */
+/** Entries never change, so each is estimated once. */
 export function estimateEntryBytes(entry: LogEntry): number {
   const bytes = cachedBytes.get(entry) ?? estimateValueBytes(entry.body);
   cachedBytes.set(entry, bytes);
   return bytes;
 }
 
-/** The first of `entries` whose sizes add up to at most `mostBytes`, and one in any case. */
+/** The longest prefix of `entries` within `maxBytes`, but at least the first entry. */
 export function limitEntriesToBytes(entries: readonly LogEntry[], maxBytes: number): LogEntry[] {
   let sum = 0;
   const firstExcluded = entries.findIndex((entry, position) => {
--- a/packages/store-core/src/consensus/makeElectionSeed.test.ts
+++ b/packages/store-core/src/consensus/makeElectionSeed.test.ts
@@ -6,11 +6,11 @@
 
 const settings = { ...defaultConsensusSettings, cluster: 'tested' };
 
-/** The moment at which a store that starts now stands for election. */
-function electionTimeOf(storeNumber: number, runCount: number): number {
+/** The time at which a store that starts now campaigns. */
+function electionTimeOf(number: number, runCount: number): number {
   const self = {
-    instance: `store-${storeNumber}`,
-    identity: `identity-${storeNumber}`,
+    instance: `store-${number}`,
+    identity: `identity-${number}`,
     run: { count: runCount, token: 'started-together' },
   };
   const restored = { self, term: 3, entries: [] };
@@ -19,22 +19,19 @@
   return state.electionDueAt;
 }
 
-// All stores lose power at once and start together, each for the same time in its life. Callers find
-// no entry with a configuration until a leader is elected. If all stand at the same moment nobody
-// wins, and with the same draws the next round goes the same way.
-test('stores that start together stand for election at different moments', () => {
+// Guards against a cluster without a leader after a power loss: stores that start together and
+// campaign at the same time split the votes, and with equal seeds they do so again each time.
+test('stores that start together campaign at different times', () => {
   [1, 2, 3].forEach((runCount) => {
-    const electionTimes = [1, 2, 3, 4]
-      .map((storeNumber) => electionTimeOf(storeNumber, runCount))
+    const moments = [1, 2, 3, 4]
+      .map((number) => electionTimeOf(number, runCount))
       .sort((a, b) => a - b);
-    const differences = electionTimes
-      .slice(1)
-      .map((electionTime, position) => electionTime - (electionTimes[position] ?? 0));
+    const gaps = moments.slice(1).map((moment, position) => moment - (moments[position] ?? 0));
     assert.ok(
-      differences.some((difference) => difference > 20),
-      `run ${runCount}: ${electionTimes}`,
+      gaps.some((gap) => gap > 20),
+      `run ${runCount}: ${moments}`,
     );
-    assert.equal(new Set(electionTimes).size, 4, `run ${runCount}: ${electionTimes}`);
+    assert.equal(new Set(moments).size, 4, `run ${runCount}: ${moments}`);
   });
   const runs = [1, 2, 3, 4, 5].map((runCount) => electionTimeOf(1, runCount));
   assert.ok(new Set(runs).size > 3, `${runs}`);
--- a/packages/store-core/src/consensus/makeElectionSeed.ts
+++ b/packages/store-core/src/consensus/makeElectionSeed.ts
@@ -1,8 +1,7 @@
 /**
  * The seed of a store's election timeouts. Stores that start together, as after a power loss, have
- * to draw apart: with equal seeds they all stand at the same moment, each votes for itself, and the
- * next timeout is the same for all again. No change is taken and no starting entry served for as
- * long as that lasts.
+ * to draw different timeouts: with equal seeds all campaign at the same time, each votes for
+ * itself, and the next timeouts are equal again, so that no leader is elected.
  */
 import { createHash } from 'node:crypto';
 import type { Sender } from './consensusTypes.js';
--- a/packages/store-core/src/consensus/membership.ts
+++ b/packages/store-core/src/consensus/membership.ts
@@ -1,7 +1,7 @@
 /**
- * Who is a member, what a quorum is, and how members come and go: one change at a time, each
- * through the log. A new disk enters as a learner, is made a voter once it holds everything that
- * is committed, and counts for nothing before.
+ * Who is a member, what a quorum is, and how the membership changes: one change at a time, each
+ * through the log. A new disk joins as a learner and is made a voter once it holds everything that
+ * is committed; before that it doesn't count towards a quorum.
  */
 import type { Member, Membership } from './consensusTypes.js';
 import type { MembershipChange } from './consensusEvents.js';
@@ -12,12 +12,12 @@
   return state.memberships.at(-1)?.membership ?? { members: [] };
 }
 
-/** Where the members are reached. */
+/** The addresses of all members. */
 export function memberAddresses(state: ConsensusState): Member['address'][] {
   return currentMembership(state).members.map(({ address }) => address);
 }
 
-/** The membership that was in force at `index`. */
+/** The membership in force at `index`. */
 export function membershipAt(state: ConsensusState, index: number): Membership {
   const found = state.memberships.findLast((item) => item.index <= index);
   return found?.membership ?? { members: [] };
@@ -46,7 +46,7 @@
   return state.settings.safeguards.quorumIsMajority ? half + 1 : Math.max(1, half);
 }
 
-/** True if a quorum of the voters satisfies `test`. */
+/** True if `isCounted` holds for a quorum of the voters. */
 export function hasQuorum(
   state: ConsensusState,
   isCounted: (identity: string) => boolean,
@@ -61,16 +61,16 @@
 }
 
 /**
- * True if the leader may append a membership. Two changes at once, or a change before the leader
- * has committed an entry of its own term, could give two quorums without a common voter: two
- * leaders would each commit.
+ * True if the leader may append a membership. Two changes at once, or a change before an entry of
+ * the leader's term is committed, could allow two quorums without a common voter, and so two
+ * leaders that both commit.
  */
 export function mayChangeMembership(state: ConsensusState, leader: LeaderState): boolean {
   if (!state.settings.safeguards.oneChangeAtATime) return true;
   return state.commitIndex >= leader.termStartIndex && !hasUncommittedChange(state);
 }
 
-/** The membership after a change, or undefined if the change makes no sense now. */
+/** Returns the membership after a change, or undefined if the change is not possible now. */
 export function applyMembershipChange(
   state: ConsensusState,
   change: MembershipChange,
@@ -80,8 +80,8 @@
   if (change.type === 'addLearner') {
     const { identity, address } = change.member;
     if (takenOut.includes(identity)) return undefined;
-    // An instance has one member at a time: a lost disk's old identity is removed first, so that
-    // it can't be counted beside the new one.
+    // An instance has one member at a time: the identity of a lost disk must be removed first, so
+    // that it is never counted beside the new one.
     const alreadyMember = members.some(
       (member) => member.identity === identity || member.address.instance === address.instance,
     );
@@ -95,7 +95,7 @@
   return { members: remainingMembers, takenOut: [...takenOut, change.identity] };
 }
 
-/** A learner that holds all that is committed, as of the leader's knowledge. */
+/** A learner that, as far as the leader knows, holds all committed entries. */
 export function findPromotableLearner(
   state: ConsensusState,
   leader: LeaderState,
@@ -111,6 +111,7 @@
   );
 }
 
+/** Returns the current membership with the given member as a voter. */
 export function promoteMember(state: ConsensusState, identity: string): Membership {
   const membership = currentMembership(state);
   const members = membership.members.map((member) =>
--- a/packages/store-core/src/consensus/memoryLog.ts
+++ b/packages/store-core/src/consensus/memoryLog.ts
@@ -1,4 +1,7 @@
-/** Look-ups and changes of the log in memory. Every change is marked for the next `persist`. */
+/**
+ * Reads and changes the log in memory. Appended and truncated entries are marked for the next
+ * `persist` effect; compaction is not, because a snapshot on disk already covers it.
+ */
 import type { EntryBody, LogEntry } from './consensusTypes.js';
 import type { ConsensusState } from './ConsensusState.js';
 
@@ -14,7 +17,7 @@
   return state.log.entries[index - state.log.base.index - 1];
 }
 
-/** Term of the entry at `index`, or undefined if it is compacted away or not there yet. */
+/** Term of the entry at `index`, or undefined if it is compacted or not in the log yet. */
 export function termAt(state: ConsensusState, index: number): number | undefined {
   if (index === state.log.base.index) return state.log.base.term;
   return entryAt(state, index)?.term;
@@ -29,7 +32,7 @@
   state.dirty.firstNewIndex = Math.min(state.dirty.firstNewIndex ?? index, index);
 }
 
-/** Adds an entry that the leader has made. */
+/** Appends an entry, made here or received from a leader. */
 export function appendEntry(state: ConsensusState, entry: LogEntry): void {
   state.log.entries.push(entry);
   markUnpersisted(state, entry.index);
@@ -38,7 +41,10 @@
   }
 }
 
-/** Makes an entry of this leader's term. Its time never goes back along the log. */
+/**
+ * Makes and appends an entry of this leader's term. Its time is never before that of the previous
+ * entry.
+ */
 export function appendNewEntry(state: ConsensusState, body: EntryBody, wallNow: number): LogEntry {
   const previousAt = state.log.entries.at(-1)?.at ?? state.log.base.at;
   const entry = {
@@ -52,10 +58,10 @@
 }
 
 /**
- * Drops everything from `index` on, because a leader's log differs there.
+ * Drops all entries from `index` on, because the leader's log differs there.
  *
- * @throws If a committed entry would go. That can only come of a broken disk or a broken promise
- * of another voter; going on would hand two histories to callers, so the process must stop.
+ * @throws If a committed entry would be dropped. Only a faulty disk or voter can cause that;
+ * continuing would give callers two histories, so the process must stop.
  */
 export function truncateLog(state: ConsensusState, index: number): void {
   if (index <= state.commitIndex) {
@@ -73,7 +79,7 @@
   });
 }
 
-/** Lets go of entries up to `index`, which a snapshot on disk stands for. */
+/** Drops entries up to and including `index` from memory; a snapshot on disk covers them. */
 export function compactLog(state: ConsensusState, index: number): void {
   const base = entryAt(state, index);
   if (base === undefined) return;
--- a/packages/store-core/src/consensus/persistence.ts
+++ b/packages/store-core/src/consensus/persistence.ts
@@ -1,7 +1,7 @@
 /**
  * Persist before send. All changes of one event go to the disk as one batch; votes and
- * acknowledgements that rest on it are held until the shell reports the batch synced. Without
- * this a voter could vote twice in a term, or forget an entry it was counted for, after a crash.
+ * acknowledgements that depend on a batch wait until the shell reports it synced. Otherwise a store
+ * could vote twice in a term after a crash, or lack an entry that it acknowledged.
  */
 import type { ConsensusMessage, Envelope } from './consensusTypes.js';
 import type { PersistEffect } from './consensusEvents.js';
@@ -23,13 +23,13 @@
   readonly identity: string;
 }
 
-/** Sends at once. Only for messages that promise nothing about this disk. */
+/** Sends immediately. Only for messages that confirm nothing about this disk. */
 export function sendNow(context: StepContext, to: Recipient, message: ConsensusMessage): void {
   const envelope = makeEnvelope(context, to.identity, message);
   context.effects.push({ type: 'send', instance: to.instance, envelope });
 }
 
-/** Sends once everything that has changed up to now is on disk. */
+/** Sends once all changes made so far are on disk. */
 export function sendWhenPersisted(
   context: StepContext,
   to: Recipient,
@@ -61,7 +61,7 @@
   );
 }
 
-/** Hands all changes since the last call to the disk as one batch. */
+/** Emits all changes since the last call as one batch for the disk. */
 export function flushChanges(context: StepContext): void {
   if (!hasUnpersistedChanges(context)) return;
   const { state, effects } = context;
@@ -84,7 +84,9 @@
   state.dirty = { vote: false };
 }
 
-/** Counts batches as synced and lets go of what waited for them. */
+/**
+ * Records that all batches up to `batch` are synced, and sends the messages that waited for them.
+ */
 export function completeBatches(context: StepContext, batch: number): void {
   const { state, effects } = context;
   if (state.readOnly) return;
--- a/packages/store-core/src/consensus/proposals.ts
+++ b/packages/store-core/src/consensus/proposals.ts
@@ -1,4 +1,4 @@
-/** Requests to change the log: commands and membership changes. Only a leader takes them. */
+/** Requests to change the log: commands and membership changes. Only a leader accepts them. */
 import type { MembershipChange, Proposal, UnavailableReason } from './consensusEvents.js';
 import type { ConsensusState } from './ConsensusState.js';
 import { appendNewEntry, lastIndexOf } from './memoryLog.js';
--- a/packages/store-core/src/consensus/reads.ts
+++ b/packages/store-core/src/consensus/reads.ts
@@ -1,8 +1,8 @@
 /**
- * Linearizable reads. A read notes the commit index and is answered after a quorum has answered
- * an append that was sent later: only then is it sure that no other leader had committed more
- * before the read began. An isolated leader gets no such round and answers none. Reads that come
- * in during a round share the next one.
+ * Linearizable reads. In a quorum round the leader sends an append to each peer. A read is answered
+ * once a quorum has answered a round that began after the read arrived: no other leader can have
+ * committed more before the read. An isolated leader gets no such answers and answers no read.
+ * Reads that arrive during a round share the next one.
  */
 import type { LeaderState } from './ConsensusState.js';
 import { hasQuorum } from './membership.js';
@@ -25,13 +25,13 @@
   startReadRound(context, leader);
 }
 
-/** Begins a round for the waiting reads, unless one is under way. */
+/** Begins a round for the waiting reads, unless one is in progress. */
 export function startReadRound(context: StepContext, leader: LeaderState): void {
   const { state } = context;
   const roundInProgress = leader.reads.some((read) => read.round > 0);
   if (roundInProgress || leader.reads.length === 0) return;
-  // Before its first own entry is committed, a new leader's commit index may lag behind writes
-  // that its predecessor has acknowledged.
+  // Until an entry of its own term is committed, a new leader's commit index may lag behind writes
+  // that its predecessor acknowledged.
   if (state.commitIndex < leader.termStartIndex) return;
   leader.round += 1;
   leader.reads.forEach((read) => {
@@ -42,7 +42,7 @@
   confirmReads(context, leader);
 }
 
-/** Answers the reads whose round a quorum has answered. */
+/** Answers the reads whose round a quorum has answered, then begins the next round. */
 export function confirmReads(context: StepContext, leader: LeaderState): void {
   const { state } = context;
   if (state.role !== leader) return;
--- a/packages/store-core/src/consensus/receiveAppend.ts
+++ b/packages/store-core/src/consensus/receiveAppend.ts
@@ -1,4 +1,7 @@
-/** The follower's side of replication: takes what the leader sends, and acknowledges it once synced. */
+/**
+ * The follower's side of replication: recognizes the leader, stores the entries it sends, applies
+ * what is committed, and acknowledges entries once they are synced.
+ */
 import type { AppendRequest, AppendResponse, LogEntry, Sender } from './consensusTypes.js';
 import type { ConsensusState } from './ConsensusState.js';
 import { commitThrough } from './commit.js';
@@ -24,8 +27,8 @@
 }
 
 /**
- * Takes note of a message of a leader. Returns false if the sender leads no longer; it learns the
- * newer term from the response.
+ * Accepts the sender of an append or a snapshot as the leader. Returns false if this disk can't
+ * follow, or if the sender's term is outdated; an outdated sender is sent the newer term.
  */
 export function followLeader(context: StepContext, from: Sender, term: number): boolean {
   const { state, now } = context;
@@ -73,7 +76,7 @@
 export function receiveAppend(context: StepContext, from: Sender, request: AppendRequest): void {
   const { state } = context;
   const { previousIndex, previousTerm, entries, round } = request;
-  // What is committed agrees with every leader, so an append that starts below it needs no check.
+  // Committed entries are the same at every leader, so an append from there needs no check.
   const matchesLog =
     previousIndex <= state.commitIndex || termAt(state, previousIndex) === previousTerm;
   if (!matchesLog) {
--- a/packages/store-core/src/consensus/reduceConsensus.test.ts
+++ b/packages/store-core/src/consensus/reduceConsensus.test.ts
@@ -41,7 +41,7 @@
   assert.equal(cluster.violation, undefined);
 });
 
-test('A founder takes in two more and each becomes a voter once caught up', () => {
+test('Two stores join a founded cluster and become voters once they have caught up', () => {
   let cluster = makeCluster({ voters: [], spares: VOTERS });
   const memberOf = (instance: string) => ({
     identity: `${instance}1`,
@@ -61,7 +61,7 @@
   assert.equal(cluster.violation, undefined);
 });
 
-test('A laggard gets a snapshot, and the log stays bounded', () => {
+test('A voter that is far behind gets a snapshot, and the log stays bounded', () => {
   const settings = { entriesPerSnapshot: 10, trailingEntries: 2 };
   let cluster = electLeader(makeCluster({ voters: VOTERS, settings }));
   cluster = crash(cluster, 'c');
@@ -73,10 +73,10 @@
   assert.equal(cluster.violation, undefined);
 });
 
-test('A lost disk comes back, is replaced by its new identity and votes again', () => {
-  // The callers see no gap: two voters go on while the third has lost its disk. Its old identity
-  // is removed, its new one enters as a learner, catches up and is made a voter; only then does
-  // the cluster survive the loss of another voter.
+test('A store whose disk was lost joins under a new identity and votes again', () => {
+  // Two voters continue while the third has lost its disk. Its old identity is removed; its new one
+  // joins as a learner, catches up and is made a voter. Only then does the cluster survive the loss
+  // of another voter.
   let cluster = settle(propose(electLeader(makeCluster({ voters: VOTERS })), 'a'));
   cluster = restart(loseDisk(crash(cluster, 'c'), 'c'), 'c');
   const member = { identity: "c1'", address: addressOf('c') };
@@ -95,9 +95,8 @@
   assert.equal(cluster.violation, undefined);
 });
 
-test('A leader that hears no quorum steps down and answers no read', () => {
-  // A read sent to an isolated leader would see an old state while the others go on. It gets no
-  // round from a quorum, and the leader steps down after an election timeout.
+test('A leader that reaches no quorum steps down and answers no read', () => {
+  // Guards against an outdated answer from an isolated leader while the other stores continue.
   let cluster = electLeader(makeCluster({ voters: VOTERS }));
   cluster = read(cluster, 'a');
   for (let heartbeat = 0; heartbeat < 10; heartbeat += 1) cluster = elapse(cluster, 'a', 150);
@@ -105,7 +104,7 @@
   assert.equal(cluster.answeredReads, 0);
 });
 
-/** B acknowledged a write that c lacks; then b's disk is replaced by an older copy of itself. */
+/** b acknowledged a write that c lacks; then b's disk is replaced by an older copy of itself. */
 function restoreOlderDisk(oldDiskRefused: boolean): ModelCluster {
   const safeguards = { ...allSafeguards, oldDiskRefused };
   let cluster = electLeader(makeCluster({ voters: VOTERS, settings: { safeguards } }));
@@ -123,31 +122,31 @@
   return settle({ ...cluster, network: toB });
 }
 
-/** C, which lacks the write, stands for election once a has stopped. */
+/** c, which lacks the write, campaigns after a has stopped. */
 function electC(cluster: ModelCluster): ModelCluster {
   let next: ModelCluster = { ...crash(cluster, 'a'), network: [] };
   next = settle(fireTimer(next, 'c'));
   return settle(fireTimer(next, 'c'));
 }
 
-test('A disk that is older than its acknowledgements is turned away', () => {
-  // A caller's write was acknowledged with copies at a and b; b's instance is then rebuilt from an
-  // older copy of its disk. If it voted, c could lead without the write. The leader notices that
-  // b's log has become shorter, within the time that b waits before it votes, and refuses it.
+test('A disk that is older than its acknowledgements is refused', () => {
+  // A write was acknowledged with copies at a and b, and then b starts on an older copy of its
+  // disk. If b voted, c could lead without the write. The leader finds b's log shorter than
+  // acknowledged while b still withholds its vote, and refuses it.
   const cluster = restoreOlderDisk(true);
   assert.equal(cluster.voters.b?.state?.diskRefused, true);
   assert.equal(electC(cluster).violation, undefined);
 });
 
-test('A vote of an older disk would be noticed', () => {
-  // The same without the refusal: b votes, c leads without the write that a caller was promised.
+test('A vote from an older disk is detected when the refusal is off', () => {
+  // b votes, and c leads without the acknowledged write.
   const cluster = electC(restoreOlderDisk(false));
   assert.match(cluster.violation ?? '', /lacks the committed index 2/);
 });
 
-test('A full disk ends the leadership; what was proposed is unsure and nothing is acknowledged', () => {
-  // The caller's write is in the log of a leader whose disk takes no more. It can't know whether
-  // the write will survive, so it says unsure, and takes no new one.
+test('A leader with a full disk steps down, and its proposal is not acknowledged', () => {
+  // The write is in the log of a leader whose disk accepts no more, so the leader can't know
+  // whether the entry will survive.
   let cluster = propose(electLeader(makeCluster({ voters: VOTERS })), 'a');
   cluster = happen(cluster, 'a', { type: 'persistFailed', reason: 'ENOSPC' });
   assert.equal(cluster.voters.a?.state?.readOnly, true);
@@ -159,9 +158,9 @@
   assert.equal(cluster.violation, undefined);
 });
 
-test('A run of large entries is parted into appends below the bound', () => {
-  // Tables of a few megabytes each are changed while a voter is away. One append with all of them
-  // would exceed the largest frame and be dropped each time, so the voter would never catch up.
+test('Large entries are split into appends within the size limit', () => {
+  // Guards against one append above the largest frame: it would be dropped each time, and the voter
+  // would never catch up.
   const settings = { maxBytesPerAppend: 5000 };
   let cluster = crash(electLeader(makeCluster({ voters: VOTERS, settings })), 'c');
   const proposals = Array.from({ length: 6 }, (_, number) => ({
@@ -184,10 +183,9 @@
   assert.equal(cluster.violation, undefined);
 });
 
-test('A large snapshot comes in parts, also after its receiver has restarted', () => {
-  // A voter is far behind and gets a snapshot that is larger than a frame. In the middle of it the
-  // voter restarts, and what it had taken in is gone. The leader begins again where the voter is,
-  // and meanwhile takes no new snapshot that would make it begin anew for ever.
+test('A large snapshot is sent in parts, also after its receiver has restarted', () => {
+  // The receiver restarts during the transfer and loses the parts it has. The leader begins again
+  // from there, and takes no new snapshot meanwhile, which would restart the transfer each time.
   const settings = { entriesPerSnapshot: 10, trailingEntries: 0, maxBytesPerSnapshotPart: 50 };
   let cluster = crash(electLeader(makeCluster({ voters: VOTERS, settings })), 'c');
   for (let write = 0; write < 40; write += 1) cluster = settle(propose(cluster, 'a'));
@@ -201,9 +199,8 @@
   assert.equal(cluster.violation, undefined);
 });
 
-test('A stranger, another cluster and a message for a lost disk are refused', async () => {
-  // A message reaches a store that it isn't meant for: from another cluster, or for the disk that
-  // the instance had before. It changes nothing, and the sender of the latter is told.
+test('A message from another cluster and a message for a lost disk are refused', async () => {
+  // Neither message changes the state; only the sender of the second one is sent a refusal.
   const { state } = makeCluster({ voters: VOTERS }).voters.a ?? {};
   assert.ok(state !== undefined);
   const from = { instance: 'b', identity: 'b1', run: { count: 1, token: 'b1-1' } };
@@ -225,10 +222,9 @@
   await matchSnapshot(import.meta.url, 'refused messages', JSON.stringify(effects, undefined, 2));
 });
 
-test('A leader that would overwrite a committed entry stops the voter for good', () => {
-  // A leader sends another entry where one is committed: a disk or a voter has broken a promise.
-  // Taking it would give callers two histories. The voter throws, and acknowledges nothing more
-  // even if its shell goes on.
+test('A voter stops for good if a leader would overwrite a committed entry', () => {
+  // Guards against two histories after a faulty disk or voter. The reducer throws, and acknowledges
+  // nothing more even if its shell continues.
   const cluster = settle(fireTimer(electLeader(makeCluster({ voters: VOTERS })), 'a'));
   const { state } = cluster.voters.b ?? {};
   assert.ok(state?.commitIndex === 1);
@@ -251,7 +247,7 @@
 });
 
 test('The steps of an election and a write', async () => {
-  // What the shell sees from the first timer to the reply, with the order of its effects.
+  // Records role, term, commit index and undelivered messages after each step.
   let cluster = makeCluster({ voters: VOTERS });
   const steps: string[] = [];
   const recordStep = (title: string) => {
@@ -275,9 +271,9 @@
   await matchSnapshot(import.meta.url, 'election and write', steps.join('\n'));
 });
 
-// Callers find no leader for good: a machine's timer fires a fraction of a millisecond early, which
-// is too early to stand for election, and if no later wake is asked for then none ever comes.
-test('A timer that fires a moment early is asked for again', () => {
+// Guards against a cluster without a leader: a timer may fire a fraction of a millisecond before
+// the election is due, and without a new wake the store would never campaign.
+test('A timer that fires slightly early is requested again', () => {
   const cluster = makeCluster({ voters: VOTERS });
   const state = cluster.voters.a?.state;
   assert.ok(state !== undefined);
--- a/packages/store-core/src/consensus/reduceConsensus.ts
+++ b/packages/store-core/src/consensus/reduceConsensus.ts
@@ -1,7 +1,8 @@
 /**
- * Agreement among the stores on one log, as a pure reducer: a log replication of the Raft family.
- * This module only hands events to the concern they belong to and closes each step: changes go to
- * the disk as one batch, and the timer is set anew.
+ * Agreement among the stores on one log: a deterministic reducer of the Raft family. This module
+ * passes each event to the module that handles it, and itself handles the start, the founding of a
+ * cluster, timers, disk results and refusals. Each step ends in the same way: changes go to the
+ * disk as one batch, a snapshot is taken if due, and the next wake is scheduled.
  */
 import type { Reducer } from '@hornbeampond/schema';
 import type { ConsensusEffect, ConsensusEvent } from './consensusEvents.js';
@@ -25,10 +26,9 @@
 import type { StepContext } from './StepContext.js';
 
 /**
- * Of the election timeout, how long a voter that has just started waits for a leader before it
- * votes, and at the least before it stands. A leader that lives is heard within a heartbeat of the
- * first connection. Where all were stopped at once there is none, and nothing can be changed or
- * read until one is elected: waiting the whole timeout doubled the time that callers went without.
+ * How long a store waits after its start before it votes, and at least before it campaigns. A live
+ * leader is received from within that time. If all stores stopped together there is none, and a
+ * longer wait would only delay the first election.
  */
 const INITIAL_WAIT_FRACTION_OF_ELECTION_TIMEOUT = 0.5;
 
@@ -36,14 +36,15 @@
   const { state, now } = context;
   const initialWait = state.settings.electionTimeout * INITIAL_WAIT_FRACTION_OF_ELECTION_TIMEOUT;
   setElectionTimer(context, initialWait);
-  // An empty disk has promised nothing; any other may have heard a leader just before it stopped.
+  // An empty disk has acknowledged nothing; any other may have received from a leader before the
+  // stop.
   if (state.term > 0) state.voteAfter = now + initialWait;
   announceRole(context);
 }
 
 /**
- * Founds a cluster with this one as its only voter; all others are then added through the log. It
- * is for a disk that has never been part of a cluster, so that no lost disk founds a second one.
+ * Founds a cluster with this store as its only voter; all other members are added through the log.
+ * Ignored on a disk that has a term or entries already.
  */
 function foundCluster(
   context: StepContext,
@@ -60,8 +61,8 @@
 
 function handleTimer(context: StepContext): void {
   const { state, now } = context;
-  // Timers may fire a moment early. What was asked for is used up either way; without a new wake an
-  // early one would be the last, and this voter would never stand for election again.
+  // A timer may fire slightly early. The reset makes `scheduleWake` request it again; otherwise
+  // this store would never campaign again.
   state.wakeAt = Number.MAX_SAFE_INTEGER;
   const leader = leaderOf(state);
   if (leader !== undefined) handleLeaderTimer(context, leader);
@@ -71,7 +72,7 @@
 function handlePersistFailure(context: StepContext): void {
   const { state } = context;
   state.readOnly = true;
-  // What waits for the disk will never be promised.
+  // These messages confirm writes that will never be on disk.
   state.pendingMessages = [];
   becomeFollower(context, state.term);
 }
@@ -86,7 +87,10 @@
   effects.push({ type: 'diskRefused', reason: refusal.reason });
 }
 
-/** True if the message is from our cluster and for this very disk; a stranger is refused. */
+/**
+ * Returns true if the message is from this cluster and for this disk. Any other is refused, and the
+ * sender of a message for another disk is sent a refusal.
+ */
 function verifyOrRefuse(context: StepContext, envelope: Envelope): boolean {
   const { state, effects } = context;
   const { cluster, from, to } = envelope;
@@ -95,7 +99,7 @@
     return false;
   }
   if (to !== state.self.identity) {
-    // Meant for a disk that this instance no longer has.
+    // Addressed to a disk that this instance no longer has.
     effects.push({ type: 'messageRefused', reason: 'otherIdentity', from: from.instance });
     if (envelope.message.type !== 'refusal') {
       sendNow(context, from, { type: 'refusal', reason: 'otherIdentity', run: from.run });
@@ -184,10 +188,10 @@
 }
 
 /**
- * Decides what one event means for this voter.
+ * Handles one event.
  *
- * @throws If going on would give callers two histories. The state may be half changed then, so
- * every later event is passed over, and the process must stop.
+ * @throws If continuing could commit two different histories. The state may be half changed then,
+ * so all later events are ignored and the process must stop.
  */
 export const reduceConsensus: Reducer<ConsensusState, ConsensusEvent, ConsensusEffect> = (
   state,
--- a/packages/store-core/src/consensus/replacedStores.test.ts
+++ b/packages/store-core/src/consensus/replacedStores.test.ts
@@ -23,7 +23,7 @@
 const VOTERS = ['a', 'b', 'c', 'd'];
 const REPLACEMENTS = ['e', 'f', 'g'];
 
-/** Between two exchanges of stores a successor has this long to take its place. */
+/** Time for a replacement to join and catch up, or for an unreachable store to be removed. */
 const CATCH_UP_MILLISECONDS = 4000;
 
 function startCluster(): Schedule {
@@ -49,7 +49,7 @@
 
 function leaderOf(schedule: Schedule): string {
   const leader = currentLeader(schedule.cluster);
-  assert.ok(leader !== undefined, 'no store leads');
+  assert.ok(leader !== undefined, 'no store is the leader');
   return leader.instance;
 }
 
@@ -72,8 +72,8 @@
   assert.equal(schedule.cluster.violation, undefined);
 }
 
-// Guards against no leader, and so no configuration, once stores that are gone for good outvote the rest.
-test('stores that are replaced one after the other leave a cluster that bears a lost disk', () => {
+// Guards against a cluster without a leader, because removed stores still count for its quorum.
+test('a cluster whose stores were replaced one after the other survives a lost disk', () => {
   const schedule = startCluster();
   replace(schedule, 'b', 'e');
   replace(schedule, 'c', 'f');
@@ -93,8 +93,9 @@
   assertAcceptsWrite(schedule);
 });
 
-// Guards against a store that stands for election for ever after a long cut, as its log still has it vote.
-test('a store that was cut off until it was taken out votes again once it is back', () => {
+// Guards against a store that campaigns without end after a long partition, because its own log
+// still lists it as a voter.
+test('a store that was removed while it was partitioned votes again afterwards', () => {
   const schedule = startCluster();
   const isolated = leaderOf(schedule);
   schedule.cutOff = [isolated];
@@ -107,8 +108,8 @@
   assertAcceptsWrite(schedule);
 });
 
-// Guards against so few voters that the next lost disk takes acknowledged changes with it.
-test('no voter is taken out while too few others are heard of', () => {
+// Guards against so few voters that acknowledged changes are lost with the next disk.
+test('no voter is removed while too few voters are reachable', () => {
   const schedule = startCluster();
   const [first = '', second = ''] = VOTERS.filter((name) => name !== leaderOf(schedule));
   stop(schedule, first);
@@ -121,8 +122,8 @@
   assertAcceptsWrite(schedule);
 });
 
-// Guards against a store that comes back by itself after an operator has taken it out.
-test('a store that an operator has taken out is not let in again', () => {
+// Guards against a store that joins again after an operator has removed it for good.
+test('a store that an operator has removed for good does not join again', () => {
   const schedule = startCluster();
   const [removed = ''] = VOTERS.filter((name) => name !== leaderOf(schedule));
   const identity = schedule.cluster.voters[removed]?.identity ?? '';
--- a/packages/store-core/src/consensus/replication.ts
+++ b/packages/store-core/src/consensus/replication.ts
@@ -1,6 +1,8 @@
 /**
- * What the answers of peers mean to the leader: a conflict sends a peer back by a whole term at
- * once, and an entry is committed when a quorum of voters has it on disk.
+ * The leader's side of replication: handles append responses and the leader's timer, commits
+ * entries, promotes learners, and steps down without a quorum or after its removal. An entry of the
+ * current term is committed once a quorum of voters has it on disk. After a conflict a peer's next
+ * index goes back by a whole term at a time.
  */
 import type { AppendResponse, Sender } from './consensusTypes.js';
 import type { ConsensusState, LeaderState, Progress } from './ConsensusState.js';
@@ -21,7 +23,7 @@
 import { sendNow } from './persistence.js';
 import { confirmReads, startReadRound } from './reads.js';
 import { becomeFollower } from './roles.js';
-import { removeUnreachableMember } from './removeUnreachableMember.js';
+import { removeUnreachableMember } from './silentMembers.js';
 import { handlePartResponse } from './snapshots.js';
 import type { StepContext } from './StepContext.js';
 
@@ -35,7 +37,7 @@
   updateReplicationTargets(context, leader);
 }
 
-/** A leader that the committed membership no longer names has done its last duty. */
+/** Steps down once a committed membership no longer lists this store as a voter. */
 function stepDownIfRemoved(context: StepContext): void {
   const { state } = context;
   const committed = (state.memberships.at(-1)?.index ?? 0) <= state.commitIndex;
@@ -48,15 +50,18 @@
   return progress === undefined || progress.diskRefused ? 0 : progress.matchIndex;
 }
 
-/** Commits what a quorum has on disk, and does what that sets free. */
+/**
+ * Commits what a quorum has on disk, then steps down if removed; otherwise starts waiting reads and
+ * promotes a learner that has caught up.
+ */
 export function advanceCommit(context: StepContext, leader: LeaderState): void {
   const { state } = context;
   const matchIndexes = votersOf(state)
     .map(({ identity }) => matchIndexOf(state, leader, identity))
     .sort((a, b) => b - a);
   const index = matchIndexes[quorumSize(state) - 1] ?? 0;
-  // Copies of an older term's entry prove nothing: a voter with a newer, shorter log can still be
-  // elected and overwrite it after it was acknowledged.
+  // A quorum with an entry of an earlier term is not enough: a voter with a newer last term could
+  // still be elected without the entry and overwrite it.
   const isOwnTerm = termAt(state, index) === state.term;
   if (index > state.commitIndex && (isOwnTerm || !state.settings.safeguards.commitOwnTermOnly)) {
     commitThrough(context, index);
@@ -68,14 +73,17 @@
   promoteCaughtUpLearner(context, leader);
 }
 
-/** Tells idle peers at once, so that they needn't wait for the next heartbeat to apply. */
+/** Sends the commit index immediately, so that peers apply entries before the next heartbeat. */
 function sendCommitIndex(context: StepContext, leader: LeaderState): void {
   otherMembers(context.state)
     .filter(({ identity }) => leader.progress[identity]?.mode === 'replicating')
     .forEach((member) => sendAppends(context, leader, member, true));
 }
 
-/** True if the answer comes from a run, or a disk, that the leader can't count on. */
+/**
+ * Refuses a response from an outdated run or from a disk that lacks entries it acknowledged, and
+ * returns true then. After a restart of the peer, appends begin again by probing.
+ */
 function refuseUntrustedRun(
   context: StepContext,
   progress: Progress,
@@ -110,7 +118,7 @@
   progress.inFlight = progress.inFlight.filter((index) => index > progress.matchIndex);
   const wasBehind = progress.matchIndex < progress.nextIndex - 1;
   progress.nextIndex = Math.max(progress.nextIndex, progress.matchIndex + 1);
-  // A heartbeat that was answered while the peer waits for its snapshot says nothing of its log.
+  // A peer that waits for a snapshot also accepts empty appends; that says nothing about its log.
   const isPreviousEntryInLog = termAt(state, progress.nextIndex - 1) !== undefined;
   if (progress.mode !== 'replicating' && !wasBehind && isPreviousEntryInLog) {
     progress.mode = 'replicating';
@@ -171,8 +179,8 @@
 }
 
 /**
- * An isolated leader would keep its callers waiting while the others go on under a new one. It
- * steps down once it hasn't heard from a quorum for an election timeout.
+ * True if a quorum has responded within the election timeout. A leader without one steps down,
+ * because its callers would wait while other stores elect a new leader.
  */
 function isQuorumReachable({ state, now }: StepContext, leader: LeaderState): boolean {
   const { electionTimeout } = state.settings;
@@ -192,7 +200,7 @@
   }
   leader.nextHeartbeatAt = now + state.settings.heartbeatInterval;
   Object.values(leader.progress).forEach((progress) => {
-    // An append or its answer may be lost; a probing peer gets its append again.
+    // An append or its response may be lost, so a probing peer is sent its append again.
     if (progress.mode === 'probing') progress.inFlight = [];
   });
   broadcastAppends(context, leader, true);
--- a/packages/store-core/src/consensus/roles.ts
+++ b/packages/store-core/src/consensus/roles.ts
@@ -1,4 +1,7 @@
-/** Changes of role that several concerns share: stepping down, and the timers that go with it. */
+/**
+ * Role handling that several modules share: the current role and leader, the election timer,
+ * entering a term, stepping down, and replies to requests.
+ */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plusFromState } from 'pure-rand/generator/xoroshiro128plus';
 import type { Milliseconds } from '@hornbeampond/schema';
@@ -21,7 +24,7 @@
   context.effects.push({ type: 'reply', requestId, outcome });
 }
 
-/** What this voter is, as operators are told. */
+/** The role that is reported to operators: a store that neither leads nor votes is a learner. */
 export function describeRole(
   state: ConsensusState,
 ): 'leader' | 'follower' | 'candidate' | 'learner' {
@@ -30,8 +33,8 @@
 }
 
 /**
- * True if an entry of the present term is known to be committed. All that was committed before is
- * then known as well; a store that has just started knows only that its own log may be.
+ * True if the last applied entry is of the current term; everything committed in earlier terms is
+ * then applied as well. A store that has just started can't know how much of its log is committed.
  */
 export function hasCommittedInCurrentTerm(state: ConsensusState): boolean {
   return state.appliedIndex > 0 && termAt(state, state.appliedIndex) === state.term;
@@ -48,8 +51,8 @@
 }
 
 /**
- * Draws the next election timeout, between `least` and twice that; drawn apart, two voters seldom
- * split the votes twice.
+ * Sets the election timer to a random delay between `minDelay` and its double, so that repeated
+ * split votes are unlikely.
  */
 export function setElectionTimer({ state, now }: StepContext, minDelay: Milliseconds): void {
   const generator = xoroshiro128plusFromState(state.random);
@@ -68,8 +71,8 @@
 }
 
 /**
- * Settles what a leader still owed. An entry in the log may yet be committed by the next leader,
- * so its proposer is told `unsure`; a read has done nothing and may simply be asked elsewhere.
+ * Answers all pending requests when leadership is lost. The next leader may still commit a logged
+ * entry, so its proposer gets `unsure`; a read had no effect and gets `notLeader`.
  */
 function replyLeadershipLost(context: StepContext, leader: LeaderState): void {
   const { state } = context;
@@ -78,6 +81,10 @@
   leader.reads.forEach(({ requestId }) => reply(context, requestId, { type: 'notLeader' }));
 }
 
+/**
+ * Follows `leader`, if known. A newer term is entered, and a former leader answers its pending
+ * requests.
+ */
 export function becomeFollower(context: StepContext, term: number, leader?: string): void {
   const { state } = context;
   const previousRole = state.role;
--- a/packages/store-core/src/consensus/removeUnreachableMember.ts
+++ b/packages/store-core/src/consensus/silentMembers.ts
@@ -1,8 +1,8 @@
 /**
- * Members that are gone for good leave the log by themselves. Each of them would go on to count for
- * the size of a quorum: after a few exchanges of stores a quorum would need nearly all that are left,
- * and after the next loss there would never be a leader again. A member that is wrongly taken for
- * gone keeps its disk and its identity, and is let in again as soon as it asks.
+ * Removes members that stay unreachable. Each of them would continue to count for the size of a
+ * quorum: after several replacements of stores a quorum would need nearly all that remain, and the
+ * next loss would leave the cluster without a leader for good. A member that was only partitioned
+ * keeps its disk and its identity and can join again.
  */
 import type { Member } from './consensusTypes.js';
 import type { LeaderState } from './ConsensusState.js';
@@ -16,7 +16,7 @@
 } from './membership.js';
 import type { StepContext } from './StepContext.js';
 
-/** A quorum is two of three as well as two of two, so the third of three is worth keeping. */
+/** Two voters need the same quorum as three, so the third is worth keeping. */
 const MIN_REACHABLE_VOTERS = 3;
 
 function millisecondsSinceResponse(
@@ -30,8 +30,8 @@
 }
 
 /**
- * True if the deployment's bounds on losses still hold without the silent voters. Those that are
- * merely cut off come back, and changes must outlive as many lost disks meanwhile as at other times.
+ * True if enough voters are reachable to remove an unreachable one. That one may only be
+ * partitioned, and until it returns, changes must survive as many lost disks as at other times.
  */
 function hasEnoughReachableVoters(context: StepContext, leader: LeaderState): boolean {
   const { state } = context;
@@ -53,7 +53,10 @@
   );
 }
 
-/** Removes one member that has been silent for too long; the next one once that is committed. */
+/**
+ * Appends the removal of one member that has been unreachable for too long. The next removal has to
+ * wait until this one is committed.
+ */
 export function removeUnreachableMember(context: StepContext, leader: LeaderState): void {
   const { state, wallNow, effects } = context;
   if (state.settings.unreachableMemberTimeout === 0 || !mayChangeMembership(state, leader)) return;
--- a/packages/store-core/src/consensus/snapshots.ts
+++ b/packages/store-core/src/consensus/snapshots.ts
@@ -1,6 +1,7 @@
 /**
- * Snapshots bound the log and bring a laggard up in one step. The reducer names only headers; the
- * shell saves, loads and sends the data.
+ * Snapshots bound the log and bring a peer that is far behind up to date. The leader sends a
+ * snapshot in parts; the receiver collects them and replaces its log. Saving, loading and sending
+ * of the data is done by the shell, which the reducer gives only headers and offsets.
  */
 import type {
   Envelope,
@@ -18,7 +19,7 @@
 import { respondToAppend } from './receiveAppend.js';
 import type { StepContext } from './StepContext.js';
 
-/** Election timeouts after which a part that wasn't acknowledged is sent again. */
+/** Number of election timeouts after which an unacknowledged part is sent again. */
 const RESEND_DELAY_IN_ELECTION_TIMEOUTS = 4;
 
 const NO_DATA = new Uint8Array(0);
@@ -29,7 +30,9 @@
   return now - progress.snapshotSentAt < resendDelay;
 }
 
-/** Asks the shell to send a part of the newest snapshot, unless one is under way. */
+/**
+ * Asks the shell to send a part of the newest snapshot, unless one waits for its acknowledgement.
+ */
 export function sendSnapshot(
   context: StepContext,
   leader: LeaderState,
@@ -68,8 +71,8 @@
 }
 
 /**
- * Puts the part that is asked for into the envelope. Returns undefined if the snapshot at hand is
- * another one by now; the leader asks again.
+ * Adds the requested part to the envelope. Returns undefined if the saved snapshot is another one
+ * by now; the leader then asks for a part of that one.
  */
 export function fillSnapshotPart(
   { header, offset, maxBytes, envelope }: SendSnapshotEffect,
@@ -82,7 +85,10 @@
   return { ...envelope, message: { ...message, data, done } };
 }
 
-/** Sends the next part. An answer that is not news sends nothing, or each copy of it would. */
+/**
+ * Sends the next part after progress. A response without progress sends nothing, or each duplicate
+ * of a response would send another part.
+ */
 export function handlePartResponse(
   context: StepContext,
   leader: LeaderState,
@@ -92,14 +98,14 @@
   const progress = leader.progress[member.identity];
   if (progress?.mode !== 'snapshot' || progress.snapshotIndex !== part.index) return;
   const hasAdvanced = part.receivedBytes > progress.acknowledgedSnapshotBytes;
-  // It may also be less: the peer has restarted. The next resend begins there.
+  // The count is lower if the peer has restarted; the next resend begins there.
   progress.acknowledgedSnapshotBytes = part.receivedBytes;
   if (hasAdvanced) sendSnapshotPart(context, leader, member, progress);
 }
 
 /**
- * True while a peer takes in a snapshot; a new one now would make it begin anew. A peer that has
- * gone silent doesn't count, or the log would grow for as long as it is away.
+ * True while a reachable peer is receiving a snapshot; a new one would restart the transfer. An
+ * unreachable peer doesn't count, or the log would grow until it returns.
  */
 function hasSnapshotTransferInProgress({ state, now }: StepContext): boolean {
   const { role } = state;
@@ -113,9 +119,9 @@
 }
 
 /**
- * Asks for a snapshot when enough was applied, so that the log stays bounded. It is asked for
- * after the changes of the same event went to the disk: a snapshot that got there first could be
- * joined, after a crash, to entries which those changes were about to drop.
+ * Takes a snapshot once enough entries were applied, so that the log stays bounded. It must come
+ * after the `persist` effect of the same event: if the snapshot reached the disk first, a crash
+ * could leave it combined with entries that the event has dropped.
  */
 export function takeSnapshotIfDue(context: StepContext): void {
   const { state, effects } = context;
@@ -133,7 +139,7 @@
   effects.push({ type: 'takeSnapshot', header });
 }
 
-/** Takes note of a snapshot that is on disk, and lets go of the log below it. */
+/** Records a snapshot that is on disk, and drops the log below it except for `trailingEntries`. */
 export function applyCompaction({ state, effects }: StepContext, header: SnapshotHeader): void {
   state.snapshotInProgress = false;
   if (header.index <= state.snapshot.index) return;
@@ -147,7 +153,7 @@
   effects.push({ type: 'discardLog', throughIndex: header.index });
 }
 
-/** Adds a part to the snapshot that is coming in; returns all of it once it is whole. */
+/** Adds a part to the incoming snapshot; returns all of the data once it is complete. */
 function addPart(
   state: ConsensusState,
   from: Sender,
@@ -205,8 +211,8 @@
 ): void {
   const { state } = context;
   const { header } = request;
-  // Entries that we hold and that agree are kept: some behind the snapshot may be acknowledged,
-  // and dropping them would take back a copy that the leader has counted.
+  // If the log has the snapshot's last entry, all entries are kept: later ones may be acknowledged,
+  // and dropping them would remove copies that the leader has counted.
   if (termAt(state, header.index) === header.term) commitThrough(context, header.index);
   else if (header.index > state.commitIndex) {
     const data = addPart(state, from, request);
