--- a/packages/store-core/src/consensus/ConsensusState.ts
+++ b/packages/store-core/src/consensus/ConsensusState.ts
@@ -48,7 +48,7 @@
 
 export interface ConsensusSettings {
   readonly cluster: string;
-  /** Minimum election timeout; each timeout is drawn between it and its double. */
+  /** Minimum election timeout; each timeout is drawn between this value and its double. */
   readonly electionTimeout: Milliseconds;
   readonly heartbeatInterval: Milliseconds;
   readonly maxEntriesPerAppend: number;
@@ -70,7 +70,7 @@
   readonly leastVoters: number;
   /** Number of uncommitted entries at which proposals are refused. */
   readonly maxUncommittedEntries: number;
-  /** Number of entries applied after the last snapshot at which the next one is taken. */
+  /** Number of entries that are applied between two snapshots. */
   readonly entriesPerSnapshot: number;
   /**
    * Entries kept in memory below a snapshot, so that a member that misses only these needs no
--- a/packages/store-core/src/consensus/consensusEvents.ts
+++ b/packages/store-core/src/consensus/consensusEvents.ts
@@ -26,7 +26,7 @@
   /** The leader makes the learner a voter as soon as it has caught up. */
   | { readonly type: 'addLearner'; readonly member: Omit<Member, 'role'> }
   | { readonly type: 'removeMember'; readonly identity: string }
-  /** As `removeMember`, but for good: the identity cannot join again. */
+  /** As `removeMember`, but the identity cannot join again. */
   | { readonly type: 'takeOutMember'; readonly identity: string };
 
 export type ConsensusEvent = Timestamps &
--- a/packages/store-core/src/consensus/receiveAppend.ts
+++ b/packages/store-core/src/consensus/receiveAppend.ts
@@ -76,7 +76,8 @@
 export function receiveAppend(context: StepContext, from: Sender, request: AppendRequest): void {
   const { state } = context;
   const { previousIndex, previousTerm, entries, round } = request;
-  // Committed entries are the same at every leader, so an append from there needs no check.
+  // Committed entries are the same at every leader, so an append that starts at or below the commit
+  // index needs no check.
   const matchesLog =
     previousIndex <= state.commitIndex || termAt(state, previousIndex) === previousTerm;
   if (!matchesLog) {
--- a/packages/store-core/src/consensus/reduceConsensus.ts
+++ b/packages/store-core/src/consensus/reduceConsensus.ts
@@ -26,9 +26,9 @@
 import type { StepContext } from './StepContext.js';
 
 /**
- * How long a store waits after its start before it votes, and at least before it campaigns. A live
- * leader is received from within that time. If all stores stopped together there is none, and a
- * longer wait would only delay the first election.
+ * Fraction of the election timeout that a store waits after its start before it votes, and at least
+ * before it campaigns. A live leader sends a message within that time. If all stores stopped
+ * together there is no leader, and a longer wait would only delay the first election.
  */
 const INITIAL_WAIT_FRACTION_OF_ELECTION_TIMEOUT = 0.5;
 
@@ -61,8 +61,8 @@
 
 function handleTimer(context: StepContext): void {
   const { state, now } = context;
-  // A timer may fire slightly early. The reset makes `scheduleWake` request it again; otherwise
-  // this store would never campaign again.
+  // A timer may fire slightly early. Resetting `wakeAt` makes `scheduleWake` request a new one;
+  // otherwise this store would never campaign again.
   state.wakeAt = Number.MAX_SAFE_INTEGER;
   const leader = leaderOf(state);
   if (leader !== undefined) handleLeaderTimer(context, leader);
@@ -72,7 +72,7 @@
 function handlePersistFailure(context: StepContext): void {
   const { state } = context;
   state.readOnly = true;
-  // These messages confirm writes that will never be on disk.
+  // The pending messages confirm writes that will never be on disk.
   state.pendingMessages = [];
   becomeFollower(context, state.term);
 }
--- a/packages/store-core/src/consensus/replication.ts
+++ b/packages/store-core/src/consensus/replication.ts
@@ -81,8 +81,9 @@
 }
 
 /**
- * Refuses a response from an outdated run or from a disk that lacks entries it acknowledged, and
- * returns true then. After a restart of the peer, appends begin again by probing.
+ * Refuses a response from an outdated run or from a disk that lacks entries it acknowledged.
+ * Returns true if the response is refused. After a restart of the peer, appends begin again by
+ * probing.
  */
 function refuseUntrustedRun(
   context: StepContext,
--- a/packages/store-core/src/consensus/silentMembers.ts
+++ b/packages/store-core/src/consensus/silentMembers.ts
@@ -30,8 +30,9 @@
 }
 
 /**
- * True if enough voters are reachable to remove an unreachable one. That one may only be
- * partitioned, and until it returns, changes must survive as many lost disks as at other times.
+ * True if enough voters are reachable to remove an unreachable one. The unreachable voter may
+ * merely be partitioned, and until it returns, changes must survive as many lost disks as at other
+ * times.
  */
 function hasEnoughReachableVoters(context: StepContext, leader: LeaderState): boolean {
   const { state } = context;
--- a/packages/store-core/src/consensus/snapshots.ts
+++ b/packages/store-core/src/consensus/snapshots.ts
@@ -24,7 +24,7 @@
 
 const NO_DATA = new Uint8Array(0);
 
-function isAwaitingAnswer({ state, now }: StepContext, progress: Progress): boolean {
+function isAwaitingResponse({ state, now }: StepContext, progress: Progress): boolean {
   if (progress.mode !== 'snapshot' || progress.snapshotIndex !== state.snapshot.index) return false;
   const resendDelay = RESEND_DELAY_IN_ELECTION_TIMEOUTS * state.settings.electionTimeout;
   return now - progress.snapshotSentAt < resendDelay;
@@ -39,7 +39,7 @@
   member: Member,
   progress: Progress,
 ): void {
-  if (!isAwaitingAnswer(context, progress)) sendSnapshotPart(context, leader, member, progress);
+  if (!isAwaitingResponse(context, progress)) sendSnapshotPart(context, leader, member, progress);
 }
 
 function sendSnapshotPart(
