--- a/packages/store-core/src/consensus/reduceConsensus.ts
+++ b/packages/store-core/src/consensus/reduceConsensus.ts
@@ -26,9 +26,9 @@
 import type { StepContext } from './StepContext.js';
 
 /**
- * Fraction of the election timeout that a store waits after its start before it votes, and at least
- * before it campaigns. A live leader sends a message within that time. If all stores stopped
- * together there is no leader, and a longer wait would only delay the first election.
+ * Fraction of the election timeout during which a restarted store neither votes nor campaigns. A
+ * live leader sends a message within that time. If all stores stopped together there is no leader,
+ * and a longer wait would only delay the first election.
  */
 const INITIAL_WAIT_FRACTION_OF_ELECTION_TIMEOUT = 0.5;
 
@@ -36,8 +36,8 @@
   const { state, now } = context;
   const initialWait = state.settings.electionTimeout * INITIAL_WAIT_FRACTION_OF_ELECTION_TIMEOUT;
   setElectionTimer(context, initialWait);
-  // An empty disk has acknowledged nothing; any other may have received from a leader before the
-  // stop.
+  // A store with an empty disk may vote immediately, as it has acknowledged nothing. Any other may
+  // have received from a leader just before it stopped.
   if (state.term > 0) state.voteAfter = now + initialWait;
   announceRole(context);
 }
