--- a/packages/store-core/src/consensus/diskExploration.test.ts
+++ b/packages/store-core/src/consensus/diskExploration.test.ts
@@ -19,13 +19,13 @@
   type Scenario,
 } from './testing/scenario.js';
 
-/** A write is acknowledged with copies at a and b alone. */
-function writeWithoutC(fault: Fault): ModelCluster {
+/** A write is acknowledged with copies at a and b only. */
+function prepareWriteWithoutC(fault: Fault): ModelCluster {
   return settleWithout(propose(lead(trio(fault), 'a'), 'a'), ['c']);
 }
 
-/** The leader is asked to remove both others at once. */
-function twoRemovals(fault: Fault): ModelCluster {
+/** The leader is asked to remove both other voters, one directly after the other. */
+function prepareTwoRemovals(fault: Fault): ModelCluster {
   return ['b1', 'c1'].reduce(
     (cluster, identity) =>
       happen(cluster, 'a', {
@@ -37,8 +37,8 @@
   );
 }
 
-/** A new disk has just been named a learner; nothing was sent to it yet. */
-function newLearner(fault: Fault): ModelCluster {
+/** A new disk has just been added as a learner; no message has reached it yet. */
+function prepareNewLearner(fault: Fault): ModelCluster {
   const safeguards =
     fault.off === undefined ? allSafeguards : { ...allSafeguards, [fault.off]: false };
   const cluster = lead(
@@ -54,8 +54,8 @@
   return happen(cluster, 'a', { type: 'changeMembership', requestId: 'add', change });
 }
 
-/** C lacks what a and b have compacted away. */
-function laggardBehindSnapshot(fault: Fault): ModelCluster {
+/** c lacks entries that a and b have compacted. */
+function prepareVoterBehindSnapshot(fault: Fault): ModelCluster {
   let cluster = lead(
     trio(fault, { entriesPerSnapshot: 2, trailingEntries: 0, maxBytesPerSnapshotPart: 40 }),
     'a',
@@ -63,7 +63,7 @@
   for (let write = 0; write < 3; write += 1) {
     cluster = settleWithout(propose(cluster, 'a'), ['c']);
   }
-  // The leader learns how far c is behind, and sends the first part.
+  // The leader finds out how far c is behind, and sends the first part of a snapshot.
   cluster = deliverAll(fireTimer(cluster, 'a'), (message) => message.instance === 'c');
   cluster = deliverAll(cluster, (message) => message.envelope.from.instance === 'c');
   return cluster;
@@ -72,28 +72,28 @@
 const scenarios: readonly Scenario[] = [
   {
     name: 'a lost disk',
-    prepare: writeWithoutC,
+    prepare: prepareWriteWithoutC,
     budget: { timeouts: { b: 1, c: 1 }, crashes: 2, lostDisks: 2, duplicates: 1 },
     mostSteps: 10,
     faults: [{ mutation: 'lostDiskKeepsIdentity' }, { off: 'voteForNewerLog' }],
   },
   {
-    name: 'two removals asked for at once',
-    prepare: twoRemovals,
+    name: 'two removals requested together',
+    prepare: prepareTwoRemovals,
     budget: { timeouts: { b: 1, c: 1 }, proposals: 1, crashes: 1 },
     mostSteps: 10,
     faults: [{ off: 'oneChangeAtATime' }],
   },
   {
     name: 'a new learner',
-    prepare: newLearner,
+    prepare: prepareNewLearner,
     budget: { timeouts: { b: 1, c: 1 }, crashes: 1 },
     mostSteps: 16,
     faults: [{ off: 'promoteWhenCaughtUp' }],
   },
   {
-    name: 'a laggard behind a snapshot',
-    prepare: laggardBehindSnapshot,
+    name: 'a voter that needs a snapshot',
+    prepare: prepareVoterBehindSnapshot,
     budget: { timeouts: { b: 1 }, crashes: 1, duplicates: 1 },
     mostSteps: 10,
     faults: [],
@@ -101,13 +101,13 @@
 ];
 
 scenarios.forEach((scenario) => {
-  test(`Nothing goes wrong in ${scenario.name}`, (context) => {
+  test(`No check fails in ${scenario.name}`, (context) => {
     const exploration = explore(context, scenario, {});
     assert.equal(exploration.violation, undefined);
     assert.equal(exploration.exhaustive, true);
   });
   scenario.faults.forEach((fault) => {
-    test(`${fault.off ?? fault.mutation} is caught in ${scenario.name}`, (context) => {
+    test(`${fault.off ?? fault.mutation} is detected in ${scenario.name}`, (context) => {
       const exploration = explore(context, scenario, fault);
       assert.ok(exploration.violation !== undefined);
       context.diagnostic(exploration.violation.reason);
--- a/packages/store-core/src/consensus/makeElectionSeed.test.ts
+++ b/packages/store-core/src/consensus/makeElectionSeed.test.ts
@@ -6,8 +6,8 @@
 
 const settings = { ...defaultConsensusSettings, cluster: 'tested' };
 
-/** The moment at which a store that starts now stands for election. */
-function standsAt(number: number, runCount: number): number {
+/** The time at which a store that starts now campaigns. */
+function electionTimeOf(number: number, runCount: number): number {
   const self = {
     instance: `store-${number}`,
     identity: `identity-${number}`,
@@ -19,12 +19,13 @@
   return state.electionDueAt;
 }
 
-// All stores lose power at once and start together, each for the same time in its life. Callers find
-// no entry with a configuration until a leader is elected. If all stand at the same moment nobody
-// wins, and with the same draws the next round goes the same way.
-test('stores that start together stand for election at different moments', () => {
+// Guards against a cluster without a leader after a power loss: stores that start together and
+// campaign at the same time split the votes, and with equal seeds they do so again each time.
+test('stores that start together campaign at different times', () => {
   [1, 2, 3].forEach((runCount) => {
-    const moments = [1, 2, 3, 4].map((number) => standsAt(number, runCount)).sort((a, b) => a - b);
+    const moments = [1, 2, 3, 4]
+      .map((number) => electionTimeOf(number, runCount))
+      .sort((a, b) => a - b);
     const gaps = moments.slice(1).map((moment, position) => moment - (moments[position] ?? 0));
     assert.ok(
       gaps.some((gap) => gap > 20),
@@ -32,6 +33,6 @@
     );
     assert.equal(new Set(moments).size, 4, `run ${runCount}: ${moments}`);
   });
-  const runs = [1, 2, 3, 4, 5].map((runCount) => standsAt(1, runCount));
+  const runs = [1, 2, 3, 4, 5].map((runCount) => electionTimeOf(1, runCount));
   assert.ok(new Set(runs).size > 3, `${runs}`);
 });
--- a/packages/store-core/src/consensus/reduceConsensus.ts
+++ b/packages/store-core/src/consensus/reduceConsensus.ts
@@ -1,7 +1,8 @@
 /**
- * Agreement among the stores on one log, as a pure reducer: a log replication of the Raft family.
- * This module only hands events to the concern they belong to and closes each step: changes go to
- * the disk as one batch, and the timer is set anew.
+ * Agreement among the stores on one log: a deterministic reducer of the Raft family. This module
+ * passes each event to the module that handles it, and itself handles the start, the founding of a
+ * cluster, timers, disk results and refusals. Each step ends in the same way: changes go to the
+ * disk as one batch, a snapshot is taken if due, and the next wake is scheduled.
  */
 import type { Reducer } from '@hornbeampond/schema';
 import type { ConsensusEffect, ConsensusEvent } from './consensusEvents.js';
@@ -25,27 +26,30 @@
 import type { StepContext } from './StepContext.js';
 
 /**
- * Of the election timeout, how long a voter that has just started waits for a leader before it
- * votes, and at the least before it stands. A leader that lives is heard within a heartbeat of the
- * first connection. Where all were stopped at once there is none, and nothing can be changed or
- * read until one is elected: waiting the whole timeout doubled the time that callers went without.
+ * Fraction of the election timeout during which a restarted store neither votes nor campaigns. A
+ * live leader sends a message within that time. If all stores stopped together there is no leader,
+ * and a longer wait would only delay the first election.
  */
-const START_SHARE = 0.5;
+const INITIAL_WAIT_FRACTION_OF_ELECTION_TIMEOUT = 0.5;
 
-function start(context: StepContext): void {
+function handleStart(context: StepContext): void {
   const { state, now } = context;
-  const wait = state.settings.electionTimeout * START_SHARE;
-  setElectionTimer(context, wait);
-  // An empty disk has promised nothing; any other may have heard a leader just before it stopped.
-  if (state.term > 0) state.voteAfter = now + wait;
+  const initialWait = state.settings.electionTimeout * INITIAL_WAIT_FRACTION_OF_ELECTION_TIMEOUT;
+  setElectionTimer(context, initialWait);
+  // A store with an empty disk may vote immediately, as it has acknowledged nothing. Any other may
+  // have received from a leader just before it stopped.
+  if (state.term > 0) state.voteAfter = now + initialWait;
   announceRole(context);
 }
 
 /**
- * Founds a cluster with this one as its only voter; all others are then added through the log. It
- * is for a disk that has never been part of a cluster, so that no lost disk founds a second one.
+ * Founds a cluster with this store as its only voter; all other members are added through the log.
+ * Ignored on a disk that has a term or entries already.
  */
-function found(context: StepContext, event: Extract<ConsensusEvent, { type: 'found' }>): void {
+function foundCluster(
+  context: StepContext,
+  event: Extract<ConsensusEvent, { type: 'found' }>,
+): void {
   const { state, wallNow } = context;
   if (state.term > 0 || lastIndexOf(state) > 0) return;
   enterTerm(state, 1);
@@ -55,20 +59,20 @@
   becomeLeader(context);
 }
 
-function timerFired(context: StepContext): void {
+function handleTimer(context: StepContext): void {
   const { state, now } = context;
-  // Timers may fire a moment early. What was asked for is used up either way; without a new wake an
-  // early one would be the last, and this voter would never stand for election again.
+  // A timer may fire slightly early. Resetting `wakeAt` makes `scheduleWake` request a new one;
+  // otherwise this store would never campaign again.
   state.wakeAt = Number.MAX_SAFE_INTEGER;
   const leader = leaderOf(state);
   if (leader !== undefined) handleLeaderTimer(context, leader);
   else if (now >= state.electionDueAt) startPreVote(context);
 }
 
-function persistFailed(context: StepContext): void {
+function handlePersistFailure(context: StepContext): void {
   const { state } = context;
   state.readOnly = true;
-  // What waits for the disk will never be promised.
+  // The pending messages confirm writes that will never be on disk.
   state.pendingMessages = [];
   becomeFollower(context, state.term);
 }
@@ -83,8 +87,11 @@
   effects.push({ type: 'diskRefused', reason: refusal.reason });
 }
 
-/** True if the message is from our cluster and for this very disk; a stranger is refused. */
-function isForUs(context: StepContext, envelope: Envelope): boolean {
+/**
+ * Returns true if the message is from this cluster and for this disk. Any other is refused, and the
+ * sender of a message for another disk is sent a refusal.
+ */
+function verifyOrRefuse(context: StepContext, envelope: Envelope): boolean {
   const { state, effects } = context;
   const { cluster, from, to } = envelope;
   if (cluster !== state.settings.cluster) {
@@ -92,7 +99,7 @@
     return false;
   }
   if (to !== state.self.identity) {
-    // Meant for a disk that this instance no longer has.
+    // Addressed to a disk that this instance no longer has.
     effects.push({ type: 'messageRefused', reason: 'otherIdentity', from: from.instance });
     if (envelope.message.type !== 'refusal') {
       sendNow(context, from, { type: 'refusal', reason: 'otherIdentity', run: from.run });
@@ -103,7 +110,7 @@
 }
 
 function receive(context: StepContext, envelope: Envelope): void {
-  if (!isForUs(context, envelope)) return;
+  if (!verifyOrRefuse(context, envelope)) return;
   const { from, message } = envelope;
   switch (message.type) {
     case 'voteRequest':
@@ -129,7 +136,7 @@
   }
 }
 
-function persisted(context: StepContext, batch: number): void {
+function handlePersisted(context: StepContext, batch: number): void {
   completeBatches(context, batch);
   countOwnVote(context);
   const leader = leaderOf(context.state);
@@ -139,13 +146,13 @@
 function dispatch(context: StepContext, event: ConsensusEvent): void {
   switch (event.type) {
     case 'started':
-      start(context);
+      handleStart(context);
       break;
     case 'found':
-      found(context, event);
+      foundCluster(context, event);
       break;
     case 'timerFired':
-      timerFired(context);
+      handleTimer(context);
       break;
     case 'received':
       receive(context, event.envelope);
@@ -160,10 +167,10 @@
       changeMembership(context, event.requestId, event.change);
       break;
     case 'persisted':
-      persisted(context, event.batch);
+      handlePersisted(context, event.batch);
       break;
     case 'persistFailed':
-      persistFailed(context);
+      handlePersistFailure(context);
       break;
     case 'compacted':
       applyCompaction(context, event.header);
@@ -173,7 +180,7 @@
   }
 }
 
-function setTimer({ state, effects }: StepContext): void {
+function scheduleWake({ state, effects }: StepContext): void {
   const at = leaderOf(state)?.nextHeartbeatAt ?? state.electionDueAt;
   if (at === state.wakeAt) return;
   state.wakeAt = at;
@@ -181,10 +188,10 @@
 }
 
 /**
- * Decides what one event means for this voter.
+ * Handles one event.
  *
- * @throws If going on would give callers two histories. The state may be half changed then, so
- * every later event is passed over, and the process must stop.
+ * @throws If continuing could commit two different histories. The state may be half changed then,
+ * so all later events are ignored and the process must stop.
  */
 export const reduceConsensus: Reducer<ConsensusState, ConsensusEvent, ConsensusEffect> = (
   state,
@@ -197,7 +204,7 @@
   dispatch(context, event);
   flushChanges(context);
   takeSnapshotIfDue(context);
-  setTimer(context);
+  scheduleWake(context);
   state.halted = false;
   return effects;
 };
