--- a/apps/controller/src/SingletonProcess.ts
+++ b/apps/controller/src/SingletonProcess.ts
@@ -8,7 +8,7 @@
   reduceSingleton,
   type SingletonEffect,
   type SingletonEvent,
-  type SingletonOccurrence,
+  type SingletonEventPayload,
   type SingletonOptions,
   type SingletonState,
 } from '@hornbeampond/controller-core';
@@ -116,7 +116,7 @@
     return { instance, dataCentre, role: 'controller', revision: 0, cutOff: false };
   }
 
-  private dispatch(occurrence: SingletonOccurrence): void {
+  private dispatch(occurrence: SingletonEventPayload): void {
     const { timers } = this.options;
     const clocks = { now: timers.monotonicNow(), wallNow: timers.wallNow() };
     this.loop.dispatch({ ...occurrence, ...clocks });
--- a/measure/src/day/estimateOnTime.ts
+++ b/measure/src/day/estimateOnTime.ts
@@ -1,5 +1,5 @@
 /** Demand at a point of the day, and a queueing estimate of how much of it is answered in time. */
-import { lateShare, patienceOf } from '@hornbeampond/controller-core';
+import { computeLateFraction, computeAllowedWait } from '@hornbeampond/controller-core';
 import type { Milliseconds, Pool } from '@hornbeampond/schema';
 import type { Deployment, RouteCurve } from './deployments.js';
 import { randomAt } from './Platform.js';
@@ -13,7 +13,7 @@
   readonly route: string;
   readonly requestsPerSecond: number;
   readonly serviceMilliseconds: number;
-  readonly patience: Milliseconds;
+  readonly allowedWait: Milliseconds;
   readonly tokensAtCut: number;
   /** Places that are busy on average. */
   readonly busy: number;
@@ -49,11 +49,11 @@
         requestsPerSecond,
         serviceMilliseconds,
         tokensAtCut,
-        patience: patienceOf(route, STARTED_AT + now, serviceMilliseconds),
+        allowedWait: computeAllowedWait(route, STARTED_AT + now, serviceMilliseconds),
         busy: (requestsPerSecond * serviceMilliseconds) / 1000,
       };
     })
-    .sort((a, b) => a.patience - b.patience);
+    .sort((a, b) => a.allowedWait - b.allowedWait);
 }
 
 /** Requests a second that are answered in time if a share of all is admitted. */
@@ -65,10 +65,10 @@
     busy += load.busy * admitted;
     if (rate === 0 || slots === 0) return onTime;
     const serviceMilliseconds = (busy / rate) * 1000;
-    const late = lateShare(slots, {
+    const late = computeLateFraction(slots, {
       requestsPerSecond: rate,
       serviceMilliseconds,
-      patience: load.patience,
+      allowedWait: load.allowedWait,
     });
     return onTime + load.requestsPerSecond * admitted * (1 - late);
   }, 0);
--- a/measure/src/day/measureDay.ts
+++ b/measure/src/day/measureDay.ts
@@ -2,7 +2,7 @@
  * The fleet's day for each deployment, against baselines on the same day: all on-demand, the
  * cheapest place only, and a fixed size; and against the cost of a plan that knows the day ahead.
  */
-import { defaultPolicy, slotsForAll } from '@hornbeampond/controller-core';
+import { defaultPolicy, computeRequiredSlotsForRoutes } from '@hornbeampond/controller-core';
 import type { Pool } from '@hornbeampond/schema';
 import { deployments, type Deployment } from './deployments.js';
 import { loadsAt } from './estimateOnTime.js';
@@ -45,7 +45,7 @@
     return Math.max(
       ...minutes.map((minute) => {
         const loads = loadsAt(deployment, pool, seed, step * FLOOR_STEP + minute);
-        return slotsForAll(loads, defaultPolicy.onTimeTarget);
+        return computeRequiredSlotsForRoutes(loads, defaultPolicy.onTimeTarget);
       }),
     );
   });
--- a/packages/controller-core/src/buying/buyInstances.ts
+++ b/packages/controller-core/src/buying/buyInstances.ts
@@ -9,7 +9,7 @@
 import type { Pool } from '@hornbeampond/schema';
 import type { ControllerEffect, StartInstanceEffect } from '../effects.js';
 import { instancesOf, isKept } from '../fleet/FleetInstance.js';
-import { countPending, isClosed } from '../planning/offers.js';
+import { countPendingStarts, isClosed } from '../planning/offers.js';
 import type { PlannedPlace, PoolPlan } from '../planning/PoolPlan.js';
 import type { ControllerState, HeldLease, PendingStart } from '../state.js';
 import { closeAfterRefusal } from './placeClosures.js';
@@ -73,7 +73,7 @@
       instance.instanceClass === place.instanceClass &&
       isKept(instance),
   );
-  return kept.length + countPending(state, pool, state.dataCentre, place.instanceClass);
+  return kept.length + countPendingStarts(state, pool, state.dataCentre, place.instanceClass);
 }
 
 function buyForPool(state: ControllerState, lease: HeldLease, pool: Pool): ControllerEffect[] {
--- a/packages/controller-core/src/buying/buying.test.ts
+++ b/packages/controller-core/src/buying/buying.test.ts
@@ -1,6 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { ControllerHarness, logged, pick, placesOf, row } from '../testing/ControllerHarness.js';
+import {
+  ControllerHarness,
+  listLogEvents,
+  effectsOfType,
+  listStartPlaces,
+  makePlatformInstance,
+} from '../testing/ControllerHarness.js';
 
 const oneDataCentre = { pool: { dataCentres: ['wien-a'], least: 2, most: 4 } };
 
@@ -8,25 +14,28 @@
 // against never trying that place again.
 test('after a refusal the next cheapest place is bought and the refused one retried later', () => {
   const harness = new ControllerHarness(oneDataCentre);
-  const first = pick(harness.hold(), 'startInstance');
-  assert.deepEqual(placesOf(first), ['wien-a/spot', 'wien-a/spot']);
+  const first = effectsOfType(harness.acquireLease(), 'startInstance');
+  assert.deepEqual(listStartPlaces(first), ['wien-a/spot', 'wien-a/spot']);
   const refused = first.flatMap(({ startToken }) =>
     harness.answerStart(startToken, { type: 'refused', reason: 'none left' }),
   );
-  assert.deepEqual(placesOf(refused), ['wien-a/firm', 'wien-a/firm']);
-  assert.ok(logged(refused).includes('startRefused'));
+  assert.deepEqual(listStartPlaces(refused), ['wien-a/firm', 'wien-a/firm']);
+  assert.ok(listLogEvents(refused).includes('startRefused'));
 
-  pick(refused, 'startInstance').forEach(({ startToken }, position) => {
-    const instance = row(`firm-${position}`, 'wien-a', { instanceClass: 'firm', startToken });
-    harness.rows?.push(instance);
+  effectsOfType(refused, 'startInstance').forEach(({ startToken }, position) => {
+    const instance = makePlatformInstance(`firm-${position}`, 'wien-a', {
+      instanceClass: 'firm',
+      startToken,
+    });
+    harness.listedInstances?.push(instance);
     harness.answerStart(startToken, { type: 'started', instance });
   });
-  harness.loaded.set('firm-0', { model: 'appraiser', version: '1' });
-  harness.loaded.set('firm-1', { model: 'appraiser', version: '1' });
+  harness.loadedModels.set('firm-0', { model: 'appraiser', version: '1' });
+  harness.loadedModels.set('firm-1', { model: 'appraiser', version: '1' });
   const requestedPlaces: string[] = [];
   for (let second = 0; second < 900; second += 1) {
-    const starts = pick(harness.advance(1000), 'startInstance');
-    requestedPlaces.push(...placesOf(starts));
+    const starts = effectsOfType(harness.advance(1000), 'startInstance');
+    requestedPlaces.push(...listStartPlaces(starts));
     starts.forEach(({ startToken }) =>
       harness.answerStart(startToken, { type: 'refused', reason: 'none left' }),
     );
@@ -38,46 +47,50 @@
 // Guards against a second purchase under a new token when only the platform's answer was lost.
 test('a lost answer to a start never buys a second instance', () => {
   const harness = new ControllerHarness(oneDataCentre);
-  const tokens = new Set(pick(harness.hold(), 'startInstance').map((start) => start.startToken));
+  const tokens = new Set(
+    effectsOfType(harness.acquireLease(), 'startInstance').map((start) => start.startToken),
+  );
   tokens.forEach((startToken) => harness.answerStart(startToken, { type: 'lost' }));
-  const resent = pick(harness.advance(50_000), 'startInstance');
+  const resent = effectsOfType(harness.advance(50_000), 'startInstance');
   assert.ok(resent.length >= 2);
   resent.forEach(({ startToken }) => assert.ok(tokens.has(startToken), 'no new token'));
 
   const [startToken = ''] = tokens;
-  harness.rows?.push(row('sold', 'wien-a', { startToken, state: 'starting' }));
+  harness.listedInstances?.push(
+    makePlatformInstance('sold', 'wien-a', { startToken, state: 'starting' }),
+  );
   const found = harness.advance(1000);
-  assert.ok(logged(found).includes('purchaseFound'));
+  assert.ok(listLogEvents(found).includes('purchaseFound'));
   assert.equal(harness.state.pendingStarts.size, 1);
 });
 
 // Guards against a pool that stays too small because the platform never answers for one class.
 test('unanswered starts do not block purchases at the next cheapest place', () => {
   const harness = new ControllerHarness(oneDataCentre);
-  harness.hold();
+  harness.acquireLease();
   const later = harness.advance(70_000);
-  assert.ok(logged(later).includes('startUnanswered'));
-  assert.ok(placesOf(later).includes('wien-a/firm'));
+  assert.ok(listLogEvents(later).includes('startUnanswered'));
+  assert.ok(listStartPlaces(later).includes('wien-a/firm'));
 });
 
 // Guards against buying a second instance for one that a crashed holder bought, and against paying
 // indefinitely for an instance whose pool is not in the table.
 test('an unknown listed instance joins its pool, or is drained and ended if it has none', () => {
   const harness = new ControllerHarness({ pool: { ...oneDataCentre.pool, least: 1 } });
-  harness.rows = [
-    row('orphan', 'wien-a', { startToken: 'wien-a-1-1' }),
-    row('stray', 'wien-a', { pool: 'gone' }),
+  harness.listedInstances = [
+    makePlatformInstance('orphan', 'wien-a', { startToken: 'wien-a-1-1' }),
+    makePlatformInstance('stray', 'wien-a', { pool: 'gone' }),
   ];
-  harness.tell({ type: 'leaseHeld', epoch: 2, unfencedFrom: 0 });
+  harness.dispatch({ type: 'leaseHeld', epoch: 2, unfencedFrom: 0 });
   const effects = harness.advance(90_000);
-  assert.deepEqual(placesOf(effects), []);
-  assert.ok(logged(effects).includes('orphanClaimed'));
+  assert.deepEqual(listStartPlaces(effects), []);
+  assert.ok(listLogEvents(effects).includes('orphanClaimed'));
   assert.deepEqual(
-    pick(effects, 'drainInstance').map(({ instance, reason }) => `${instance} ${reason}`),
+    effectsOfType(effects, 'drainInstance').map(({ instance, reason }) => `${instance} ${reason}`),
     ['stray stray'],
   );
   assert.deepEqual(
-    pick(effects, 'endInstance').map(({ instance }) => instance),
+    effectsOfType(effects, 'endInstance').map(({ instance }) => instance),
     ['stray'],
   );
 });
@@ -86,22 +99,29 @@
 // predecessor's last purchases yet.
 test('a new holder waits for the purchases of its predecessor to be listed', () => {
   const harness = new ControllerHarness(oneDataCentre);
-  harness.tell({ type: 'leaseHeld', epoch: 2, unfencedFrom: 0 });
+  harness.dispatch({ type: 'leaseHeld', epoch: 2, unfencedFrom: 0 });
   const early = harness.advance(5000);
-  harness.rows = [row('a', 'wien-a', { state: 'starting' }), row('b', 'wien-a')];
+  harness.listedInstances = [
+    makePlatformInstance('a', 'wien-a', { state: 'starting' }),
+    makePlatformInstance('b', 'wien-a'),
+  ];
   const late = harness.advance(30_000);
-  assert.deepEqual(placesOf([...early, ...late]), []);
+  assert.deepEqual(listStartPlaces([...early, ...late]), []);
 });
 
 // Guards against paying for an instance whose end request or answer was lost.
 test('an unanswered end is resent until it is answered', () => {
   const harness = new ControllerHarness(oneDataCentre);
-  harness.rows = [row('a'), row('b'), row('old', 'wien-a', { state: 'leaving' })];
-  harness.hold();
-  const ends = pick(harness.advance(70_000), 'endInstance').filter(
+  harness.listedInstances = [
+    makePlatformInstance('a'),
+    makePlatformInstance('b'),
+    makePlatformInstance('old', 'wien-a', { state: 'leaving' }),
+  ];
+  harness.acquireLease();
+  const ends = effectsOfType(harness.advance(70_000), 'endInstance').filter(
     ({ instance }) => instance === 'old',
   );
   assert.ok(ends.length >= 2);
-  harness.tell({ type: 'endAnswered', instance: 'old', ok: true });
-  assert.deepEqual(pick(harness.advance(70_000), 'endInstance'), []);
+  harness.dispatch({ type: 'endAnswered', instance: 'old', ok: true });
+  assert.deepEqual(effectsOfType(harness.advance(70_000), 'endInstance'), []);
 });
--- a/packages/controller-core/src/demand/demand.test.ts
+++ b/packages/controller-core/src/demand/demand.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { deadlineAt } from '../planning/deadlines.js';
-import { slotsFor } from '../planning/queueing.js';
-import { wantedSlots } from '../planning/wantedSlots.js';
+import { computeRequiredSlots } from '../planning/queueing.js';
+import { estimatePoolNeed } from '../planning/estimatePoolNeed.js';
 import { appraisalRoute, ControllerHarness } from '../testing/ControllerHarness.js';
 import { minuteOfDay } from './localTime.js';
 
@@ -23,11 +23,11 @@
 });
 
 test('a shorter allowed wait needs more slots, and so does more load', () => {
-  const load = { requestsPerSecond: 20, serviceMilliseconds: 1000, patience: 1000 };
-  const slots = slotsFor(load, 0.998);
+  const load = { requestsPerSecond: 20, serviceMilliseconds: 1000, allowedWait: 1000 };
+  const slots = computeRequiredSlots(load, 0.998);
   assert.ok(slots > 20);
-  assert.ok(slotsFor({ ...load, patience: 100 }, 0.998) > slots);
-  assert.ok(slotsFor({ ...load, requestsPerSecond: 40 }, 0.998) > slots);
+  assert.ok(computeRequiredSlots({ ...load, allowedWait: 100 }, 0.998) > slots);
+  assert.ok(computeRequiredSlots({ ...load, requestsPerSecond: 40 }, 0.998) > slots);
 });
 
 // Guards against buying for a daily peak only once it has begun, which is too late for its first
@@ -37,13 +37,16 @@
   const profile = Array.from({ length: 96 }, (_, index) => (index >= 48 && index < 56 ? 40 : 5));
   const shapes = { appraisals: profile };
   const report = { dataCentre: 'wien-b', demand: [], closedOffers: [], serving: [], shapes };
-  harness.tell({ type: 'peerReported', report });
-  harness.rate = 5;
-  harness.hold();
-  const early = wantedSlots(harness.state, harness.pool);
+  harness.dispatch({ type: 'peerReported', report });
+  harness.requestsPerSecond = 5;
+  harness.acquireLease();
+  const early = estimatePoolNeed(harness.state, harness.pool);
   harness.advance(52 * 60_000);
-  const { figures, ahead } = wantedSlots(harness.state, harness.pool);
-  assert.ok(early.ahead.normal < 15);
+  const { currentEstimate: figures, peakAhead: ahead } = estimatePoolNeed(
+    harness.state,
+    harness.pool,
+  );
+  assert.ok(early.peakAhead.normal < 15);
   assert.ok(figures.normal < 15, 'demand itself has not risen yet');
   assert.ok(ahead.normal >= 20, `planned for ${ahead.normal} slots`);
 });
--- a/packages/controller-core/src/explainPlan.ts
+++ b/packages/controller-core/src/explainPlan.ts
@@ -4,7 +4,7 @@
  */
 import type { Euros, Milliseconds } from '@hornbeampond/schema';
 import { instancesOf, isKept, isServing, poolOf } from './fleet/FleetInstance.js';
-import { countPending, isClosed } from './planning/offers.js';
+import { countPendingStarts, isClosed } from './planning/offers.js';
 import type { PlannedPlace, PoolPlan } from './planning/PoolPlan.js';
 import { placeKey, type ControllerState } from './state.js';
 
@@ -59,7 +59,7 @@
       instance.dataCentre === place.dataCentre && instance.instanceClass === place.instanceClass,
   );
   const pending =
-    pool === undefined ? 0 : countPending(state, pool, place.dataCentre, place.instanceClass);
+    pool === undefined ? 0 : countPendingStarts(state, pool, place.dataCentre, place.instanceClass);
   const present = instances.filter(isKept).length + pending;
   return {
     pool: plan.pool,
@@ -74,9 +74,9 @@
     slotsNeeded: plan.need.normal,
     slotsNeededAfterLoss: plan.need.afterLoss,
     missingSlots: plan.missingSlots,
-    requestsPerSecond: plan.figures.requestsPerSecond,
-    forecastPerSecond: plan.figures.forecastPerSecond,
-    patienceMilliseconds: plan.figures.patience,
+    requestsPerSecond: plan.currentEstimate.requestsPerSecond,
+    forecastPerSecond: plan.currentEstimate.forecastPerSecond,
+    patienceMilliseconds: plan.currentEstimate.shortestAllowedWait,
   };
 }
 
--- a/packages/controller-core/src/index.ts
+++ b/packages/controller-core/src/index.ts
@@ -4,7 +4,7 @@
 export * from './lease/index.js';
 export * from './makeDataCentreReport.js';
 export * from './planning/queueing.js';
-export { patienceOf, slotsForAll } from './planning/wantedSlots.js';
+export { computeAllowedWait, computeRequiredSlotsForRoutes } from './planning/estimatePoolNeed.js';
 export * from './policy.js';
 export * from './reduceController.js';
 export { createControllerState, type ControllerOptions, type ControllerState } from './state.js';
--- a/packages/controller-core/src/makeDataCentreReport.ts
+++ b/packages/controller-core/src/makeDataCentreReport.ts
@@ -1,6 +1,6 @@
 /** The report of an active controller to those of the other data centres. */
 import { listOwnClosedOffers } from './buying/placeClosures.js';
-import { ownServing } from './planning/standing.js';
+import { buildOwnServingReports } from './planning/servingCapacity.js';
 import { buildOwnDemandReports } from './demand/reduceDemand.js';
 import type { DataCentreReport } from './events.js';
 import type { ControllerState } from './state.js';
@@ -14,7 +14,7 @@
     dataCentre: state.dataCentre,
     demand: buildOwnDemandReports(state),
     closedOffers: listOwnClosedOffers(state),
-    serving: ownServing(state),
+    serving: buildOwnServingReports(state),
   };
   if (!withShapes) return report;
   const shapes = [...state.demand].map(
--- a/packages/controller-core/src/orders/reconcileModels.ts
+++ b/packages/controller-core/src/orders/reconcileModels.ts
@@ -17,8 +17,8 @@
   poolOf,
   type FleetInstance,
 } from '../fleet/FleetInstance.js';
-import { canDoWithout, servingSlots } from '../planning/standing.js';
-import { isOwnTurn } from '../planning/turns.js';
+import { meetsNeedWithout, computeServingCapacity } from '../planning/servingCapacity.js';
+import { isOwnTurn } from '../planning/isOwnTurn.js';
 import type { ControllerState, HeldLease } from '../state.js';
 import { makeLoadAction, canStartLoad, sendOrder } from './sendOrder.js';
 
@@ -47,7 +47,7 @@
     .filter((pool) => pool.kind === 'modelEngine' && canSendOrders(state, lease, pool))
     .flatMap((pool) => {
       const needed = Math.max(1, state.plans.get(pool.name)?.need.normal ?? 1);
-      const coveredFraction = servingSlots(state, pool).total / needed;
+      const coveredFraction = computeServingCapacity(state, pool).totalSlots / needed;
       return instancesOf(state, pool)
         .filter((instance) => instance.dataCentre === state.dataCentre)
         .filter(
@@ -106,11 +106,14 @@
       instance.loaded.model !== undefined &&
       !isUpToDate(pool, instance) &&
       state.now >= instance.orderRetryAt &&
-      (!hasModel(pool, instance) || canDoWithout(state, pool, instance)),
+      (!hasModel(pool, instance) || meetsNeedWithout(state, pool, instance)),
   );
   if (candidate === undefined) return [];
   enterPhase(state, candidate, 'reloading');
-  const { total: slotsServing, largestLoss } = servingSlots(state, pool);
+  const { totalSlots: slotsServing, maxLostSlots: largestLoss } = computeServingCapacity(
+    state,
+    pool,
+  );
   const fields = {
     instance: candidate.instance,
     pool: pool.name,
--- a/packages/controller-core/src/planning/chooseMix.test.ts
+++ b/packages/controller-core/src/planning/chooseMix.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { chooseMix, measureMix, type MixRequest, type Offer } from './chooseMix.js';
+import { chooseMix, countMixSlots, type MixRequest, type Offer } from './chooseMix.js';
 
 /** Three data centres with a reclaimable class each, and one on-demand offer. */
 function randomRequest(seed: number): MixRequest {
@@ -15,27 +15,38 @@
       dataCentre: reclaimable ? dataCentre : 'a',
       instanceClass: reclaimable ? 'spot' : 'firm',
       reclaimable,
-      slotsEach: 4,
+      slotsPerInstance: 4,
       eurosPerHour: price,
-      comparedPrice: price,
-      kept: pick(0, 2),
+      riskAdjustedEurosPerHour: price,
+      presentCount: pick(0, 2),
       closed: pick(0, 4) === 0,
     };
   });
   const normal = pick(1, 20);
   const need = { normal, afterLoss: pick(1, normal) };
-  return { offers, need, waveShare: pick(0, 3) === 0 ? 0.5 : 0, least: 0, most: 12, stickiness: 0 };
+  return {
+    offers,
+    need,
+    waveLossFraction: pick(0, 3) === 0 ? 0.5 : 0,
+    minInstances: 0,
+    maxInstances: 12,
+    retentionDiscount: 0,
+  };
 }
 
 function missing(request: MixRequest, counts: readonly number[]): number {
-  const { total, largestLoss } = measureMix(request.offers, counts, request.waveShare);
+  const { totalSlots: total, maxLostSlots: largestLoss } = countMixSlots(
+    request.offers,
+    counts,
+    request.waveLossFraction,
+  );
   const lackingAfterLoss = Math.max(0, request.need.afterLoss - (total - largestLoss));
   return Math.max(0, request.need.normal - total) + lackingAfterLoss;
 }
 
 /** Cost of the cheapest mix that lacks the fewest slots, by trying all. */
 function cheapestByTrying(request: MixRequest): { readonly cost: number; readonly lacks: number } {
-  const highest = request.offers.map((offer) => (offer.closed ? offer.kept : 8));
+  const highest = request.offers.map((offer) => (offer.closed ? offer.presentCount : 8));
   let best = { cost: Infinity, lacks: Infinity };
   const visit = (counts: readonly number[]): void => {
     if (counts.length < highest.length) {
@@ -43,10 +54,10 @@
       for (let count = 0; count <= most; count += 1) visit([...counts, count]);
       return;
     }
-    if (counts.reduce((sum, count) => sum + count, 0) > request.most) return;
+    if (counts.reduce((sum, count) => sum + count, 0) > request.maxInstances) return;
     const lacks = missing(request, counts);
     const cost = request.offers.reduce(
-      (sum, offer, position) => sum + offer.comparedPrice * (counts[position] ?? 0),
+      (sum, offer, position) => sum + offer.riskAdjustedEurosPerHour * (counts[position] ?? 0),
       0,
     );
     if (lacks < best.lacks || (lacks === best.lacks && cost < best.cost)) best = { cost, lacks };
@@ -62,8 +73,11 @@
     const mix = chooseMix(request);
     const best = cheapestByTrying(request);
     assert.equal(mix.missingSlots, best.lacks, `seed ${seed} lacks slots`);
-    assert.ok(mix.comparedCost <= best.cost * 1.25, `seed ${seed}: ${mix.comparedCost}`);
-    if (mix.comparedCost > best.cost) dearer += 1;
+    assert.ok(
+      mix.comparisonEurosPerHour <= best.cost * 1.25,
+      `seed ${seed}: ${mix.comparisonEurosPerHour}`,
+    );
+    if (mix.comparisonEurosPerHour > best.cost) dearer += 1;
   }
   assert.ok(dearer <= 6, `${dearer} of 60 were dearer than the best`);
 });
@@ -73,19 +87,19 @@
     dataCentre,
     instanceClass: 'firm',
     reclaimable: false,
-    slotsEach: 4,
+    slotsPerInstance: 4,
     eurosPerHour: price,
-    comparedPrice: price,
-    kept,
+    riskAdjustedEurosPerHour: price,
+    presentCount: kept,
     closed: false,
   });
   const request = (price: number): MixRequest => ({
     offers: [offer('a', 100, 1), offer('b', price, 0)],
     need: { normal: 4, afterLoss: 4 },
-    waveShare: 0,
-    least: 1,
-    most: 4,
-    stickiness: 0.2,
+    waveLossFraction: 0,
+    minInstances: 1,
+    maxInstances: 4,
+    retentionDiscount: 0.2,
   });
   assert.deepEqual(chooseMix(request(85)).counts, [1, 0]);
   assert.deepEqual(chooseMix(request(75)).counts, [0, 1]);
--- a/packages/controller-core/src/planning/chooseMix.ts
+++ b/packages/controller-core/src/planning/chooseMix.ts
@@ -15,12 +15,12 @@
   readonly dataCentre: string;
   readonly instanceClass: string;
   readonly reclaimable: boolean;
-  readonly slotsEach: number;
+  readonly slotsPerInstance: number;
   readonly eurosPerHour: Euros;
   /** Price that it is compared by; higher than what is paid where waves were seen. */
-  readonly comparedPrice: Euros;
+  readonly riskAdjustedEurosPerHour: Euros;
   /** Instances that are there. */
-  readonly kept: number;
+  readonly presentCount: number;
   /** True if no more can be bought for now. */
   readonly closed: boolean;
 }
@@ -29,19 +29,19 @@
   readonly offers: readonly Offer[];
   readonly need: SlotNeed;
   /** Share of all reclaimable slots that one wave may take. */
-  readonly waveShare: number;
+  readonly waveLossFraction: number;
   /** Fewest and most instances over all data centres. */
-  readonly least: number;
-  readonly most: number;
+  readonly minInstances: number;
+  readonly maxInstances: number;
   /** An instance that is there is compared at a price lower by this share. */
-  readonly stickiness: number;
+  readonly retentionDiscount: number;
 }
 
 export interface Mix {
   /** Instances wanted by offer, in the order of the offers. */
   readonly counts: readonly number[];
   readonly missingSlots: number;
-  readonly comparedCost: Euros;
+  readonly comparisonEurosPerHour: Euros;
 }
 
 /** At most this many amounts are tried of each kind; above it, they are spaced evenly. */
@@ -63,21 +63,22 @@
     {
       offer,
       position,
-      price: offer.comparedPrice * (1 - request.stickiness),
-      units: offer.kept,
+      price: offer.riskAdjustedEurosPerHour * (1 - request.retentionDiscount),
+      units: offer.presentCount,
     },
     {
       offer,
       position,
-      price: offer.comparedPrice,
-      units: offer.closed ? 0 : Math.max(0, request.most - offer.kept),
+      price: offer.riskAdjustedEurosPerHour,
+      units: offer.closed ? 0 : Math.max(0, request.maxInstances - offer.presentCount),
     },
   ]);
   return segments
     .filter((segment) => segment.units > 0)
     .sort(
       (a, b) =>
-        a.price / a.offer.slotsEach - b.price / b.offer.slotsEach || a.position - b.position,
+        a.price / a.offer.slotsPerInstance - b.price / b.offer.slotsPerInstance ||
+        a.position - b.position,
     );
 }
 
@@ -92,27 +93,27 @@
   let total = 0;
   for (const { offer, position, units } of segments) {
     const there = taken.get(offer.dataCentre) ?? 0;
-    const fits = Math.floor((bound - there) / offer.slotsEach);
-    const lacking = Math.ceil((slots - total) / offer.slotsEach);
+    const fits = Math.floor((bound - there) / offer.slotsPerInstance);
+    const lacking = Math.ceil((slots - total) / offer.slotsPerInstance);
     const added = Math.max(0, Math.min(units, fits, lacking));
     counts[position] = (counts[position] ?? 0) + added;
-    taken.set(offer.dataCentre, there + added * offer.slotsEach);
-    total += added * offer.slotsEach;
+    taken.set(offer.dataCentre, there + added * offer.slotsPerInstance);
+    total += added * offer.slotsPerInstance;
   }
   return total;
 }
 
 /** Slots in all, and the most that one loss of the planned kind can take. */
-export function measureMix(
+export function countMixSlots(
   offers: readonly Offer[],
   counts: readonly number[],
-  waveShare: number,
-): { readonly total: number; readonly largestLoss: number } {
+  waveLossFraction: number,
+): { readonly totalSlots: number; readonly maxLostSlots: number } {
   const reclaimable = new Map<string, number>();
   let total = 0;
   let allReclaimable = 0;
   offers.forEach((offer, position) => {
-    const slots = (counts[position] ?? 0) * offer.slotsEach;
+    const slots = (counts[position] ?? 0) * offer.slotsPerInstance;
     total += slots;
     if (!offer.reclaimable) return;
     allReclaimable += slots;
@@ -120,8 +121,8 @@
   });
   const ofOneDataCentre = Math.max(0, ...reclaimable.values());
   return {
-    total,
-    largestLoss: Math.max(ofOneDataCentre, waveShare * allReclaimable),
+    totalSlots: total,
+    maxLostSlots: Math.max(ofOneDataCentre, waveLossFraction * allReclaimable),
   };
 }
 
@@ -130,7 +131,11 @@
  * pool of one data centre, what is lacking now must still decide.
  */
 function missingIn(request: MixRequest, counts: readonly number[]): number {
-  const { total, largestLoss } = measureMix(request.offers, counts, request.waveShare);
+  const { totalSlots: total, maxLostSlots: largestLoss } = countMixSlots(
+    request.offers,
+    counts,
+    request.waveLossFraction,
+  );
   const lackingNow = Math.max(0, request.need.normal - total);
   const lackingAfterLoss = Math.max(0, request.need.afterLoss - (total - largestLoss));
   return lackingNow + lackingAfterLoss;
@@ -139,8 +144,8 @@
 function costOf(request: MixRequest, counts: readonly number[]): Euros {
   return request.offers.reduce((sum, offer, position) => {
     const count = counts[position] ?? 0;
-    const kept = Math.min(count, offer.kept);
-    return sum + offer.comparedPrice * (count - kept * request.stickiness);
+    const kept = Math.min(count, offer.presentCount);
+    return sum + offer.riskAdjustedEurosPerHour * (count - kept * request.retentionDiscount);
   }, 0);
 }
 
@@ -156,7 +161,7 @@
     .forEach(({ position }) => {
       while ((counts[position] ?? 0) > 0) {
         counts[position] = (counts[position] ?? 0) - 1;
-        if (missingIn(request, counts) <= before && sumOf(counts) >= request.least) continue;
+        if (missingIn(request, counts) <= before && sumOf(counts) >= request.minInstances) continue;
         counts[position] = (counts[position] ?? 0) + 1;
         break;
       }
@@ -165,11 +170,11 @@
 
 /** Adds the cheapest instances until the pool has its least size. */
 function raiseToLeast(request: MixRequest, segments: readonly Segment[], counts: number[]): void {
-  let lacking = request.least - sumOf(counts);
+  let lacking = request.minInstances - sumOf(counts);
   [...segments]
     .sort((a, b) => a.price - b.price || a.position - b.position)
     .forEach(({ offer, position }) => {
-      const mostThere = offer.closed ? offer.kept : request.most;
+      const mostThere = offer.closed ? offer.presentCount : request.maxInstances;
       const added = Math.max(0, Math.min(lacking, mostThere - (counts[position] ?? 0)));
       counts[position] = (counts[position] ?? 0) + added;
       lacking -= added;
@@ -178,9 +183,12 @@
 
 /** Takes the smallest instances away until the pool has no more than its most. */
 function lowerToMost(request: MixRequest, counts: number[]): void {
-  let above = sumOf(counts) - request.most;
+  let above = sumOf(counts) - request.maxInstances;
   [...request.offers.keys()]
-    .sort((a, b) => (request.offers[a]?.slotsEach ?? 0) - (request.offers[b]?.slotsEach ?? 0))
+    .sort(
+      (a, b) =>
+        (request.offers[a]?.slotsPerInstance ?? 0) - (request.offers[b]?.slotsPerInstance ?? 0),
+    )
     .forEach((position) => {
       const removed = Math.max(0, Math.min(above, counts[position] ?? 0));
       counts[position] = (counts[position] ?? 0) - removed;
@@ -196,7 +204,7 @@
 }
 
 function smallestSlots(offers: readonly Offer[]): number {
-  return Math.max(1, Math.min(...offers.map((offer) => offer.slotsEach)));
+  return Math.max(1, Math.min(...offers.map((offer) => offer.slotsPerInstance)));
 }
 
 /** A mix with so many on-demand slots and so many reclaimable ones in a data centre at most. */
@@ -212,7 +220,8 @@
   const firm = fill(onDemand, counts, onDemandSlots, Infinity);
   const { normal, afterLoss } = request.need;
   // A wave of a share of all leaves the rest: so many are needed for the rest to be enough.
-  const underWave = Math.max(0, afterLoss - firm) / Math.max(1 - request.waveShare, LEAST_LEFT);
+  const underWave =
+    Math.max(0, afterLoss - firm) / Math.max(1 - request.waveLossFraction, LEAST_LEFT);
   const lacking = Math.max(afterLoss - firm + bound, underWave, normal - firm);
   if (bound > 0) fill(reclaimable, counts, lacking, bound);
   trim(request, segments, counts);
@@ -221,13 +230,13 @@
   return {
     counts,
     missingSlots: missingIn(request, counts),
-    comparedCost: costOf(request, counts),
+    comparisonEurosPerHour: costOf(request, counts),
   };
 }
 
 function isBetter(mix: Mix, best: Mix): boolean {
   if (mix.missingSlots !== best.missingSlots) return mix.missingSlots < best.missingSlots;
-  return mix.comparedCost < best.comparedCost - 1e-9;
+  return mix.comparisonEurosPerHour < best.comparisonEurosPerHour - 1e-9;
 }
 
 /** The cheapest mix that lacks the fewest slots. */
@@ -238,7 +247,7 @@
   const reclaimableOffers = request.offers.filter((offer) => offer.reclaimable);
   const firmAmounts = firmOffers.length > 0 ? spaced(0, highest, smallestSlots(firmOffers)) : [0];
   const step = smallestSlots(reclaimableOffers);
-  const largest = Math.max(step, ...reclaimableOffers.map((offer) => offer.slotsEach));
+  const largest = Math.max(step, ...reclaimableOffers.map((offer) => offer.slotsPerInstance));
   const bounds = reclaimableOffers.length > 0 ? [0, ...spaced(step, highest + largest, step)] : [0];
   let best = buildMix(request, segments, 0, 0);
   for (const onDemandSlots of firmAmounts) {
--- a/packages/controller-core/src/planning/wantedSlots.ts
+++ b/packages/controller-core/src/planning/estimatePoolNeed.ts
@@ -6,8 +6,8 @@
 import { createRouteDemand, forecastRequestsPerSecond, sumDemand } from '../demand/RouteDemand.js';
 import type { ControllerState } from '../state.js';
 import { deadlineAt } from './deadlines.js';
-import type { NeedFigures, SlotNeed } from './PoolPlan.js';
-import { busySlots, slotsFor, type QueueLoad } from './queueing.js';
+import type { NeedEstimate, SlotNeed } from './PoolPlan.js';
+import { computeOfferedLoad, computeRequiredSlots, type QueueLoad } from './queueing.js';
 
 /** The time ahead is looked at in steps of this length. */
 const FORECAST_STEP: Milliseconds = 2 * 60_000;
@@ -21,7 +21,7 @@
  * token and for the whole answer leaves less. The first token itself is taken to need a tenth of
  * the time that the whole answer takes.
  */
-export function patienceOf(
+export function computeAllowedWait(
   route: Route,
   at: EpochMilliseconds,
   serviceMilliseconds: number,
@@ -47,7 +47,7 @@
     measured: requestsPerSecond,
     requestsPerSecond: expected * factor,
     serviceMilliseconds,
-    patience: patienceOf(route, at, serviceMilliseconds),
+    allowedWait: computeAllowedWait(route, at, serviceMilliseconds),
   };
 }
 
@@ -55,46 +55,46 @@
  * Engines serve the earliest deadline first, so a patient route's requests do not delay those of
  * an impatient one: each route needs places for itself and all that are less patient.
  */
-export function slotsForAll(loads: readonly QueueLoad[], onTime: number): number {
-  const sorted = [...loads].sort((a, b) => a.patience - b.patience);
+export function computeRequiredSlotsForRoutes(loads: readonly QueueLoad[], onTime: number): number {
+  const sorted = [...loads].sort((a, b) => a.allowedWait - b.allowedWait);
   let rate = 0;
   let busy = 0;
   return sorted.reduce((most, load) => {
     rate += load.requestsPerSecond;
-    busy += busySlots(load);
+    busy += computeOfferedLoad(load);
     if (rate === 0) return most;
     const together = {
       requestsPerSecond: rate,
       serviceMilliseconds: (busy / rate) * 1000,
-      patience: load.patience,
+      allowedWait: load.allowedWait,
     };
-    return Math.max(most, slotsFor(together, onTime));
+    return Math.max(most, computeRequiredSlots(together, onTime));
   }, 0);
 }
 
 function needOf(state: ControllerState, loads: readonly QueueLoad[]): SlotNeed {
   return {
-    normal: slotsForAll(loads, state.policy.onTimeTarget),
-    afterLoss: slotsForAll(loads, state.policy.onTimeTargetAfterLoss),
+    normal: computeRequiredSlotsForRoutes(loads, state.policy.onTimeTarget),
+    afterLoss: computeRequiredSlotsForRoutes(loads, state.policy.onTimeTargetAfterLoss),
   };
 }
 
 /** How far ahead a start has to be asked. */
-export function startLead(state: ControllerState, pool: Pool): Milliseconds {
+export function computeStartLeadTime(state: ControllerState, pool: Pool): Milliseconds {
   const measured = state.startDurations.get(pool.name) ?? state.policy.defaultStartDuration;
   return measured * START_MARGIN;
 }
 
-export interface WantedSlots {
-  readonly figures: NeedFigures;
+export interface PoolNeed {
+  readonly currentEstimate: NeedEstimate;
   /** The highest need from now to the end of the time a start takes. */
-  readonly ahead: SlotNeed;
+  readonly peakAhead: SlotNeed;
 }
 
 /** The places that the pool needs, and the figures behind them. */
-export function wantedSlots(state: ControllerState, pool: Pool): WantedSlots {
+export function estimatePoolNeed(state: ControllerState, pool: Pool): PoolNeed {
   const routes = state.configuration.routes.rows.filter((route) => route.pool === pool.name);
-  const lead = startLead(state, pool);
+  const lead = computeStartLeadTime(state, pool);
   const steps = Math.ceil(lead / FORECAST_STEP);
   const nowLoads = routes.map((route) => loadAt(state, route, state.wallNow));
   const now = needOf(state, nowLoads);
@@ -118,7 +118,10 @@
     requestsPerSecond: measured,
     forecastPerSecond,
     serviceMilliseconds: measured > 0 ? busy / measured : 0,
-    patience: Math.min(...nowLoads.map((load) => load.patience), Number.MAX_SAFE_INTEGER),
+    shortestAllowedWait: Math.min(
+      ...nowLoads.map((load) => load.allowedWait),
+      Number.MAX_SAFE_INTEGER,
+    ),
   };
-  return { figures, ahead };
+  return { currentEstimate: figures, peakAhead: ahead };
 }
--- a/packages/controller-core/src/planning/offers.ts
+++ b/packages/controller-core/src/planning/offers.ts
@@ -5,7 +5,7 @@
 import type { Offer } from './chooseMix.js';
 
 /** True if the data centre's controller is heard, so that somebody can buy there. */
-export function isHeard(state: ControllerState, dataCentre: string): boolean {
+export function isDataCentreReachable(state: ControllerState, dataCentre: string): boolean {
   if (dataCentre === state.dataCentre) return true;
   const peer = state.peers.get(dataCentre);
   return peer !== undefined && state.now - peer.lastReportAt <= state.policy.peerTimeout;
@@ -35,7 +35,9 @@
 ): boolean {
   const closure = state.placeClosures.get(placeKey(dataCentre, instanceClass));
   if (closure !== undefined && closure.until > state.now) return true;
-  return !isHeard(state, dataCentre) || isClosedByPeer(state, dataCentre, instanceClass);
+  return (
+    !isDataCentreReachable(state, dataCentre) || isClosedByPeer(state, dataCentre, instanceClass)
+  );
 }
 
 function countWaves(state: ControllerState, dataCentre: string, instanceClass: string): number {
@@ -44,7 +46,7 @@
 }
 
 /** Purchases without an answer count as capacity to come for a while only. */
-export function countPending(
+export function countPendingStarts(
   state: ControllerState,
   pool: Pool,
   dataCentre: string,
@@ -76,10 +78,10 @@
     dataCentre,
     instanceClass: name,
     reclaimable,
-    slotsEach: concurrency,
+    slotsPerInstance: concurrency,
     eurosPerHour,
-    comparedPrice: eurosPerHour * (1 + waves * state.policy.wavePricePenalty),
-    kept: there + countPending(state, pool, dataCentre, name),
+    riskAdjustedEurosPerHour: eurosPerHour * (1 + waves * state.policy.wavePricePenalty),
+    presentCount: there + countPendingStarts(state, pool, dataCentre, name),
     closed: isClosed(state, dataCentre, name),
   };
 }
--- a/packages/controller-core/src/planning/planPools.ts
+++ b/packages/controller-core/src/planning/planPools.ts
@@ -10,7 +10,7 @@
 import { chooseMix, type Mix, type Offer } from './chooseMix.js';
 import { listOffers } from './offers.js';
 import type { PlannedPlace, PoolPlan, SlotNeed } from './PoolPlan.js';
-import { wantedSlots } from './wantedSlots.js';
+import { estimatePoolNeed } from './estimatePoolNeed.js';
 
 const MINUTE = 60_000;
 
@@ -66,38 +66,46 @@
     dataCentre: offer.dataCentre,
     instanceClass: offer.instanceClass,
     reclaimable: offer.reclaimable,
-    slotsEach: offer.slotsEach,
+    slotsPerInstance: offer.slotsPerInstance,
     eurosPerHour: offer.eurosPerHour,
     wanted: mix.counts[position] ?? 0,
   }));
 }
 
 function planPool(state: ControllerState, pool: Pool): PoolPlan {
-  const { figures, ahead } = wantedSlots(state, pool);
+  const { currentEstimate: figures, peakAhead: ahead } = estimatePoolNeed(state, pool);
   const before = state.plans.get(pool.name);
   const recentNeeds = remember(state, before?.recentNeeds ?? [], ahead);
   const need = highestOf(recentNeeds);
-  const waveShare = largestWave(state, pool);
+  const waveLossFraction = largestWave(state, pool);
   const offers = listOffers(state, pool);
-  const { least, most } = pool;
-  const { retentionDiscount: stickiness } = state.policy;
+  const { least: minInstances, most: maxInstances } = pool;
+  const { retentionDiscount: retentionDiscount } = state.policy;
   const extra = rolloutSlots(state, pool);
   const needed = { normal: need.normal + extra, afterLoss: need.afterLoss + extra };
-  const request = { offers, need: needed, waveShare, least, most, stickiness };
-  const question = JSON.stringify(request);
-  const mix = before?.choice.question === question ? before.choice.mix : chooseMix(request);
+  const request = {
+    offers,
+    need: needed,
+    waveLossFraction: waveLossFraction,
+    minInstances: minInstances,
+    maxInstances: maxInstances,
+    retentionDiscount: retentionDiscount,
+  };
+  const requestJson = JSON.stringify(request);
+  const mix =
+    before?.cachedChoice.requestJson === requestJson ? before.cachedChoice.mix : chooseMix(request);
   const places = toPlaces(offers, mix);
   const eurosPerHour = places.reduce((sum, place) => sum + place.eurosPerHour * place.wanted, 0);
   return {
     pool: pool.name,
     places,
-    figures,
+    currentEstimate: figures,
     need,
     rolloutSlots: extra,
-    waveShare,
+    waveLossFraction: waveLossFraction,
     missingSlots: mix.missingSlots,
     eurosPerHour,
-    choice: { question, mix },
+    cachedChoice: { requestJson: requestJson, mix },
     recentNeeds,
   };
 }
@@ -111,19 +119,19 @@
 }
 
 function describe(plan: PoolPlan): Record<string, unknown> {
-  const { figures, need } = plan;
+  const { currentEstimate: figures, need } = plan;
   return {
     pool: plan.pool,
     wanted: wantedByPlace(plan),
     slotsNeeded: need.normal,
     slotsNeededAfterLoss: need.afterLoss,
     rolloutSlots: plan.rolloutSlots,
-    waveShare: plan.waveShare,
+    waveShare: plan.waveLossFraction,
     missingSlots: plan.missingSlots,
     requestsPerSecond: figures.requestsPerSecond,
     forecastPerSecond: figures.forecastPerSecond,
     serviceMilliseconds: figures.serviceMilliseconds,
-    patienceMilliseconds: figures.patience,
+    patienceMilliseconds: figures.shortestAllowedWait,
     eurosPerHour: plan.eurosPerHour,
   };
 }
--- a/packages/controller-core/src/planning/queueing.ts
+++ b/packages/controller-core/src/planning/queueing.ts
@@ -13,11 +13,11 @@
   readonly requestsPerSecond: number;
   readonly serviceMilliseconds: number;
   /** How long a request may wait for a place. */
-  readonly patience: Milliseconds;
+  readonly allowedWait: Milliseconds;
 }
 
 /** Places that are busy on average. */
-export function busySlots(load: QueueLoad): number {
+export function computeOfferedLoad(load: QueueLoad): number {
   return (load.requestsPerSecond * load.serviceMilliseconds) / 1000;
 }
 
@@ -25,12 +25,12 @@
 function lateShareFrom(blocking: number, slots: number, busy: number, load: QueueLoad): number {
   if (slots <= busy) return 1;
   const waiting = (slots * blocking) / (slots - busy * (1 - blocking));
-  return waiting * Math.exp((-(slots - busy) * load.patience) / load.serviceMilliseconds);
+  return waiting * Math.exp((-(slots - busy) * load.allowedWait) / load.serviceMilliseconds);
 }
 
 /** Share of requests that wait longer than their patience with so many places. */
-export function lateShare(slots: number, load: QueueLoad): number {
-  const busy = busySlots(load);
+export function computeLateFraction(slots: number, load: QueueLoad): number {
+  const busy = computeOfferedLoad(load);
   if (busy <= 0) return 0;
   let blocking = 1;
   for (let count = 1; count <= slots; count += 1) {
@@ -40,8 +40,8 @@
 }
 
 /** The fewest places with which a share of `onTime` of the requests wait no longer than allowed. */
-export function slotsFor(load: QueueLoad, onTime: number): number {
-  const busy = busySlots(load);
+export function computeRequiredSlots(load: QueueLoad, onTime: number): number {
+  const busy = computeOfferedLoad(load);
   if (busy <= 0) return 0;
   let blocking = 1;
   for (let count = 1; count <= MOST_SLOTS; count += 1) {
--- a/packages/controller-core/src/planning/scaleIn.ts
+++ b/packages/controller-core/src/planning/scaleIn.ts
@@ -16,14 +16,14 @@
   type FleetInstance,
 } from '../fleet/FleetInstance.js';
 import { placeKey, type ControllerState } from '../state.js';
-import { canEndWithout } from './standing.js';
-import { isOwnTurn } from './turns.js';
+import { canDrainInstance } from './servingCapacity.js';
+import { isOwnTurn } from './isOwnTurn.js';
 
 /** An end without an answer is resent after so long; ending what is gone already is no fault. */
 const END_TIMEOUT = 30_000;
 
 /** Takes an instance out of service for good. */
-export function drain(
+export function drainInstance(
   state: ControllerState,
   instance: FleetInstance,
   reason: DrainReason,
@@ -80,11 +80,11 @@
   // One that only starts must stay too while the pool lacks capacity: the plan may have moved to
   // a place that refuses again, and draining here would buy and drain in turns.
   const candidate = findSurplus(state, pool).find((instance) =>
-    canEndWithout(state, pool, instance),
+    canDrainInstance(state, pool, instance),
   );
   if (candidate === undefined) return [];
   const plan = state.plans.get(pool.name);
-  return drain(state, candidate, 'scaleIn', {
+  return drainInstance(state, candidate, 'scaleIn', {
     slotsNeeded: plan?.need.normal,
     slotsNeededAfterLoss: plan?.need.afterLoss,
   });
@@ -106,7 +106,7 @@
 }
 
 /** Ends what was drained and is idle; resends an end whose answer was lost. */
-export function endDrained(state: ControllerState): ControllerEffect[] {
+export function endDrainedInstances(state: ControllerState): ControllerEffect[] {
   const ready = [...state.fleet.values()].filter(
     (instance) =>
       instance.dataCentre === state.dataCentre &&
@@ -152,9 +152,9 @@
     .filter((instance) => isStray(state, instance))
     .filter((instance) => {
       const pool = poolOf(state, instance.pool);
-      return pool === undefined || canEndWithout(state, pool, instance);
+      return pool === undefined || canDrainInstance(state, pool, instance);
     })
-    .flatMap((instance) => drain(state, instance, 'stray', {}));
+    .flatMap((instance) => drainInstance(state, instance, 'stray', {}));
 }
 
 /** Drains instances that never came to serve: they would count as capacity to come for ever. */
@@ -167,7 +167,7 @@
         isKept(instance) &&
         state.now - instance.firstSeenAt > state.policy.startupTimeout,
     )
-    .flatMap((instance) => drain(state, instance, 'neverServed', {}));
+    .flatMap((instance) => drainInstance(state, instance, 'neverServed', {}));
 }
 
 export function scaleIn(state: ControllerState): ControllerEffect[] {
@@ -175,6 +175,6 @@
     ...drainStrays(state),
     ...drainDuds(state),
     ...state.configuration.pools.rows.flatMap((pool) => scaleInPool(state, pool)),
-    ...endDrained(state),
+    ...endDrainedInstances(state),
   ];
 }
--- a/packages/controller-core/src/planning/standing.ts
+++ b/packages/controller-core/src/planning/servingCapacity.ts
@@ -8,7 +8,7 @@
   type FleetInstance,
 } from '../fleet/FleetInstance.js';
 import type { ControllerState } from '../state.js';
-import { isHeard } from './offers.js';
+import { isDataCentreReachable } from './offers.js';
 
 /** What serves in the own data centre, but for one instance. */
 function servingHere(state: ControllerState, pool: Pool, without?: FleetInstance): ServingReport {
@@ -25,15 +25,15 @@
 }
 
 /** What serves in the own data centre, for the report to the other controllers. */
-export function ownServing(state: ControllerState): ServingReport[] {
+export function buildOwnServingReports(state: ControllerState): ServingReport[] {
   return state.configuration.pools.rows.map((pool) => servingHere(state, pool));
 }
 
 /** What serves in all data centres together. */
-export interface Standing {
+export interface ServingCapacity {
   readonly instances: number;
-  readonly total: number;
-  readonly largestLoss: number;
+  readonly totalSlots: number;
+  readonly maxLostSlots: number;
 }
 
 /**
@@ -41,20 +41,22 @@
  * reclaimable instances would take. A data centre that is not heard counts for nothing: taking
  * capacity out here must not depend on what may be cut off.
  */
-export function servingSlots(
+export function computeServingCapacity(
   state: ControllerState,
   pool: Pool,
   without?: FleetInstance,
-): Standing {
+): ServingCapacity {
   const elsewhere = pool.dataCentres
-    .filter((dataCentre) => dataCentre !== state.dataCentre && isHeard(state, dataCentre))
+    .filter(
+      (dataCentre) => dataCentre !== state.dataCentre && isDataCentreReachable(state, dataCentre),
+    )
     .flatMap((dataCentre) => state.peers.get(dataCentre)?.serving ?? [])
     .filter((serving) => serving.pool === pool.name);
   const all = [servingHere(state, pool, without), ...elsewhere];
   return {
     instances: all.reduce((sum, { instances }) => sum + instances, 0),
-    total: all.reduce((sum, { slots }) => sum + slots, 0),
-    largestLoss: Math.max(...all.map(({ reclaimableSlots }) => reclaimableSlots)),
+    totalSlots: all.reduce((sum, { slots }) => sum + slots, 0),
+    maxLostSlots: Math.max(...all.map(({ reclaimableSlots }) => reclaimableSlots)),
   };
 }
 
@@ -64,19 +66,27 @@
  * A remembered wave counts through the plan, which holds more instances for it; here the loss of
  * one data centre is enough, else a pool without on-demand instances could never scale in.
  */
-export function canDoWithout(state: ControllerState, pool: Pool, instance: FleetInstance): boolean {
+export function meetsNeedWithout(
+  state: ControllerState,
+  pool: Pool,
+  instance: FleetInstance,
+): boolean {
   const plan = state.plans.get(pool.name);
   if (plan === undefined) return false;
-  const { total, largestLoss } = servingSlots(state, pool, instance);
+  const { totalSlots: total, maxLostSlots: largestLoss } = computeServingCapacity(
+    state,
+    pool,
+    instance,
+  );
   return total >= plan.need.normal && total - largestLoss >= plan.need.afterLoss;
 }
 
 /** True if the pool keeps its least size of serving instances, and its deadlines, without it. */
-export function canEndWithout(
+export function canDrainInstance(
   state: ControllerState,
   pool: Pool,
   instance: FleetInstance,
 ): boolean {
-  const { instances } = servingSlots(state, pool, instance);
-  return instances >= pool.least && canDoWithout(state, pool, instance);
+  const { instances } = computeServingCapacity(state, pool, instance);
+  return instances >= pool.least && meetsNeedWithout(state, pool, instance);
 }
--- a/packages/controller-core/src/randomFaults.test.ts
+++ b/packages/controller-core/src/randomFaults.test.ts
@@ -4,14 +4,18 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { isFleetEffect, type ControllerEffect, type StartInstanceEffect } from './effects.js';
 import type { StartOutcome } from './events.js';
-import { configure, ControllerHarness, row } from './testing/ControllerHarness.js';
+import {
+  makeConfiguration,
+  ControllerHarness,
+  makePlatformInstance,
+} from './testing/ControllerHarness.js';
 
 /** One controller, a platform with random faults, and entries that apply drains after a delay. */
 class RandomFaultSimulation {
   readonly harness = new ControllerHarness({ pool: { least: 2, most: 16 } });
 
   /** Rows of the instances that exist; the controller sees them in a list that may be stale. */
-  private readonly existingInstances = new Map<string, ReturnType<typeof row>>();
+  private readonly existingInstances = new Map<string, ReturnType<typeof makePlatformInstance>>();
 
   private readonly instanceByStartToken = new Map<string, string>();
 
@@ -50,21 +54,21 @@
       this.assertStopped(effect.instance);
       this.existingInstances.delete(effect.instance);
       const { instance } = effect;
-      this.answers.push(() => harness.tell({ type: 'endAnswered', instance, ok: true }));
+      this.answers.push(() => harness.dispatch({ type: 'endAnswered', instance, ok: true }));
     }
     if (effect.type !== 'sendOrder' || effect.order.action.type !== 'load') return;
     this.assertStopped(effect.instance);
     const { model, version } = effect.order.action;
-    if (!this.oneIn(4)) harness.loaded.set(effect.instance, { model, version });
+    if (!this.oneIn(4)) harness.loadedModels.set(effect.instance, { model, version });
     const type = this.oneIn(4) ? 'lost' : 'done';
-    if (type === 'done') harness.loaded.set(effect.instance, { model, version });
+    if (type === 'done') harness.loadedModels.set(effect.instance, { model, version });
     this.answers.push(() => harness.answerOrder(effect, { type }));
   }
 
   /** Fails if calls are in progress at the instance, or entries may still send it new ones. */
   private assertStopped(instance: string): void {
-    assert.equal(this.harness.running.get(instance) ?? 0, 0, 'calls are in progress');
-    if (this.harness.loaded.get(instance)?.model === undefined) return;
+    assert.equal(this.harness.runningCalls.get(instance) ?? 0, 0, 'calls are in progress');
+    if (this.harness.loadedModels.get(instance)?.model === undefined) return;
     const drainedFor = this.harness.now - (this.drainedAt.get(instance) ?? Infinity);
     assert.ok(drainedFor >= 5000, `entries may send for ${5000 - drainedFor} ms more`);
   }
@@ -81,7 +85,7 @@
     }
     const name =
       this.instanceByStartToken.get(startToken) ?? `instance-${this.instanceByStartToken.size}`;
-    const instance = row(name, dataCentre, { instanceClass, startToken });
+    const instance = makePlatformInstance(name, dataCentre, { instanceClass, startToken });
     if (!this.instanceByStartToken.has(startToken)) this.existingInstances.set(name, instance);
     this.instanceByStartToken.set(startToken, name);
     if (this.oneIn(5)) return;
@@ -101,17 +105,17 @@
     this.existingInstances.forEach((_, instance) => {
       const drained = this.drainedAt.get(instance);
       const sends = drained === undefined || harness.now - drained < 5000;
-      const serves = harness.loaded.get(instance)?.model !== undefined;
+      const serves = harness.loadedModels.get(instance)?.model !== undefined;
       const ended = this.oneIn(20);
-      if (sends && serves) harness.running.set(instance, uniformInt(this.generator, 0, 3));
-      else if (ended) harness.running.set(instance, 0);
+      if (sends && serves) harness.runningCalls.set(instance, uniformInt(this.generator, 0, 3));
+      else if (ended) harness.runningCalls.set(instance, 0);
     });
   }
 
   private injectFaults(): void {
     const { harness } = this;
-    if (this.oneIn(300)) harness.rate = uniformInt(this.generator, 1, 60);
-    if (this.oneIn(200)) harness.peersHeard = !harness.peersHeard;
+    if (this.oneIn(300)) harness.requestsPerSecond = uniformInt(this.generator, 1, 60);
+    if (this.oneIn(200)) harness.peersReachable = !harness.peersReachable;
     if (this.oneIn(400)) this.loseLease();
     if (this.oneIn(500)) this.setVersion();
     if (this.oneIn(150)) this.reclaimOne();
@@ -122,22 +126,24 @@
     this.answers.splice(0);
     this.drainedAt.clear();
     if (this.oneIn(3)) this.takeLease();
-    else this.applyEffectsOf(() => this.harness.tell({ type: 'leaseLost' }));
+    else this.applyEffectsOf(() => this.harness.dispatch({ type: 'leaseLost' }));
   }
 
   private takeLease(): void {
     this.epoch += 1;
     const { epoch, harness } = this;
     this.applyEffectsOf(() =>
-      harness.tell({ type: 'leaseHeld', epoch, unfencedFrom: harness.now }),
+      harness.dispatch({ type: 'leaseHeld', epoch, unfencedFrom: harness.now }),
     );
   }
 
   private setVersion(): void {
     this.revision += 1;
     const version = String(this.revision);
-    const configuration = configure({ ...this.harness.pool, version }, this.revision);
-    this.applyEffectsOf(() => this.harness.tell({ type: 'configurationApplied', configuration }));
+    const configuration = makeConfiguration({ ...this.harness.pool, version }, this.revision);
+    this.applyEffectsOf(() =>
+      this.harness.dispatch({ type: 'configurationApplied', configuration }),
+    );
   }
 
   private reclaimOne(): void {
@@ -145,7 +151,7 @@
     if (instance === undefined) return;
     const goneAt = this.harness.wallNow + 30_000;
     this.existingInstances.delete(instance);
-    this.applyEffectsOf(() => this.harness.tell({ type: 'reclaimNoticed', instance, goneAt }));
+    this.applyEffectsOf(() => this.harness.dispatch({ type: 'reclaimNoticed', instance, goneAt }));
   }
 
   private applyEffectsOf(produceEffects: () => ControllerEffect[]): void {
@@ -157,7 +163,7 @@
     if (harness.state.lease === undefined && this.oneIn(30)) this.takeLease();
     this.injectFaults();
     this.sendCalls();
-    if (this.oneIn(3)) harness.rows = [...this.existingInstances.values()];
+    if (this.oneIn(3)) harness.listedInstances = [...this.existingInstances.values()];
     this.answers.splice(0).forEach((answer) => this.applyEffectsOf(answer));
     this.applyEffectsOf(() => harness.advance(1000));
     const instanceCount = [...this.existingInstances.values()].length;
--- a/packages/controller-core/src/reclaims/wave.test.ts
+++ b/packages/controller-core/src/reclaims/wave.test.ts
@@ -1,15 +1,19 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { measureMix } from '../planning/chooseMix.js';
+import { countMixSlots } from '../planning/chooseMix.js';
 import { listOffers } from '../planning/offers.js';
-import { ControllerHarness, logged, row } from '../testing/ControllerHarness.js';
+import {
+  ControllerHarness,
+  listLogEvents,
+  makePlatformInstance,
+} from '../testing/ControllerHarness.js';
 
 /** A controller at peak demand: three data centres with just the instances that the plan wants. */
 function makeHarnessAtPeak(): ControllerHarness {
   const pool = { dataCentres: ['wien-a', 'wien-b', 'stpoelten'] };
   const harness = new ControllerHarness({ pool });
-  harness.rate = 20;
-  harness.furnish();
+  harness.requestsPerSecond = 20;
+  harness.provisionPlan();
   return harness;
 }
 
@@ -31,16 +35,18 @@
   assert.ok(plan !== undefined && plan.missingSlots === 0);
   const offers = listOffers(harness.state, harness.pool);
   const counts = plan.places.map(({ wanted }) => wanted);
-  const { total, largestLoss } = measureMix(offers, counts, 0);
+  const { totalSlots: total, maxLostSlots: largestLoss } = countMixSlots(offers, counts, 0);
   assert.ok(total - largestLoss >= plan.need.afterLoss);
 
   const goneAt = harness.wallNow + 30_000;
-  const reclaimed = (harness.rows ?? []).filter(({ dataCentre }) => dataCentre === 'stpoelten');
+  const reclaimed = (harness.listedInstances ?? []).filter(
+    ({ dataCentre }) => dataCentre === 'stpoelten',
+  );
   assert.ok(reclaimed.length > 0);
   const effects = reclaimed.flatMap(({ instance }) =>
-    harness.tell({ type: 'reclaimNoticed', instance, goneAt }),
+    harness.dispatch({ type: 'reclaimNoticed', instance, goneAt }),
   );
-  assert.ok(logged(effects).includes('planChanged'));
+  assert.ok(listLogEvents(effects).includes('planChanged'));
   const after = countWantedByPlace(harness);
   assert.equal(after['stpoelten/spot'], undefined, 'nothing is bought at the place of the wave');
   const grown = Object.keys(after).filter((place) => (after[place] ?? 0) > (before[place] ?? 0));
@@ -60,7 +66,7 @@
   assert.ok(place !== undefined);
   const [dataCentre = ''] = place.split('/');
   const goneAt = harness.wallNow + 60_000;
-  harness.tell({ type: 'reclaimNoticed', instance: `${dataCentre}-spot-0`, goneAt });
+  harness.dispatch({ type: 'reclaimNoticed', instance: `${dataCentre}-spot-0`, goneAt });
   const after = countWantedByPlace(harness);
   assert.equal(after[place], (before[place] ?? 0) - 1);
 });
@@ -69,19 +75,25 @@
 test('the plan does not oscillate after a wave', () => {
   const harness = makeHarnessAtPeak();
   const goneAt = harness.wallNow + 30_000;
-  (harness.rows ?? [])
+  (harness.listedInstances ?? [])
     .filter(({ dataCentre }) => dataCentre === 'stpoelten')
-    .forEach(({ instance }) => harness.tell({ type: 'reclaimNoticed', instance, goneAt }));
-  harness.rows = harness.rows?.filter(({ dataCentre }) => dataCentre !== 'stpoelten');
+    .forEach(({ instance }) => harness.dispatch({ type: 'reclaimNoticed', instance, goneAt }));
+  harness.listedInstances = harness.listedInstances?.filter(
+    ({ dataCentre }) => dataCentre !== 'stpoelten',
+  );
   harness.pool.dataCentres.forEach((dataCentre) => {
     const wanted = countWantedByPlace(harness)[`${dataCentre}/spot`] ?? 0;
-    const listed = (harness.rows ?? []).filter((known) => known.dataCentre === dataCentre).length;
+    const listed = (harness.listedInstances ?? []).filter(
+      (known) => known.dataCentre === dataCentre,
+    ).length;
     for (let number = listed; number < wanted; number += 1) {
       const instance = `${dataCentre}-new-${number}`;
-      harness.rows?.push(row(instance, dataCentre));
-      harness.loaded.set(instance, { model: 'appraiser', version: '1' });
+      harness.listedInstances?.push(makePlatformInstance(instance, dataCentre));
+      harness.loadedModels.set(instance, { model: 'appraiser', version: '1' });
     }
   });
-  const changes = logged(harness.advance(60 * 60_000)).filter((event) => event === 'planChanged');
+  const changes = listLogEvents(harness.advance(60 * 60_000)).filter(
+    (event) => event === 'planChanged',
+  );
   assert.ok(changes.length <= 4, `the plan changed ${changes.length} times`);
 });
--- a/packages/controller-core/src/singleton/SingletonState.ts
+++ b/packages/controller-core/src/singleton/SingletonState.ts
@@ -12,7 +12,7 @@
   type PlatformInstance,
   type UsageCounts,
 } from '@hornbeampond/schema';
-import type { PlaceSize, SizeNeed } from '../sizing/planSizes.js';
+import type { DataCentreSize, InstanceNeed } from '../sizing/planSizes.js';
 import { UsageLedger } from '../usage/UsageLedger.js';
 
 /** What a start of the process is told. */
@@ -23,45 +23,45 @@
 }
 
 /** A report of one entry, with the time it came. */
-export interface HeardEntry {
+export interface ReceivedEntryReport {
   readonly report: EntryReport;
-  readonly heardAt: MonotonicMilliseconds;
+  readonly receivedAt: MonotonicMilliseconds;
 }
 
 /** One moment's need, kept for a while: capacity follows a rise at once and a fall late. */
 export interface PastNeed {
   readonly at: MonotonicMilliseconds;
-  readonly need: SizeNeed;
+  readonly need: InstanceNeed;
 }
 
 /** One plan, kept as long. */
 export interface PastPlan {
   readonly at: MonotonicMilliseconds;
-  readonly sizes: readonly PlaceSize[];
+  readonly sizes: readonly DataCentreSize[];
 }
 
 /** The last order for one kind of instances in one data centre. */
-export interface ToldSize {
+export interface AcceptedCount {
   readonly count: number;
-  readonly at: MonotonicMilliseconds;
+  readonly acceptedAt: MonotonicMilliseconds;
 }
 
 /** What the platform was told last for one data centre; a kind that it was not told is missing. */
-export interface OrderedSize {
-  readonly reclaimable?: ToldSize;
-  readonly onDemand?: ToldSize;
+export interface AcceptedSize {
+  readonly reclaimable?: AcceptedCount;
+  readonly onDemand?: AcceptedCount;
 }
 
-export interface SizedPool {
-  needs: PastNeed[];
-  plans: PastPlan[];
+export interface PoolSizingState {
+  recentNeeds: PastNeed[];
+  recentPlans: PastPlan[];
   /** By data centre. */
-  readonly ordered: Map<string, OrderedSize>;
+  readonly acceptedSizes: Map<string, AcceptedSize>;
   /** Instances that were there before any were ordered. */
-  found: number;
+  initialCount: number;
   /** When waves have taken the reclaimable instances of a data centre, and how many it had before. */
-  waves: MonotonicMilliseconds[];
-  readonly reclaimableBefore: Map<string, number>;
+  waveTimes: MonotonicMilliseconds[];
+  readonly previousReclaimable: Map<string, number>;
   /** Until when reclaimable instances cannot be had, by data centre. */
   readonly closedUntil: Map<string, MonotonicMilliseconds>;
 }
@@ -83,16 +83,16 @@
   readonly usage: UsageLedger;
   /** By number. */
   readonly usageWindows: Map<number, UsageWindow>;
-  readonly entries: Map<string, HeardEntry>;
+  readonly entryReports: Map<string, ReceivedEntryReport>;
   instances: readonly PlatformInstance[];
   /** Instances on the list before, until the list has stopped to grow. */
-  lastListed: number;
+  previousListLength: number;
   /** True once the list has not grown from one reading to the next. */
-  isListFilled: boolean;
+  isListStable: boolean;
   /** When demand was first heard of, so that a window that is not full yet is not believed. */
-  demandSince: MonotonicMilliseconds | undefined;
+  firstDemandAt: MonotonicMilliseconds | undefined;
   /** By name. */
-  readonly pools: Map<string, SizedPool>;
+  readonly pools: Map<string, PoolSizingState>;
   now: MonotonicMilliseconds;
   wallNow: EpochMilliseconds;
 }
@@ -104,11 +104,11 @@
     epoch: undefined,
     usage: new UsageLedger(),
     usageWindows: new Map(),
-    entries: new Map(),
+    entryReports: new Map(),
     instances: [],
-    lastListed: 0,
-    isListFilled: false,
-    demandSince: undefined,
+    previousListLength: 0,
+    isListStable: false,
+    firstDemandAt: undefined,
     pools: new Map(),
     now: 0,
     wallNow: 0,
--- a/packages/controller-core/src/singleton/advanceSizes.ts
+++ b/packages/controller-core/src/singleton/advanceSizes.ts
@@ -10,10 +10,15 @@
   RouteDemandReport,
   SizeOrder,
 } from '@hornbeampond/schema';
-import { measureLoad, needFor, type PoolLoad } from '../sizing/measureNeed.js';
-import { planSizes, type PlaceSize, type PlaceState, type SizeNeed } from '../sizing/planSizes.js';
+import { measureLoad, computeInstanceNeed, type PoolLoad } from '../sizing/computeInstanceNeed.js';
+import {
+  planSizes,
+  type DataCentreSize,
+  type DataCentreState,
+  type InstanceNeed,
+} from '../sizing/planSizes.js';
 import type { SingletonEffect } from './singletonEvents.js';
-import type { OrderedSize, SingletonState, SizedPool } from './SingletonState.js';
+import type { AcceptedSize, SingletonState, PoolSizingState } from './SingletonState.js';
 
 /** What was needed or planned is kept for so long before capacity may fall below it. */
 const FALL_AFTER_MILLISECONDS: Milliseconds = 20_000;
@@ -44,16 +49,16 @@
 
 const DEFAULT_CONCURRENCY = 8;
 
-function poolStateOf(state: SingletonState, name: string): SizedPool {
+function poolStateOf(state: SingletonState, name: string): PoolSizingState {
   const known = state.pools.get(name);
   if (known !== undefined) return known;
-  const made: SizedPool = {
-    needs: [],
-    plans: [],
-    found: 0,
-    waves: [],
-    reclaimableBefore: new Map(),
-    ordered: new Map(),
+  const made: PoolSizingState = {
+    recentNeeds: [],
+    recentPlans: [],
+    initialCount: 0,
+    waveTimes: [],
+    previousReclaimable: new Map(),
+    acceptedSizes: new Map(),
     closedUntil: new Map(),
   };
   state.pools.set(name, made);
@@ -61,8 +66,8 @@
 }
 
 function demandFor(state: SingletonState, pool: Pool): RouteDemandReport[] {
-  return [...state.entries.values()]
-    .filter(({ heardAt }) => state.now - heardAt <= ENTRY_SILENCE_MILLISECONDS)
+  return [...state.entryReports.values()]
+    .filter(({ receivedAt: heardAt }) => state.now - heardAt <= ENTRY_SILENCE_MILLISECONDS)
     .flatMap(({ report }) => report.demand ?? [])
     .filter((demand) => demand.pool === pool.name);
 }
@@ -77,7 +82,7 @@
   ).length;
 }
 
-function placesOf(state: SingletonState, pool: Pool, sized: SizedPool): PlaceState[] {
+function placesOf(state: SingletonState, pool: Pool, sized: PoolSizingState): DataCentreState[] {
   return pool.dataCentres.map((dataCentre) => {
     const onDemand = countThere(state, pool, dataCentre, false);
     return {
@@ -85,7 +90,7 @@
       reclaimable: countThere(state, pool, dataCentre, true),
       onDemand,
       isClosed: (sized.closedUntil.get(dataCentre) ?? Number.NEGATIVE_INFINITY) > state.now,
-      plannedOnDemand: sized.ordered.get(dataCentre)?.onDemand?.count ?? onDemand,
+      orderedOnDemand: sized.acceptedSizes.get(dataCentre)?.onDemand?.count ?? onDemand,
     };
   });
 }
@@ -97,25 +102,26 @@
  */
 function needNow(
   state: SingletonState,
-  sized: SizedPool,
+  sized: PoolSizingState,
   load: PoolLoad,
-  places: readonly PlaceState[],
-): SizeNeed {
-  const { demandSince } = state;
-  const measured = needFor(load);
+  places: readonly DataCentreState[],
+): InstanceNeed {
+  const { firstDemandAt: demandSince } = state;
+  const measured = computeInstanceNeed(load);
   const isMeasured =
     demandSince !== undefined && state.now - demandSince >= MEASURED_AFTER_MILLISECONDS;
   if (isMeasured) return measured;
   const reclaimable = places.reduce((sum, place) => sum + place.reclaimable, 0);
   const onDemand = places.reduce((sum, place) => sum + place.onDemand, 0);
-  if (!state.isListFilled || sized.found === 0) sized.found = Math.max(reclaimable, onDemand);
+  if (!state.isListStable || sized.initialCount === 0)
+    sized.initialCount = Math.max(reclaimable, onDemand);
   return {
-    normal: Math.max(sized.found, measured.normal),
-    afterLoss: Math.max(Math.ceil(sized.found / 2), measured.afterLoss),
+    normal: Math.max(sized.initialCount, measured.normal),
+    afterLoss: Math.max(Math.ceil(sized.initialCount / 2), measured.afterLoss),
   };
 }
 
-function highestOf(needs: readonly { readonly need: SizeNeed }[]): SizeNeed {
+function highestOf(needs: readonly { readonly need: InstanceNeed }[]): InstanceNeed {
   return {
     normal: Math.max(1, ...needs.map(({ need }) => need.normal)),
     afterLoss: Math.max(1, ...needs.map(({ need }) => need.afterLoss)),
@@ -123,16 +129,24 @@
 }
 
 /** Keeps the highest reclaimable plan of the last while: starting and ending them is no saving. */
-function steady(state: SingletonState, sized: SizedPool, plan: readonly PlaceSize[]): PlaceSize[] {
-  sized.plans = sized.plans.filter(({ at }) => state.now - at < FALL_AFTER_MILLISECONDS);
-  sized.plans.push({ at: state.now, sizes: plan });
+function steady(
+  state: SingletonState,
+  sized: PoolSizingState,
+  plan: readonly DataCentreSize[],
+): DataCentreSize[] {
+  sized.recentPlans = sized.recentPlans.filter(
+    ({ at }) => state.now - at < FALL_AFTER_MILLISECONDS,
+  );
+  sized.recentPlans.push({ at: state.now, sizes: plan });
   return plan.map((size, position) => ({
     ...size,
-    reclaimable: Math.max(...sized.plans.map(({ sizes }) => sizes[position]?.reclaimable ?? 0)),
+    reclaimable: Math.max(
+      ...sized.recentPlans.map(({ sizes }) => sizes[position]?.reclaimable ?? 0),
+    ),
   }));
 }
 
-function ordersFor(pool: Pool, { dataCentre, reclaimable, onDemand }: PlaceSize): SizeOrder[] {
+function ordersFor(pool: Pool, { dataCentre, reclaimable, onDemand }: DataCentreSize): SizeOrder[] {
   return [
     { pool: pool.name, dataCentre, reclaimable: true, count: reclaimable },
     { pool: pool.name, dataCentre, reclaimable: false, count: onDemand },
@@ -147,8 +161,8 @@
 function isInForce(
   state: SingletonState,
   sizing: PoolSizing,
-  ordered: OrderedSize | undefined,
-  place: PlaceState,
+  ordered: AcceptedSize | undefined,
+  place: DataCentreState,
   order: SizeOrder,
 ): boolean {
   const told = order.reclaimable ? ordered?.reclaimable : ordered?.onDemand;
@@ -156,7 +170,7 @@
   if (told === undefined) return there === order.count;
   if (told.count !== order.count) return false;
   const patience = sizing.startMilliseconds + LISTED_LATE_MILLISECONDS;
-  return there >= order.count || state.now - told.at < patience;
+  return there >= order.count || state.now - told.acceptedAt < patience;
 }
 
 function measure(state: SingletonState, pool: Pool): PoolLoad {
@@ -167,11 +181,11 @@
 /** Takes note of the data centres that were to have reclaimable instances, and have lost all of them. */
 function countWaves(
   state: SingletonState,
-  sized: SizedPool,
-  places: readonly PlaceState[],
+  sized: PoolSizingState,
+  places: readonly DataCentreState[],
   { startMilliseconds }: PoolSizing,
 ): number {
-  const { ordered, reclaimableBefore } = sized;
+  const { acceptedSizes: ordered, previousReclaimable: reclaimableBefore } = sized;
   const hit = places.filter(
     ({ dataCentre, reclaimable }) =>
       reclaimable === 0 &&
@@ -180,28 +194,36 @@
   );
   places.forEach(({ dataCentre, reclaimable }) => reclaimableBefore.set(dataCentre, reclaimable));
   const since = state.now - STARTS_LOOKED_BACK * startMilliseconds;
-  sized.waves = [...sized.waves, ...hit.map(() => state.now)].filter((at) => at > since);
-  return sized.waves.length;
+  sized.waveTimes = [...sized.waveTimes, ...hit.map(() => state.now)].filter((at) => at > since);
+  return sized.waveTimes.length;
 }
 
 function sizePool(state: SingletonState, pool: Pool, sizing: PoolSizing, epoch: number) {
   const sized = poolStateOf(state, pool.name);
   const places = placesOf(state, pool, sized);
   const load = measure(state, pool);
-  sized.needs = sized.needs.filter(({ at }) => state.now - at < FALL_AFTER_MILLISECONDS);
-  sized.needs.push({ at: state.now, need: needNow(state, sized, load, places) });
-  const recent = sized.needs.filter(({ at }) => state.now - at < ON_DEMAND_FALL_AFTER_MILLISECONDS);
-  const need = highestOf(sized.needs);
-  const needs = { lately: need, now: highestOf(recent) };
+  sized.recentNeeds = sized.recentNeeds.filter(
+    ({ at }) => state.now - at < FALL_AFTER_MILLISECONDS,
+  );
+  sized.recentNeeds.push({ at: state.now, need: needNow(state, sized, load, places) });
+  const recent = sized.recentNeeds.filter(
+    ({ at }) => state.now - at < ON_DEMAND_FALL_AFTER_MILLISECONDS,
+  );
+  const need = highestOf(sized.recentNeeds);
+  const needs = { longWindow: need, shortWindow: highestOf(recent) };
   const wavesLately = countWaves(state, sized, places, sizing);
-  const plan = steady(state, sized, planSizes({ sizing, needs, places, wavesLately }));
+  const plan = steady(
+    state,
+    sized,
+    planSizes({ sizing, needs, dataCentres: places, recentWaveCount: wavesLately }),
+  );
   return plan.flatMap((size, position): SingletonEffect[] => {
     const place = places[position];
     if (place === undefined) return [];
-    const ordered = sized.ordered.get(size.dataCentre);
+    const ordered = sized.acceptedSizes.get(size.dataCentre);
     // By a list that still fills, on-demand instances would be let go that only are not listed yet.
     return ordersFor(pool, size)
-      .filter((order) => order.reclaimable || state.isListFilled)
+      .filter((order) => order.reclaimable || state.isListStable)
       .filter((order) => !isInForce(state, sizing, ordered, place, order))
       .filter((order) => !(order.reclaimable && place.isClosed))
       .flatMap((order): SingletonEffect[] => [
@@ -221,7 +243,7 @@
 }
 
 /** Remembers what the platform was told, or that it has none to give there for now. */
-export function takeOrdered(
+export function handleSizeOrderOutcome(
   state: SingletonState,
   order: SizeOrder,
   outcome: 'done' | 'refused' | 'failed',
@@ -234,9 +256,9 @@
   }
   // What became of a failed order is not known; it is given again with the next plan.
   if (outcome === 'failed') return [];
-  const before = sized.ordered.get(dataCentre);
-  const told = { count, at: state.now };
-  sized.ordered.set(dataCentre, {
+  const before = sized.acceptedSizes.get(dataCentre);
+  const told = { count, acceptedAt: state.now };
+  sized.acceptedSizes.set(dataCentre, {
     ...before,
     ...(reclaimable ? { reclaimable: told } : { onDemand: told }),
   });
--- a/packages/controller-core/src/singleton/advanceUsage.ts
+++ b/packages/controller-core/src/singleton/advanceUsage.ts
@@ -48,7 +48,7 @@
 }
 
 /** Goes on with a window as soon as its counts are settled. */
-export function takeSettled(
+export function handleUsageSettled(
   state: SingletonState,
   number: number,
   counts: UsageCounts,
--- a/packages/controller-core/src/singleton/reduceSingleton.test.ts
+++ b/packages/controller-core/src/singleton/reduceSingleton.test.ts
@@ -7,7 +7,7 @@
   type Pool,
 } from '@hornbeampond/schema';
 import { reduceSingleton } from './reduceSingleton.js';
-import type { SingletonEffect, SingletonOccurrence } from './singletonEvents.js';
+import type { SingletonEffect, SingletonEventPayload } from './singletonEvents.js';
 import { makeSingletonState } from './SingletonState.js';
 
 const WINDOW = 5000;
@@ -55,7 +55,7 @@
 /** A process whose clock the test sets; `feed` returns the effects without the log lines. */
 function makeProcess() {
   const state = makeSingletonState({ usageWindow: WINDOW, ordersInstances: true });
-  return (at: number, occurrence: SingletonOccurrence): SingletonEffect[] =>
+  return (at: number, occurrence: SingletonEventPayload): SingletonEffect[] =>
     reduceSingleton(state, { ...occurrence, now: at, wallNow: at }).filter(
       ({ type }) => type !== 'log',
     );
--- a/packages/controller-core/src/singleton/reduceSingleton.ts
+++ b/packages/controller-core/src/singleton/reduceSingleton.ts
@@ -3,23 +3,23 @@
  * sizing pools where the platform is told numbers. It asks for nothing while it holds no lease.
  */
 import { assertNever, type EntryReport, type PlatformInstance } from '@hornbeampond/schema';
-import { advanceSizes, takeOrdered } from './advanceSizes.js';
-import { advanceUsage, takeSettled } from './advanceUsage.js';
+import { advanceSizes, handleSizeOrderOutcome } from './advanceSizes.js';
+import { advanceUsage, handleUsageSettled } from './advanceUsage.js';
 import type { SingletonEffect, SingletonEvent } from './singletonEvents.js';
 import type { SingletonState } from './SingletonState.js';
 
 function noteEntry(state: SingletonState, report: EntryReport): void {
-  state.entries.set(report.instance, { report, heardAt: state.now });
+  state.entryReports.set(report.instance, { report, receivedAt: state.now });
   state.usage.receive(report);
-  if ((report.demand ?? []).length > 0) state.demandSince ??= state.now;
+  if ((report.demand ?? []).length > 0) state.firstDemandAt ??= state.now;
 }
 
 /** The list fills while the instances of a system that starts come up, for several seconds. */
 function noteList(state: SingletonState, instances: readonly PlatformInstance[]): void {
   state.instances = instances;
   if (instances.length === 0) return;
-  state.isListFilled ||= instances.length <= state.lastListed;
-  state.lastListed = instances.length;
+  state.isListStable ||= instances.length <= state.previousListLength;
+  state.previousListLength = instances.length;
 }
 
 export function reduceSingleton(state: SingletonState, event: SingletonEvent): SingletonEffect[] {
@@ -49,14 +49,14 @@
       state.epoch = undefined;
       return [];
     case 'usageSettled':
-      return takeSettled(state, event.window, event.counts);
+      return handleUsageSettled(state, event.window, event.counts);
     case 'usageReported': {
       const window = state.usageWindows.get(event.window);
       if (window !== undefined) window.isReported = true;
       return [];
     }
     case 'sizeOrdered':
-      return takeOrdered(state, event.order, event.outcome);
+      return handleSizeOrderOutcome(state, event.order, event.outcome);
     default:
       return assertNever(event);
   }
--- a/packages/controller-core/src/singleton/singletonEvents.ts
+++ b/packages/controller-core/src/singleton/singletonEvents.ts
@@ -11,7 +11,7 @@
   UsageCounts,
 } from '@hornbeampond/schema';
 
-export type SingletonOccurrence =
+export type SingletonEventPayload =
   | { readonly type: 'tick' }
   | { readonly type: 'configurationReceived'; readonly configuration: Configuration }
   | { readonly type: 'entryReported'; readonly report: EntryReport }
@@ -30,7 +30,7 @@
       readonly outcome: 'done' | 'refused' | 'failed';
     };
 
-export type SingletonEvent = SingletonOccurrence & {
+export type SingletonEvent = SingletonEventPayload & {
   readonly now: MonotonicMilliseconds;
   readonly wallNow: EpochMilliseconds;
 };
--- a/packages/controller-core/src/sizing/measureNeed.test.ts
+++ b/packages/controller-core/src/sizing/computeInstanceNeed.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { measureLoad, needFor } from './measureNeed.js';
+import { measureLoad, computeInstanceNeed } from './computeInstanceNeed.js';
 
 const report = {
   route: 'appraisals',
@@ -17,7 +17,7 @@
   const rush = measureLoad([{ ...report, recentPerSecond: 40 }], 64);
   assert.deepEqual(usual, { places: 0.25, prompts: 1 });
   assert.deepEqual(rush, { places: 1, prompts: 4 });
-  assert.ok(needFor(rush).afterLoss > needFor(usual).afterLoss);
+  assert.ok(computeInstanceNeed(rush).afterLoss > computeInstanceNeed(usual).afterLoss);
 });
 
 // A lull of a few seconds between two rushes lets nothing go, and an entry of an older version that
--- a/packages/controller-core/src/sizing/measureNeed.ts
+++ b/packages/controller-core/src/sizing/computeInstanceNeed.ts
@@ -4,7 +4,7 @@
  * all that run beside them. The scarcer one decides.
  */
 import type { RouteDemandReport } from '@hornbeampond/schema';
-import type { SizeNeed } from './planSizes.js';
+import type { InstanceNeed } from './planSizes.js';
 
 /**
  * Shares of an engine that may be in use. The time for a prompt is learnt from first tokens and holds
@@ -56,7 +56,7 @@
 }
 
 /** The instances that a load needs. */
-export function needFor(load: PoolLoad): SizeNeed {
+export function computeInstanceNeed(load: PoolLoad): InstanceNeed {
   return {
     normal: instancesFor(load, NORMAL_SHARES),
     afterLoss: instancesFor(load, AFTER_LOSS_SHARES),
--- a/packages/controller-core/src/sizing/planSizes.test.ts
+++ b/packages/controller-core/src/sizing/planSizes.test.ts
@@ -1,7 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { PoolSizing } from '@hornbeampond/schema';
-import { planSizes, type NeedSpans, type PlaceState, type SizeNeed } from './planSizes.js';
+import {
+  planSizes,
+  type NeedWindows,
+  type DataCentreState,
+  type InstanceNeed,
+} from './planSizes.js';
 
 const sizing: PoolSizing = {
   least: 1,
@@ -11,24 +16,24 @@
   reclaimableShare: 0.15,
 };
 
-function place(dataCentre: string, fields: Partial<PlaceState> = {}): PlaceState {
+function place(dataCentre: string, fields: Partial<DataCentreState> = {}): DataCentreState {
   return {
     dataCentre,
     reclaimable: 0,
     onDemand: 0,
     isClosed: false,
-    plannedOnDemand: 0,
+    orderedOnDemand: 0,
     ...fields,
   };
 }
 
-function steady(need: SizeNeed): NeedSpans {
-  return { lately: need, now: need };
+function steady(need: InstanceNeed): NeedWindows {
+  return { longWindow: need, shortWindow: need };
 }
 
 /** The plan as text, such as `a 2+0` for two reclaimable and no on-demand instances. */
-function plan(need: SizeNeed, places: readonly PlaceState[], limits = sizing): string {
-  return planSizes({ sizing: limits, needs: steady(need), places })
+function plan(need: InstanceNeed, places: readonly DataCentreState[], limits = sizing): string {
+  return planSizes({ sizing: limits, needs: steady(need), dataCentres: places })
     .map(({ dataCentre, reclaimable, onDemand }) => `${dataCentre} ${reclaimable}+${onDemand}`)
     .join(', ');
 }
@@ -72,7 +77,7 @@
     name === 'b' ? place(name, { isClosed }) : place(name, { reclaimable: 2 }),
   );
   const needs = steady({ normal: 8, afterLoss: 5 });
-  return planSizes({ sizing, needs, places, wavesLately }).reduce(
+  return planSizes({ sizing, needs, dataCentres: places, recentWaveCount: wavesLately }).reduce(
     (sum, { onDemand }) => sum + onDemand,
     0,
   );
@@ -98,7 +103,11 @@
 // instances. A plan that counted a place without more to give as empty would end what serves there.
 test('a place without more to give keeps what it has', () => {
   const places = four.map((name) => place(name, { reclaimable: 1, isClosed: name === 'b' }));
-  const planned = planSizes({ sizing, needs: steady({ normal: 8, afterLoss: 5 }), places });
+  const planned = planSizes({
+    sizing,
+    needs: steady({ normal: 8, afterLoss: 5 }),
+    dataCentres: places,
+  });
   assert.equal(planned.find(({ dataCentre }) => dataCentre === 'b')?.reclaimable, 1);
 });
 
@@ -106,10 +115,13 @@
 // took costs several times as much, and goes as soon as the rush that it was ordered for.
 test('on-demand instances are let go before reclaimable ones', () => {
   const places = four.map((name) =>
-    place(name, { reclaimable: name === 'b' ? 0 : 2, isClosed: name === 'b', plannedOnDemand: 1 }),
+    place(name, { reclaimable: name === 'b' ? 0 : 2, isClosed: name === 'b', orderedOnDemand: 1 }),
   );
-  const needs = { lately: { normal: 6, afterLoss: 5 }, now: { normal: 3, afterLoss: 2 } };
-  const planned = planSizes({ sizing, needs, places });
+  const needs = {
+    longWindow: { normal: 6, afterLoss: 5 },
+    shortWindow: { normal: 3, afterLoss: 2 },
+  };
+  const planned = planSizes({ sizing, needs, dataCentres: places });
   const sum = (kind: 'reclaimable' | 'onDemand') =>
     planned.reduce((total, size) => total + size[kind], 0);
   assert.deepEqual([sum('reclaimable'), sum('onDemand')], [12, 1]);
@@ -118,7 +130,7 @@
 // Each move between data centres costs a start and cuts the answers that run on the old instance.
 test('what was planned on demand stays where it is', () => {
   const places = [
-    place('a', { reclaimable: 2, onDemand: 2, plannedOnDemand: 2 }),
+    place('a', { reclaimable: 2, onDemand: 2, orderedOnDemand: 2 }),
     place('b', { isClosed: true }),
     place('c', { isClosed: true }),
     place('d', { reclaimable: 2 }),
@@ -128,10 +140,12 @@
 
 test('no place is planned beyond its bounds, whatever is needed', () => {
   const places = four.map((name) => place(name));
-  planSizes({ sizing, needs: steady({ normal: 100, afterLoss: 90 }), places }).forEach((size) => {
-    const total = size.reclaimable + size.onDemand;
-    assert.ok(total >= sizing.least && total <= sizing.most, JSON.stringify(size));
-  });
+  planSizes({ sizing, needs: steady({ normal: 100, afterLoss: 90 }), dataCentres: places }).forEach(
+    (size) => {
+      const total = size.reclaimable + size.onDemand;
+      assert.ok(total >= sizing.least && total <= sizing.most, JSON.stringify(size));
+    },
+  );
 });
 
 test('where nothing is reclaimable, on-demand instances carry the need', () => {
--- a/packages/controller-core/src/sizing/planSizes.ts
+++ b/packages/controller-core/src/sizing/planSizes.ts
@@ -14,7 +14,7 @@
 import type { PoolSizing } from '@hornbeampond/schema';
 
 /** What the plan has to be enough for, in instances. */
-export interface SizeNeed {
+export interface InstanceNeed {
   /** With all there. */
   readonly normal: number;
   /** Just after the reclaimable instances of one data centre are gone. */
@@ -22,41 +22,41 @@
 }
 
 /** The need over two spans: capacity follows a rise at once and a fall late. */
-export interface NeedSpans {
+export interface NeedWindows {
   /** Over the span for which cheap instances are kept. */
-  readonly lately: SizeNeed;
+  readonly longWindow: InstanceNeed;
   /** Over the shorter one for which on-demand instances are. */
-  readonly now: SizeNeed;
+  readonly shortWindow: InstanceNeed;
 }
 
 /** One data centre: what the platform lists there, without what leaves, and what was planned. */
-export interface PlaceState {
+export interface DataCentreState {
   readonly dataCentre: string;
   readonly reclaimable: number;
   readonly onDemand: number;
   /** True while the platform has no reclaimable instances to give there. */
   readonly isClosed: boolean;
   /** On-demand instances of the last plan. */
-  readonly plannedOnDemand: number;
+  readonly orderedOnDemand: number;
 }
 
 export interface SizeRequest {
   readonly sizing: PoolSizing;
-  readonly needs: NeedSpans;
-  readonly places: readonly PlaceState[];
+  readonly needs: NeedWindows;
+  readonly dataCentres: readonly DataCentreState[];
   /** Waves that have taken reclaimable instances within the last two starts. */
-  readonly wavesLately?: number;
+  readonly recentWaveCount?: number;
 }
 
 /** What is to be ordered for one data centre. */
-export interface PlaceSize {
+export interface DataCentreSize {
   readonly dataCentre: string;
   readonly reclaimable: number;
   readonly onDemand: number;
 }
 
 interface Draft {
-  readonly place: PlaceState;
+  readonly place: DataCentreState;
   readonly price: number;
   reclaimable: number;
   onDemand: number;
@@ -96,7 +96,7 @@
     .reduce((sum, count) => sum + count, 0);
 }
 
-function isEnough(drafts: readonly Draft[], need: SizeNeed, price: number): boolean {
+function isEnough(drafts: readonly Draft[], need: InstanceNeed, price: number): boolean {
   const counts = drafts.map(({ reclaimable }) => reclaimable);
   const total = sumOf(drafts, (draft) => draft.reclaimable);
   if (total < need.normal) return false;
@@ -110,7 +110,7 @@
 /** A place without more to give counts with what it has: an order for fewer would end those. */
 function spreadReclaimable(
   drafts: readonly Draft[],
-  { sizing, needs: { lately: need } }: SizeRequest,
+  { sizing, needs: { longWindow: need } }: SizeRequest,
 ): void {
   const price = sizing.reclaimableShare ?? 1;
   drafts.forEach((draft) => {
@@ -140,7 +140,7 @@
 /** What the reclaimable instances that serve now would lack after the waves that may follow. */
 function countLacking(
   drafts: readonly Draft[],
-  { sizing, needs: { now: need }, wavesLately = 0 }: SizeRequest,
+  { sizing, needs: { shortWindow: need }, recentWaveCount: wavesLately = 0 }: SizeRequest,
 ): number {
   if (sizing.reclaimableShare === undefined) return Math.max(need.normal, need.afterLoss);
   const serving = sumOf(drafts, ({ place }) => place.reclaimable);
@@ -154,7 +154,7 @@
   const { sizing } = request;
   const lacking = countLacking(drafts, request);
   drafts.forEach((draft) => {
-    draft.onDemand = Math.min(draft.place.plannedOnDemand, sizing.most);
+    draft.onDemand = Math.min(draft.place.orderedOnDemand, sizing.most);
   });
   const total = () => sumOf(drafts, (draft) => draft.onDemand);
   while (total() > lacking) {
@@ -181,8 +181,8 @@
   });
 }
 
-export function planSizes(request: SizeRequest): PlaceSize[] {
-  const { sizing, places } = request;
+export function planSizes(request: SizeRequest): DataCentreSize[] {
+  const { sizing, dataCentres: places } = request;
   const drafts = places.map((place) => ({
     place,
     price: sizing.prices[place.dataCentre] ?? 1,
--- a/packages/controller-core/src/testing/ControllerHarness.ts
+++ b/packages/controller-core/src/testing/ControllerHarness.ts
@@ -50,7 +50,7 @@
   checksFencing: true,
 };
 
-export function configure(pool: Pool, revision = 1): Configuration {
+export function makeConfiguration(pool: Pool, revision = 1): Configuration {
   return {
     revision,
     routes: { revision, rows: [appraisalRoute] },
@@ -73,41 +73,41 @@
   now = 0;
 
   /** Requests a second that the one entry reports. */
-  rate = 0;
+  requestsPerSecond = 0;
 
   /** Requests a second that each other data centre reports. */
-  peerRate = 0;
+  peerRequestsPerSecond = 0;
 
   /** What the platform lists; undefined while its list cannot be read. */
-  rows: PlatformInstance[] | undefined = [];
+  listedInstances: PlatformInstance[] | undefined = [];
 
   /** What engines of the own data centre report to have loaded; the others report nothing. */
-  readonly loaded = new Map<string, LoadedModel>();
+  readonly loadedModels = new Map<string, LoadedModel>();
 
   /** Calls that run at an instance; one that is not named runs none. */
-  readonly running = new Map<string, number>();
+  readonly runningCalls = new Map<string, number>();
 
   /** How far the clocks of the backend servers are ahead. */
-  clockAhead: Milliseconds = 0;
+  serverClockOffset: Milliseconds = 0;
 
   /** False while no load report comes in. */
-  reporting = true;
+  deliversLoadReports = true;
 
   /** False while the other data centres are cut off. */
-  peersHeard = true;
+  peersReachable = true;
 
   constructor(options: HarnessOptions = {}) {
     const { dataCentre = 'wien-a', seed = 7, policy } = options;
     this.state = createControllerState({ dataCentre, seed, policy });
     this.pool = { ...modelPool, ...options.pool };
-    this.tell({ type: 'configurationApplied', configuration: configure(this.pool) });
+    this.dispatch({ type: 'configurationApplied', configuration: makeConfiguration(this.pool) });
   }
 
   get wallNow(): number {
     return STARTED_AT + this.now;
   }
 
-  tell(fields: EventFields<ControllerEvent>): ControllerEffect[] {
+  dispatch(fields: EventFields<ControllerEvent>): ControllerEffect[] {
     const event = { ...fields, now: this.now, wallNow: this.wallNow } as ControllerEvent;
     return reduceController(this.state, event);
   }
@@ -117,15 +117,15 @@
     const effects: ControllerEffect[] = [];
     for (const end = this.now + span; this.now < end;) {
       this.now += 1000;
-      effects.push(...this.hearAll(), ...this.tell({ type: 'tick' }));
+      effects.push(...this.hearAll(), ...this.dispatch({ type: 'tick' }));
     }
     return effects;
   }
 
   /** Takes the lease and waits until a new holder may buy; returns what it did meanwhile. */
-  hold(epoch = 1, unfencedFrom = this.now): ControllerEffect[] {
+  acquireLease(epoch = 1, unfencedFrom = this.now): ControllerEffect[] {
     this.hearAll();
-    const effects = this.tell({ type: 'leaseHeld', epoch, unfencedFrom });
+    const effects = this.dispatch({ type: 'leaseHeld', epoch, unfencedFrom });
     return [...effects, ...this.advance(this.state.policy.takeoverPurchaseDelay)];
   }
 
@@ -133,17 +133,23 @@
    * Takes the lease and lets the platform list, live and loaded, just what the plan wants; the
    * own purchases are answered.
    */
-  furnish(): void {
-    this.hold();
+  provisionPlan(): void {
+    this.acquireLease();
     const places = this.state.plans.get(this.pool.name)?.places ?? [];
-    this.rows = places.flatMap(({ dataCentre, instanceClass, wanted }) =>
+    this.listedInstances = places.flatMap(({ dataCentre, instanceClass, wanted }) =>
       Array.from({ length: wanted }, (_, number) =>
-        row(`${dataCentre}-${instanceClass}-${number}`, dataCentre, { instanceClass }),
+        makePlatformInstance(`${dataCentre}-${instanceClass}-${number}`, dataCentre, {
+          instanceClass,
+        }),
       ),
     );
     const { model, version } = this.pool;
-    this.rows.forEach(({ instance }) => this.loaded.set(instance, { model, version }));
-    const own = this.rows.filter(({ dataCentre }) => dataCentre === this.state.dataCentre);
+    this.listedInstances.forEach(({ instance }) =>
+      this.loadedModels.set(instance, { model, version }),
+    );
+    const own = this.listedInstances.filter(
+      ({ dataCentre }) => dataCentre === this.state.dataCentre,
+    );
     [...this.state.pendingStarts.values()].forEach(({ startToken, instanceClass }) => {
       const position = own.findIndex((listed) => listed.instanceClass === instanceClass);
       const [instance] = position < 0 ? [] : own.splice(position, 1);
@@ -153,25 +159,26 @@
   }
 
   answerStart(startToken: string, outcome: StartOutcome): ControllerEffect[] {
-    return this.tell({ type: 'startAnswered', startToken, outcome });
+    return this.dispatch({ type: 'startAnswered', startToken, outcome });
   }
 
   answerOrder(effect: SendOrderEffect, outcome: OrderOutcome): ControllerEffect[] {
     const { epoch, sequence } = effect.order;
     const { instance } = effect;
-    return this.tell({ type: 'orderAnswered', instance, epoch, sequence, outcome });
+    return this.dispatch({ type: 'orderAnswered', instance, epoch, sequence, outcome });
   }
 
   private hearAll(): ControllerEffect[] {
     const demand = [
-      { route: 'appraisals', requestsPerSecond: this.rate, serviceMilliseconds: 1000 },
+      { route: 'appraisals', requestsPerSecond: this.requestsPerSecond, serviceMilliseconds: 1000 },
     ];
-    if (this.rate > 0) this.tell({ type: 'demandReported', entry: 'entry-1', demand });
-    if (this.peersHeard) this.hearPeers();
-    const { rows } = this;
+    if (this.requestsPerSecond > 0)
+      this.dispatch({ type: 'demandReported', entry: 'entry-1', demand });
+    if (this.peersReachable) this.hearPeers();
+    const { listedInstances: rows } = this;
     if (rows === undefined) return [];
-    const effects = this.tell({ type: 'platformListed', instances: rows });
-    if (!this.reporting) return effects;
+    const effects = this.dispatch({ type: 'platformListed', instances: rows });
+    if (!this.deliversLoadReports) return effects;
     rows
       .filter(({ dataCentre }) => dataCentre === this.state.dataCentre)
       .forEach(({ instance }) => this.report(instance));
@@ -181,29 +188,33 @@
   /** The other controllers report their demand and what the list shows as live. */
   private hearPeers(): void {
     this.pool.dataCentres.forEach((dataCentre) => {
-      const instances = (this.rows ?? []).filter(
+      const instances = (this.listedInstances ?? []).filter(
         (listed) => listed.dataCentre === dataCentre && listed.state === 'live',
       ).length;
       const slots = 8 * instances;
       const serving = [{ pool: this.pool.name, instances, slots, reclaimableSlots: slots }];
       const demand = [
-        { route: 'appraisals', requestsPerSecond: this.peerRate, serviceMilliseconds: 1000 },
+        {
+          route: 'appraisals',
+          requestsPerSecond: this.peerRequestsPerSecond,
+          serviceMilliseconds: 1000,
+        },
       ];
       const report = { dataCentre, demand, closedOffers: [], serving };
-      this.tell({ type: 'peerReported', report });
+      this.dispatch({ type: 'peerReported', report });
     });
   }
 
   private report(instance: string): void {
-    const running = this.running.get(instance) ?? 0;
-    const measuredAt = this.wallNow + this.clockAhead;
-    const report = { instance, measuredAt, running, queued: 0, ...this.loaded.get(instance) };
-    this.tell({ type: 'loadReported', report });
+    const running = this.runningCalls.get(instance) ?? 0;
+    const measuredAt = this.wallNow + this.serverClockOffset;
+    const report = { instance, measuredAt, running, queued: 0, ...this.loadedModels.get(instance) };
+    this.dispatch({ type: 'loadReported', report });
   }
 }
 
 /** A live row of the platform's list. */
-export function row(
+export function makePlatformInstance(
   instance: string,
   dataCentre = 'wien-a',
   fields: Partial<PlatformInstance> = {},
@@ -221,7 +232,7 @@
 }
 
 /** The effects of one type. */
-export function pick<Type extends ControllerEffect['type']>(
+export function effectsOfType<Type extends ControllerEffect['type']>(
   effects: readonly ControllerEffect[],
   type: Type,
 ): (ControllerEffect & { readonly type: Type })[] {
@@ -231,13 +242,13 @@
 }
 
 /** Names of the log events among the effects. */
-export function logged(effects: readonly ControllerEffect[]): string[] {
-  return pick(effects, 'log').map(({ event }) => event);
+export function listLogEvents(effects: readonly ControllerEffect[]): string[] {
+  return effectsOfType(effects, 'log').map(({ event }) => event);
 }
 
 /** The start effects' places, such as `wien-a/spot`, sorted. */
-export function placesOf(effects: readonly ControllerEffect[]): string[] {
-  return pick(effects, 'startInstance')
+export function listStartPlaces(effects: readonly ControllerEffect[]): string[] {
+  return effectsOfType(effects, 'startInstance')
     .map(({ dataCentre, instanceClass }) => `${dataCentre}/${instanceClass}`)
     .sort();
 }
