--- a/apps/dev/src/DevCluster.ts
+++ b/apps/dev/src/DevCluster.ts
@@ -195,7 +195,7 @@
     const { peers } = await store.start();
     this.store = store;
     this.closers.push(async () => this.closeStore());
-    store.found();
+    store.foundCluster();
     return peers;
   }
 
--- a/apps/store/src/DiskWork.ts
+++ b/apps/store/src/DiskOperations.ts
@@ -13,24 +13,24 @@
 } from '@hornbeampond/store-core';
 import { SnapshotCache } from './SnapshotCache.js';
 import type { SavedSnapshot, StoreDisk } from './StoreDisk.js';
-import type { StoreOccurrence } from './StoreProcess.js';
+import type { ConsensusEventPayload } from './StoreProcess.js';
 
-export interface DiskWorkOptions {
+export interface DiskOperationsOptions {
   readonly disk: StoreDisk;
   readonly timers: TimerService;
   readonly logger: Logger;
-  dispatch(occurrence: StoreOccurrence): void;
+  dispatch(occurrence: ConsensusEventPayload): void;
   send(instance: string, envelope: Envelope): void;
 }
 
-export class DiskWork {
+export class DiskOperations {
   private under: Promise<void> = Promise.resolve();
 
   private readonly sending: SnapshotCache;
 
   private closed = false;
 
-  constructor(private readonly options: DiskWorkOptions) {
+  constructor(private readonly options: DiskOperationsOptions) {
     this.sending = new SnapshotCache(options.timers);
   }
 
--- a/apps/store/src/FolderDisk.ts
+++ b/apps/store/src/FolderDisk.ts
@@ -50,18 +50,18 @@
     await this.opened.discardLog(throughIndex);
   }
 
-  override async readMemory(): Promise<RememberedEntries | undefined> {
+  override async readPersistedEntryState(): Promise<RememberedEntries | undefined> {
     const { folder } = this.options;
     const read = await readWholeFile(new NodeFileSystem(), folder, MEMORY_FILE);
     return read as RememberedEntries | undefined;
   }
 
-  override async saveMemory(memory: RememberedEntries): Promise<void> {
+  override async savePersistedEntryState(memory: RememberedEntries): Promise<void> {
     await replaceFile(new NodeFileSystem(), this.options.folder, MEMORY_FILE, memory);
   }
 
   /** Gives the folder a new identity, as that of an empty disk. It must be closed. */
-  async renew(): Promise<void> {
+  async resetIdentity(): Promise<void> {
     await renewIdentity(this.options);
   }
 
--- a/apps/store/src/InstanceBoard.test.ts
+++ b/apps/store/src/InstanceListCache.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import type { SharedInstance } from '@hornbeampond/schema';
 import { ManualTimerService } from '@hornbeampond/testing';
-import { InstanceBoard } from './InstanceBoard.js';
+import { InstanceListCache } from './InstanceListCache.js';
 
 function listed(instance: string, fields: Partial<SharedInstance> = {}): SharedInstance {
   return {
@@ -18,18 +18,18 @@
 }
 
 test('only what a reading has changed is told', () => {
-  const board = new InstanceBoard(new ManualTimerService());
-  board.take([listed('a'), listed('b'), listed('c')]);
+  const board = new InstanceListCache(new ManualTimerService());
+  board.update([listed('a'), listed('b'), listed('c')]);
   const leaving = listed('b', { state: 'leaving', goneIn: 2500 });
-  assert.deepEqual(board.take([listed('a'), leaving]), { changed: [leaving], gone: ['c'] });
-  assert.deepEqual(board.take([listed('a'), leaving]), { changed: [], gone: [] });
+  assert.deepEqual(board.update([listed('a'), leaving]), { changed: [leaving], gone: ['c'] });
+  assert.deepEqual(board.update([listed('a'), leaving]), { changed: [], gone: [] });
 });
 
 test('a subscriber is told the last reading and its age', () => {
   const timers = new ManualTimerService();
-  const board = new InstanceBoard(timers);
-  assert.equal(board.last, undefined);
-  board.take([listed('a')]);
+  const board = new InstanceListCache(timers);
+  assert.equal(board.latest, undefined);
+  board.update([listed('a')]);
   timers.advance(700);
-  assert.deepEqual(board.last, { instances: [listed('a')], instancesAge: 700 });
+  assert.deepEqual(board.latest, { instances: [listed('a')], instancesAge: 700 });
 });
--- a/apps/store/src/InstanceBoard.ts
+++ b/apps/store/src/InstanceListCache.ts
@@ -16,7 +16,7 @@
   return JSON.stringify(one) === JSON.stringify(other);
 }
 
-export class InstanceBoard {
+export class InstanceListCache {
   private known = new Map<string, SharedInstance>();
 
   private readAt: MonotonicMilliseconds | undefined;
@@ -24,14 +24,14 @@
   constructor(private readonly timers: TimerService) {}
 
   /** The last reading and its age, or undefined before the first. */
-  get last(): { instances: SharedInstance[]; instancesAge: Milliseconds } | undefined {
+  get latest(): { instances: SharedInstance[]; instancesAge: Milliseconds } | undefined {
     if (this.readAt === undefined) return undefined;
     const instancesAge = this.timers.monotonicNow() - this.readAt;
     return { instances: [...this.known.values()], instancesAge };
   }
 
   /** Takes in a reading, and returns what it has changed. */
-  take(instances: readonly SharedInstance[]): SharedInstances {
+  update(instances: readonly SharedInstance[]): SharedInstances {
     const before = this.known;
     this.known = new Map(instances.map((instance) => [instance.instance, instance]));
     this.readAt = this.timers.monotonicNow();
--- a/apps/store/src/JoinRequests.ts
+++ b/apps/store/src/JoinRequests.ts
@@ -15,7 +15,7 @@
   readonly peers: StorePeers;
   /** False once this store is a member that follows a leader, or is one. */
   isNeeded(): boolean;
-  describe(): JoiningVoter;
+  describeSelf(): JoiningVoter;
 }
 
 export class JoinRequests {
@@ -37,7 +37,7 @@
       this.stop();
       return;
     }
-    const request: StoreRequest = { type: 'addVoter', voter: this.options.describe() };
+    const request: StoreRequest = { type: 'addVoter', voter: this.options.describeSelf() };
     this.options.peers.all.forEach((client) => {
       // Only the leader carries it out; the answers of all others say nothing new.
       if (client.isOpen) client.request(request, REQUEST_MILLISECONDS).catch(() => {});
--- a/apps/store/src/LeaderWatch.ts
+++ b/apps/store/src/LeaderWatch.ts
@@ -11,7 +11,7 @@
 export interface LeaderWatchOptions {
   readonly timers: TimerService;
   readonly electionTimeout: Milliseconds;
-  onOutOfTouch(): void;
+  onLeaderTimeout(): void;
 }
 
 export class LeaderWatch {
@@ -22,14 +22,14 @@
   constructor(private readonly options: LeaderWatchOptions) {}
 
   /** Takes note of the leader that the store follows now, if it knows one. */
-  note(leader: string | undefined): void {
+  recordLeader(leader: string | undefined): void {
     const isLeaderless = leader === undefined;
     // A store that stands for election again and again has been leaderless all the while.
     if (isLeaderless === this.isLeaderless) return;
     this.isLeaderless = isLeaderless;
     this.cancel();
     if (!isLeaderless) return;
-    const { timers, electionTimeout, onOutOfTouch } = this.options;
+    const { timers, electionTimeout, onLeaderTimeout: onOutOfTouch } = this.options;
     this.cancel = timers.after(LEADERLESS_TIMEOUTS * electionTimeout, onOutOfTouch);
   }
 
--- a/apps/store/src/StoreOperations.ts
+++ b/apps/store/src/OperatorRequestHandler.ts
@@ -5,11 +5,11 @@
 
 const MOST_BODY_BYTES = 4096;
 
-export interface StoreOperationsOptions {
+export interface OperatorRequestHandlerOptions {
   readonly operatorKeys: readonly OperatorKey[];
-  found(): void;
-  join(): void;
-  remove(instance: string): Promise<StoreResponse>;
+  foundCluster(): void;
+  requestJoin(): void;
+  removeStore(instance: string): Promise<StoreResponse>;
 }
 
 function readInstance(body: Buffer): string {
@@ -20,8 +20,8 @@
   throw new HornbeampondError('badRequest', 'The body must name the "instance"');
 }
 
-export class StoreOperations {
-  constructor(private readonly options: StoreOperationsOptions) {}
+export class OperatorRequestHandler {
+  constructor(private readonly options: OperatorRequestHandlerOptions) {}
 
   async handle(request: IncomingMessage, response: ServerResponse, url: URL): Promise<boolean> {
     const [, folder, operation] = url.pathname.split('/');
@@ -31,13 +31,13 @@
     const body = await readBody(request, MOST_BODY_BYTES);
     switch (operation) {
       case 'found':
-        this.options.found();
+        this.options.foundCluster();
         break;
       case 'join':
-        this.options.join();
+        this.options.requestJoin();
         break;
       case 'remove': {
-        const removed = await this.options.remove(readInstance(body));
+        const removed = await this.options.removeStore(readInstance(body));
         if (removed.type !== 'accepted') {
           const detail = `The store was not removed: ${removed.type}`;
           throw new HornbeampondError('storeUnavailable', detail);
--- a/apps/store/src/RequestDesk.ts
+++ b/apps/store/src/PendingRequests.ts
@@ -13,7 +13,7 @@
   readonly succeed: (result: CommandResult | undefined) => StoreResponse;
 }
 
-export class RequestDesk {
+export class PendingRequests {
   private readonly waiting = new Map<string, WaitingRequest>();
 
   private count = 0;
@@ -27,7 +27,7 @@
   }
 
   /** Gives a request its fate. */
-  settle(requestId: string, outcome: RequestOutcome, result: CommandResult | undefined): void {
+  complete(requestId: string, outcome: RequestOutcome, result: CommandResult | undefined): void {
     const request = this.waiting.get(requestId);
     if (request === undefined) return;
     this.waiting.delete(requestId);
--- a/apps/store/src/EntryMemory.test.ts
+++ b/apps/store/src/PersistedEntryState.test.ts
@@ -3,7 +3,7 @@
 import { Logger } from '@hornbeampond/runtime';
 import type { EntryReport, Milliseconds, RememberedEntries } from '@hornbeampond/schema';
 import { ManualTimerService } from '@hornbeampond/testing';
-import { EntryMemory } from './EntryMemory.js';
+import { PersistedEntryState } from './PersistedEntryState.js';
 import { MemoryDisk } from './testing/MemoryDisk.js';
 
 function report(spent: number, windowReach: Milliseconds): EntryReport {
@@ -37,7 +37,7 @@
     lines.push(line);
   };
   const logger = new Logger({ process: 'test', instance: 'store-1' }, 'info', write);
-  return { timers, memory: new EntryMemory({ disk, timers, logger }) };
+  return { timers, memory: new PersistedEntryState({ disk, timers, logger }) };
 }
 
 // All processes lose power a moment after an entry has told what a workspace has spent. Entries that
@@ -46,13 +46,13 @@
   const disk = new MemoryDisk();
   const before = makeMemory(disk);
   await before.memory.open();
-  before.memory.note(report(500, 8000));
+  before.memory.recordReport(report(500, 8000));
   before.timers.advance(250);
   await settle();
   const after = makeMemory(disk);
   await after.memory.open();
-  assert.deepEqual(after.memory.remembered.spending?.windowSpent, { laden: [500] });
-  assert.deepEqual(after.memory.remembered.spending?.entries, {
+  assert.deepEqual(after.memory.contents.spending?.windowSpent, { laden: [500] });
+  assert.deepEqual(after.memory.contents.spending?.entries, {
     'entry-1': { incarnation: 1, spent: { laden: 1500 } },
   });
 });
@@ -60,20 +60,20 @@
 test('an entry that has just started does not replace the word of one that knows the window', async () => {
   const { timers, memory } = makeMemory(new MemoryDisk());
   await memory.open();
-  memory.note(report(500, 8000));
-  memory.note(report(20, 100));
-  assert.deepEqual(memory.remembered.spending?.windowSpent, { laden: [500] });
+  memory.recordReport(report(500, 8000));
+  memory.recordReport(report(20, 100));
+  assert.deepEqual(memory.contents.spending?.windowSpent, { laden: [500] });
   timers.advance(2000);
-  memory.note(report(30, 2100));
-  assert.deepEqual(memory.remembered.spending?.windowSpent, { laden: [30] });
+  memory.recordReport(report(30, 2100));
+  assert.deepEqual(memory.contents.spending?.windowSpent, { laden: [30] });
 });
 
 class FullDisk extends MemoryDisk {
-  override async saveMemory(): Promise<void> {
+  override async savePersistedEntryState(): Promise<void> {
     throw new Error('ENOSPC');
   }
 
-  override async readMemory(): Promise<RememberedEntries | undefined> {
+  override async readPersistedEntryState(): Promise<RememberedEntries | undefined> {
     throw new Error('the checksum does not match');
   }
 }
@@ -84,10 +84,10 @@
   const lines: string[] = [];
   const { timers, memory } = makeMemory(new FullDisk(), lines);
   await memory.open();
-  memory.note(report(500, 8000));
+  memory.recordReport(report(500, 8000));
   timers.advance(250);
   await settle();
   const events = lines.map((line) => (JSON.parse(line) as { event: string }).event);
   assert.deepEqual(events, ['memoryUnreadable', 'memoryNotKept']);
-  assert.deepEqual(memory.remembered.spending?.windowSpent, { laden: [500] });
+  assert.deepEqual(memory.contents.spending?.windowSpent, { laden: [500] });
 });
--- a/apps/store/src/EntryMemory.ts
+++ b/apps/store/src/PersistedEntryState.ts
@@ -17,9 +17,9 @@
   RememberedEntries,
   WorkReport,
 } from '@hornbeampond/schema';
-import { PrefixMemory } from './PrefixMemory.js';
+import { RecentPrefixes } from './RecentPrefixes.js';
 import type { StoreDisk } from './StoreDisk.js';
-import { UsageMemory } from './UsageMemory.js';
+import { RecentEntryUsage } from './RecentEntryUsage.js';
 
 /** How much a loss of power may take at most, beside what entries have not reported. */
 const WRITE_MILLISECONDS: Milliseconds = 250;
@@ -27,20 +27,20 @@
 /** An entry that knows less of the window is passed over until the one kept is so old. */
 const REPLACED_AFTER_MILLISECONDS: Milliseconds = 2000;
 
-export interface EntryMemoryOptions {
+export interface PersistedEntryStateOptions {
   readonly disk: StoreDisk;
   readonly timers: TimerService;
   readonly logger: Logger;
 }
 
-export class EntryMemory {
+export class PersistedEntryState {
   private spending: RememberedEntries['spending'];
 
   private delays: RememberedEntries['delays'] = {};
 
-  private readonly prefixes = new PrefixMemory();
+  private readonly prefixes = new RecentPrefixes();
 
-  private readonly usage = new UsageMemory();
+  private readonly usage = new RecentEntryUsage();
 
   /** What each entry has told, by name. */
   private readonly entries = new Map<string, EntrySpending>();
@@ -51,13 +51,13 @@
 
   private stop: Unsubscribe = () => {};
 
-  constructor(private readonly options: EntryMemoryOptions) {}
+  constructor(private readonly options: PersistedEntryStateOptions) {}
 
-  get remembered(): RememberedEntries {
+  get contents(): RememberedEntries {
     const { spending, delays } = this;
     return {
       ...(spending === undefined ? {} : { spending }),
-      usage: this.usage.told,
+      usage: this.usage.reports,
       delays,
       computed: this.prefixes.computed,
     };
@@ -66,11 +66,11 @@
   async open(): Promise<void> {
     const { disk, timers, logger } = this.options;
     try {
-      const kept = await disk.readMemory();
+      const kept = await disk.readPersistedEntryState();
       this.spending = kept?.spending;
       this.delays = kept?.delays ?? {};
-      this.prefixes.note(kept?.computed ?? {});
-      kept?.usage.forEach((usage) => this.usage.note(usage));
+      this.prefixes.record(kept?.computed ?? {});
+      kept?.usage.forEach((usage) => this.usage.record(usage));
     } catch (error) {
       logger.write('memoryUnreadable', { reason: String(error) });
     }
@@ -79,13 +79,13 @@
     });
   }
 
-  note(report: EntryReport): void {
+  recordReport(report: EntryReport): void {
     const { windowSpent, windowReach = 0, spent = {}, delays, begun = {} } = report;
     this.hasChanged = true;
-    this.usage.note({ ...report, begun });
+    this.usage.record({ ...report, begun });
     if (delays !== undefined) this.delays = { ...this.delays, ...delays };
     if (windowSpent === undefined) return;
-    this.noteSpending({ ...report, spent });
+    this.recordSpending({ ...report, spent });
     const at = this.options.timers.wallNow();
     const known = this.spending;
     const isOld = known === undefined || at - known.at >= REPLACED_AFTER_MILLISECONDS;
@@ -95,21 +95,21 @@
   }
 
   /** Takes in what an entry tells between two reports. */
-  noteSpending({ instance, incarnation, spent }: EntrySpending & { instance: string }): void {
+  recordSpending({ instance, incarnation, spent }: EntrySpending & { instance: string }): void {
     const known = this.entries.get(instance);
     const before = known?.incarnation === incarnation ? known.spent : {};
     this.entries.set(instance, { incarnation, spent: { ...before, ...spent } });
   }
 
-  noteWork({ instance, incarnation, computed, begun }: WorkReport): void {
+  recordWork({ instance, incarnation, computed, begun }: WorkReport): void {
     this.hasChanged = true;
-    this.prefixes.note(computed);
-    if (begun !== undefined) this.usage.note({ instance, incarnation, begun });
+    this.prefixes.record(computed);
+    if (begun !== undefined) this.usage.record({ instance, incarnation, begun });
   }
 
   /** Forgets what instances that are listed no longer have had computed. */
-  keepInstances(instances: readonly string[]): void {
-    this.prefixes.keepOnly(instances);
+  removeUnlistedInstances(instances: readonly string[]): void {
+    this.prefixes.retainOnly(instances);
   }
 
   close(): void {
@@ -121,7 +121,7 @@
     this.isWriting = true;
     this.hasChanged = false;
     try {
-      await this.options.disk.saveMemory(this.remembered);
+      await this.options.disk.savePersistedEntryState(this.contents);
     } catch (error) {
       this.options.logger.write('memoryNotKept', { reason: String(error) });
     } finally {
--- a/apps/store/src/UsageMemory.ts
+++ b/apps/store/src/RecentEntryUsage.ts
@@ -4,17 +4,17 @@
 /** Older windows have been reported. */
 const KEPT_WINDOWS = 4;
 
-export class UsageMemory {
+export class RecentEntryUsage {
   /** By instance and incarnation. */
   private readonly lives = new Map<string, EntryUsage>();
 
   private newest = 0;
 
-  get told(): EntryUsage[] {
+  get reports(): EntryUsage[] {
     return [...this.lives.values()];
   }
 
-  note({ instance, incarnation, begun }: EntryUsage): void {
+  record({ instance, incarnation, begun }: EntryUsage): void {
     this.newest = Math.max(this.newest, ...Object.keys(begun).map(Number));
     const life = `${instance}/${incarnation}`;
     const merged = { ...this.lives.get(life)?.begun, ...begun };
--- a/apps/store/src/PrefixMemory.test.ts
+++ b/apps/store/src/RecentPrefixes.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { PrefixMemory } from './PrefixMemory.js';
+import { RecentPrefixes } from './RecentPrefixes.js';
 
 test('the latest prefixes of a backend server are kept, those used again among them', () => {
-  const memory = new PrefixMemory();
+  const memory = new RecentPrefixes();
   const digests = Array.from({ length: 500 }, (_, number) => `part-${number}`);
-  memory.note({ engine: digests });
-  memory.note({ engine: ['part-0', 'new'] });
+  memory.record({ engine: digests });
+  memory.record({ engine: ['part-0', 'new'] });
   const kept = memory.computed.engine ?? [];
   assert.equal(kept.length, 500);
   assert.deepEqual([kept.includes('part-0'), kept.includes('part-1')], [true, false]);
@@ -14,8 +14,8 @@
 });
 
 test('what a backend server had goes with it', () => {
-  const memory = new PrefixMemory();
-  memory.note({ engine: ['a'], other: ['b'] });
-  memory.keepOnly(['other']);
+  const memory = new RecentPrefixes();
+  memory.record({ engine: ['a'], other: ['b'] });
+  memory.retainOnly(['other']);
   assert.deepEqual(memory.computed, { other: ['b'] });
 });
--- a/apps/store/src/PrefixMemory.ts
+++ b/apps/store/src/RecentPrefixes.ts
@@ -3,7 +3,7 @@
 /** Prefixes that are kept of one backend server: those that are used by turns, not all there were. */
 const MOST_PREFIXES = 500;
 
-export class PrefixMemory {
+export class RecentPrefixes {
   /** By backend server, the latest last. */
   private readonly byServer = new Map<string, Set<string>>();
 
@@ -11,7 +11,7 @@
     return Object.fromEntries([...this.byServer].map(([name, digests]) => [name, [...digests]]));
   }
 
-  note(computed: Readonly<Record<string, readonly string[]>>): void {
+  record(computed: Readonly<Record<string, readonly string[]>>): void {
     Object.entries(computed).forEach(([name, digests]) => {
       const known = this.byServer.get(name) ?? new Set();
       this.byServer.set(name, known);
@@ -26,7 +26,7 @@
     });
   }
 
-  keepOnly(names: readonly string[]): void {
+  retainOnly(names: readonly string[]): void {
     const kept = new Set(names);
     [...this.byServer.keys()].forEach((name) => {
       if (!kept.has(name)) this.byServer.delete(name);
--- a/apps/store/src/StoreCluster.test.ts
+++ b/apps/store/src/StoreCluster.test.ts
@@ -8,12 +8,12 @@
   StoreCommand,
 } from '@hornbeampond/schema';
 import { MemoryDisk } from './testing/MemoryDisk.js';
-import { StoreCluster, waitFor, type TestedClient } from './testing/StoreCluster.js';
+import { StoreCluster, waitFor, type TestClient } from './testing/StoreCluster.js';
 
 const PATIENCE = 8000;
 
 let cluster: StoreCluster;
-let clients: TestedClient[];
+let clients: TestClient[];
 
 beforeEach(async () => {
   cluster = await StoreCluster.start(['wien-a', 'wien-b', 'stpoelten', 'eisenstadt', 'wien-a']);
@@ -43,7 +43,7 @@
   return { type: 'putTable', table: 'pools', baseRevision, changeId: `change-${number}`, rows };
 }
 
-function clientAt(position: number): TestedClient {
+function clientAt(position: number): TestClient {
   const found = clients[position];
   assert.ok(found !== undefined);
   return found;
@@ -63,7 +63,7 @@
   }
 }
 
-function revisionsOf({ configurations }: TestedClient): number[] {
+function revisionsOf({ configurations }: TestClient): number[] {
   return configurations.map(({ revision }) => revision);
 }
 
@@ -152,7 +152,7 @@
   const leader = await cluster.waitForLeader();
   const { client } = cluster.connect('entry-5', [leader]);
   assert.equal((await client.readConfiguration(PATIENCE)).revision, 3);
-  cluster.links.cut(leader);
+  cluster.links.isolate(leader);
   const early = assert.rejects(client.readConfiguration(1200));
   await cluster.waitForLeader(leader);
   await runChanges(4, 4);
@@ -239,7 +239,7 @@
     const statuses = await clientAt(0).client.readStatus();
     return statuses.find(({ instances }) => instances.some((it) => it.instance === 'entry-1'));
   });
-  cluster.links.cut(followed.instance);
+  cluster.links.isolate(followed.instance);
   await runChanges(3, 5);
   await waitForRevision(5);
 });
@@ -251,7 +251,7 @@
   await runChanges(1, 2);
   const leader = await cluster.waitForLeader();
   const name = leader === 'store-4' ? 'store-3' : 'store-4';
-  const second = await cluster.openSecond(name);
+  const second = await cluster.openDuplicate(name);
   await runChanges(3, 40);
   await cluster.waitForVoters(5);
   const statuses = await clientAt(0).client.readStatus();
--- a/apps/store/src/StoreDisk.ts
+++ b/apps/store/src/StoreDisk.ts
@@ -30,9 +30,9 @@
   abstract discardLog(throughIndex: number): Promise<void>;
 
   /** What `saveMemory` kept last, or undefined. */
-  abstract readMemory(): Promise<RememberedEntries | undefined>;
+  abstract readPersistedEntryState(): Promise<RememberedEntries | undefined>;
 
-  abstract saveMemory(memory: RememberedEntries): Promise<void>;
+  abstract savePersistedEntryState(memory: RememberedEntries): Promise<void>;
 
   abstract close(): Promise<void>;
 }
--- a/apps/store/src/StorePeers.ts
+++ b/apps/store/src/StorePeers.ts
@@ -35,15 +35,15 @@
   }
 
   /** Takes over the stores that changed settings name. */
-  useConfigured(addresses: readonly StoreAddress[]): void {
+  setConfigured(addresses: readonly StoreAddress[]): void {
     this.configured = addresses;
     this.configuredNames = new Set(addresses.map(({ instance }) => instance));
     this.open();
-    this.keep(this.members);
+    this.updateMembers(this.members);
   }
 
   /** Keeps a connection to each member of the log, and to no other that the settings don't name. */
-  keep(addresses: readonly StoreAddress[]): void {
+  updateMembers(addresses: readonly StoreAddress[]): void {
     this.members = addresses;
     const members = new Set(addresses.map(({ instance }) => instance));
     this.clients.forEach((client, instance) => {
@@ -70,7 +70,7 @@
   }
 
   /** A store that has just connected to us can be connected to: a repair need not wait. */
-  greet(instance: string): void {
+  reconnectNow(instance: string): void {
     this.clients.get(instance)?.connectNow();
   }
 
--- a/apps/store/src/StoreProcess.test.ts
+++ b/apps/store/src/StoreProcess.test.ts
@@ -90,7 +90,7 @@
     failures.push(failure),
   );
   const { peers: port } = await store.start();
-  store.found();
+  store.foundCluster();
   const logger = new Logger({ process: 'test', instance: 'entry-1' }, 'error');
   const identity = { cluster: 'tested', instance: 'entry-1', dataCentre: 'wien-a', role: 'entry' };
   const client = new StoreClient(
--- a/apps/store/src/StoreProcess.ts
+++ b/apps/store/src/StoreProcess.ts
@@ -48,24 +48,24 @@
   type PeerSession,
 } from '@hornbeampond/transport';
 import { ConfigurationPublisher } from './ConfigurationPublisher.js';
-import { DiskWork } from './DiskWork.js';
+import { DiskOperations } from './DiskOperations.js';
 import { describeMembers, describeStore } from './describeStore.js';
-import { InstanceBoard } from './InstanceBoard.js';
+import { InstanceListCache } from './InstanceListCache.js';
 import { JoinRequests } from './JoinRequests.js';
 import { LeaderWatch } from './LeaderWatch.js';
-import { RequestDesk } from './RequestDesk.js';
-import { EntryMemory } from './EntryMemory.js';
-import { StoreOperations } from './StoreOperations.js';
-import { WorkBoard } from './WorkBoard.js';
+import { PendingRequests } from './PendingRequests.js';
+import { PersistedEntryState } from './PersistedEntryState.js';
+import { OperatorRequestHandler } from './OperatorRequestHandler.js';
+import { WorkReportBatcher } from './WorkReportBatcher.js';
 import { StorePeers } from './StorePeers.js';
-import { StoreRequests } from './StoreRequests.js';
+import { StoreRequestHandler } from './StoreRequestHandler.js';
 import { Subscribers } from './Subscribers.js';
 import type { DiskContents, StoreDisk } from './StoreDisk.js';
 
 const codec = new Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false });
 
 /** What happens to a store, without the clocks. */
-export type StoreOccurrence = ConsensusEvent extends infer Event
+export type ConsensusEventPayload = ConsensusEvent extends infer Event
   ? Event extends { now: number; wallNow: number }
     ? Omit<Event, 'now' | 'wallNow'>
     : never
@@ -94,7 +94,7 @@
 
   private readonly peers: StorePeers;
 
-  private readonly desk = new RequestDesk();
+  private readonly desk = new PendingRequests();
 
   private readonly subscribers = new Subscribers();
 
@@ -105,11 +105,11 @@
   /** Results of commands of this step, until their replies have been sent. */
   private readonly results = new Map<number, CommandResult>();
 
-  private readonly disk: DiskWork;
+  private readonly disk: DiskOperations;
 
   private readonly joining: JoinRequests;
 
-  private readonly requests: StoreRequests;
+  private readonly requests: StoreRequestHandler;
 
   private address: StoreAddress;
 
@@ -119,9 +119,9 @@
 
   private readonly publisher: ConfigurationPublisher;
 
-  private readonly memory: EntryMemory;
+  private readonly memory: PersistedEntryState;
 
-  private readonly work: WorkBoard;
+  private readonly work: WorkReportBatcher;
 
   private closed = false;
 
@@ -149,7 +149,7 @@
     this.leaderWatch = new LeaderWatch({
       timers,
       electionTimeout: settings.electionTimeoutMilliseconds,
-      onOutOfTouch: () => {
+      onLeaderTimeout: () => {
         this.subscribers.push({ type: 'outOfTouch' });
         this.joining.start();
       },
@@ -160,10 +160,10 @@
       subscribers: this.subscribers,
       readMachine: () => this.machine,
     });
-    this.work = new WorkBoard(timers, this.subscribers);
-    this.memory = new EntryMemory({ disk: storage, timers, logger: this.logger });
+    this.work = new WorkReportBatcher(timers, this.subscribers);
+    this.memory = new PersistedEntryState({ disk: storage, timers, logger: this.logger });
     this.peers = new StorePeers(instance, context, settings.stores);
-    this.disk = new DiskWork({
+    this.disk = new DiskOperations({
       disk: storage,
       timers,
       logger: this.logger,
@@ -174,42 +174,42 @@
       timers,
       peers: this.peers,
       isNeeded: () => this.needsLetIn(),
-      describe: () => ({ ...this.address, identity: this.loop.state.self.identity }),
+      describeSelf: () => ({ ...this.address, identity: this.loop.state.self.identity }),
     });
-    this.requests = new StoreRequests({
+    this.requests = new StoreRequestHandler({
       timers,
-      desk: this.desk,
+      pendingRequests: this.desk,
       subscribers: this.subscribers,
       readState: () => this.loop.state,
       readMachine: () => this.machine,
       readStatus: () => this.readStatus(),
       dispatch: (occurrence) => this.dispatch(occurrence),
       onEntryReport: (report) => {
-        this.memory.note(report);
+        this.memory.recordReport(report);
         onEntryReport(report);
       },
-      instances: new InstanceBoard(timers),
-      onWork: (work) => {
-        this.memory.noteWork(work);
+      instanceList: new InstanceListCache(timers),
+      onWorkReport: (work) => {
+        this.memory.recordWork(work);
         this.work.add(work);
       },
-      onSpending: (spending) => this.memory.noteSpending(spending),
-      onInstances: (instances) => this.memory.keepInstances(instances),
-      readMemory: () => this.memory.remembered,
+      onSpendingReport: (spending) => this.memory.recordSpending(spending),
+      onInstanceList: (instances) => this.memory.removeUnlistedInstances(instances),
+      readPersistedEntryState: () => this.memory.contents,
       leastVoters: settings.leastVoters,
     });
     this.server = new PeerServer(context, {
-      onOpen: ({ peer }) => this.peers.greet(peer.instance),
+      onOpen: ({ peer }) => this.peers.reconnectNow(peer.instance),
       onPush: (session, body) => this.receive(session, body as Envelope),
       onRequest: (session, body, respond) =>
-        this.requests.answer(session, body as StoreRequest, respond),
-      onClose: (session) => this.requests.forget(session),
+        this.requests.handle(session, body as StoreRequest, respond),
+      onClose: (session) => this.requests.removeSession(session),
     });
-    const operations = new StoreOperations({
+    const operations = new OperatorRequestHandler({
       operatorKeys: settings.operatorKeys,
-      found: () => this.found(),
-      join: () => this.joining.start(),
-      remove: async (removed) => this.requests.removeVoter(removed),
+      foundCluster: () => this.foundCluster(),
+      requestJoin: () => this.joining.start(),
+      removeStore: async (removed) => this.requests.removeVoter(removed),
     });
     this.operators = new OperatorServer({
       metrics: this.metrics,
@@ -229,7 +229,7 @@
     this.address = { ...this.address, port: peers };
     const operators = await this.operators.listen(this.settings.operatorListen);
     this.peers.open();
-    this.peers.keep(memberAddresses(this.loop.state));
+    this.peers.updateMembers(memberAddresses(this.loop.state));
     this.dispatch({ type: 'started' });
     if (contents.isNew) this.joining.start();
     this.logger.write('processReady', { peers, operators });
@@ -240,7 +240,7 @@
   isNew = false;
 
   /** Founds a cluster on this disk; refused unless the disk is empty. */
-  found(): void {
+  foundCluster(): void {
     const { state } = this.loop;
     if (state.term > 0 || this.isMember()) {
       const detail = 'This store is part of a cluster already';
@@ -255,7 +255,7 @@
 
   /** Seeks the stores that changed settings name, beside the members of the log. */
   useStores(addresses: readonly StoreAddress[]): void {
-    this.peers.useConfigured(addresses);
+    this.peers.setConfigured(addresses);
   }
 
   async shutDown(): Promise<void> {
@@ -303,11 +303,11 @@
     );
   }
 
-  private dispatch(occurrence: StoreOccurrence): void {
+  private dispatch(occurrence: ConsensusEventPayload): void {
     if (this.closed || this.failed) return;
     const clocks = { now: this.timers.monotonicNow(), wallNow: this.timers.wallNow() };
     this.loop.dispatch({ ...occurrence, ...clocks });
-    this.requests.advance();
+    this.requests.answerEarlySubscriptions();
   }
 
   private receive(session: PeerSession, envelope: Envelope): void {
@@ -367,7 +367,7 @@
       case 'reply': {
         const index = effect.outcome.type === 'committed' ? effect.outcome.index : undefined;
         const result = index === undefined ? undefined : this.results.get(index);
-        this.desk.settle(effect.requestId, effect.outcome, result);
+        this.desk.complete(effect.requestId, effect.outcome, result);
         return;
       }
       case 'wake':
@@ -378,13 +378,13 @@
         );
         return;
       case 'membershipChanged':
-        this.peers.keep(effect.membership.members.map((member) => member.address));
+        this.peers.updateMembers(effect.membership.members.map((member) => member.address));
         this.subscribers.push({ type: 'stores', stores: memberAddresses(this.loop.state) });
         this.logger.write('storeMembersChanged', { ...describeMembers(this.loop.state) });
         return;
       case 'roleChanged':
         this.logger.write('storeRoleChanged', { ...effect });
-        this.leaderWatch.note(effect.leader);
+        this.leaderWatch.recordLeader(effect.leader);
         return;
       case 'electionFailed':
         this.logger.write('storeElectionFailed', { ...effect });
--- a/apps/store/src/StoreRequests.ts
+++ b/apps/store/src/StoreRequestHandler.ts
@@ -23,34 +23,34 @@
   type MachineState,
 } from '@hornbeampond/store-core';
 import type { PeerSession } from '@hornbeampond/transport';
-import type { InstanceBoard } from './InstanceBoard.js';
-import type { RequestDesk, Respond } from './RequestDesk.js';
-import type { StoreOccurrence } from './StoreProcess.js';
+import type { InstanceListCache } from './InstanceListCache.js';
+import type { PendingRequests, Respond } from './PendingRequests.js';
+import type { ConsensusEventPayload } from './StoreProcess.js';
 import type { Subscribers } from './Subscribers.js';
 
 /** Election timeouts without a word from a member after which its disk may be taken for lost. */
 const LOST_TIMEOUTS = 4;
 
-export interface StoreRequestsOptions {
+export interface StoreRequestHandlerOptions {
   readonly timers: TimerService;
-  readonly desk: RequestDesk;
+  readonly pendingRequests: PendingRequests;
   readonly subscribers: Subscribers;
   readState(): ConsensusState;
   readMachine(): MachineState;
   readStatus(): StoreStatus;
-  dispatch(occurrence: StoreOccurrence): void;
+  dispatch(occurrence: ConsensusEventPayload): void;
   onEntryReport(report: EntryReport): void;
-  onWork(work: WorkReport): void;
-  onSpending(spending: SpendingReport): void;
-  readonly instances: InstanceBoard;
+  onWorkReport(work: WorkReport): void;
+  onSpendingReport(spending: SpendingReport): void;
+  readonly instanceList: InstanceListCache;
   /** Names of all instances on the list, when it was read. */
-  onInstances(instances: readonly string[]): void;
-  readMemory(): RememberedEntries;
+  onInstanceList(instances: readonly string[]): void;
+  readPersistedEntryState(): RememberedEntries;
   /** Fewest voters with which operators' changes are taken. */
   readonly leastVoters: number;
 }
 
-export class StoreRequests {
+export class StoreRequestHandler {
   private proposals: { requestId: string; command: StoreCommand }[] = [];
 
   private hasCaughtUp = false;
@@ -58,10 +58,10 @@
   /** Subscriptions that wait until this store has caught up. */
   private readonly early = new Map<PeerSession, () => void>();
 
-  constructor(private readonly options: StoreRequestsOptions) {}
+  constructor(private readonly options: StoreRequestHandlerOptions) {}
 
-  answer(session: PeerSession, request: StoreRequest, respond: Respond): void {
-    const { desk, dispatch, subscribers, readStatus } = this.options;
+  handle(session: PeerSession, request: StoreRequest, respond: Respond): void {
+    const { pendingRequests: desk, dispatch, subscribers, readStatus } = this.options;
     switch (request.type) {
       case 'propose':
         this.propose(request.command, respond);
@@ -84,10 +84,10 @@
           subscribers.add(session, request.report);
           respond(this.describeSubscription());
         });
-        this.advance();
+        this.answerEarlySubscriptions();
         return;
       case 'report':
-        subscribers.note(session, request.report);
+        subscribers.recordReport(session, request.report);
         respond(this.acceptReport());
         return;
       case 'shareReport':
@@ -96,16 +96,19 @@
         respond(this.acceptReport());
         return;
       case 'shareInstances':
-        this.options.onInstances(request.instances.map(({ instance }) => instance));
-        subscribers.push({ type: 'instances', ...this.options.instances.take(request.instances) });
+        this.options.onInstanceList(request.instances.map(({ instance }) => instance));
+        subscribers.push({
+          type: 'instances',
+          ...this.options.instanceList.update(request.instances),
+        });
         respond(this.acceptReport());
         return;
       case 'shareWork':
-        this.options.onWork(request.work);
+        this.options.onWorkReport(request.work);
         respond(this.acceptReport());
         return;
       case 'shareSpending':
-        this.options.onSpending(request.spending);
+        this.options.onSpendingReport(request.spending);
         subscribers.push({ type: 'spending', spending: request.spending });
         respond(this.acceptReport());
         return;
@@ -128,7 +131,7 @@
    * start. What its disk alone holds may be hundreds of changes old, and a starting entry would
    * serve by it.
    */
-  advance(): void {
+  answerEarlySubscriptions(): void {
     this.hasCaughtUp ||= hasCommittedInCurrentTerm(this.options.readState());
     if (!this.hasCaughtUp || this.early.size === 0) return;
     const answers = [...this.early.values()];
@@ -137,7 +140,7 @@
   }
 
   /** Lets go of a session that has ended. */
-  forget(session: PeerSession): void {
+  removeSession(session: PeerSession): void {
     this.early.delete(session);
     this.options.subscribers.remove(session);
   }
@@ -154,7 +157,7 @@
       respond({ type: 'unavailable', reason: 'too few stores have joined yet' });
       return;
     }
-    const requestId = this.options.desk.add(respond, (result) =>
+    const requestId = this.options.pendingRequests.add(respond, (result) =>
       result === undefined
         ? { type: 'unsure', reason: 'the result is not there' }
         : { type: 'result', result },
@@ -225,9 +228,9 @@
 
   private change(
     respond: Respond,
-    change: Extract<StoreOccurrence, { type: 'changeMembership' }>['change'],
+    change: Extract<ConsensusEventPayload, { type: 'changeMembership' }>['change'],
   ): void {
-    const requestId = this.options.desk.add(respond, () => ({ type: 'accepted' }));
+    const requestId = this.options.pendingRequests.add(respond, () => ({ type: 'accepted' }));
     this.options.dispatch({ type: 'changeMembership', requestId, change });
   }
 
@@ -257,8 +260,8 @@
       configuration: machine.configuration,
       quarantine,
       stores,
-      remembered: this.options.readMemory(),
-      ...this.options.instances.last,
+      remembered: this.options.readPersistedEntryState(),
+      ...this.options.instanceList.latest,
     };
   }
 }
--- a/apps/store/src/Subscribers.ts
+++ b/apps/store/src/Subscribers.ts
@@ -16,7 +16,7 @@
   }
 
   /** Notes a report; instances report to every store they are connected to. */
-  note(session: PeerSession, report: InstanceReport): void {
+  recordReport(session: PeerSession, report: InstanceReport): void {
     this.reportBySession.set(session, report);
   }
 
@@ -40,7 +40,7 @@
   }
 
   /** Sends what entries have no use for. */
-  pushToOthers(push: StorePush): void {
+  pushToNonEntries(push: StorePush): void {
     this.send(push, ({ role }) => role !== 'entry');
   }
 
@@ -51,7 +51,7 @@
   pushReport(report: EntryReport): void {
     const { begun, demand, delays, windowSpent, windowReach, ...brief } = report;
     this.pushToEntries({ type: 'entryReport', report: brief });
-    this.pushToOthers({ type: 'entryReport', report });
+    this.pushToNonEntries({ type: 'entryReport', report });
   }
 
   private send(push: StorePush, isFor: (report: InstanceReport) => boolean): void {
--- a/apps/store/src/WorkBoard.test.ts
+++ b/apps/store/src/WorkReportBatcher.test.ts
@@ -3,7 +3,7 @@
 import type { StorePush, WorkReport } from '@hornbeampond/schema';
 import { ManualTimerService } from '@hornbeampond/testing';
 import { Subscribers } from './Subscribers.js';
-import { WorkBoard } from './WorkBoard.js';
+import { WorkReportBatcher } from './WorkReportBatcher.js';
 
 class KeptPushes extends Subscribers {
   readonly pushes: StorePush[] = [];
@@ -14,7 +14,7 @@
     this.pushes.push(push);
   }
 
-  override pushToOthers(push: StorePush): void {
+  override pushToNonEntries(push: StorePush): void {
     this.others.push(push);
   }
 }
@@ -26,7 +26,7 @@
 test('what entries tell within a moment goes out together', () => {
   const timers = new ManualTimerService();
   const subscribers = new KeptPushes();
-  const board = new WorkBoard(timers, subscribers);
+  const board = new WorkReportBatcher(timers, subscribers);
   board.add(report('entry-1'));
   board.add(report('entry-2'));
   timers.advance(20);
@@ -44,7 +44,7 @@
 test('usage is handed to others than entries', () => {
   const timers = new ManualTimerService();
   const subscribers = new KeptPushes();
-  const board = new WorkBoard(timers, subscribers);
+  const board = new WorkReportBatcher(timers, subscribers);
   const begun = { 7: { laden: 20 } };
   board.add({ ...report('entry-1'), begun });
   timers.advance(20);
--- a/apps/store/src/WorkBoard.ts
+++ b/apps/store/src/WorkReportBatcher.ts
@@ -16,7 +16,7 @@
   return work;
 }
 
-export class WorkBoard {
+export class WorkReportBatcher {
   private collected: WorkReport[] = [];
 
   private cancel: Unsubscribe = () => {};
@@ -41,6 +41,6 @@
     this.collected = [];
     subscribers.pushToEntries({ type: 'work', reports: collected.map(withoutUsage) });
     const usage = collected.flatMap(usageOf);
-    if (usage.length > 0) subscribers.pushToOthers({ type: 'usage', usage });
+    if (usage.length > 0) subscribers.pushToNonEntries({ type: 'usage', usage });
   }
 }
--- a/apps/store/src/openFolderDisk.ts
+++ b/apps/store/src/openFolderDisk.ts
@@ -32,7 +32,7 @@
 ): Promise<void> {
   try {
     await store.close();
-    if (failure === 'diskRefused') await disk.renew();
+    if (failure === 'diskRefused') await disk.resetIdentity();
   } finally {
     process.exit(exitCodes.failed);
   }
--- a/apps/store/src/testing/MemoryDisk.ts
+++ b/apps/store/src/testing/MemoryDisk.ts
@@ -68,11 +68,11 @@
     // Nothing is open.
   }
 
-  override async readMemory(): Promise<RememberedEntries | undefined> {
+  override async readPersistedEntryState(): Promise<RememberedEntries | undefined> {
     return this.memory;
   }
 
-  override async saveMemory(memory: RememberedEntries): Promise<void> {
+  override async savePersistedEntryState(memory: RememberedEntries): Promise<void> {
     this.memory = memory;
   }
 }
--- a/apps/store/src/testing/StoreCluster.ts
+++ b/apps/store/src/testing/StoreCluster.ts
@@ -43,7 +43,7 @@
 }
 
 /** A client together with every revision that it was handed, in order. */
-export interface TestedClient {
+export interface TestClient {
   readonly client: StoreClient;
   readonly configurations: Configuration[];
 }
@@ -81,7 +81,7 @@
   ): Promise<StoreCluster> {
     const cluster = new StoreCluster(dataCentres, silentStoreMilliseconds);
     for (const { instance } of cluster.stores) await cluster.open(instance);
-    cluster.find('store-1').process?.found();
+    cluster.find('store-1').process?.foundCluster();
     await cluster.waitForVoters(dataCentres.length);
     return cluster;
   }
@@ -97,7 +97,7 @@
   }
 
   /** Starts a second process under the name of a store that runs, on an empty disk. */
-  async openSecond(instance: string): Promise<StoreProcess> {
+  async openDuplicate(instance: string): Promise<StoreProcess> {
     const process = await this.makeProcess(this.find(instance), new MemoryDisk(), 0);
     await process.start();
     this.seconds.push(process);
@@ -148,7 +148,7 @@
   }
 
   /** A client of all stores, or of some; it follows the configuration. */
-  connect(name: string, instances = this.stores.map(({ instance }) => instance)): TestedClient {
+  connect(name: string, instances = this.stores.map(({ instance }) => instance)): TestClient {
     const configurations: Configuration[] = [];
     const addresses = this.addressesOf(instances);
     const report: InstanceReport = {
--- a/apps/store/src/testing/StoreLinks.ts
+++ b/apps/store/src/testing/StoreLinks.ts
@@ -42,7 +42,7 @@
     this.ports.set(store, port);
   }
 
-  cut(store: string): void {
+  isolate(store: string): void {
     this.cutOff.add(store);
   }
 
--- a/apps/store/src/silentStores.test.ts
+++ b/apps/store/src/unreachableStores.test.ts
@@ -19,7 +19,7 @@
 // Guards against a store that never votes again after a cut that was long enough to be taken for gone.
 test('a store that was cut off for long is let in again by itself', async () => {
   const leader = await cluster.waitForLeader();
-  cluster.links.cut(leader);
+  cluster.links.isolate(leader);
   const next = await cluster.waitForLeader(leader);
   await cluster.waitForVoters(3, next);
   cluster.links.heal(leader);
--- a/measure/src/machineModels/claimsModel.ts
+++ b/measure/src/machineModels/claimsModel.ts
@@ -18,7 +18,7 @@
 } from '@hornbeampond/entry-core';
 import {
   applyCommand,
-  CLAIM_RETENTION,
+  CLAIM_RETENTION_MILLISECONDS,
   MachineState,
   restoreSnapshot,
   takeSnapshot,
@@ -278,7 +278,7 @@
       next.jumps += 1;
       next.now += EXPIRES_AFTER + 1;
       if (bounds.jumpsPast !== 'retention') return;
-      next.now += CLAIM_RETENTION;
+      next.now += CLAIM_RETENTION_MILLISECONDS;
       // No request is on its way for so long; a paused entry may still find old responses.
       next.requests.clear();
     });
@@ -350,7 +350,7 @@
 function check(state: ClaimsState): string | undefined {
   const reaching = state.sends.filter((send) => send.end !== 'nothing');
   const isTwice = reaching.some(({ at }, position) =>
-    reaching.slice(position + 1).some((later) => later.at - at < CLAIM_RETENTION),
+    reaching.slice(position + 1).some((later) => later.at - at < CLAIM_RETENTION_MILLISECONDS),
   );
   if (isTwice) return 'two sends of one key can have reached a backend server';
   for (const [attemptId, told] of state.told) {
--- a/packages/store-core/src/machine/ConfigurationHistory.ts
+++ b/packages/store-core/src/machine/ConfigurationHistory.ts
@@ -3,13 +3,13 @@
  * only those rows. One further behind, or one whose row order cannot be told, gets all.
  */
 import type { Configuration, ConfigurationDelta, Table, TableName } from '@hornbeampond/schema';
-import { MOST_CHANGES_IN_DELTA } from './constants.js';
+import { MAX_CHANGES_IN_DELTA } from './constants.js';
 
 interface NamedRow {
   readonly name: string;
 }
 
-export interface TouchedRows {
+export interface TableChange {
   readonly revision: number;
   readonly table: TableName;
   /** Names of rows that were added or replaced. */
@@ -46,10 +46,10 @@
 }
 
 /** The latest changes, oldest first. */
-export type ConfigurationHistory = TouchedRows[];
+export type ConfigurationHistory = TableChange[];
 
 /** Notes the change of one table from one configuration to the next. */
-export function recordChange(
+export function recordTableChange(
   history: ConfigurationHistory,
   table: TableName,
   before: Configuration,
@@ -62,11 +62,11 @@
     removed: removedNames(before[table].rows, after[table].rows),
     reordered: isReordered(before[table].rows, after[table].rows),
   });
-  if (history.length > MOST_CHANGES_IN_DELTA) history.shift();
+  if (history.length > MAX_CHANGES_IN_DELTA) history.shift();
 }
 
 /** The delta from `fromRevision` to `current`, or undefined if only the whole will do. */
-export function deltaTo(
+export function makeConfigurationDelta(
   history: ConfigurationHistory,
   current: Configuration,
   fromRevision: number,
@@ -88,7 +88,7 @@
  * A row that was removed and added again stands at the end now; a subscriber that missed the
  * removal would keep it in its old place.
  */
-function hasReturnedRow(later: readonly TouchedRows[], current: Configuration): boolean {
+function hasReturnedRow(later: readonly TableChange[], current: Configuration): boolean {
   return later.some((touched) => {
     const present = byName<NamedRow>(current[touched.table].rows);
     return touched.removed.some((name) => present.has(name));
@@ -96,7 +96,7 @@
 }
 
 function tableDelta<Row extends NamedRow>(
-  later: readonly TouchedRows[],
+  later: readonly TableChange[],
   name: TableName,
   table: Table<Row>,
 ): { revision: number; changed: Row[]; removed: string[] } | undefined {
--- a/packages/store-core/src/machine/applyCommand.ts
+++ b/packages/store-core/src/machine/applyCommand.ts
@@ -8,13 +8,13 @@
   StampedCommand,
   StoreCommand,
 } from '@hornbeampond/schema';
-import { forgetClaims, openClaim, releaseClaim, settleClaim } from './claims.js';
+import { expireClaims, openClaim, releaseClaim, settleClaim } from './claims.js';
 import { releaseLease, takeLease } from './leases.js';
 import type { MachineState } from './MachineState.js';
-import { forgetCrashes, reportCrash } from './quarantine.js';
+import { pruneCrashes, reportCrash } from './quarantine.js';
 import { replaceTables } from './replaceTables.js';
-import { forgetChanges, putTable } from './tables.js';
-import { settleUsage } from './usage.js';
+import { pruneChanges, putTable } from './putTable.js';
+import { settleUsage } from './settleUsage.js';
 
 function runCommand(
   state: MachineState,
@@ -50,8 +50,8 @@
   // A new leader's wall clock may be behind; what has expired must not be taken for valid again.
   const at = Math.max(state.lastAt, stamped.at);
   state.lastAt = at;
-  forgetChanges(state, at);
-  forgetClaims(state, at);
-  forgetCrashes(state, at);
+  pruneChanges(state, at);
+  expireClaims(state, at);
+  pruneCrashes(state, at);
   return runCommand(state, at, stamped.command);
 }
--- a/packages/store-core/src/machine/claims.ts
+++ b/packages/store-core/src/machine/claims.ts
@@ -13,11 +13,11 @@
   type StoredAnswer,
 } from '@hornbeampond/schema';
 import {
-  BAR_RETENTION,
-  CLAIM_RETENTION,
-  MOST_CLAIM_EXPIRY,
-  MOST_CLAIMS,
-  MOST_STORED_ANSWER_BYTES,
+  BARRED_ATTEMPT_RETENTION_MILLISECONDS,
+  CLAIM_RETENTION_MILLISECONDS,
+  MAX_CLAIM_EXPIRY_MILLISECONDS,
+  MAX_CLAIMS,
+  MAX_TOTAL_STORED_ANSWER_BYTES,
 } from './constants.js';
 import type { Claim, MachineState } from './MachineState.js';
 
@@ -27,7 +27,7 @@
 }
 
 /** Keeps a span that a client chose within bounds; one that is no number counts as none. */
-export function boundedSpan(span: Milliseconds, most: Milliseconds): Milliseconds {
+export function clampDuration(span: Milliseconds, most: Milliseconds): Milliseconds {
   return span > 0 ? Math.min(span, most) : 0;
 }
 
@@ -61,15 +61,15 @@
   const name = claimName(command);
   const claim = state.claims.get(name);
   if (claim !== undefined) return readClaim(state, at, claim, command);
-  if (state.claims.size >= MOST_CLAIMS) return { type: 'claimsFull' };
-  const expiresAt = at + boundedSpan(command.expiresAfter, MOST_CLAIM_EXPIRY);
+  if (state.claims.size >= MAX_CLAIMS) return { type: 'claimsFull' };
+  const expiresAt = at + clampDuration(command.expiresAfter, MAX_CLAIM_EXPIRY_MILLISECONDS);
   state.claims.set(name, {
     digest: command.digest,
     holder: command.holder,
     attemptId: command.attemptId,
     expiresAt,
     phase: 'open',
-    keptUntil: expiresAt + CLAIM_RETENTION,
+    keptUntil: expiresAt + CLAIM_RETENTION_MILLISECONDS,
   });
   return { type: 'claimOpened' };
 }
@@ -91,7 +91,7 @@
   // A claim that has expired was told `unknown` to others; it stays so, though nothing was sent.
   if (isOwn && isOpen(claim, at)) state.claims.delete(name);
   state.barredAttempts.delete(command.attemptId);
-  state.barredAttempts.set(command.attemptId, at + BAR_RETENTION);
+  state.barredAttempts.set(command.attemptId, at + BARRED_ATTEMPT_RETENTION_MILLISECONDS);
   return { type: 'claimReleased' };
 }
 
@@ -123,7 +123,7 @@
   state.answers.set(name, copyAnswer(answer));
   state.answerBytes += sizeOf(answer);
   for (const oldest of state.answers.keys()) {
-    if (state.answerBytes <= MOST_STORED_ANSWER_BYTES) return;
+    if (state.answerBytes <= MAX_TOTAL_STORED_ANSWER_BYTES) return;
     dropAnswer(state, oldest);
   }
 }
@@ -142,13 +142,17 @@
   if (claim?.attemptId !== command.attemptId) return { type: 'claimNotHeld' };
   if (claim.phase === 'done' || claim.phase === command.outcome) return { type: 'claimSettled' };
   state.claims.delete(name);
-  state.claims.set(name, { ...claim, phase: command.outcome, keptUntil: at + CLAIM_RETENTION });
+  state.claims.set(name, {
+    ...claim,
+    phase: command.outcome,
+    keptUntil: at + CLAIM_RETENTION_MILLISECONDS,
+  });
   if (command.outcome === 'done') keepAnswer(state, name, command.answer);
   return { type: 'claimSettled' };
 }
 
 /** Drops claims and bars whose time is past. */
-export function forgetClaims(state: MachineState, at: EpochMilliseconds): void {
+export function expireClaims(state: MachineState, at: EpochMilliseconds): void {
   for (const [name, claim] of state.claims) {
     if (claim.keptUntil > at) break;
     state.claims.delete(name);
--- a/packages/store-core/src/machine/index.ts
+++ b/packages/store-core/src/machine/index.ts
@@ -1,5 +1,8 @@
 export { applyCommand } from './applyCommand.js';
-export { BAR_RETENTION, CLAIM_RETENTION } from './constants.js';
+export {
+  BARRED_ATTEMPT_RETENTION_MILLISECONDS,
+  CLAIM_RETENTION_MILLISECONDS,
+} from './constants.js';
 export { configurationSince, type ConfigurationUpdate } from './configurationSince.js';
 export { MachineState } from './MachineState.js';
 export { quarantineAt } from './quarantine.js';
--- a/packages/store-core/src/machine/leases.ts
+++ b/packages/store-core/src/machine/leases.ts
@@ -8,12 +8,12 @@
   ReleaseLeaseCommand,
   TakeLeaseCommand,
 } from '@hornbeampond/schema';
-import { boundedSpan } from './claims.js';
-import { MOST_LEASE_DURATION } from './constants.js';
+import { clampDuration } from './claims.js';
+import { MAX_LEASE_DURATION_MILLISECONDS } from './constants.js';
 import type { Lease, MachineState } from './MachineState.js';
 
 function renewed(lease: Lease, at: EpochMilliseconds, command: TakeLeaseCommand): Lease {
-  const asked = boundedSpan(command.duration, MOST_LEASE_DURATION);
+  const asked = clampDuration(command.duration, MAX_LEASE_DURATION_MILLISECONDS);
   // The holder measures each grant by itself; an earlier and longer one may still be running.
   const duration = Math.max(asked, lease.duration);
   return { ...lease, duration, until: Math.max(lease.until, at + asked) };
@@ -24,7 +24,7 @@
   at: EpochMilliseconds,
   command: TakeLeaseCommand,
 ): Lease {
-  const duration = boundedSpan(command.duration, MOST_LEASE_DURATION);
+  const duration = clampDuration(command.duration, MAX_LEASE_DURATION_MILLISECONDS);
   return {
     holder: command.holder,
     epoch: (lease?.epoch ?? 0) + 1,
@@ -48,7 +48,7 @@
   const next = isHeld ? renewed(lease, at, command) : granted(lease, at, command);
   state.leases.set(command.lease, next);
   const { epoch, previousDuration } = next;
-  const duration = boundedSpan(command.duration, MOST_LEASE_DURATION);
+  const duration = clampDuration(command.duration, MAX_LEASE_DURATION_MILLISECONDS);
   return { type: 'leaseHeld', epoch, duration, previousDuration };
 }
 
--- a/packages/store-core/src/machine/machine.test.ts
+++ b/packages/store-core/src/machine/machine.test.ts
@@ -3,7 +3,12 @@
 import type { CommandResult, StoreCommand } from '@hornbeampond/schema';
 import { matchSnapshot } from '@hornbeampond/testing';
 import { applyCommand } from './applyCommand.js';
-import { BAR_RETENTION, CHANGE_RETENTION, CLAIM_RETENTION, MOST_CLAIMS } from './constants.js';
+import {
+  BARRED_ATTEMPT_RETENTION_MILLISECONDS,
+  CHANGE_RETENTION_MILLISECONDS,
+  CLAIM_RETENTION_MILLISECONDS,
+  MAX_CLAIMS,
+} from './constants.js';
 import { MachineState } from './MachineState.js';
 import { quarantineAt } from './quarantine.js';
 
@@ -111,7 +116,7 @@
     { after: MINUTE + 1, command: open('a') },
     { after: MINUTE + 2, command: settle('a', 'done', 0) },
     { after: MINUTE + 3, command: open('b') },
-    { after: MINUTE + 2 + CLAIM_RETENTION, command: open('b') },
+    { after: MINUTE + 2 + CLAIM_RETENTION_MILLISECONDS, command: open('b') },
   ];
   await matchSnapshot(import.meta.url, 'expiry', transcript(new MachineState(), commands));
 });
@@ -144,11 +149,11 @@
   run(state, 0, open('a'));
   run(state, 0, settle('a', 'done', 10));
   run(state, 0, release('never opened'));
-  run(state, BAR_RETENTION - 1, take('x'));
+  run(state, BARRED_ATTEMPT_RETENTION_MILLISECONDS - 1, take('x'));
   assert.equal(state.barredAttempts.size, 1);
-  run(state, BAR_RETENTION, take('x'));
+  run(state, BARRED_ATTEMPT_RETENTION_MILLISECONDS, take('x'));
   assert.equal(state.barredAttempts.size, 0);
-  run(state, CLAIM_RETENTION, take('x'));
+  run(state, CLAIM_RETENTION_MILLISECONDS, take('x'));
   assert.deepEqual([state.claims.size, state.answers.size, state.answerBytes], [0, 0, 0]);
 });
 
@@ -156,13 +161,15 @@
 // would run twice; so new ones are refused until time has made room.
 test('machine: past the bound on claims new ones are refused', () => {
   const state = new MachineState();
-  for (let position = 0; position < MOST_CLAIMS; position += 1) {
+  for (let position = 0; position < MAX_CLAIMS; position += 1) {
     run(state, 0, { ...open(`${position}`), key: `offer-${position}` } as StoreCommand);
   }
   assert.deepEqual(run(state, 1, open('late')).type, 'claimRunning');
   const late = { ...open('late'), key: 'new' } as StoreCommand;
   assert.deepEqual(run(state, 1, late), { type: 'claimsFull' });
-  assert.deepEqual(run(state, MINUTE + CLAIM_RETENTION, late), { type: 'claimOpened' });
+  assert.deepEqual(run(state, MINUTE + CLAIM_RETENTION_MILLISECONDS, late), {
+    type: 'claimOpened',
+  });
 });
 
 test('machine: changes of the tables', async () => {
@@ -175,7 +182,10 @@
     { after: 5, command: put('pools', 0, 'anna', [pool('buylist')]) },
     { after: 6, command: put('pools', 0, 'anna', [pool('other')]) },
     { after: 7, command: put('pools', 1, 'faulty', [{ name: 'x', least: 3 }]) },
-    { after: CHANGE_RETENTION + 1, command: put('pools', 0, 'anna', [pool('buylist')]) },
+    {
+      after: CHANGE_RETENTION_MILLISECONDS + 1,
+      command: put('pools', 0, 'anna', [pool('buylist')]),
+    },
   ];
   await matchSnapshot(import.meta.url, 'tables', transcript(new MachineState(), commands));
 });
--- a/packages/store-core/src/machine/tables.ts
+++ b/packages/store-core/src/machine/putTable.ts
@@ -13,8 +13,12 @@
   type PutTableCommand,
   type PutTableResult,
 } from '@hornbeampond/schema';
-import { CHANGE_RETENTION, MOST_CHANGES, MOST_FAULTS } from './constants.js';
-import { recordChange } from './ConfigurationHistory.js';
+import {
+  CHANGE_RETENTION_MILLISECONDS,
+  MAX_CHANGE_RECORDS,
+  MAX_REPORTED_FAULTS,
+} from './constants.js';
+import { recordTableChange } from './ConfigurationHistory.js';
 import type { MachineState } from './MachineState.js';
 
 type Proposed =
@@ -61,9 +65,10 @@
   const currentRevision = before[command.table].revision;
   if (command.baseRevision !== currentRevision) return { type: 'revisionStale', currentRevision };
   const proposed = propose(before, command);
-  if (!proposed.ok) return { type: 'tableInvalid', faults: proposed.faults.slice(0, MOST_FAULTS) };
+  if (!proposed.ok)
+    return { type: 'tableInvalid', faults: proposed.faults.slice(0, MAX_REPORTED_FAULTS) };
   state.configuration = proposed.configuration;
-  recordChange(state.history, command.table, before, proposed.configuration);
+  recordTableChange(state.history, command.table, before, proposed.configuration);
   return { type: 'tableAccepted', revision: proposed.configuration.revision };
 }
 
@@ -88,10 +93,10 @@
 }
 
 /** Drops change ids that are past their window, or too many. */
-export function forgetChanges(state: MachineState, at: EpochMilliseconds): void {
+export function pruneChanges(state: MachineState, at: EpochMilliseconds): void {
   for (const [changeId, change] of state.changes) {
-    const isPast = change.at + CHANGE_RETENTION <= at;
-    if (!isPast && state.changes.size <= MOST_CHANGES) return;
+    const isPast = change.at + CHANGE_RETENTION_MILLISECONDS <= at;
+    if (!isPast && state.changes.size <= MAX_CHANGE_RECORDS) return;
     state.changes.delete(changeId);
   }
 }
--- a/packages/store-core/src/machine/quarantine.ts
+++ b/packages/store-core/src/machine/quarantine.ts
@@ -15,11 +15,11 @@
   ReportCrashCommand,
 } from '@hornbeampond/schema';
 import {
-  CRASH_WINDOW,
-  INSEPARABLE_CRASHES,
-  MOST_CRASHES,
-  MOST_DIGESTS_PER_CRASH,
-  QUARANTINE_DURATION,
+  CRASH_WINDOW_MILLISECONDS,
+  MIN_SHARED_CRASHES_FOR_QUARANTINE,
+  MAX_CRASHES,
+  MAX_DIGESTS_PER_CRASH,
+  QUARANTINE_DURATION_MILLISECONDS,
 } from './constants.js';
 import type { CrashRecord, MachineState } from './MachineState.js';
 
@@ -44,7 +44,7 @@
       digest,
       against: (earlier.get(digest) ?? []).filter(
         ({ crash: { at }, named }) =>
-          at + CRASH_WINDOW > crash.at && (named.size === 0 || named.has(digest)),
+          at + CRASH_WINDOW_MILLISECONDS > crash.at && (named.size === 0 || named.has(digest)),
       ),
     }))
     .filter(({ against }) => against.length > 0);
@@ -56,7 +56,9 @@
   );
   if (known.length > 0) return known.map(({ digest }) => digest);
   if (candidates.length === 1) return candidates.map(({ digest }) => digest);
-  const repeated = candidates.filter(({ against }) => against.length + 1 >= INSEPARABLE_CRASHES);
+  const repeated = candidates.filter(
+    ({ against }) => against.length + 1 >= MIN_SHARED_CRASHES_FOR_QUARANTINE,
+  );
   return repeated.map(({ digest }) => digest);
 }
 
@@ -91,7 +93,7 @@
 export function quarantineAt(state: MachineState, at: EpochMilliseconds): QuarantineEntry[] {
   const until = new Map<string, EpochMilliseconds>();
   judge(state.crashes.values()).forEach(({ crash, named }) => {
-    named.forEach((digest) => until.set(digest, crash.at + QUARANTINE_DURATION));
+    named.forEach((digest) => until.set(digest, crash.at + QUARANTINE_DURATION_MILLISECONDS));
   });
   return [...until].filter(([, end]) => end > at).map(([digest, end]) => ({ digest, until: end }));
 }
@@ -106,7 +108,7 @@
   const digests = [...new Set([...(known?.digests ?? []), ...command.digests])];
   state.crashes.set(command.crashId, {
     at: known?.at ?? at,
-    digests: digests.slice(0, MOST_DIGESTS_PER_CRASH),
+    digests: digests.slice(0, MAX_DIGESTS_PER_CRASH),
   });
   const reported = new Set(command.digests);
   const quarantined = quarantineAt(state, at)
@@ -116,10 +118,10 @@
 }
 
 /** Drops crashes that can neither count nor quarantine any more, or are too many. */
-export function forgetCrashes(state: MachineState, at: EpochMilliseconds): void {
+export function pruneCrashes(state: MachineState, at: EpochMilliseconds): void {
   for (const [crashId, crash] of state.crashes) {
-    const isPast = crash.at + CRASH_WINDOW + QUARANTINE_DURATION <= at;
-    if (!isPast && state.crashes.size <= MOST_CRASHES) return;
+    const isPast = crash.at + CRASH_WINDOW_MILLISECONDS + QUARANTINE_DURATION_MILLISECONDS <= at;
+    if (!isPast && state.crashes.size <= MAX_CRASHES) return;
     state.crashes.delete(crashId);
   }
 }
--- a/packages/store-core/src/machine/replaceTables.ts
+++ b/packages/store-core/src/machine/replaceTables.ts
@@ -13,7 +13,7 @@
   type ReplaceTablesCommand,
   type ReplaceTablesResult,
 } from '@hornbeampond/schema';
-import { MOST_FAULTS } from './constants.js';
+import { MAX_REPORTED_FAULTS } from './constants.js';
 import type { MachineState } from './MachineState.js';
 
 type Replacement =
@@ -59,7 +59,8 @@
     return { type: 'tablesReplaced', version: held };
   }
   const checked = checkReplacement(state.configuration, command);
-  if (!checked.ok) return { type: 'tablesInvalid', faults: checked.faults.slice(0, MOST_FAULTS) };
+  if (!checked.ok)
+    return { type: 'tablesInvalid', faults: checked.faults.slice(0, MAX_REPORTED_FAULTS) };
   state.configuration = checked.configuration;
   state.document = command.document;
   // A delta cannot tell of workspaces; subscribers are sent the whole.
--- a/packages/store-core/src/machine/usage.ts
+++ b/packages/store-core/src/machine/settleUsage.ts
@@ -3,7 +3,7 @@
  * reports these, so that two holders never report one window with different counts.
  */
 import type { SettleUsageCommand, SettleUsageResult } from '@hornbeampond/schema';
-import { MOST_USAGE_WINDOWS } from './constants.js';
+import { MAX_USAGE_WINDOWS } from './constants.js';
 import type { MachineState } from './MachineState.js';
 
 export function settleUsage(state: MachineState, command: SettleUsageCommand): SettleUsageResult {
@@ -11,7 +11,7 @@
   const settled = state.usage.get(window) ?? counts;
   state.usage.set(window, settled);
   for (const oldest of state.usage.keys()) {
-    if (state.usage.size <= MOST_USAGE_WINDOWS) break;
+    if (state.usage.size <= MAX_USAGE_WINDOWS) break;
     state.usage.delete(oldest);
   }
   return { type: 'usageSettled', counts: settled };
