--- a/packages/store-core/src/consensus/consensusSchedules.test.ts
+++ b/packages/store-core/src/consensus/consensusSchedules.test.ts
@@ -5,10 +5,10 @@
 import {
   makeCluster,
   type ModelCluster,
-  type ModelOptions,
+  type ModelClusterOptions,
   type ShellMutation,
 } from './testing/modelCluster.js';
-import { hasQuorumOfDisks, heal, runSchedule } from './testing/randomSchedule.js';
+import { hasQuorumOfDisks, recoverFromFaults, runSchedule } from './testing/runSchedule.js';
 
 const PICKS_PER_SCHEDULE = 400;
 const settings: Partial<ConsensusSettings> = {
@@ -36,14 +36,14 @@
 function addToTotals(totals: Totals, cluster: ModelCluster): void {
   totals.runs += 1;
   totals.committed += cluster.committed.length;
-  totals.reads += cluster.answeredReads;
-  totals.restores += cluster.restores;
-  totals.leaders += Object.keys(cluster.leaders).length;
+  totals.reads += cluster.answeredReadCount;
+  totals.restores += cluster.restoreCount;
+  totals.leaders += Object.keys(cluster.leaderByTerm).length;
 }
 
 function checkSchedules(
   context: TestContext,
-  options: ModelOptions,
+  options: ModelClusterOptions,
   seed: number,
   numRuns: number,
 ): void {
@@ -53,7 +53,7 @@
     assert.equal(schedule.cluster.violation, undefined);
     addToTotals(totals, schedule.cluster);
     const indexBefore = schedule.cluster.acknowledgedIndex;
-    heal(schedule);
+    recoverFromFaults(schedule);
     assert.equal(schedule.cluster.violation, undefined);
     if (!hasQuorumOfDisks(schedule)) return;
     totals.quorate += 1;
@@ -78,14 +78,14 @@
 });
 
 test('Random schedules fail no check with three voters and two spares', (context) => {
-  checkSchedules(context, { voters: THREE_VOTERS, spares: ['d', 'e'] }, 302, 80);
+  checkSchedules(context, { voters: THREE_VOTERS, nonMembers: ['d', 'e'] }, 302, 80);
 });
 
 test('Random schedules fail no check while unreachable members are removed', (context) => {
   const removalSettings = { ...settings, unreachableMemberTimeout: 1500, leastVoters: 3 };
   checkSchedules(
     context,
-    { voters: FIVE_VOTERS, spares: ['f', 'g'], settings: removalSettings },
+    { voters: FIVE_VOTERS, nonMembers: ['f', 'g'], settings: removalSettings },
     503,
     80,
   );
--- a/packages/store-core/src/consensus/replacedStores.test.ts
+++ b/packages/store-core/src/consensus/replacedStores.test.ts
@@ -5,15 +5,15 @@
 import { votersOf } from './membership.js';
 import {
   crash,
-  currentLeader,
-  happen,
+  findLeader,
+  dispatchEvent,
   loseDisk,
   makeCluster,
   propose,
   restart,
 } from './testing/modelCluster.js';
-import { passTime } from './testing/passTime.js';
-import type { Schedule } from './testing/randomSchedule.js';
+import { runForDuration } from './testing/runForDuration.js';
+import type { ClusterSimulation } from './testing/runSchedule.js';
 
 const settings: Partial<ConsensusSettings> = {
   electionTimeout: 400,
@@ -26,48 +26,51 @@
 /** Time for a replacement to join and catch up, or for an unreachable store to be removed. */
 const CATCH_UP_MILLISECONDS = 4000;
 
-function startCluster(): Schedule {
-  const cluster = makeCluster({ voters: VOTERS, spares: REPLACEMENTS, settings });
-  const schedule: Schedule = { cluster: REPLACEMENTS.reduce(crash, cluster), cutOff: [] };
-  passTime(schedule, 2000);
+function startCluster(): ClusterSimulation {
+  const cluster = makeCluster({ voters: VOTERS, nonMembers: REPLACEMENTS, settings });
+  const schedule: ClusterSimulation = {
+    cluster: REPLACEMENTS.reduce(crash, cluster),
+    isolatedInstances: [],
+  };
+  runForDuration(schedule, 2000);
   return schedule;
 }
 
-function stop(schedule: Schedule, instance: string): void {
+function stop(schedule: ClusterSimulation, instance: string): void {
   schedule.cluster = crash(schedule.cluster, instance);
 }
 
-function start(schedule: Schedule, instance: string): void {
+function start(schedule: ClusterSimulation, instance: string): void {
   schedule.cluster = restart(schedule.cluster, instance);
 }
 
-function replace(schedule: Schedule, removed: string, replacement: string): void {
+function replace(schedule: ClusterSimulation, removed: string, replacement: string): void {
   stop(schedule, removed);
   start(schedule, replacement);
-  passTime(schedule, CATCH_UP_MILLISECONDS);
+  runForDuration(schedule, CATCH_UP_MILLISECONDS);
 }
 
-function leaderOf(schedule: Schedule): string {
-  const leader = currentLeader(schedule.cluster);
+function leaderOf(schedule: ClusterSimulation): string {
+  const leader = findLeader(schedule.cluster);
   assert.ok(leader !== undefined, 'no store is the leader');
   return leader.instance;
 }
 
-function listVotersAccordingTo(schedule: Schedule, instance: string): string[] {
+function listVotersAccordingTo(schedule: ClusterSimulation, instance: string): string[] {
   const state = schedule.cluster.voters[instance]?.state;
   assert.ok(state !== undefined);
   return votersOf(state).map(({ address }) => address.instance);
 }
 
-function changeMembers(schedule: Schedule, change: MembershipChange): void {
+function changeMembers(schedule: ClusterSimulation, change: MembershipChange): void {
   const event = { type: 'changeMembership', requestId: 'operator', change } as const;
-  schedule.cluster = happen(schedule.cluster, leaderOf(schedule), event);
+  schedule.cluster = dispatchEvent(schedule.cluster, leaderOf(schedule), event);
 }
 
-function assertAcceptsWrite(schedule: Schedule): void {
+function assertAcceptsWrite(schedule: ClusterSimulation): void {
   const indexBefore = schedule.cluster.acknowledgedIndex;
   schedule.cluster = propose(schedule.cluster, leaderOf(schedule));
-  passTime(schedule, 500);
+  runForDuration(schedule, 500);
   assert.ok(schedule.cluster.acknowledgedIndex > indexBefore, 'a write is not acknowledged');
   assert.equal(schedule.cluster.violation, undefined);
 }
@@ -82,14 +85,14 @@
   stop(schedule, storeWithLostDisk);
   schedule.cluster = loseDisk(schedule.cluster, storeWithLostDisk);
   start(schedule, storeWithLostDisk);
-  passTime(schedule, CATCH_UP_MILLISECONDS);
+  runForDuration(schedule, CATCH_UP_MILLISECONDS);
   assertAcceptsWrite(schedule);
   replace(schedule, 'd', 'g');
   assertAcceptsWrite(schedule);
   const running = ['a', 'e', 'f', 'g'];
   running.forEach((instance) => stop(schedule, instance));
   running.forEach((instance) => start(schedule, instance));
-  passTime(schedule, 2000);
+  runForDuration(schedule, 2000);
   assertAcceptsWrite(schedule);
 });
 
@@ -98,12 +101,12 @@
 test('a store that was removed while it was partitioned votes again afterwards', () => {
   const schedule = startCluster();
   const isolated = leaderOf(schedule);
-  schedule.cutOff = [isolated];
-  passTime(schedule, CATCH_UP_MILLISECONDS + 1500);
+  schedule.isolatedInstances = [isolated];
+  runForDuration(schedule, CATCH_UP_MILLISECONDS + 1500);
   assert.equal(listVotersAccordingTo(schedule, leaderOf(schedule)).includes(isolated), false);
   assertAcceptsWrite(schedule);
-  schedule.cutOff = [];
-  passTime(schedule, 2000);
+  schedule.isolatedInstances = [];
+  runForDuration(schedule, 2000);
   assert.deepEqual(listVotersAccordingTo(schedule, isolated).toSorted(), VOTERS);
   assertAcceptsWrite(schedule);
 });
@@ -113,9 +116,9 @@
   const schedule = startCluster();
   const [first = '', second = ''] = VOTERS.filter((name) => name !== leaderOf(schedule));
   stop(schedule, first);
-  passTime(schedule, CATCH_UP_MILLISECONDS);
+  runForDuration(schedule, CATCH_UP_MILLISECONDS);
   stop(schedule, second);
-  passTime(schedule, CATCH_UP_MILLISECONDS);
+  runForDuration(schedule, CATCH_UP_MILLISECONDS);
   const voters = listVotersAccordingTo(schedule, leaderOf(schedule));
   assert.equal(voters.length, 3);
   assert.ok(voters.includes(second));
@@ -128,7 +131,7 @@
   const [removed = ''] = VOTERS.filter((name) => name !== leaderOf(schedule));
   const identity = schedule.cluster.voters[removed]?.identity ?? '';
   changeMembers(schedule, { type: 'takeOutMember', identity });
-  passTime(schedule, CATCH_UP_MILLISECONDS);
+  runForDuration(schedule, CATCH_UP_MILLISECONDS);
   assert.equal(listVotersAccordingTo(schedule, leaderOf(schedule)).includes(removed), false);
   assertAcceptsWrite(schedule);
 });
