--- a/packages/entry-core/src/driver/SimulatedCluster.ts
+++ b/packages/entry-core/src/driver/SimulatedCluster.ts
@@ -133,18 +133,18 @@
     return { now: this.now, wallNow: this.startedAt + this.now };
   }
 
-  schedule(delay: number, run: () => void): void {
-    this.tasks.push({ dueAt: this.now + delay, run });
+  schedule(delayMilliseconds: number, run: () => void): void {
+    this.tasks.push({ dueAt: this.now + delayMilliseconds, run });
   }
 
-  advance(duration: number): void {
-    const end = this.now + duration;
+  advance(durationMilliseconds: number): void {
+    const end = this.now + durationMilliseconds;
     while (this.now < end) this.step();
   }
 
   /** Runs until every caller has a final answer or the time-out has passed. */
-  runUntilAnswered(timeout = 120_000): void {
-    const end = this.now + timeout;
+  runUntilAnswered(timeoutMilliseconds = 120_000): void {
+    const end = this.now + timeoutMilliseconds;
     while (this.now < end && this.callers().some(({ finalAnswers }) => finalAnswers.length === 0))
       this.step();
     this.advance(STEP_MILLISECONDS);
@@ -155,11 +155,15 @@
   }
 
   /** Sends one entry a reclaim notice for these engines, which die when the notice ends. */
-  reclaim(instances: readonly string[], notice: number, entry: SimulatedEntry = this.entry): void {
-    const goneAt = this.clock().wallNow + notice;
+  reclaim(
+    instances: readonly string[],
+    noticeMilliseconds: number,
+    entry: SimulatedEntry = this.entry,
+  ): void {
+    const goneAt = this.clock().wallNow + noticeMilliseconds;
     instances.forEach((instance) => {
       entry.send({ type: 'reclaimNoticed', instance, goneAt });
-      this.schedule(notice, () => this.engine(instance).die());
+      this.schedule(noticeMilliseconds, () => this.engine(instance).die());
     });
   }
 
@@ -167,8 +171,8 @@
    * Marks these engines as leaving in one update of the platform list; they die when the notice
    * ends.
    */
-  reclaimByPlatformList(instances: readonly string[], notice: number): void {
-    const goneAt = this.clock().wallNow + notice;
+  reclaimByPlatformList(instances: readonly string[], noticeMilliseconds: number): void {
+    const goneAt = this.clock().wallNow + noticeMilliseconds;
     const leaving = new Set(instances);
     this.platformInstances = this.platformInstances.map((platformInstance) =>
       leaving.has(platformInstance.instance)
@@ -178,7 +182,9 @@
     this.entries.forEach((entry) =>
       entry.send({ type: 'instancesListed', instances: this.platformInstances }),
     );
-    instances.forEach((instance) => this.schedule(notice, () => this.engine(instance).die()));
+    instances.forEach((instance) =>
+      this.schedule(noticeMilliseconds, () => this.engine(instance).die()),
+    );
   }
 
   countLostEngines(): number {
--- a/packages/entry-core/src/driver/SimulatedEngine.ts
+++ b/packages/entry-core/src/driver/SimulatedEngine.ts
@@ -105,13 +105,13 @@
     lost.filter(({ stalled }) => !stalled).forEach(({ listener }) => listener.lost());
   }
 
-  advance(duration: number): void {
+  advance(durationMilliseconds: number): void {
     const slowdown = Math.max(1, this.streams.size / this.rates.concurrency);
     [...this.streams.values()].forEach((stream) => {
       if (!this.alive) return;
       if (stream.remainingPrefillMilliseconds > 0)
-        stream.remainingPrefillMilliseconds -= duration / slowdown;
-      else this.decode(stream, (duration * this.rates.tokensPerMillisecond) / slowdown);
+        stream.remainingPrefillMilliseconds -= durationMilliseconds / slowdown;
+      else this.decode(stream, (durationMilliseconds * this.rates.tokensPerMillisecond) / slowdown);
     });
   }
 
--- a/packages/entry-core/src/driver/runFaultScenario.ts
+++ b/packages/entry-core/src/driver/runFaultScenario.ts
@@ -32,9 +32,9 @@
 }
 
 function makeRandomRequest(random: RandomGenerator, number: number) {
-  const answerSize = uniformInt(random, 0, 2) === 0 ? 'early' : 'full';
+  const digestSuffix = uniformInt(random, 0, 2) === 0 ? 'early' : 'full';
   return makeRequest(`request-${number}`, {
-    digest: `digest-${number}-${answerSize}`,
+    digest: `digest-${number}-${digestSuffix}`,
     promptTokens: uniformInt(random, 200, 3000),
     maxTokens: uniformInt(random, 100, 800),
   });
--- a/packages/entry-core/src/quarantine/openLoss.ts
+++ b/packages/entry-core/src/quarantine/addUnresolvedLoss.ts
@@ -23,7 +23,7 @@
   return requestsInProgress;
 }
 
-export function openLoss(
+export function addUnresolvedLoss(
   state: EntryState,
   instance: string,
   now: MonotonicMilliseconds,
--- a/packages/entry-core/src/quarantine/advanceSuspects.ts
+++ b/packages/entry-core/src/quarantine/advanceSuspects.ts
@@ -9,30 +9,30 @@
 import type { EntryState } from '../EntryState.js';
 import type { Suspect } from './QuarantineState.js';
 
-const ISOLATION_EXPOSURE_FACTOR = 1.5;
-const ISOLATION_MARGIN_MILLISECONDS = 1000;
+const REQUIRED_RUN_FACTOR = 1.5;
+const REQUIRED_RUN_MARGIN_MILLISECONDS = 1000;
 
 /**
  * Upper limit of the running time after which isolation ends. A higher limit detects more poison
  * requests, but also attributes more unrelated crashes to harmless ones.
  */
-const MAX_ISOLATION_MILLISECONDS = 2500;
+const MAX_REQUIRED_RUN_MILLISECONDS = 2500;
 
 /** Tokens that an engine may have generated before its crash and that the entry did not receive. */
 const MAX_UNRELAYED_TOKENS = 16;
 
 function hasRunPastCrash(state: EntryState, suspect: Suspect, now: MonotonicMilliseconds): boolean {
   if (suspect.crashIds.size !== 1) return false;
-  const requiredDuration = Math.min(
-    MAX_ISOLATION_MILLISECONDS,
-    suspect.exposure * ISOLATION_EXPOSURE_FACTOR + ISOLATION_MARGIN_MILLISECONDS,
+  const requiredRun = Math.min(
+    MAX_REQUIRED_RUN_MILLISECONDS,
+    suspect.exposure * REQUIRED_RUN_FACTOR + REQUIRED_RUN_MARGIN_MILLISECONDS,
   );
   return [...state.attempts.values()].some((attempt) => {
     const requestState = state.requests.get(attempt.requestId);
     if (requestState?.request.digest !== suspect.digest) return false;
     return (
       attempt.firstTokenAt !== undefined &&
-      now - attempt.startedAt > requiredDuration &&
+      now - attempt.startedAt > requiredRun &&
       attempt.tokens > suspect.tokens + MAX_UNRELAYED_TOKENS
     );
   });
--- a/packages/entry-core/src/quarantine/poison.test.ts
+++ b/packages/entry-core/src/quarantine/poison.test.ts
@@ -60,17 +60,21 @@
   );
 });
 
-interface Resends {
+interface ResendOptions {
   readonly crashAtToken: number;
-  readonly firstDelay: number;
-  readonly secondDelay: number;
+  readonly firstDelayMilliseconds: number;
+  readonly secondDelayMilliseconds: number;
 }
 
 /**
  * Sends 29 harmless requests and a poison request through three entries; its caller resends it
  * twice.
  */
-function runResends({ crashAtToken, firstDelay, secondDelay }: Resends): SimulatedCluster {
+function runResends({
+  crashAtToken,
+  firstDelayMilliseconds,
+  secondDelayMilliseconds,
+}: ResendOptions): SimulatedCluster {
   const crashTokenByDigest = new Map([[POISON_DIGEST, crashAtToken]]);
   const cluster = new SimulatedCluster({
     engines: { 'wien-a': 6 },
@@ -82,9 +86,9 @@
   }
   cluster.entryAt(0).submitRequest(makeRequest('bad', { digest: POISON_DIGEST }));
   while (cluster.countLostEngines() === 0) cluster.advance(10);
-  cluster.advance(firstDelay);
+  cluster.advance(firstDelayMilliseconds);
   cluster.entryAt(1).submitRequest(makeRequest('bad-again', { digest: POISON_DIGEST }));
-  cluster.advance(secondDelay);
+  cluster.advance(secondDelayMilliseconds);
   cluster.entryAt(2).submitRequest(makeRequest('bad-once-more', { digest: POISON_DIGEST }));
   cluster.runUntilAnswered();
   return cluster;
@@ -94,9 +98,13 @@
 // suspects to each other, so the resend is isolated, does not run concurrently with the original,
 // and is refused once the digest is quarantined.
 for (const crashAtToken of [0, 20, 100]) {
-  for (const firstDelay of [200, 700, 1500]) {
-    test(`resends ${firstDelay} ms after a crash at token ${crashAtToken} crash no third engine`, () => {
-      const cluster = runResends({ crashAtToken, firstDelay, secondDelay: 400 });
+  for (const firstDelayMilliseconds of [200, 700, 1500]) {
+    test(`resends ${firstDelayMilliseconds} ms after a crash at token ${crashAtToken} crash no third engine`, () => {
+      const cluster = runResends({
+        crashAtToken,
+        firstDelayMilliseconds,
+        secondDelayMilliseconds: 400,
+      });
       assert.deepEqual(cluster.findViolations(), []);
       assert.equal(
         cluster.countLostEngines() <= 2,
--- a/packages/entry-core/src/quarantine/probeStalledServers.ts
+++ b/packages/entry-core/src/quarantine/probeStalledServers.ts
@@ -8,7 +8,7 @@
 import type { AttemptState } from '../attempts/AttemptState.js';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
-import { openLoss } from './openLoss.js';
+import { addUnresolvedLoss } from './addUnresolvedLoss.js';
 import { probeBackendServer } from './probeBackendServer.js';
 
 /**
@@ -27,7 +27,7 @@
  * Returns the backend servers to probe: those with a stalled stream that are not being probed,
  * down or leaving. Records the time of the probe in the stalled attempts.
  */
-function findStalledInstances(state: EntryState, now: MonotonicMilliseconds): Set<string> {
+function collectInstancesToProbe(state: EntryState, now: MonotonicMilliseconds): Set<string> {
   const { unresolvedLosses, down } = state.quarantine;
   const instances = new Set<string>();
   state.attempts.forEach((attempt) => {
@@ -40,8 +40,8 @@
 }
 
 export function probeStalledServers(state: EntryState, now: MonotonicMilliseconds): EntryEffect[] {
-  return [...findStalledInstances(state, now)].flatMap((instance) => {
-    openLoss(state, instance, now);
+  return [...collectInstancesToProbe(state, now)].flatMap((instance) => {
+    addUnresolvedLoss(state, instance, now);
     return probeBackendServer(state, instance);
   });
 }
--- a/packages/entry-core/src/quarantine/recordLoss.ts
+++ b/packages/entry-core/src/quarantine/recordLoss.ts
@@ -9,7 +9,7 @@
 import type { AttemptFailure } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import { reportSoon } from '../membership/advanceReports.js';
-import { openLoss } from './openLoss.js';
+import { addUnresolvedLoss } from './addUnresolvedLoss.js';
 import { probeBackendServer } from './probeBackendServer.js';
 import { SUSPECT_LIFETIME_MILLISECONDS } from './suspects.js';
 import type { ConnectionLoss } from './QuarantineState.js';
@@ -63,7 +63,7 @@
   const existing = state.quarantine.unresolvedLosses.get(instance);
   // Nothing of the refused request was sent, so it cannot have caused the loss.
   const excludedAttemptId = event.failure === 'connectFailed' ? attempt.attemptId : undefined;
-  const loss = existing ?? openLoss(state, instance, event.now, excludedAttemptId);
+  const loss = existing ?? addUnresolvedLoss(state, instance, event.now, excludedAttemptId);
   if (event.failure === 'connectionLost') loss.resetDigests.add(requestState.request.digest);
   if (event.failure !== 'connectFailed')
     addProvisionalSuspect(state, requestState.request, loss, event.now);
--- a/packages/entry-core/src/quarantine/suspects.ts
+++ b/packages/entry-core/src/quarantine/suspects.ts
@@ -58,7 +58,7 @@
  * this entry too, and is held until this entry has reported it, so that only one of several
  * entries runs it.
  */
-function adoptSuspect(state: EntryState, digest: string, now: MonotonicMilliseconds): Suspect {
+function getOrAdoptSuspect(state: EntryState, digest: string, now: MonotonicMilliseconds): Suspect {
   const existing = state.quarantine.suspects.get(digest);
   if (existing !== undefined) return existing;
   const reported = listPeerSuspects(state).filter((suspect) => suspect.digest === digest);
@@ -110,7 +110,7 @@
   now: MonotonicMilliseconds,
 ): boolean {
   if (!isSuspect(state, digest)) return false;
-  const { lossInstance, heldUntil = 0 } = adoptSuspect(state, digest, now);
+  const { lossInstance, heldUntil = 0 } = getOrAdoptSuspect(state, digest, now);
   if (lossInstance !== undefined && state.quarantine.unresolvedLosses.has(lossInstance))
     return true;
   if (heldUntil > now || isPendingAtEarlierPeer(state, digest)) return true;
--- a/packages/entry-core/src/testing/EntryHarness.ts
+++ b/packages/entry-core/src/testing/EntryHarness.ts
@@ -73,10 +73,10 @@
   private cacheSequence = 0;
 
   constructor(private readonly options: HarnessOptions) {
-    const everComputed = new Set<string>();
+    const computedPrefixes = new Set<string>();
     for (let number = 0; number < options.servers; number += 1) {
       const instance = `engine-${number}`;
-      const engine = new EngineModel(instance, this.timeline, options.speed, everComputed);
+      const engine = new EngineModel(instance, this.timeline, options.speed, computedPrefixes);
       this.engines.set(instance, engine);
     }
     this.entries = Array.from({ length: options.entries ?? 1 }, (_, number) =>
