--- a/packages/entry-core/src/driver/SimulatedCluster.ts
+++ b/packages/entry-core/src/driver/SimulatedCluster.ts
@@ -29,6 +29,7 @@
   readonly entries?: number;
   readonly crashTokenByDigest?: CrashTokenByDigest;
   readonly rates?: Partial<EngineRates>;
+  /** Whole-answer deadline of all routes; one minute by default. */
   readonly wholeAnswerMilliseconds?: number;
   /** Pool of the engines; those of `bookings` act as plain services. */
   readonly pool?: 'engines' | 'bookings';
@@ -46,6 +47,7 @@
 
   readonly entries: SimulatedEntry[] = [];
 
+  /** True makes every cache move fail. */
   movesFail = false;
 
   /** False leaves every probe unanswered. */
@@ -133,6 +135,7 @@
     return { now: this.now, wallNow: this.startedAt + this.now };
   }
 
+  /** Runs a task after a delay in virtual time. */
   schedule(delayMilliseconds: number, run: () => void): void {
     this.tasks.push({ dueAt: this.now + delayMilliseconds, run });
   }
@@ -200,6 +203,7 @@
     this.entries.forEach((entry) => entry.send({ type: 'callerGone', requestId }));
   }
 
+  /** Returns how many milliseconds it takes to move a KV cache of this size. */
   moveDuration(tokens: number): number {
     return 50 + tokens / 8;
   }
--- a/packages/entry-core/src/driver/runFaultScenario.ts
+++ b/packages/entry-core/src/driver/runFaultScenario.ts
@@ -28,9 +28,14 @@
   readonly requiredTokens: number;
   /** Mean time from the arrival of a request to its complete answer. */
   readonly meanCompletionMilliseconds: number;
+  /** Violated guarantees of callers, such as a second final answer or an incorrect text. */
   readonly violations: number;
 }
 
+/**
+ * Returns a request of random size. The simulated engine ends its answer at half of `maxTokens` if
+ * the digest ends in `early`.
+ */
 function makeRandomRequest(random: RandomGenerator, number: number) {
   const digestSuffix = uniformInt(random, 0, 2) === 0 ? 'early' : 'full';
   return makeRequest(`request-${number}`, {
@@ -57,6 +62,7 @@
   });
 }
 
+/** Reclaims all engines of a random data centre with a notice of 1.5 to 4 seconds. */
 function reclaimDataCentre(cluster: SimulatedCluster, random: RandomGenerator): void {
   const dataCentre = DATA_CENTRES[uniformInt(random, 0, 3)] ?? '';
   const instances = listAliveInstances(cluster, dataCentre);
--- a/packages/entry-core/src/quarantine/advanceSuspects.ts
+++ b/packages/entry-core/src/quarantine/advanceSuspects.ts
@@ -2,19 +2,20 @@
  * Expires suspects and quarantines, and lifts the isolation of suspects. Isolation ends once a
  * request has run again past the point of its crash; otherwise long answers would run one at a
  * time and miss their deadlines. The price is that a poison request which crashes after that is
- * identified only at its third crash. From its second crash on, it stays isolated until it
- * completes or expires.
+ * identified only at its third crash. A suspect of two or more crashes stays isolated until its
+ * request completes or the suspect expires.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 import type { Suspect } from './QuarantineState.js';
 
+/** A suspect must run for this multiple of its time before the crash, plus a margin. */
 const REQUIRED_RUN_FACTOR = 1.5;
 const REQUIRED_RUN_MARGIN_MILLISECONDS = 1000;
 
 /**
- * Upper limit of the running time after which isolation ends. A higher limit detects more poison
- * requests, but also attributes more unrelated crashes to harmless ones.
+ * Upper limit of the time that a suspect must run before its isolation ends. A higher limit
+ * detects more poison requests, but also attributes more unrelated crashes to harmless ones.
  */
 const MAX_REQUIRED_RUN_MILLISECONDS = 2500;
 
--- a/packages/entry-core/src/quarantine/poison.test.ts
+++ b/packages/entry-core/src/quarantine/poison.test.ts
@@ -47,7 +47,7 @@
 
 // Shows that the checks above can fail: without isolation, the second crash hits many suspects and
 // identifies none.
-test('a third engine is lost if suspects are not isolated', () => {
+test('without isolation, a third engine is lost or harmless requests fail', () => {
   const isolated = runPoisonBatch({ engines: 3 });
   assert.deepEqual(
     [isolated.countLostEngines(), findFailedHarmlessCallers(isolated).length],
@@ -62,13 +62,16 @@
 
 interface ResendOptions {
   readonly crashAtToken: number;
+  /** Time from the first crash to the first resend. */
   readonly firstDelayMilliseconds: number;
+  /** Time from the first resend to the second. */
   readonly secondDelayMilliseconds: number;
 }
 
 /**
- * Sends 29 harmless requests and a poison request through three entries; its caller resends it
- * twice.
+ * Sends 29 harmless requests through three entries and a poison request through the first. After
+ * the first crash, the poison request is sent again through the second entry, and then through the
+ * third.
  */
 function runResends({
   crashAtToken,
--- a/packages/entry-core/src/quarantine/probeStalledServers.ts
+++ b/packages/entry-core/src/quarantine/probeStalledServers.ts
@@ -1,8 +1,8 @@
 /**
  * Probes backend servers whose streams have stalled. A host that disappears resets no connections,
- * and a probe detects it sooner than the idle time-out of each stream. A stream that its caller
- * has paused does not count: if the probe timed out, the server would be considered crashed and
- * its streams would be failed.
+ * and a probe detects it sooner than the idle time-out of each stream. A stalled stream is
+ * recorded as an unresolved connection loss until the probe is answered or times out. A stream
+ * that its caller has paused does not count, since no tokens are expected from it.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { AttemptState } from '../attempts/AttemptState.js';
@@ -12,8 +12,8 @@
 import { probeBackendServer } from './probeBackendServer.js';
 
 /**
- * A stream has stalled if it delivers no token for this long; it is probed again after the same
- * time.
+ * Time without a token, after the first one, at which a stream counts as stalled; also the minimum
+ * interval between probes because of the same stream.
  */
 const STALL_TIMEOUT_MILLISECONDS = 1500;
 
@@ -24,8 +24,8 @@
 }
 
 /**
- * Returns the backend servers to probe: those with a stalled stream that are not being probed,
- * down or leaving. Records the time of the probe in the stalled attempts.
+ * Returns the backend servers with a stalled stream that are not being probed, down or leaving.
+ * Also sets `stallProbedAt` of the stalled attempts, including those at leaving servers.
  */
 function collectInstancesToProbe(state: EntryState, now: MonotonicMilliseconds): Set<string> {
   const { unresolvedLosses, down } = state.quarantine;
--- a/packages/entry-core/src/quarantine/randomPoisonBatches.test.ts
+++ b/packages/entry-core/src/quarantine/randomPoisonBatches.test.ts
@@ -10,7 +10,9 @@
 
 const BATCH_SIZE = 30;
 
-/** A batch with one poison request, sent through several entries, and its resends. */
+/**
+ * A batch with one poison request, sent through several entries, and the resends of that request.
+ */
 interface Batch {
   readonly crashAtToken: number;
   readonly entries: number;
@@ -130,7 +132,7 @@
 
 // The same for engines that restart before their probe. A poison request that runs alone on its
 // engine is detected only at its second crash and identified at its third.
-test('engines that restart immediately crash at most three times', () => {
+test('random batches with one poison request cause at most three crashes if engines restart immediately', () => {
   fc.assert(
     fc.property(batchArbitrary, (batch) => assertDeathsBounded(batch, true, 3)),
     { seed: 12, numRuns: 120 },
--- a/packages/entry-core/src/quarantine/slowCaller.test.ts
+++ b/packages/entry-core/src/quarantine/slowCaller.test.ts
@@ -28,8 +28,8 @@
   return { cluster, attemptId, stall };
 }
 
-// Guards against probing an engine only because a slow caller pauses a stream. If the probe timed
-// out, the engine would be considered crashed and its streams would be failed.
+// Guards against probing an engine only because a slow caller pauses a stream: no tokens are
+// expected while it is paused.
 test('a stream paused by its caller does not cause a probe', () => {
   const { cluster, attemptId, stall } = startStream();
   cluster.entry.send({ type: 'attemptHeld', attemptId, held: true });
--- a/packages/entry-core/src/quarantine/suspects.ts
+++ b/packages/entry-core/src/quarantine/suspects.ts
@@ -102,7 +102,7 @@
  * True if the request is a suspect and must not start now: its loss is being probed, its report
  * has not reached the peers, another entry runs it first, or it is already running. Otherwise a
  * poison request could crash several servers before its first crash is classified, and a resend
- * could run concurrently with the original.
+ * could run concurrently with the original. Adopts suspects that only peers have reported.
  */
 export function mustDelaySuspect(
   state: EntryState,
--- a/packages/entry-core/src/reclaims/reclaims.test.ts
+++ b/packages/entry-core/src/reclaims/reclaims.test.ts
@@ -162,7 +162,7 @@
 
 // Guards against prefilling a prompt twice: with a long notice, a new stream is measured before it
 // is migrated.
-test('a stream that has just begun is measured under a long notice', () => {
+test('a stream that has just begun is not migrated at the start of a long notice', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 1, 'wien-b': 1 } });
   cluster.entry.submitRequest(makeRequest('one'));
   cluster.advance(20);
--- a/packages/entry-core/src/testing/EntryHarness.ts
+++ b/packages/entry-core/src/testing/EntryHarness.ts
@@ -30,10 +30,17 @@
   readonly speed: EngineSpeed;
   readonly routes: readonly Route[];
   readonly pool: Pool;
+  /** Maximum number of queued requests of each entry; 1000 by default. */
   readonly queuedRequests?: number;
-  /** Delay of load reports, which are also sent at this interval; none are sent by default. */
+  /**
+   * Interval at which load reports are sent, and the delay until each arrives; none are sent by
+   * default.
+   */
   readonly loadLag?: Milliseconds;
-  /** Delay of cache events, which are also sent at this interval; none are sent by default. */
+  /**
+   * Interval at which cache events are sent, and the delay until each arrives; none are sent by
+   * default.
+   */
   readonly cacheLag?: Milliseconds;
   /** Returns true for the sequence numbers of cache events that get lost. */
   readonly losesCacheEvent?: (sequence: number) => boolean;
--- a/packages/entry-core/src/testing/makeArrivals.ts
+++ b/packages/entry-core/src/testing/makeArrivals.ts
@@ -18,6 +18,7 @@
 export interface ArrivalPattern {
   readonly seed: number;
   readonly span: Milliseconds;
+  /** Mean number of arrivals per second outside the peak. */
   readonly perSecond: number;
   /** Arrival rate during the middle third of the span, as a multiple of `perSecond`. */
   readonly rushFactor: number;
