--- a/packages/entry-core/src/driver/SimulatedCluster.ts
+++ b/packages/entry-core/src/driver/SimulatedCluster.ts
@@ -29,6 +29,7 @@
   readonly entries?: number;
   readonly crashTokenByDigest?: CrashTokenByDigest;
   readonly rates?: Partial<EngineRates>;
+  /** Whole-answer deadline of all routes; one minute by default. */
   readonly wholeAnswerMilliseconds?: number;
   /** Pool of the engines; those of `bookings` act as plain services. */
   readonly pool?: 'engines' | 'bookings';
@@ -46,6 +47,7 @@
 
   readonly entries: SimulatedEntry[] = [];
 
+  /** True makes every cache move fail. */
   movesFail = false;
 
   /** False leaves every probe unanswered. */
@@ -133,18 +135,19 @@
     return { now: this.now, wallNow: this.startedAt + this.now };
   }
 
-  schedule(delay: number, run: () => void): void {
-    this.tasks.push({ dueAt: this.now + delay, run });
+  /** Runs a task after a delay in virtual time. */
+  schedule(delayMilliseconds: number, run: () => void): void {
+    this.tasks.push({ dueAt: this.now + delayMilliseconds, run });
   }
 
-  advance(duration: number): void {
-    const end = this.now + duration;
+  advance(durationMilliseconds: number): void {
+    const end = this.now + durationMilliseconds;
     while (this.now < end) this.step();
   }
 
   /** Runs until every caller has a final answer or the time-out has passed. */
-  runUntilAnswered(timeout = 120_000): void {
-    const end = this.now + timeout;
+  runUntilAnswered(timeoutMilliseconds = 120_000): void {
+    const end = this.now + timeoutMilliseconds;
     while (this.now < end && this.callers().some(({ finalAnswers }) => finalAnswers.length === 0))
       this.step();
     this.advance(STEP_MILLISECONDS);
@@ -155,11 +158,15 @@
   }
 
   /** Sends one entry a reclaim notice for these engines, which die when the notice ends. */
-  reclaim(instances: readonly string[], notice: number, entry: SimulatedEntry = this.entry): void {
-    const goneAt = this.clock().wallNow + notice;
+  reclaim(
+    instances: readonly string[],
+    noticeMilliseconds: number,
+    entry: SimulatedEntry = this.entry,
+  ): void {
+    const goneAt = this.clock().wallNow + noticeMilliseconds;
     instances.forEach((instance) => {
       entry.send({ type: 'reclaimNoticed', instance, goneAt });
-      this.schedule(notice, () => this.engine(instance).die());
+      this.schedule(noticeMilliseconds, () => this.engine(instance).die());
     });
   }
 
@@ -167,8 +174,8 @@
    * Marks these engines as leaving in one update of the platform list; they die when the notice
    * ends.
    */
-  reclaimByPlatformList(instances: readonly string[], notice: number): void {
-    const goneAt = this.clock().wallNow + notice;
+  reclaimByPlatformList(instances: readonly string[], noticeMilliseconds: number): void {
+    const goneAt = this.clock().wallNow + noticeMilliseconds;
     const leaving = new Set(instances);
     this.platformInstances = this.platformInstances.map((platformInstance) =>
       leaving.has(platformInstance.instance)
@@ -178,7 +185,9 @@
     this.entries.forEach((entry) =>
       entry.send({ type: 'instancesListed', instances: this.platformInstances }),
     );
-    instances.forEach((instance) => this.schedule(notice, () => this.engine(instance).die()));
+    instances.forEach((instance) =>
+      this.schedule(noticeMilliseconds, () => this.engine(instance).die()),
+    );
   }
 
   countLostEngines(): number {
@@ -194,6 +203,7 @@
     this.entries.forEach((entry) => entry.send({ type: 'callerGone', requestId }));
   }
 
+  /** Returns how many milliseconds it takes to move a KV cache of this size. */
   moveDuration(tokens: number): number {
     return 50 + tokens / 8;
   }
--- a/packages/entry-core/src/quarantine/probeStalledServers.ts
+++ b/packages/entry-core/src/quarantine/probeStalledServers.ts
@@ -1,19 +1,19 @@
 /**
  * Probes backend servers whose streams have stalled. A host that disappears resets no connections,
- * and a probe detects it sooner than the idle time-out of each stream. A stream that its caller
- * has paused does not count: if the probe timed out, the server would be considered crashed and
- * its streams would be failed.
+ * and a probe detects it sooner than the idle time-out of each stream. A stalled stream is
+ * recorded as an unresolved connection loss until the probe is answered or times out. A stream
+ * that its caller has paused does not count, since no tokens are expected from it.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { AttemptState } from '../attempts/AttemptState.js';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
-import { openLoss } from './openLoss.js';
+import { addUnresolvedLoss } from './addUnresolvedLoss.js';
 import { probeBackendServer } from './probeBackendServer.js';
 
 /**
- * A stream has stalled if it delivers no token for this long; it is probed again after the same
- * time.
+ * Time without a token, after the first one, at which a stream counts as stalled; also the minimum
+ * interval between probes because of the same stream.
  */
 const STALL_TIMEOUT_MILLISECONDS = 1500;
 
@@ -24,10 +24,10 @@
 }
 
 /**
- * Returns the backend servers to probe: those with a stalled stream that are not being probed,
- * down or leaving. Records the time of the probe in the stalled attempts.
+ * Returns the backend servers with a stalled stream that are not being probed, down or leaving.
+ * Also sets `stallProbedAt` of the stalled attempts, including those at leaving servers.
  */
-function findStalledInstances(state: EntryState, now: MonotonicMilliseconds): Set<string> {
+function collectInstancesToProbe(state: EntryState, now: MonotonicMilliseconds): Set<string> {
   const { unresolvedLosses, down } = state.quarantine;
   const instances = new Set<string>();
   state.attempts.forEach((attempt) => {
@@ -40,8 +40,8 @@
 }
 
 export function probeStalledServers(state: EntryState, now: MonotonicMilliseconds): EntryEffect[] {
-  return [...findStalledInstances(state, now)].flatMap((instance) => {
-    openLoss(state, instance, now);
+  return [...collectInstancesToProbe(state, now)].flatMap((instance) => {
+    addUnresolvedLoss(state, instance, now);
     return probeBackendServer(state, instance);
   });
 }
--- a/packages/entry-core/src/quarantine/suspects.ts
+++ b/packages/entry-core/src/quarantine/suspects.ts
@@ -58,7 +58,7 @@
  * this entry too, and is held until this entry has reported it, so that only one of several
  * entries runs it.
  */
-function adoptSuspect(state: EntryState, digest: string, now: MonotonicMilliseconds): Suspect {
+function getOrAdoptSuspect(state: EntryState, digest: string, now: MonotonicMilliseconds): Suspect {
   const existing = state.quarantine.suspects.get(digest);
   if (existing !== undefined) return existing;
   const reported = listPeerSuspects(state).filter((suspect) => suspect.digest === digest);
@@ -102,7 +102,7 @@
  * True if the request is a suspect and must not start now: its loss is being probed, its report
  * has not reached the peers, another entry runs it first, or it is already running. Otherwise a
  * poison request could crash several servers before its first crash is classified, and a resend
- * could run concurrently with the original.
+ * could run concurrently with the original. Adopts suspects that only peers have reported.
  */
 export function mustDelaySuspect(
   state: EntryState,
@@ -110,7 +110,7 @@
   now: MonotonicMilliseconds,
 ): boolean {
   if (!isSuspect(state, digest)) return false;
-  const { lossInstance, heldUntil = 0 } = adoptSuspect(state, digest, now);
+  const { lossInstance, heldUntil = 0 } = getOrAdoptSuspect(state, digest, now);
   if (lossInstance !== undefined && state.quarantine.unresolvedLosses.has(lossInstance))
     return true;
   if (heldUntil > now || isPendingAtEarlierPeer(state, digest)) return true;
--- a/packages/entry-core/src/testing/EntryHarness.ts
+++ b/packages/entry-core/src/testing/EntryHarness.ts
@@ -30,10 +30,17 @@
   readonly speed: EngineSpeed;
   readonly routes: readonly Route[];
   readonly pool: Pool;
+  /** Maximum number of queued requests of each entry; 1000 by default. */
   readonly queuedRequests?: number;
-  /** Delay of load reports, which are also sent at this interval; none are sent by default. */
+  /**
+   * Interval at which load reports are sent, and the delay until each arrives; none are sent by
+   * default.
+   */
   readonly loadLag?: Milliseconds;
-  /** Delay of cache events, which are also sent at this interval; none are sent by default. */
+  /**
+   * Interval at which cache events are sent, and the delay until each arrives; none are sent by
+   * default.
+   */
   readonly cacheLag?: Milliseconds;
   /** Returns true for the sequence numbers of cache events that get lost. */
   readonly losesCacheEvent?: (sequence: number) => boolean;
@@ -73,10 +80,10 @@
   private cacheSequence = 0;
 
   constructor(private readonly options: HarnessOptions) {
-    const everComputed = new Set<string>();
+    const computedPrefixes = new Set<string>();
     for (let number = 0; number < options.servers; number += 1) {
       const instance = `engine-${number}`;
-      const engine = new EngineModel(instance, this.timeline, options.speed, everComputed);
+      const engine = new EngineModel(instance, this.timeline, options.speed, computedPrefixes);
       this.engines.set(instance, engine);
     }
     this.entries = Array.from({ length: options.entries ?? 1 }, (_, number) =>
