--- a/packages/entry-core/src/configuration/ConfigurationBootstrap.ts
+++ b/packages/entry-core/src/configuration/ConfigurationBootstrap.ts
@@ -1,17 +1,20 @@
 /**
- * Decides which configuration a starting instance begins with. It requests a linearizable read, and
- * the configurations of all peers. The read decides. If no quorum can be reached, the instance
- * waits until every peer has answered or failed, and takes the newest revision: the first answer
- * may be from a lagging peer, and restore a configuration that this data centre has already
- * replaced.
+ * Chooses the configuration that a starting instance begins with, from the result of a linearizable
+ * read and the configurations of its peers. A successful read ends the wait. Without a quorum the
+ * instance waits until every peer has answered or failed, or the time limit has passed: the first
+ * answer could come from a lagging peer and restore a configuration that has already been replaced.
+ * Used by the model in measure/src/machineModels; running entries start in EntryProcess.
  */
 import type { Configuration } from '@hornbeampond/schema';
 
 export interface ConfigurationBootstrap {
   /** Peers that have neither answered nor failed yet. */
   readonly pendingPeers: Set<string>;
+  /** The newest revision received so far, from the read or a peer. */
   newest: Configuration | undefined;
-  /** True once no linearizable read is expected any more. */
+  /**
+   * True once the instance no longer waits for the linearizable read; a late result is still used.
+   */
   quorumFailed: boolean;
   started: boolean;
 }
@@ -21,13 +24,13 @@
   | { readonly type: 'quorumFailed' }
   | { readonly type: 'peerAnswered'; readonly peer: string; readonly configuration: Configuration }
   | { readonly type: 'peerFailed'; readonly peer: string }
-  /** The time to wait for peers is over; sent by the shell's timer. */
+  /** The time limit for the read and for all peer answers has passed. */
   | { readonly type: 'waitOver' };
 
 export interface StartedEffect {
   readonly type: 'started';
   readonly configuration: Configuration;
-  /** True if no quorum confirmed the revision; reported to operators until one does. */
+  /** True if the instance starts without a successful linearizable read. */
   readonly cutOff: boolean;
 }
 
@@ -35,7 +38,7 @@
   return { pendingPeers: new Set(peers), newest: undefined, quorumFailed: false, started: false };
 }
 
-/** Handles an event; returns a single effect, once the configuration to start with is decided. */
+/** Returns the started effect when the configuration is chosen, and no effects before and after. */
 export function reduceConfigurationBootstrap(
   bootstrap: ConfigurationBootstrap,
   event: ConfigurationBootstrapEvent,
@@ -60,7 +63,9 @@
   if (isNewer) bootstrap.newest = configuration;
 }
 
-/** Without any answer the instance keeps waiting: it must not serve from empty tables. */
+/**
+ * Starts with the newest configuration received; until there is one, the instance keeps waiting.
+ */
 function finish(bootstrap: ConfigurationBootstrap, cutOff: boolean): StartedEffect[] {
   if (bootstrap.newest === undefined) return [];
   bootstrap.started = true;
--- a/packages/entry-core/src/configuration/applyConfiguration.ts
+++ b/packages/entry-core/src/configuration/applyConfiguration.ts
@@ -1,7 +1,7 @@
 /**
- * Decides which configuration an instance applies. Revisions only go up: pushes come from several
- * stores and relays, delayed and out of order, and an old one applied after a newer one would
- * restore what operators have replaced.
+ * Applies a configuration or a delta only if it is newer than the configuration in force. Pushes
+ * may arrive late and out of order, and an old one would restore what operators have replaced. Used
+ * by the model in measure/src/machineModels; see ConfigurationFollower for running processes.
  */
 import { applyDelta, type Configuration, type ConfigurationDelta } from '@hornbeampond/schema';
 
@@ -11,10 +11,12 @@
 
 export type ConfigurationEffect =
   | { readonly type: 'configurationInForce'; readonly configuration: Configuration }
-  /** A delta starts from another revision; the whole configuration must be requested. */
+  /**
+   * The delta does not start from the revision in force; the full configuration must be requested.
+   */
   | { readonly type: 'askWholeConfiguration' };
 
-/** Applies a whole configuration if it is newer than the one in force. */
+/** Applies a full configuration if it is newer than the one in force. */
 export function applyConfiguration(
   state: ConfigurationState,
   received: Configuration,
@@ -24,7 +26,10 @@
   return [{ type: 'configurationInForce', configuration: received }];
 }
 
-/** Applies a delta if it starts from the revision in force; an outdated one is ignored. */
+/**
+ * Applies a delta that starts from the revision in force, ignores one that does not lead to a newer
+ * revision, and otherwise requests the full configuration.
+ */
 export function applyConfigurationDelta(
   state: ConfigurationState,
   delta: ConfigurationDelta,
--- a/packages/entry-core/src/configuration/configuration.test.ts
+++ b/packages/entry-core/src/configuration/configuration.test.ts
@@ -34,7 +34,7 @@
   assert.equal(state.configuration.revision, 6);
 });
 
-test('configuration: a delta from another revision requests the whole configuration', () => {
+test('configuration: a delta from another revision requests the full configuration', () => {
   const state = { configuration: revision(4) };
   const effects = [
     applyConfigurationDelta(state, { fromRevision: 2, toRevision: 4 }),
@@ -60,7 +60,7 @@
   assert.deepEqual(startWith(events), ['8 cut off']);
 });
 
-test('configuration: an unreachable peer delays the start only for a limited time', () => {
+test('configuration: an unreachable peer delays the start only until the time limit', () => {
   assert.deepEqual(startWith([fromPeer('entry-2', 5), { type: 'waitOver' }]), ['5 cut off']);
 });
 
--- a/packages/entry-core/src/limits/AllowanceLimiter.test.ts
+++ b/packages/entry-core/src/limits/AllowanceLimiter.test.ts
@@ -51,7 +51,7 @@
   return spent;
 }
 
-test('no window holds more than the rate and the burst', () => {
+test('spending in any window stays within the rate and the burst', () => {
   const limiter = makeRunningLimiter();
   const spentAt: [number, number][] = [];
   for (let now = 0; now < 40_000; now += 100) spentAt.push([now, spendAll(limiter, now)]);
@@ -84,7 +84,7 @@
 });
 
 // Guards against restarted entries that start with an empty window and let it be spent again.
-test('an entry that has just started gets the spending of the window from its peers', () => {
+test('an entry that has just started takes the spending of the window from its peers', () => {
   const running = makeRunningLimiter();
   spendAll(running, 0);
   const limiter = new AllowanceLimiter();
@@ -95,7 +95,7 @@
   assert.equal(limiter.check('laden', allowance, 10, 9500).type, 'allowed');
 });
 
-// Guards against an entry that is held to the rate alone although its peers know the whole window.
+// Guards against a reduced limit at an entry whose peers know the spending of the whole window.
 test('an entry that restarts among running peers may use the burst', () => {
   const running = makeRunningLimiter();
   const limiter = new AllowanceLimiter();
--- a/packages/entry-core/src/limits/AllowanceLimiter.ts
+++ b/packages/entry-core/src/limits/AllowanceLimiter.ts
@@ -1,9 +1,9 @@
 /**
  * Limits what a workspace may spend at all entries together: in any window at most its rate times
  * the length of the window, plus a burst. Each entry counts its own spending and adds what the
- * others report, once a second and immediately near the limit. Spending that is not reported yet is
- * limited to an equal share per entry of the remaining allowance and tolerance, so that all entries
- * together stay within limit and tolerance.
+ * others report, once a second or immediately if much is unreported. Spending that is not reported
+ * yet is limited to an equal share per entry of the remaining allowance and tolerance, so that all
+ * entries together stay within limit and tolerance.
  */
 import type {
   Allowance,
@@ -17,24 +17,26 @@
 } from '@hornbeampond/schema';
 import { SLICE_MILLISECONDS, SpendingWindow } from './SpendingWindow.js';
 
-/** A peer that has missed three reports is unreachable; it may still be spending. */
+/** A peer not seen for this long is treated as unreachable; it may still be spending. */
 const PEER_TIMEOUT_MILLISECONDS: Milliseconds = 3000;
 
-/** A peer that has not been seen for this long is removed. */
+/** A peer not seen for this long is removed. */
 const PEER_EXPIRY_MILLISECONDS: Milliseconds = 60_000;
 
 const MILLISECONDS_PER_SECOND = 1000;
 
 /**
- * Assumed time between the last write of spending and a power loss: stores write four times a
+ * Assumed time between the last persisted report and a power loss: stores write four times a
  * second, and entries report once, one after the other.
  */
 const UNPERSISTED_SECONDS = 0.4;
 
-/** All entries are assumed to have been down since a write to disk that is no older than this. */
+/**
+ * Persisted spending up to this age is complete: all entries are assumed to have been down since.
+ */
 const MAX_OUTAGE_MILLISECONDS: Milliseconds = 5000;
 
-/** Every reachable peer reports at least this often. */
+/** A reachable peer is seen at least this often. */
 const MAX_REPORT_INTERVAL_MILLISECONDS: Milliseconds = 1200;
 
 /**
@@ -47,8 +49,8 @@
 const UNREPORTED_FRACTION_OF_TOLERANCE = 0.3;
 
 /**
- * Fraction of the tolerance that is added to the limit while all peers are reachable. The rest
- * covers spending that is reported too late.
+ * Fraction of the tolerance that is added to the limit while the spending of all entries is known.
+ * The rest covers spending that is reported too late.
  */
 const NORMAL_FRACTION_OF_TOLERANCE = 0.3;
 
@@ -72,15 +74,18 @@
 
 /** What a decision was based on, for the log. */
 export interface SpendingFacts {
-  /** What is exhausted: the window, or this entry's quota of it. */
+  /** What is exhausted: the limit of the window, or this entry's quota of unconfirmed spending. */
   readonly bound: 'window' | 'part';
   readonly amount: number;
-  /** What all entries may spend in a window now, and what they are known to have spent in it. */
+  /** What the reachable entries may spend in a window now. */
   readonly limit: number;
+  /** Known spending of all entries in the window. */
   readonly known: number;
-  /** What this entry may spend without the others knowing it, and how much of that is used. */
+  /** This entry's quota of unconfirmed spending. */
   readonly part: number;
+  /** Spending of this entry that the others may not have received. */
   readonly hidden: number;
+  /** Number of entries, unreachable ones included. */
   readonly entries: number;
   /** Age of the oldest among the peers' last reports; undefined without peers. */
   readonly oldestReport?: Milliseconds;
@@ -136,7 +141,7 @@
 
   /** Known spending of each workspace at all entries in its window, by second, newest first. */
   windowSpent(now: MonotonicMilliseconds): WindowSpending {
-    // The window length of a workspace that only other entries have served is not known here.
+    // Without requests for a workspace here its window length is unknown; a fixed time is used.
     const spent = [...this.totalSpending.workspaces].map((workspace) => {
       const windowLength = this.windowLengths.get(workspace) ?? PEER_EXPIRY_MILLISECONDS;
       this.totalSpending.evictBefore(workspace, now - windowLength);
@@ -183,7 +188,7 @@
       entries,
       ...this.ageOfOldestReport(now),
     };
-    // A request above the whole limit could never run; it may while nothing is spent in the window.
+    // A request above the whole limit could never run; it is allowed while the window is empty.
     const excess = spent + Math.min(amount, limit) - limit;
     if (excess > 0) {
       const retryAfterMilliseconds = this.calculateRetryDelay(
@@ -194,7 +199,7 @@
       );
       return { type: 'exceeded', retryAfterMilliseconds, facts: { bound: 'window', ...facts } };
     }
-    // Without unconfirmed spending a request of any size may run: `spend` has a large one reported.
+    // One request of any size may be unconfirmed: if it is large, it is reported immediately.
     if (unconfirmed === 0 || unconfirmed + amount <= quota) return { type: 'allowed' };
     const retryAfterMilliseconds = MAX_REPORT_INTERVAL_MILLISECONDS;
     return { type: 'exceeded', retryAfterMilliseconds, facts: { bound: 'part', ...facts } };
@@ -221,7 +226,10 @@
     return this.peers.size > 0 && unreported > quota * IMMEDIATE_REPORT_FRACTION_OF_QUOTA;
   }
 
-  /** Adds what another entry has spent since its last report; of a new peer, its whole window. */
+  /**
+   * Handles the report of another entry. Adds its spending since its previous report, or the
+   * reported window if the peer is new.
+   */
   receive(report: EntryReport, now: MonotonicMilliseconds): void {
     const { instance, incarnation, spent = {}, leaving, entries: entryCount = 1 } = report;
     const peer = this.peers.get(instance);
@@ -273,7 +281,10 @@
     });
   }
 
-  /** Adds what a peer has spent since its last report; ignored before its first full report. */
+  /**
+   * Handles a spending report, which is sent between two full reports. It is ignored before the
+   * first full report of the peer.
+   */
   receiveSpending(
     { instance, incarnation, spent, leaving }: Omit<SpendingReport, 'type'>,
     now: MonotonicMilliseconds,
@@ -300,8 +311,8 @@
   }
 
   /**
-   * Adds what a peer or a store knows of the window and this entry does not. Without it, each entry
-   * that restarts would find an empty window, and let it be spent again.
+   * Adds spending that a peer or a store has recorded and this entry has not. Otherwise an entry
+   * that restarts would start with an empty window and allow it to be spent again.
    */
   private mergeWindow(
     windowSpent: WindowSpending,
@@ -313,7 +324,7 @@
       const knownTotal = this.totalSpending.sumSince(workspace, Number.NEGATIVE_INFINITY);
       const reportedTotal = amounts.reduce((sum, amount) => sum + amount, 0);
       let missing = Math.max(0, reportedTotal - knownTotal);
-      // The missing amount is assumed to be the most recent.
+      // The spending that is missing here is assumed to be the most recent.
       amounts.forEach((amount, second) => {
         const added = Math.min(missing, amount);
         missing -= added;
@@ -324,8 +335,8 @@
 
   /**
    * What the reachable entries may spend in a window now. While only part of the window is known,
-   * this is the rate over the known part and a fraction of the tolerance, or the burst if that is
-   * more: a window could otherwise be spent twice, before a power loss and after it.
+   * it is the rate over the known part plus a fraction of the tolerance, or the burst if that is
+   * more. Otherwise a window could be spent twice, before a power loss and after it.
    */
   private currentLimit(allowance: Allowance, now: MonotonicMilliseconds): number {
     const { perSecond, burst, windowMilliseconds, tolerated } = allowance;
@@ -358,8 +369,8 @@
   }
 
   /**
-   * True while this entry may know nothing of what others spend: it has no peers yet, or all
-   * entries have started together and have not sent the report of their first second.
+   * True while this entry may not know what others spend: it has no peers yet, or all entries have
+   * started together and not yet reported their first spending.
    */
   private isStarting(now: MonotonicMilliseconds, windowMilliseconds: Milliseconds): boolean {
     if (now - (this.firstCheckedAt ?? now) >= MAX_REPORT_INTERVAL_MILLISECONDS) return false;
@@ -395,8 +406,8 @@
   }
 
   /**
-   * Counts all entries and the reachable ones. An entry that starts during a network partition has
-   * the number of entries on the other side only from the reports of its peers.
+   * Counts all entries and the reachable ones. An entry that starts during a network partition
+   * knows how many entries are on the other side only from the reports of its peers.
    */
   private countEntries(now: MonotonicMilliseconds): { all: number; reachable: number } {
     let reachable = 1;
@@ -411,7 +422,7 @@
 
   /**
    * Removes expired peers and returns the fraction of the allowance that is not reserved for
-   * unreachable ones. Without the reserve, each side of a network partition would spend the whole.
+   * unreachable ones. Without it, each side of a network partition would spend the whole allowance.
    */
   protected reachableFraction(now: MonotonicMilliseconds): number {
     this.peers.forEach(({ lastSeenAt, leaving }, instance) => {
@@ -436,7 +447,7 @@
     return { oldestReport: now - lastSeenAt };
   }
 
-  /** Time until enough has left the window, or enough of the window is known, for this amount. */
+  /** Time until enough spending expires, or enough of the window is known, to allow this amount. */
   private calculateRetryDelay(
     workspace: string,
     { perSecond, windowMilliseconds, tolerated }: Allowance,
--- a/packages/entry-core/src/limits/ConcurrencyLimiter.test.ts
+++ b/packages/entry-core/src/limits/ConcurrencyLimiter.test.ts
@@ -105,7 +105,7 @@
 
 // Guards against entries that together exceed the limit by more than the rounding of n - 1, and
 // against a limit that is not fully used.
-test('entries that reach each other use the whole limit and keep to it', () => {
+test('reachable entries use the whole limit and exceed it only by rounding', () => {
   for (const limit of [1, 3, 10, 100]) {
     for (const entries of [1, 2, 5, 8]) {
       const cluster = new GreedyCluster(entries, limit);
@@ -130,7 +130,7 @@
 });
 
 // Guards against refusals at the only busy entry: after a few reports it gets the whole limit.
-test('an entry gets the capacity that its peers leave free', () => {
+test('an entry can use the capacity that its peers do not use', () => {
   const cluster = new GreedyCluster(4, 100);
   for (let interval = 0; interval < 20; interval += 1) {
     cluster.exchangeReports();
@@ -140,9 +140,9 @@
   assert.equal(cluster.inProgressAt(0), 100);
 });
 
-// Guards against exceeding twice the limit, or using little of it, where each entry decides by
-// counts that are up to half a second old and arrive in reverse order.
-test('with late and crossing reports entries stay within the documented bound', () => {
+// Entries decide by counts that are up to half a second old and arrive in reverse order. Guards
+// against exceeding twice the limit, and against using little of it.
+test('late and reordered reports do not exceed the documented bound', () => {
   for (const entries of [2, 4, 8]) {
     const limit = 100;
     const cluster = new GreedyCluster(entries, limit);
@@ -197,8 +197,8 @@
   }
 });
 
-// Guards against capacity that a crashed peer holds forever. Its equal share counts as in use until
-// it expires, since it may only be partitioned.
+// Guards against capacity that stays reserved for a crashed peer. Its equal share is assumed to be
+// in use until the peer expires, since it may only be partitioned.
 test('capacity of a crashed peer is free again after a minute', () => {
   const cluster = new GreedyCluster(2, 10);
   cluster.exchangeReports();
--- a/packages/entry-core/src/limits/ConcurrencyLimiter.ts
+++ b/packages/entry-core/src/limits/ConcurrencyLimiter.ts
@@ -1,15 +1,15 @@
 /**
  * Limits requests in progress per route and workspace over all entries of a data centre, without a
- * message per request: each entry knows its own count, has its peers' from their last reports, and
- * may take an equal share of the free capacity once per reporting interval. With limit L and n
- * entries, at most L + n - 1 requests are in progress, and at most 2 L + n where reports cross or
- * peers are unreachable. ConcurrencyLimiter.test.ts checks these bounds.
+ * message per request: each entry counts its own, takes the counts of its peers from their last
+ * reports, and may add an equal share of the free capacity once per reporting interval. With limit
+ * L and n entries, at most L + n - 1 requests are in progress, and at most 2 L + n while reports
+ * are in transit or peers are unreachable. ConcurrencyLimiter.test.ts checks these bounds.
  */
 import type { EntryReport, Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 
 /**
- * A peer not seen for this long counts with its last report, and at least with its equal share of
- * the limit: partitioned entries fall back to equal shares.
+ * A peer not seen for this long is assumed to use at least an equal share of the limit, so that
+ * partitioned entries fall back to equal shares.
  */
 export const PEER_TIMEOUT_MILLISECONDS: Milliseconds = 3000;
 
@@ -89,8 +89,8 @@
 
   /**
    * True if this entry may take one more request under this key. In a reporting interval its count
-   * may grow by an equal share of the free capacity, rounded up: rounded down, a limit below the
-   * number of entries would admit nobody.
+   * may grow by an equal share of the free capacity. The share is rounded up: rounded down, a limit
+   * below the number of entries would admit nothing.
    */
   hasCapacity(key: string, limit: number, now: MonotonicMilliseconds): boolean {
     const { entryCount } = this;
@@ -127,7 +127,7 @@
     return inProgress;
   }
 
-  /** Starts a new reporting interval once every reachable peer has reported. */
+  /** Starts a new reporting interval if every reachable peer has reported in the current one. */
   private endReportingInterval(now: MonotonicMilliseconds): void {
     for (const [instance, { lastSeenAt }] of this.peers) {
       if (now - lastSeenAt <= PEER_TIMEOUT_MILLISECONDS && !this.seenPeers.has(instance)) return;
--- a/packages/entry-core/src/limits/LimitState.ts
+++ b/packages/entry-core/src/limits/LimitState.ts
@@ -6,9 +6,9 @@
 export interface LimitState {
   readonly concurrencyLimiter: ConcurrencyLimiter;
   readonly allowanceLimiter: AllowanceLimiter;
-  /** Key that a request in progress counts under, by request id. */
+  /** Key under which a request in progress counts towards its limit, by request id. */
   readonly keysByRequestId: Map<string, string>;
-  /** When all of these were last checked for requests that have ended. */
+  /** When the keys were last checked for requests that have ended. */
   sweptAt: MonotonicMilliseconds;
 }
 
--- a/packages/entry-core/src/limits/SpendingWindow.ts
+++ b/packages/entry-core/src/limits/SpendingWindow.ts
@@ -1,7 +1,7 @@
 /**
  * Recent spending of workspaces in slices of time, so that its size does not grow with the number
- * of requests. A slice counts until all of it has left the window: spending may count too long by
- * one slice, but never too short.
+ * of requests. A slice is counted until its end is outside the window: spending is counted up to
+ * one slice too long, but never too short.
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 
@@ -70,7 +70,10 @@
     return sum;
   }
 
-  /** When `amount` of the kept spending will have left a window of this length. */
+  /**
+   * Time from which at least `amount` of the recorded spending is outside a window of this length;
+   * undefined if less is recorded.
+   */
   findExpiryTime(
     workspace: string,
     amount: number,
--- a/packages/entry-core/src/limits/allowanceFloods.test.ts
+++ b/packages/entry-core/src/limits/allowanceFloods.test.ts
@@ -84,21 +84,21 @@
 });
 
 // Guards against entries that each spend the whole window, and against a limit that is not used.
-test('a flood of long prompts gets the allowance and stays within the tolerance', () => {
+test('a flood of long prompts can spend the allowance and stays within the tolerance', () => {
   [1, 2, 3].forEach((seed) => {
     const simulation = new AllowanceSimulation(ENTRY_COUNT, allowance);
     simulation.advance(10_000);
     new Callers(simulation, 160_000, seed).run(64_000);
     const max = simulation.maxInWindow();
     assert.ok(max <= MAX_ACCEPTED_IN_WINDOW, `${max} of ${MAX_ACCEPTED_IN_WINDOW}`);
-    // Eight windows, less what spending counts too long because it leaves a window by whole slices.
+    // Eight windows, less the spending that is counted up to one slice too long.
     const passed = simulation.allowedBetween(10_000, 74_000);
     assert.ok(passed >= 8 * MAX_IN_WINDOW * 0.85, String(passed));
   });
 });
 
-// Guards against exceeding the limit by more than one prompt per entry, whose reports are in
-// transit.
+// Guards against exceeding the limit by more than one short prompt per entry, which is reported too
+// late while messages are in transit.
 test('without tolerance, a flood exceeds the limit only by what is in transit', () => {
   const exact = { ...allowance, tolerated: 0, burst: 470_000 };
   const simulation = new AllowanceSimulation(ENTRY_COUNT, exact);
--- a/packages/entry-core/src/limits/allowanceSchedules.test.ts
+++ b/packages/entry-core/src/limits/allowanceSchedules.test.ts
@@ -85,7 +85,7 @@
   );
 }
 
-/** Applies no quota to spending that is not known to the other entries. */
+/** Applies no quota to spending that the other entries may not have received. */
 class WithoutQuota extends AllowanceLimiter {
   override check(...args: Parameters<AllowanceLimiter['check']>) {
     const decision = super.check(...args);
@@ -109,7 +109,7 @@
   }
 }
 
-test('mutation: spending that the other entries do not know has no quota', () => {
+test('mutation: unconfirmed spending has no quota', () => {
   assert.ok(exceedsLimit({ makeLimiter: () => new WithoutQuota() }));
 });
 
--- a/packages/entry-core/src/limits/checkAllowance.ts
+++ b/packages/entry-core/src/limits/checkAllowance.ts
@@ -1,4 +1,4 @@
-/** Checks and spends the allowance of a workspace for admission. */
+/** Checks and charges the allowance of a workspace during admission. */
 import type { Allowance, Milliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
@@ -6,9 +6,10 @@
 import { routeIndexOf } from '../routing/routeIndexOf.js';
 import type { SpendingFacts } from './AllowanceLimiter.js';
 
-/** Longest retry delay, however slowly spending leaves the window. */
+/** Upper bound of the retry delay, also if enough spending expires only later. */
 const MAX_RETRY_AFTER_MILLISECONDS: Milliseconds = 10_000;
 
+/** The allowance to enforce; undefined without one, or if its rate is 0, which means unlimited. */
 function allowanceOf(state: EntryState, workspace: string): Allowance | undefined {
   const allowance = routeIndexOf(state).workspace(workspace)?.allowance;
   return allowance === undefined || allowance.perSecond <= 0 ? undefined : allowance;
@@ -46,8 +47,8 @@
 }
 
 /**
- * Spends the allowance for an admitted request; near the limit, this is reported to the other
- * entries immediately.
+ * Charges an admitted request to its workspace's allowance. Returns a report to the other entries
+ * if too much spending is unreported.
  */
 export function spendAllowance(state: EntryState, accepted: RequestState): EntryEffect[] {
   const { workspace } = accepted.request;
--- a/packages/entry-core/src/limits/limitOf.ts
+++ b/packages/entry-core/src/limits/limitOf.ts
@@ -1,4 +1,4 @@
-/** The limit of one workspace on one route, and the key that its requests count under. */
+/** The concurrency limit of a workspace on a route, and the key under which its requests count. */
 import type { Route } from '@hornbeampond/schema';
 
 export function limitKey(route: string, workspace: string): string {
--- a/packages/entry-core/src/limits/receivePeerUsage.ts
+++ b/packages/entry-core/src/limits/receivePeerUsage.ts
@@ -1,6 +1,6 @@
 /**
- * Passes the usage that other entries report to the limiters. Allowances hold over all entries,
- * concurrency limits only within a data centre.
+ * Updates the limiters with the reports of other entries. Allowances apply across all entries,
+ * concurrency limits across the entries of one data centre.
  */
 import type { EntryReport, MonotonicMilliseconds, SpendingReport } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
--- a/packages/entry-core/src/limits/releaseEndedRequests.ts
+++ b/packages/entry-core/src/limits/releaseEndedRequests.ts
@@ -1,7 +1,8 @@
 /**
  * Releases the concurrency limits of requests that have ended. Requests end in many parts of the
- * reducer, so it is done in one place: after each event for the request of the event, and every
- * second for all requests. A limit that is not released would be lost until the process restarts.
+ * reducer, so their limits are released in one place: after each event for the request that it
+ * concerns, and every second for all requests, together with expired peers and ended attempts. A
+ * limit that is not released would be lost until the process restarts.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 import { pruneEndedAttempts } from '../backendServers/observeAttempt.js';
--- a/packages/entry-core/src/limits/testing/AllowanceSimulation.ts
+++ b/packages/entry-core/src/limits/testing/AllowanceSimulation.ts
@@ -98,7 +98,9 @@
     for (const end = this.now + span; this.now < end; this.now += 1) this.step();
   }
 
-  /** Spends an amount at an entry if its limiter allows it; undefined while the entry is down. */
+  /**
+   * Spends an amount at an entry if its limiter allows it. An entry that is down decides nothing.
+   */
   trySpend(index: number, amount: number): AllowanceDecision | undefined {
     const entry = this.entries[index % this.entries.length];
     if (entry === undefined || entry.downUntil !== undefined) return undefined;
@@ -223,7 +225,7 @@
     this.broadcast(index, (other) => other.receive(withoutWindow, this.now));
   }
 
-  /** Stores the report of the entry that knows most of the window. */
+  /** Stores what an entry reports; the window is taken from the entry with the longest history. */
   private storeReport(index: number, report: EntryReport): void {
     if (this.entries[index]?.partition !== 0 || this.options.isOutage()) return;
     const { windowSpent = {}, windowReach = 0, spent = {}, instance, incarnation } = report;
--- a/packages/entry-core/src/membership/advanceReports.ts
+++ b/packages/entry-core/src/membership/advanceReports.ts
@@ -11,7 +11,7 @@
 
 export const REPORT_INTERVAL_MILLISECONDS = 1000;
 
-/** A digest is quarantined at this many crashes. */
+/** Crash count reported for a quarantined digest, whose crashes are no longer counted here. */
 const QUARANTINE_CRASH_COUNT = 2;
 
 function countInProgress(state: EntryState): Record<string, number> {
@@ -59,6 +59,7 @@
     }));
 }
 
+/** Learnt time to the first token, by pool; pools with too few samples are left out. */
 function describeDelays(state: EntryState): Record<string, LearntDelay> {
   const delays: Record<string, LearntDelay> = {};
   state.poolStates.forEach(({ firstTokenRegression }, pool) => {
@@ -68,7 +69,10 @@
   return delays;
 }
 
-/** Fields that are reported only where the configuration has a workspaces table. */
+/**
+ * Builds the fields that are reported only where operators replace all tables at once
+ * (`configuration.whole`). Marks the spending as reported.
+ */
 function describeWorkspaceUsage(
   state: EntryState,
 ): Pick<
@@ -109,6 +113,7 @@
   state.membership.reportDueAt = 0;
 }
 
+/** Tick handler: sends the report if it is due. */
 export function advanceReports(state: EntryState, { now }: Timestamps): EntryEffect[] {
   if (state.membership.reportDueAt > now) return [];
   state.membership.reportDueAt = now + REPORT_INTERVAL_MILLISECONDS;
--- a/packages/entry-core/src/membership/livePeers.ts
+++ b/packages/entry-core/src/membership/livePeers.ts
@@ -6,10 +6,10 @@
 import type { EntryState } from '../EntryState.js';
 import type { PeerState } from './MembershipState.js';
 
-/** A peer is not live after three missed reports. */
+/** A peer is no longer live after three missed reports. */
 export const PEER_TIMEOUT_MILLISECONDS = 3000;
 
-/** A peer that has not reported for this long is removed. */
+/** How long the last report of a peer is kept. */
 const PEER_EXPIRY_MILLISECONDS = 600_000;
 
 export function livePeers(state: EntryState): PeerState[] {
--- a/packages/entry-core/src/membership/receivePeerReport.ts
+++ b/packages/entry-core/src/membership/receivePeerReport.ts
@@ -1,6 +1,6 @@
 /**
  * Handles the report of another entry. Reports can be lost, repeated and reordered; only one that
- * is newer by incarnation and sequence counts.
+ * is newer by incarnation and sequence is applied.
  */
 import type { EntryReport } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
--- a/packages/entry-core/src/membership/restart.test.ts
+++ b/packages/entry-core/src/membership/restart.test.ts
@@ -55,8 +55,8 @@
   );
 }
 
-// Guards against placing each request as if the others were not there, where all are admitted when
-// the configuration arrives: long prompts would queue at one engine.
+// Requests that wait for the configuration are admitted together. Guards against placing each as if
+// the others were not there: long prompts would queue at one engine.
 test('requests that have waited for the configuration are spread over the engines', () => {
   const state = makeEntry();
   listEngines(state);
--- a/packages/entry-core/src/membership/restorePersistedState.ts
+++ b/packages/entry-core/src/membership/restorePersistedState.ts
@@ -1,4 +1,7 @@
-/** Restores, at startup, what a store has persisted of the state of entries. */
+/**
+ * Restores, when an entry starts, the state that a store has persisted: spending, delays to the
+ * first token and cached prefixes.
+ */
 import type { MonotonicMilliseconds, RememberedEntries } from '@hornbeampond/schema';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
 import { getPoolState } from '../backendServers/getPoolState.js';
@@ -23,7 +26,7 @@
 }
 
 /**
- * Restores the cached prefixes of a backend server once it is listed, which may be after the start.
+ * Restores the cached prefixes of a listed backend server; also called for servers listed later.
  */
 export function restoreCachedPrefixes(
   state: EntryState,
