--- a/packages/entry-core/src/configuration/ConfigurationBootstrap.ts
+++ b/packages/entry-core/src/configuration/ConfigurationBootstrap.ts
@@ -15,7 +15,7 @@
   /**
    * True once the instance no longer waits for the linearizable read; a late result is still used.
    */
-  quorumFailed: boolean;
+  readAbandoned: boolean;
   started: boolean;
 }
 
@@ -35,7 +35,7 @@
 }
 
 export function makeConfigurationBootstrap(peers: readonly string[]): ConfigurationBootstrap {
-  return { pendingPeers: new Set(peers), newest: undefined, quorumFailed: false, started: false };
+  return { pendingPeers: new Set(peers), newest: undefined, readAbandoned: false, started: false };
 }
 
 /** Returns the started effect when the configuration is chosen, and no effects before and after. */
@@ -45,15 +45,15 @@
 ): StartedEffect[] {
   if (bootstrap.started) return [];
   recordEvent(bootstrap, event);
-  if (event.type === 'quorumRead') return finish(bootstrap, false);
-  const isComplete = bootstrap.quorumFailed && bootstrap.pendingPeers.size === 0;
-  return isComplete ? finish(bootstrap, true) : [];
+  if (event.type === 'quorumRead') return startWithNewest(bootstrap, false);
+  const isWaitOver = bootstrap.readAbandoned && bootstrap.pendingPeers.size === 0;
+  return isWaitOver ? startWithNewest(bootstrap, true) : [];
 }
 
 function recordEvent(bootstrap: ConfigurationBootstrap, event: ConfigurationBootstrapEvent): void {
   if ('configuration' in event) keepNewest(bootstrap, event.configuration);
   if ('peer' in event) bootstrap.pendingPeers.delete(event.peer);
-  if (event.type === 'quorumFailed' || event.type === 'waitOver') bootstrap.quorumFailed = true;
+  if (event.type === 'quorumFailed' || event.type === 'waitOver') bootstrap.readAbandoned = true;
   if (event.type === 'waitOver') bootstrap.pendingPeers.clear();
 }
 
@@ -66,7 +66,7 @@
 /**
  * Starts with the newest configuration received; until there is one, the instance keeps waiting.
  */
-function finish(bootstrap: ConfigurationBootstrap, cutOff: boolean): StartedEffect[] {
+function startWithNewest(bootstrap: ConfigurationBootstrap, cutOff: boolean): StartedEffect[] {
   if (bootstrap.newest === undefined) return [];
   bootstrap.started = true;
   return [{ type: 'started', configuration: bootstrap.newest, cutOff }];
--- a/packages/entry-core/src/limits/AllowanceLimiter.test.ts
+++ b/packages/entry-core/src/limits/AllowanceLimiter.test.ts
@@ -45,7 +45,7 @@
     spent < 10 * MAX_IN_WINDOW &&
     limiter.check('laden', allowance, 10, now).type === 'allowed'
   ) {
-    if (limiter.spend('laden', allowance, 10, now)) limiter.reportTotal('laden');
+    if (limiter.spendAndCheckReportDue('laden', allowance, 10, now)) limiter.reportTotal('laden');
     spent += 10;
   }
   return spent;
@@ -115,6 +115,6 @@
 test('a request above the whole allowance is allowed while nothing is spent in the window', () => {
   const limiter = makeRunningLimiter();
   assert.equal(limiter.check('laden', allowance, 5 * MAX_IN_WINDOW, 0).type, 'allowed');
-  limiter.spend('laden', allowance, 5 * MAX_IN_WINDOW, 0);
+  limiter.spendAndCheckReportDue('laden', allowance, 5 * MAX_IN_WINDOW, 0);
   assert.equal(limiter.check('laden', allowance, 1, 0).type, 'exceeded');
 });
--- a/packages/entry-core/src/limits/AllowanceLimiter.ts
+++ b/packages/entry-core/src/limits/AllowanceLimiter.ts
@@ -206,7 +206,7 @@
   }
 
   /** Spends an amount; returns true if it must be reported to the other entries immediately. */
-  spend(
+  spendAndCheckReportDue(
     workspace: string,
     allowance: Allowance,
     amount: number,
--- a/packages/entry-core/src/limits/ConcurrencyLimiter.ts
+++ b/packages/entry-core/src/limits/ConcurrencyLimiter.ts
@@ -79,7 +79,7 @@
     this.peers.set(report.instance, { report, lastSeenAt: now });
     this.seenPeers.add(report.instance);
     this.countActivePeers();
-    this.endReportingInterval(now);
+    this.startIntervalIfAllReported(now);
   }
 
   /** Entries that share the limits: this one and its peers that are not leaving. */
@@ -108,7 +108,7 @@
       }
     }
     this.countActivePeers();
-    this.endReportingInterval(now);
+    this.startIntervalIfAllReported(now);
   }
 
   private countActivePeers(): void {
@@ -128,7 +128,7 @@
   }
 
   /** Starts a new reporting interval if every reachable peer has reported in the current one. */
-  private endReportingInterval(now: MonotonicMilliseconds): void {
+  private startIntervalIfAllReported(now: MonotonicMilliseconds): void {
     for (const [instance, { lastSeenAt }] of this.peers) {
       if (now - lastSeenAt <= PEER_TIMEOUT_MILLISECONDS && !this.seenPeers.has(instance)) return;
     }
--- a/packages/entry-core/src/limits/SpendingWindow.ts
+++ b/packages/entry-core/src/limits/SpendingWindow.ts
@@ -77,13 +77,15 @@
   findExpiryTime(
     workspace: string,
     amount: number,
-    window: Milliseconds,
+    windowLength: Milliseconds,
   ): MonotonicMilliseconds | undefined {
     let remaining = amount;
     const lastExpiring = this.slices.get(workspace)?.find((slice) => {
       remaining -= slice.amount;
       return remaining <= 0;
     });
-    return lastExpiring === undefined ? undefined : lastExpiring.at + SLICE_MILLISECONDS + window;
+    return lastExpiring === undefined
+      ? undefined
+      : lastExpiring.at + SLICE_MILLISECONDS + windowLength;
   }
 }
--- a/packages/entry-core/src/limits/allowanceSchedules.test.ts
+++ b/packages/entry-core/src/limits/allowanceSchedules.test.ts
@@ -78,7 +78,7 @@
   });
 });
 
-function exceedsLimit(options: Partial<AllowanceSimulationOptions>): boolean {
+function anyScheduleExceedsMax(options: Partial<AllowanceSimulationOptions>): boolean {
   const seeds = Array.from({ length: SCHEDULE_COUNT }, (_, index) => index + 1);
   return seeds.some((seed) =>
     faults.some((fault) => runSchedule(seed, fault, options) > MAX_ACCEPTED_IN_WINDOW),
@@ -96,8 +96,10 @@
 
 /** Reports no spending between two full reports. */
 class WithoutImmediateReports extends AllowanceLimiter {
-  override spend(...spending: Parameters<AllowanceLimiter['spend']>) {
-    super.spend(...spending);
+  override spendAndCheckReportDue(
+    ...spending: Parameters<AllowanceLimiter['spendAndCheckReportDue']>
+  ) {
+    super.spendAndCheckReportDue(...spending);
     return false;
   }
 }
@@ -110,17 +112,17 @@
 }
 
 test('mutation: unconfirmed spending has no quota', () => {
-  assert.ok(exceedsLimit({ makeLimiter: () => new WithoutQuota() }));
+  assert.ok(anyScheduleExceedsMax({ makeLimiter: () => new WithoutQuota() }));
 });
 
 test('mutation: stores persist nothing over a power loss', () => {
-  assert.ok(exceedsLimit({ isPersisted: false }));
+  assert.ok(anyScheduleExceedsMax({ isPersisted: false }));
 });
 
 test('mutation: no spending is reported between two full reports', () => {
-  assert.ok(exceedsLimit({ makeLimiter: () => new WithoutImmediateReports() }));
+  assert.ok(anyScheduleExceedsMax({ makeLimiter: () => new WithoutImmediateReports() }));
 });
 
 test('mutation: both sides of a partition spend the whole allowance', () => {
-  assert.ok(exceedsLimit({ makeLimiter: () => new WithoutPartitionReserve() }));
+  assert.ok(anyScheduleExceedsMax({ makeLimiter: () => new WithoutPartitionReserve() }));
 });
--- a/packages/entry-core/src/limits/checkAllowance.ts
+++ b/packages/entry-core/src/limits/checkAllowance.ts
@@ -7,10 +7,10 @@
 import type { SpendingFacts } from './AllowanceLimiter.js';
 
 /** Upper bound of the retry delay, also if enough spending expires only later. */
-const MAX_RETRY_AFTER_MILLISECONDS: Milliseconds = 10_000;
+const MAX_ALLOWANCE_RETRY_AFTER_MILLISECONDS: Milliseconds = 10_000;
 
 /** The allowance to enforce; undefined without one, or if its rate is 0, which means unlimited. */
-function allowanceOf(state: EntryState, workspace: string): Allowance | undefined {
+function enforcedAllowanceOf(state: EntryState, workspace: string): Allowance | undefined {
   const allowance = routeIndexOf(state).workspace(workspace)?.allowance;
   return allowance === undefined || allowance.perSecond <= 0 ? undefined : allowance;
 }
@@ -28,12 +28,12 @@
 /** Returns undefined if the request is within its workspace's allowance. */
 export function checkAllowance(
   state: EntryState,
-  accepted: RequestState,
+  candidate: RequestState,
 ): AllowanceExceeded | undefined {
-  const { workspace } = accepted.request;
-  const allowance = allowanceOf(state, workspace);
+  const { workspace } = candidate.request;
+  const allowance = enforcedAllowanceOf(state, workspace);
   if (allowance === undefined) return undefined;
-  const amount = amountOf(accepted, allowance);
+  const amount = amountOf(candidate, allowance);
   const decision = state.limits.allowanceLimiter.check(
     workspace,
     allowance,
@@ -42,8 +42,11 @@
   );
   if (decision.type === 'allowed') return undefined;
   const { facts } = decision;
-  const wait = Math.min(decision.retryAfterMilliseconds, MAX_RETRY_AFTER_MILLISECONDS);
-  return { retryAfterMilliseconds: wait, facts };
+  const retryAfterMilliseconds = Math.min(
+    decision.retryAfterMilliseconds,
+    MAX_ALLOWANCE_RETRY_AFTER_MILLISECONDS,
+  );
+  return { retryAfterMilliseconds, facts };
 }
 
 /**
@@ -52,11 +55,12 @@
  */
 export function spendAllowance(state: EntryState, accepted: RequestState): EntryEffect[] {
   const { workspace } = accepted.request;
-  const allowance = allowanceOf(state, workspace);
+  const allowance = enforcedAllowanceOf(state, workspace);
   if (allowance === undefined) return [];
   const { allowanceLimiter } = state.limits;
   const amount = amountOf(accepted, allowance);
-  if (!allowanceLimiter.spend(workspace, allowance, amount, state.clocks.now)) return [];
+  if (!allowanceLimiter.spendAndCheckReportDue(workspace, allowance, amount, state.clocks.now))
+    return [];
   const { instance, incarnation } = state.identity;
   const spent = allowanceLimiter.reportTotal(workspace);
   const leaving = state.shutdown.started;
--- a/packages/entry-core/src/limits/releaseEndedRequests.ts
+++ b/packages/entry-core/src/limits/releaseEndedRequests.ts
@@ -10,7 +10,7 @@
 import type { EntryState } from '../EntryState.js';
 import { limitKey } from './limitOf.js';
 
-const SWEEP_MILLISECONDS: Milliseconds = 1000;
+const SWEEP_INTERVAL_MILLISECONDS: Milliseconds = 1000;
 
 /**
  * Finds the request that an event concerns. Call it before the event is handled, which may remove
@@ -46,7 +46,8 @@
   requestId: string | undefined,
 ): void {
   if (requestId !== undefined) releaseIfEnded(state, requestId);
-  if (event.type !== 'tick' || event.now - state.limits.sweptAt < SWEEP_MILLISECONDS) return;
+  if (event.type !== 'tick' || event.now - state.limits.sweptAt < SWEEP_INTERVAL_MILLISECONDS)
+    return;
   state.limits.sweptAt = event.now;
   for (const heldId of [...state.limits.keysByRequestId.keys()]) releaseIfEnded(state, heldId);
   pruneEndedAttempts(state);
--- a/packages/entry-core/src/limits/testing/AllowanceSimulation.ts
+++ b/packages/entry-core/src/limits/testing/AllowanceSimulation.ts
@@ -107,7 +107,7 @@
     const decision = entry.limiter.check(WORKSPACE, this.allowance, amount, this.now);
     if (decision.type === 'exceeded') return decision;
     this.allowedRequests.push({ at: this.now, amount });
-    if (entry.limiter.spend(WORKSPACE, this.allowance, amount, this.now))
+    if (entry.limiter.spendAndCheckReportDue(WORKSPACE, this.allowance, amount, this.now))
       this.broadcastSpending(index, entry);
     return decision;
   }
--- a/packages/entry-core/src/membership/advanceReports.ts
+++ b/packages/entry-core/src/membership/advanceReports.ts
@@ -12,7 +12,7 @@
 export const REPORT_INTERVAL_MILLISECONDS = 1000;
 
 /** Crash count reported for a quarantined digest, whose crashes are no longer counted here. */
-const QUARANTINE_CRASH_COUNT = 2;
+const QUARANTINED_DIGEST_CRASHES = 2;
 
 function countInProgress(state: EntryState): Record<string, number> {
   const counts: Record<string, number> = {};
@@ -23,7 +23,7 @@
   return counts;
 }
 
-function findRunningInstance(state: EntryState, digest: string): string | undefined {
+function findInstanceRunning(state: EntryState, digest: string): string | undefined {
   return [...state.attempts.values()].find(
     ({ requestId, givenUp }) =>
       !givenUp && state.requests.get(requestId)?.request.digest === digest,
@@ -33,20 +33,20 @@
 function listQuarantined(state: EntryState): PeerSuspect[] {
   return [...state.quarantine.quarantined].map(([digest, { until }]) => ({
     digest,
-    crashes: QUARANTINE_CRASH_COUNT,
+    crashes: QUARANTINED_DIGEST_CRASHES,
     crashIds: [],
     quarantinedUntil: until,
   }));
 }
 
-function isActiveSuspect({ isolationLifted }: Suspect): boolean {
+function isIsolationRequired({ isolationLifted }: Suspect): boolean {
   return isolationLifted !== true;
 }
 
 function listSuspects(state: EntryState): PeerSuspect[] {
   const suspects = [...state.quarantine.suspects.values()];
   return suspects
-    .filter(isActiveSuspect)
+    .filter(isIsolationRequired)
     .map(({ digest, crashIds, exposure, tokens, lossInstance }) => ({
       digest,
       crashes: crashIds.size,
@@ -54,13 +54,13 @@
       judging: lossInstance !== undefined,
       exposure,
       tokens,
-      runningAt: findRunningInstance(state, digest),
+      runningAt: findInstanceRunning(state, digest),
       pending: [...state.requests.values()].some(({ request }) => request.digest === digest),
     }));
 }
 
 /** Learnt time to the first token, by pool; pools with too few samples are left out. */
-function describeDelays(state: EntryState): Record<string, LearntDelay> {
+function collectFirstTokenDelays(state: EntryState): Record<string, LearntDelay> {
   const delays: Record<string, LearntDelay> = {};
   state.poolStates.forEach(({ firstTokenRegression }, pool) => {
     const delay = firstTokenRegression.toLearntDelay();
@@ -73,7 +73,7 @@
  * Builds the fields that are reported only where operators replace all tables at once
  * (`configuration.whole`). Marks the spending as reported.
  */
-function describeWorkspaceUsage(
+function buildWholeConfigurationFields(
   state: EntryState,
 ): Pick<
   EntryReport,
@@ -84,7 +84,7 @@
     windowSpent: state.limits.allowanceLimiter.windowSpent(state.clocks.now),
     windowReach: state.limits.allowanceLimiter.historyLength(state.clocks.now),
     entries: state.limits.allowanceLimiter.entryCount,
-    delays: describeDelays(state),
+    delays: collectFirstTokenDelays(state),
     begun: state.usage.read(),
     demand: buildDemandReports(state, state.clocks.now),
   };
@@ -102,7 +102,7 @@
     leaving: state.shutdown.started,
     revision: state.configuration.revision,
     inProgress: countInProgress(state),
-    ...(state.configuration.whole === undefined ? {} : describeWorkspaceUsage(state)),
+    ...(state.configuration.whole === undefined ? {} : buildWholeConfigurationFields(state)),
     leavingBackendServers: Object.fromEntries(state.reclaims.leaving),
     suspects: [...listSuspects(state), ...listQuarantined(state)],
   };
--- a/packages/entry-core/src/membership/livePeers.ts
+++ b/packages/entry-core/src/membership/livePeers.ts
@@ -10,7 +10,7 @@
 export const PEER_TIMEOUT_MILLISECONDS = 3000;
 
 /** How long the last report of a peer is kept. */
-const PEER_EXPIRY_MILLISECONDS = 600_000;
+const PEER_REPORT_EXPIRY_MILLISECONDS = 600_000;
 
 export function livePeers(state: EntryState): PeerState[] {
   return [...state.membership.peers.values()].filter(({ live, report }) => live && !report.leaving);
@@ -21,6 +21,6 @@
   state.membership.peers.forEach((peer, instance) => {
     const sinceLastReport = now - peer.receivedAt;
     peer.live = sinceLastReport < PEER_TIMEOUT_MILLISECONDS;
-    if (sinceLastReport >= PEER_EXPIRY_MILLISECONDS) state.membership.peers.delete(instance);
+    if (sinceLastReport >= PEER_REPORT_EXPIRY_MILLISECONDS) state.membership.peers.delete(instance);
   });
 }
