--- a/packages/entry-core/src/configuration/ConfigurationBootstrap.ts
+++ b/packages/entry-core/src/configuration/ConfigurationBootstrap.ts
@@ -30,8 +30,7 @@
 export interface StartedEffect {
   readonly type: 'started';
   readonly configuration: Configuration;
-  /** True if the instance starts without a successful linearizable read. */
-  readonly cutOff: boolean;
+  readonly startedWithoutRead: boolean;
 }
 
 export function makeConfigurationBootstrap(peers: readonly string[]): ConfigurationBootstrap {
@@ -66,8 +65,11 @@
 /**
  * Starts with the newest configuration received; until there is one, the instance keeps waiting.
  */
-function startWithNewest(bootstrap: ConfigurationBootstrap, cutOff: boolean): StartedEffect[] {
+function startWithNewest(
+  bootstrap: ConfigurationBootstrap,
+  startedWithoutRead: boolean,
+): StartedEffect[] {
   if (bootstrap.newest === undefined) return [];
   bootstrap.started = true;
-  return [{ type: 'started', configuration: bootstrap.newest, cutOff }];
+  return [{ type: 'started', configuration: bootstrap.newest, startedWithoutRead }];
 }
--- a/packages/entry-core/src/configuration/configuration.test.ts
+++ b/packages/entry-core/src/configuration/configuration.test.ts
@@ -16,7 +16,8 @@
   const bootstrap = makeConfigurationBootstrap(['store-1', 'entry-2', 'entry-3']);
   return events.flatMap((event) =>
     reduceConfigurationBootstrap(bootstrap, event).map(
-      ({ configuration, cutOff }) => `${configuration.revision}${cutOff ? ' cut off' : ''}`,
+      ({ configuration, startedWithoutRead }) =>
+        `${configuration.revision}${startedWithoutRead ? ' without quorum' : ''}`,
     ),
   );
 }
@@ -34,7 +35,7 @@
   assert.equal(state.configuration.revision, 6);
 });
 
-test('configuration: a delta from another revision requests the full configuration', () => {
+test('configuration: an outdated delta is ignored, and one from another revision requests the full configuration', () => {
   const state = { configuration: revision(4) };
   const effects = [
     applyConfigurationDelta(state, { fromRevision: 2, toRevision: 4 }),
@@ -49,7 +50,7 @@
   assert.deepEqual(startWith([fromPeer('entry-2', 6), read, fromPeer('entry-3', 7)]), ['7']);
 });
 
-// Guards against restoring prices that were already replaced because a lagging peer answers first.
+// Guards against starting with an outdated configuration when a lagging peer answers first.
 test('configuration: without a quorum the newest revision of all peers is used', () => {
   const events: ConfigurationBootstrapEvent[] = [
     fromPeer('entry-2', 5),
@@ -57,17 +58,17 @@
     { type: 'peerFailed', peer: 'store-1' },
     fromPeer('entry-3', 8),
   ];
-  assert.deepEqual(startWith(events), ['8 cut off']);
+  assert.deepEqual(startWith(events), ['8 without quorum']);
 });
 
 test('configuration: an unreachable peer delays the start only until the time limit', () => {
-  assert.deepEqual(startWith([fromPeer('entry-2', 5), { type: 'waitOver' }]), ['5 cut off']);
+  assert.deepEqual(startWith([fromPeer('entry-2', 5), { type: 'waitOver' }]), ['5 without quorum']);
 });
 
-// Guards against starting with empty tables, which would refuse every caller as unknown. The first
-// answer starts the instance.
+// Guards against starting with empty tables, which would refuse every caller as unknown. After the
+// time limit, the first answer starts the instance.
 test('configuration: without any answer the instance does not start', () => {
   const late = fromPeer('entry-3', 2);
   assert.deepEqual(startWith([{ type: 'waitOver' }]), []);
-  assert.deepEqual(startWith([{ type: 'waitOver' }, late]), ['2 cut off']);
+  assert.deepEqual(startWith([{ type: 'waitOver' }, late]), ['2 without quorum']);
 });
--- a/packages/entry-core/src/limits/ConcurrencyLimiter.ts
+++ b/packages/entry-core/src/limits/ConcurrencyLimiter.ts
@@ -3,7 +3,8 @@
  * message per request: each entry counts its own, takes the counts of its peers from their last
  * reports, and may add an equal share of the free capacity once per reporting interval. With limit
  * L and n entries, at most L + n - 1 requests are in progress, and at most 2 L + n while reports
- * are in transit or peers are unreachable. ConcurrencyLimiter.test.ts checks these bounds.
+ * are in transit or peers are unreachable but not yet expired. ConcurrencyLimiter.test.ts checks
+ * these bounds.
  */
 import type { EntryReport, Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 
@@ -78,7 +79,7 @@
     }
     this.peers.set(report.instance, { report, lastSeenAt: now });
     this.seenPeers.add(report.instance);
-    this.countActivePeers();
+    this.updateActivePeerCount();
     this.startIntervalIfAllReported(now);
   }
 
@@ -88,9 +89,9 @@
   }
 
   /**
-   * True if this entry may take one more request under this key. In a reporting interval its count
-   * may grow by an equal share of the free capacity. The share is rounded up: rounded down, a limit
-   * below the number of entries would admit nothing.
+   * True if this entry may take one more request under this key. Its count may exceed its lowest
+   * count in the reporting interval by an equal share of the capacity that was free at that count.
+   * The share is rounded up: rounded down, a limit below the number of entries would admit nothing.
    */
   hasCapacity(key: string, limit: number, now: MonotonicMilliseconds): boolean {
     const { entryCount } = this;
@@ -107,11 +108,11 @@
         this.seenPeers.delete(instance);
       }
     }
-    this.countActivePeers();
+    this.updateActivePeerCount();
     this.startIntervalIfAllReported(now);
   }
 
-  private countActivePeers(): void {
+  private updateActivePeerCount(): void {
     this.activePeerCount = 0;
     for (const { report } of this.peers.values()) if (!report.leaving) this.activePeerCount += 1;
   }
--- a/packages/entry-core/src/limits/allowanceFloods.test.ts
+++ b/packages/entry-core/src/limits/allowanceFloods.test.ts
@@ -136,7 +136,7 @@
   });
 });
 
-// Guards against refusing normal load because only part of the window is known after a power loss.
+// Guards against refusing normal load while only part of the window is known after a power loss.
 test('callers at half of the allowance are served immediately after a power loss', () => {
   const seeds = [1, 2, 3, 4, 5];
   let refused = 0;
--- a/packages/entry-core/src/limits/releaseEndedRequests.ts
+++ b/packages/entry-core/src/limits/releaseEndedRequests.ts
@@ -1,8 +1,8 @@
 /**
- * Releases the concurrency limits of requests that have ended. Requests end in many parts of the
- * reducer, so their limits are released in one place: after each event for the request that it
- * concerns, and every second for all requests, together with expired peers and ended attempts. A
- * limit that is not released would be lost until the process restarts.
+ * Releases the concurrency slots of requests that have ended. Requests end in many parts of the
+ * reducer, so this happens in one place: for the request concerned by an event after that event,
+ * and for all requests once a second. The same sweep removes expired peers and ended attempts. A
+ * slot that is not released would stay in use until the process restarts.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 import { pruneEndedAttempts } from '../backendServers/observeAttempt.js';
--- a/packages/entry-core/src/membership/livePeers.ts
+++ b/packages/entry-core/src/membership/livePeers.ts
@@ -1,12 +1,12 @@
 /**
- * Determines which other entries are live: those whose reports have not timed out and that are not
- * leaving.
+ * Determines which other entries are live: reachable, which means that their reports have not timed
+ * out, and not leaving.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 import type { PeerState } from './MembershipState.js';
 
-/** A peer is no longer live after three missed reports. */
+/** A peer is no longer reachable after three missed reports. */
 export const PEER_TIMEOUT_MILLISECONDS = 3000;
 
 /** How long the last report of a peer is kept. */
@@ -16,7 +16,7 @@
   return [...state.membership.peers.values()].filter(({ live, report }) => live && !report.leaving);
 }
 
-/** Updates which peers are live, and removes expired ones. */
+/** Updates which peers are reachable, and removes expired ones. */
 export function updatePeerLiveness(state: EntryState, now: MonotonicMilliseconds): void {
   state.membership.peers.forEach((peer, instance) => {
     const sinceLastReport = now - peer.receivedAt;
--- a/packages/entry-core/src/membership/membership.test.ts
+++ b/packages/entry-core/src/membership/membership.test.ts
@@ -22,7 +22,7 @@
 }
 
 // Guards against a crashed peer that stays live after three missed reports, and against a peer that
-// is not live again immediately when it reports.
+// reports again and is not live immediately.
 test('a peer that stops reporting is not live', () => {
   const cluster = new SimulatedCluster({ engines: { 'wien-a': 1 }, entries: 2 });
   cluster.advance(2000);
