--- a/packages/entry-core/src/configuration/ConfigurationBootstrap.ts
+++ b/packages/entry-core/src/configuration/ConfigurationBootstrap.ts
@@ -1,18 +1,21 @@
 /**
- * Decides which configuration a starting instance begins with. It requests a linearizable read, and
- * the configurations of all peers. The read decides. If no quorum can be reached, the instance
- * waits until every peer has answered or failed, and takes the newest revision: the first answer
- * may be from a lagging peer, and restore a configuration that this data centre has already
- * replaced.
+ * Chooses the configuration that a starting instance begins with, from the result of a linearizable
+ * read and the configurations of its peers. A successful read ends the wait. Without a quorum the
+ * instance waits until every peer has answered or failed, or the time limit has passed: the first
+ * answer could come from a lagging peer and restore a configuration that has already been replaced.
+ * Used by the model in measure/src/machineModels; running entries start in EntryProcess.
  */
 import type { Configuration } from '@hornbeampond/schema';
 
 export interface ConfigurationBootstrap {
   /** Peers that have neither answered nor failed yet. */
   readonly pendingPeers: Set<string>;
+  /** The newest revision received so far, from the read or a peer. */
   newest: Configuration | undefined;
-  /** True once no linearizable read is expected any more. */
-  quorumFailed: boolean;
+  /**
+   * True once the instance no longer waits for the linearizable read; a late result is still used.
+   */
+  readAbandoned: boolean;
   started: boolean;
 }
 
@@ -21,36 +24,35 @@
   | { readonly type: 'quorumFailed' }
   | { readonly type: 'peerAnswered'; readonly peer: string; readonly configuration: Configuration }
   | { readonly type: 'peerFailed'; readonly peer: string }
-  /** The time to wait for peers is over; sent by the shell's timer. */
+  /** The time limit for the read and for all peer answers has passed. */
   | { readonly type: 'waitOver' };
 
 export interface StartedEffect {
   readonly type: 'started';
   readonly configuration: Configuration;
-  /** True if no quorum confirmed the revision; reported to operators until one does. */
-  readonly cutOff: boolean;
+  readonly startedWithoutRead: boolean;
 }
 
 export function makeConfigurationBootstrap(peers: readonly string[]): ConfigurationBootstrap {
-  return { pendingPeers: new Set(peers), newest: undefined, quorumFailed: false, started: false };
+  return { pendingPeers: new Set(peers), newest: undefined, readAbandoned: false, started: false };
 }
 
-/** Handles an event; returns a single effect, once the configuration to start with is decided. */
+/** Returns the started effect when the configuration is chosen, and no effects before and after. */
 export function reduceConfigurationBootstrap(
   bootstrap: ConfigurationBootstrap,
   event: ConfigurationBootstrapEvent,
 ): StartedEffect[] {
   if (bootstrap.started) return [];
   recordEvent(bootstrap, event);
-  if (event.type === 'quorumRead') return finish(bootstrap, false);
-  const isComplete = bootstrap.quorumFailed && bootstrap.pendingPeers.size === 0;
-  return isComplete ? finish(bootstrap, true) : [];
+  if (event.type === 'quorumRead') return startWithNewest(bootstrap, false);
+  const isWaitOver = bootstrap.readAbandoned && bootstrap.pendingPeers.size === 0;
+  return isWaitOver ? startWithNewest(bootstrap, true) : [];
 }
 
 function recordEvent(bootstrap: ConfigurationBootstrap, event: ConfigurationBootstrapEvent): void {
   if ('configuration' in event) keepNewest(bootstrap, event.configuration);
   if ('peer' in event) bootstrap.pendingPeers.delete(event.peer);
-  if (event.type === 'quorumFailed' || event.type === 'waitOver') bootstrap.quorumFailed = true;
+  if (event.type === 'quorumFailed' || event.type === 'waitOver') bootstrap.readAbandoned = true;
   if (event.type === 'waitOver') bootstrap.pendingPeers.clear();
 }
 
@@ -60,9 +62,14 @@
   if (isNewer) bootstrap.newest = configuration;
 }
 
-/** Without any answer the instance keeps waiting: it must not serve from empty tables. */
-function finish(bootstrap: ConfigurationBootstrap, cutOff: boolean): StartedEffect[] {
+/**
+ * Starts with the newest configuration received; until there is one, the instance keeps waiting.
+ */
+function startWithNewest(
+  bootstrap: ConfigurationBootstrap,
+  startedWithoutRead: boolean,
+): StartedEffect[] {
   if (bootstrap.newest === undefined) return [];
   bootstrap.started = true;
-  return [{ type: 'started', configuration: bootstrap.newest, cutOff }];
+  return [{ type: 'started', configuration: bootstrap.newest, startedWithoutRead }];
 }
--- a/packages/entry-core/src/limits/releaseEndedRequests.ts
+++ b/packages/entry-core/src/limits/releaseEndedRequests.ts
@@ -1,7 +1,8 @@
 /**
- * Releases the concurrency limits of requests that have ended. Requests end in many parts of the
- * reducer, so it is done in one place: after each event for the request of the event, and every
- * second for all requests. A limit that is not released would be lost until the process restarts.
+ * Releases the concurrency slots of requests that have ended. Requests end in many parts of the
+ * reducer, so this happens in one place: for the request concerned by an event after that event,
+ * and for all requests once a second. The same sweep removes expired peers and ended attempts. A
+ * slot that is not released would stay in use until the process restarts.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 import { pruneEndedAttempts } from '../backendServers/observeAttempt.js';
@@ -9,7 +10,7 @@
 import type { EntryState } from '../EntryState.js';
 import { limitKey } from './limitOf.js';
 
-const SWEEP_MILLISECONDS: Milliseconds = 1000;
+const SWEEP_INTERVAL_MILLISECONDS: Milliseconds = 1000;
 
 /**
  * Finds the request that an event concerns. Call it before the event is handled, which may remove
@@ -45,7 +46,8 @@
   requestId: string | undefined,
 ): void {
   if (requestId !== undefined) releaseIfEnded(state, requestId);
-  if (event.type !== 'tick' || event.now - state.limits.sweptAt < SWEEP_MILLISECONDS) return;
+  if (event.type !== 'tick' || event.now - state.limits.sweptAt < SWEEP_INTERVAL_MILLISECONDS)
+    return;
   state.limits.sweptAt = event.now;
   for (const heldId of [...state.limits.keysByRequestId.keys()]) releaseIfEnded(state, heldId);
   pruneEndedAttempts(state);
