--- a/measure/src/admission/comparePolicies.ts
+++ b/measure/src/admission/comparePolicies.ts
@@ -3,7 +3,7 @@
   EntryHarness,
   examplePool,
   exampleRoute,
-  firstTokenWithin,
+  makeDeadlineFields,
   makeArrivals,
   type Arrival,
   type CallerOutcome,
@@ -35,7 +35,7 @@
   exampleRoute({
     name: pathPrefix.slice(1),
     match: { pathPrefix },
-    ...firstTokenWithin(milliseconds),
+    ...makeDeadlineFields(milliseconds),
   }),
 );
 
@@ -100,8 +100,8 @@
     speed,
     routes,
     pool: examplePool(speed.concurrency),
-    loadLag: LOAD_LAG_MILLISECONDS,
-    cacheLag: CACHE_LAG_MILLISECONDS,
+    loadReportInterval: LOAD_LAG_MILLISECONDS,
+    cacheEventInterval: CACHE_LAG_MILLISECONDS,
     reportInterval: REPORT_INTERVAL_MILLISECONDS,
     ...products[product],
   });
--- a/measure/src/machineModels/claimsModel.ts
+++ b/measure/src/machineModels/claimsModel.ts
@@ -12,7 +12,7 @@
   reduceClaimedCall,
   startClaimedCall,
   type ClaimCommand,
-  type ClaimedCall,
+  type ClaimedCallState,
   type ClaimedCallEffect,
   type ClaimedCallEvent,
 } from '@hornbeampond/entry-core';
@@ -64,7 +64,7 @@
   machine: MachineState;
   now: number;
   jumps: number;
-  readonly attempts: Map<string, ClaimedCall>;
+  readonly attempts: Map<string, ClaimedCallState>;
   readonly requests: Map<string, ClaimCommand>;
   readonly delivered: Set<string>;
   readonly responses: Map<string, Response>;
@@ -87,7 +87,7 @@
   };
 }
 
-function copyCall(state: ClaimsState, attemptId: string): ClaimedCall {
+function copyCall(state: ClaimsState, attemptId: string): ClaimedCallState {
   const call = state.attempts.get(attemptId);
   assert(call !== undefined);
   const copied = { ...call };
@@ -206,8 +206,8 @@
   }
 
   /** The store says that nothing was and will be done; true only of a copy that is taken back. */
-  function refuse(state: ClaimsState, key: string, call: ClaimedCall): Step<ClaimsState>[] {
-    if (state.delivered.has(key) || call.tries > 1 || call.phase !== 'opening') return [];
+  function refuse(state: ClaimsState, key: string, call: ClaimedCallState): Step<ClaimsState>[] {
+    if (state.delivered.has(key) || call.sendCount > 1 || call.phase !== 'opening') return [];
     const step = change(state, `store refuses ${key}`, (next) => {
       const own = copyCall(next, call.attemptId);
       next.requests.delete(key);
@@ -218,14 +218,14 @@
     return [step];
   }
 
-  function attemptSteps(state: ClaimsState, call: ClaimedCall): Step<ClaimsState>[] {
+  function attemptSteps(state: ClaimsState, call: ClaimedCallState): Step<ClaimsState>[] {
     const { attemptId } = call;
     const { now } = state;
     const steps: Step<ClaimsState>[] = [];
-    const mayResend = call.pending !== undefined && call.tries < bounds.mostTries;
+    const mayResend = call.pending !== undefined && call.sendCount < bounds.mostTries;
     const mayGiveUp = call.pending?.type === 'openClaim';
     if (mayResend || mayGiveUp) steps.push(event(state, attemptId, { type: 'resendDue', now }));
-    if (!call.answered) steps.push(event(state, attemptId, { type: 'deadlineReached' }));
+    if (!call.resolved) steps.push(event(state, attemptId, { type: 'deadlineReached' }));
     return steps;
   }
 
@@ -313,7 +313,7 @@
 /** That a request was run matters only while the store could still refuse it. */
 function mayBeRefused(state: ClaimsState, key: string): boolean {
   const call = state.attempts.get(state.requests.get(key)?.attemptId ?? '');
-  return call?.phase === 'opening' && call.tries === 1;
+  return call?.phase === 'opening' && call.sendCount === 1;
 }
 
 function keyOf(state: ClaimsState): string {
@@ -323,9 +323,9 @@
       call.startedAt,
       call.phase,
       call.pending?.type,
-      call.tries,
-      call.heldElsewhere,
-      call.answered,
+      call.sendCount,
+      call.heldByOtherRequest,
+      call.resolved,
       call.afterRelease,
       state.told.get(call.attemptId)?.replace('ran: unknown', ''),
     ].join(),
--- a/packages/entry-core/src/EntryState.ts
+++ b/packages/entry-core/src/EntryState.ts
@@ -13,7 +13,7 @@
 import { UsageMeter } from './demand/UsageMeter.js';
 import type { Timestamps } from './entryEvents.js';
 import { makeLimitState, type LimitState } from './limits/LimitState.js';
-import { PeerWork } from './backendServers/PeerWork.js';
+import { WorkReports } from './backendServers/WorkReports.js';
 import { RouteIndex } from './routing/RouteIndex.js';
 import { makeMembershipState, type MembershipState } from './membership/MembershipState.js';
 import { makeQuarantineState, type QuarantineState } from './quarantine/QuarantineState.js';
@@ -54,7 +54,7 @@
   readonly quarantine: QuarantineState;
   readonly reclaims: ReclaimState;
   readonly membership: MembershipState;
-  readonly peerWork: PeerWork;
+  readonly workReports: WorkReports;
   /** Prompt prefixes restored from a store for backend servers that are not listed yet. */
   readonly persistedPrefixes: Map<string, readonly string[]>;
   readonly shutdown: ShutdownState;
@@ -99,7 +99,7 @@
     quarantine: makeQuarantineState(),
     reclaims: makeReclaimState(),
     membership: makeMembershipState(),
-    peerWork: new PeerWork(),
+    workReports: new WorkReports(),
     persistedPrefixes: new Map(),
     shutdown: makeShutdownState(),
     refusesNewRequests: false,
--- a/packages/entry-core/src/admission/admission.test.ts
+++ b/packages/entry-core/src/admission/admission.test.ts
@@ -8,7 +8,7 @@
   examplePool,
   exampleRequest,
   exampleRoute,
-  firstTokenWithin,
+  makeDeadlineFields,
 } from '../testing/examples.js';
 
 const CONCURRENCY = 8;
@@ -26,9 +26,9 @@
   return new EntryHarness({
     servers: 4,
     speed,
-    routes: [exampleRoute(firstTokenWithin(1000))],
+    routes: [exampleRoute(makeDeadlineFields(1000))],
     pool: examplePool(CONCURRENCY),
-    loadLag: 1000,
+    loadReportInterval: 1000,
     reportInterval: 500,
     ...options,
   });
@@ -73,7 +73,7 @@
 // Overload before the first load report arrives: entries must rely on their own counts and on the
 // first slow answers, and refuse the rest immediately.
 test('without load reports, only requests that can be in time are admitted', () => {
-  const harness = makeHarness({ servers: 6, entries: 2, loadLag: 5000 });
+  const harness = makeHarness({ servers: 6, entries: 2, loadReportInterval: 5000 });
   sendSteadily(harness, 'kartenwerk-a', 60, [0, 10_000]);
   let longestEngineQueue = 0;
   harness.timeline.every(100, () => {
@@ -93,7 +93,7 @@
 // One workspace sends four times what the engines can serve; a second workspace sends one request
 // per second. Requests of the second must not be refused or late because of the first.
 test('a workspace that floods does not starve a small one', () => {
-  const harness = makeHarness({ queuedRequests: 60 });
+  const harness = makeHarness({ maxQueuedRequests: 60 });
   sendSteadily(harness, 'flood', 100, [0, 20_000]);
   sendSteadily(harness, 'small', 1, [2000, 20_000]);
   harness.timeline.runUntil(30_000);
@@ -109,9 +109,13 @@
 test('one workspace cannot fill the queue', () => {
   const harness = makeHarness({
     servers: 1,
-    queuedRequests: 60,
+    maxQueuedRequests: 60,
     routes: [
-      exampleRoute({ name: 'patient', match: { pathPrefix: '/v1' }, ...firstTokenWithin(60_000) }),
+      exampleRoute({
+        name: 'patient',
+        match: { pathPrefix: '/v1' },
+        ...makeDeadlineFields(60_000),
+      }),
     ],
   });
   for (let number = 0; number < 200; number += 1) {
@@ -194,7 +198,7 @@
 // One of two engines disappears while requests are queued. Requests that can no longer be in time
 // must be ended on one of the next two ticks, and the problem must say that they did not run.
 test('a queued request whose deadline becomes unreachable is ended immediately', () => {
-  const harness = makeHarness({ servers: 2, routes: [exampleRoute(firstTokenWithin(1500))] });
+  const harness = makeHarness({ servers: 2, routes: [exampleRoute(makeDeadlineFields(1500))] });
   sendSteadily(harness, 'warm-up', 8, [100, 4000]);
   harness.timeline.runUntil(6000);
   for (let number = 0; number < 80; number += 1) {
@@ -222,9 +226,9 @@
     exampleRoute({
       name: 'patient',
       match: { pathPrefix: '/patient' },
-      ...firstTokenWithin(60_000),
+      ...makeDeadlineFields(60_000),
     }),
-    exampleRoute({ name: 'urgent', match: { pathPrefix: '/urgent' }, ...firstTokenWithin(4000) }),
+    exampleRoute({ name: 'urgent', match: { pathPrefix: '/urgent' }, ...makeDeadlineFields(4000) }),
   ];
   const harness = makeHarness({ servers: 1, routes });
   const patient = Array.from({ length: 16 }, (_, number) =>
@@ -249,9 +253,9 @@
     exampleRoute({
       name: 'patient',
       match: { pathPrefix: '/patient' },
-      ...firstTokenWithin(60_000),
+      ...makeDeadlineFields(60_000),
     }),
-    exampleRoute({ name: 'urgent', match: { pathPrefix: '/urgent' }, ...firstTokenWithin(1500) }),
+    exampleRoute({ name: 'urgent', match: { pathPrefix: '/urgent' }, ...makeDeadlineFields(1500) }),
   ];
   const harness = makeHarness({ servers: 1, routes, speed: { ...speed, concurrency: 16 } });
   for (let number = 0; number < 10; number += 1) {
@@ -275,7 +279,7 @@
     servers: 1,
     speed: { ...speed, concurrency: 1 },
     pool: examplePool(1),
-    routes: [exampleRoute(firstTokenWithin(5000))],
+    routes: [exampleRoute(makeDeadlineFields(5000))],
   });
   harness.timeline.runUntil(7);
   const first = harness.submitRequest(exampleRequest('first'), ANSWER_TOKENS);
--- a/packages/entry-core/src/admission/admitRequest.ts
+++ b/packages/entry-core/src/admission/admitRequest.ts
@@ -20,7 +20,7 @@
 import { choosePool } from '../routing/choosePool.js';
 import { deadlineAt } from '../routing/deadlineAt.js';
 import { findRoute } from '../routing/findRoute.js';
-import { routeIndexOf } from '../routing/routeIndexOf.js';
+import { getRouteIndex } from '../routing/getRouteIndex.js';
 import { acquireLimit } from '../limits/releaseEndedRequests.js';
 import { spendAllowance } from '../limits/checkAllowance.js';
 import { awaitConfiguration } from './awaitConfiguration.js';
@@ -38,13 +38,13 @@
 /** Fills in the workspace from the caller's key, if the configuration defines the workspaces. */
 function resolveWorkspace(state: EntryState, request: CallerRequest): CallerRequest {
   if (state.configuration.whole === undefined || request.keySha256 === undefined) return request;
-  const workspace = routeIndexOf(state).workspaceOfKey(request.keySha256) ?? '';
+  const workspace = getRouteIndex(state).workspaceOfKey(request.keySha256) ?? '';
   return { ...request, workspace };
 }
 
 function resolveRoute(state: EntryState, arrived: CallerRequest): Resolution {
   const request = resolveWorkspace(state, arrived);
-  const found = findRoute(routeIndexOf(state), request);
+  const found = findRoute(getRouteIndex(state), request);
   if (found.type === 'found') {
     const { route } = found;
     const isAuthorized = route.public === true || request.workspace !== '';
@@ -70,7 +70,7 @@
   arrivedAt: MonotonicMilliseconds,
   wallNow: EpochMilliseconds,
 ): RequestState {
-  const index = routeIndexOf(state);
+  const index = getRouteIndex(state);
   const deadline = deadlineAt(route, wallNow, index.clock);
   const patience = request.patience ?? Infinity;
   const { firstTokenMilliseconds } = deadline;
@@ -122,7 +122,7 @@
   if (resolved.type === 'refused') return resolved.effects;
   const { route, request } = resolved;
   const poolName = choosePool(route, state.random);
-  const pool = routeIndexOf(state).pool(poolName);
+  const pool = getRouteIndex(state).pool(poolName);
   if (pool === undefined) {
     return refuseRequest(request, 'noBackendServer', `Pool "${poolName}" does not exist`);
   }
--- a/packages/entry-core/src/admission/decideAdmission.ts
+++ b/packages/entry-core/src/admission/decideAdmission.ts
@@ -63,7 +63,7 @@
   const { concurrencyLimiter: limiter } = state.limits;
   if (limiter.hasCapacity(key, limit, now)) return undefined;
   const detail = `Workspace "${request.workspace}" has ${limit} requests in progress`;
-  const serviceTime = getPoolState(state, pool.name).estimateServiceTime(route.name);
+  const serviceTime = getPoolState(state, pool.name).estimateBusyServiceTime(route.name);
   const interval =
     limit === 0
       ? MAX_RETRY_AFTER_MILLISECONDS
--- a/packages/entry-core/src/admission/predictWait.ts
+++ b/packages/entry-core/src/admission/predictWait.ts
@@ -21,7 +21,7 @@
 }
 
 export function makeQueuedRequest(state: EntryState, accepted: RequestState): QueuedRequest {
-  const cost = getPoolState(state, accepted.pool.name).estimateServiceTime(accepted.route.name);
+  const cost = getPoolState(state, accepted.pool.name).estimateBusyServiceTime(accepted.route.name);
   const dueAt = nextTokenDueAt(accepted);
   const expiresAt = accepted.firstTokenAt === undefined ? dueAt : accepted.wholeAnswerDueAt;
   return { requestState: accepted, dueAt, expiresAt, cost };
--- a/packages/entry-core/src/admission/shouldWaitForCache.ts
+++ b/packages/entry-core/src/admission/shouldWaitForCache.ts
@@ -56,6 +56,6 @@
   const excluded = findExcludedInstances(state, accepted, now);
   return poolState.prefixCacheIndex
     .findHolders(accepted.request, now)
-    .filter((holder) => group.has(holder.server) && acceptsNewWork(holder.server))
+    .filter((holder) => group.hasCandidate(holder.server) && acceptsNewWork(holder.server))
     .find((holder) => !excluded.has(holder.server.platformInstance.instance));
 }
--- a/packages/entry-core/src/attempts/AttemptState.ts
+++ b/packages/entry-core/src/attempts/AttemptState.ts
@@ -19,7 +19,7 @@
   /** When its backend server was last probed because this stream stalled. */
   stallProbedAt?: MonotonicMilliseconds;
   /** True once the attempt has timed out but is kept, as its answer may still arrive first. */
-  givenUp: boolean;
+  timedOut: boolean;
 }
 
 /** Id of the attempt with this number (counted from 1). Never reused, since request ids are not. */
--- a/packages/entry-core/src/attempts/advanceRetries.ts
+++ b/packages/entry-core/src/attempts/advanceRetries.ts
@@ -20,7 +20,7 @@
 }
 
 /** Starts immediately all requests that wait for a backend server, as one may be usable again. */
-export function startRetriesAwaitingServer(
+export function startRequestsAwaitingServer(
   state: EntryState,
   now: MonotonicMilliseconds,
 ): EntryEffect[] {
--- a/packages/entry-core/src/attempts/failAttempt.ts
+++ b/packages/entry-core/src/attempts/failAttempt.ts
@@ -65,9 +65,9 @@
 ): void {
   if (event.failure !== 'silent' || requestState.tokens > 0 || event.answerStarted) return;
   if (!requestState.route.idempotent) return;
-  attempt.givenUp = true;
+  attempt.timedOut = true;
   state.attempts.set(attempt.attemptId, attempt);
-  (requestState.abandonedAttemptIds ??= []).push(attempt.attemptId);
+  (requestState.timedOutAttemptIds ??= []).push(attempt.attemptId);
 }
 
 function recordFailureInRequest(
--- a/packages/entry-core/src/attempts/interleavings.test.ts
+++ b/packages/entry-core/src/attempts/interleavings.test.ts
@@ -57,12 +57,12 @@
       return;
     case 'loseHost':
       engine.omitsReset = true;
-      engine.unreachable = true;
+      engine.unreachableWhenDead = true;
       engine.die();
       return;
     case 'revive':
       engine.omitsReset = false;
-      engine.unreachable = false;
+      engine.unreachableWhenDead = false;
       engine.alive = true;
       return;
     case 'stall':
--- a/packages/entry-core/src/attempts/launchAttempt.ts
+++ b/packages/entry-core/src/attempts/launchAttempt.ts
@@ -98,7 +98,7 @@
     firstTokenAt: undefined,
     tokens: resumeFromTokens,
     tokensUpdatedAt: undefined,
-    givenUp: false,
+    timedOut: false,
   });
   return [
     ...countRecomputed(requestState),
--- a/packages/entry-core/src/attempts/loss.test.ts
+++ b/packages/entry-core/src/attempts/loss.test.ts
@@ -58,7 +58,7 @@
   );
   cluster.advance(1000);
   const engine = cluster.engine('wien-a-engine-1');
-  engine.unreachable = true;
+  engine.unreachableWhenDead = true;
   engine.streams.forEach((stream) => {
     stream.stalled = true;
   });
@@ -111,7 +111,10 @@
 // Missing progress starts a probe well before the stream timeout; the unanswered probe then ends
 // all streams of the host.
 test('an unreachable host is detected by its stalled streams before they time out', () => {
-  const cluster = new SimulatedCluster({ engines: { 'wien-a': 1, 'wien-b': 1 }, losesHost: true });
+  const cluster = new SimulatedCluster({
+    engines: { 'wien-a': 1, 'wien-b': 1 },
+    enginesDieWithoutReset: true,
+  });
   const callers = ['one', 'two'].map((name) => cluster.entry.submitRequest(makeRequest(name)));
   cluster.advance(1000);
   cluster.engine('wien-a-engine-1').die();
--- a/packages/entry-core/src/attempts/plainService.test.ts
+++ b/packages/entry-core/src/attempts/plainService.test.ts
@@ -90,7 +90,7 @@
   );
   cluster.advance(500);
   const engine = cluster.engine('wien-a-engine-1');
-  engine.unreachable = true;
+  engine.unreachableWhenDead = true;
   [...engine.streams.values()].forEach((stream, position) => {
     stream.stalled = position > 0;
   });
--- a/packages/entry-core/src/attempts/reduceAttempts.ts
+++ b/packages/entry-core/src/attempts/reduceAttempts.ts
@@ -94,7 +94,7 @@
   event: AttemptFinishedEvent,
 ): EntryEffect[] {
   const requestState = state.requests.get(attempt.requestId);
-  if (attempt.givenUp) return finishTimedOutAttempt(state, requestState, event);
+  if (attempt.timedOut) return finishTimedOutAttempt(state, requestState, event);
   removeAttempt(state, attempt);
   if (requestState === undefined || requestState.attemptId !== attempt.attemptId)
     return countLateAnswer();
--- a/packages/entry-core/src/attempts/releaseAttempts.ts
+++ b/packages/entry-core/src/attempts/releaseAttempts.ts
@@ -14,7 +14,7 @@
   const server = state.backendServers.get(attempt.instance);
   server?.attemptIds.delete(attempt.attemptId);
   server?.balancing.pendingPrompts.delete(attempt.attemptId);
-  state.peerWork.markChanged(attempt.instance);
+  state.workReports.markOwnWorkChanged(attempt.instance);
 }
 
 /** Cancels the current attempt of a request. It may have sent bytes, so `maybeSent` is set. */
@@ -53,7 +53,7 @@
   state.retries.waiting.delete(requestId);
   removeCacheMove(state, requestId);
   const effects = isClaimed(requestState.route) ? [] : cancelAttempt(state, requestState);
-  requestState.abandonedAttemptIds?.forEach((attemptId) => {
+  requestState.timedOutAttemptIds?.forEach((attemptId) => {
     if (state.attempts.delete(attemptId)) effects.push({ type: 'cancelAttempt', attemptId });
   });
   return effects;
--- a/packages/entry-core/src/backendServers/PoolState.ts
+++ b/packages/entry-core/src/backendServers/PoolState.ts
@@ -50,7 +50,7 @@
     this.limitSum -= server.balancing.limit;
   }
 
-  has(server: BackendServerState): boolean {
+  hasCandidate(server: BackendServerState): boolean {
     return this.candidates[server.balancing.candidateIndex ?? -1] === server;
   }
 
@@ -127,7 +127,9 @@
 
   /** The group that holds the server as a candidate or ejected; `local` if neither does. */
   groupOf(server: BackendServerState): CandidateGroup {
-    return this.remote.has(server) || this.remote.ejected.has(server) ? this.remote : this.local;
+    return this.remote.hasCandidate(server) || this.remote.ejected.has(server)
+      ? this.remote
+      : this.local;
   }
 
   /** Sets a server's adaptive concurrency limit and updates the sum of its group. */
@@ -140,7 +142,7 @@
   }
 
   /** Expected duration of an attempt for the route on a busy server. */
-  estimateServiceTime(route: string): Milliseconds {
+  estimateBusyServiceTime(route: string): Milliseconds {
     const busy = this.busyServiceTimes.get(route)?.value;
     if (busy !== undefined) return busy;
     const nonBusy = this.nonBusyServiceTimes.get(route)?.value;
--- a/packages/entry-core/src/backendServers/PeerWork.ts
+++ b/packages/entry-core/src/backendServers/WorkReports.ts
@@ -21,7 +21,7 @@
  */
 const MAX_ENTRIES_AT_MIN_INTERVAL = 8;
 
-export class PeerWork {
+export class WorkReports {
   /** Keyed by the instance name of the peer. */
   private readonly peers = new Map<string, PeerWorkState>();
 
@@ -45,7 +45,7 @@
   }
 
   /** Marks this entry's own work at a backend server as changed since the last report. */
-  markChanged(backendServer: string): void {
+  markOwnWorkChanged(backendServer: string): void {
     this.changedServers.add(backendServer);
   }
 
--- a/packages/entry-core/src/backendServers/applyInstanceList.ts
+++ b/packages/entry-core/src/backendServers/applyInstanceList.ts
@@ -5,7 +5,7 @@
  */
 import type { MonotonicMilliseconds, PlatformInstance } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
-import { routeIndexOf } from '../routing/routeIndexOf.js';
+import { getRouteIndex } from '../routing/getRouteIndex.js';
 import { restoreCachedPrefixes } from '../membership/restorePersistedState.js';
 import type { BackendServerState } from './BackendServerState.js';
 import { rebuildCandidateGroups } from './rebuildCandidateGroups.js';
@@ -16,7 +16,7 @@
 
 function findConcurrency(state: EntryState, instance: PlatformInstance): number {
   if (instance.concurrency !== undefined) return instance.concurrency;
-  const classes = routeIndexOf(state).pool(instance.pool)?.instanceClasses;
+  const classes = getRouteIndex(state).pool(instance.pool)?.instanceClasses;
   const found = classes?.find((instanceClass) => instanceClass.name === instance.instanceClass);
   return found?.concurrency ?? DEFAULT_CONCURRENCY;
 }
--- a/packages/entry-core/src/backendServers/backendServers.test.ts
+++ b/packages/entry-core/src/backendServers/backendServers.test.ts
@@ -8,7 +8,7 @@
   examplePool,
   exampleRequest,
   exampleRoute,
-  firstTokenWithin,
+  makeDeadlineFields,
 } from '../testing/examples.js';
 import { chooseBackendServer } from './chooseBackendServer.js';
 import { recordFailure } from './ejectOutliers.js';
@@ -34,7 +34,7 @@
       decodeMillisecondsPerToken: 10,
       cachedPrefixes: 100,
     },
-    routes: [exampleRoute(firstTokenWithin(2000))],
+    routes: [exampleRoute(makeDeadlineFields(2000))],
     pool: examplePool(CONCURRENCY),
     ...options,
   });
--- a/packages/entry-core/src/backendServers/chooseBackendServer.ts
+++ b/packages/entry-core/src/backendServers/chooseBackendServer.ts
@@ -130,7 +130,7 @@
    * workspace would follow its cached system prompt to one server while others are idle.
    */
   private estimateBatchCost(server: BackendServerState): Milliseconds {
-    const serviceTime = this.pool.estimateServiceTime(this.accepted.route.name);
+    const serviceTime = this.pool.estimateBusyServiceTime(this.accepted.route.name);
     return (
       serviceTime * this.computeUtilization(server) * FULL_BATCH_EXTRA_FRACTION_OF_SERVICE_TIME
     );
@@ -149,13 +149,13 @@
   }
 
   considerPrefixHolders(group: CandidateGroup): void {
-    if (this.affinityTarget !== undefined && group.has(this.affinityTarget.server))
+    if (this.affinityTarget !== undefined && group.hasCandidate(this.affinityTarget.server))
       this.consider(this.affinityTarget.server);
     for (const { server } of this.pool.prefixCacheIndex.findHolders(
       this.accepted.request,
       this.now,
     )) {
-      if (group.has(server)) this.consider(server);
+      if (group.hasCandidate(server)) this.consider(server);
     }
   }
 
@@ -212,7 +212,8 @@
   const { now } = state.clocks;
   const pool = getPoolState(state, accepted.pool.name);
   const serverSearch = new ServerSearch(state, pool, accepted, now, affinityTarget, spreadEvenly);
-  if (freedServer !== undefined && group.has(freedServer)) serverSearch.consider(freedServer);
+  if (freedServer !== undefined && group.hasCandidate(freedServer))
+    serverSearch.consider(freedServer);
   serverSearch.considerPrefixHolders(group);
   serverSearch.considerGroup(group);
   return serverSearch.best;
--- a/packages/entry-core/src/backendServers/estimateInProgress.ts
+++ b/packages/entry-core/src/backendServers/estimateInProgress.ts
@@ -77,7 +77,7 @@
   if (isEveryPeerConnected(state)) {
     return (
       server.attemptIds.size +
-      state.peerWork.peerWorkAt(server.platformInstance.instance).inProgress
+      state.workReports.peerWorkAt(server.platformInstance.instance).inProgress
     );
   }
   const { measuredAt, otherEntriesInProgress, ownInProgressAtMeasurement } = server.balancing;
--- a/packages/entry-core/src/backendServers/observeAttempt.ts
+++ b/packages/entry-core/src/backendServers/observeAttempt.ts
@@ -80,9 +80,9 @@
   // cache event arrives later.
   const { prefixDigests } = accepted.request;
   pool.prefixCacheIndex.recordCached(server, prefixDigests, now);
-  state.peerWork.markChanged(server.platformInstance.instance);
+  state.workReports.markOwnWorkChanged(server.platformInstance.instance);
   // The last part of a prompt is specific to the request, so other entries have no use for it.
-  state.peerWork.recordPrefilledPrefixes(
+  state.workReports.recordPrefilledPrefixes(
     server.platformInstance.instance,
     prefixDigests.slice(0, -1),
   );
@@ -101,7 +101,7 @@
     uncachedTokens,
     tokensUntilFirstToken,
   });
-  state.peerWork.markChanged(server.platformInstance.instance);
+  state.workReports.markOwnWorkChanged(server.platformInstance.instance);
 }
 
 function observeEnd({ attempt, server, pool, now }: AttemptContext): void {
--- a/packages/entry-core/src/backendServers/predictFirstTokenDelay.ts
+++ b/packages/entry-core/src/backendServers/predictFirstTokenDelay.ts
@@ -31,7 +31,7 @@
 export function countPendingTokens(state: EntryState, server: BackendServerState): number {
   return (
     countOwnPendingTokens(server) +
-    state.peerWork.peerWorkAt(server.platformInstance.instance).promptTokens
+    state.workReports.peerWorkAt(server.platformInstance.instance).promptTokens
   );
 }
 
@@ -95,7 +95,7 @@
   const loadedDelay =
     expectedDelay * (1 + FULL_SERVER_EXTRA_FRACTION_OF_DELAY * Math.min(1, inProgress / limit));
   const excessRequests = Math.max(0, inProgress + 1 - limit);
-  const queueDelay = (excessRequests * pool.estimateServiceTime(route.name)) / limit;
+  const queueDelay = (excessRequests * pool.estimateBusyServiceTime(route.name)) / limit;
   return Math.max(loadedDelay, remainingReportedDelay(server, now)) + queueDelay;
 }
 
--- a/packages/entry-core/src/backendServers/shareWork.ts
+++ b/packages/entry-core/src/backendServers/shareWork.ts
@@ -20,10 +20,10 @@
 export function advanceWorkReports(state: EntryState, now: MonotonicMilliseconds): EntryEffect[] {
   const { instance, incarnation } = state.identity;
   state.membership.peers.forEach(({ live }, peer) => {
-    if (!live) state.peerWork.removePeerWork(peer);
+    if (!live) state.workReports.removePeerWork(peer);
   });
   const entryCount = state.membership.peers.size + 1;
-  const dueReport = state.peerWork.takeDueReport(entryCount, now, (backendServer) =>
+  const dueReport = state.workReports.takeDueReport(entryCount, now, (backendServer) =>
     readOwnWork(state, backendServer),
   );
   if (dueReport === undefined) return [];
@@ -38,7 +38,7 @@
   now: MonotonicMilliseconds,
 ): void {
   if (report.instance === state.identity.instance) return;
-  state.peerWork.applyReport(report);
+  state.workReports.applyReport(report);
   Object.entries(report.computed).forEach(([instance, digests]) => {
     const server = state.backendServers.get(instance);
     if (server === undefined) return;
--- a/packages/entry-core/src/backendServers/sharedPrompts.test.ts
+++ b/packages/entry-core/src/backendServers/sharedPrompts.test.ts
@@ -12,7 +12,7 @@
   examplePool,
   exampleRequest,
   exampleRoute,
-  firstTokenWithin,
+  makeDeadlineFields,
 } from '../testing/examples.js';
 
 const CONCURRENCY = 32;
@@ -47,7 +47,7 @@
     entries: ENTRIES,
     servers: 6,
     speed,
-    routes: [exampleRoute(firstTokenWithin(500))],
+    routes: [exampleRoute(makeDeadlineFields(500))],
     pool: examplePool(CONCURRENCY),
     reportInterval: 1000,
     ...options,
--- a/packages/entry-core/src/claims/ClaimedCall.ts
+++ b/packages/entry-core/src/claims/ClaimedCallState.ts
@@ -35,7 +35,7 @@
 /** What to do once the release is acknowledged. */
 export type AfterRelease = 'tryElsewhere' | 'nothing';
 
-export interface ClaimedCall {
+export interface ClaimedCallState {
   readonly intent: ClaimSubject;
   /** Identifies this request in the log: its request id, not the id of an `AttemptState`. */
   readonly attemptId: string;
@@ -45,11 +45,11 @@
   /** The command that awaits acknowledgement; resent unchanged. */
   pending: ClaimCommand | undefined;
   /** Times that the pending command was sent since the log last answered it. */
-  tries: number;
+  sendCount: number;
   /** True from when the log reports that another request holds the claim until this one gets it. */
-  heldElsewhere: boolean;
+  heldByOtherRequest: boolean;
   /** True once the caller's final answer or `tryElsewhere` was decided; no other may follow. */
-  answered: boolean;
+  resolved: boolean;
   afterRelease: AfterRelease;
 }
 
--- a/packages/entry-core/src/claims/applyClaimEffect.ts
+++ b/packages/entry-core/src/claims/applyClaimEffect.ts
@@ -11,7 +11,7 @@
 import type { EntryState } from '../EntryState.js';
 import { failRequest } from '../requests/endRequest.js';
 import type { RequestClaim } from './RequestClaim.js';
-import type { ClaimedCallEffect, ClaimedCallEvent } from './ClaimedCall.js';
+import type { ClaimedCallEffect, ClaimedCallEvent } from './ClaimedCallState.js';
 import { reduceClaimedCall } from './reduceClaimedCall.js';
 
 /**
@@ -34,7 +34,7 @@
   timestamps: Timestamps,
 ): EntryEffect[] {
   const effects = reduceClaimedCall(claim.call, event);
-  claim.requestState.mayRunElsewhere = claim.call.heldElsewhere;
+  claim.requestState.mayRunForOtherRequest = claim.call.heldByOtherRequest;
   return effects.flatMap((effect) => applyClaimEffect(state, claim, effect, timestamps));
 }
 
--- a/packages/entry-core/src/claims/index.ts
+++ b/packages/entry-core/src/claims/index.ts
@@ -1,2 +1,2 @@
-export * from './ClaimedCall.js';
+export * from './ClaimedCallState.js';
 export * from './reduceClaimedCall.js';
--- a/packages/entry-core/src/claims/reduceClaimedCall.test.ts
+++ b/packages/entry-core/src/claims/reduceClaimedCall.test.ts
@@ -4,17 +4,17 @@
 import { matchSnapshot } from '@hornbeampond/testing';
 import type {
   ClaimCommand,
-  ClaimedCall,
+  ClaimedCallState,
   ClaimedCallEffect,
   ClaimedCallEvent,
-} from './ClaimedCall.js';
+} from './ClaimedCallState.js';
 import { reduceClaimedCall, startClaimedCall } from './reduceClaimedCall.js';
 
 const intent = { workspace: 'laden', key: 'offer-1', digest: 'lot', holder: 'entry-1' };
 const EXPIRES_AFTER_MILLISECONDS = 60_000;
 const answer = { status: 201, headers: {}, body: new Uint8Array(2) };
 
-function startCall(): ClaimedCall {
+function startCall(): ClaimedCallState {
   return startClaimedCall(intent, 'a', 0, EXPIRES_AFTER_MILLISECONDS).call;
 }
 
--- a/packages/entry-core/src/claims/reduceClaimedCall.ts
+++ b/packages/entry-core/src/claims/reduceClaimedCall.ts
@@ -15,11 +15,11 @@
 import type {
   AfterRelease,
   ClaimCommand,
-  ClaimedCall,
+  ClaimedCallState,
   ClaimedCallEffect,
   ClaimedCallEvent,
   ClaimSubject,
-} from './ClaimedCall.js';
+} from './ClaimedCallState.js';
 
 /** Times that `openClaim` is sent before the request fails; leaves time to elect a new leader. */
 export const MAX_OPEN_TRIES = 3;
@@ -44,17 +44,17 @@
   attemptId: string,
   now: MonotonicMilliseconds,
   expiresAfter: Milliseconds,
-): { readonly call: ClaimedCall; readonly effects: ClaimedCallEffect[] } {
-  const call: ClaimedCall = {
+): { readonly call: ClaimedCallState; readonly effects: ClaimedCallEffect[] } {
+  const call: ClaimedCallState = {
     intent,
     attemptId,
     startedAt: now,
     expiresAfter,
     phase: 'opening',
     pending: undefined,
-    tries: 0,
-    heldElsewhere: false,
-    answered: false,
+    sendCount: 0,
+    heldByOtherRequest: false,
+    resolved: false,
     afterRelease: 'nothing',
   };
   const effects = propose(call, { type: 'openClaim', ...intent, attemptId, expiresAfter });
@@ -62,7 +62,10 @@
 }
 
 /** Applies one event to the claim, changing `call` in place. */
-export function reduceClaimedCall(call: ClaimedCall, event: ClaimedCallEvent): ClaimedCallEffect[] {
+export function reduceClaimedCall(
+  call: ClaimedCallState,
+  event: ClaimedCallEvent,
+): ClaimedCallEffect[] {
   switch (event.type) {
     case 'claimResult':
       return onResult(call, event);
@@ -88,29 +91,29 @@
   );
 }
 
-function propose(call: ClaimedCall, command: ClaimCommand): ClaimedCallEffect[] {
+function propose(call: ClaimedCallState, command: ClaimCommand): ClaimedCallEffect[] {
   call.pending = command;
-  call.tries = 1;
+  call.sendCount = 1;
   return resend(call, command);
 }
 
-function resend(call: ClaimedCall, command: ClaimCommand): ClaimedCallEffect[] {
+function resend(call: ClaimedCallState, command: ClaimCommand): ClaimedCallEffect[] {
   return [
     { type: 'propose', command },
-    { type: 'startResendTimer', after: computeResendDelay(call.tries) },
+    { type: 'startResendTimer', after: computeResendDelay(call.sendCount) },
   ];
 }
 
-function finish(call: ClaimedCall): ClaimedCallEffect[] {
+function finish(call: ClaimedCallState): ClaimedCallEffect[] {
   call.phase = 'finished';
   call.pending = undefined;
   return [{ type: 'finished' }];
 }
 
 /** Fails the request unless the caller already has its final answer. */
-function refuse(call: ClaimedCall, kind: ErrorKind, ran: Ran): ClaimedCallEffect[] {
-  if (call.answered) return [];
-  call.answered = true;
+function refuse(call: ClaimedCallState, kind: ErrorKind, ran: Ran): ClaimedCallEffect[] {
+  if (call.resolved) return [];
+  call.resolved = true;
   return [{ type: 'refuse', kind, ran }];
 }
 
@@ -118,7 +121,7 @@
  * Releases the claim of a request that will never send the call. The release is resent until the
  * log acknowledges it, because a delayed `openClaim` could otherwise open the claim later.
  */
-function release(call: ClaimedCall, afterRelease: AfterRelease): ClaimedCallEffect[] {
+function release(call: ClaimedCallState, afterRelease: AfterRelease): ClaimedCallEffect[] {
   const { attemptId } = call;
   const { workspace, key } = call.intent;
   call.phase = 'releasing';
@@ -130,8 +133,8 @@
  * Fails a request that has not sent the call, without waiting for the log, which may lack a quorum
  * for a long time. If another request held the claim, the call may have run for that one.
  */
-function refuseAndRelease(call: ClaimedCall, kind: ErrorKind): ClaimedCallEffect[] {
-  const refusal = call.heldElsewhere
+function refuseAndRelease(call: ClaimedCallState, kind: ErrorKind): ClaimedCallEffect[] {
+  const refusal = call.heldByOtherRequest
     ? refuse(call, 'claimRunning', 'unknown')
     : refuse(call, kind, 'no');
   return [...refusal, ...release(call, 'nothing')];
@@ -142,9 +145,9 @@
  * outcome is in the log, so a caller that sends the call again immediately still finds the claim
  * open. Refusing it then would keep an existing answer from the caller.
  */
-function awaitOutcome(call: ClaimedCall, now: MonotonicMilliseconds): ClaimedCallEffect[] {
-  call.heldElsewhere = true;
-  call.tries = 0;
+function awaitOutcome(call: ClaimedCallState, now: MonotonicMilliseconds): ClaimedCallEffect[] {
+  call.heldByOtherRequest = true;
+  call.sendCount = 0;
   const elapsed = now - call.startedAt;
   const after = Math.min(
     MAX_OUTCOME_POLL_DELAY_MILLISECONDS,
@@ -153,7 +156,7 @@
   return [{ type: 'startResendTimer', after }];
 }
 
-function onResult(call: ClaimedCall, event: EventOf<'claimResult'>): ClaimedCallEffect[] {
+function onResult(call: ClaimedCallState, event: EventOf<'claimResult'>): ClaimedCallEffect[] {
   // Ignores a late or repeated result of a command that is no longer pending.
   if (call.pending?.type !== event.command) return [];
   if (call.phase === 'opening') return onOpenResult(call, event);
@@ -161,7 +164,7 @@
   return finish(call);
 }
 
-function onOpenResult(call: ClaimedCall, event: EventOf<'claimResult'>): ClaimedCallEffect[] {
+function onOpenResult(call: ClaimedCallState, event: EventOf<'claimResult'>): ClaimedCallEffect[] {
   const { result, now } = event;
   switch (result.type) {
     case 'claimOpened':
@@ -183,28 +186,31 @@
  * Sends the call, unless the claim has expired: the log reports an unknown outcome for an expired
  * claim, and later lets another request open it.
  */
-function onOpened(call: ClaimedCall, now: MonotonicMilliseconds): ClaimedCallEffect[] {
+function onOpened(call: ClaimedCallState, now: MonotonicMilliseconds): ClaimedCallEffect[] {
   if (now - call.startedAt >= call.expiresAfter) return refuseAndRelease(call, 'claimsUnavailable');
   call.phase = 'sending';
   call.pending = undefined;
-  call.heldElsewhere = false;
+  call.heldByOtherRequest = false;
   return [{ type: 'sendCall', attemptId: call.attemptId }];
 }
 
-function replay(call: ClaimedCall, answer: StoredAnswer | undefined): ClaimedCallEffect[] {
+function replay(call: ClaimedCallState, answer: StoredAnswer | undefined): ClaimedCallEffect[] {
   if (answer?.body === undefined) return refuse(call, 'answerTooLargeToReplay', 'unknown');
-  if (call.answered) return [];
-  call.answered = true;
+  if (call.resolved) return [];
+  call.resolved = true;
   return [{ type: 'answer', answer, replayed: true }];
 }
 
-function onReleaseResult(call: ClaimedCall, event: EventOf<'claimResult'>): ClaimedCallEffect[] {
+function onReleaseResult(
+  call: ClaimedCallState,
+  event: EventOf<'claimResult'>,
+): ClaimedCallEffect[] {
   if (event.result.type !== 'claimReleased') {
     return [...refuse(call, 'outcomeUnknown', 'unknown'), ...finish(call)];
   }
   const { afterRelease } = call;
-  if (afterRelease === 'tryElsewhere' && !call.answered) {
-    call.answered = true;
+  if (afterRelease === 'tryElsewhere' && !call.resolved) {
+    call.resolved = true;
     return [{ type: 'tryElsewhere' }, ...finish(call)];
   }
   return finish(call);
@@ -214,22 +220,22 @@
  * Skips the release only if the store guarantees that this `openClaim` is never applied, and if no
  * earlier copy was sent, which could still be applied.
  */
-function onStoreFailed(call: ClaimedCall, event: EventOf<'storeFailed'>): ClaimedCallEffect[] {
-  const isFirstOpen = call.phase === 'opening' && call.tries === 1 && !call.heldElsewhere;
+function onStoreFailed(call: ClaimedCallState, event: EventOf<'storeFailed'>): ClaimedCallEffect[] {
+  const isFirstOpen = call.phase === 'opening' && call.sendCount === 1 && !call.heldByOtherRequest;
   if (!event.nothingDone || !isFirstOpen || event.command !== 'openClaim') return [];
   return [...refuse(call, 'claimsUnavailable', 'no'), ...finish(call)];
 }
 
-function onResendDue(call: ClaimedCall, now: MonotonicMilliseconds): ClaimedCallEffect[] {
+function onResendDue(call: ClaimedCallState, now: MonotonicMilliseconds): ClaimedCallEffect[] {
   const { pending } = call;
   if (pending === undefined) return [];
-  if (pending.type === 'openClaim' && call.tries >= MAX_OPEN_TRIES) {
+  if (pending.type === 'openClaim' && call.sendCount >= MAX_OPEN_TRIES) {
     return refuseAndRelease(call, 'claimsUnavailable');
   }
   if (now - call.startedAt >= getMaxResendDuration(call)) {
     return [...refuse(call, 'outcomeUnknown', 'unknown'), ...finish(call)];
   }
-  call.tries += 1;
+  call.sendCount += 1;
   return resend(call, pending);
 }
 
@@ -237,23 +243,23 @@
  * How long after the start a command is still resent. A release is resent until it is acknowledged,
  * since a delayed `openClaim` would otherwise block the caller from sending the call again.
  */
-function getMaxResendDuration(call: ClaimedCall): Milliseconds {
+function getMaxResendDuration(call: ClaimedCallState): Milliseconds {
   if (call.phase === 'releasing') return Number.POSITIVE_INFINITY;
   if (call.phase === 'settling') return call.expiresAfter + SETTLE_RESEND_AFTER_EXPIRY_MILLISECONDS;
   return call.expiresAfter;
 }
 
 /** Allows another backend server only if provably no byte was sent. */
-function onSendFailed(call: ClaimedCall, beforeFirstByte: boolean): ClaimedCallEffect[] {
+function onSendFailed(call: ClaimedCallState, beforeFirstByte: boolean): ClaimedCallEffect[] {
   if (call.phase !== 'sending') return [];
-  if (beforeFirstByte) return release(call, call.answered ? 'nothing' : 'tryElsewhere');
+  if (beforeFirstByte) return release(call, call.resolved ? 'nothing' : 'tryElsewhere');
   return [...refuse(call, 'outcomeUnknown', 'unknown'), ...settle(call, { outcome: 'unknown' })];
 }
 
-function onAnswered(call: ClaimedCall, { answer }: EventOf<'answered'>): ClaimedCallEffect[] {
+function onAnswered(call: ClaimedCallState, { answer }: EventOf<'answered'>): ClaimedCallEffect[] {
   if (call.phase !== 'sending') return [];
-  const isLate = call.answered;
-  call.answered = true;
+  const isLate = call.resolved;
+  call.resolved = true;
   const settling = settle(call, { outcome: 'done', answer: omitOversizedBody(answer) });
   return isLate ? settling : [{ type: 'answer', answer, replayed: false }, ...settling];
 }
@@ -266,7 +272,7 @@
 }
 
 function settle(
-  call: ClaimedCall,
+  call: ClaimedCallState,
   settlement: Pick<Extract<ClaimCommand, { type: 'settleClaim' }>, 'outcome' | 'answer'>,
 ): ClaimedCallEffect[] {
   const { attemptId } = call;
@@ -279,7 +285,7 @@
  * Fails the request with `ran: unknown`, since no release is acknowledged yet. A call that was sent
  * keeps running, and its late answer is stored in case the caller sends the call again.
  */
-function onDeadline(call: ClaimedCall): ClaimedCallEffect[] {
+function onDeadline(call: ClaimedCallState): ClaimedCallEffect[] {
   const refusal = refuse(call, 'deadlineExceeded', 'unknown');
   if (call.phase === 'opening') return [...refusal, ...release(call, 'nothing')];
   return refusal;
--- a/packages/entry-core/src/claims/updateClaims.ts
+++ b/packages/entry-core/src/claims/updateClaims.ts
@@ -8,7 +8,7 @@
 import type { EntryState } from '../EntryState.js';
 import type { RequestClaim } from './RequestClaim.js';
 import { handleClaimEvent } from './applyClaimEffect.js';
-import type { ClaimedCallEvent } from './ClaimedCall.js';
+import type { ClaimedCallEvent } from './ClaimedCallState.js';
 
 type AttemptEndEvent = Extract<EntryEvent, { type: 'attemptFinished' | 'attemptFailed' }>;
 
@@ -49,8 +49,8 @@
 ): EntryEffect[] {
   if (effect.type !== 'finishAnswer' && effect.type !== 'answerProblem') return [];
   const claim = state.claims.get(effect.requestId);
-  if (claim === undefined || claim.call.answered) return [];
-  claim.call.answered = true;
+  if (claim === undefined || claim.call.resolved) return [];
+  claim.call.resolved = true;
   const outcome =
     effect.type === 'finishAnswer' && isAttemptEnd(event)
       ? toOutcome(event)
@@ -65,7 +65,7 @@
   event: EntryEvent,
 ): EntryEffect[] {
   if (claim === undefined || !isAttemptEnd(event)) return [];
-  if (!claim.call.answered || claim.call.phase !== 'sending') return [];
+  if (!claim.call.resolved || claim.call.phase !== 'sending') return [];
   return handleClaimEvent(state, claim, toOutcome(event), event);
 }
 
--- a/packages/entry-core/src/demand/buildDemandReports.ts
+++ b/packages/entry-core/src/demand/buildDemandReports.ts
@@ -2,7 +2,7 @@
 import type { MonotonicMilliseconds, RouteDemandReport } from '@hornbeampond/schema';
 import { getPoolState } from '../backendServers/getPoolState.js';
 import type { EntryState } from '../EntryState.js';
-import { routeIndexOf } from '../routing/routeIndexOf.js';
+import { getRouteIndex } from '../routing/getRouteIndex.js';
 
 export function buildDemandReports(
   state: EntryState,
@@ -11,12 +11,12 @@
   const poolByRoute = new Map(
     state.configuration.routes.rows.map((route) => [route.name, route.pool]),
   );
-  const index = routeIndexOf(state);
+  const index = getRouteIndex(state);
   return [...state.demand.read(now)].flatMap(([route, rate]) => {
     const pool = index.pool(poolByRoute.get(route) ?? '');
     if (pool === undefined) return [];
     const poolState = getPoolState(state, pool.name);
-    const serviceMilliseconds = poolState.estimateServiceTime(route);
+    const serviceMilliseconds = poolState.estimateBusyServiceTime(route);
     const promptMilliseconds = poolState.estimatePrefillTime(route);
     return [
       {
--- a/packages/entry-core/src/driver/SimulatedCluster.ts
+++ b/packages/entry-core/src/driver/SimulatedCluster.ts
@@ -34,7 +34,7 @@
   /** Pool of the engines; those of `bookings` act as plain services. */
   readonly pool?: 'engines' | 'bookings';
   /** True if hosts disappear with their engines: connections are not reset, and probes time out. */
-  readonly losesHost?: boolean;
+  readonly enginesDieWithoutReset?: boolean;
 }
 
 interface Task {
@@ -78,7 +78,7 @@
     this.rates = { ...defaultEngineRates, ...options.rates };
     this.crashTokenByDigest = options.crashTokenByDigest ?? new Map();
     this.pool = options.pool ?? 'engines';
-    this.losesHost = options.losesHost ?? false;
+    this.losesHost = options.enginesDieWithoutReset ?? false;
     Object.entries(options.engines).forEach(([dataCentre, count]) => {
       for (let number = 1; number <= count; number += 1) {
         this.addEngine(`${dataCentre}-engine-${number}`, dataCentre);
@@ -99,14 +99,14 @@
   addEngine(instance: string, dataCentre: string): void {
     const engine = new SimulatedEngine(instance, dataCentre, this.rates, this.crashTokenByDigest);
     engine.omitsReset = this.losesHost;
-    engine.unreachable = this.losesHost;
+    engine.unreachableWhenDead = this.losesHost;
     this.engines.set(instance, engine);
     this.platformInstances.push(this.describeInstance(engine));
-    this.listAliveEngines();
+    this.publishAliveEngines();
   }
 
   /** Removes dead engines from the list of the platform and sends the list to all entries. */
-  listAliveEngines(): void {
+  publishAliveEngines(): void {
     this.platformInstances = this.platformInstances.filter(
       (platformInstance) => this.engines.get(platformInstance.instance)?.alive,
     );
--- a/packages/entry-core/src/driver/SimulatedEngine.ts
+++ b/packages/entry-core/src/driver/SimulatedEngine.ts
@@ -67,7 +67,7 @@
   omitsReset = false;
 
   /** True if probes of the dead engine time out instead of being refused. */
-  unreachable = false;
+  unreachableWhenDead = false;
 
   readonly streams = new Map<string, EngineStream>();
 
--- a/packages/entry-core/src/driver/SimulatedEntry.ts
+++ b/packages/entry-core/src/driver/SimulatedEntry.ts
@@ -309,7 +309,7 @@
   private probe(instance: string): void {
     const engine = this.cluster.engines.get(instance);
     if (!this.cluster.probesAnswered) return;
-    if (engine !== undefined && !engine.alive && engine.unreachable) return;
+    if (engine !== undefined && !engine.alive && engine.unreachableWhenDead) return;
     this.cluster.schedule(2, () => {
       this.send({ type: 'probeAnswered', instance, answered: engine?.alive === true });
     });
--- a/packages/entry-core/src/driver/batchScenarios.ts
+++ b/packages/entry-core/src/driver/batchScenarios.ts
@@ -39,7 +39,7 @@
     crashTokenByDigest,
   });
   cluster.engines.forEach((engine) => {
-    engine.unreachable = batch.unreachable;
+    engine.unreachableWhenDead = batch.unreachable;
     engine.restartsImmediately = batch.restartsImmediately;
   });
   const { isolateSuspects } = batch;
--- a/packages/entry-core/src/driver/runFaultScenario.ts
+++ b/packages/entry-core/src/driver/runFaultScenario.ts
@@ -141,7 +141,7 @@
     engines,
     entries: DATA_CENTRES.length,
     wholeAnswerMilliseconds: ANSWER_DEADLINE_MILLISECONDS,
-    losesHost,
+    enginesDieWithoutReset: losesHost,
   });
   cluster.entries.forEach((entry) => {
     entry.state.retries.policy = policy;
--- a/packages/entry-core/src/entryEffects.ts
+++ b/packages/entry-core/src/entryEffects.ts
@@ -13,7 +13,7 @@
   StoredAnswer,
   WorkReport,
 } from '@hornbeampond/schema';
-import type { ClaimCommand } from './claims/ClaimedCall.js';
+import type { ClaimCommand } from './claims/ClaimedCallState.js';
 
 /** The backend server that an attempt is sent to. */
 export interface AttemptTarget {
--- a/packages/entry-core/src/entryEvents.ts
+++ b/packages/entry-core/src/entryEvents.ts
@@ -19,7 +19,7 @@
   StoredAnswer,
   WorkReport,
 } from '@hornbeampond/schema';
-import type { ClaimCommand } from './claims/ClaimedCall.js';
+import type { ClaimCommand } from './claims/ClaimedCallState.js';
 
 /** The parts of a caller's request that the reducer needs; the body stays in the shell. */
 export interface CallerRequest {
--- a/packages/entry-core/src/limits/checkAllowance.ts
+++ b/packages/entry-core/src/limits/checkAllowance.ts
@@ -3,7 +3,7 @@
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { routeIndexOf } from '../routing/routeIndexOf.js';
+import { getRouteIndex } from '../routing/getRouteIndex.js';
 import type { SpendingFacts } from './AllowanceLimiter.js';
 
 /** Upper bound of the retry delay, also if enough spending expires only later. */
@@ -11,7 +11,7 @@
 
 /** The allowance to enforce; undefined without one, or if its rate is 0, which means unlimited. */
 function enforcedAllowanceOf(state: EntryState, workspace: string): Allowance | undefined {
-  const allowance = routeIndexOf(state).workspace(workspace)?.allowance;
+  const allowance = getRouteIndex(state).workspace(workspace)?.allowance;
   return allowance === undefined || allowance.perSecond <= 0 ? undefined : allowance;
 }
 
--- a/packages/entry-core/src/membership/advanceReports.ts
+++ b/packages/entry-core/src/membership/advanceReports.ts
@@ -25,7 +25,7 @@
 
 function findInstanceRunning(state: EntryState, digest: string): string | undefined {
   return [...state.attempts.values()].find(
-    ({ requestId, givenUp }) =>
+    ({ requestId, timedOut: givenUp }) =>
       !givenUp && state.requests.get(requestId)?.request.digest === digest,
   )?.instance;
 }
--- a/packages/entry-core/src/quarantine/classifyLoss.ts
+++ b/packages/entry-core/src/quarantine/classifyLoss.ts
@@ -4,7 +4,7 @@
  * classified exactly once.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
-import { startRetriesAwaitingServer } from '../attempts/advanceRetries.js';
+import { startRequestsAwaitingServer } from '../attempts/advanceRetries.js';
 import type { EntryEffect } from '../entryEffects.js';
 import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
@@ -98,7 +98,7 @@
   if (loss === undefined && result.answered) state.quarantine.down.delete(instance);
   return loss === undefined
     ? effects
-    : [...effects, ...startRetriesAwaitingServer(state, timestamps.now)];
+    : [...effects, ...startRequestsAwaitingServer(state, timestamps.now)];
 }
 
 /**
--- a/packages/entry-core/src/quarantine/poison.test.ts
+++ b/packages/entry-core/src/quarantine/poison.test.ts
@@ -173,7 +173,7 @@
   }
   cluster.advance(1500);
   ['wien-a-engine-1', 'wien-a-engine-2', 'wien-a-engine-3'].forEach((instance) => {
-    cluster.engine(instance).unreachable = true;
+    cluster.engine(instance).unreachableWhenDead = true;
     cluster.engine(instance).die();
   });
   cluster.advance(1500);
--- a/packages/entry-core/src/quarantine/probeBackendServer.ts
+++ b/packages/entry-core/src/quarantine/probeBackendServer.ts
@@ -2,11 +2,11 @@
 import { makeAttemptTarget } from '../backendServers/makeAttemptTarget.js';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
-import { routeIndexOf } from '../routing/routeIndexOf.js';
+import { getRouteIndex } from '../routing/getRouteIndex.js';
 
 export function probeBackendServer(state: EntryState, instance: string): EntryEffect[] {
   const server = state.backendServers.get(instance);
   if (server === undefined) return [];
-  const pool = routeIndexOf(state).pool(server.platformInstance.pool);
+  const pool = getRouteIndex(state).pool(server.platformInstance.pool);
   return [{ type: 'probe', target: makeAttemptTarget(server, pool) }];
 }
--- a/packages/entry-core/src/quarantine/probeStalledServers.ts
+++ b/packages/entry-core/src/quarantine/probeStalledServers.ts
@@ -18,7 +18,12 @@
 const STALL_TIMEOUT_MILLISECONDS = 1500;
 
 function isStalled(attempt: AttemptState, now: MonotonicMilliseconds): boolean {
-  const { firstTokenAt, tokensUpdatedAt = firstTokenAt, stallProbedAt = 0, givenUp } = attempt;
+  const {
+    firstTokenAt,
+    tokensUpdatedAt = firstTokenAt,
+    stallProbedAt = 0,
+    timedOut: givenUp,
+  } = attempt;
   if (tokensUpdatedAt === undefined || givenUp || attempt.pausedByCaller === true) return false;
   return now - Math.max(tokensUpdatedAt, stallProbedAt) >= STALL_TIMEOUT_MILLISECONDS;
 }
--- a/packages/entry-core/src/quarantine/randomPoisonBatches.test.ts
+++ b/packages/entry-core/src/quarantine/randomPoisonBatches.test.ts
@@ -50,7 +50,7 @@
     crashTokenByDigest: new Map([[POISON_DIGEST, batch.crashAtToken]]),
   });
   cluster.engines.forEach((engine) => {
-    engine.unreachable = batch.unreachable;
+    engine.unreachableWhenDead = batch.unreachable;
     engine.restartsImmediately = restartsImmediately;
   });
   // Let the entries receive reports from each other first.
--- a/packages/entry-core/src/quarantine/suspects.ts
+++ b/packages/entry-core/src/quarantine/suspects.ts
@@ -116,7 +116,7 @@
   if (heldUntil > now || isPendingAtEarlierPeer(state, digest)) return true;
   if (isProbedByPeer(state, digest)) return true;
   const runsHere = [...state.attempts.values()].some(
-    ({ requestId, givenUp }) =>
+    ({ requestId, timedOut: givenUp }) =>
       !givenUp && state.requests.get(requestId)?.request.digest === digest,
   );
   const runsAtPeer = listPeerSuspects(state).some(
--- a/packages/entry-core/src/reclaims/reclaims.test.ts
+++ b/packages/entry-core/src/reclaims/reclaims.test.ts
@@ -59,7 +59,7 @@
   submitRequests(cluster, 10, 50);
   cluster.reclaimByPlatformList(['wien-a-engine-1', 'wien-a-engine-2'], 1000);
   cluster.advance(2000);
-  cluster.listAliveEngines();
+  cluster.publishAliveEngines();
   assert.equal(cluster.entry.state.backendServers.size, 0);
   cluster.advance(3000);
   cluster.addEngine('wien-a-engine-3', 'wien-a');
@@ -77,7 +77,7 @@
   cluster.advance(1000);
   cluster.reclaimByPlatformList(['wien-a-engine-1'], 1000);
   cluster.advance(2000);
-  cluster.listAliveEngines();
+  cluster.publishAliveEngines();
   cluster.runUntilAnswered();
   const finalAnswer = caller.finalAnswers[0];
   assert.equal(finalAnswer?.type === 'problem' && finalAnswer.kind, 'noBackendServer');
--- a/packages/entry-core/src/requests/RequestState.ts
+++ b/packages/entry-core/src/requests/RequestState.ts
@@ -34,11 +34,11 @@
   /** True once an attempt may have sent a byte; see `determineRan`. */
   maybeSent?: boolean;
   /** True while another attempt holds the claim of this call; see `determineRan`. */
-  mayRunElsewhere?: boolean;
+  mayRunForOtherRequest?: boolean;
   /** How often this request has lost its backend server or connection. */
   lossCount?: number;
   /** Unresponsive attempts that may still deliver the answer first. */
-  abandonedAttemptIds?: string[];
+  timedOutAttemptIds?: string[];
   /** Since when no backend server has been available for it. */
   waitingForServerSince?: MonotonicMilliseconds;
   /** The tokens that the next attempt has to compute again, and why. */
--- a/packages/entry-core/src/requests/determineRan.ts
+++ b/packages/entry-core/src/requests/determineRan.ts
@@ -7,6 +7,6 @@
 import type { RequestState } from './RequestState.js';
 
 export function determineRan(accepted: RequestState): Ran {
-  const { attemptId, maybeSent = false, mayRunElsewhere = false } = accepted;
+  const { attemptId, maybeSent = false, mayRunForOtherRequest: mayRunElsewhere = false } = accepted;
   return attemptId === undefined && !maybeSent && !mayRunElsewhere ? 'no' : 'unknown';
 }
--- a/packages/entry-core/src/routing/routeIndexOf.ts
+++ b/packages/entry-core/src/routing/getRouteIndex.ts
@@ -4,7 +4,7 @@
 import type { EntryState } from '../EntryState.js';
 import { RouteIndex } from './RouteIndex.js';
 
-export function routeIndexOf(state: EntryState): RouteIndex {
+export function getRouteIndex(state: EntryState): RouteIndex {
   if (state.routeIndex.configuration !== state.configuration) {
     state.routeIndex = new RouteIndex(state.configuration);
   }
--- a/packages/entry-core/src/testing/EntryHarness.ts
+++ b/packages/entry-core/src/testing/EntryHarness.ts
@@ -31,17 +31,17 @@
   readonly routes: readonly Route[];
   readonly pool: Pool;
   /** Maximum number of queued requests of each entry; 1000 by default. */
-  readonly queuedRequests?: number;
+  readonly maxQueuedRequests?: number;
   /**
    * Interval at which load reports are sent, and the delay until each arrives; none are sent by
    * default.
    */
-  readonly loadLag?: Milliseconds;
+  readonly loadReportInterval?: Milliseconds;
   /**
    * Interval at which cache events are sent, and the delay until each arrives; none are sent by
    * default.
    */
-  readonly cacheLag?: Milliseconds;
+  readonly cacheEventInterval?: Milliseconds;
   /** Returns true for the sequence numbers of cache events that get lost. */
   readonly losesCacheEvent?: (sequence: number) => boolean;
   /** Interval between the reports of entries to each other; none are sent by default. */
@@ -91,7 +91,7 @@
         instance: `entry-${number}`,
         dataCentre: 'dc-a',
         incarnation: STARTED_AT,
-        maxQueuedRequests: options.queuedRequests ?? 1000,
+        maxQueuedRequests: options.maxQueuedRequests ?? 1000,
       }),
     );
     this.configure();
@@ -146,7 +146,11 @@
   }
 
   private startClocks(): void {
-    const { loadLag, cacheLag, reportInterval } = this.options;
+    const {
+      loadReportInterval: loadLag,
+      cacheEventInterval: cacheLag,
+      reportInterval,
+    } = this.options;
     this.timeline.every(TICK_MILLISECONDS, () => this.send({ type: 'tick' }));
     if (loadLag !== undefined) this.timeline.every(loadLag, () => this.reportLoad(loadLag));
     if (cacheLag !== undefined) this.timeline.every(cacheLag, () => this.reportCaches(cacheLag));
--- a/packages/entry-core/src/testing/examples.ts
+++ b/packages/entry-core/src/testing/examples.ts
@@ -66,6 +66,6 @@
  * Returns the fields of a route whose first-token deadline is the given one and whose whole-answer
  * deadline is long.
  */
-export function firstTokenWithin(firstTokenMilliseconds: Milliseconds): Record<string, unknown> {
+export function makeDeadlineFields(firstTokenMilliseconds: Milliseconds): Record<string, unknown> {
   return { deadline: { firstTokenMilliseconds, wholeAnswerMilliseconds: 600_000 } };
 }
