--- a/apps/controller/src/FleetExchange.ts
+++ b/apps/controller/src/FleetExchange.ts
@@ -8,7 +8,7 @@
   ControllerSettings,
   EntryRequest,
   EntryResponse,
-  FleetDrains,
+  DrainedInstances,
   RouteDemandReport,
   StoreAddress,
 } from '@hornbeampond/schema';
@@ -25,7 +25,7 @@
   readonly context: PeerContext;
   readonly timers: TimerService;
   /** What entries are told, or nothing while no lease is held. */
-  readDrains(): FleetDrains | undefined;
+  readDrains(): DrainedInstances | undefined;
   /** What other controllers are told, or nothing while no lease is held. */
   readReport(withShapes: boolean): DataCentreReport | undefined;
   onDemand(entry: string, demand: readonly RouteDemandReport[]): void;
--- a/apps/entry/src/EntryPeers.ts
+++ b/apps/entry/src/EntryPeers.ts
@@ -13,7 +13,7 @@
   EntryRequest,
   EntryResponse,
   EntrySettings,
-  FleetDrains,
+  DrainedInstances,
   PeerReport,
   RouteDemandReport,
 } from '@hornbeampond/schema';
@@ -24,7 +24,7 @@
   readConfiguration(): Configuration;
   readDemand(): readonly RouteDemandReport[];
   onReport(report: PeerReport): void;
-  onDrains(drains: FleetDrains): void;
+  onDrains(drains: DrainedInstances): void;
 }
 
 const PEEK_MILLISECONDS = 500;
--- a/apps/store/src/FolderDisk.ts
+++ b/apps/store/src/FolderDisk.ts
@@ -9,7 +9,7 @@
   type LogNotice,
   type PersistEffect,
 } from '@hornbeampond/store-core';
-import type { RememberedEntries } from '@hornbeampond/schema';
+import type { PersistedEntryData } from '@hornbeampond/schema';
 import { StoreDisk, type DiskContents, type SavedSnapshot } from './StoreDisk.js';
 
 const MEMORY_FILE = 'entries';
@@ -50,13 +50,13 @@
     await this.opened.discardLog(throughIndex);
   }
 
-  override async readPersistedEntryState(): Promise<RememberedEntries | undefined> {
+  override async readPersistedEntryState(): Promise<PersistedEntryData | undefined> {
     const { folder } = this.options;
     const read = await readWholeFile(new NodeFileSystem(), folder, MEMORY_FILE);
-    return read as RememberedEntries | undefined;
+    return read as PersistedEntryData | undefined;
   }
 
-  override async savePersistedEntryState(memory: RememberedEntries): Promise<void> {
+  override async savePersistedEntryState(memory: PersistedEntryData): Promise<void> {
     await replaceFile(new NodeFileSystem(), this.options.folder, MEMORY_FILE, memory);
   }
 
--- a/apps/store/src/InstanceListCache.ts
+++ b/apps/store/src/InstanceListCache.ts
@@ -8,7 +8,7 @@
   Milliseconds,
   MonotonicMilliseconds,
   SharedInstance,
-  SharedInstances,
+  InstanceListDelta,
 } from '@hornbeampond/schema';
 
 /** Both come from the same codec, with their fields in the same order. */
@@ -31,7 +31,7 @@
   }
 
   /** Takes in a reading, and returns what it has changed. */
-  update(instances: readonly SharedInstance[]): SharedInstances {
+  update(instances: readonly SharedInstance[]): InstanceListDelta {
     const before = this.known;
     this.known = new Map(instances.map((instance) => [instance.instance, instance]));
     this.readAt = this.timers.monotonicNow();
--- a/apps/store/src/PersistedEntryState.test.ts
+++ b/apps/store/src/PersistedEntryState.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Logger } from '@hornbeampond/runtime';
-import type { EntryReport, Milliseconds, RememberedEntries } from '@hornbeampond/schema';
+import type { EntryReport, Milliseconds, PersistedEntryData } from '@hornbeampond/schema';
 import { ManualTimerService } from '@hornbeampond/testing';
 import { PersistedEntryState } from './PersistedEntryState.js';
 import { MemoryDisk } from './testing/MemoryDisk.js';
@@ -73,7 +73,7 @@
     throw new Error('ENOSPC');
   }
 
-  override async readPersistedEntryState(): Promise<RememberedEntries | undefined> {
+  override async readPersistedEntryState(): Promise<PersistedEntryData | undefined> {
     throw new Error('the checksum does not match');
   }
 }
--- a/apps/store/src/PersistedEntryState.ts
+++ b/apps/store/src/PersistedEntryState.ts
@@ -14,7 +14,7 @@
   EntryReport,
   EntrySpending,
   Milliseconds,
-  RememberedEntries,
+  PersistedEntryData,
   WorkReport,
 } from '@hornbeampond/schema';
 import { RecentPrefixes } from './RecentPrefixes.js';
@@ -34,9 +34,9 @@
 }
 
 export class PersistedEntryState {
-  private spending: RememberedEntries['spending'];
+  private spending: PersistedEntryData['spending'];
 
-  private delays: RememberedEntries['delays'] = {};
+  private delays: PersistedEntryData['delays'] = {};
 
   private readonly prefixes = new RecentPrefixes();
 
@@ -53,7 +53,7 @@
 
   constructor(private readonly options: PersistedEntryStateOptions) {}
 
-  get contents(): RememberedEntries {
+  get contents(): PersistedEntryData {
     const { spending, delays } = this;
     return {
       ...(spending === undefined ? {} : { spending }),
--- a/apps/store/src/RecentEntryUsage.ts
+++ b/apps/store/src/RecentEntryUsage.ts
@@ -1,5 +1,5 @@
 /** What each life of an entry has told of the requests that began to run, in the newest windows. */
-import type { BegunCounts, EntryUsage } from '@hornbeampond/schema';
+import type { UsageCountsByWindow, EntryUsage } from '@hornbeampond/schema';
 
 /** Older windows have been reported. */
 const KEPT_WINDOWS = 4;
@@ -26,7 +26,7 @@
     });
   }
 
-  private withoutOld(begun: BegunCounts): BegunCounts {
+  private withoutOld(begun: UsageCountsByWindow): UsageCountsByWindow {
     const isKept = ([number]: readonly [string, unknown]) =>
       Number(number) > this.newest - KEPT_WINDOWS;
     return Object.fromEntries(Object.entries(begun).filter(isKept));
--- a/apps/store/src/StoreDisk.ts
+++ b/apps/store/src/StoreDisk.ts
@@ -2,7 +2,7 @@
  * What a store needs of its disk. Whatever resolves here is synced; nothing is acknowledged to
  * anyone before.
  */
-import type { RememberedEntries } from '@hornbeampond/schema';
+import type { PersistedEntryData } from '@hornbeampond/schema';
 import type { PersistEffect, RestoredState, SavedSnapshot } from '@hornbeampond/store-core';
 
 export type { SavedSnapshot };
@@ -30,9 +30,9 @@
   abstract discardLog(throughIndex: number): Promise<void>;
 
   /** What `saveMemory` kept last, or undefined. */
-  abstract readPersistedEntryState(): Promise<RememberedEntries | undefined>;
+  abstract readPersistedEntryState(): Promise<PersistedEntryData | undefined>;
 
-  abstract savePersistedEntryState(memory: RememberedEntries): Promise<void>;
+  abstract savePersistedEntryState(memory: PersistedEntryData): Promise<void>;
 
   abstract close(): Promise<void>;
 }
--- a/apps/store/src/StoreRequestHandler.ts
+++ b/apps/store/src/StoreRequestHandler.ts
@@ -6,7 +6,7 @@
 import {
   assertNever,
   type EntryReport,
-  type RememberedEntries,
+  type PersistedEntryData,
   type SpendingReport,
   type StoreCommand,
   type StoreRequest,
@@ -45,7 +45,7 @@
   readonly instanceList: InstanceListCache;
   /** Names of all instances on the list, when it was read. */
   onInstanceList(instances: readonly string[]): void;
-  readPersistedEntryState(): RememberedEntries;
+  readPersistedEntryState(): PersistedEntryData;
   /** Fewest voters with which operators' changes are taken. */
   readonly leastVoters: number;
 }
--- a/apps/store/src/testing/MemoryDisk.ts
+++ b/apps/store/src/testing/MemoryDisk.ts
@@ -3,7 +3,7 @@
  */
 import { randomUUID } from 'node:crypto';
 import type { LogEntry, PersistEffect } from '@hornbeampond/store-core';
-import type { RememberedEntries } from '@hornbeampond/schema';
+import type { PersistedEntryData } from '@hornbeampond/schema';
 import { StoreDisk, type DiskContents, type SavedSnapshot } from '../StoreDisk.js';
 
 export class MemoryDisk extends StoreDisk {
@@ -19,7 +19,7 @@
 
   private snapshot: SavedSnapshot | undefined;
 
-  private memory: RememberedEntries | undefined;
+  private memory: PersistedEntryData | undefined;
 
   override async open(instance: string): Promise<DiskContents> {
     this.runs += 1;
@@ -68,11 +68,11 @@
     // Nothing is open.
   }
 
-  override async readPersistedEntryState(): Promise<RememberedEntries | undefined> {
+  override async readPersistedEntryState(): Promise<PersistedEntryData | undefined> {
     return this.memory;
   }
 
-  override async savePersistedEntryState(memory: RememberedEntries): Promise<void> {
+  override async savePersistedEntryState(memory: PersistedEntryData): Promise<void> {
     this.memory = memory;
   }
 }
--- a/packages/entry-core/src/EntryState.ts
+++ b/packages/entry-core/src/EntryState.ts
@@ -1,7 +1,11 @@
 /** The in-memory state of an entry. Only the reducer modifies it. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
-import { emptyConfiguration, type Configuration, type FleetDrains } from '@hornbeampond/schema';
+import {
+  emptyConfiguration,
+  type Configuration,
+  type DrainedInstances,
+} from '@hornbeampond/schema';
 import type { RequestAwaitingConfiguration } from './admission/awaitConfiguration.js';
 import { makeAdmissionState, type AdmissionState } from './admission/AdmissionState.js';
 import type { AttemptState } from './attempts/AttemptState.js';
@@ -49,7 +53,7 @@
   readonly demand: DemandMeter;
   readonly usage: UsageMeter;
   /** Backend servers that controllers have taken out of service, by data centre. */
-  readonly drains: Map<string, FleetDrains>;
+  readonly drains: Map<string, DrainedInstances>;
   readonly retries: RetryState;
   readonly quarantine: QuarantineState;
   readonly reclaims: ReclaimState;
--- a/packages/entry-core/src/admission/admitRequest.ts
+++ b/packages/entry-core/src/admission/admitRequest.ts
@@ -3,7 +3,7 @@
  * queues its first attempt.
  */
 import {
-  isClaimed,
+  requiresClaim,
   type EpochMilliseconds,
   type Milliseconds,
   type MonotonicMilliseconds,
@@ -21,7 +21,7 @@
 import { deadlineAt } from '../routing/deadlineAt.js';
 import { findRoute } from '../routing/findRoute.js';
 import { getRouteIndex } from '../routing/getRouteIndex.js';
-import { acquireLimit } from '../limits/releaseEndedRequests.js';
+import { acquireConcurrencySlot } from '../limits/releaseEndedRequests.js';
 import { spendAllowance } from '../limits/checkAllowance.js';
 import { awaitConfiguration } from './awaitConfiguration.js';
 import { markLate } from './serveLate.js';
@@ -126,7 +126,7 @@
   if (pool === undefined) {
     return refuseRequest(request, 'noBackendServer', `Pool "${poolName}" does not exist`);
   }
-  if (isClaimed(route) && request.idempotencyKey === undefined) {
+  if (requiresClaim(route) && request.idempotencyKey === undefined) {
     return refuseRequest(
       request,
       'idempotencyKeyMissing',
@@ -144,7 +144,7 @@
   const lateEffects = decision.type === 'late' ? markLate(accepted) : [];
   const server = decision.type === 'admitted' ? decision.server : undefined;
   state.requests.set(request.requestId, accepted);
-  acquireLimit(state, request.requestId, route.name, request.workspace);
+  acquireConcurrencySlot(state, request.requestId, route.name, request.workspace);
   return [
     ...spendAllowance(state, accepted),
     ...lateEffects,
@@ -160,7 +160,7 @@
         tokens: request.countedTokens,
       },
     },
-    ...(isClaimed(route)
+    ...(requiresClaim(route)
       ? beginClaim(state, accepted, timestamps)
       : startAttempt(state, accepted, timestamps.now, server)),
   ];
--- a/packages/entry-core/src/advanceEntry.ts
+++ b/packages/entry-core/src/advanceEntry.ts
@@ -8,7 +8,7 @@
 import type { Timestamps } from './entryEvents.js';
 import type { EntryState } from './EntryState.js';
 import { advanceWorkReports } from './backendServers/shareWork.js';
-import { updatePeerLiveness } from './membership/livePeers.js';
+import { updatePeerReachability } from './membership/livePeers.js';
 import { advanceReports } from './membership/advanceReports.js';
 import { advanceSuspects } from './quarantine/advanceSuspects.js';
 import { advanceLosses } from './quarantine/classifyLoss.js';
@@ -20,7 +20,7 @@
 
 export function advanceEntry(state: EntryState, timestamps: Timestamps): EntryEffect[] {
   state.membership.wallOffset = timestamps.wallNow - timestamps.now;
-  updatePeerLiveness(state, timestamps.now);
+  updatePeerReachability(state, timestamps.now);
   advanceSuspects(state, timestamps.now);
   return [
     ...enforceDeadlines(state, timestamps.now),
--- a/packages/entry-core/src/attempts/releaseAttempts.ts
+++ b/packages/entry-core/src/attempts/releaseAttempts.ts
@@ -2,7 +2,7 @@
  * Ends attempts from the entry's side. The state of an attempt is removed before the effect that
  * cancels it is returned, so that later events of the attempt are ignored.
  */
-import { isClaimed } from '@hornbeampond/schema';
+import { requiresClaim } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
@@ -52,7 +52,7 @@
   const { requestId } = requestState.request;
   state.retries.waiting.delete(requestId);
   removeCacheMove(state, requestId);
-  const effects = isClaimed(requestState.route) ? [] : cancelAttempt(state, requestState);
+  const effects = requiresClaim(requestState.route) ? [] : cancelAttempt(state, requestState);
   requestState.timedOutAttemptIds?.forEach((attemptId) => {
     if (state.attempts.delete(attemptId)) effects.push({ type: 'cancelAttempt', attemptId });
   });
--- a/packages/entry-core/src/attempts/retryRequest.ts
+++ b/packages/entry-core/src/attempts/retryRequest.ts
@@ -2,7 +2,7 @@
  * Decides whether and when a request whose attempt failed is retried. If it is not, the refusal is
  * counted by its reason and the request fails immediately.
  */
-import { isClaimed } from '@hornbeampond/schema';
+import { requiresClaim } from '@hornbeampond/schema';
 import type {
   ErrorKind,
   Milliseconds,
@@ -74,7 +74,7 @@
 ): EntryEffect[] {
   if (!requestState.route.idempotent && requestState.maybeSent === true) {
     const detail = 'The call may have run and is not idempotent, so it is not retried';
-    const kind = isClaimed(requestState.route) ? 'outcomeUnknown' : 'backendServerFailed';
+    const kind = requiresClaim(requestState.route) ? 'outcomeUnknown' : 'backendServerFailed';
     return refuseRetry(state, requestState, 'notIdempotent', kind, detail);
   }
   if (requestState.attemptsStarted >= (requestState.route.mostAttempts ?? Infinity)) {
--- a/packages/entry-core/src/backendServers/DelayRegression.ts
+++ b/packages/entry-core/src/backendServers/DelayRegression.ts
@@ -3,7 +3,11 @@
  * samples fade. For the first-token delay the intercept is the fixed cost of a request and the
  * slope the prefill time per token.
  */
-import type { LearntDelay, Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
+import type {
+  DelayRegressionState,
+  Milliseconds,
+  MonotonicMilliseconds,
+} from '@hornbeampond/schema';
 
 const SAMPLE_WEIGHT = 0.05;
 const PRIOR_MEAN_WORK = 1000;
@@ -43,14 +47,14 @@
   }
 
   /** The estimate, for other entries to adopt; undefined while the prior still dominates. */
-  toLearntDelay(): LearntDelay | undefined {
+  toRegressionState(): DelayRegressionState | undefined {
     const { samples, meanX, meanY, meanXX, meanXY } = this;
     if (samples < MIN_TRUSTED_SAMPLES) return undefined;
     return { samples, meanX, meanY, meanXX, meanXY };
   }
 
   /** Adopts the estimate of another entry, unless this one has enough samples of its own. */
-  adopt({ samples, meanX, meanY, meanXX, meanXY }: LearntDelay): void {
+  adopt({ samples, meanX, meanY, meanXX, meanXY }: DelayRegressionState): void {
     if (this.samples >= MIN_TRUSTED_SAMPLES) return;
     Object.assign(this, { meanX, meanY, meanXX, meanXY });
     this.samples = Math.min(samples, MIN_TRUSTED_SAMPLES);
--- a/packages/entry-core/src/backendServers/estimateInProgress.ts
+++ b/packages/entry-core/src/backendServers/estimateInProgress.ts
@@ -64,7 +64,7 @@
  */
 function isEveryPeerConnected({ membership }: EntryState): boolean {
   if (membership.peers.size === 0) return false;
-  return [...membership.peers.values()].every(({ live }) => live);
+  return [...membership.peers.values()].every(({ isReachable: live }) => live);
 }
 
 /**
--- a/packages/entry-core/src/backendServers/receiveDrains.ts
+++ b/packages/entry-core/src/backendServers/receiveDrains.ts
@@ -5,10 +5,10 @@
  * controller that has lost its lease without noticing could put a server back into service while
  * its successor is about to stop that server.
  */
-import type { FleetDrains } from '@hornbeampond/schema';
+import type { DrainedInstances } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 
-export function receiveDrains(state: EntryState, drains: FleetDrains): void {
+export function receiveDrains(state: EntryState, drains: DrainedInstances): void {
   const previous = state.drains.get(drains.dataCentre);
   if (previous !== undefined && previous.epoch > drains.epoch) return;
   state.drains.set(drains.dataCentre, drains);
--- a/packages/entry-core/src/backendServers/shareWork.ts
+++ b/packages/entry-core/src/backendServers/shareWork.ts
@@ -19,7 +19,7 @@
 
 export function advanceWorkReports(state: EntryState, now: MonotonicMilliseconds): EntryEffect[] {
   const { instance, incarnation } = state.identity;
-  state.membership.peers.forEach(({ live }, peer) => {
+  state.membership.peers.forEach(({ isReachable: live }, peer) => {
     if (!live) state.workReports.removePeerWork(peer);
   });
   const entryCount = state.membership.peers.size + 1;
--- a/packages/entry-core/src/claims/ClaimedCallState.ts
+++ b/packages/entry-core/src/claims/ClaimedCallState.ts
@@ -8,7 +8,7 @@
   Milliseconds,
   MonotonicMilliseconds,
   OpenClaimCommand,
-  Ran,
+  RanStatus,
   ReleaseClaimCommand,
   SettleClaimCommand,
   ClaimResult,
@@ -82,7 +82,7 @@
   | { readonly type: 'startResendTimer'; readonly after: Milliseconds }
   | { readonly type: 'sendCall'; readonly attemptId: string }
   | { readonly type: 'answer'; readonly answer: StoredAnswer; readonly replayed: boolean }
-  | { readonly type: 'refuse'; readonly kind: ErrorKind; readonly ran: Ran }
+  | { readonly type: 'refuse'; readonly kind: ErrorKind; readonly ran: RanStatus }
   /**
    * The call was not sent and the claim is released. Whoever applies the effect may try another
    * backend server under a new claim, or fail the request with `ran: no`.
--- a/packages/entry-core/src/claims/reduceClaimedCall.test.ts
+++ b/packages/entry-core/src/claims/reduceClaimedCall.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { LARGEST_STORED_ANSWER_BYTES, type ClaimResult } from '@hornbeampond/schema';
+import { MAX_STORED_ANSWER_BYTES, type ClaimResult } from '@hornbeampond/schema';
 import { matchSnapshot } from '@hornbeampond/testing';
 import type {
   ClaimCommand,
@@ -157,7 +157,7 @@
 test('claimed call: a body too large for the log is still sent to the caller', () => {
   const call = startCall();
   reduceClaimedCall(call, opened);
-  const large = { ...answer, body: new Uint8Array(LARGEST_STORED_ANSWER_BYTES + 1) };
+  const large = { ...answer, body: new Uint8Array(MAX_STORED_ANSWER_BYTES + 1) };
   const [answering, settling] = reduceClaimedCall(call, { type: 'answered', answer: large });
   assert.deepEqual(answering, { type: 'answer', answer: large, replayed: false });
   const command = settling?.type === 'propose' ? settling.command : undefined;
--- a/packages/entry-core/src/claims/reduceClaimedCall.ts
+++ b/packages/entry-core/src/claims/reduceClaimedCall.ts
@@ -5,11 +5,11 @@
  * caller from sending the call again.
  */
 import {
-  LARGEST_STORED_ANSWER_BYTES,
+  MAX_STORED_ANSWER_BYTES,
   type ErrorKind,
   type Milliseconds,
   type MonotonicMilliseconds,
-  type Ran,
+  type RanStatus,
   type StoredAnswer,
 } from '@hornbeampond/schema';
 import type {
@@ -111,7 +111,7 @@
 }
 
 /** Fails the request unless the caller already has its final answer. */
-function refuse(call: ClaimedCallState, kind: ErrorKind, ran: Ran): ClaimedCallEffect[] {
+function refuse(call: ClaimedCallState, kind: ErrorKind, ran: RanStatus): ClaimedCallEffect[] {
   if (call.resolved) return [];
   call.resolved = true;
   return [{ type: 'refuse', kind, ran }];
@@ -267,7 +267,7 @@
 /** Drops a body too large for the log. Later requests are told only that the call ran. */
 function omitOversizedBody(answer: StoredAnswer): StoredAnswer {
   const bytes = answer.body?.byteLength ?? 0;
-  if (bytes <= LARGEST_STORED_ANSWER_BYTES) return answer;
+  if (bytes <= MAX_STORED_ANSWER_BYTES) return answer;
   return { status: answer.status, headers: answer.headers };
 }
 
--- a/packages/entry-core/src/demand/UsageMeter.ts
+++ b/packages/entry-core/src/demand/UsageMeter.ts
@@ -2,7 +2,7 @@
  * Counts the requests of each workspace that have started to run, by window of the wall clock. One
  * process adds up the counts of all entries and reports them.
  */
-import type { BegunCounts, EpochMilliseconds, Milliseconds } from '@hornbeampond/schema';
+import type { UsageCountsByWindow, EpochMilliseconds, Milliseconds } from '@hornbeampond/schema';
 
 /** Enough for a process that has just taken over the reporting. */
 const RETAINED_WINDOW_COUNT = 6;
@@ -28,14 +28,14 @@
   }
 
   /** Counts of the windows that have changed since the last call. */
-  takeChanged(): BegunCounts | undefined {
+  takeChanged(): UsageCountsByWindow | undefined {
     if (this.changed.size === 0) return undefined;
     const numbers = [...this.changed];
     this.changed.clear();
     return Object.fromEntries(numbers.map((number) => [number, { ...this.windows.get(number) }]));
   }
 
-  read(): BegunCounts {
+  read(): UsageCountsByWindow {
     return Object.fromEntries([...this.windows].map(([number, counts]) => [number, { ...counts }]));
   }
 }
--- a/packages/entry-core/src/entryEffects.ts
+++ b/packages/entry-core/src/entryEffects.ts
@@ -7,7 +7,7 @@
   MetricName,
   Milliseconds,
   PoolKind,
-  Ran,
+  RanStatus,
   SpendingReport,
   StoreCommand,
   StoredAnswer,
@@ -74,7 +74,7 @@
       readonly kind: ErrorKind;
       readonly detail: string;
       readonly retryAfterMilliseconds?: Milliseconds;
-      readonly ran?: Ran;
+      readonly ran?: RanStatus;
       /**
        * Number of answer tokens the caller has; a resend with them as its prefix continues there.
        */
--- a/packages/entry-core/src/entryEvents.ts
+++ b/packages/entry-core/src/entryEvents.ts
@@ -8,13 +8,13 @@
   Configuration,
   EntryReport,
   EpochMilliseconds,
-  FleetDrains,
+  DrainedInstances,
   LoadReport,
   Milliseconds,
   MonotonicMilliseconds,
   PlatformInstance,
-  QuarantineEntry,
-  RememberedEntries,
+  QuarantineRecord,
+  PersistedEntryData,
   SpendingReport,
   StoredAnswer,
   WorkReport,
@@ -88,7 +88,7 @@
       readonly goneAt: EpochMilliseconds;
     }
   | { readonly type: 'loadReported'; readonly report: LoadReport }
-  | { readonly type: 'drainsReceived'; readonly drains: FleetDrains }
+  | { readonly type: 'drainsReceived'; readonly drains: DrainedInstances }
   | { readonly type: 'cacheEventsReceived'; readonly events: readonly CacheEvent[] }
   | {
       readonly type: 'probeAnswered';
@@ -144,10 +144,10 @@
       readonly command: ClaimCommand['type'];
       readonly answer: ClaimAnswer;
     }
-  | { readonly type: 'quarantineReceived'; readonly quarantine: readonly QuarantineEntry[] }
+  | { readonly type: 'quarantineReceived'; readonly quarantine: readonly QuarantineRecord[] }
   | { readonly type: 'entryReported'; readonly report: EntryReport }
   /** State of the entries that a store has persisted. */
-  | { readonly type: 'knowledgeRemembered'; readonly remembered: RememberedEntries }
+  | { readonly type: 'knowledgeRemembered'; readonly remembered: PersistedEntryData }
   | { readonly type: 'workReported'; readonly work: WorkReport }
   | { readonly type: 'spendingReported'; readonly spending: SpendingReport }
   | {
--- a/packages/entry-core/src/limits/AllowanceLimiter.ts
+++ b/packages/entry-core/src/limits/AllowanceLimiter.ts
@@ -11,9 +11,9 @@
   EpochMilliseconds,
   Milliseconds,
   MonotonicMilliseconds,
-  RememberedSpending,
+  PersistedSpending,
   SpendingReport,
-  WindowSpending,
+  SpendingBySecond,
 } from '@hornbeampond/schema';
 import { SLICE_MILLISECONDS, SpendingWindow } from './SpendingWindow.js';
 
@@ -140,7 +140,7 @@
   }
 
   /** Known spending of each workspace at all entries in its window, by second, newest first. */
-  windowSpent(now: MonotonicMilliseconds): WindowSpending {
+  windowSpent(now: MonotonicMilliseconds): SpendingBySecond {
     // Without requests for a workspace here its window length is unknown; a fixed time is used.
     const spent = [...this.totalSpending.workspaces].map((workspace) => {
       const windowLength = this.windowLengths.get(workspace) ?? PEER_EXPIRY_MILLISECONDS;
@@ -255,7 +255,7 @@
    * @param ownInstance - Name of this entry; the store may list an earlier incarnation of it.
    */
   restore(
-    { at, windowSpent, windowReach, entries }: RememberedSpending,
+    { at, windowSpent, windowReach, entries }: PersistedSpending,
     ownInstance: string,
     now: MonotonicMilliseconds,
     wallNow: EpochMilliseconds,
@@ -315,7 +315,7 @@
    * that restarts would start with an empty window and allow it to be spent again.
    */
   private mergeWindow(
-    windowSpent: WindowSpending,
+    windowSpent: SpendingBySecond,
     historyLength: Milliseconds,
     at: MonotonicMilliseconds,
   ): void {
--- a/packages/entry-core/src/limits/releaseEndedRequests.ts
+++ b/packages/entry-core/src/limits/releaseEndedRequests.ts
@@ -29,7 +29,7 @@
   state.limits.concurrencyLimiter.release(key, requestId);
 }
 
-export function acquireLimit(
+export function acquireConcurrencySlot(
   state: EntryState,
   requestId: string,
   route: string,
--- a/packages/entry-core/src/limits/testing/AllowanceSimulation.ts
+++ b/packages/entry-core/src/limits/testing/AllowanceSimulation.ts
@@ -8,7 +8,7 @@
   EntryReport,
   EntrySpending,
   Milliseconds,
-  RememberedSpending,
+  PersistedSpending,
   SpendingReport,
 } from '@hornbeampond/schema';
 import { AllowanceLimiter, type AllowanceDecision } from '../AllowanceLimiter.js';
@@ -70,10 +70,10 @@
   private messages: Message[] = [];
 
   /** What the stores have on disk. */
-  private persisted: RememberedSpending | undefined;
+  private persisted: PersistedSpending | undefined;
 
   /** What the stores have in memory. */
-  private stored: RememberedSpending | undefined;
+  private stored: PersistedSpending | undefined;
 
   private readonly totals = new Map<string, EntrySpending>();
 
--- a/packages/entry-core/src/limits/receivePeerUsage.ts
+++ b/packages/entry-core/src/limits/updateLimitersFromReport.ts
@@ -5,7 +5,7 @@
 import type { EntryReport, MonotonicMilliseconds, SpendingReport } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 
-export function receivePeerUsage(
+export function updateLimitersFromReport(
   state: EntryState,
   report: EntryReport,
   now: MonotonicMilliseconds,
--- a/packages/entry-core/src/membership/MembershipState.ts
+++ b/packages/entry-core/src/membership/MembershipState.ts
@@ -6,7 +6,7 @@
   readonly report: EntryReport;
   readonly receivedAt: MonotonicMilliseconds;
   /** False once its reports have timed out. */
-  live: boolean;
+  isReachable: boolean;
 }
 
 export interface MembershipState {
--- a/packages/entry-core/src/membership/advanceReports.ts
+++ b/packages/entry-core/src/membership/advanceReports.ts
@@ -2,7 +2,7 @@
  * Sends this entry's report to its peers: once a second, and with the next tick when there is
  * something that cannot wait, such as a reclaim notice.
  */
-import type { EntryReport, LearntDelay, PeerSuspect } from '@hornbeampond/schema';
+import type { EntryReport, DelayRegressionState, PeerSuspect } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
 import type { Timestamps } from '../entryEvents.js';
 import { buildDemandReports } from '../demand/buildDemandReports.js';
@@ -60,10 +60,10 @@
 }
 
 /** Learnt time to the first token, by pool; pools with too few samples are left out. */
-function collectFirstTokenDelays(state: EntryState): Record<string, LearntDelay> {
-  const delays: Record<string, LearntDelay> = {};
+function collectFirstTokenDelays(state: EntryState): Record<string, DelayRegressionState> {
+  const delays: Record<string, DelayRegressionState> = {};
   state.poolStates.forEach(({ firstTokenRegression }, pool) => {
-    const delay = firstTokenRegression.toLearntDelay();
+    const delay = firstTokenRegression.toRegressionState();
     if (delay !== undefined) delays[pool] = delay;
   });
   return delays;
--- a/packages/entry-core/src/membership/livePeers.ts
+++ b/packages/entry-core/src/membership/livePeers.ts
@@ -13,14 +13,16 @@
 const PEER_REPORT_EXPIRY_MILLISECONDS = 600_000;
 
 export function livePeers(state: EntryState): PeerState[] {
-  return [...state.membership.peers.values()].filter(({ live, report }) => live && !report.leaving);
+  return [...state.membership.peers.values()].filter(
+    ({ isReachable: live, report }) => live && !report.leaving,
+  );
 }
 
 /** Updates which peers are reachable, and removes expired ones. */
-export function updatePeerLiveness(state: EntryState, now: MonotonicMilliseconds): void {
+export function updatePeerReachability(state: EntryState, now: MonotonicMilliseconds): void {
   state.membership.peers.forEach((peer, instance) => {
     const sinceLastReport = now - peer.receivedAt;
-    peer.live = sinceLastReport < PEER_TIMEOUT_MILLISECONDS;
+    peer.isReachable = sinceLastReport < PEER_TIMEOUT_MILLISECONDS;
     if (sinceLastReport >= PEER_REPORT_EXPIRY_MILLISECONDS) state.membership.peers.delete(instance);
   });
 }
--- a/packages/entry-core/src/membership/receivePeerReport.ts
+++ b/packages/entry-core/src/membership/receivePeerReport.ts
@@ -25,7 +25,11 @@
   if (report.instance === state.identity.instance) return [];
   const known = state.membership.peers.get(report.instance);
   if (!isNewer(report, known?.report)) return [];
-  state.membership.peers.set(report.instance, { report, receivedAt: timestamps.now, live: true });
+  state.membership.peers.set(report.instance, {
+    report,
+    receivedAt: timestamps.now,
+    isReachable: true,
+  });
   const quarantine = report.suspects.flatMap(({ digest, quarantinedUntil: until }) =>
     until === undefined ? [] : [{ digest, until }],
   );
--- a/packages/entry-core/src/membership/restorePersistedState.ts
+++ b/packages/entry-core/src/membership/restorePersistedState.ts
@@ -2,7 +2,7 @@
  * Restores, when an entry starts, the state that a store has persisted: spending, delays to the
  * first token and cached prefixes.
  */
-import type { MonotonicMilliseconds, RememberedEntries } from '@hornbeampond/schema';
+import type { MonotonicMilliseconds, PersistedEntryData } from '@hornbeampond/schema';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
 import { getPoolState } from '../backendServers/getPoolState.js';
 import type { Timestamps } from '../entryEvents.js';
@@ -10,7 +10,7 @@
 
 export function restorePersistedState(
   state: EntryState,
-  { spending, delays, computed }: RememberedEntries,
+  { spending, delays, computed }: PersistedEntryData,
   { now, wallNow }: Timestamps,
 ): void {
   if (spending !== undefined) {
--- a/packages/entry-core/src/quarantine/quarantineDigest.ts
+++ b/packages/entry-core/src/quarantine/quarantineDigest.ts
@@ -3,7 +3,7 @@
  * requests with this digest are failed and sent to no backend server. Peers apply it when they
  * receive the next report of this entry.
  */
-import type { QuarantineEntry } from '@hornbeampond/schema';
+import type { QuarantineRecord } from '@hornbeampond/schema';
 import { cancelAttempt } from '../attempts/releaseAttempts.js';
 import type { EntryEffect } from '../entryEffects.js';
 import type { Timestamps } from '../entryEvents.js';
@@ -71,7 +71,7 @@
  */
 export function receiveQuarantine(
   state: EntryState,
-  entries: readonly QuarantineEntry[],
+  entries: readonly QuarantineRecord[],
   timestamps: Timestamps,
 ): EntryEffect[] {
   return entries.flatMap(({ digest, until }) => {
--- a/packages/entry-core/src/quarantine/suspects.ts
+++ b/packages/entry-core/src/quarantine/suspects.ts
@@ -25,7 +25,7 @@
  * instance on which they run, which is no longer known.
  */
 function listPeerSuspects(state: EntryState): PeerSuspect[] {
-  return [...state.membership.peers.values()].flatMap(({ report, live }) =>
+  return [...state.membership.peers.values()].flatMap(({ report, isReachable: live }) =>
     live
       ? report.suspects
       : report.suspects.map((suspect) => ({ ...suspect, runningAt: undefined })),
@@ -82,7 +82,7 @@
  */
 function isPendingAtEarlierPeer(state: EntryState, digest: string): boolean {
   return [...state.membership.peers.values()].some(
-    ({ live, report }) =>
+    ({ isReachable: live, report }) =>
       live &&
       report.instance < state.identity.instance &&
       report.suspects.some((suspect) => suspect.digest === digest && suspect.pending === true),
@@ -92,7 +92,7 @@
 /** True if a reachable peer is still probing a loss that affected this request. */
 function isProbedByPeer(state: EntryState, digest: string): boolean {
   return [...state.membership.peers.values()].some(
-    ({ live, report }) =>
+    ({ isReachable: live, report }) =>
       live &&
       report.suspects.some((suspect) => suspect.digest === digest && suspect.judging === true),
   );
--- a/packages/entry-core/src/reclaims/migrateStreams.ts
+++ b/packages/entry-core/src/reclaims/migrateStreams.ts
@@ -5,7 +5,7 @@
  * that do not fit the remaining time run on as long as possible and are then resumed elsewhere.
  * Every call plans from the current state.
  */
-import { isClaimed, type Milliseconds } from '@hornbeampond/schema';
+import { requiresClaim, type Milliseconds } from '@hornbeampond/schema';
 import type { AttemptState } from '../attempts/AttemptState.js';
 import type { EntryEffect } from '../entryEffects.js';
 import type { Timestamps } from '../entryEvents.js';
@@ -47,7 +47,7 @@
   if (requestState.attemptId !== attempt.attemptId) return false;
   if (!requestState.route.idempotent) {
     return (
-      !isClaimed(requestState.route) &&
+      !requiresClaim(requestState.route) &&
       canMoveCache(requestState) &&
       attempt.firstTokenAt !== undefined
     );
--- a/packages/entry-core/src/reduceEntry.ts
+++ b/packages/entry-core/src/reduceEntry.ts
@@ -15,7 +15,10 @@
 import type { EntryEffect } from './entryEffects.js';
 import type { EntryEvent, Timestamps } from './entryEvents.js';
 import type { EntryState } from './EntryState.js';
-import { receivePeerUsage, receiveSpendingReport } from './limits/receivePeerUsage.js';
+import {
+  updateLimitersFromReport,
+  receiveSpendingReport,
+} from './limits/updateLimitersFromReport.js';
 import { restorePersistedState } from './membership/restorePersistedState.js';
 import { receivePeerReport } from './membership/receivePeerReport.js';
 import { reportSoon } from './membership/advanceReports.js';
@@ -93,7 +96,7 @@
     case 'quarantineReceived':
       return receiveQuarantine(state, event.quarantine, event);
     case 'entryReported':
-      receivePeerUsage(state, event.report, event.now);
+      updateLimitersFromReport(state, event.report, event.now);
       return receivePeerReport(state, event.report, event);
     case 'knowledgeRemembered':
       restorePersistedState(state, event.remembered, event);
--- a/packages/entry-core/src/requests/determineRan.ts
+++ b/packages/entry-core/src/requests/determineRan.ts
@@ -3,10 +3,10 @@
  * has ended, none has sent a byte, and no other entry may be running the same call. While an
  * attempt is open, it may send its first byte at any moment.
  */
-import type { Ran } from '@hornbeampond/schema';
+import type { RanStatus } from '@hornbeampond/schema';
 import type { RequestState } from './RequestState.js';
 
-export function determineRan(accepted: RequestState): Ran {
+export function determineRan(accepted: RequestState): RanStatus {
   const { attemptId, maybeSent = false, mayRunForOtherRequest: mayRunElsewhere = false } = accepted;
   return attemptId === undefined && !maybeSent && !mayRunElsewhere ? 'no' : 'unknown';
 }
--- a/packages/entry-core/src/requests/endRequest.ts
+++ b/packages/entry-core/src/requests/endRequest.ts
@@ -1,5 +1,5 @@
 /** The ways to give a request its final answer: refuse, fail or finish it. */
-import type { ErrorKind, LogFields, Milliseconds, Ran } from '@hornbeampond/schema';
+import type { ErrorKind, LogFields, Milliseconds, RanStatus } from '@hornbeampond/schema';
 import { releaseAttempts } from '../attempts/releaseAttempts.js';
 import type { EntryEffect } from '../entryEffects.js';
 import type { CallerRequest } from '../entryEvents.js';
@@ -10,7 +10,7 @@
 /** Optional fields of a problem answer. */
 export interface ProblemFields {
   readonly retryAfterMilliseconds?: Milliseconds;
-  readonly ran?: Ran;
+  readonly ran?: RanStatus;
 }
 
 /**
--- a/packages/entry-core/src/requests/handleCallerDisconnect.ts
+++ b/packages/entry-core/src/requests/handleCallerDisconnect.ts
@@ -2,7 +2,7 @@
  * Ends the request of a caller that has disconnected and cancels its attempts. A claimed call
  * continues, because its outcome must still be recorded.
  */
-import { isClaimed } from '@hornbeampond/schema';
+import { requiresClaim } from '@hornbeampond/schema';
 import { releaseAttempts } from '../attempts/releaseAttempts.js';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
@@ -10,7 +10,7 @@
 export function handleCallerDisconnect(state: EntryState, requestId: string): EntryEffect[] {
   state.requestsAwaitingConfiguration.delete(requestId);
   const accepted = state.requests.get(requestId);
-  if (accepted === undefined || isClaimed(accepted.route)) return [];
+  if (accepted === undefined || requiresClaim(accepted.route)) return [];
   state.requests.delete(requestId);
   return [
     ...releaseAttempts(state, accepted),
--- a/packages/runtime/src/LineWriter.ts
+++ b/packages/runtime/src/LineWriter.ts
@@ -63,7 +63,7 @@
   };
 
   /** Resolves once everything has been taken; for the end of a process. */
-  async whenTaken(): Promise<void> {
+  async waitUntilIdle(): Promise<void> {
     if (!this.isWriting) return;
     await new Promise<void>((resolve) => {
       this.onTaken.push(resolve);
--- a/packages/runtime/src/Logger.ts
+++ b/packages/runtime/src/Logger.ts
@@ -25,7 +25,7 @@
 
 /** Resolves once all lines have been written, or soon after; for the end of a process. */
 export async function flushLogs(): Promise<void> {
-  await Promise.race([standardOutput.whenTaken(), setTimeout(FLUSH_MILLISECONDS)]);
+  await Promise.race([standardOutput.waitUntilIdle(), setTimeout(FLUSH_MILLISECONDS)]);
 }
 
 export class Logger {
--- a/packages/runtime/src/Metrics.ts
+++ b/packages/runtime/src/Metrics.ts
@@ -77,7 +77,7 @@
   }
 
   /** The text that Prometheus reads. */
-  async print(): Promise<string> {
+  async toPrometheusText(): Promise<string> {
     return this.registry.metrics();
   }
 
--- a/packages/runtime/src/readSettings.ts
+++ b/packages/runtime/src/readSettings.ts
@@ -7,7 +7,7 @@
 import type { z } from 'zod';
 
 /** The settings, or every fault that was found. */
-export type ReadSettings<Settings> =
+export type SettingsResult<Settings> =
   | { readonly ok: true; readonly settings: Settings }
   | { readonly ok: false; readonly faults: readonly Fault[] };
 
@@ -26,7 +26,7 @@
 export function checkSettings<Schema extends z.ZodType>(
   schema: Schema,
   values: unknown,
-): ReadSettings<z.infer<Schema>> {
+): SettingsResult<z.infer<Schema>> {
   const parsed = schema.safeParse(values);
   if (parsed.success) return { ok: true, settings: parsed.data };
   const faults = parsed.error.issues.map((issue) => ({
@@ -40,7 +40,7 @@
 export function readSettings<Schema extends z.ZodType>(
   schema: Schema,
   file: string,
-): ReadSettings<z.infer<Schema>> {
+): SettingsResult<z.infer<Schema>> {
   let values: unknown;
   try {
     values = parse(readFileSync(file, 'utf8'));
--- a/packages/schema/src/errors/HornbeampondError.ts
+++ b/packages/schema/src/errors/HornbeampondError.ts
@@ -3,14 +3,14 @@
  * list, from which the answer to the caller is made.
  */
 import ModernError from 'modern-errors';
-import { errorAnswers, type ErrorKind, type Ran } from './errorKinds.js';
+import { errorAnswers, type ErrorKind, type RanStatus } from './errorKinds.js';
 
 /** What a problem document adds to its kind. */
 export interface ErrorDetails {
   /** When to come back, in milliseconds. */
   readonly retryAfterMilliseconds?: number;
   /** Overrides the table's `ran` where the raiser knows more. */
-  readonly ran?: Ran;
+  readonly ran?: RanStatus;
   /** Faults found in a table or in settings. */
   readonly faults?: readonly { readonly where: string; readonly reason: string }[];
   /** The revision in force, with `revisionStale`. */
@@ -57,7 +57,7 @@
   readonly status: number;
   readonly detail: string;
   readonly kind: ErrorKind;
-  readonly ran: Ran;
+  readonly ran: RanStatus;
   readonly retryAfterSeconds?: number;
   readonly requestId?: string;
   readonly currentRevision?: number;
--- a/packages/schema/src/errors/errorKinds.ts
+++ b/packages/schema/src/errors/errorKinds.ts
@@ -7,7 +7,7 @@
  */
 
 /** Whether the request that failed can have been run by a backend server. */
-export type Ran = 'no' | 'unknown';
+export type RanStatus = 'no' | 'unknown';
 
 /** How one error kind is answered. */
 export interface ErrorAnswer {
@@ -15,12 +15,12 @@
   readonly status: number;
   /** Short human-readable summary; the same for each occurrence of the kind. */
   readonly title: string;
-  readonly ran: Ran;
+  readonly ran: RanStatus;
   /** True if the same request can succeed later, so that the answer carries `Retry-After`. */
   readonly retryHelps: boolean;
 }
 
-function answer(status: number, title: string, ran: Ran, retryHelps = false): ErrorAnswer {
+function answer(status: number, title: string, ran: RanStatus, retryHelps = false): ErrorAnswer {
   return { status, title, ran, retryHelps };
 }
 
--- a/packages/schema/src/logEvents/LogEventDefinition.ts
+++ b/packages/schema/src/logEvents/LogEventDefinition.ts
@@ -10,6 +10,6 @@
   readonly text: string;
 }
 
-export function define(number: number, level: LogLevel, text: string): LogEventDefinition {
+export function defineLogEvent(number: number, level: LogLevel, text: string): LogEventDefinition {
   return { number, level, text };
 }
--- a/packages/schema/src/messages/backendServers.ts
+++ b/packages/schema/src/messages/backendServers.ts
@@ -32,7 +32,7 @@
 };
 
 /** What one reading of the list has changed. */
-export interface SharedInstances {
+export interface InstanceListDelta {
   readonly changed: readonly SharedInstance[];
   /** Names of instances that are listed no longer. */
   readonly gone: readonly string[];
--- a/packages/schema/src/messages/entryMessages.ts
+++ b/packages/schema/src/messages/entryMessages.ts
@@ -25,13 +25,13 @@
 }
 
 /** Amounts spent by workspace, each for one second: the first is the last second, and so back. */
-export type WindowSpending = Readonly<Record<string, readonly number[]>>;
+export type SpendingBySecond = Readonly<Record<string, readonly number[]>>;
 
 /** What a store remembers of spending when entries cannot. */
-export interface RememberedSpending {
+export interface PersistedSpending {
   /** When it was told. */
   readonly at: EpochMilliseconds;
-  readonly windowSpent: WindowSpending;
+  readonly windowSpent: SpendingBySecond;
   /** How far back it was known then. */
   readonly windowReach: Milliseconds;
   /** What each entry had told by then, by name: what it tells later counts from there. */
@@ -45,7 +45,7 @@
 }
 
 /** How a delay grows with work, as an entry has learnt it: the means that the line is fitted to. */
-export interface LearntDelay {
+export interface DelayRegressionState {
   /** How many samples it was learnt from; a newer one counts no more than so many. */
   readonly samples: number;
   readonly meanX: number;
@@ -55,24 +55,24 @@
 }
 
 /** What stores keep of entries' knowledge and tell to those that start. */
-export interface RememberedEntries {
-  readonly spending?: RememberedSpending;
+export interface PersistedEntryData {
+  readonly spending?: PersistedSpending;
   /** What was told of the newest usage windows; entries themselves have no use for it. */
   readonly usage: readonly EntryUsage[];
   /** Time to the first token by prompt tokens, by pool. */
-  readonly delays: Readonly<Record<string, LearntDelay>>;
+  readonly delays: Readonly<Record<string, DelayRegressionState>>;
   /** Prompt prefixes that were computed, by backend server. */
   readonly computed: Readonly<Record<string, readonly string[]>>;
 }
 
 /** Requests that began to run, by number of the usage window and then by workspace. */
-export type BegunCounts = Readonly<Record<string, Readonly<Record<string, number>>>>;
+export type UsageCountsByWindow = Readonly<Record<string, Readonly<Record<string, number>>>>;
 
 /** What one life of an entry has told of the requests that began to run there. */
 export interface EntryUsage {
   readonly instance: string;
   readonly incarnation: EpochMilliseconds;
-  readonly begun: BegunCounts;
+  readonly begun: UsageCountsByWindow;
 }
 
 /** One entry's word on itself and on what it has seen first. */
@@ -95,15 +95,15 @@
    * What each workspace has spent of its allowance at all entries in the last window, as this one
    * knows it: an entry that has just started knows nothing of the window it starts in.
    */
-  readonly windowSpent?: WindowSpending;
+  readonly windowSpent?: SpendingBySecond;
   /** How far back `windowSpent` is known there; less than a window after all have started anew. */
   readonly windowReach?: Milliseconds;
   /** What this entry has learnt of the time to the first token, by pool. */
-  readonly delays?: Readonly<Record<string, LearntDelay>>;
+  readonly delays?: Readonly<Record<string, DelayRegressionState>>;
   /** How many entries this one counts, itself and those that have fallen silent included. */
   readonly entries?: number;
   /** Requests of each workspace that began to run here, by number of the usage window. */
-  readonly begun?: BegunCounts;
+  readonly begun?: UsageCountsByWindow;
   /** What the planner of the fleet goes by. */
   readonly demand?: readonly RouteDemandReport[];
   /** Crashes seen, so that a resend through another entry is not run beside others. */
@@ -127,7 +127,7 @@
   /** Prompt prefixes that were computed since it was told last, by backend server. */
   readonly computed: Readonly<Record<string, readonly string[]>>;
   /** Requests that began to run here, in windows whose counts have changed. */
-  readonly begun?: BegunCounts;
+  readonly begun?: UsageCountsByWindow;
 }
 
 /** What one entry has spent of allowances, told between two reports where it matters at once. */
@@ -160,7 +160,7 @@
 }
 
 /** The backend servers of one data centre that its controller has taken out of service. */
-export interface FleetDrains {
+export interface DrainedInstances {
   readonly dataCentre: string;
   /** Of the controller's lease. */
   readonly epoch: number;
@@ -173,7 +173,7 @@
 /** What entries and controllers ask an entry. */
 export type EntryRequest =
   | { readonly type: 'peekConfiguration' }
-  | { readonly type: 'exchangeFleet'; readonly drains?: FleetDrains };
+  | { readonly type: 'exchangeFleet'; readonly drains?: DrainedInstances };
 
 export type EntryResponse =
   | { readonly type: 'configuration'; readonly configuration: Configuration }
--- a/packages/schema/src/messages/storeCommands.ts
+++ b/packages/schema/src/messages/storeCommands.ts
@@ -37,7 +37,7 @@
  * Largest answer that is stored, headers and body together: an offer or a reservation is a few
  * KiB. Proposers leave a larger body out, since the log would carry it for nothing.
  */
-export const LARGEST_STORED_ANSWER_BYTES = 64 * 1024;
+export const MAX_STORED_ANSWER_BYTES = 64 * 1024;
 
 /** An answer kept for callers who send a call that may not be repeated again. */
 export interface StoredAnswer {
--- a/packages/schema/src/messages/storeMessages.ts
+++ b/packages/schema/src/messages/storeMessages.ts
@@ -5,18 +5,18 @@
 import type { Configuration } from '../tables/Configuration.js';
 import type { ConfigurationDelta } from '../tables/ConfigurationDelta.js';
 import type { EpochMilliseconds, Milliseconds } from '../units.js';
-import type { SharedInstance, SharedInstances } from './backendServers.js';
+import type { SharedInstance, InstanceListDelta } from './backendServers.js';
 import type {
   EntryReport,
   EntryUsage,
-  RememberedEntries,
+  PersistedEntryData,
   SpendingReport,
   WorkReport,
 } from './entryMessages.js';
 import type { CommandResult, StoreCommand } from './storeCommands.js';
 
 /** One digest that backend servers must be kept from for a while. */
-export interface QuarantineEntry {
+export interface QuarantineRecord {
   readonly digest: string;
   readonly until: EpochMilliseconds;
 }
@@ -88,7 +88,7 @@
     readonly epoch: number;
   }[];
   readonly claims: number;
-  readonly quarantine: readonly QuarantineEntry[];
+  readonly quarantine: readonly QuarantineRecord[];
 }
 
 export type StoreResponse =
@@ -97,11 +97,11 @@
   | {
       readonly type: 'subscribed';
       readonly configuration: Configuration;
-      readonly quarantine: readonly QuarantineEntry[];
+      readonly quarantine: readonly QuarantineRecord[];
       /** The members of the log, so that a subscriber finds stores that its settings do not name. */
       readonly stores: readonly VoterAddress[];
       /** What is known here that a starting entry knows nothing of. */
-      readonly remembered: RememberedEntries;
+      readonly remembered: PersistedEntryData;
       /** The platform's list as it was read last, and how long ago; missing before the first. */
       readonly instances?: readonly SharedInstance[];
       readonly instancesAge?: Milliseconds;
@@ -126,7 +126,7 @@
   | { readonly type: 'configurationDelta'; readonly delta: ConfigurationDelta }
   /** All rows, where no delta can be made. */
   | { readonly type: 'configuration'; readonly configuration: Configuration }
-  | { readonly type: 'quarantine'; readonly quarantine: readonly QuarantineEntry[] }
+  | { readonly type: 'quarantine'; readonly quarantine: readonly QuarantineRecord[] }
   /** The members of the log have changed. */
   | { readonly type: 'stores'; readonly stores: readonly VoterAddress[] }
   /** What other entries said of themselves. */
@@ -137,6 +137,6 @@
   /** What entries have told of the requests that began to run; for those that report usage. */
   | { readonly type: 'usage'; readonly usage: readonly EntryUsage[] }
   /** A reading of the platform's list, against the one before. */
-  | ({ readonly type: 'instances' } & SharedInstances)
+  | ({ readonly type: 'instances' } & InstanceListDelta)
   /** This store has known no leader for a while: what it holds may be old, and grows no newer. */
   | { readonly type: 'outOfTouch' };
--- a/packages/schema/src/reference/describeErrors.ts
+++ b/packages/schema/src/reference/describeErrors.ts
@@ -1,6 +1,6 @@
 /** The error table of docs/CALLERS.md. */
 import { errorAnswers, errorKinds } from '../errors/errorKinds.js';
-import { markdownTable } from './markdownTable.js';
+import { formatMarkdownTable } from './formatMarkdownTable.js';
 
 export function describeErrors(): Record<string, string> {
   const rows = errorKinds.map((kind) => {
@@ -8,5 +8,5 @@
     return [`\`${kind}\``, `${status}`, `\`${ran}\``, retryHelps ? 'yes' : 'no', title];
   });
   const titles = ['kind', 'status', 'ran', '`Retry-After`', 'title'];
-  return { errors: markdownTable(titles, rows) };
+  return { errors: formatMarkdownTable(titles, rows) };
 }
--- a/packages/schema/src/reference/describeLogEvents.ts
+++ b/packages/schema/src/reference/describeLogEvents.ts
@@ -1,7 +1,7 @@
 /** The tables of docs/LOGS.md. */
 import { logEvents } from '../logEvents/logEvents.js';
-import { markdownTable } from './markdownTable.js';
-import { describeNotRaised } from './notRaisedYet.js';
+import { formatMarkdownTable } from './formatMarkdownTable.js';
+import { describeUnraisedNames } from './unraisedNames.js';
 
 /** Hundreds of numbers, by the process that writes them. */
 const ranges = {
@@ -18,8 +18,8 @@
       const rows = all
         .filter(([, { number }]) => number >= first && number <= last)
         .map(([event, { number, level, text }]) => [`${number}`, `\`${event}\``, level, text]);
-      return [name, markdownTable(['number', 'event', 'level', 'what happened'], rows)];
+      return [name, formatMarkdownTable(['number', 'event', 'level', 'what happened'], rows)];
     }),
   );
-  return { ...tables, 'events not written yet': describeNotRaised(Object.keys(logEvents)) };
+  return { ...tables, 'events not written yet': describeUnraisedNames(Object.keys(logEvents)) };
 }
--- a/packages/schema/src/reference/describeMetrics.ts
+++ b/packages/schema/src/reference/describeMetrics.ts
@@ -1,7 +1,7 @@
 /** The tables of docs/METRICS.md. */
 import { metricDefinitions, type MetricDefinition } from '../metrics.js';
-import { markdownTable } from './markdownTable.js';
-import { describeNotRaised } from './notRaisedYet.js';
+import { formatMarkdownTable } from './formatMarkdownTable.js';
+import { describeUnraisedNames } from './unraisedNames.js';
 
 function describeLabel({ label }: MetricDefinition): string {
   return label === undefined ? '' : `\`${label.name}\``;
@@ -23,9 +23,9 @@
     ]),
   );
   return {
-    metrics: markdownTable(['name', 'kind', 'label', 'meaning'], metrics),
-    'label values': markdownTable(['name', 'label', 'value'], values),
-    'values not counted yet': describeNotRaised(
+    metrics: formatMarkdownTable(['name', 'kind', 'label', 'meaning'], metrics),
+    'label values': formatMarkdownTable(['name', 'label', 'value'], values),
+    'values not counted yet': describeUnraisedNames(
       definitions.flatMap(({ label }) => label?.values ?? []),
     ),
   };
--- a/packages/schema/src/reference/describeSettings.ts
+++ b/packages/schema/src/reference/describeSettings.ts
@@ -5,7 +5,7 @@
   entrySettingsSchema,
   storeSettingsSchema,
 } from '../settings/settings.js';
-import { markdownTable } from './markdownTable.js';
+import { formatMarkdownTable } from './formatMarkdownTable.js';
 import { controllerMeanings, entryMeanings, storeMeanings } from './settingMeanings.js';
 
 /** What is read of a JSON schema, as zod writes it. */
@@ -101,7 +101,7 @@
     describeBounds(key),
     meanings[key.path] ?? '',
   ]);
-  return markdownTable(['key', 'unit', 'default', 'bounds', 'meaning'], rows);
+  return formatMarkdownTable(['key', 'unit', 'default', 'bounds', 'meaning'], rows);
 }
 
 export function describeSettings(): Record<string, string> {
--- a/packages/schema/src/reference/markdownTable.ts
+++ b/packages/schema/src/reference/formatMarkdownTable.ts
@@ -5,7 +5,7 @@
 }
 
 /** Column titles and rows of equal length. */
-export function markdownTable(
+export function formatMarkdownTable(
   titles: readonly string[],
   rows: readonly (readonly string[])[],
 ): string {
--- a/packages/schema/src/reference/reference.test.ts
+++ b/packages/schema/src/reference/reference.test.ts
@@ -13,7 +13,7 @@
 import { metricDefinitions, type MetricDefinition } from '../metrics.js';
 import { describeSchema } from './describeSettings.js';
 import { fillBlocks } from './generatedBlocks.js';
-import { notRaisedYet } from './notRaisedYet.js';
+import { unraisedNames } from './unraisedNames.js';
 import { makeReferencePages } from './referencePages.js';
 
 const root = fileURLToPath(new URL('../../../../', import.meta.url));
@@ -97,7 +97,7 @@
     ...metrics.flatMap(({ label }) => label?.values ?? []),
   ];
   const silent = [...new Set(names)].filter((name) => !sources.includes(`'${name}'`)).sort();
-  assert.deepEqual(silent, [...notRaisedYet], 'bring notRaisedYet.ts in line');
+  assert.deepEqual(silent, [...unraisedNames], 'bring notRaisedYet.ts in line');
 });
 
 // An alert on a metric that was renamed never fires. Pages written by hand may name only what is.
--- a/packages/schema/src/reference/notRaisedYet.ts
+++ b/packages/schema/src/reference/unraisedNames.ts
@@ -2,7 +2,7 @@
  * Names of the catalogues that no code raises yet. The pages say so, and a test compares the list
  * with the sources, so that an operator does not wait for an event that cannot come.
  */
-export const notRaisedYet: readonly string[] = [
+export const unraisedNames: readonly string[] = [
   'duplicate',
   'logDamaged',
   'prefixMiss',
@@ -19,8 +19,8 @@
 };
 
 /** The part of the list that concerns one catalogue, as Markdown. */
-export function describeNotRaised(names: readonly string[]): string {
-  return notRaisedYet
+export function describeUnraisedNames(names: readonly string[]): string {
+  return unraisedNames
     .filter((name) => names.includes(name))
     .map((name) => `- \`${name}\`: ${whatRaises[name] ?? 'not raised'}.`)
     .join('\n');
--- a/packages/schema/src/tables/Configuration.ts
+++ b/packages/schema/src/tables/Configuration.ts
@@ -20,11 +20,11 @@
   readonly routes: Table<Route>;
   readonly pools: Table<Pool>;
   /** Set where operators replace all tables at once. */
-  readonly whole?: WholeConfiguration;
+  readonly whole?: ConfigurationReplacement;
 }
 
 /** What comes with a configuration that replaced all tables at once. */
-export interface WholeConfiguration {
+export interface ConfigurationReplacement {
   /** The operators' own number; the highest is in force. */
   readonly version: number;
   readonly workspaces: readonly WorkspaceRow[];
--- a/packages/schema/src/tables/checkTables.ts
+++ b/packages/schema/src/tables/checkTables.ts
@@ -6,7 +6,7 @@
 import type { z } from 'zod';
 import { describeIssue } from '../describeIssue.js';
 import { poolRowsSchema, type Pool } from './pools.js';
-import { isClaimed, routeRowsSchema, type Route } from './routes.js';
+import { requiresClaim, routeRowsSchema, type Route } from './routes.js';
 import { workspaceRowsSchema, type WorkspaceRow } from './workspaces.js';
 import type { TableName } from './Configuration.js';
 
@@ -17,7 +17,7 @@
 }
 
 /** Rows that passed the check, or every fault that was found. */
-export type Checked<Rows> =
+export type TableCheckResult<Rows> =
   { readonly ok: true; readonly rows: Rows } | { readonly ok: false; readonly faults: Fault[] };
 
 function describePath(table: TableName, rows: unknown, path: readonly PropertyKey[]): string {
@@ -53,7 +53,7 @@
 }
 
 /** Checks rows of the routes table by themselves. */
-export function checkRoutes(rows: unknown): Checked<Route[]> {
+export function checkRoutes(rows: unknown): TableCheckResult<Route[]> {
   const parsed = routeRowsSchema.safeParse(rows);
   if (!parsed.success) return { ok: false, faults: toFaults('routes', rows, parsed.error) };
   const faults = findRepeated(
@@ -74,7 +74,7 @@
 }
 
 /** Checks rows of the pools table by themselves. */
-export function checkPools(rows: unknown): Checked<Pool[]> {
+export function checkPools(rows: unknown): TableCheckResult<Pool[]> {
   const parsed = poolRowsSchema.safeParse(rows);
   if (!parsed.success) return { ok: false, faults: toFaults('pools', rows, parsed.error) };
   const faults = findRepeated(
@@ -98,7 +98,7 @@
 }
 
 /** Checks that the two tables join: each route names a pool that is there and fits it. */
-export function checkJoin(routes: readonly Route[], pools: readonly Pool[]): Fault[] {
+export function checkPoolReferences(routes: readonly Route[], pools: readonly Pool[]): Fault[] {
   const byName = new Map(pools.map((pool) => [pool.name, pool]));
   return routes.flatMap((route) => {
     const pool = byName.get(route.pool);
@@ -106,7 +106,7 @@
     if (pool === undefined) {
       return [{ where: `${where}.pool`, reason: `the pools table has no "${route.pool}"` }];
     }
-    if (pool.kind === 'modelEngine' && isClaimed(route)) {
+    if (pool.kind === 'modelEngine' && requiresClaim(route)) {
       return [{ where: `${where}.idempotent`, reason: 'must be true before model engines' }];
     }
     return checkSplit(route, where, byName);
@@ -126,7 +126,7 @@
 }
 
 /** Checks workspaces by themselves: a key must name one of them only. */
-export function checkWorkspaces(rows: unknown): Checked<WorkspaceRow[]> {
+export function checkWorkspaces(rows: unknown): TableCheckResult<WorkspaceRow[]> {
   const parsed = workspaceRowsSchema.safeParse(rows);
   if (!parsed.success) {
     const faults = parsed.error.issues.map((issue) => ({
--- a/packages/schema/src/tables/pools.ts
+++ b/packages/schema/src/tables/pools.ts
@@ -31,7 +31,7 @@
 });
 
 /** What an operator knows of the streams that model engines give, and of moving them. */
-export const streamFactsSchema = z.strictObject({
+export const streamParametersSchema = z.strictObject({
   tokensPerEvent: z.number().min(1).default(1),
   /** Tokens of KV cache that an engine's link carries in a millisecond; 0 if caches don't move. */
   movedTokensPerMillisecond: z.number().min(0),
@@ -56,7 +56,7 @@
   /** Connections that one backend server takes from all entries together. */
   connections: z.number().int().min(1).max(1_000_000).optional(),
   /** What is known of the streams of its model engines. */
-  streams: streamFactsSchema.optional(),
+  streams: streamParametersSchema.optional(),
   /** Sizes and prices by data centre, where the platform is told a number of instances for each. */
   sizing: sizingSchema.optional(),
 });
--- a/packages/schema/src/tables/routes.ts
+++ b/packages/schema/src/tables/routes.ts
@@ -111,6 +111,9 @@
  * True if a call of the route is claimed in the log before it is sent, so that its outcome is kept
  * for its resends and must be learnt even when its caller is gone.
  */
-export function isClaimed({ idempotent, claimed }: Pick<Route, 'idempotent' | 'claimed'>): boolean {
+export function requiresClaim({
+  idempotent,
+  claimed,
+}: Pick<Route, 'idempotent' | 'claimed'>): boolean {
   return !idempotent && claimed !== false;
 }
--- a/packages/store-core/src/machine/claims.ts
+++ b/packages/store-core/src/machine/claims.ts
@@ -3,7 +3,7 @@
  * key, and only that attempt may send the call, once.
  */
 import {
-  LARGEST_STORED_ANSWER_BYTES,
+  MAX_STORED_ANSWER_BYTES,
   type ClaimResult,
   type EpochMilliseconds,
   type Milliseconds,
@@ -119,7 +119,7 @@
 
 /** Keeps an answer for resends, within the bounds; a claim without one still reads `done`. */
 function keepAnswer(state: MachineState, name: string, answer: StoredAnswer | undefined): void {
-  if (answer === undefined || sizeOf(answer) > LARGEST_STORED_ANSWER_BYTES) return;
+  if (answer === undefined || sizeOf(answer) > MAX_STORED_ANSWER_BYTES) return;
   state.answers.set(name, copyAnswer(answer));
   state.answerBytes += sizeOf(answer);
   for (const oldest of state.answers.keys()) {
--- a/packages/store-core/src/machine/putTable.ts
+++ b/packages/store-core/src/machine/putTable.ts
@@ -4,7 +4,7 @@
  */
 import { createHash } from 'node:crypto';
 import {
-  checkJoin,
+  checkPoolReferences,
   checkPools,
   checkRoutes,
   type Configuration,
@@ -41,7 +41,7 @@
   routes: Configuration['routes'],
   pools: Configuration['pools'],
 ): Proposed {
-  const faults = checkJoin(routes.rows, pools.rows);
+  const faults = checkPoolReferences(routes.rows, pools.rows);
   if (faults.length > 0) return { ok: false, faults };
   const revision = configuration.revision + 1;
   return { ok: true, configuration: { ...configuration, revision, routes, pools } };
--- a/packages/store-core/src/machine/quarantine.ts
+++ b/packages/store-core/src/machine/quarantine.ts
@@ -11,7 +11,7 @@
 import type {
   CrashResult,
   EpochMilliseconds,
-  QuarantineEntry,
+  QuarantineRecord,
   ReportCrashCommand,
 } from '@hornbeampond/schema';
 import {
@@ -90,7 +90,7 @@
 }
 
 /** The digests that are kept from backend servers at that time. */
-export function quarantineAt(state: MachineState, at: EpochMilliseconds): QuarantineEntry[] {
+export function quarantineAt(state: MachineState, at: EpochMilliseconds): QuarantineRecord[] {
   const until = new Map<string, EpochMilliseconds>();
   judge(state.crashes.values()).forEach(({ crash, named }) => {
     named.forEach((digest) => until.set(digest, crash.at + QUARANTINE_DURATION_MILLISECONDS));
--- a/packages/store-core/src/machine/replaceTables.ts
+++ b/packages/store-core/src/machine/replaceTables.ts
@@ -4,7 +4,7 @@
  * no memory of their own: both are answered with the version that is in force.
  */
 import {
-  checkJoin,
+  checkPoolReferences,
   checkPools,
   checkRoutes,
   checkWorkspaces,
@@ -31,7 +31,7 @@
   if (!pools.ok) return pools;
   const workspaces = checkWorkspaces(command.workspaces);
   if (!workspaces.ok) return workspaces;
-  const faults = checkJoin(routes.rows, pools.rows);
+  const faults = checkPoolReferences(routes.rows, pools.rows);
   if (faults.length > 0) return { ok: false, faults };
   const revision = current.revision + 1;
   const { version, callerBounds } = command;
--- a/packages/testing/src/examples.test.ts
+++ b/packages/testing/src/examples.test.ts
@@ -4,7 +4,7 @@
 import { test } from 'node:test';
 import { fileURLToPath } from 'node:url';
 import {
-  checkJoin,
+  checkPoolReferences,
   checkPools,
   checkRoutes,
   controllerSettingsSchema,
@@ -77,7 +77,7 @@
 Object.entries(deployments).forEach(([deployment, dataCentres]) => {
   test(`${deployment}: the tables are valid and join`, () => {
     const { routes, pools } = readTables(deployment);
-    assert.deepEqual(checkJoin(routes, pools), []);
+    assert.deepEqual(checkPoolReferences(routes, pools), []);
     pools.forEach((pool) => assert.deepEqual(pool.dataCentres, dataCentres));
     const workspaces = readEntry(deployment).workspaces.map(({ name }) => name);
     const named = routes.flatMap((route) => [
--- a/packages/transport/src/InstanceListFollower.ts
+++ b/packages/transport/src/InstanceListFollower.ts
@@ -1,5 +1,5 @@
 /** Puts together the list of instances that a store tells its subscribers by what changes. */
-import type { SharedInstance, SharedInstances } from '@hornbeampond/schema';
+import type { SharedInstance, InstanceListDelta } from '@hornbeampond/schema';
 
 export class InstanceListFollower {
   private known = new Map<string, SharedInstance>();
@@ -10,7 +10,7 @@
     return instances;
   }
 
-  apply({ changed, gone }: SharedInstances): readonly SharedInstance[] {
+  apply({ changed, gone }: InstanceListDelta): readonly SharedInstance[] {
     gone.forEach((name) => this.known.delete(name));
     changed.forEach((instance) => this.known.set(instance.instance, instance));
     return [...this.known.values()];
--- a/packages/transport/src/OperatorServer.ts
+++ b/packages/transport/src/OperatorServer.ts
@@ -63,7 +63,7 @@
         return;
       case '/metrics':
         response.writeHead(200, { 'content-type': this.options.metrics.registry.contentType });
-        response.end(await this.options.metrics.print());
+        response.end(await this.options.metrics.toPrometheusText());
         return;
       case '/status':
         writeJson(response, 200, await this.options.readStatus());
--- a/packages/transport/src/StoreSubscription.ts
+++ b/packages/transport/src/StoreSubscription.ts
@@ -13,11 +13,11 @@
   EntryReport,
   EntryUsage,
   Milliseconds,
-  RememberedEntries,
+  PersistedEntryData,
   SharedInstance,
   SpendingReport,
   InstanceReport,
-  QuarantineEntry,
+  QuarantineRecord,
   StoreAddress,
   StorePush,
   StoreResponse,
@@ -31,7 +31,7 @@
 
 export interface StoreClientHandlers {
   onConfiguration?(configuration: Configuration): void;
-  onQuarantine?(quarantine: readonly QuarantineEntry[]): void;
+  onQuarantine?(quarantine: readonly QuarantineRecord[]): void;
   onEntryReport?(report: EntryReport): void;
   onUsage?(usage: readonly EntryUsage[]): void;
   onWork?(work: WorkReport): void;
@@ -39,7 +39,7 @@
   /** A reading of the platform's list that another process has made, and its age. */
   onInstances?(instances: readonly SharedInstance[], age: Milliseconds): void;
   /** What starting entries may learn from a store. */
-  onRemembered?(remembered: RememberedEntries): void;
+  onRemembered?(remembered: PersistedEntryData): void;
 }
 
 export interface StorePeer {
