--- a/apps/dev/src/DevCluster.ts
+++ b/apps/dev/src/DevCluster.ts
@@ -4,7 +4,7 @@
  */
 import { HttpEngineAdapter, type InstanceStart } from '@hornbeampond/adapters';
 import { ControllerProcess, type ControllerPolicy } from '@hornbeampond/controller-app';
-import { EntryProcess, makeOwnBoundary, type EntryPorts } from '@hornbeampond/entry-app';
+import { EntryProcess, makeHttpDependencies, type EntryPorts } from '@hornbeampond/entry-app';
 import { SystemTimerService, checkSettings, type TimerService } from '@hornbeampond/runtime';
 import {
   HornbeampondError,
@@ -214,7 +214,7 @@
       limits: this.options.limits ?? {},
       ...(shutdownMilliseconds === undefined ? {} : { shutdownMilliseconds }),
     });
-    const entry = new EntryProcess(settings, this.timers, makeOwnBoundary(settings));
+    const entry = new EntryProcess(settings, this.timers, makeHttpDependencies(settings));
     const ports = await entry.start();
     this.closers.push(async () => entry.shutDown());
     return ports;
--- a/apps/entry/src/AdapterDirectory.ts
+++ b/apps/entry/src/AdapterDirectory.ts
@@ -19,7 +19,7 @@
   constructor(private readonly make: MakeAdapter) {}
 
   /** The adapter to a backend server; the same one while its address stays the same. */
-  find(target: AttemptTarget): BackendServerAdapter {
+  getOrCreate(target: AttemptTarget): BackendServerAdapter {
     const key = this.keyOf(target);
     const known = this.adapters.get(key);
     if (known !== undefined) return known;
@@ -28,20 +28,20 @@
     return made;
   }
 
-  engine(target: AttemptTarget): EngineAdapter {
-    const found = this.find(target);
+  getEngineAdapter(target: AttemptTarget): EngineAdapter {
+    const found = this.getOrCreate(target);
     if (found.kind !== 'modelEngine') throw new TypeError(`${target.instance} is no model engine`);
     return found.adapter;
   }
 
-  plainService(target: AttemptTarget): PlainServiceAdapter {
-    const found = this.find(target);
+  getPlainServiceAdapter(target: AttemptTarget): PlainServiceAdapter {
+    const found = this.getOrCreate(target);
     if (found.kind !== 'plainService') throw new TypeError(`${target.instance} is a model engine`);
     return found.adapter;
   }
 
-  relay(target: AttemptTarget): RelayAdapter {
-    const found = this.find(target);
+  getRelayAdapter(target: AttemptTarget): RelayAdapter {
+    const found = this.getOrCreate(target);
     if (found.kind !== 'relay') throw new TypeError(`${target.instance} takes no opaque calls`);
     return found.adapter;
   }
@@ -50,7 +50,7 @@
    * Drops the adapters of backend servers that are no longer listed. The list lags and can miss
    * one for a moment, so streams that still run there are left to end by themselves.
    */
-  keepOnly(targets: readonly AttemptTarget[]): void {
+  retainOnly(targets: readonly AttemptTarget[]): void {
     const kept = new Set(targets.map((target) => this.keyOf(target)));
     [...this.adapters].forEach(([key, { adapter }]) => {
       if (kept.has(key)) return;
--- a/apps/entry/src/AttemptRunner.test.ts
+++ b/apps/entry/src/AttemptRunner.test.ts
@@ -7,8 +7,8 @@
 import type { EntryEventPayload } from '@hornbeampond/entry-core';
 import { TimerService } from '@hornbeampond/runtime';
 import { AdapterDirectory } from './AdapterDirectory.js';
-import { AttemptRunner, type StartAttempt } from './AttemptRunner.js';
-import { CallProtocol, type ReadCall } from './CallProtocol.js';
+import { AttemptRunner, type StartAttemptEffect } from './AttemptRunner.js';
+import { CallProtocol, type ParsedCall } from './CallProtocol.js';
 import { RelayAnswer } from './RelayAnswer.js';
 
 /** Timers that fire when the test says so. */
@@ -58,14 +58,14 @@
 }
 
 class NoProtocol extends CallProtocol {
-  override readCall(): ReadCall {
+  override parseCall(): ParsedCall {
     throw new TypeError('no call is read here');
   }
 
   override writeProblem(): void {}
 }
 
-const start: StartAttempt = {
+const start: StartAttemptEffect = {
   type: 'startAttempt',
   requestId: 'one',
   attemptId: 'one.1',
@@ -100,7 +100,7 @@
         maxTokens: 0,
       },
       headers: {},
-      relayed: [],
+      forwardedHeaders: [],
       body: Buffer.alloc(0),
       completion: undefined,
       answer,
--- a/apps/entry/src/AttemptRunner.ts
+++ b/apps/entry/src/AttemptRunner.ts
@@ -15,7 +15,7 @@
 import { RelayAnswer } from './RelayAnswer.js';
 import { relayBody } from './relayBody.js';
 
-export type StartAttempt = Extract<EntryEffect, { type: 'startAttempt' }>;
+export type StartAttemptEffect = Extract<EntryEffect, { type: 'startAttempt' }>;
 type MoveCache = Extract<EntryEffect, { type: 'moveCache' }>;
 
 /** Edges of a long stream are reported no more often than this. */
@@ -31,7 +31,7 @@
 const MOVE_MILLISECONDS = 30_000;
 
 interface RunningAttempt {
-  readonly start: StartAttempt;
+  readonly start: StartAttemptEffect;
   readonly controller: AbortController;
   cancelled: boolean;
   silent: boolean;
@@ -60,10 +60,10 @@
 
 function tokensOf(
   answer: CallerAnswer | undefined,
-  { tokensPerEvent = 1 }: StartAttempt['target'],
+  { tokensPerEvent = 1 }: StartAttemptEffect['target'],
 ): number {
   if (answer instanceof CompletionAnswer) return answer.generatedTokens;
-  return answer instanceof RelayAnswer ? answer.eventsGiven * tokensPerEvent : 0;
+  return answer instanceof RelayAnswer ? answer.eventsSent * tokensPerEvent : 0;
 }
 
 function isPastRetry(answer: CallerAnswer | undefined): boolean {
@@ -79,11 +79,11 @@
 
   constructor(private readonly options: AttemptRunnerOptions) {}
 
-  get size(): number {
+  get runningCount(): number {
     return this.running.size;
   }
 
-  start(start: StartAttempt): void {
+  start(start: StartAttemptEffect): void {
     const attempt: RunningAttempt = {
       start,
       controller: new AbortController(),
@@ -110,7 +110,7 @@
     attempt.cancelled = true;
     attempt.stopWatch();
     attempt.controller.abort();
-    const found = this.options.adapters.find(attempt.start.target);
+    const found = this.options.adapters.getOrCreate(attempt.start.target);
     // Closing the connection, as the abort does, is all that other backend servers understand.
     if (found.kind !== 'modelEngine') return;
     found.adapter.cancel(attemptId, AbortSignal.timeout(CANCEL_MILLISECONDS)).catch(() => {});
@@ -120,14 +120,16 @@
   async moveCache(move: MoveCache): Promise<void> {
     const { adapters, dispatch } = this.options;
     const { requestId, attemptId, nextAttemptId, from, to } = move;
-    if (adapters.find(from).kind === 'relay') {
+    if (adapters.getOrCreate(from).kind === 'relay') {
       await this.moveRelayed(move);
       return;
     }
     const signal = AbortSignal.timeout(MOVE_MILLISECONDS);
     try {
-      const cache = await adapters.engine(from).exportCache(attemptId, signal);
-      await adapters.engine(to).importCache({ ...cache, attemptId: nextAttemptId }, signal);
+      const cache = await adapters.getEngineAdapter(from).exportCache(attemptId, signal);
+      await adapters
+        .getEngineAdapter(to)
+        .importCache({ ...cache, attemptId: nextAttemptId }, signal);
       dispatch({ type: 'cacheMoved', requestId, attemptId, moved: true });
     } catch {
       dispatch({ type: 'cacheMoved', requestId, attemptId, moved: false });
@@ -141,7 +143,7 @@
   private async moveRelayed({ requestId, attemptId, nextAttemptId, from, to }: MoveCache) {
     const { adapters, dispatch, findExchange } = this.options;
     const attempt = this.running.get(attemptId);
-    const headers = findExchange(requestId)?.relayed;
+    const headers = findExchange(requestId)?.forwardedHeaders;
     if (attempt === undefined || headers === undefined) {
       dispatch({ type: 'cacheMoved', requestId, attemptId, moved: false });
       return;
@@ -149,7 +151,7 @@
     attempt.isMoving = true;
     try {
       const signal = AbortSignal.timeout(RELAY_MOVE_MILLISECONDS);
-      const handle = await adapters.relay(from).moveCache({ headers, to, signal });
+      const handle = await adapters.getRelayAdapter(from).moveCache({ headers, to, signal });
       // The dispatch starts the next attempt, which reads this, before it returns.
       this.movedCaches.set(nextAttemptId, handle);
       dispatch({ type: 'cacheMoved', requestId, attemptId, moved: true });
@@ -195,7 +197,7 @@
     const exchange = this.options.findExchange(start.requestId);
     if (exchange === undefined) return;
     this.watch(attempt, start.firstByteTimeout);
-    exchange.answer.onHeld = (held) => {
+    exchange.answer.onBackpressureChange = (held) => {
       const { attemptId } = start;
       if (!attempt.cancelled) this.options.dispatch({ type: 'attemptHeld', attemptId, held });
     };
@@ -216,7 +218,7 @@
     const { attemptId, target, priority, streamIdleTimeout: silenceTimeout } = attempt.start;
     const { dispatch, timers, adapters } = this.options;
     const { generatedText, generatedTokens } = answer;
-    const stream = await adapters.engine(target).startCompletion({
+    const stream = await adapters.getEngineAdapter(target).startCompletion({
       attemptId,
       body: exchange.completion ?? { messages: [] },
       priority,
@@ -229,7 +231,7 @@
       // A caller that reads slowly must not make its engine look silent.
       attempt.stopWatch();
       if (chunk.type === 'end') {
-        answer.end(chunk.finishReason, chunk.usage);
+        answer.recordEnd(chunk.finishReason, chunk.usage);
         dispatch({ type: 'attemptFinished', attemptId, tokens: answer.generatedTokens });
         return;
       }
@@ -252,7 +254,7 @@
     const { attemptId, target, sendOnce, streamIdleTimeout: silenceTimeout } = attempt.start;
     const { dispatch, adapters } = this.options;
     const { method, path } = exchange.request;
-    const received = await adapters.plainService(target).send({
+    const received = await adapters.getPlainServiceAdapter(target).send({
       method,
       path,
       headers: this.forwardedHeaders(exchange),
@@ -261,7 +263,7 @@
       signal: attempt.controller.signal,
     });
     if (attempt.cancelled) return;
-    answer.begin(received.status, received.headers);
+    answer.receiveHead(received.status, received.headers);
     dispatch({ type: 'firstTokenReceived', attemptId });
     for await (const bytes of received.body) {
       if (attempt.cancelled) return;
@@ -294,10 +296,10 @@
     const { dispatch, adapters, timers } = this.options;
     const { method, path } = exchange.request;
     const continueFrom = this.movedCaches.get(attemptId);
-    const response = await adapters.relay(target).send({
+    const response = await adapters.getRelayAdapter(target).send({
       method,
       path,
-      headers: exchange.relayed ?? [],
+      headers: exchange.forwardedHeaders ?? [],
       body: exchange.body,
       workspace,
       timeLeft,
@@ -311,16 +313,16 @@
     let reportedAt = 0;
     await relayBody(response, answer, {
       isCancelled: () => attempt.cancelled,
-      onBytes: () => {
+      onBytesReceived: () => {
         attempt.stopWatch();
         const now = timers.monotonicNow();
-        answer.notePiece(now);
+        answer.recordBytesReceived(now);
         if (reportedAt === 0) dispatch({ type: 'firstTokenReceived', attemptId });
         if (now - reportedAt <= PROGRESS_MILLISECONDS) return;
         reportedAt = now;
         dispatch({ type: 'attemptProgressed', attemptId, tokens: tokensOf(answer, target) });
       },
-      onTaken: () => {
+      onBytesWritten: () => {
         if (!attempt.cancelled) this.watch(attempt, silenceTimeout);
       },
     });
--- a/apps/entry/src/BackendServerWatcher.test.ts
+++ b/apps/entry/src/BackendServerWatcher.test.ts
@@ -70,7 +70,7 @@
         dispatch: ({ type }) => {
           if (type === 'instancesListed') this.listed += 1;
         },
-        share: (instances) => this.tell(instances),
+        shareInstances: (instances) => this.tell(instances),
         countEntries: () => count,
       });
       return watcher;
@@ -82,7 +82,7 @@
   }
 
   tell(instances: readonly PlatformInstance[], age = 0): void {
-    this.watchers.forEach((watcher) => watcher.receive(instances, age));
+    this.watchers.forEach((watcher) => watcher.receiveInstances(instances, age));
   }
 
   /** Lets time pass in steps, each of which gives readings time to come back. */
--- a/apps/entry/src/BackendServerWatcher.ts
+++ b/apps/entry/src/BackendServerWatcher.ts
@@ -27,7 +27,7 @@
   readConfiguration(): Configuration;
   dispatch(occurrence: EntryEventPayload): void;
   /** Tells the others what was read; without it this entry reads at every interval. */
-  readonly share?: (instances: readonly PlatformInstance[]) => void;
+  readonly shareInstances?: (instances: readonly PlatformInstance[]) => void;
   /** Entries that may read in place of one that does no longer. */
   countEntries(): number;
 }
@@ -63,7 +63,7 @@
 
   /** Starts to poll; resolves after the first poll, where this entry reads for itself. */
   async start(): Promise<void> {
-    const { timers, pollMilliseconds, share } = this.options;
+    const { timers, pollMilliseconds, shareInstances: share } = this.options;
     if (share !== undefined) {
       this.readAt = timers.monotonicNow() + Math.random() * START_SPREAD_MILLISECONDS;
       this.stop = timers.every(LOOK_MILLISECONDS, () => this.readIfOverdue());
@@ -74,7 +74,7 @@
   }
 
   /** Takes in the list as another process has read it. */
-  receive(instances: readonly PlatformInstance[], age: Milliseconds): void {
+  receiveInstances(instances: readonly PlatformInstance[], age: Milliseconds): void {
     const { pollMilliseconds, timers } = this.options;
     const apart = this.options.countEntries() * APART_MILLISECONDS;
     const spread = Math.min(MOST_SPREAD_MILLISECONDS, apart);
@@ -115,7 +115,7 @@
   }
 
   private async pollPlatform(): Promise<void> {
-    const { platform, dispatch, pollMilliseconds, share } = this.options;
+    const { platform, dispatch, pollMilliseconds, shareInstances: share } = this.options;
     const signal = AbortSignal.timeout(pollMilliseconds * 2);
     try {
       const [instances, notices] = await Promise.all([
@@ -135,9 +135,9 @@
   private take(instances: readonly PlatformInstance[]): void {
     const { adapters, dispatch } = this.options;
     this.instances = instances;
-    this.cacheEvents.keepOnly(instances.map(({ instance }) => instance));
+    this.cacheEvents.retainOnly(instances.map(({ instance }) => instance));
     dispatch({ type: 'instancesListed', instances });
-    adapters.keepOnly(instances.flatMap((instance) => this.targetOf(instance) ?? []));
+    adapters.retainOnly(instances.flatMap((instance) => this.targetOf(instance) ?? []));
   }
 
   private async pollInstance(instance: PlatformInstance): Promise<void> {
@@ -146,7 +146,7 @@
     const { adapters, dispatch, pollMilliseconds } = this.options;
     try {
       const signal = AbortSignal.timeout(pollMilliseconds);
-      const found = adapters.find(target);
+      const found = adapters.getOrCreate(target);
       // Its load comes with its answers.
       if (found.kind === 'relay') return;
       const report = await found.adapter.readLoad(signal);
--- a/apps/entry/src/CacheEventReader.ts
+++ b/apps/entry/src/CacheEventReader.ts
@@ -27,7 +27,7 @@
   }
 
   /** Forgets engines that are no longer listed. */
-  keepOnly(instances: readonly string[]): void {
+  retainOnly(instances: readonly string[]): void {
     const kept = new Set(instances);
     [...this.newest.keys()].forEach((instance) => {
       if (!kept.has(instance)) this.newest.delete(instance);
--- a/apps/entry/src/CallProtocol.ts
+++ b/apps/entry/src/CallProtocol.ts
@@ -8,7 +8,7 @@
 import type { CallerRequest } from '@hornbeampond/entry-core';
 
 /** What the head of a request says, as far as decisions need it. */
-export type CallFacts = Pick<
+export type CallRequestFields = Pick<
   CallerRequest,
   | 'keySha256'
   | 'host'
@@ -22,19 +22,19 @@
 >;
 
 /** The head of a request, read. */
-export interface ReadCall {
+export interface ParsedCall {
   /** The caller's name for this request, unique for all time; it names the request in logs. */
   readonly name?: string;
-  readonly facts: CallFacts;
+  readonly requestFields: CallRequestFields;
   /** What is passed on to the backend server. */
-  readonly headers: readonly HeaderLine[];
+  readonly forwardedHeaders: readonly HeaderLine[];
   /** The last event that the caller has, where it asks for the rest of a stream. */
   readonly resumeAfter?: string;
 }
 
 export abstract class CallProtocol {
   /** Reads the head; throws a `HornbeampondError` if it is malformed. */
-  abstract readCall(message: IncomingMessage): ReadCall;
+  abstract parseCall(message: IncomingMessage): ParsedCall;
 
   /** Writes a final answer that tells the error. */
   abstract writeProblem(response: ServerResponse, error: unknown, requestId?: string): void;
--- a/apps/entry/src/CallerAnswer.test.ts
+++ b/apps/entry/src/CallerAnswer.test.ts
@@ -26,7 +26,7 @@
   return response;
 }
 
-const shape = { model: 'm', streamed: true, created: 1, mostCharacters: 1000 };
+const shape = { model: 'm', streamed: true, created: 1, maxCharacters: 1000 };
 const lost = new HornbeampondError('answerCut', 'The backend server was lost');
 
 // The engine is lost after two tokens and no other can go on. The caller reads text that ends in the
@@ -47,7 +47,7 @@
   const response = await receive(context, async (written) => {
     const answer = new CompletionAnswer('request-1', written, shape);
     await answer.writeToken('mint', 1);
-    answer.end('stop', undefined);
+    answer.recordEnd('stop', undefined);
     answer.finish();
   });
   assert.equal(response.headers['x-request-id'], 'request-1');
@@ -70,9 +70,9 @@
 test('a plain answer that is cut never looks whole', async (context) => {
   let cut = () => {};
   const response = await receive(context, async (written) => {
-    const answer = new PlainAnswer('request-1', written, { held: false, mostBytes: 100 });
+    const answer = new PlainAnswer('request-1', written, { isBuffered: false, maxBytes: 100 });
     cut = () => answer.fail(lost);
-    answer.begin(200, { 'content-type': 'text/plain' });
+    answer.receiveHead(200, { 'content-type': 'text/plain' });
     await answer.writeBytes(Buffer.from('half a tick'));
   });
   cut();
@@ -81,7 +81,7 @@
 
 test('an answer that was kept is marked as a replay', async (context) => {
   const response = await receive(context, async (written) => {
-    const answer = new PlainAnswer('request-2', written, { held: true, mostBytes: 100 });
+    const answer = new PlainAnswer('request-2', written, { isBuffered: true, maxBytes: 100 });
     answer.replay({ status: 201, headers: { 'x-seat': '12' }, body: Buffer.from('seat 12') });
   });
   assert.equal(response.statusCode, 201);
--- a/apps/entry/src/CallerAnswer.ts
+++ b/apps/entry/src/CallerAnswer.ts
@@ -14,14 +14,14 @@
   ) {}
 
   /** Told when the caller begins to hold the answer up, and when it has caught up. */
-  onHeld: (held: boolean) => void = () => {};
+  onBackpressureChange: (held: boolean) => void = () => {};
 
   /** True once a byte of the answer has gone to the caller. */
   get started(): boolean {
     return this.response.headersSent;
   }
 
-  get gone(): boolean {
+  get isClosed(): boolean {
     return this.response.destroyed || this.response.writableEnded;
   }
 
@@ -34,18 +34,18 @@
   abstract finish(): void;
 
   /** Ends a started answer with an error that a caller cannot take for its end. */
-  protected abstract cut(error: unknown): void;
+  protected abstract abort(error: unknown): void;
 
   /** Ends the answer with a problem. */
   fail(error: unknown): void {
-    if (this.gone) return;
-    if (this.started) this.cut(error);
+    if (this.isClosed) return;
+    if (this.started) this.abort(error);
     else writeProblem(this.response, error, this.requestId);
   }
 
   /** Gives an answer that was kept from the first run of the same call. */
   replay({ status, headers, body }: StoredAnswer): void {
-    if (this.gone) return;
+    if (this.isClosed) return;
     const replayed = { ...headers, 'x-request-id': this.requestId, 'idempotent-replay': 'true' };
     this.response.writeHead(status, replayed);
     this.response.end(body);
@@ -53,10 +53,10 @@
 
   /** Writes bytes and waits while the caller is slower than the backend server. */
   protected async write(bytes: string | Uint8Array): Promise<void> {
-    if (this.gone || this.response.write(bytes)) return;
+    if (this.isClosed || this.response.write(bytes)) return;
     const controller = new AbortController();
     const { signal } = controller;
-    this.onHeld(true);
+    this.onBackpressureChange(true);
     try {
       await Promise.race([
         once(this.response, 'drain', { signal }),
@@ -64,11 +64,11 @@
       ]);
     } finally {
       controller.abort();
-      this.onHeld(false);
+      this.onBackpressureChange(false);
     }
   }
 
-  protected describe(error: unknown): string {
+  protected formatError(error: unknown): string {
     return JSON.stringify({ error: toProblemDocument(error, this.requestId) });
   }
 }
--- a/apps/entry/src/CallerListener.ts
+++ b/apps/entry/src/CallerListener.ts
@@ -9,7 +9,7 @@
   applyBounds?(): void;
 
   /** Asks callers to connect elsewhere next time, with each answer from now on. */
-  startClosing?(): void;
+  disableKeepAlive?(): void;
 
   /** Takes no new connections; those in use go on until their answers are given. */
   stopListening(): void;
--- a/apps/entry/src/CallerServer.ts
+++ b/apps/entry/src/CallerServer.ts
@@ -26,7 +26,7 @@
 } from '@hornbeampond/adapters';
 import type { CallerRequest } from '@hornbeampond/entry-core';
 import type { CallerAnswer } from './CallerAnswer.js';
-import { CallerHttpServer } from './CallerHttpServer.js';
+import { HttpServerLifecycle } from './HttpServerLifecycle.js';
 import type { CallerListener } from './CallerListener.js';
 import { CompletionAnswer } from './CompletionAnswer.js';
 import { PlainAnswer } from './PlainAnswer.js';
@@ -38,7 +38,7 @@
   readonly headers: IncomingMessage['headers'];
   readonly body: Buffer;
   /** Set if the call is opaque: what of its head is passed on. */
-  readonly relayed?: readonly HeaderLine[];
+  readonly forwardedHeaders?: readonly HeaderLine[];
   /** Set if the call is a chat completion. */
   readonly completion: CompletionBody | undefined;
   readonly answer: CallerAnswer;
@@ -48,9 +48,9 @@
   readonly settings: EntrySettings;
   readonly timers: TimerService;
   /** Names requests; unique for all time. */
-  nameRequest(): string;
+  makeRequestId(): string;
   onRequest(exchange: CallerExchange): void;
-  onGone(requestId: string): void;
+  onCallerDisconnect(requestId: string): void;
   /** Counts a refusal that the reducer does not see. */
   onRefused(error: unknown): void;
 }
@@ -79,7 +79,7 @@
 export class CallerServer implements CallerListener {
   private readonly server: Server;
 
-  private readonly life: CallerHttpServer;
+  private readonly life: HttpServerLifecycle;
 
   private readonly workspaceByKeyDigest: ReadonlyMap<string, string>;
 
@@ -92,7 +92,7 @@
     this.server = createServer({ maxHeaderSize: headerBytes }, (request, response) => {
       this.take(request, response).catch((error: unknown) => this.refuse(response, error));
     });
-    this.life = new CallerHttpServer(this.server, options.timers);
+    this.life = new HttpServerLifecycle(this.server, options.timers);
     this.server.on('clientError', (error: NodeJS.ErrnoException, socket) => {
       const tooLarge = error.code === 'HPE_HEADER_OVERFLOW';
       const kind = tooLarge ? 'headersTooLarge' : 'badRequest';
@@ -134,7 +134,7 @@
     const exchange = this.makeExchange(request, response, workspace, body);
     const { requestId } = exchange.request;
     response.on('close', () => {
-      if (!response.writableEnded) this.options.onGone(requestId);
+      if (!response.writableEnded) this.options.onCallerDisconnect(requestId);
     });
     this.options.onRequest(exchange);
   }
@@ -160,7 +160,7 @@
     const method = message.method ?? 'GET';
     const url = new URL(message.url ?? '/', 'http://callers');
     const path = url.pathname + url.search;
-    const requestId = this.options.nameRequest();
+    const requestId = this.options.makeRequestId();
     const idempotencyKey = this.readIdempotencyKey(message);
     const digest = createHash('sha256').update(`${method}\n${path}\n`).update(body).digest('hex');
     const shared = {
@@ -175,7 +175,7 @@
     const { headers } = message;
     if (url.pathname !== COMPLETIONS_PATH) {
       const request = { ...shared, prefixDigests: [], promptTokens: 0, maxTokens: 0 };
-      const shape = { held: idempotencyKey !== undefined, mostBytes: answerBytes };
+      const shape = { isBuffered: idempotencyKey !== undefined, maxBytes: answerBytes };
       const answer = new PlainAnswer(requestId, response, shape);
       return { request, headers, body, completion: undefined, answer };
     }
@@ -194,7 +194,7 @@
       model: completion.model ?? '',
       streamed: completion.stream === true,
       created: Math.floor(this.options.timers.wallNow() / 1000),
-      mostCharacters: answerBytes,
+      maxCharacters: answerBytes,
     });
     return { request, headers, body, completion, answer };
   }
--- a/apps/entry/src/CompletionAnswer.ts
+++ b/apps/entry/src/CompletionAnswer.ts
@@ -7,13 +7,13 @@
 import type { CompletionUsage } from '@hornbeampond/adapters';
 import { CallerAnswer } from './CallerAnswer.js';
 
-export interface CompletionShape {
+export interface CompletionAnswerOptions {
   readonly model: string;
   readonly streamed: boolean;
   /** Epoch seconds. */
   readonly created: number;
   /** Most characters of generated text. */
-  readonly mostCharacters: number;
+  readonly maxCharacters: number;
 }
 
 export class CompletionAnswer extends CallerAnswer {
@@ -28,7 +28,7 @@
   constructor(
     requestId: string,
     response: ServerResponse,
-    private readonly shape: CompletionShape,
+    private readonly shape: CompletionAnswerOptions,
   ) {
     super(requestId, response);
   }
@@ -47,7 +47,7 @@
   }
 
   async writeToken(text: string, tokens: number): Promise<void> {
-    if (this.text.length + text.length > this.shape.mostCharacters) {
+    if (this.text.length + text.length > this.shape.maxCharacters) {
       throw new HornbeampondError('answerCut', 'The answer is above the bound on its size');
     }
     this.text += text;
@@ -58,13 +58,13 @@
   }
 
   /** Notes how the engine ended; `finish` then ends the caller's answer. */
-  end(finishReason: string, usage: CompletionUsage | undefined): void {
+  recordEnd(finishReason: string, usage: CompletionUsage | undefined): void {
     this.finishReason = finishReason;
     this.usage = usage;
   }
 
   override finish(): void {
-    if (this.gone) return;
+    if (this.isClosed) return;
     if (!this.shape.streamed) {
       this.finishWhole();
       return;
@@ -73,8 +73,8 @@
     this.response.end(`${this.event({}, this.finishReason)}data: [DONE]\n\n`);
   }
 
-  protected override cut(error: unknown): void {
-    this.response.end(`event: error\ndata: ${this.describe(error)}\n\n`);
+  protected override abort(error: unknown): void {
+    this.response.end(`event: error\ndata: ${this.formatError(error)}\n\n`);
   }
 
   private begin(): void {
--- a/apps/entry/src/EntryPeers.ts
+++ b/apps/entry/src/EntryPeers.ts
@@ -61,7 +61,7 @@
     return this.server.listen(this.options.settings.peerListen);
   }
 
-  report(report: PeerReport): void {
+  sendReport(report: PeerReport): void {
     this.clients.forEach((client) => client.push(report));
   }
 
--- a/apps/entry/src/EntryProcess.ts
+++ b/apps/entry/src/EntryProcess.ts
@@ -75,18 +75,18 @@
 }
 
 /** How callers are spoken to whose calls are passed on as they are. */
-export interface OpaqueCalls {
+export interface OpaqueCallOptions {
   readonly protocol: CallProtocol;
   /** Windows in which requests are counted for the usage report. */
   readonly usageWindow: Milliseconds;
 }
 
 /** What is outside an entry, and how it is spoken to. */
-export interface EntryBoundary {
+export interface EntryDependencies {
   readonly platform: PlatformAdapter;
   readonly makeAdapter: MakeAdapter;
   /** Without it callers speak the interface of this project. */
-  readonly opaqueCalls?: OpaqueCalls;
+  readonly opaqueCalls?: OpaqueCallOptions;
 }
 
 export class EntryProcess implements RunningProcess {
@@ -127,7 +127,7 @@
   constructor(
     private readonly settings: EntrySettings,
     private readonly timers: TimerService,
-    private readonly boundary: EntryBoundary,
+    private readonly boundary: EntryDependencies,
   ) {
     const { instance, dataCentre } = settings;
     this.incarnation = timers.wallNow();
@@ -166,7 +166,7 @@
         onQuarantine: (quarantine) => dispatch({ type: 'quarantineReceived', quarantine }),
         onEntryReport: (report) => dispatch({ type: 'entryReported', report }),
         onInstances: (instances, age) =>
-          this.watcher.receive(fromShared(instances, timers.wallNow()), age),
+          this.watcher.receiveInstances(fromShared(instances, timers.wallNow()), age),
         onRemembered: (remembered) => dispatch({ type: 'knowledgeRemembered', remembered }),
         onWork: (work) => dispatch({ type: 'workReported', work }),
         onSpending: (spending) => dispatch({ type: 'spendingReported', spending }),
@@ -191,7 +191,9 @@
       readConfiguration,
       dispatch,
       countEntries: () => this.loop.state.membership.peers.size + 1,
-      ...(this.findsPeersByStores ? { share: (instances) => this.shareInstances(instances) } : {}),
+      ...(this.findsPeersByStores
+        ? { shareInstances: (instances) => this.shareInstances(instances) }
+        : {}),
     });
     this.callers = this.makeCallers();
     const tables = new TableApi(settings, this.store);
@@ -221,9 +223,9 @@
     const { opaqueCalls } = this.boundary;
     const shared = {
       timers,
-      nameRequest: () => this.nameRequest(),
+      makeRequestId: () => this.nameRequest(),
       onRequest: (exchange: CallerExchange) => this.takeRequest(exchange),
-      onGone: (requestId: string) => this.dispatch({ type: 'callerGone', requestId }),
+      onCallerDisconnect: (requestId: string) => this.dispatch({ type: 'callerGone', requestId }),
       onRefused: (error: unknown) => this.countRefusal(error),
     };
     if (opaqueCalls === undefined) return new CallerServer({ ...shared, settings });
@@ -232,7 +234,7 @@
       listen: settings.listen,
       protocol: opaqueCalls.protocol,
       readBounds: () => this.loop.state.configuration.whole?.callerBounds,
-      isKnown: (requestId) => this.exchanges.has(requestId),
+      isInProgress: (requestId) => this.exchanges.has(requestId),
     });
   }
 
@@ -269,7 +271,7 @@
   async shutDown(): Promise<void> {
     const { balancerDelayMilliseconds, shutdownMilliseconds } = this.settings;
     this.ready = false;
-    this.callers.startClosing?.();
+    this.callers.disableKeepAlive?.();
     this.logger.write('shutdownStarted', {});
     let cancelLimit: Unsubscribe = () => {};
     const settled = new Promise<void>((resolve) => {
@@ -400,15 +402,15 @@
         return;
       case 'reportToEntries':
         if (this.findsPeersByStores) this.store.shareReport(effect.report);
-        else this.peers.report(effect.report);
+        else this.peers.sendReport(effect.report);
         return;
       case 'tellWork':
         if (this.findsPeersByStores) this.store.shareWork(effect.work);
-        else this.peers.report(effect.work);
+        else this.peers.sendReport(effect.work);
         return;
       case 'tellSpending':
         if (this.findsPeersByStores) this.store.shareSpending(effect.spending);
-        else this.peers.report(effect.spending);
+        else this.peers.sendReport(effect.spending);
         return;
       case 'configurationApplied':
         this.callers.applyBounds?.();
@@ -435,7 +437,7 @@
     const { instance } = target;
     try {
       const signal = AbortSignal.timeout(PROBE_MILLISECONDS);
-      const signOfLife = await this.adapters.find(target).adapter.probe(signal);
+      const signOfLife = await this.adapters.getOrCreate(target).adapter.probe(signal);
       this.dispatch({ type: 'probeAnswered', instance, answered: true, ...signOfLife });
     } catch {
       this.dispatch({ type: 'probeAnswered', instance, answered: false });
--- a/apps/entry/src/EventStreamCutter.test.ts
+++ b/apps/entry/src/EventStreamSplitter.test.ts
@@ -1,19 +1,19 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { EventStreamCutter } from './EventStreamCutter.js';
+import { EventStreamSplitter } from './EventStreamSplitter.js';
 
 const stream = 'id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\r\ndata: c\r\n\r\nid: 4\ndata: half';
 
 /** Cuts a text at the given places and pushes its parts. */
 function pushIn(parts: readonly string[]) {
-  const cutter = new EventStreamCutter();
+  const cutter = new EventStreamSplitter();
   const cut = parts.map((part) => cutter.push(Buffer.from(part)));
   return {
     text: cut.map(({ bytes }) => bytes.toString()).join(''),
     count: cut.reduce((sum, { count }) => sum + count, 0),
     lastId: cut.map(({ lastId }) => lastId).findLast((id) => id !== undefined),
-    pending: cutter.pending.toString(),
+    pending: cutter.pendingBytes.toString(),
   };
 }
 
--- a/apps/entry/src/EventStreamCutter.ts
+++ b/apps/entry/src/EventStreamSplitter.ts
@@ -7,7 +7,7 @@
 const LINE_FEED = 0x0a;
 
 /** One or more whole events. */
-export interface WholeEvents {
+export interface CompleteEvents {
   readonly bytes: Buffer;
   /** The id of the last of them, if it has one. */
   readonly lastId: string | undefined;
@@ -28,15 +28,15 @@
   return /^id:[ ]?(.*?)\r?$/m.exec(event)?.[1];
 }
 
-export class EventStreamCutter {
+export class EventStreamSplitter {
   private rest: Buffer = Buffer.alloc(0);
 
   /** Bytes of an event that is not whole yet. */
-  get pending(): Buffer {
+  get pendingBytes(): Buffer {
     return this.rest;
   }
 
-  push(bytes: Uint8Array): WholeEvents {
+  push(bytes: Uint8Array): CompleteEvents {
     const all = this.rest.length === 0 ? Buffer.from(bytes) : Buffer.concat([this.rest, bytes]);
     let end = 0;
     let count = 0;
--- a/apps/entry/src/CallerHttpServer.ts
+++ b/apps/entry/src/HttpServerLifecycle.ts
@@ -7,7 +7,7 @@
 /** How often connections that have become idle are looked for while closing. */
 const SWEEP_MILLISECONDS = 10;
 
-export class CallerHttpServer {
+export class HttpServerLifecycle {
   constructor(
     private readonly server: Server,
     private readonly timers: TimerService,
--- a/apps/entry/src/PlainAnswer.ts
+++ b/apps/entry/src/PlainAnswer.ts
@@ -7,11 +7,11 @@
 import type { HeaderFields } from '@hornbeampond/adapters';
 import { CallerAnswer } from './CallerAnswer.js';
 
-export interface PlainShape {
+export interface PlainAnswerOptions {
   /** True if the answer is held until it is whole. */
-  readonly held: boolean;
+  readonly isBuffered: boolean;
   /** Most bytes of an answer that is held. */
-  readonly mostBytes: number;
+  readonly maxBytes: number;
 }
 
 /** Headers of a backend server's answer that speak of its connection, not of the answer. */
@@ -29,13 +29,13 @@
   constructor(
     requestId: string,
     response: ServerResponse,
-    private readonly shape: PlainShape,
+    private readonly shape: PlainAnswerOptions,
   ) {
     super(requestId, response);
   }
 
   /** Takes in the head of the backend server's answer. */
-  begin(status: number, headers: HeaderFields): void {
+  receiveHead(status: number, headers: HeaderFields): void {
     this.status = status;
     this.held = [];
     this.heldBytes = 0;
@@ -47,21 +47,21 @@
   }
 
   async writeBytes(bytes: Uint8Array): Promise<void> {
-    if (!this.shape.held) {
+    if (!this.shape.isBuffered) {
       this.writeHead();
       await this.write(bytes);
       return;
     }
     this.heldBytes += bytes.length;
-    if (this.heldBytes > this.shape.mostBytes) {
-      throw new HornbeampondError('answerCut', `The answer is above ${this.shape.mostBytes} bytes`);
+    if (this.heldBytes > this.shape.maxBytes) {
+      throw new HornbeampondError('answerCut', `The answer is above ${this.shape.maxBytes} bytes`);
     }
     this.held.push(bytes);
   }
 
   /** The whole answer, if it was held. */
   get storedAnswer(): StoredAnswer | undefined {
-    if (!this.shape.held) return undefined;
+    if (!this.shape.isBuffered) return undefined;
     // A stored answer names each header once; only cookies cannot be joined, and are left out.
     const headers = Object.fromEntries(
       Object.entries(this.headers)
@@ -72,12 +72,12 @@
   }
 
   override finish(): void {
-    if (this.gone) return;
+    if (this.isClosed) return;
     this.writeHead();
-    this.response.end(this.shape.held ? Buffer.concat(this.held) : undefined);
+    this.response.end(this.shape.isBuffered ? Buffer.concat(this.held) : undefined);
   }
 
-  protected override cut(): void {
+  protected override abort(): void {
     // Without its last chunk a chunked body is known to be cut, whatever the caller reads it with.
     this.response.destroy();
   }
--- a/apps/entry/src/RelayAnswer.ts
+++ b/apps/entry/src/RelayAnswer.ts
@@ -12,7 +12,7 @@
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import { CallerAnswer } from './CallerAnswer.js';
 import type { CallProtocol } from './CallProtocol.js';
-import { EventStreamCutter } from './EventStreamCutter.js';
+import { EventStreamSplitter } from './EventStreamSplitter.js';
 
 /** Larger answers are passed on as they come; holding many of them would cost too much memory. */
 const MOST_HELD_BYTES = 256 * 1024;
@@ -33,11 +33,11 @@
   private pieceAt: MonotonicMilliseconds | undefined;
 
   /** Whole events that have gone to the caller. */
-  eventsGiven = 0;
+  eventsSent = 0;
 
   private head: Pick<RelayResponse, 'status' | 'headers' | 'isStream'> | undefined;
 
-  private cutter = new EventStreamCutter();
+  private cutter = new EventStreamSplitter();
 
   private held: Uint8Array[] = [];
 
@@ -56,30 +56,30 @@
   }
 
   override get tokensGiven(): number | undefined {
-    return this.eventsGiven > 0 ? this.eventsGiven : undefined;
+    return this.eventsSent > 0 ? this.eventsSent : undefined;
   }
 
   /** True while the backend server is in the middle of an event. */
-  get isInEvent(): boolean {
-    return this.head?.isStream === true && this.cutter.pending.length > 0;
+  get hasPartialEvent(): boolean {
+    return this.head?.isStream === true && this.cutter.pendingBytes.length > 0;
   }
 
   /** Takes note that a piece of the answer has come. */
-  notePiece(now: MonotonicMilliseconds): void {
+  recordBytesReceived(now: MonotonicMilliseconds): void {
     this.longestPause = Math.max(this.longestPause, now - (this.pieceAt ?? now));
     this.pieceAt = now;
   }
 
   /** Takes in the head of a backend server's answer; a stream that goes on keeps its first head. */
-  begin({ status, headers, isStream }: RelayResponse): void {
-    this.cutter = new EventStreamCutter();
+  receiveHead({ status, headers, isStream }: RelayResponse): void {
+    this.cutter = new EventStreamSplitter();
     this.held = [];
     this.heldBytes = 0;
     if (!this.started) this.head = { status, headers, isStream };
   }
 
   /** Passes on what is whole; resolves once the caller can take more. */
-  async relay(bytes: Uint8Array): Promise<void> {
+  async writeBytes(bytes: Uint8Array): Promise<void> {
     if (this.head?.isStream !== true) {
       await this.hold(bytes);
       return;
@@ -88,18 +88,18 @@
     if (events.count === 0) return;
     this.writeHead();
     this.lastEventId = events.lastId ?? this.lastEventId;
-    this.eventsGiven += events.count;
+    this.eventsSent += events.count;
     await this.write(events.bytes);
   }
 
   /** Keeps an answer that tells of a failure, for the case that no attempt does better. */
-  keepFailure(body: Buffer): void {
+  saveFailureAnswer(body: Buffer): void {
     if (this.head === undefined || this.started) return;
     this.kept = { ...this.head, body };
   }
 
   override finish(): void {
-    if (this.gone) return;
+    if (this.isClosed) return;
     const body = Buffer.concat(this.held);
     if (!this.started && this.head?.isStream === false) {
       this.writeWhole({ ...this.head, body });
@@ -110,13 +110,13 @@
   }
 
   override fail(error: unknown): void {
-    if (this.gone) return;
-    if (this.started) this.cut();
+    if (this.isClosed) return;
+    if (this.started) this.abort();
     else if (this.kept !== undefined) this.writeWhole(this.kept);
     else this.protocol.writeProblem(this.response, error, this.requestId);
   }
 
-  protected override cut(): void {
+  protected override abort(): void {
     this.response.destroy();
   }
 
--- a/apps/entry/src/RelayServer.ts
+++ b/apps/entry/src/RelayServer.ts
@@ -15,7 +15,7 @@
 } from '@hornbeampond/schema';
 import { readBody } from '@hornbeampond/transport';
 import type { CallerExchange } from './CallerServer.js';
-import { CallerHttpServer } from './CallerHttpServer.js';
+import { HttpServerLifecycle } from './HttpServerLifecycle.js';
 import type { CallerListener } from './CallerListener.js';
 import type { CallProtocol } from './CallProtocol.js';
 import { RelayAnswer } from './RelayAnswer.js';
@@ -27,11 +27,11 @@
   /** The bounds in force; undefined before a configuration names any. */
   readBounds(): CallerBounds | undefined;
   /** Names requests whose caller gave no name; unique for all time. */
-  nameRequest(): string;
+  makeRequestId(): string;
   /** True if a request of this name is in progress. */
-  isKnown(requestId: string): boolean;
+  isInProgress(requestId: string): boolean;
   onRequest(exchange: CallerExchange): void;
-  onGone(requestId: string): void;
+  onCallerDisconnect(requestId: string): void;
   /** Counts a refusal that the reducer does not see. */
   onRefused(error: unknown): void;
 }
@@ -66,7 +66,7 @@
 export class RelayServer implements CallerListener {
   private readonly server: Server;
 
-  private readonly life: CallerHttpServer;
+  private readonly life: HttpServerLifecycle;
 
   private isClosing = false;
 
@@ -77,7 +77,7 @@
         this.take(request, response).catch((error: unknown) => this.refuse(response, error));
       },
     );
-    this.life = new CallerHttpServer(this.server, options.timers);
+    this.life = new HttpServerLifecycle(this.server, options.timers);
     this.server.requestTimeout = 0;
     this.server.on('clientError', (error: NodeJS.ErrnoException, socket: Socket) =>
       this.refuseUnread(error, socket),
@@ -97,7 +97,7 @@
   }
 
   /** Asks callers to connect elsewhere next time, with each answer from now on. */
-  startClosing(): void {
+  disableKeepAlive(): void {
     this.isClosing = true;
   }
 
@@ -138,13 +138,13 @@
   }
 
   private async take(message: IncomingMessage, response: ServerResponse): Promise<void> {
-    const { protocol, onRequest, onGone } = this.options;
+    const { protocol, onRequest, onCallerDisconnect: onGone } = this.options;
     if (this.isClosing) response.setHeader('connection', 'close');
     const { headerBytes, bodyBytes } = this.bounds;
     if (headBytes(message) > headerBytes) {
       throw new HornbeampondError('headersTooLarge', `The head is above ${headerBytes} bytes`);
     }
-    const call = protocol.readCall(message);
+    const call = protocol.parseCall(message);
     const body = await readBody(message, bodyBytes);
     // The caller may have left while its body was read.
     if (response.destroyed) return;
@@ -152,19 +152,26 @@
     const answer = new RelayAnswer(requestId, response, protocol, call.resumeAfter);
     const { method = 'GET', url: path = '/' } = message;
     const digest = createHash('sha256')
-      .update(`${method}\n${path}\n${call.facts.keySha256 ?? ''}\n`)
+      .update(`${method}\n${path}\n${call.requestFields.keySha256 ?? ''}\n`)
       .update(body)
       .digest('hex');
-    const request = { requestId, workspace: '', method, path, digest, ...call.facts };
+    const request = { requestId, workspace: '', method, path, digest, ...call.requestFields };
     response.on('close', () => {
       if (!response.writableEnded) onGone(requestId);
     });
     const { headers } = message;
-    onRequest({ request, headers, relayed: call.headers, body, completion: undefined, answer });
+    onRequest({
+      request,
+      headers,
+      forwardedHeaders: call.forwardedHeaders,
+      body,
+      completion: undefined,
+      answer,
+    });
   }
 
   private nameOf(name: string | undefined): string {
-    const { isKnown, nameRequest } = this.options;
+    const { isInProgress: isKnown, makeRequestId: nameRequest } = this.options;
     return name === undefined || isKnown(name) ? nameRequest() : name;
   }
 }
--- a/apps/entry/src/ownBoundary.ts
+++ b/apps/entry/src/makeHttpDependencies.ts
@@ -7,7 +7,7 @@
 import type { AttemptTarget } from '@hornbeampond/entry-core';
 import type { EntrySettings } from '@hornbeampond/schema';
 import type { BackendServerAdapter } from './AdapterDirectory.js';
-import type { EntryBoundary } from './EntryProcess.js';
+import type { EntryDependencies } from './EntryProcess.js';
 
 function makeHttpAdapter(target: AttemptTarget): BackendServerAdapter {
   return target.kind === 'modelEngine'
@@ -16,7 +16,7 @@
 }
 
 /** The platform at the address of the settings, and backend servers at theirs. */
-export function makeOwnBoundary(settings: EntrySettings): EntryBoundary {
+export function makeHttpDependencies(settings: EntrySettings): EntryDependencies {
   return {
     platform: new HttpPlatformAdapter(settings.platform.url),
     makeAdapter: makeHttpAdapter,
--- a/apps/entry/src/relayBody.ts
+++ b/apps/entry/src/relayBody.ts
@@ -12,12 +12,12 @@
 /** Larger answers that tell of a failure are cut short. */
 const MOST_FAILURE_BYTES = 64 * 1024;
 
-export interface RelayEdges {
+export interface RelayCallbacks {
   isCancelled(): boolean;
   /** Bytes have come. */
-  onBytes(): void;
+  onBytesReceived(): void;
   /** The caller has taken them. */
-  onTaken(): void;
+  onBytesWritten(): void;
 }
 
 async function readFailure({ status, body }: RelayResponse, answer: RelayAnswer): Promise<never> {
@@ -27,7 +27,7 @@
     bytes += chunk.length;
     if (bytes <= MOST_FAILURE_BYTES) chunks.push(chunk);
   }
-  if (bytes <= MOST_FAILURE_BYTES) answer.keepFailure(Buffer.concat(chunks));
+  if (bytes <= MOST_FAILURE_BYTES) answer.saveFailureAnswer(Buffer.concat(chunks));
   throw new BackendServerFailure(`the answer has status ${status}`, {
     failure: 'serverError',
     status,
@@ -37,7 +37,7 @@
 export async function relayBody(
   response: RelayResponse,
   answer: RelayAnswer,
-  edges: RelayEdges,
+  edges: RelayCallbacks,
 ): Promise<void> {
   if (answer.started && !(response.isStream && response.status === STATUS_OK)) {
     throw new BackendServerFailure('a stream cannot go on with this', {
@@ -45,14 +45,14 @@
       status: response.status,
     });
   }
-  answer.begin(response);
+  answer.receiveHead(response);
   if (response.status >= FIRST_SERVER_ERROR) await readFailure(response, answer);
   for await (const bytes of response.body) {
     if (edges.isCancelled()) return;
-    edges.onBytes();
-    await answer.relay(bytes);
-    edges.onTaken();
+    edges.onBytesReceived();
+    await answer.writeBytes(bytes);
+    edges.onBytesWritten();
   }
   // The connection ended cleanly, yet in the middle of an event: the stream was cut.
-  if (answer.isInEvent) throw new BackendServerFailure('the stream ended inside an event');
+  if (answer.hasPartialEvent) throw new BackendServerFailure('the stream ended inside an event');
 }
