--- a/packages/controller-core/src/buying/buyInstances.ts
+++ b/packages/controller-core/src/buying/buyInstances.ts
@@ -2,9 +2,9 @@
  * Buys the instances that the plan wants in the controller's data centre beyond those kept or
  * pending. Resends unanswered starts, and closes places where starts stay unanswered.
  *
- * A start token identifies one purchase: it contains the lease's epoch, so no two holders use the
- * same one. An unanswered start is resent under its token, because the platform may have sold the
- * instance and a new token would buy a second one.
+ * A start is a request to buy one instance. Its token identifies the purchase: it contains the
+ * lease's epoch, so no two holders use the same one. An unanswered start is resent under its token,
+ * because the platform might have sold the instance and a new token would buy a second one.
  */
 import type { Pool } from '@hornbeampond/schema';
 import type { ControllerEffect, StartInstanceEffect } from '../effects.js';
@@ -12,9 +12,12 @@
 import { countPending, isClosed } from '../planning/offers.js';
 import type { PlannedPlace, PoolPlan } from '../planning/PoolPlan.js';
 import type { ControllerState, HeldLease, PendingStart } from '../state.js';
-import { closeAfterRefusal } from './placeClosures.js';
+import { closeAfterFailedStart } from './placeClosures.js';
 
-/** A start is dropped after this long without an answer; an instance it bought will be listed. */
+/**
+ * A start is dropped after this long without an answer. If it did buy an instance, the platform's
+ * list shows it.
+ */
 const MAX_PENDING_START_AGE_MILLISECONDS = 10 * 60_000;
 
 function makeStartEffect(state: ControllerState, pending: PendingStart): StartInstanceEffect {
@@ -110,7 +113,7 @@
   });
 }
 
-/** Closes the places of long unanswered starts, so that the plan moves to other places. */
+/** Closes the places of long unanswered starts, so that the next plan uses other places. */
 function closePlacesOfUnansweredStarts(state: ControllerState): ControllerEffect[] {
   return [...state.pendingStarts.values()]
     .filter(
@@ -119,7 +122,7 @@
         !isClosed(state, state.dataCentre, pending.instanceClass),
     )
     .map((pending) => {
-      const closure = closeAfterRefusal(state, pending.instanceClass, 'unanswered');
+      const closure = closeAfterFailedStart(state, pending.instanceClass, 'unanswered');
       return {
         type: 'log',
         event: 'startUnanswered',
@@ -136,7 +139,7 @@
 
 /**
  * Handles unanswered starts and buys missing instances. Nothing is bought right after a takeover,
- * because the predecessor's purchases may not be listed yet.
+ * because the platform's list might not show the predecessor's purchases yet.
  */
 export function buyInstances(state: ControllerState, lease: HeldLease): ControllerEffect[] {
   const effects = [...closePlacesOfUnansweredStarts(state), ...resendStarts(state)];
--- a/packages/controller-core/src/buying/buying.test.ts
+++ b/packages/controller-core/src/buying/buying.test.ts
@@ -4,9 +4,9 @@
 
 const oneDataCentre = { pool: { dataCentres: ['wien-a'], least: 2, most: 4 } };
 
-// Guards against requesting a refused place over and over while the pool stays too small, and
-// against never trying that place again.
-test('after a refusal the next cheapest place is bought and the refused one retried later', () => {
+// Guards against sending starts to a place over and over while the platform refuses them, and
+// against never using that place again.
+test('a refused start moves to the next cheapest place, and its place is retried later', () => {
   const harness = new ControllerHarness(oneDataCentre);
   const first = pick(harness.hold(), 'startInstance');
   assert.deepEqual(placesOf(first), ['wien-a/spot', 'wien-a/spot']);
@@ -62,7 +62,7 @@
 
 // Guards against buying a second instance for one that a crashed holder bought, and against paying
 // indefinitely for an instance whose pool is not in the table.
-test('an unknown listed instance joins its pool, or is drained and ended if it has none', () => {
+test('an unknown listed instance joins its pool, or is ended if its pool is not in the table', () => {
   const harness = new ControllerHarness({ pool: { ...oneDataCentre.pool, least: 1 } });
   harness.rows = [
     row('orphan', 'wien-a', { startToken: 'wien-a-1-1' }),
@@ -93,8 +93,8 @@
   assert.deepEqual(placesOf([...early, ...late]), []);
 });
 
-// Guards against paying for an instance whose end request or answer was lost.
-test('an unanswered end is resent until it is answered', () => {
+// Guards against paying for an instance because the request to end it, or its answer, was lost.
+test('a request to end an instance is resent until it is answered', () => {
   const harness = new ControllerHarness(oneDataCentre);
   harness.rows = [row('a'), row('b'), row('old', 'wien-a', { state: 'leaving' })];
   harness.hold();
--- a/packages/controller-core/src/buying/placeClosures.ts
+++ b/packages/controller-core/src/buying/placeClosures.ts
@@ -1,30 +1,31 @@
 /**
- * Closes places to purchases for a while: after refused or unanswered starts, and after reclaims.
- * Until a closure ends, the plan uses the next cheapest place.
+ * Suspends purchases at a place (one instance class in one data centre) for a while: after failed
+ * starts, and after reclaims. A failed start is one that was refused or stays unanswered. Until a
+ * closure ends, the plan uses the next cheapest place.
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import type { Milliseconds } from '@hornbeampond/schema';
-import type { ClosedOffer } from '../events.js';
+import type { ClosedPlace } from '../events.js';
 import { placeKey, type PlaceClosure, type ControllerState } from '../state.js';
 
-/** A refusal is consecutive if it comes less than this long after the previous closure's end. */
-const CONSECUTIVE_REFUSAL_GAP_MILLISECONDS: Milliseconds = 10 * 60_000;
+/** A failed start is consecutive if it comes within this time after the previous closure's end. */
+const MAX_CONSECUTIVE_FAILURE_GAP_MILLISECONDS: Milliseconds = 10 * 60_000;
 
 /**
- * Draws a wait between half and all of a limit that doubles with each consecutive refusal. The
- * jitter keeps controllers and pools that were refused together from retrying together.
+ * Draws a wait between half and all of a limit that doubles with each consecutive failed start. The
+ * jitter keeps controllers and pools whose starts failed together from retrying together.
  */
-function drawBackoff(state: ControllerState, refusals: number): Milliseconds {
+function drawBackoff(state: ControllerState, consecutiveFailedStarts: number): Milliseconds {
   const { initialStartBackoff, maxStartBackoff } = state.policy;
   const backoffLimit = Math.min(
     maxStartBackoff,
-    initialStartBackoff * 2 ** Math.min(refusals - 1, 20),
+    initialStartBackoff * 2 ** Math.min(consecutiveFailedStarts - 1, 20),
   );
   return uniformInt(state.random, Math.ceil(backoffLimit / 2), Math.ceil(backoffLimit));
 }
 
-/** Closes a place in the controller's own data centre after a refused or unanswered start. */
-export function closeAfterRefusal(
+/** Closes a place in the controller's own data centre after a failed start. */
+export function closeAfterFailedStart(
   state: ControllerState,
   instanceClass: string,
   reason: 'refused' | 'unanswered',
@@ -32,15 +33,24 @@
   const place = placeKey(state.dataCentre, instanceClass);
   const previous = state.placeClosures.get(place);
   const isConsecutive =
-    previous !== undefined && state.now < previous.until + CONSECUTIVE_REFUSAL_GAP_MILLISECONDS;
-  // A refusal while the place is closed by an earlier one is of the same batch; both count as one.
-  const isSameBatch = previous !== undefined && previous.until > state.now && previous.refusals > 0;
-  const refusals = (isConsecutive ? previous.refusals : 0) + (isSameBatch ? 0 : 1);
+    previous !== undefined && state.now < previous.until + MAX_CONSECUTIVE_FAILURE_GAP_MILLISECONDS;
+  // Starts sent together often fail together: a failed start during a closure does not increase
+  // the count if the count is above 0.
+  const isAlreadyCounted =
+    previous !== undefined && previous.until > state.now && previous.consecutiveFailedStarts > 0;
+  const consecutiveFailedStarts =
+    (isConsecutive ? previous.consecutiveFailedStarts : 0) + (isAlreadyCounted ? 0 : 1);
   const until = Math.max(
-    state.now + drawBackoff(state, refusals),
+    state.now + drawBackoff(state, consecutiveFailedStarts),
     previous?.reason === 'reclaimed' ? previous.until : 0,
   );
-  const closure = { dataCentre: state.dataCentre, instanceClass, reason, until, refusals };
+  const closure = {
+    dataCentre: state.dataCentre,
+    instanceClass,
+    reason,
+    until,
+    consecutiveFailedStarts,
+  };
   state.placeClosures.set(place, closure);
   return closure;
 }
@@ -54,17 +64,17 @@
   const place = placeKey(dataCentre, instanceClass);
   const previous = state.placeClosures.get(place);
   const until = Math.max(state.now + state.policy.reclaimCooldown, previous?.until ?? 0);
-  const refusals = previous?.refusals ?? 0;
+  const consecutiveFailedStarts = previous?.consecutiveFailedStarts ?? 0;
   state.placeClosures.set(place, {
     dataCentre,
     instanceClass,
     reason: 'reclaimed',
     until,
-    refusals,
+    consecutiveFailedStarts,
   });
 }
 
-/** Reopens a place after a successful start, unless it is closed because of a reclaim. */
+/** Reopens a place after a successful start, unless the closure's latest reason is a reclaim. */
 export function reopenPlace(state: ControllerState, instanceClass: string): void {
   const closure = state.placeClosures.get(placeKey(state.dataCentre, instanceClass));
   if (closure !== undefined && closure.reason !== 'reclaimed') {
@@ -73,7 +83,7 @@
 }
 
 /** Closed places of the own data centre, for the report to the other controllers. */
-export function listOwnClosedOffers(state: ControllerState): ClosedOffer[] {
+export function listOwnClosedPlaces(state: ControllerState): ClosedPlace[] {
   return [...state.placeClosures.values()]
     .filter((closure) => closure.dataCentre === state.dataCentre && closure.until > state.now)
     .map(({ dataCentre, instanceClass, until }) => ({
--- a/packages/controller-core/src/buying/reduceBuying.ts
+++ b/packages/controller-core/src/buying/reduceBuying.ts
@@ -1,9 +1,9 @@
-/** Handles the platform's answers to starts and ends of instances. */
+/** Handles the platform's answers to requests that buy or end instances. */
 import type { ControllerEffect } from '../effects.js';
 import type { ControllerEvent, StartOutcome } from '../events.js';
 import { addInstance, removeInstance } from '../fleet/fleet.js';
 import type { ControllerState, PendingStart } from '../state.js';
-import { closeAfterRefusal, reopenPlace } from './placeClosures.js';
+import { closeAfterFailedStart, reopenPlace } from './placeClosures.js';
 
 function handleStarted(
   state: ControllerState,
@@ -38,7 +38,7 @@
   reason: string,
 ): ControllerEffect[] {
   state.pendingStarts.delete(pending.startToken);
-  const closure = closeAfterRefusal(state, pending.instanceClass, 'refused');
+  const closure = closeAfterFailedStart(state, pending.instanceClass, 'refused');
   return [
     {
       type: 'log',
@@ -49,7 +49,7 @@
         dataCentre: state.dataCentre,
         instanceClass: pending.instanceClass,
         reason,
-        refusalsInRow: closure.refusals,
+        refusalsInRow: closure.consecutiveFailedStarts,
         closedMilliseconds: closure.until - state.now,
       },
     },
--- a/packages/controller-core/src/demand/reduceDemand.ts
+++ b/packages/controller-core/src/demand/reduceDemand.ts
@@ -52,7 +52,7 @@
   return [...state.fleet.values()].some((instance) => instance.dataCentre === dataCentre);
 }
 
-/** True if a data centre reported serving instances last time and none of its own is listed now. */
+/** True if a data centre last reported serving instances, but the list now shows none of them. */
 function hasLostAllInstances(state: ControllerState, dataCentre: string): boolean {
   const hadInstances = state.peers.get(dataCentre)?.serving.some(({ instances }) => instances > 0);
   return hadInstances === true && !hasListedInstances(state, dataCentre);
--- a/packages/controller-core/src/events.ts
+++ b/packages/controller-core/src/events.ts
@@ -19,20 +19,20 @@
   readonly wallNow: EpochMilliseconds;
 }
 
-/** The platform's answer to a start; `lost`: no answer came, so an instance may have been sold. */
+/** Outcome of a start, a request to buy one instance. `lost`: it might have been sold or not. */
 export type StartOutcome =
   | { readonly type: 'started'; readonly instance: PlatformInstance }
   | { readonly type: 'refused'; readonly reason: string }
   | { readonly type: 'lost' };
 
-/** Result of an order. `lost`: it may have been carried out or not. `weightStoreBusy`: not sent. */
+/** Outcome of an order. `lost`: it might have been carried out. `weightStoreBusy`: not sent. */
 export type OrderOutcome =
   | { readonly type: OrderResult }
   | { readonly type: 'lost' }
   | { readonly type: 'weightStoreBusy'; readonly retryAfter: Milliseconds };
 
-/** A data centre and instance class where nothing is bought for the remaining time. */
-export interface ClosedOffer {
+/** An instance class and data centre (a place) where nothing is bought for the remaining time. */
+export interface ClosedPlace {
   readonly dataCentre: string;
   readonly instanceClass: string;
   readonly remaining: Milliseconds;
@@ -50,7 +50,7 @@
 export interface DataCentreReport {
   readonly dataCentre: string;
   readonly demand: readonly RouteDemandReport[];
-  readonly closedOffers: readonly ClosedOffer[];
+  readonly closedOffers: readonly ClosedPlace[];
   /** Reported because a controller receives load reports from its own data centre only. */
   readonly serving: readonly ServingReport[];
   /**
@@ -60,7 +60,7 @@
   readonly shapes?: Readonly<Record<string, readonly (number | null)[]>>;
 }
 
-export interface OfferPrice {
+export interface PlacePrice {
   readonly dataCentre: string;
   readonly instanceClass: string;
   readonly eurosPerHour: Euros;
@@ -72,7 +72,7 @@
       readonly type: 'configurationApplied';
       readonly configuration: Configuration;
     })
-  /** The lease is held; engines that do not check fencing get no order before `unfencedFrom`. */
+  /** The lease was gained. Engines that do not check fencing get no order before `unfencedFrom`. */
   | (EventBase & {
       readonly type: 'leaseHeld';
       readonly epoch: number;
@@ -84,7 +84,7 @@
       readonly instances: readonly PlatformInstance[];
     })
   /** Current prices from the platform; without one, the price in the pools table applies. */
-  | (EventBase & { readonly type: 'pricesListed'; readonly prices: readonly OfferPrice[] })
+  | (EventBase & { readonly type: 'pricesListed'; readonly prices: readonly PlacePrice[] })
   | (EventBase & {
       readonly type: 'startAnswered';
       readonly startToken: string;
--- a/packages/controller-core/src/fleet/FleetInstance.ts
+++ b/packages/controller-core/src/fleet/FleetInstance.ts
@@ -23,7 +23,7 @@
   readonly version?: string;
 }
 
-/** An order that the engine has not answered yet. */
+/** An order that the model engine has not answered yet. */
 export interface PendingOrder {
   readonly order: Order;
   readonly sentAt: MonotonicMilliseconds;
@@ -37,16 +37,22 @@
   readonly pool: string;
   readonly firstSeenAt: MonotonicMilliseconds;
   phase: InstancePhase;
+  /** When `enterPhase` last changed the phase, or a new lease was gained during a drain. */
   phaseSince: MonotonicMilliseconds;
+  /** The same time by the wall clock, to compare with times in load reports. */
   phaseSinceWall: EpochMilliseconds;
   lastListedAt: MonotonicMilliseconds;
+  /** When the platform will take it away; set once a reclaim notice has arrived. */
   goneAt?: EpochMilliseconds;
   loadReport?: LoadReport;
   loadReportReceivedAt?: MonotonicMilliseconds;
+  /** From the latest load report or completed order; empty until one of them names a model. */
   loaded: LoadedModel;
-  /** At most one order is sent at a time. */
+  /** The order whose answer is pending; there is at most one. */
   pendingOrder?: PendingOrder;
+  /** No load is ordered and no reload starts before this time. */
   orderRetryAt: MonotonicMilliseconds;
+  /** When the platform was last asked to end the instance. */
   endSentAt?: MonotonicMilliseconds;
   /** True once its start duration was recorded, or if its start was not observed. */
   startMeasured: boolean;
@@ -84,15 +90,15 @@
   return instance.phase === 'live' && hasModel(pool, instance);
 }
 
-/** True unless it is being drained for its end or reclaimed; it may not serve yet. */
+/** True unless it is draining or leaving. Includes instances that do not serve yet. */
 export function isKept(instance: FleetInstance): boolean {
   return instance.phase !== 'draining' && instance.phase !== 'leaving';
 }
 
 /**
- * True if a load report measured after entries stopped sending shows no call. The report carries
- * the instance's own clock, which may be ahead: the bound on clock skew is added, so that no report
- * from before that time counts.
+ * For a draining or reloading instance: true if a load report measured after entries stopped
+ * sending shows no call. The report carries the instance's own clock, which can be ahead: the bound
+ * on clock skew is added, so that no report measured before that time counts.
  */
 export function isIdle(state: ControllerState, instance: FleetInstance): boolean {
   const { loadReport } = instance;
--- a/packages/controller-core/src/fleet/fleet.ts
+++ b/packages/controller-core/src/fleet/fleet.ts
@@ -3,7 +3,7 @@
 import { poolOf, type FleetInstance } from './FleetInstance.js';
 import type { ControllerState } from '../state.js';
 
-/** Adds an instance as described by a row of the platform. */
+/** Adds an instance as described by a row of the platform's list or its answer to a start. */
 export function addInstance(state: ControllerState, row: PlatformInstance): FleetInstance {
   const servesImmediately =
     row.state === 'live' && poolOf(state, row.pool)?.kind === 'plainService';
--- a/packages/controller-core/src/fleet/listLag.test.ts
+++ b/packages/controller-core/src/fleet/listLag.test.ts
@@ -16,7 +16,7 @@
   assert.ok(harness.state.fleet.has('new'));
   const after = harness.advance(10_000);
   assert.ok(logged(after).includes('instanceVanished'));
-  // A lost reclaimable instance closes its place, so the replacement is bought elsewhere.
+  // The loss of a reclaimable instance closes its place, so the replacement is bought elsewhere.
   assert.deepEqual(placesOf(after), ['wien-a/firm']);
 });
 
--- a/packages/controller-core/src/lease/LeaseHolder.test.ts
+++ b/packages/controller-core/src/lease/LeaseHolder.test.ts
@@ -31,7 +31,7 @@
   return { type: 'leaseHeld', now, requestNumber, epoch, duration: 10_000, previousDuration };
 }
 
-test('lease holder: a lease is granted, renewed, lost and released', async () => {
+test('lease holder: a lease is granted, renewed, expires, is granted again and released', async () => {
   const holder = makeHolder();
   const events: LeaseEvent[] = [
     { type: 'askDue', now: 0 },
@@ -54,8 +54,8 @@
   await matchSnapshot(import.meta.url, 'life', lines.join('\n'));
 });
 
-// Guards against two holders that send orders to the same unfenced backend server. Engines that
-// check fencing refuse the previous holder's orders themselves, so they need no wait.
+// Guards against two holders that send orders to the same unfenced backend server. Backend servers
+// that check fencing tokens refuse the previous holder's orders, so orders to them are not delayed.
 test('lease holder: a successor delays orders to unfenced backend servers only', () => {
   const holder = makeHolder();
   reduceLease(holder, { type: 'askDue', now: 0 });
--- a/packages/controller-core/src/lease/LeaseHolder.ts
+++ b/packages/controller-core/src/lease/LeaseHolder.ts
@@ -1,8 +1,9 @@
 /**
  * The holder's side of a lease: requests and renews it, tracks its end, and numbers orders with
- * fencing tokens. Two holders must never send orders to the same unfenced backend server at the
- * same time. A holder therefore counts its lease from the time of its request, and a successor
- * waits out the previous lease and its last order. Only monotonic clocks are used.
+ * fencing tokens. Two holders must never send orders at the same time to a backend server that does
+ * not check fencing tokens (an unfenced one). A holder therefore counts its lease from the time of
+ * its request, and a successor waits until earlier leases and their last orders have ended.
+ * Only monotonic clocks are used.
  */
 import type {
   Milliseconds,
@@ -20,7 +21,7 @@
   readonly renewInterval: Milliseconds;
   /** Largest gain or loss of a monotonic clock, as a fraction of the elapsed time. */
   readonly maxClockDriftFraction: number;
-  /** Longest time from the decision to send an order until it can no longer take effect. */
+  /** Longest time from the decision to send an order until the order can no longer take effect. */
   readonly maxOrderDuration: Milliseconds;
 }
 
@@ -34,14 +35,16 @@
   readonly settings: LeaseSettings;
   /** The newest epoch granted to this process; 0 before the first. */
   epoch: number;
+  /** When the lease expires for this holder, by its own clock; no order is sent after that. */
   heldUntil: MonotonicMilliseconds;
-  /** From then on orders may go to backend servers that do not check fencing. */
+  /** Earliest time at which orders may be sent to unfenced backend servers. */
   unfencedFrom: MonotonicMilliseconds;
   /** Sequence number of the last order in this epoch. */
   sequence: number;
   /** When each unanswered request was made, by its number. */
   readonly requestTimes: Map<number, MonotonicMilliseconds>;
   lastRequestNumber: number;
+  /** True from a `leaseStarted` effect until the `leaseEnded` effect after it. */
   active: boolean;
   stopped: boolean;
 }
@@ -53,6 +56,7 @@
   readonly requestNumber: number;
   readonly epoch: number;
   readonly duration: Milliseconds;
+  /** Longest duration granted in any earlier epoch; 0 in the first epoch. */
   readonly previousDuration: Milliseconds;
 }
 
@@ -75,7 +79,7 @@
   | { readonly type: 'leaseStarted'; readonly epoch: number }
   | { readonly type: 'leaseEnded'; readonly epoch: number };
 
-/** Identifies one order; engines that check fencing refuse a token below one already seen. */
+/** Identifies one order; a server that checks tokens refuses one below the highest it has seen. */
 export interface FencingToken {
   readonly epoch: number;
   readonly sequence: number;
@@ -149,7 +153,7 @@
   holder.requestTimes.delete(event.requestNumber);
   if (requestedAt === undefined || event.epoch < holder.epoch) return [];
   const endEffects = event.epoch > holder.epoch ? startEpoch(holder, event) : [];
-  // The store grants the lease after the request, so counting from the request is safe.
+  // The store counts the lease from its grant, which follows the request; so this end is earlier.
   const safeEnd = requestedAt + event.duration * (1 - holder.settings.maxClockDriftFraction);
   holder.heldUntil = Math.max(holder.heldUntil, safeEnd);
   if (event.now >= holder.heldUntil) return endEffects;
@@ -160,9 +164,9 @@
 }
 
 /**
- * Starts a new epoch. The previous holder may still count on its lease, because the store's wall
- * clock may have jumped when its leader changed. It requested that lease before this grant, so
- * waiting the whole previous lease and its longest order from now on is enough.
+ * Starts a new epoch. An earlier holder might still consider its lease valid, because the store's
+ * wall clock can jump when the store's leader changes. That holder's last request came before this
+ * grant, so waiting from now for the longest earlier duration plus the longest order is enough.
  */
 function startEpoch(holder: LeaseHolder, event: LeaseHeldEvent): LeaseEffect[] {
   const { maxClockDriftFraction, maxOrderDuration } = holder.settings;
--- a/packages/controller-core/src/makeDataCentreReport.ts
+++ b/packages/controller-core/src/makeDataCentreReport.ts
@@ -1,5 +1,5 @@
 /** The report of an active controller to those of the other data centres. */
-import { listOwnClosedOffers } from './buying/placeClosures.js';
+import { listOwnClosedPlaces } from './buying/placeClosures.js';
 import { ownServing } from './planning/standing.js';
 import { buildOwnDemandReports } from './demand/reduceDemand.js';
 import type { DataCentreReport } from './events.js';
@@ -13,7 +13,7 @@
   const report = {
     dataCentre: state.dataCentre,
     demand: buildOwnDemandReports(state),
-    closedOffers: listOwnClosedOffers(state),
+    closedOffers: listOwnClosedPlaces(state),
     serving: ownServing(state),
   };
   if (!withShapes) return report;
--- a/packages/controller-core/src/orders/orders.test.ts
+++ b/packages/controller-core/src/orders/orders.test.ts
@@ -90,8 +90,8 @@
   assert.equal(order?.order.epoch, 2);
 });
 
-// Guards against mixing orders with late ones of the previous holder, which engines without
-// fencing checks would also carry out.
+// Guards against late orders of the previous holder, which engines that do not check fencing tokens
+// would carry out as well.
 test('engines that do not check fencing get no order before the takeover wait has passed', () => {
   const pool = { ...oneDataCentre, checksFencing: false };
   const harness = new ControllerHarness({ pool });
--- a/packages/controller-core/src/policy.ts
+++ b/packages/controller-core/src/policy.ts
@@ -1,6 +1,6 @@
 /**
- * Tuning parameters of the controller's decisions, and their defaults. They are internal: no
- * setting exposes them, and callers must not rely on any value.
+ * Tuning parameters of the controller's decisions, and their defaults. No setting exposes them. A
+ * place is one instance class in one data centre; a start is a request to buy one instance.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 
@@ -19,7 +19,7 @@
   readonly wavePricePenalty: number;
   /** How long a reclaim wave counts as recent. */
   readonly waveRetention: Milliseconds;
-  /** How long a place stays closed to purchases after a reclaim. */
+  /** How long purchases at a place are suspended after a reclaim there. */
   readonly reclaimCooldown: Milliseconds;
   /** Planned capacity falls only after the need has been lower for this long. */
   readonly scaleInDelay: Milliseconds;
@@ -33,10 +33,10 @@
   readonly startAnswerTimeout: Milliseconds;
   /** An unanswered start counts as upcoming capacity for this long; then its place is closed. */
   readonly pendingStartTimeout: Milliseconds;
-  /** Upper bound of the random wait after a refusal; doubles with each consecutive one. */
+  /** Upper bound of the random wait after a failed start; doubles with each consecutive one. */
   readonly initialStartBackoff: Milliseconds;
   readonly maxStartBackoff: Milliseconds;
-  /** Nothing is bought for this long after a takeover: earlier purchases may not be listed yet. */
+  /** Nothing is bought for this long after a takeover, until earlier purchases are listed. */
   readonly takeoverPurchaseDelay: Milliseconds;
   /** Time since first sight after which an instance without a row in the pools table is drained. */
   readonly strayGracePeriod: Milliseconds;
--- a/packages/controller-core/src/reclaims/reclaims.ts
+++ b/packages/controller-core/src/reclaims/reclaims.ts
@@ -1,6 +1,7 @@
 /**
- * Records reclaims: marks instances under notice as leaving, groups reclaims of a pool into waves
- * and closes their places to purchases for a while.
+ * Records reclaims: marks instances under notice as leaving, groups reclaims of a pool that come
+ * close together into waves, and suspends purchases at their places (one instance class in one
+ * data centre) for a while.
  *
  * Nothing here buys replacements: an instance under notice no longer counts as capacity, so the
  * next plan makes up for its slots at other places.
@@ -18,7 +19,7 @@
 } from '../fleet/FleetInstance.js';
 import { placeKey, type ControllerState, type ReclaimWave } from '../state.js';
 
-/** A reclaim belongs to a wave if it comes within this time after the wave's first. */
+/** A reclaim belongs to a wave if it comes within this time after the first reclaim of the wave. */
 const MAX_WAVE_DURATION_MILLISECONDS = 90_000;
 
 function countReclaimableSlots(state: ControllerState, name: string): number {
@@ -49,8 +50,8 @@
 }
 
 /**
- * Adds a reclaimed instance to the pool's current or a new wave, and closes its place. Does nothing
- * for an instance that is not reclaimable.
+ * Adds a reclaimed instance to the pool's current wave, or starts one, and closes the instance's
+ * place. Does nothing for an instance that is not reclaimable.
  */
 export function recordReclaim(
   state: ControllerState,
--- a/packages/controller-core/src/reclaims/reduceReclaims.ts
+++ b/packages/controller-core/src/reclaims/reduceReclaims.ts
@@ -1,4 +1,7 @@
-/** Handles reclaim notices that arrive outside the platform's list, and expires old waves. */
+/**
+ * Handles reclaim notices that arrive as separate events, not in the platform's list, and removes
+ * expired reclaim waves.
+ */
 import type { ControllerEffect } from '../effects.js';
 import type { ControllerEvent } from '../events.js';
 import type { ControllerState } from '../state.js';
--- a/packages/controller-core/src/reclaims/wave.test.ts
+++ b/packages/controller-core/src/reclaims/wave.test.ts
@@ -24,7 +24,7 @@
 
 // Guards against missed deadlines when all reclaimable instances of one data centre are reclaimed
 // at peak demand, and against replacing them all at one place.
-test('a wave at peak demand leaves enough capacity and is replaced at several places', () => {
+test('a reclaim wave at peak demand leaves enough capacity and is replaced at several places', () => {
   const harness = makeHarnessAtPeak();
   const before = countWantedByPlace(harness);
   const plan = harness.state.plans.get('models');
@@ -65,8 +65,9 @@
   assert.equal(after[place], (before[place] ?? 0) - 1);
 });
 
-// Guards against moving instances back and forth between places once the place of a wave reopens.
-test('the plan does not oscillate after a wave', () => {
+// Guards against moving instances back and forth between places once a place that was closed by a
+// reclaim wave reopens.
+test('the plan does not oscillate after a reclaim wave', () => {
   const harness = makeHarnessAtPeak();
   const goneAt = harness.wallNow + 30_000;
   (harness.rows ?? [])
--- a/packages/controller-core/src/reduceLeaseOwnership.ts
+++ b/packages/controller-core/src/reduceLeaseOwnership.ts
@@ -1,14 +1,14 @@
 /**
- * Applies the gain and loss of the lease to the fleet. A new holder repeats the drains and
- * restores of its data centre, because it cannot know which of them its predecessor changed. When
- * the lease is lost, pending starts and orders are dropped.
+ * Applies the gain and loss of the controller's lease to the fleet. A new holder restores the live
+ * instances of its data centre and repeats the drains, because it cannot know what its predecessor
+ * left drained. When the lease is lost, pending starts and orders are dropped.
  */
 import type { ControllerEffect } from './effects.js';
 import type { ControllerEvent } from './events.js';
 import type { ControllerState } from './state.js';
 
 /**
- * The previous holder may have crashed while an engine was drained for a reload, and entries would
+ * If the previous holder crashed while an engine was drained for a reload, entries would otherwise
  * never use that engine again. Restoring an instance that was not drained changes nothing.
  */
 function restoreLiveInstances(state: ControllerState): ControllerEffect[] {
--- a/packages/controller-core/src/state.ts
+++ b/packages/controller-core/src/state.ts
@@ -15,17 +15,17 @@
 import type { RouteDemand } from './demand/RouteDemand.js';
 import type { FleetInstance } from './fleet/FleetInstance.js';
 import type { PoolPlan } from './planning/PoolPlan.js';
-import type { ClosedOffer, ServingReport } from './events.js';
+import type { ClosedPlace, ServingReport } from './events.js';
 import { defaultPolicy, type ControllerPolicy } from './policy.js';
 
 export interface HeldLease {
   readonly epoch: number;
   readonly since: MonotonicMilliseconds;
-  /** From then on orders may go to engines that do not check fencing. */
+  /** Earliest time at which orders may be sent to engines that do not check fencing tokens. */
   readonly unfencedFrom: MonotonicMilliseconds;
 }
 
-/** A start that the platform has not answered yet. */
+/** A request to buy one instance that the platform has not answered yet. */
 export interface PendingStart {
   readonly startToken: string;
   readonly pool: string;
@@ -35,14 +35,14 @@
   resends: number;
 }
 
-/** A period in which nothing is bought at one place, and the reason. */
+/** A period in which nothing is bought at one place (one instance class in one data centre). */
 export interface PlaceClosure {
   readonly dataCentre: string;
   readonly instanceClass: string;
   readonly reason: 'refused' | 'reclaimed' | 'unanswered' | 'peer';
   until: MonotonicMilliseconds;
-  /** Consecutive refusals of starts. */
-  refusals: number;
+  /** Starts in a row that were refused or stayed unanswered; a batch counts once. */
+  consecutiveFailedStarts: number;
 }
 
 /** Reclaims in one pool that came close together, at any number of places. */
@@ -60,7 +60,7 @@
 /** The latest report from the active controller of another data centre. */
 export interface PeerDataCentre {
   readonly lastReportAt: MonotonicMilliseconds;
-  readonly closedOffers: readonly ClosedOffer[];
+  readonly closedOffers: readonly ClosedPlace[];
   readonly serving: readonly ServingReport[];
 }
 
