--- a/packages/controller-core/src/buying/buyInstances.ts
+++ b/packages/controller-core/src/buying/buyInstances.ts
@@ -15,8 +15,8 @@
 import { closeAfterFailedStart } from './placeClosures.js';
 
 /**
- * A start is dropped after this long without an answer. If it did buy an instance, the platform's
- * list shows it.
+ * A start is dropped after this long without an answer. If the start did buy an instance, the
+ * platform's list shows that instance.
  */
 const MAX_PENDING_START_AGE_MILLISECONDS = 10 * 60_000;
 
--- a/packages/controller-core/src/demand/reduceDemand.ts
+++ b/packages/controller-core/src/demand/reduceDemand.ts
@@ -39,29 +39,29 @@
   addDemandReports(state, `dataCentre:${report.dataCentre}`, report.dataCentre, report.demand);
   const { closedOffers, serving } = report;
   state.peers.set(report.dataCentre, { lastReportAt: state.now, closedOffers, serving });
-  Object.entries(report.shapes ?? {}).forEach(([route, shape]) => {
+  Object.entries(report.shapes ?? {}).forEach(([route, peerProfile]) => {
     const ownProfile = getOrCreateDemand(state, route).dailyProfile;
-    shape.forEach((value, index) => {
+    peerProfile.forEach((value, index) => {
       ownProfile[index] ??= value;
     });
   });
 }
 
-/** True if the platform still lists instances of a data centre. */
-function hasListedInstances(state: ControllerState, dataCentre: string): boolean {
+/** True if the fleet holds any instance of a data centre. */
+function hasKnownInstances(state: ControllerState, dataCentre: string): boolean {
   return [...state.fleet.values()].some((instance) => instance.dataCentre === dataCentre);
 }
 
-/** True if a data centre last reported serving instances, but the list now shows none of them. */
+/** True if a data centre's last report counted serving instances, but the fleet holds none now. */
 function hasLostAllInstances(state: ControllerState, dataCentre: string): boolean {
   const hadInstances = state.peers.get(dataCentre)?.serving.some(({ instances }) => instances > 0);
-  return hadInstances === true && !hasListedInstances(state, dataCentre);
+  return hadInstances === true && !hasKnownInstances(state, dataCentre);
 }
 
 /**
  * Removes sources that no longer report. Callers of a failed entry retry at other entries, so its
  * demand is dropped soon. An unreachable data centre may still be serving without its controllers,
- * so its demand counts for longer, unless none of its instances is listed any more.
+ * so its demand counts for longer, unless the fleet holds none of its instances any more.
  */
 function removeUnreachableSources(state: ControllerState): void {
   state.demand.forEach((demand) => {
--- a/packages/controller-core/src/events.ts
+++ b/packages/controller-core/src/events.ts
@@ -55,7 +55,7 @@
   readonly serving: readonly ServingReport[];
   /**
    * Daily profiles by route: mean requests a second for each quarter hour, null where unknown.
-   * Fills the gaps in the receiver's own profiles.
+   * The receiver uses them where its own profiles are unknown.
    */
   readonly shapes?: Readonly<Record<string, readonly (number | null)[]>>;
 }
--- a/packages/controller-core/src/fleet/fleet.ts
+++ b/packages/controller-core/src/fleet/fleet.ts
@@ -3,9 +3,9 @@
 import { poolOf, type FleetInstance } from './FleetInstance.js';
 import type { ControllerState } from '../state.js';
 
-/** Adds an instance as described by a row of the platform's list or its answer to a start. */
+/** Adds an instance described by the platform, in its list or its answer to a purchase request. */
 export function addInstance(state: ControllerState, row: PlatformInstance): FleetInstance {
-  const servesImmediately =
+  const isLivePlainService =
     row.state === 'live' && poolOf(state, row.pool)?.kind === 'plainService';
   const instance: FleetInstance = {
     instance: row.instance,
@@ -19,15 +19,15 @@
     lastListedAt: state.now,
     loaded: {},
     orderRetryAt: state.now,
-    startMeasured: servesImmediately || row.state !== 'starting',
+    startMeasured: isLivePlainService || row.state !== 'starting',
   };
   state.fleet.set(row.instance, instance);
   return instance;
 }
 
 /**
- * Removes an instance, and makes its rows ignored for a while: a stale list would otherwise add it
- * again as live, and it would count as capacity.
+ * Removes an instance. For a while, rows of the platform's list that name it are ignored, because a
+ * stale list would otherwise add it again as live capacity.
  */
 export function removeInstance(state: ControllerState, name: string): void {
   state.fleet.delete(name);
--- a/packages/controller-core/src/fleet/reduceFleet.ts
+++ b/packages/controller-core/src/fleet/reduceFleet.ts
@@ -18,7 +18,7 @@
 /** A reclaimed instance is removed this long after the announced time. */
 const RECLAIM_REMOVAL_DELAY_MILLISECONDS = 1000;
 
-/** Adds an instance that was not in the fleet, and completes its pending start if there is one. */
+/** Adds an instance that was not in the fleet, and completes its start if that is pending. */
 function addListedInstance(state: ControllerState, row: PlatformInstance): ControllerEffect[] {
   const instance = addInstance(state, row);
   const pending =
@@ -27,8 +27,8 @@
   if (row.dataCentre !== state.dataCentre || state.lease === undefined) return [];
   const { instance: name, pool, instanceClass } = instance;
   const fields = { instance: name, pool, instanceClass, startToken: row.startToken };
-  // With a pending start it is that purchase. Otherwise an earlier holder bought it, or its start
-  // was dropped; it is paid for, so it joins its pool.
+  // Without a pending start, an earlier holder bought the instance or the start was dropped; the
+  // instance is paid for, so it joins its pool.
   const event = pending === undefined ? 'orphanClaimed' : 'purchaseFound';
   return [{ type: 'log', event, fields }];
 }
@@ -112,7 +112,7 @@
   );
 }
 
-/** False if an order was sent after the measurement; the report may show the model before it. */
+/** False if the pending order was sent after the measurement; the report shows an older model. */
 function isNewerThanOrder(instance: FleetInstance, measuredAt: EpochMilliseconds): boolean {
   return instance.pendingOrder === undefined || measuredAt > instance.pendingOrder.sentAtWall;
 }
--- a/packages/controller-core/src/lease/LeaseHolder.ts
+++ b/packages/controller-core/src/lease/LeaseHolder.ts
@@ -3,7 +3,7 @@
  * fencing tokens. Two holders must never send orders at the same time to a backend server that does
  * not check fencing tokens (an unfenced one). A holder therefore counts its lease from the time of
  * its request, and a successor waits until earlier leases and their last orders have ended.
- * Only monotonic clocks are used.
+ * This module uses only monotonic clocks; the store uses its wall clock.
  */
 import type {
   Milliseconds,
@@ -17,7 +17,10 @@
   /** Unique to this process start: a restarted process must not renew its predecessor's lease. */
   readonly holder: string;
   readonly duration: Milliseconds;
-  /** Time between requests; with a third of `duration`, two requests may be lost. */
+  /**
+   * Time between requests. At a third of `duration`, the lease survives the loss of two requests in
+   * a row.
+   */
   readonly renewInterval: Milliseconds;
   /** Largest gain or loss of a monotonic clock, as a fraction of the elapsed time. */
   readonly maxClockDriftFraction: number;
@@ -25,11 +28,14 @@
   readonly maxOrderDuration: Milliseconds;
 }
 
-/** Twenty times the specified drift of monotonic clocks, 500 parts per million. */
+/** Twenty times 500 parts per million, the specified drift of monotonic clocks. */
 export const MAX_CLOCK_DRIFT_FRACTION = 0.01;
 
-/** Older requests are dropped; a lease counted from one of them would already have ended. */
-const MAX_OPEN_REQUESTS = 8;
+/**
+ * Only the newest unanswered requests are kept; a lease counted from an older one would already
+ * have ended.
+ */
+const MAX_UNANSWERED_REQUESTS = 8;
 
 export interface LeaseHolder {
   readonly settings: LeaseSettings;
@@ -104,10 +110,10 @@
 export function maySendOrder(
   holder: LeaseHolder,
   now: MonotonicMilliseconds,
-  checksFencing: boolean,
+  serverChecksFencing: boolean,
 ): boolean {
   if (holder.stopped || now >= holder.heldUntil) return false;
-  return checksFencing || now >= holder.unfencedFrom;
+  return serverChecksFencing || now >= holder.unfencedFrom;
 }
 
 /** Returns the token of the next order and advances the sequence. */
@@ -137,7 +143,7 @@
   const { lease, holder: name, duration, renewInterval } = holder.settings;
   holder.lastRequestNumber += 1;
   holder.requestTimes.set(holder.lastRequestNumber, now);
-  holder.requestTimes.delete(holder.lastRequestNumber - MAX_OPEN_REQUESTS);
+  holder.requestTimes.delete(holder.lastRequestNumber - MAX_UNANSWERED_REQUESTS);
   return [
     {
       type: 'propose',
@@ -152,26 +158,28 @@
   const requestedAt = holder.requestTimes.get(event.requestNumber);
   holder.requestTimes.delete(event.requestNumber);
   if (requestedAt === undefined || event.epoch < holder.epoch) return [];
-  const endEffects = event.epoch > holder.epoch ? startEpoch(holder, event) : [];
+  const previousLeaseEndEffects = event.epoch > holder.epoch ? startEpoch(holder, event) : [];
   // The store counts the lease from its grant, which follows the request; so this end is earlier.
   const safeEnd = requestedAt + event.duration * (1 - holder.settings.maxClockDriftFraction);
   holder.heldUntil = Math.max(holder.heldUntil, safeEnd);
-  if (event.now >= holder.heldUntil) return endEffects;
+  if (event.now >= holder.heldUntil) return previousLeaseEndEffects;
   const endTimer: LeaseEffect = { type: 'startEndTimer', after: holder.heldUntil - event.now };
   if (holder.active) return [endTimer];
   holder.active = true;
-  return [...endEffects, { type: 'leaseStarted', epoch: holder.epoch }, endTimer];
+  return [...previousLeaseEndEffects, { type: 'leaseStarted', epoch: holder.epoch }, endTimer];
 }
 
 /**
- * Starts a new epoch. An earlier holder might still consider its lease valid, because the store's
+ * Starts a new epoch; returns the `leaseEnded` effect of the previous one if its lease was active.
+ *
+ * An earlier holder might still consider its lease valid, because the store's
  * wall clock can jump when the store's leader changes. That holder's last request came before this
  * grant, so waiting from now for the longest earlier duration plus the longest order is enough.
  */
 function startEpoch(holder: LeaseHolder, event: LeaseHeldEvent): LeaseEffect[] {
   const { maxClockDriftFraction, maxOrderDuration } = holder.settings;
   const unfencedDelay = (event.previousDuration + maxOrderDuration) * (1 + maxClockDriftFraction);
-  const endEffects: LeaseEffect[] = holder.active
+  const previousLeaseEndEffects: LeaseEffect[] = holder.active
     ? [{ type: 'leaseEnded', epoch: holder.epoch }]
     : [];
   holder.active = false;
@@ -179,7 +187,7 @@
   holder.sequence = 0;
   holder.heldUntil = -Infinity;
   holder.unfencedFrom = event.now + (event.previousDuration > 0 ? unfencedDelay : 0);
-  return endEffects;
+  return previousLeaseEndEffects;
 }
 
 function handleEndDue(holder: LeaseHolder, now: MonotonicMilliseconds): LeaseEffect[] {
--- a/packages/controller-core/src/orders/reconcileModels.ts
+++ b/packages/controller-core/src/orders/reconcileModels.ts
@@ -22,7 +22,7 @@
 import type { ControllerState, HeldLease } from '../state.js';
 import { makeLoadAction, canStartLoad, sendOrder } from './sendOrder.js';
 
-/** A longer reload is abandoned, for example because the engine never reports itself idle. */
+/** A reload that takes longer is abandoned: the engine might never report that it is idle. */
 const MAX_RELOAD_DURATION_MILLISECONDS = 15 * 60_000;
 
 /**
--- a/packages/controller-core/src/orders/sendOrder.ts
+++ b/packages/controller-core/src/orders/sendOrder.ts
@@ -9,7 +9,7 @@
 
 const MINUTE_MILLISECONDS = 60_000;
 
-/** The load of the pool's model; undefined if the pool has none. */
+/** Makes the action that loads the pool's model; undefined if the pool has no model. */
 export function makeLoadAction(pool: Pool): Order['action'] | undefined {
   if (pool.model === undefined) return undefined;
   const { model, adapter, version } = pool;
@@ -29,7 +29,7 @@
   state.orderSequence += 1;
   const order = { epoch: lease.epoch, sequence: state.orderSequence, action };
   instance.pendingOrder = { order, sentAt: state.now, sentAtWall: state.wallNow };
-  if (action.type === 'load') state.loadTimes.push(state.now);
+  if (action.type === 'load') state.loadOrderTimes.push(state.now);
   const { instance: name, pool, loaded } = instance;
   return [
     { type: 'sendOrder', instance: name, order },
@@ -38,9 +38,9 @@
   ];
 }
 
-/** True if one more load stays within both limits; also drops load times older than a minute. */
+/** True if one more load is within both limits; also forgets loads ordered over a minute ago. */
 export function canStartLoad(state: ControllerState): boolean {
-  state.loadTimes = state.loadTimes.filter((at) => state.now - at < MINUTE_MILLISECONDS);
+  state.loadOrderTimes = state.loadOrderTimes.filter((at) => state.now - at < MINUTE_MILLISECONDS);
   const loadsInProgress = [...state.fleet.values()].filter(
     ({ pendingOrder }) => pendingOrder?.order.action.type === 'load',
   ).length;
@@ -52,5 +52,5 @@
     1,
     Math.floor(state.loadsPerMinute / Math.max(1, dataCentres.size)),
   );
-  return state.loadTimes.length < maxLoadsPerMinute;
+  return state.loadOrderTimes.length < maxLoadsPerMinute;
 }
--- a/packages/controller-core/src/policy.ts
+++ b/packages/controller-core/src/policy.ts
@@ -25,9 +25,9 @@
   readonly scaleInDelay: Milliseconds;
   /** Assumed time from a start to a serving backend server, until one is measured. */
   readonly defaultStartDuration: Milliseconds;
-  /** How long the platform's list may omit an instance before it is considered lost. */
+  /** An instance that the platform's list has not shown for this long is considered lost. */
   readonly maxListLag: Milliseconds;
-  /** How long rows of a removed instance are ignored; the list may still show it as live. */
+  /** How long rows of the platform's list are ignored if they name a removed instance. */
   readonly removedInstanceRetention: Milliseconds;
   /** An unanswered start is first resent after this long; the waits between resends grow. */
   readonly startAnswerTimeout: Milliseconds;
@@ -42,7 +42,7 @@
   readonly strayGracePeriod: Milliseconds;
   /** Time since first sight after which an instance that has never served is drained. */
   readonly startupTimeout: Milliseconds;
-  /** How long entries may still send new calls to an instance after its drain. */
+  /** Longest time for which entries can still send new calls to an instance after its drain. */
   readonly drainPropagationTime: Milliseconds;
   /** Assumed bound on the difference between the wall clocks of two instances. */
   readonly maxClockSkew: Milliseconds;
@@ -52,7 +52,7 @@
   readonly orderTimeout: Milliseconds;
   /** A data centre without a controller report for this long is considered unreachable. */
   readonly peerTimeout: Milliseconds;
-  /** How long an unreachable data centre's demand counts while its instances are still listed. */
+  /** How long an unreachable data centre's demand counts while the fleet holds its instances. */
   readonly unreachableDemandRetention: Milliseconds;
   /** An entry's demand is dropped after this long without a report. */
   readonly entryTimeout: Milliseconds;
--- a/packages/controller-core/src/reclaims/reclaims.ts
+++ b/packages/controller-core/src/reclaims/reclaims.ts
@@ -28,7 +28,11 @@
   return instancesOf(state, pool)
     .filter((instance) => isKept(instance) || instance.goneAt === undefined)
     .map((instance) => instanceClassOf(pool, instance))
-    .reduce((sum, found) => sum + (found?.reclaimable === true ? found.concurrency : 0), 0);
+    .reduce(
+      (sum, instanceClass) =>
+        sum + (instanceClass?.reclaimable === true ? instanceClass.concurrency : 0),
+      0,
+    );
 }
 
 function getOrStartWave(state: ControllerState, pool: string): ReclaimWave {
@@ -70,8 +74,8 @@
 }
 
 /**
- * Marks an instance as leaving at its first notice. Records the reclaim unless the instance was
- * already being drained.
+ * Marks an instance as leaving at the first notice for it. Records the reclaim unless the instance
+ * was already draining.
  */
 export function recordReclaimNotice(
   state: ControllerState,
--- a/packages/controller-core/src/state.ts
+++ b/packages/controller-core/src/state.ts
@@ -94,8 +94,8 @@
   readonly startDurations: Map<string, Milliseconds>;
   /** The weight store's load limit for all data centres; undefined until it was read. */
   loadsPerMinute: number | undefined;
-  /** When the most recent loads were ordered, oldest first; enforces the weight store's limit. */
-  loadTimes: MonotonicMilliseconds[];
+  /** When the latest model loads were ordered, oldest first; checked against `loadsPerMinute`. */
+  loadOrderTimes: MonotonicMilliseconds[];
 }
 
 export interface ControllerOptions {
@@ -128,7 +128,7 @@
     plans: new Map(),
     startDurations: new Map(),
     loadsPerMinute: undefined,
-    loadTimes: [],
+    loadOrderTimes: [],
   };
 }
 
