--- a/packages/controller-core/src/lease/LeaseHolder.ts
+++ b/packages/controller-core/src/lease/LeaseHolder.ts
@@ -1,8 +1,9 @@
 /**
  * The holder's side of a lease: requests and renews it, tracks its end, and numbers orders with
- * fencing tokens. Two holders must never send orders to the same unfenced backend server at the
- * same time. A holder therefore counts its lease from the time of its request, and a successor
- * waits out the previous lease and its last order. Only monotonic clocks are used.
+ * fencing tokens. Two holders must never send orders at the same time to a backend server that does
+ * not check fencing tokens (an unfenced one). A holder therefore counts its lease from the time of
+ * its request, and a successor waits until earlier leases and their last orders have ended.
+ * This module uses only monotonic clocks; the store uses its wall clock.
  */
 import type {
   Milliseconds,
@@ -16,32 +17,40 @@
   /** Unique to this process start: a restarted process must not renew its predecessor's lease. */
   readonly holder: string;
   readonly duration: Milliseconds;
-  /** Time between requests; with a third of `duration`, two requests may be lost. */
+  /**
+   * Time between requests. At a third of `duration`, the lease survives the loss of two requests in
+   * a row.
+   */
   readonly renewInterval: Milliseconds;
   /** Largest gain or loss of a monotonic clock, as a fraction of the elapsed time. */
   readonly maxClockDriftFraction: number;
-  /** Longest time from the decision to send an order until it can no longer take effect. */
+  /** Longest time from the decision to send an order until the order can no longer take effect. */
   readonly maxOrderDuration: Milliseconds;
 }
 
-/** Twenty times the specified drift of monotonic clocks, 500 parts per million. */
+/** Twenty times 500 parts per million, the specified drift of monotonic clocks. */
 export const MAX_CLOCK_DRIFT_FRACTION = 0.01;
 
-/** Older requests are dropped; a lease counted from one of them would already have ended. */
-const MAX_OPEN_REQUESTS = 8;
+/**
+ * Only the newest unanswered requests are kept; a lease counted from an older one would already
+ * have ended.
+ */
+const MAX_UNANSWERED_REQUESTS = 8;
 
 export interface LeaseHolder {
   readonly settings: LeaseSettings;
   /** The newest epoch granted to this process; 0 before the first. */
   epoch: number;
+  /** When the lease expires for this holder, by its own clock; no order is sent after that. */
   heldUntil: MonotonicMilliseconds;
-  /** From then on orders may go to backend servers that do not check fencing. */
+  /** Earliest time at which orders may be sent to unfenced backend servers. */
   unfencedFrom: MonotonicMilliseconds;
   /** Sequence number of the last order in this epoch. */
   sequence: number;
   /** When each unanswered request was made, by its number. */
   readonly requestTimes: Map<number, MonotonicMilliseconds>;
   lastRequestNumber: number;
+  /** True from a `leaseStarted` effect until the `leaseEnded` effect after it. */
   active: boolean;
   stopped: boolean;
 }
@@ -53,6 +62,7 @@
   readonly requestNumber: number;
   readonly epoch: number;
   readonly duration: Milliseconds;
+  /** Longest duration granted in any earlier epoch; 0 in the first epoch. */
   readonly previousDuration: Milliseconds;
 }
 
@@ -75,7 +85,7 @@
   | { readonly type: 'leaseStarted'; readonly epoch: number }
   | { readonly type: 'leaseEnded'; readonly epoch: number };
 
-/** Identifies one order; engines that check fencing refuse a token below one already seen. */
+/** Identifies one order; a server that checks tokens refuses one below the highest it has seen. */
 export interface FencingToken {
   readonly epoch: number;
   readonly sequence: number;
@@ -100,10 +110,10 @@
 export function maySendOrder(
   holder: LeaseHolder,
   now: MonotonicMilliseconds,
-  checksFencing: boolean,
+  serverChecksFencing: boolean,
 ): boolean {
   if (holder.stopped || now >= holder.heldUntil) return false;
-  return checksFencing || now >= holder.unfencedFrom;
+  return serverChecksFencing || now >= holder.unfencedFrom;
 }
 
 /** Returns the token of the next order and advances the sequence. */
@@ -133,7 +143,7 @@
   const { lease, holder: name, duration, renewInterval } = holder.settings;
   holder.lastRequestNumber += 1;
   holder.requestTimes.set(holder.lastRequestNumber, now);
-  holder.requestTimes.delete(holder.lastRequestNumber - MAX_OPEN_REQUESTS);
+  holder.requestTimes.delete(holder.lastRequestNumber - MAX_UNANSWERED_REQUESTS);
   return [
     {
       type: 'propose',
@@ -148,26 +158,28 @@
   const requestedAt = holder.requestTimes.get(event.requestNumber);
   holder.requestTimes.delete(event.requestNumber);
   if (requestedAt === undefined || event.epoch < holder.epoch) return [];
-  const endEffects = event.epoch > holder.epoch ? startEpoch(holder, event) : [];
-  // The store grants the lease after the request, so counting from the request is safe.
+  const previousLeaseEndEffects = event.epoch > holder.epoch ? startEpoch(holder, event) : [];
+  // The store counts the lease from its grant, which follows the request; so this end is earlier.
   const safeEnd = requestedAt + event.duration * (1 - holder.settings.maxClockDriftFraction);
   holder.heldUntil = Math.max(holder.heldUntil, safeEnd);
-  if (event.now >= holder.heldUntil) return endEffects;
+  if (event.now >= holder.heldUntil) return previousLeaseEndEffects;
   const endTimer: LeaseEffect = { type: 'startEndTimer', after: holder.heldUntil - event.now };
   if (holder.active) return [endTimer];
   holder.active = true;
-  return [...endEffects, { type: 'leaseStarted', epoch: holder.epoch }, endTimer];
+  return [...previousLeaseEndEffects, { type: 'leaseStarted', epoch: holder.epoch }, endTimer];
 }
 
 /**
- * Starts a new epoch. The previous holder may still count on its lease, because the store's wall
- * clock may have jumped when its leader changed. It requested that lease before this grant, so
- * waiting the whole previous lease and its longest order from now on is enough.
+ * Starts a new epoch; returns the `leaseEnded` effect of the previous one if its lease was active.
+ *
+ * An earlier holder might still consider its lease valid, because the store's
+ * wall clock can jump when the store's leader changes. That holder's last request came before this
+ * grant, so waiting from now for the longest earlier duration plus the longest order is enough.
  */
 function startEpoch(holder: LeaseHolder, event: LeaseHeldEvent): LeaseEffect[] {
   const { maxClockDriftFraction, maxOrderDuration } = holder.settings;
   const unfencedDelay = (event.previousDuration + maxOrderDuration) * (1 + maxClockDriftFraction);
-  const endEffects: LeaseEffect[] = holder.active
+  const previousLeaseEndEffects: LeaseEffect[] = holder.active
     ? [{ type: 'leaseEnded', epoch: holder.epoch }]
     : [];
   holder.active = false;
@@ -175,7 +187,7 @@
   holder.sequence = 0;
   holder.heldUntil = -Infinity;
   holder.unfencedFrom = event.now + (event.previousDuration > 0 ? unfencedDelay : 0);
-  return endEffects;
+  return previousLeaseEndEffects;
 }
 
 function handleEndDue(holder: LeaseHolder, now: MonotonicMilliseconds): LeaseEffect[] {
--- a/packages/controller-core/src/policy.ts
+++ b/packages/controller-core/src/policy.ts
@@ -1,6 +1,6 @@
 /**
- * Tuning parameters of the controller's decisions, and their defaults. They are internal: no
- * setting exposes them, and callers must not rely on any value.
+ * Tuning parameters of the controller's decisions, and their defaults. No setting exposes them. A
+ * place is one instance class in one data centre; a start is a request to buy one instance.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 
@@ -19,30 +19,30 @@
   readonly wavePricePenalty: number;
   /** How long a reclaim wave counts as recent. */
   readonly waveRetention: Milliseconds;
-  /** How long a place stays closed to purchases after a reclaim. */
+  /** How long purchases at a place are suspended after a reclaim there. */
   readonly reclaimCooldown: Milliseconds;
   /** Planned capacity falls only after the need has been lower for this long. */
   readonly scaleInDelay: Milliseconds;
   /** Assumed time from a start to a serving backend server, until one is measured. */
   readonly defaultStartDuration: Milliseconds;
-  /** How long the platform's list may omit an instance before it is considered lost. */
+  /** An instance that the platform's list has not shown for this long is considered lost. */
   readonly maxListLag: Milliseconds;
-  /** How long rows of a removed instance are ignored; the list may still show it as live. */
+  /** How long rows of the platform's list are ignored if they name a removed instance. */
   readonly removedInstanceRetention: Milliseconds;
   /** An unanswered start is first resent after this long; the waits between resends grow. */
   readonly startAnswerTimeout: Milliseconds;
   /** An unanswered start counts as upcoming capacity for this long; then its place is closed. */
   readonly pendingStartTimeout: Milliseconds;
-  /** Upper bound of the random wait after a refusal; doubles with each consecutive one. */
+  /** Upper bound of the random wait after a failed start; doubles with each consecutive one. */
   readonly initialStartBackoff: Milliseconds;
   readonly maxStartBackoff: Milliseconds;
-  /** Nothing is bought for this long after a takeover: earlier purchases may not be listed yet. */
+  /** Nothing is bought for this long after a takeover, until earlier purchases are listed. */
   readonly takeoverPurchaseDelay: Milliseconds;
   /** Time since first sight after which an instance without a row in the pools table is drained. */
   readonly strayGracePeriod: Milliseconds;
   /** Time since first sight after which an instance that has never served is drained. */
   readonly startupTimeout: Milliseconds;
-  /** How long entries may still send new calls to an instance after its drain. */
+  /** Longest time for which entries can still send new calls to an instance after its drain. */
   readonly drainPropagationTime: Milliseconds;
   /** Assumed bound on the difference between the wall clocks of two instances. */
   readonly maxClockSkew: Milliseconds;
@@ -52,7 +52,7 @@
   readonly orderTimeout: Milliseconds;
   /** A data centre without a controller report for this long is considered unreachable. */
   readonly peerTimeout: Milliseconds;
-  /** How long an unreachable data centre's demand counts while its instances are still listed. */
+  /** How long an unreachable data centre's demand counts while the fleet holds its instances. */
   readonly unreachableDemandRetention: Milliseconds;
   /** An entry's demand is dropped after this long without a report. */
   readonly entryTimeout: Milliseconds;
