--- a/packages/store-core/src/consensus/consensusExploration.test.ts
+++ b/packages/store-core/src/consensus/consensusExploration.test.ts
@@ -86,13 +86,13 @@
 ];
 
 scenarios.forEach((scenario) => {
-  test(`No check fails in ${scenario.name}`, (context) => {
+  test(`No check fails with ${scenario.name}`, (context) => {
     const exploration = explore(context, scenario, {});
     assert.equal(exploration.violation, undefined);
     assert.equal(exploration.exhaustive, true);
   });
   scenario.faults.forEach((fault) => {
-    test(`The disabled safeguard or injected fault ${fault.off ?? fault.mutation} is detected in ${scenario.name}`, (context) => {
+    test(`The disabled safeguard or injected fault ${fault.off ?? fault.mutation} is detected with ${scenario.name}`, (context) => {
       const exploration = explore(context, scenario, fault);
       assert.ok(exploration.violation !== undefined);
       context.diagnostic(exploration.violation.reason);
