--- a/packages/store-core/src/consensus/ConsensusState.ts
+++ b/packages/store-core/src/consensus/ConsensusState.ts
@@ -216,7 +216,8 @@
   durableIndex: number;
   pendingMessages: PendingMessage[];
   /**
-   * True once a write to the disk has failed; the store then neither follows, votes nor campaigns.
+   * True once any write to the disk has failed; the store then neither follows, votes nor
+   * campaigns, and proposals are answered with `diskFull`.
    */
   readOnly: boolean;
   /**
--- a/packages/store-core/src/consensus/appends.ts
+++ b/packages/store-core/src/consensus/appends.ts
@@ -112,7 +112,7 @@
  * Adjusts the tracked peers to a membership that has just changed, then sends appends to all of
  * them.
  */
-export function updateReplicationTargets(context: StepContext, leader: LeaderState): void {
+export function updatePeersAndBroadcastAppends(context: StepContext, leader: LeaderState): void {
   const { state, now } = context;
   const members = otherMembers(state);
   const previousProgress = leader.progress;
--- a/packages/store-core/src/consensus/consensusTypes.ts
+++ b/packages/store-core/src/consensus/consensusTypes.ts
@@ -94,8 +94,8 @@
   readonly term: number;
   readonly round: number;
   /**
-   * Last index on the responder's disk. One below what it acknowledged shows that the disk is
-   * older.
+   * Last index on the responder's disk. If it is lower than an index acknowledged before, the disk
+   * was replaced by an older copy.
    */
   readonly lastIndex: number;
   readonly result:
@@ -104,11 +104,15 @@
         readonly type: 'conflict';
         readonly previousIndex: number;
         /**
-         * Index to resend from: the start of the differing term, but above the commit index, or the
-         * index after the last entry if the log is too short.
+         * Index to resend from. If the log is too short: its last index plus one. Otherwise the
+         * first uncommitted entry of the responder's term at `previousIndex`. 0 if the request's
+         * term is outdated.
          */
         readonly conflictIndex: number;
-        /** Term of the differing entry; missing if the log is too short. */
+        /**
+         * The responder's term at `previousIndex`; missing if the log is too short or the request's
+         * term is outdated.
+         */
         readonly conflictTerm?: number;
       }
     /** Part of a snapshot was received; the next part begins at `receivedBytes`. */
--- a/packages/store-core/src/consensus/membership.ts
+++ b/packages/store-core/src/consensus/membership.ts
@@ -70,8 +70,8 @@
   return state.commitIndex >= leader.termStartIndex && !hasUncommittedChange(state);
 }
 
-/** Returns the membership after a change, or undefined if the change is not possible now. */
-export function applyMembershipChange(
+/** Computes the membership after a change, or undefined if the change is not possible now. */
+export function computeMembershipAfterChange(
   state: ConsensusState,
   change: MembershipChange,
 ): Membership | undefined {
@@ -111,8 +111,11 @@
   );
 }
 
-/** Returns the current membership with the given member as a voter. */
-export function promoteMember(state: ConsensusState, identity: string): Membership {
+/** Computes the current membership with the given member as a voter. */
+export function computeMembershipAfterPromotion(
+  state: ConsensusState,
+  identity: string,
+): Membership {
   const membership = currentMembership(state);
   const members = membership.members.map((member) =>
     member.identity === identity ? { ...member, role: 'voter' as const } : member,
--- a/packages/store-core/src/consensus/proposals.ts
+++ b/packages/store-core/src/consensus/proposals.ts
@@ -2,8 +2,8 @@
 import type { MembershipChange, Proposal, UnavailableReason } from './consensusEvents.js';
 import type { ConsensusState } from './ConsensusState.js';
 import { appendNewEntry, lastIndexOf } from './memoryLog.js';
-import { applyMembershipChange, mayChangeMembership } from './membership.js';
-import { broadcastAppends, updateReplicationTargets } from './appends.js';
+import { computeMembershipAfterChange, mayChangeMembership } from './membership.js';
+import { broadcastAppends, updatePeersAndBroadcastAppends } from './appends.js';
 import { leaderHint, leaderOf, reply } from './roles.js';
 import type { StepContext } from './StepContext.js';
 
@@ -53,12 +53,12 @@
     refuse('changeInProgress');
     return;
   }
-  const membership = applyMembershipChange(state, change);
+  const membership = computeMembershipAfterChange(state, change);
   if (membership === undefined) {
     refuse('changeNotPossible');
     return;
   }
   const { index } = appendNewEntry(state, { type: 'membership', membership }, wallNow);
   state.pendingRequests.push({ index, requestId });
-  updateReplicationTargets(context, leader);
+  updatePeersAndBroadcastAppends(context, leader);
 }
--- a/packages/store-core/src/consensus/reduceConsensus.test.ts
+++ b/packages/store-core/src/consensus/reduceConsensus.test.ts
@@ -22,7 +22,7 @@
   type ModelCluster,
 } from './testing/modelCluster.js';
 
-const VOTERS = ['a', 'b', 'c'];
+const INSTANCES = ['a', 'b', 'c'];
 
 function electLeader(cluster: ModelCluster, instance = 'a'): ModelCluster {
   const next = settle(fireTimer(cluster, instance));
@@ -32,7 +32,7 @@
 }
 
 test('A leader is elected, commits a proposal and answers a read', () => {
-  let cluster = electLeader(makeCluster({ voters: VOTERS }));
+  let cluster = electLeader(makeCluster({ voters: INSTANCES }));
   cluster = settle(propose(cluster, 'a'));
   cluster = settle(read(cluster, 'a'));
   assert.deepEqual(cluster.committed, ['1:noOperation', '1:write-0']);
@@ -42,7 +42,7 @@
 });
 
 test('Two stores join a founded cluster and become voters once they have caught up', () => {
-  let cluster = makeCluster({ voters: [], spares: VOTERS });
+  let cluster = makeCluster({ voters: [], spares: INSTANCES });
   const memberOf = (instance: string) => ({
     identity: `${instance}1`,
     address: addressOf(instance),
@@ -63,7 +63,7 @@
 
 test('A voter that is far behind gets a snapshot, and the log stays bounded', () => {
   const settings = { entriesPerSnapshot: 10, trailingEntries: 2 };
-  let cluster = electLeader(makeCluster({ voters: VOTERS, settings }));
+  let cluster = electLeader(makeCluster({ voters: INSTANCES, settings }));
   cluster = crash(cluster, 'c');
   for (let write = 0; write < 100; write += 1) cluster = settle(propose(cluster, 'a'));
   assert.ok((cluster.voters.a?.state?.log.entries.length ?? 99) < 15);
@@ -77,7 +77,7 @@
   // Two voters continue while the third has lost its disk. Its old identity is removed; its new one
   // joins as a learner, catches up and is made a voter. Only then does the cluster survive the loss
   // of another voter.
-  let cluster = settle(propose(electLeader(makeCluster({ voters: VOTERS })), 'a'));
+  let cluster = settle(propose(electLeader(makeCluster({ voters: INSTANCES })), 'a'));
   cluster = restart(loseDisk(crash(cluster, 'c'), 'c'), 'c');
   const member = { identity: "c1'", address: addressOf('c') };
   const remove = { type: 'removeMember', identity: 'c1' } as const;
@@ -97,7 +97,7 @@
 
 test('A leader that reaches no quorum steps down and answers no read', () => {
   // Guards against an outdated answer from an isolated leader while the other stores continue.
-  let cluster = electLeader(makeCluster({ voters: VOTERS }));
+  let cluster = electLeader(makeCluster({ voters: INSTANCES }));
   cluster = read(cluster, 'a');
   for (let heartbeat = 0; heartbeat < 10; heartbeat += 1) cluster = elapse(cluster, 'a', 150);
   assert.equal(currentLeader(cluster), undefined);
@@ -109,7 +109,7 @@
  */
 function restoreOlderDisk(oldDiskRefused: boolean): ModelCluster {
   const safeguards = { ...allSafeguards, oldDiskRefused };
-  let cluster = electLeader(makeCluster({ voters: VOTERS, settings: { safeguards } }));
+  let cluster = electLeader(makeCluster({ voters: INSTANCES, settings: { safeguards } }));
   cluster = settle(fireTimer(cluster, 'a'));
   const { b } = cluster.voters;
   assert.ok(b !== undefined);
@@ -125,7 +125,7 @@
 }
 
 /** Store `c`, which lacks the write, campaigns after `a` has stopped. */
-function electC(cluster: ModelCluster): ModelCluster {
+function campaignAsC(cluster: ModelCluster): ModelCluster {
   let next: ModelCluster = { ...crash(cluster, 'a'), network: [] };
   next = settle(fireTimer(next, 'c'));
   return settle(fireTimer(next, 'c'));
@@ -137,19 +137,19 @@
   // the leader finds the log of `b` shorter than acknowledged, and refuses it.
   const cluster = restoreOlderDisk(true);
   assert.equal(cluster.voters.b?.state?.diskRefused, true);
-  assert.equal(electC(cluster).violation, undefined);
+  assert.equal(campaignAsC(cluster).violation, undefined);
 });
 
-test('A vote from an older disk is detected if the refusal of older disks is disabled', () => {
+test('Without the refusal of older disks, the model reports that an acknowledged write is lost', () => {
   // Store `b` votes, and `c` leads without the acknowledged write.
-  const cluster = electC(restoreOlderDisk(false));
+  const cluster = campaignAsC(restoreOlderDisk(false));
   assert.match(cluster.violation ?? '', /lacks the committed index 2/);
 });
 
 test('A leader with a full disk steps down, and its proposal is not acknowledged', () => {
   // The write is in the log of a leader whose disk accepts no more, so the leader can't know
   // whether the entry will survive.
-  let cluster = propose(electLeader(makeCluster({ voters: VOTERS })), 'a');
+  let cluster = propose(electLeader(makeCluster({ voters: INSTANCES })), 'a');
   cluster = happen(cluster, 'a', { type: 'persistFailed', reason: 'ENOSPC' });
   assert.equal(cluster.voters.a?.state?.readOnly, true);
   assert.equal(cluster.voters.a.state.role.type, 'follower');
@@ -161,10 +161,10 @@
 });
 
 test('Large entries are split into appends within the size limit', () => {
-  // Guards against one append above the largest frame: it would be dropped each time, and the voter
-  // would never catch up.
+  // Guards against an append larger than the transport's maximum frame: it would be dropped each
+  // time, and the voter would never catch up.
   const settings = { maxBytesPerAppend: 5000 };
-  let cluster = crash(electLeader(makeCluster({ voters: VOTERS, settings })), 'c');
+  let cluster = crash(electLeader(makeCluster({ voters: INSTANCES, settings })), 'c');
   const proposals = Array.from({ length: 6 }, (_, number) => ({
     requestId: `large-${number}`,
     command: new Uint8Array(2000),
@@ -178,7 +178,7 @@
     const { message: body } = message.envelope;
     if (body.type === 'appendRequest') sizes.push(body.entries.length);
     cluster = deliver(cluster, message);
-    cluster = VOTERS.reduce((next, instance) => syncDisk(next, instance, 9), cluster);
+    cluster = INSTANCES.reduce((next, instance) => syncDisk(next, instance, 9), cluster);
   }
   assert.equal(Math.max(...sizes), 2);
   assert.equal(cluster.voters.c?.applied.length, 7);
@@ -186,11 +186,11 @@
 });
 
 test('A large snapshot is sent in parts, also after its receiver has restarted', () => {
-  // The receiver restarts during the transfer and loses the parts it has. The leader then begins at
-  // the first part, and takes no new snapshot meanwhile, which would restart the transfer each
-  // time.
+  // The receiver restarts during the transfer and loses the parts it has. The leader then resends
+  // from the first part. It takes no new snapshot during a transfer, because a new one would
+  // restart the transfer each time.
   const settings = { entriesPerSnapshot: 10, trailingEntries: 0, maxBytesPerSnapshotPart: 50 };
-  let cluster = crash(electLeader(makeCluster({ voters: VOTERS, settings })), 'c');
+  let cluster = crash(electLeader(makeCluster({ voters: INSTANCES, settings })), 'c');
   for (let write = 0; write < 40; write += 1) cluster = settle(propose(cluster, 'a'));
   cluster = settle(fireTimer(restart({ ...cluster, network: [] }, 'c'), 'a'), 12);
   assert.ok((cluster.voters.c?.state?.incomingSnapshot?.receivedBytes ?? 0) > 0);
@@ -203,8 +203,9 @@
 });
 
 test('A message from another cluster and a message for a lost disk are refused', async () => {
-  // Neither message changes the state. A refusal is sent only for the one to the lost disk.
-  const { state } = makeCluster({ voters: VOTERS }).voters.a ?? {};
+  // Neither message changes the state. Only the sender of the message for the lost disk is sent a
+  // `refusal` message; the other message is dropped.
+  const { state } = makeCluster({ voters: INSTANCES }).voters.a ?? {};
   assert.ok(state !== undefined);
   const from = { instance: 'b', identity: 'b1', run: { count: 1, token: 'b1-1' } };
   const message: ConsensusMessage = {
@@ -228,7 +229,7 @@
 test('A voter stops for good if a leader would overwrite a committed entry', () => {
   // Guards against two histories after a faulty disk or voter. The reducer throws, and acknowledges
   // nothing more even if the store process continues.
-  const cluster = settle(fireTimer(electLeader(makeCluster({ voters: VOTERS })), 'a'));
+  const cluster = settle(fireTimer(electLeader(makeCluster({ voters: INSTANCES })), 'a'));
   const { state } = cluster.voters.b ?? {};
   assert.ok(state?.commitIndex === 1);
   const from = { instance: 'c', identity: 'c1', run: { count: 1, token: 'c1-1' } };
@@ -251,7 +252,7 @@
 
 test('The steps of an election and a write', async () => {
   // Records role, term, commit index and undelivered messages after each step.
-  let cluster = makeCluster({ voters: VOTERS });
+  let cluster = makeCluster({ voters: INSTANCES });
   const steps: string[] = [];
   const recordStep = (title: string) => {
     const { role, term, commitIndex } = cluster.voters.a?.state ?? {};
@@ -277,7 +278,7 @@
 // Guards against a cluster without a leader: a timer may fire a fraction of a millisecond before
 // the election is due, and without a new wake the store would never campaign.
 test('A timer that fires slightly early is requested again', () => {
-  const cluster = makeCluster({ voters: VOTERS });
+  const cluster = makeCluster({ voters: INSTANCES });
   const state = cluster.voters.a?.state;
   assert.ok(state !== undefined);
   const early = { now: state.electionDueAt - 0.4, wallNow: 0 };
--- a/packages/store-core/src/consensus/replication.ts
+++ b/packages/store-core/src/consensus/replication.ts
@@ -6,7 +6,7 @@
  */
 import type { AppendResponse, Sender } from './consensusTypes.js';
 import type { ConsensusState, LeaderState, Progress } from './ConsensusState.js';
-import { broadcastAppends, updateReplicationTargets, sendAppends } from './appends.js';
+import { broadcastAppends, updatePeersAndBroadcastAppends, sendAppends } from './appends.js';
 import { commitThrough } from './commit.js';
 import { appendNewEntry, termAt } from './memoryLog.js';
 import {
@@ -16,7 +16,7 @@
   mayChangeMembership,
   memberOf,
   otherMembers,
-  promoteMember,
+  computeMembershipAfterPromotion,
   quorumSize,
   votersOf,
 } from './membership.js';
@@ -32,9 +32,9 @@
   if (!mayChangeMembership(state, leader)) return;
   const learner = findPromotableLearner(state, leader);
   if (learner === undefined) return;
-  const membership = promoteMember(state, learner.identity);
+  const membership = computeMembershipAfterPromotion(state, learner.identity);
   appendNewEntry(state, { type: 'membership', membership }, wallNow);
-  updateReplicationTargets(context, leader);
+  updatePeersAndBroadcastAppends(context, leader);
 }
 
 /** Steps down once a committed membership no longer lists this store as a voter. */
--- a/packages/store-core/src/consensus/silentMembers.ts
+++ b/packages/store-core/src/consensus/silentMembers.ts
@@ -6,10 +6,10 @@
  */
 import type { Member } from './consensusTypes.js';
 import type { LeaderState } from './ConsensusState.js';
-import { updateReplicationTargets } from './appends.js';
+import { updatePeersAndBroadcastAppends } from './appends.js';
 import { appendNewEntry } from './memoryLog.js';
 import {
-  applyMembershipChange,
+  computeMembershipAfterChange,
   currentMembership,
   mayChangeMembership,
   votersOf,
@@ -67,10 +67,10 @@
   const unreachableMember = findUnreachableMember(context, leader);
   if (unreachableMember === undefined) return;
   const { identity, address } = unreachableMember;
-  const membership = applyMembershipChange(state, { type: 'removeMember', identity });
+  const membership = computeMembershipAfterChange(state, { type: 'removeMember', identity });
   if (membership === undefined) return;
   const silence = millisecondsSinceResponse(context, leader, identity);
   effects.push({ type: 'silentMemberRemoved', instance: address.instance, silence });
   appendNewEntry(state, { type: 'membership', membership }, wallNow);
-  updateReplicationTargets(context, leader);
+  updatePeersAndBroadcastAppends(context, leader);
 }
