--- a/packages/store-core/src/consensus/consensusSchedules.test.ts
+++ b/packages/store-core/src/consensus/consensusSchedules.test.ts
@@ -5,10 +5,10 @@
 import {
   makeCluster,
   type ModelCluster,
-  type ModelOptions,
+  type ModelClusterOptions,
   type ShellMutation,
 } from './testing/modelCluster.js';
-import { hasQuorumOfDisks, heal, runSchedule } from './testing/randomSchedule.js';
+import { hasQuorumOfDisks, recoverFromFaults, runSchedule } from './testing/runSchedule.js';
 
 const PICKS_PER_SCHEDULE = 400;
 const settings: Partial<ConsensusSettings> = {
@@ -36,14 +36,14 @@
 function addToTotals(totals: Totals, cluster: ModelCluster): void {
   totals.runs += 1;
   totals.committedEntries += cluster.committed.length;
-  totals.answeredReads += cluster.answeredReads;
-  totals.restores += cluster.restores;
-  totals.leaders += Object.keys(cluster.leaders).length;
+  totals.answeredReads += cluster.answeredReadCount;
+  totals.restores += cluster.restoreCount;
+  totals.leaders += Object.keys(cluster.leaderByTerm).length;
 }
 
 function checkSchedules(
   context: TestContext,
-  options: ModelOptions,
+  options: ModelClusterOptions,
   seed: number,
   numRuns: number,
 ): void {
@@ -60,7 +60,7 @@
     assert.equal(run.cluster.violation, undefined);
     addToTotals(totals, run.cluster);
     const indexBefore = run.cluster.acknowledgedIndex;
-    heal(run);
+    recoverFromFaults(run);
     assert.equal(run.cluster.violation, undefined);
     if (!hasQuorumOfDisks(run)) return;
     totals.runsWithQuorum += 1;
@@ -82,14 +82,14 @@
 });
 
 test('No check fails in random schedules of three voters and two spares', (context) => {
-  checkSchedules(context, { voters: THREE_VOTERS, spares: ['d', 'e'] }, 302, 80);
+  checkSchedules(context, { voters: THREE_VOTERS, nonMembers: ['d', 'e'] }, 302, 80);
 });
 
 test('No check fails in random schedules with removal of unreachable members', (context) => {
   const removalSettings = { ...settings, unreachableMemberTimeout: 1500, leastVoters: 3 };
   checkSchedules(
     context,
-    { voters: FIVE_VOTERS, spares: ['f', 'g'], settings: removalSettings },
+    { voters: FIVE_VOTERS, nonMembers: ['f', 'g'], settings: removalSettings },
     503,
     80,
   );
--- a/packages/store-core/src/consensus/reduceConsensus.test.ts
+++ b/packages/store-core/src/consensus/reduceConsensus.test.ts
@@ -5,19 +5,19 @@
 import type { ConsensusMessage } from './consensusTypes.js';
 import { reduceConsensus } from './reduceConsensus.js';
 import {
-  addressOf,
+  makeAddress,
   crash,
-  currentLeader,
+  findLeader,
   deliver,
-  elapse,
+  advanceClock,
   fireTimer,
-  happen,
+  dispatchEvent,
   loseDisk,
   makeCluster,
   propose,
   read,
   restart,
-  settle,
+  runUntilIdle,
   syncDisk,
   type ModelCluster,
 } from './testing/modelCluster.js';
@@ -25,33 +25,37 @@
 const INSTANCES = ['a', 'b', 'c'];
 
 function electLeader(cluster: ModelCluster, instance = 'a'): ModelCluster {
-  const next = settle(fireTimer(cluster, instance));
+  const next = runUntilIdle(fireTimer(cluster, instance));
   assert.equal(next.violation, undefined);
-  assert.equal(currentLeader(next)?.instance, instance);
+  assert.equal(findLeader(next)?.instance, instance);
   return next;
 }
 
 test('A leader is elected, commits a proposal and answers a read', () => {
   let cluster = electLeader(makeCluster({ voters: INSTANCES }));
-  cluster = settle(propose(cluster, 'a'));
-  cluster = settle(read(cluster, 'a'));
+  cluster = runUntilIdle(propose(cluster, 'a'));
+  cluster = runUntilIdle(read(cluster, 'a'));
   assert.deepEqual(cluster.committed, ['1:noOperation', '1:write-0']);
   assert.equal(cluster.acknowledgedIndex, 2);
-  assert.equal(cluster.answeredReads, 1);
+  assert.equal(cluster.answeredReadCount, 1);
   assert.equal(cluster.violation, undefined);
 });
 
 test('Two stores join a founded cluster and become voters once they have caught up', () => {
-  let cluster = makeCluster({ voters: [], spares: INSTANCES });
+  let cluster = makeCluster({ voters: [], nonMembers: INSTANCES });
   const memberOf = (instance: string) => ({
     identity: `${instance}1`,
-    address: addressOf(instance),
+    address: makeAddress(instance),
   });
-  cluster = settle(happen(cluster, 'a', { type: 'found', member: memberOf('a') }));
+  cluster = runUntilIdle(dispatchEvent(cluster, 'a', { type: 'found', member: memberOf('a') }));
   ['b', 'c'].forEach((instance) => {
     const change = { type: 'addLearner', member: memberOf(instance) } as const;
-    cluster = happen(cluster, 'a', { type: 'changeMembership', requestId: instance, change });
-    cluster = settle(cluster);
+    cluster = dispatchEvent(cluster, 'a', {
+      type: 'changeMembership',
+      requestId: instance,
+      change,
+    });
+    cluster = runUntilIdle(cluster);
   });
   const members = cluster.voters.c?.state?.memberships.at(-1)?.membership.members;
   assert.deepEqual(
@@ -65,10 +69,12 @@
   const settings = { entriesPerSnapshot: 10, trailingEntries: 2 };
   let cluster = electLeader(makeCluster({ voters: INSTANCES, settings }));
   cluster = crash(cluster, 'c');
-  for (let write = 0; write < 100; write += 1) cluster = settle(propose(cluster, 'a'));
+  for (let write = 0; write < 100; write += 1) cluster = runUntilIdle(propose(cluster, 'a'));
   assert.ok((cluster.voters.a?.state?.log.entries.length ?? 99) < 15);
   cluster = { ...cluster, network: [] };
-  cluster = settle(fireTimer(settle(fireTimer(settle(restart(cluster, 'c')), 'a')), 'a'));
+  cluster = runUntilIdle(
+    fireTimer(runUntilIdle(fireTimer(runUntilIdle(restart(cluster, 'c')), 'a')), 'a'),
+  );
   assert.equal(cluster.voters.c?.applied.length, 101);
   assert.equal(cluster.violation, undefined);
 });
@@ -77,19 +83,19 @@
   // Two voters continue while the third has lost its disk. Its old identity is removed; its new one
   // joins as a learner, catches up and is made a voter. Only then does the cluster survive the loss
   // of another voter.
-  let cluster = settle(propose(electLeader(makeCluster({ voters: INSTANCES })), 'a'));
+  let cluster = runUntilIdle(propose(electLeader(makeCluster({ voters: INSTANCES })), 'a'));
   cluster = restart(loseDisk(crash(cluster, 'c'), 'c'), 'c');
-  const member = { identity: "c1'", address: addressOf('c') };
+  const member = { identity: "c1'", address: makeAddress('c') };
   const remove = { type: 'removeMember', identity: 'c1' } as const;
-  cluster = settle(
-    happen(cluster, 'a', { type: 'changeMembership', requestId: 'remove', change: remove }),
+  cluster = runUntilIdle(
+    dispatchEvent(cluster, 'a', { type: 'changeMembership', requestId: 'remove', change: remove }),
   );
   const add = { type: 'addLearner', member } as const;
-  cluster = settle(
-    happen(cluster, 'a', { type: 'changeMembership', requestId: 'add', change: add }),
+  cluster = runUntilIdle(
+    dispatchEvent(cluster, 'a', { type: 'changeMembership', requestId: 'add', change: add }),
   );
   cluster = crash(cluster, 'b');
-  cluster = settle(propose({ ...cluster, network: [] }, 'a'));
+  cluster = runUntilIdle(propose({ ...cluster, network: [] }, 'a'));
   assert.deepEqual(cluster.voters.c?.applied, cluster.voters.a?.applied);
   assert.equal(cluster.committed.at(-1), '1:write-1');
   assert.equal(cluster.violation, undefined);
@@ -99,9 +105,9 @@
   // Guards against an outdated answer from an isolated leader while the other stores continue.
   let cluster = electLeader(makeCluster({ voters: INSTANCES }));
   cluster = read(cluster, 'a');
-  for (let heartbeat = 0; heartbeat < 10; heartbeat += 1) cluster = elapse(cluster, 'a', 150);
-  assert.equal(currentLeader(cluster), undefined);
-  assert.equal(cluster.answeredReads, 0);
+  for (let heartbeat = 0; heartbeat < 10; heartbeat += 1) cluster = advanceClock(cluster, 'a', 150);
+  assert.equal(findLeader(cluster), undefined);
+  assert.equal(cluster.answeredReadCount, 0);
 });
 
 /**
@@ -110,25 +116,25 @@
 function restoreOlderDisk(oldDiskRefused: boolean): ModelCluster {
   const safeguards = { ...allSafeguards, oldDiskRefused };
   let cluster = electLeader(makeCluster({ voters: INSTANCES, settings: { safeguards } }));
-  cluster = settle(fireTimer(cluster, 'a'));
+  cluster = runUntilIdle(fireTimer(cluster, 'a'));
   const { b } = cluster.voters;
   assert.ok(b !== undefined);
   const { disk } = b;
-  cluster = settle(crash(propose(crash(cluster, 'c'), 'a'), 'c'));
+  cluster = runUntilIdle(crash(propose(crash(cluster, 'c'), 'a'), 'c'));
   assert.equal(cluster.acknowledgedIndex, 2);
   cluster = crash(cluster, 'b');
   cluster = { ...cluster, network: [], voters: { ...cluster.voters, b: { ...b, disk } } };
   cluster = restart(restart(crash(cluster, 'b'), 'b'), 'c');
   cluster = fireTimer(cluster, 'a');
   const toB = cluster.network.filter(({ instance }) => instance === 'b');
-  return settle({ ...cluster, network: toB });
+  return runUntilIdle({ ...cluster, network: toB });
 }
 
 /** Store `c`, which lacks the write, campaigns after `a` has stopped. */
 function campaignAsC(cluster: ModelCluster): ModelCluster {
   let next: ModelCluster = { ...crash(cluster, 'a'), network: [] };
-  next = settle(fireTimer(next, 'c'));
-  return settle(fireTimer(next, 'c'));
+  next = runUntilIdle(fireTimer(next, 'c'));
+  return runUntilIdle(fireTimer(next, 'c'));
 }
 
 test('A disk that is older than its acknowledgements is refused', () => {
@@ -150,12 +156,12 @@
   // The write is in the log of a leader whose disk accepts no more, so the leader can't know
   // whether the entry will survive.
   let cluster = propose(electLeader(makeCluster({ voters: INSTANCES })), 'a');
-  cluster = happen(cluster, 'a', { type: 'persistFailed', reason: 'ENOSPC' });
+  cluster = dispatchEvent(cluster, 'a', { type: 'persistFailed', reason: 'ENOSPC' });
   assert.equal(cluster.voters.a?.state?.readOnly, true);
   assert.equal(cluster.voters.a.state.role.type, 'follower');
-  cluster = settle(cluster);
-  cluster = settle(fireTimer(cluster, 'b'));
-  assert.equal(currentLeader(cluster)?.instance, 'b');
+  cluster = runUntilIdle(cluster);
+  cluster = runUntilIdle(fireTimer(cluster, 'b'));
+  assert.equal(findLeader(cluster)?.instance, 'b');
   assert.equal(cluster.acknowledgedIndex, 0);
   assert.equal(cluster.violation, undefined);
 });
@@ -169,7 +175,7 @@
     requestId: `large-${number}`,
     command: new Uint8Array(2000),
   }));
-  cluster = settle(happen(cluster, 'a', { type: 'propose', proposals }));
+  cluster = runUntilIdle(dispatchEvent(cluster, 'a', { type: 'propose', proposals }));
   cluster = fireTimer(restart({ ...cluster, network: [] }, 'c'), 'a');
   const sizes: number[] = [];
   while (cluster.network.length > 0) {
@@ -191,14 +197,14 @@
   // restart the transfer each time.
   const settings = { entriesPerSnapshot: 10, trailingEntries: 0, maxBytesPerSnapshotPart: 50 };
   let cluster = crash(electLeader(makeCluster({ voters: INSTANCES, settings })), 'c');
-  for (let write = 0; write < 40; write += 1) cluster = settle(propose(cluster, 'a'));
-  cluster = settle(fireTimer(restart({ ...cluster, network: [] }, 'c'), 'a'), 12);
+  for (let write = 0; write < 40; write += 1) cluster = runUntilIdle(propose(cluster, 'a'));
+  cluster = runUntilIdle(fireTimer(restart({ ...cluster, network: [] }, 'c'), 'a'), 12);
   assert.ok((cluster.voters.c?.state?.incomingSnapshot?.receivedBytes ?? 0) > 0);
   cluster = restart({ ...crash(cluster, 'c'), network: [] }, 'c');
   for (let heartbeat = 0; heartbeat < 60; heartbeat += 1)
-    cluster = settle(elapse(cluster, 'a', 150));
+    cluster = runUntilIdle(advanceClock(cluster, 'a', 150));
   assert.equal(cluster.voters.c?.applied.length, 41);
-  assert.equal(cluster.restores, 1);
+  assert.equal(cluster.restoreCount, 1);
   assert.equal(cluster.violation, undefined);
 });
 
@@ -229,7 +235,7 @@
 test('A voter stops for good if a leader would overwrite a committed entry', () => {
   // Guards against two histories after a faulty disk or voter. The reducer throws, and acknowledges
   // nothing more even if the store process continues.
-  const cluster = settle(fireTimer(electLeader(makeCluster({ voters: INSTANCES })), 'a'));
+  const cluster = runUntilIdle(fireTimer(electLeader(makeCluster({ voters: INSTANCES })), 'a'));
   const { state } = cluster.voters.b ?? {};
   assert.ok(state?.commitIndex === 1);
   const from = { instance: 'c', identity: 'c1', run: { count: 1, token: 'c1-1' } };
--- a/packages/store-core/src/consensus/replacedStores.test.ts
+++ b/packages/store-core/src/consensus/replacedStores.test.ts
@@ -5,15 +5,15 @@
 import { votersOf } from './membership.js';
 import {
   crash,
-  currentLeader,
-  happen,
+  findLeader,
+  dispatchEvent,
   loseDisk,
   makeCluster,
   propose,
   restart,
 } from './testing/modelCluster.js';
-import { passTime } from './testing/passTime.js';
-import type { Schedule } from './testing/randomSchedule.js';
+import { runForDuration } from './testing/runForDuration.js';
+import type { ClusterSimulation } from './testing/runSchedule.js';
 
 const settings: Partial<ConsensusSettings> = {
   electionTimeout: 400,
@@ -26,48 +26,51 @@
 /** Time for a replacement to join and catch up, or for an unreachable store to be removed. */
 const CATCH_UP_MILLISECONDS = 4000;
 
-function startCluster(): Schedule {
-  const cluster = makeCluster({ voters: VOTERS, spares: REPLACEMENTS, settings });
-  const run: Schedule = { cluster: REPLACEMENTS.reduce(crash, cluster), cutOff: [] };
-  passTime(run, 2000);
+function startCluster(): ClusterSimulation {
+  const cluster = makeCluster({ voters: VOTERS, nonMembers: REPLACEMENTS, settings });
+  const run: ClusterSimulation = {
+    cluster: REPLACEMENTS.reduce(crash, cluster),
+    isolatedInstances: [],
+  };
+  runForDuration(run, 2000);
   return run;
 }
 
-function stop(run: Schedule, instance: string): void {
+function stop(run: ClusterSimulation, instance: string): void {
   run.cluster = crash(run.cluster, instance);
 }
 
-function start(run: Schedule, instance: string): void {
+function start(run: ClusterSimulation, instance: string): void {
   run.cluster = restart(run.cluster, instance);
 }
 
-function replace(run: Schedule, removed: string, replacement: string): void {
+function replace(run: ClusterSimulation, removed: string, replacement: string): void {
   stop(run, removed);
   start(run, replacement);
-  passTime(run, CATCH_UP_MILLISECONDS);
+  runForDuration(run, CATCH_UP_MILLISECONDS);
 }
 
-function leaderOf(run: Schedule): string {
-  const leader = currentLeader(run.cluster);
+function leaderOf(run: ClusterSimulation): string {
+  const leader = findLeader(run.cluster);
   assert.ok(leader !== undefined, 'no store is the leader');
   return leader.instance;
 }
 
-function listVotersAccordingTo(run: Schedule, instance: string): string[] {
+function listVotersAccordingTo(run: ClusterSimulation, instance: string): string[] {
   const state = run.cluster.voters[instance]?.state;
   assert.ok(state !== undefined);
   return votersOf(state).map(({ address }) => address.instance);
 }
 
-function changeMembers(run: Schedule, change: MembershipChange): void {
+function changeMembers(run: ClusterSimulation, change: MembershipChange): void {
   const event = { type: 'changeMembership', requestId: 'operator', change } as const;
-  run.cluster = happen(run.cluster, leaderOf(run), event);
+  run.cluster = dispatchEvent(run.cluster, leaderOf(run), event);
 }
 
-function assertAcceptsWrite(run: Schedule): void {
+function assertAcceptsWrite(run: ClusterSimulation): void {
   const indexBefore = run.cluster.acknowledgedIndex;
   run.cluster = propose(run.cluster, leaderOf(run));
-  passTime(run, 500);
+  runForDuration(run, 500);
   assert.ok(run.cluster.acknowledgedIndex > indexBefore, 'a write is not acknowledged');
   assert.equal(run.cluster.violation, undefined);
 }
@@ -83,14 +86,14 @@
   stop(run, storeWithLostDisk);
   run.cluster = loseDisk(run.cluster, storeWithLostDisk);
   start(run, storeWithLostDisk);
-  passTime(run, CATCH_UP_MILLISECONDS);
+  runForDuration(run, CATCH_UP_MILLISECONDS);
   assertAcceptsWrite(run);
   replace(run, 'd', 'g');
   assertAcceptsWrite(run);
   const running = ['a', 'e', 'f', 'g'];
   running.forEach((instance) => stop(run, instance));
   running.forEach((instance) => start(run, instance));
-  passTime(run, 2000);
+  runForDuration(run, 2000);
   assertAcceptsWrite(run);
 });
 
@@ -99,12 +102,12 @@
 test('a store that was removed while it was partitioned votes again afterwards', () => {
   const run = startCluster();
   const isolated = leaderOf(run);
-  run.cutOff = [isolated];
-  passTime(run, CATCH_UP_MILLISECONDS + 1500);
+  run.isolatedInstances = [isolated];
+  runForDuration(run, CATCH_UP_MILLISECONDS + 1500);
   assert.equal(listVotersAccordingTo(run, leaderOf(run)).includes(isolated), false);
   assertAcceptsWrite(run);
-  run.cutOff = [];
-  passTime(run, 2000);
+  run.isolatedInstances = [];
+  runForDuration(run, 2000);
   assert.deepEqual(listVotersAccordingTo(run, isolated).toSorted(), VOTERS);
   assertAcceptsWrite(run);
 });
@@ -114,9 +117,9 @@
   const run = startCluster();
   const [first = '', second = ''] = VOTERS.filter((name) => name !== leaderOf(run));
   stop(run, first);
-  passTime(run, CATCH_UP_MILLISECONDS);
+  runForDuration(run, CATCH_UP_MILLISECONDS);
   stop(run, second);
-  passTime(run, CATCH_UP_MILLISECONDS);
+  runForDuration(run, CATCH_UP_MILLISECONDS);
   const voters = listVotersAccordingTo(run, leaderOf(run));
   assert.equal(voters.length, 3);
   assert.ok(voters.includes(second));
@@ -129,7 +132,7 @@
   const [removed = ''] = VOTERS.filter((name) => name !== leaderOf(run));
   const identity = run.cluster.voters[removed]?.identity ?? '';
   changeMembers(run, { type: 'takeOutMember', identity });
-  passTime(run, CATCH_UP_MILLISECONDS);
+  runForDuration(run, CATCH_UP_MILLISECONDS);
   assert.equal(listVotersAccordingTo(run, leaderOf(run)).includes(removed), false);
   assertAcceptsWrite(run);
 });
--- a/packages/store-core/src/consensus/testing/clusterModel.ts
+++ b/packages/store-core/src/consensus/testing/makeClusterModel.ts
@@ -1,7 +1,7 @@
 /** What can happen to a model cluster within stated bounds, as a model for the explorer. */
 import type { Model, Step } from '@hornbeampond/testing';
 import {
-  clusterKey,
+  makeClusterKey,
   crash,
   deliver,
   fireTimer,
@@ -63,7 +63,7 @@
 
 function runningSteps(
   { cluster, budget }: BoundedCluster,
-  { instance, jobs, state }: ModelVoter,
+  { instance, pendingWrites: jobs, state }: ModelVoter,
 ): Step<BoundedCluster>[] {
   const steps: Step<BoundedCluster>[] = [];
   const add = (label: string, left: Budget, take: () => ModelCluster) => {
@@ -103,13 +103,13 @@
   return [start, lose];
 }
 
-export function clusterModel(
+export function makeClusterModel(
   cluster: ModelCluster,
   budget: Partial<Budget>,
 ): Model<BoundedCluster> {
   return {
     initial: { cluster, budget: { ...NO_BUDGET, ...budget } },
-    key: (bounded) => `${JSON.stringify(bounded.budget)}\n${clusterKey(bounded.cluster)}`,
+    key: (bounded) => `${JSON.stringify(bounded.budget)}\n${makeClusterKey(bounded.cluster)}`,
     check: (bounded) => bounded.cluster.violation,
     steps: (bounded) => [
       ...messageSteps(bounded),
--- a/packages/store-core/src/consensus/testing/modelCluster.ts
+++ b/packages/store-core/src/consensus/testing/modelCluster.ts
@@ -16,13 +16,19 @@
 import { fillSnapshotPart } from '../snapshots.js';
 import { reduceConsensus } from '../reduceConsensus.js';
 import {
-  keepSnapshot,
-  newDisk,
+  saveSnapshot,
+  makeEmptyDisk,
   writeBatch,
   type ModelDisk,
   type SavedSnapshot,
 } from './modelDisk.js';
-import { copyState, nameBatch, nameEntry, nameEnvelope, nameState } from './modelKeys.js';
+import {
+  copyState,
+  makeBatchKey,
+  makeEntryKey,
+  makeEnvelopeKey,
+  makeStateKey,
+} from './modelKeys.js';
 
 /** Faults of the shell that a test puts in to see the checks notice. */
 export type ShellMutation = 'acknowledgeBeforeSync' | 'voteForgotten' | 'lostDiskKeepsIdentity';
@@ -38,7 +44,7 @@
   /** Missing while the process is down. */
   state?: ConsensusState;
   disk: ModelDisk;
-  jobs: DiskJob[];
+  pendingWrites: DiskJob[];
   /** The state machine: what was applied, in order. */
   applied: string[];
   key: string;
@@ -55,16 +61,16 @@
   readonly mutation?: ShellMutation;
   readonly voters: Readonly<Record<string, ModelVoter>>;
   readonly network: readonly ModelMessage[];
-  readonly leaders: Readonly<Record<number, string>>;
+  readonly leaderByTerm: Readonly<Record<number, string>>;
   /** Every entry that any voter has applied, from index 1 on. */
   readonly committed: readonly string[];
   readonly acknowledgedIndex: number;
   /** Reads under way, and the index that was acknowledged when they began. */
-  readonly reads: Readonly<Record<string, number>>;
-  readonly answeredReads: number;
+  readonly minIndexByReadId: Readonly<Record<string, number>>;
+  readonly answeredReadCount: number;
   /** Snapshots that voters have taken over from others. */
-  readonly restores: number;
-  readonly requests: number;
+  readonly restoreCount: number;
+  readonly requestCount: number;
   /** What each disk ever had synced at an index, by identity; it outlives the disk. */
   readonly everSynced: Readonly<Record<string, readonly string[]>>;
   readonly violation?: string;
@@ -72,7 +78,7 @@
 
 type Changes = { -readonly [Name in keyof ModelCluster]: ModelCluster[Name] };
 
-export function addressOf(instance: string) {
+export function makeAddress(instance: string) {
   return { instance, dataCentre: 'wien-a', host: '127.0.0.1', port: 1 };
 }
 
@@ -81,19 +87,19 @@
     ...voter,
     ...(voter.state === undefined ? {} : { state: copyState(voter.state) }),
     disk: { ...voter.disk, entries: [...voter.disk.entries] },
-    jobs: [...voter.jobs],
+    pendingWrites: [...voter.pendingWrites],
     applied: [...voter.applied],
   };
 }
 
-function nameVoter({ identity, state, disk, jobs, applied }: ModelVoter): string {
+function nameVoter({ identity, state, disk, pendingWrites: jobs, applied }: ModelVoter): string {
   const waiting = jobs.map((job) =>
-    job.type === 'batch' ? nameBatch(job.effect) : `snapshot ${job.snapshot.header.index}`,
+    job.type === 'batch' ? makeBatchKey(job.effect) : `snapshot ${job.snapshot.header.index}`,
   );
-  const stored = disk.entries.map((entry) => `${entry.index}=${nameEntry(entry)}`);
+  const stored = disk.entries.map((entry) => `${entry.index}=${makeEntryKey(entry)}`);
   const { runs, term, votedFor, snapshot } = disk;
   const onDisk = [runs, term, votedFor, snapshot?.header.index, stored.join('|')].join();
-  const live = state === undefined ? 'down' : nameState(state);
+  const live = state === undefined ? 'down' : makeStateKey(state);
   return [identity, live, onDisk, waiting.join('|'), applied.length].join('#');
 }
 
@@ -130,16 +136,16 @@
 }
 
 function checkNewLeader(cluster: Changes, voter: ModelVoter, term: number): void {
-  const known = cluster.leaders[term];
+  const known = cluster.leaderByTerm[term];
   if (known !== undefined && known !== voter.identity) violate(cluster, `two leaders in ${term}`);
-  cluster.leaders = { ...cluster.leaders, [term]: voter.identity };
+  cluster.leaderByTerm = { ...cluster.leaderByTerm, [term]: voter.identity };
   const { state } = voter;
   if (state === undefined) return;
   cluster.committed.forEach((name, position) => {
     const index = position + 1;
     if (index <= state.log.base.index) return;
     const entry = entryAt(state, index);
-    if (entry === undefined || nameEntry(entry) !== name) {
+    if (entry === undefined || makeEntryKey(entry) !== name) {
       violate(cluster, `the leader of term ${term} lacks the committed index ${index}`);
     }
   });
@@ -155,7 +161,7 @@
     });
   }
   entries.forEach((entry) => {
-    names[entry.index] = nameEntry(entry);
+    names[entry.index] = makeEntryKey(entry);
   });
   cluster.everSynced = { ...cluster.everSynced, [voter.identity]: names };
 }
@@ -163,7 +169,7 @@
 function carryOut(cluster: Changes, voter: ModelVoter, effect: ConsensusEffect): void {
   switch (effect.type) {
     case 'persist':
-      voter.jobs.push({ type: 'batch', effect });
+      voter.pendingWrites.push({ type: 'batch', effect });
       if (cluster.mutation === 'acknowledgeBeforeSync') {
         handle(cluster, voter, { type: 'persisted', batch: effect.batch });
       }
@@ -178,7 +184,7 @@
       break;
     }
     case 'apply': {
-      const name = nameEntry(effect.entry);
+      const name = makeEntryKey(effect.entry);
       if (effect.index !== voter.applied.length + 1) violate(cluster, 'applied out of order');
       voter.applied.push(name);
       const first = effect.index > cluster.committed.length;
@@ -187,7 +193,7 @@
       break;
     }
     case 'restore': {
-      cluster.restores += 1;
+      cluster.restoreCount += 1;
       voter.applied = JSON.parse(Buffer.from(effect.data).toString()) as string[];
       if (voter.applied.length !== effect.header.index) violate(cluster, 'snapshot of other size');
       voter.applied.forEach((name, position) => noteCommitted(cluster, position + 1, name));
@@ -195,7 +201,7 @@
     }
     case 'takeSnapshot': {
       const data = new Uint8Array(Buffer.from(JSON.stringify(voter.applied)));
-      voter.jobs.push({ type: 'snapshot', snapshot: { header: effect.header, data } });
+      voter.pendingWrites.push({ type: 'snapshot', snapshot: { header: effect.header, data } });
       break;
     }
     case 'reply': {
@@ -204,8 +210,8 @@
         cluster.acknowledgedIndex = Math.max(cluster.acknowledgedIndex, outcome.index);
       }
       if (outcome.type === 'readable') {
-        const floor = cluster.reads[requestId] ?? 0;
-        cluster.answeredReads += 1;
+        const floor = cluster.minIndexByReadId[requestId] ?? 0;
+        cluster.answeredReadCount += 1;
         if (voter.applied.length < floor) {
           violate(cluster, `a read missed index ${floor}, acknowledged before it began`);
         }
@@ -220,7 +226,7 @@
 }
 
 function send(cluster: Changes, instance: string, envelope: Envelope): void {
-  const message = { instance, envelope, key: nameEnvelope(envelope) };
+  const message = { instance, envelope, key: makeEnvelopeKey(envelope) };
   cluster.network = [...cluster.network, message];
 }
 
@@ -260,7 +266,11 @@
 }
 
 /** Hands one event to one voter. */
-export function happen(cluster: ModelCluster, instance: string, event: ModelEvent): ModelCluster {
+export function dispatchEvent(
+  cluster: ModelCluster,
+  instance: string,
+  event: ModelEvent,
+): ModelCluster {
   const [next, voter] = changed(cluster, instance);
   handle(next, voter, event);
   return finish(next, voter);
@@ -292,7 +302,7 @@
 }
 
 /** Lets a voter's clock run, and fires its timer if it is due then. */
-export function elapse(cluster: ModelCluster, instance: string, span: number): ModelCluster {
+export function advanceClock(cluster: ModelCluster, instance: string, span: number): ModelCluster {
   const [next, voter] = changed(cluster, instance);
   voter.now += span;
   if (voter.state !== undefined && voter.now >= voter.state.wakeAt) {
@@ -304,9 +314,9 @@
 /** Syncs the first `count` writes that wait. */
 export function syncDisk(cluster: ModelCluster, instance: string, count: number): ModelCluster {
   const [next, voter] = changed(cluster, instance);
-  voter.jobs.splice(0, count).forEach((job) => {
+  voter.pendingWrites.splice(0, count).forEach((job) => {
     if (job.type === 'batch') writeBatch(voter.disk, job.effect);
-    else keepSnapshot(voter.disk, job.snapshot);
+    else saveSnapshot(voter.disk, job.snapshot);
     noteSynced(next, voter);
     if (job.type === 'snapshot')
       handle(next, voter, { type: 'compacted', header: job.snapshot.header });
@@ -320,7 +330,7 @@
 export function crash(cluster: ModelCluster, instance: string): ModelCluster {
   const [next, voter] = changed(cluster, instance);
   voter.state = undefined;
-  voter.jobs = [];
+  voter.pendingWrites = [];
   voter.applied = [];
   return finish(next, voter);
 }
@@ -353,7 +363,7 @@
 export function loseDisk(cluster: ModelCluster, instance: string): ModelCluster {
   const [next, voter] = changed(cluster, instance);
   voter.disk = {
-    ...newDisk(),
+    ...makeEmptyDisk(),
     runs: cluster.mutation === 'lostDiskKeepsIdentity' ? voter.disk.runs : 0,
   };
   if (cluster.mutation !== 'lostDiskKeepsIdentity') voter.identity = `${voter.identity}'`;
@@ -361,37 +371,37 @@
 }
 
 export function propose(cluster: ModelCluster, instance: string): ModelCluster {
-  const requestId = `write-${cluster.requests}`;
-  const counted = { ...cluster, requests: cluster.requests + 1 };
+  const requestId = `write-${cluster.requestCount}`;
+  const counted = { ...cluster, requests: cluster.requestCount + 1 };
   const proposals = [{ requestId, command: requestId }];
-  return happen(counted, instance, { type: 'propose', proposals });
+  return dispatchEvent(counted, instance, { type: 'propose', proposals });
 }
 
 export function read(cluster: ModelCluster, instance: string): ModelCluster {
-  const requestId = `read-${cluster.requests}`;
+  const requestId = `read-${cluster.requestCount}`;
   const counted = {
     ...cluster,
-    requests: cluster.requests + 1,
-    reads: { ...cluster.reads, [requestId]: cluster.acknowledgedIndex },
+    requests: cluster.requestCount + 1,
+    reads: { ...cluster.minIndexByReadId, [requestId]: cluster.acknowledgedIndex },
   };
-  return happen(counted, instance, { type: 'read', requestId });
+  return dispatchEvent(counted, instance, { type: 'read', requestId });
 }
 
-export interface ModelOptions {
+export interface ModelClusterOptions {
   readonly voters: readonly string[];
   /** Instances that run, but are no members yet. */
-  readonly spares?: readonly string[];
+  readonly nonMembers?: readonly string[];
   readonly settings?: Partial<ConsensusSettings>;
   readonly mutation?: ShellMutation;
 }
 
 /** A cluster whose voters have just started, with a founding membership on every disk. */
-export function makeCluster(options: ModelOptions): ModelCluster {
+export function makeCluster(options: ModelClusterOptions): ModelCluster {
   const settings = { ...defaultConsensusSettings, cluster: 'test', ...options.settings };
   const members: Member[] = options.voters.map((instance) => ({
     identity: `${instance}1`,
     role: 'voter',
-    address: addressOf(instance),
+    address: makeAddress(instance),
   }));
   const header = { index: 0, term: 0, at: 0, membership: { members } };
   const founded = { header, data: new Uint8Array(Buffer.from('[]')) };
@@ -399,37 +409,45 @@
     instance,
     identity: `${instance}1`,
     now: 0,
-    disk: isMember ? { ...newDisk(), snapshot: founded } : newDisk(),
-    jobs: [],
+    disk: isMember ? { ...makeEmptyDisk(), snapshot: founded } : makeEmptyDisk(),
+    pendingWrites: [],
     applied: [],
     key: '',
   });
   const voters = Object.fromEntries([
     ...options.voters.map((instance) => [instance, makeVoter(instance, true)] as const),
-    ...(options.spares ?? []).map((instance) => [instance, makeVoter(instance, false)] as const),
+    ...(options.nonMembers ?? []).map(
+      (instance) => [instance, makeVoter(instance, false)] as const,
+    ),
   ]);
   const cluster: ModelCluster = {
     settings,
     mutation: options.mutation,
     voters,
     network: [],
-    leaders: {},
+    leaderByTerm: {},
     committed: [],
     acknowledgedIndex: 0,
-    reads: {},
-    answeredReads: 0,
-    restores: 0,
-    requests: 0,
+    minIndexByReadId: {},
+    answeredReadCount: 0,
+    restoreCount: 0,
+    requestCount: 0,
     everSynced: {},
   };
   return Object.keys(voters).reduce((next, instance) => restart(next, instance), cluster);
 }
 
 /** Names a cluster's state, for the explorer. */
-export function clusterKey(cluster: ModelCluster): string {
+export function makeClusterKey(cluster: ModelCluster): string {
   const messages = cluster.network.map((message) => message.key).sort();
   const voters = Object.values(cluster.voters).map((voter) => voter.key);
-  const { leaders, committed, acknowledgedIndex, reads, requests } = cluster;
+  const {
+    leaderByTerm: leaders,
+    committed,
+    acknowledgedIndex,
+    minIndexByReadId: reads,
+    requestCount: requests,
+  } = cluster;
   return [
     ...voters,
     ...messages,
@@ -437,18 +455,18 @@
   ].join('\n');
 }
 
-export function currentLeader(cluster: ModelCluster): ModelVoter | undefined {
+export function findLeader(cluster: ModelCluster): ModelVoter | undefined {
   return Object.values(cluster.voters)
     .filter((voter) => voter.state?.role.type === 'leader')
     .sort((a, b) => (b.state?.term ?? 0) - (a.state?.term ?? 0))[0];
 }
 
 /** Lets everything run without faults until nothing is left to do. */
-export function settle(start: ModelCluster, mostSteps = 2000): ModelCluster {
+export function runUntilIdle(start: ModelCluster, mostSteps = 2000): ModelCluster {
   let cluster = start;
   for (let step = 0; step < mostSteps; step += 1) {
     const waiting = Object.values(cluster.voters).find(
-      (voter) => voter.state !== undefined && voter.jobs.length > 0,
+      (voter) => voter.state !== undefined && voter.pendingWrites.length > 0,
     );
     const [message] = cluster.network;
     if (waiting !== undefined) cluster = syncDisk(cluster, waiting.instance, 1);
--- a/packages/store-core/src/consensus/testing/modelDisk.ts
+++ b/packages/store-core/src/consensus/testing/modelDisk.ts
@@ -15,12 +15,12 @@
   entries: LogEntry[];
 }
 
-export function newDisk(): ModelDisk {
+export function makeEmptyDisk(): ModelDisk {
   return { runs: 0, term: 0, entries: [] };
 }
 
 /** Keeps a snapshot, and of the log what follows it. */
-export function keepSnapshot(disk: ModelDisk, snapshot: SavedSnapshot): void {
+export function saveSnapshot(disk: ModelDisk, snapshot: SavedSnapshot): void {
   const { index, term } = snapshot.header;
   if (index <= (disk.snapshot?.header.index ?? 0)) return;
   const joins = disk.entries.some((entry) => entry.index === index && entry.term === term);
@@ -34,7 +34,7 @@
     disk.term = vote.term;
     disk.votedFor = vote.votedFor;
   }
-  if (snapshot !== undefined) keepSnapshot(disk, snapshot);
+  if (snapshot !== undefined) saveSnapshot(disk, snapshot);
   if (truncateFrom !== undefined) {
     disk.entries = disk.entries.filter((entry) => entry.index < truncateFrom);
   }
--- a/packages/store-core/src/consensus/testing/modelKeys.ts
+++ b/packages/store-core/src/consensus/testing/modelKeys.ts
@@ -7,18 +7,18 @@
 import type { PersistEffect } from '../consensusEvents.js';
 import type { Envelope, LogEntry, Membership, SnapshotHeader } from '../consensusTypes.js';
 
-export function nameMembership(membership: Membership): string {
+export function makeMembershipKey(membership: Membership): string {
   return membership.members.map((member) => `${member.identity}/${member.role}`).join(',');
 }
 
-export function nameEntry({ term, body }: LogEntry): string {
+export function makeEntryKey({ term, body }: LogEntry): string {
   if (body.type === 'command') return `${term}:${String(body.command)}`;
   if (body.type === 'noOperation') return `${term}:noOperation`;
-  return `${term}:${nameMembership(body.membership)}`;
+  return `${term}:${makeMembershipKey(body.membership)}`;
 }
 
 function nameEntries(entries: readonly LogEntry[]): string {
-  return entries.map((entry) => `${entry.index}=${nameEntry(entry)}`).join('|');
+  return entries.map((entry) => `${entry.index}=${makeEntryKey(entry)}`).join('|');
 }
 
 function nameHeader(header: SnapshotHeader | undefined): string {
@@ -26,7 +26,7 @@
 }
 
 /** The members of a message in fixed order, without the times in its entries. */
-export function nameEnvelope({ from, to, message }: Envelope): string {
+export function makeEnvelopeKey({ from, to, message }: Envelope): string {
   const who = `${from.identity}.${from.run.count}>${to}`;
   if (message.type === 'appendRequest') {
     const { term, previousIndex, previousTerm, entries, commitIndex, round } = message;
@@ -40,7 +40,7 @@
   return `${who} ${JSON.stringify(message)}`;
 }
 
-export function nameBatch(effect: PersistEffect): string {
+export function makeBatchKey(effect: PersistEffect): string {
   const { batch, vote, snapshot, truncateFrom, entries } = effect;
   const head = [batch, vote?.term, vote?.votedFor, truncateFrom].join('.');
   return `${head} ${nameHeader(snapshot?.header)} ${nameEntries(entries)}`;
@@ -66,7 +66,7 @@
   return `leader ${role.round} ${role.termStartIndex} ${peers.join(';')} ${JSON.stringify(role.reads)}`;
 }
 
-export function nameState(state: ConsensusState): string {
+export function makeStateKey(state: ConsensusState): string {
   const numbers = [
     state.self.identity,
     state.self.run.count,
@@ -84,7 +84,7 @@
     state.incomingSnapshot?.receivedBytes,
   ];
   const held = state.pendingMessages.map(
-    ({ batch, envelope }) => `${batch} ${nameEnvelope(envelope)}`,
+    ({ batch, envelope }) => `${batch} ${makeEnvelopeKey(envelope)}`,
   );
   const unsynced = state.unsyncedBatches.map(({ batch, lastIndex }) => `${batch}.${lastIndex}`);
   const requests = state.pendingRequests.map(({ index, requestId }) => `${index}.${requestId}`);
--- a/packages/store-core/src/consensus/testing/passTime.ts
+++ b/packages/store-core/src/consensus/testing/runForDuration.ts
@@ -3,28 +3,34 @@
  * synced, clocks run, and stores that are no members ask to be let in.
  */
 import { deliver } from './modelCluster.js';
-import { elapseAll, isCut, repair, syncAll, type Schedule } from './randomSchedule.js';
+import {
+  advanceAllClocks,
+  isBlockedByPartition,
+  repairMembership,
+  syncAllDisks,
+  type ClusterSimulation,
+} from './runSchedule.js';
 
 const STEP_MILLISECONDS = 25;
 
 /** Carries out all that is under way; messages between the two sides of a cut are lost. */
-function finishWork(schedule: Schedule): void {
+function finishWork(schedule: ClusterSimulation): void {
   for (;;) {
-    syncAll(schedule);
+    syncAllDisks(schedule);
     const { cluster } = schedule;
     const [message, ...others] = cluster.network;
     if (message === undefined) return;
-    schedule.cluster = isCut(schedule, message)
+    schedule.cluster = isBlockedByPartition(schedule, message)
       ? { ...cluster, network: others }
       : deliver(cluster, message, false, true);
   }
 }
 
-export function passTime(schedule: Schedule, milliseconds: number): void {
+export function runForDuration(schedule: ClusterSimulation, milliseconds: number): void {
   for (let passed = 0; passed < milliseconds; passed += STEP_MILLISECONDS) {
-    elapseAll(schedule, STEP_MILLISECONDS);
+    advanceAllClocks(schedule, STEP_MILLISECONDS);
     finishWork(schedule);
-    repair(schedule);
+    repairMembership(schedule);
     finishWork(schedule);
   }
 }
--- a/packages/store-core/src/consensus/testing/randomSchedule.ts
+++ b/packages/store-core/src/consensus/testing/runSchedule.ts
@@ -5,85 +5,88 @@
  */
 import { memberOf, votersOf } from '../membership.js';
 import {
-  addressOf,
+  makeAddress,
   crash,
-  currentLeader,
+  findLeader,
   deliver,
-  elapse,
-  happen,
+  advanceClock,
+  dispatchEvent,
   loseDisk,
   propose,
   read,
   restart,
-  settle,
+  runUntilIdle,
   syncDisk,
   type ModelCluster,
   type ModelMessage,
   type ModelVoter,
 } from './modelCluster.js';
 
-export interface Schedule {
+export interface ClusterSimulation {
   cluster: ModelCluster;
   /** Instances that are cut off from all others. */
-  cutOff: string[];
+  isolatedInstances: string[];
 }
 
-type Action = (schedule: Schedule, pick: number) => void;
+type Action = (schedule: ClusterSimulation, pick: number) => void;
 
 const MOST_MESSAGES = 300;
 
-function voterAt({ cluster }: Schedule, pick: number): ModelVoter {
+function voterAt({ cluster }: ClusterSimulation, pick: number): ModelVoter {
   const voters = Object.values(cluster.voters);
   return voters[pick % voters.length] as ModelVoter;
 }
 
-export function isCut({ cutOff }: Schedule, { instance, envelope }: ModelMessage): boolean {
+export function isBlockedByPartition(
+  { isolatedInstances: cutOff }: ClusterSimulation,
+  { instance, envelope }: ModelMessage,
+): boolean {
   return cutOff.includes(instance) !== cutOff.includes(envelope.from.instance);
 }
 
-function dropMessage(schedule: Schedule, message: ModelMessage): void {
+function dropMessage(schedule: ClusterSimulation, message: ModelMessage): void {
   const network = schedule.cluster.network.filter((other) => other !== message);
   schedule.cluster = { ...schedule.cluster, network };
 }
 
-function deliverOne(schedule: Schedule, pick: number, keep: boolean): void {
+function deliverOne(schedule: ClusterSimulation, pick: number, keep: boolean): void {
   const { network, voters } = schedule.cluster;
   const message = network[pick % Math.max(1, network.length)];
   if (message === undefined) return;
   const stopped = voters[message.instance]?.state === undefined;
-  if (stopped || isCut(schedule, message) || network.length > MOST_MESSAGES) {
+  if (stopped || isBlockedByPartition(schedule, message) || network.length > MOST_MESSAGES) {
     dropMessage(schedule, message);
   } else {
     schedule.cluster = deliver(schedule.cluster, message, keep, true);
   }
 }
 
-export function syncAll(schedule: Schedule): void {
+export function syncAllDisks(schedule: ClusterSimulation): void {
   Object.values(schedule.cluster.voters)
-    .filter(({ jobs }) => jobs.length > 0)
-    .forEach(({ instance, jobs }) => {
+    .filter(({ pendingWrites: jobs }) => jobs.length > 0)
+    .forEach(({ instance, pendingWrites: jobs }) => {
       schedule.cluster = syncDisk(schedule.cluster, instance, jobs.length);
     });
 }
 
-export function elapseAll(schedule: Schedule, span: number): void {
+export function advanceAllClocks(schedule: ClusterSimulation, span: number): void {
   Object.keys(schedule.cluster.voters).forEach((instance) => {
-    schedule.cluster = elapse(schedule.cluster, instance, span);
+    schedule.cluster = advanceClock(schedule.cluster, instance, span);
   });
 }
 
 /** A while without a new fault: messages arrive in some order and disks are synced. */
-function calm(schedule: Schedule, pick: number): void {
+function calm(schedule: ClusterSimulation, pick: number): void {
   for (let turn = 0; turn < 12; turn += 1) {
     deliverOne(schedule, Math.floor(pick / (turn + 1)), false);
-    if (turn % 4 === 3) syncAll(schedule);
+    if (turn % 4 === 3) syncAllDisks(schedule);
   }
-  elapseAll(schedule, 30 + (pick % 120));
+  advanceAllClocks(schedule, 30 + (pick % 120));
 }
 
 /** Lets a new disk in, or takes the member of a lost one out. */
-export function repair(schedule: Schedule): void {
-  const leader = currentLeader(schedule.cluster);
+export function repairMembership(schedule: ClusterSimulation): void {
+  const leader = findLeader(schedule.cluster);
   if (leader?.state === undefined) return;
   const { state } = leader;
   const stranger = Object.values(schedule.cluster.voters).find(
@@ -96,25 +99,25 @@
     old === undefined
       ? ({
           type: 'addLearner',
-          member: { identity: stranger.identity, address: addressOf(stranger.instance) },
+          member: { identity: stranger.identity, address: makeAddress(stranger.instance) },
         } as const)
       : ({ type: 'removeMember', identity: old.identity } as const);
   const event = { type: 'changeMembership', requestId: 'operator', change } as const;
-  schedule.cluster = happen(schedule.cluster, leader.instance, event);
+  schedule.cluster = dispatchEvent(schedule.cluster, leader.instance, event);
 }
 
-function removeSomeone(schedule: Schedule, pick: number): void {
-  const leader = currentLeader(schedule.cluster);
+function removeSomeone(schedule: ClusterSimulation, pick: number): void {
+  const leader = findLeader(schedule.cluster);
   if (leader?.state === undefined) return;
   const voters = votersOf(leader.state);
   const victim = voters[pick % voters.length];
   if (victim === undefined || voters.length <= 3) return;
   const change = { type: 'removeMember', identity: victim.identity } as const;
   const event = { type: 'changeMembership', requestId: 'operator', change } as const;
-  schedule.cluster = happen(schedule.cluster, leader.instance, event);
+  schedule.cluster = dispatchEvent(schedule.cluster, leader.instance, event);
 }
 
-function startOrStop(schedule: Schedule, pick: number, diskGoes: boolean): void {
+function startOrStop(schedule: ClusterSimulation, pick: number, diskGoes: boolean): void {
   const { instance, state } = voterAt(schedule, pick);
   if (state !== undefined) schedule.cluster = crash(schedule.cluster, instance);
   else {
@@ -123,12 +126,12 @@
   }
 }
 
-function restartOne(schedule: Schedule): void {
+function restartOne(schedule: ClusterSimulation): void {
   const stopped = Object.values(schedule.cluster.voters).find(({ state }) => state === undefined);
   if (stopped !== undefined) schedule.cluster = restart(schedule.cluster, stopped.instance);
 }
 
-function proposeSomewhere(schedule: Schedule, pick: number): void {
+function proposeSomewhere(schedule: ClusterSimulation, pick: number): void {
   const leaders = Object.values(schedule.cluster.voters).filter(
     ({ state }) => state?.role.type === 'leader',
   );
@@ -158,7 +161,7 @@
     weight: 8,
     act: (schedule, pick) => {
       const { instance } = voterAt(schedule, pick);
-      schedule.cluster = elapse(schedule.cluster, instance, 200 + (pick % 1500));
+      schedule.cluster = advanceClock(schedule.cluster, instance, 200 + (pick % 1500));
     },
   },
   { weight: 14, act: proposeSomewhere },
@@ -174,24 +177,24 @@
   {
     weight: 2,
     act: (schedule, pick) => {
-      schedule.cutOff = [voterAt(schedule, pick).instance];
+      schedule.isolatedInstances = [voterAt(schedule, pick).instance];
     },
   },
   {
     weight: 2,
     act: (schedule) => {
-      schedule.cutOff = [];
+      schedule.isolatedInstances = [];
     },
   },
-  { weight: 3, act: repair },
+  { weight: 3, act: repairMembership },
   { weight: 1, act: removeSomeone },
 ];
 
 const drawn = actions.flatMap(({ weight, act }) => Array<Action>(weight).fill(act));
 
 /** Runs a schedule until its end or the first violation. */
-export function runSchedule(start: ModelCluster, picks: readonly number[]): Schedule {
-  const schedule: Schedule = { cluster: start, cutOff: [] };
+export function runSchedule(start: ModelCluster, picks: readonly number[]): ClusterSimulation {
+  const schedule: ClusterSimulation = { cluster: start, isolatedInstances: [] };
   for (const pick of picks) {
     const act = drawn[pick % drawn.length] as Action;
     act(schedule, Math.floor(pick / drawn.length));
@@ -201,25 +204,25 @@
 }
 
 /** Heals everything and lets time pass, so that a cluster with a quorum of disks must go on. */
-export function heal(schedule: Schedule): void {
-  schedule.cutOff = [];
+export function recoverFromFaults(schedule: ClusterSimulation): void {
+  schedule.isolatedInstances = [];
   Object.values(schedule.cluster.voters).forEach(({ instance, state }) => {
     if (state === undefined) schedule.cluster = restart(schedule.cluster, instance);
   });
   for (let round = 0; round < 80; round += 1) {
-    schedule.cluster = settle(schedule.cluster);
-    elapseAll(schedule, 150);
-    if (round % 4 === 3) repair(schedule);
+    schedule.cluster = runUntilIdle(schedule.cluster);
+    advanceAllClocks(schedule, 150);
+    if (round % 4 === 3) repairMembership(schedule);
   }
   proposeSomewhere(schedule, 0);
   for (let round = 0; round < 8; round += 1) {
-    schedule.cluster = settle(schedule.cluster);
-    elapseAll(schedule, 150);
+    schedule.cluster = runUntilIdle(schedule.cluster);
+    advanceAllClocks(schedule, 150);
   }
 }
 
 /** True if a quorum of the newest membership that anybody holds still has its disks. */
-export function hasQuorumOfDisks({ cluster }: Schedule): boolean {
+export function hasQuorumOfDisks({ cluster }: ClusterSimulation): boolean {
   const alive = Object.values(cluster.voters).map(({ identity }) => identity);
   return Object.values(cluster.voters).every(({ state }) => {
     if (state === undefined || votersOf(state).length === 0) return true;
--- a/packages/store-core/src/consensus/testing/scenario.ts
+++ b/packages/store-core/src/consensus/testing/scenario.ts
@@ -6,9 +6,9 @@
 import type { TestContext } from 'node:test';
 import { exploreStates, type Exploration } from '@hornbeampond/testing';
 import { allSafeguards, type ConsensusSettings, type Safeguards } from '../ConsensusState.js';
-import { clusterModel, type BoundedCluster, type Budget } from './clusterModel.js';
+import { makeClusterModel, type BoundedCluster, type Budget } from './makeClusterModel.js';
 import {
-  currentLeader,
+  findLeader,
   deliver,
   fireTimer,
   makeCluster,
@@ -18,34 +18,39 @@
   type ShellMutation,
 } from './modelCluster.js';
 
-export interface Fault {
-  readonly off?: keyof Safeguards;
+export interface InjectedFault {
+  readonly disabledSafeguard?: keyof Safeguards;
   readonly mutation?: ShellMutation;
 }
 
 export interface Scenario {
   readonly name: string;
-  prepare(fault: Fault): ModelCluster;
+  prepare(fault: InjectedFault): ModelCluster;
   readonly budget: Partial<Budget>;
-  readonly mostSteps: number;
+  readonly maxSteps: number;
   /** What the exploration must catch when it is put in. */
-  readonly faults: readonly Fault[];
+  readonly faultsToDetect: readonly InjectedFault[];
 }
 
-export const TRIO = ['a', 'b', 'c'];
+export const THREE_VOTERS = ['a', 'b', 'c'];
 
-export function trio(fault: Fault, settings: Partial<ConsensusSettings> = {}): ModelCluster {
+export function makeThreeVoters(
+  fault: InjectedFault,
+  settings: Partial<ConsensusSettings> = {},
+): ModelCluster {
   const safeguards =
-    fault.off === undefined ? allSafeguards : { ...allSafeguards, [fault.off]: false };
+    fault.disabledSafeguard === undefined
+      ? allSafeguards
+      : { ...allSafeguards, [fault.disabledSafeguard]: false };
   return makeCluster({
-    voters: TRIO,
+    voters: THREE_VOTERS,
     settings: { announceCommits: false, safeguards, ...settings },
     mutation: fault.mutation,
   });
 }
 
 /** Everything runs without faults, but for these instances, which hear and say nothing. */
-export function settleWithout(start: ModelCluster, cutOff: readonly string[]): ModelCluster {
+export function runUntilIdleWithout(start: ModelCluster, cutOff: readonly string[]): ModelCluster {
   let cluster = start;
   for (;;) {
     const kept = cluster.network.filter(
@@ -54,7 +59,7 @@
     );
     cluster = { ...cluster, network: kept };
     const waiting = Object.values(cluster.voters).find(
-      ({ instance, jobs, state }) =>
+      ({ instance, pendingWrites: jobs, state }) =>
         state !== undefined && jobs.length > 0 && !cutOff.includes(instance),
     );
     const [message] = kept;
@@ -64,14 +69,18 @@
   }
 }
 
-export function lead(cluster: ModelCluster, instance: string, cutOff: readonly string[] = []) {
-  const next = settleWithout(fireTimer(cluster, instance), cutOff);
-  assert.equal(currentLeader(next)?.instance, instance);
+export function electLeader(
+  cluster: ModelCluster,
+  instance: string,
+  cutOff: readonly string[] = [],
+) {
+  const next = runUntilIdleWithout(fireTimer(cluster, instance), cutOff);
+  assert.equal(findLeader(next)?.instance, instance);
   return next;
 }
 
 /** Delivers the messages of now that are meant. */
-export function deliverAll(
+export function deliverMatching(
   start: ModelCluster,
   isMeant: (message: ModelMessage) => boolean,
 ): ModelCluster {
@@ -81,7 +90,7 @@
 }
 
 /** Hands on what is meant for these instances, and syncs their disks, until `done`. */
-export function runAmong(
+export function runInstancesUntil(
   start: ModelCluster,
   instances: readonly string[],
   done: (cluster: ModelCluster) => boolean,
@@ -89,7 +98,7 @@
   let cluster = start;
   while (!done(cluster)) {
     const { voters, network } = cluster;
-    const waiting = instances.find((instance) => voters[instance]?.jobs.length);
+    const waiting = instances.find((instance) => voters[instance]?.pendingWrites.length);
     const message = network.find(({ instance }) => instances.includes(instance));
     if (waiting !== undefined) cluster = syncDisk(cluster, waiting, 1);
     else if (message !== undefined) cluster = deliver(cluster, message);
@@ -106,18 +115,27 @@
   reads: number;
 }
 
-export function explore(context: TestContext, scenario: Scenario, fault: Fault): Exploration {
+export function exploreScenario(
+  context: TestContext,
+  scenario: Scenario,
+  fault: InjectedFault,
+): Exploration {
   const reached: Reached = { committed: 0, leaders: 0, restores: 0, reads: 0 };
-  const model = clusterModel(scenario.prepare(fault), scenario.budget);
+  const model = makeClusterModel(scenario.prepare(fault), scenario.budget);
   const check = (bounded: BoundedCluster) => {
-    const { committed, leaders, restores, answeredReads } = bounded.cluster;
+    const {
+      committed,
+      leaderByTerm: leaders,
+      restoreCount: restores,
+      answeredReadCount: answeredReads,
+    } = bounded.cluster;
     reached.committed = Math.max(reached.committed, committed.length);
     reached.leaders = Math.max(reached.leaders, Object.keys(leaders).length);
     reached.restores = Math.max(reached.restores, restores);
     reached.reads = Math.max(reached.reads, answeredReads);
     return model.check(bounded);
   };
-  const bounds = { mostStates: 400_000, mostSteps: scenario.mostSteps };
+  const bounds = { mostStates: 400_000, mostSteps: scenario.maxSteps };
   const exploration = exploreStates({ ...model, check }, bounds);
   const { states, depth, exhaustive } = exploration;
   context.diagnostic(`${states} states, ${depth} steps deep, exhaustive: ${exhaustive}`);
--- a/packages/store-core/src/log/FolderLock.ts
+++ b/packages/store-core/src/log/FolderLock.ts
@@ -12,7 +12,7 @@
 import { join } from 'node:path';
 import type { FileSystem } from './FileSystem.js';
 import { decodeFrame, encodeFrame } from './frames.js';
-import { folderLocked } from './logErrors.js';
+import { makeFolderLockedError } from './logErrors.js';
 
 interface Owner {
   readonly pid: number;
@@ -87,10 +87,10 @@
   ) {}
 
   /** Takes the lock, or throws if a living process has it. */
-  static async take(fileSystem: FileSystem, folder: string): Promise<FolderLock> {
+  static async acquire(fileSystem: FileSystem, folder: string): Promise<FolderLock> {
     const before = await findLocks(fileSystem, folder);
     const holder = findLiving(before);
-    if (holder !== undefined) throw folderLocked(folder, holder.pid);
+    if (holder !== undefined) throw makeFolderLockedError(folder, holder.pid);
     const number = Math.max(0, ...before.map((lock) => lock.number)) + 1;
     const name = `lock-${number}`;
     const path = join(folder, name);
@@ -106,7 +106,7 @@
     const rival = findLiving(others);
     if (!taken || rival !== undefined) {
       if (taken) await fileSystem.remove(path);
-      throw folderLocked(folder, rival?.pid ?? 0);
+      throw makeFolderLockedError(folder, rival?.pid ?? 0);
     }
     for (const stale of others) await fileSystem.remove(join(folder, stale.name));
     return new FolderLock(fileSystem, path);
--- a/packages/store-core/src/log/LogStore.test.ts
+++ b/packages/store-core/src/log/LogStore.test.ts
@@ -7,7 +7,7 @@
 import type { LogEntry, SnapshotHeader } from '../consensus/consensusTypes.js';
 import { encodeFrame } from './frames.js';
 import { LogStore, renewIdentity, type LogNotice, type LogStoreOptions } from './LogStore.js';
-import { MemoryFileSystem, type Leftover } from './testing/MemoryFileSystem.js';
+import { MemoryFileSystem, type SurvivingWrites } from './testing/MemoryFileSystem.js';
 
 type Options = LogStoreOptions & { readonly notices: LogNotice[] };
 
@@ -75,12 +75,12 @@
   const fileSystem = new MemoryFileSystem();
   const store = await LogStore.open(optionsFor('/data', { fileSystem }));
   await writeAll(store, [batch({ entries: [entry(1)] })]);
-  const before = fileSystem.syncs;
+  const before = fileSystem.syncCount;
   await writeAll(
     store,
     entries(2, 50).map((one) => batch({ entries: [one] })),
   );
-  assert.equal(fileSystem.syncs - before, 1);
+  assert.equal(fileSystem.syncCount - before, 1);
 });
 
 async function twoFrames(folder: string): Promise<{ path: string; firstEnd: number; end: number }> {
@@ -136,11 +136,11 @@
   const options = optionsFor('/data', { fileSystem });
   const store = await LogStore.open(options);
   await writeAll(store, [batch({ entries: entries(1, 3) })]);
-  fileSystem.bytesLeft = 20;
+  fileSystem.freeBytes = 20;
   await assert.rejects(writeAll(store, [batch({ entries: entries(4, 9) })]), /read-only: ENOSPC/);
   assert.equal(store.readOnly, true);
   assert.equal(options.notices.at(-1)?.type, 'diskFull');
-  fileSystem.bytesLeft = Number.POSITIVE_INFINITY;
+  fileSystem.freeBytes = Number.POSITIVE_INFINITY;
   await assert.rejects(writeAll(store, [batch({ entries: entries(4, 9) })]), /read-only/);
   await store.close();
   const again = await LogStore.open(options);
@@ -308,14 +308,17 @@
 }
 
 /** Lets the power go at each file operation of the script in turn. */
-async function cutPowerEverywhere(leftover: Leftover, syncsIgnored: boolean): Promise<number> {
+async function cutPowerEverywhere(
+  leftover: SurvivingWrites,
+  syncsIgnored: boolean,
+): Promise<number> {
   for (let failFrom = 1; ; failFrom += 1) {
     const fileSystem = new MemoryFileSystem();
-    fileSystem.syncsIgnored = syncsIgnored;
-    fileSystem.failFrom = failFrom;
+    fileSystem.ignoresSyncs = syncsIgnored;
+    fileSystem.failFromOperation = failFrom;
     const options = optionsFor('/data', { fileSystem, segmentBytes: 150 });
     const done = await runScript(options);
-    if (fileSystem.operations < failFrom) return failFrom - 1;
+    if (fileSystem.operationCount < failFrom) return failFrom - 1;
     fileSystem.cutPower(leftover);
     const store = await LogStore.open(options);
     assert.equal(findLoss(store, done), undefined, `power cut at operation ${failFrom}`);
@@ -328,7 +331,7 @@
   }
 }
 
-for (const leftover of ['nothing', 'half', 'everything'] satisfies Leftover[]) {
+for (const leftover of ['nothing', 'half', 'everything'] satisfies SurvivingWrites[]) {
   test(`Power may go at any operation, with ${leftover} of the unsynced left`, async (context) => {
     // The power goes at each file operation in turn. After the restart the log opens, everything
     // acknowledged before is there, and what was under way is there as far as its parts go.
--- a/packages/store-core/src/log/LogStore.ts
+++ b/packages/store-core/src/log/LogStore.ts
@@ -15,11 +15,11 @@
 import { NodeFileSystem, type FileSystem, type OpenFile } from './FileSystem.js';
 import { FolderLock } from './FolderLock.js';
 import { encodeFrame } from './frames.js';
-import { damagedLog, readOnlyLog } from './logErrors.js';
+import { makeDamagedLogError, makeReadOnlyLogError } from './logErrors.js';
 import { readWholeFile, replaceFile } from './replaceFile.js';
 import {
-  entriesBehind,
-  highestIndexOf,
+  selectEntriesAfterSnapshot,
+  findHighestIndex,
   replaySegments,
   type LogOperation,
   type ReplayedSegment,
@@ -88,12 +88,16 @@
   if (found !== undefined) {
     const { cluster: itsCluster, instance: itsInstance, identity } = found;
     if (itsCluster === cluster && itsInstance === instance) return identity;
-    throw damagedLog(IDENTITY_FILE, 0, `it is of ${itsInstance} in the cluster ${itsCluster}`);
+    throw makeDamagedLogError(
+      IDENTITY_FILE,
+      0,
+      `it is of ${itsInstance} in the cluster ${itsCluster}`,
+    );
   }
   // A new identity beside old files would hide that this disk has made promises.
   const names = await fileSystem.list(folder);
   const old = names.find((name) => /^(state|snapshot|log)-/.test(name));
-  if (old !== undefined) throw damagedLog(IDENTITY_FILE, 0, `it is missing beside ${old}`);
+  if (old !== undefined) throw makeDamagedLogError(IDENTITY_FILE, 0, `it is missing beside ${old}`);
   const identity = randomUUID();
   await replaceFile(fileSystem, folder, IDENTITY_FILE, { cluster, instance, identity });
   return identity;
@@ -106,7 +110,7 @@
 export async function renewIdentity(options: LogStoreOptions): Promise<void> {
   const fileSystem = options.fileSystem ?? new NodeFileSystem();
   const { folder, cluster, instance } = options;
-  const lock = await FolderLock.take(fileSystem, folder);
+  const lock = await FolderLock.acquire(fileSystem, folder);
   const identity = randomUUID();
   await replaceFile(fileSystem, folder, IDENTITY_FILE, { cluster, instance, identity });
   await lock.release();
@@ -127,7 +131,8 @@
 
   private state = EMPTY_STATE;
 
-  private segments: { name: string; number: number; length: number; highestIndex: number }[] = [];
+  private segments: { name: string; number: number; byteLength: number; highestIndex: number }[] =
+    [];
 
   private file: OpenFile | undefined;
 
@@ -154,7 +159,7 @@
   static async open(options: LogStoreOptions): Promise<LogStore> {
     const store = new LogStore(options);
     await store.fileSystem.makeFolder(store.folder);
-    store.lock = await FolderLock.take(store.fileSystem, store.folder);
+    store.lock = await FolderLock.acquire(store.fileSystem, store.folder);
     try {
       await store.load();
     } catch (error) {
@@ -283,7 +288,7 @@
     const replayed = await this.readSegments();
     const [last] = this.segments.slice(-1);
     this.lastIndex = replayed.entries.at(-1)?.index ?? this.snapshot?.index ?? 0;
-    const entries = entriesBehind(this.snapshot, replayed.entries, last?.name ?? '');
+    const entries = selectEntriesAfterSnapshot(this.snapshot, replayed.entries, last?.name ?? '');
     if (this.mustReset(replayed.entries.at(-1), entries)) {
       await this.appendFrame([{ reset: true, entries: [] }]);
     }
@@ -325,7 +330,7 @@
     const names = await this.fileSystem.list(this.folder);
     const old = names.find((name) => /^(snapshot|log)-/.test(name) && name.includes(this.identity));
     if (old === undefined) return;
-    throw damagedLog(this.nameOf('state'), 0, `it is missing beside ${old}`);
+    throw makeDamagedLogError(this.nameOf('state'), 0, `it is missing beside ${old}`);
   }
 
   private async readSegments(): Promise<{ entries: RestoredState['entries'] }> {
@@ -334,7 +339,7 @@
     for (let number = firstSegment; number <= lastSegment; number += 1) {
       const name = this.segmentName(number);
       const content = await this.fileSystem.read(join(this.folder, name));
-      if (content === undefined) throw damagedLog(name, 0, 'the file is missing');
+      if (content === undefined) throw makeDamagedLogError(name, 0, 'the file is missing');
       contents.push({ name, content });
     }
     const replay = replaySegments(contents);
@@ -348,16 +353,19 @@
   }
 
   /** Cuts off what an unfinished write has left, and keeps the last segment open. */
-  private async cutTail(last: { name: string; length: number }, fileLength: number): Promise<void> {
+  private async cutTail(
+    last: { name: string; byteLength: number },
+    fileLength: number,
+  ): Promise<void> {
     this.file = await this.fileSystem.open(join(this.folder, last.name));
-    if (fileLength === last.length) return;
-    await this.file.truncate(last.length);
+    if (fileLength === last.byteLength) return;
+    await this.file.truncate(last.byteLength);
     await this.file.sync();
     this.options.onNotice({
       type: 'tornTailCut',
       file: last.name,
-      offset: last.length,
-      bytes: fileLength - last.length,
+      offset: last.byteLength,
+      bytes: fileLength - last.byteLength,
     });
   }
 
@@ -399,21 +407,21 @@
     this.file = await this.fileSystem.open(path);
     await this.fileSystem.syncFolder(this.folder);
     await this.saveState({ ...this.state, lastSegment: number });
-    this.segments.push({ name, number, length: 0, highestIndex: 0 });
+    this.segments.push({ name, number, byteLength: 0, highestIndex: 0 });
   }
 
   private async appendFrame(operations: readonly LogOperation[]): Promise<void> {
     if (operations.length === 0) return;
     const current = this.segments.at(-1);
-    if (current === undefined || current.length >= this.segmentBytes) await this.beginSegment();
+    if (current === undefined || current.byteLength >= this.segmentBytes) await this.beginSegment();
     const segment = this.segments.at(-1);
     if (segment === undefined || this.file === undefined) throw new Error('No segment is open');
     const frame = encodeFrame(operations);
-    await this.file.write(frame, segment.length);
+    await this.file.write(frame, segment.byteLength);
     await this.file.sync();
-    segment.length += frame.length;
+    segment.byteLength += frame.length;
     operations.forEach((operation) => this.noteLastIndex(operation));
-    segment.highestIndex = Math.max(segment.highestIndex, highestIndexOf(operations));
+    segment.highestIndex = Math.max(segment.highestIndex, findHighestIndex(operations));
   }
 
   /**
@@ -426,7 +434,7 @@
       await write();
     } catch (error) {
       const reason = error instanceof Error ? error.message : String(error);
-      this.failure = readOnlyLog(reason, error);
+      this.failure = makeReadOnlyLogError(reason, error);
       await this.dropUnfinished();
       this.options.onNotice({ type: 'diskFull', reason });
       throw this.failure;
@@ -435,7 +443,7 @@
 
   private async dropUnfinished(): Promise<void> {
     try {
-      await this.file?.truncate(this.segments.at(-1)?.length ?? 0);
+      await this.file?.truncate(this.segments.at(-1)?.byteLength ?? 0);
     } catch {
       // The next start cuts it off.
     }
--- a/packages/store-core/src/log/frames.ts
+++ b/packages/store-core/src/log/frames.ts
@@ -32,7 +32,7 @@
 export interface Frame {
   readonly value: unknown;
   /** Where the next frame begins. */
-  readonly end: number;
+  readonly endOffset: number;
 }
 
 /** Reads the frame at `offset`, or returns undefined if there is no whole and sound one. */
@@ -45,11 +45,11 @@
   if (end > bytes.length) return undefined;
   const payload = bytes.subarray(start, end);
   if (bytes.readBigUInt64BE(offset + CHECKSUM_OFFSET) !== checksumOf(payload)) return undefined;
-  return { value: codec.decode(payload), end };
+  return { value: codec.decode(payload), endOffset: end };
 }
 
 /** True if a sound frame begins anywhere from `offset` on. */
-export function hasFrameAfter(file: Uint8Array, offset: number): boolean {
+export function hasValidFrameFrom(file: Uint8Array, offset: number): boolean {
   const bytes = Buffer.from(file.buffer, file.byteOffset, file.byteLength);
   const mark = Buffer.alloc(4);
   mark.writeUInt32BE(MAGIC, 0);
--- a/packages/store-core/src/log/logErrors.ts
+++ b/packages/store-core/src/log/logErrors.ts
@@ -2,7 +2,7 @@
 import { HornbeampondError } from '@hornbeampond/schema';
 
 /** A file is damaged, or one is missing. The store must stop: what it promised may be gone. */
-export function damagedLog(
+export function makeDamagedLogError(
   file: string,
   offset: number,
   reason = 'the checksum does not match',
@@ -12,12 +12,12 @@
 }
 
 /** Another process uses the folder. */
-export function folderLocked(folder: string, pid: number): HornbeampondError {
+export function makeFolderLockedError(folder: string, pid: number): HornbeampondError {
   const message = `Process ${pid} uses the data folder ${folder}`;
   return new HornbeampondError('internalError', message);
 }
 
 /** The disk takes no more writes. What was acknowledged before is safe. */
-export function readOnlyLog(reason: string, cause: unknown): HornbeampondError {
+export function makeReadOnlyLogError(reason: string, cause: unknown): HornbeampondError {
   return new HornbeampondError('storeUnavailable', `The log is read-only: ${reason}`, {}, cause);
 }
--- a/packages/store-core/src/log/logSchedules.test.ts
+++ b/packages/store-core/src/log/logSchedules.test.ts
@@ -4,17 +4,17 @@
 import type { PersistEffect } from '../consensus/consensusEvents.js';
 import type { LogEntry, SnapshotHeader } from '../consensus/consensusTypes.js';
 import {
-  keepSnapshot,
-  newDisk,
+  saveSnapshot,
+  makeEmptyDisk,
   writeBatch,
   type ModelDisk,
   type SavedSnapshot,
 } from '../consensus/testing/modelDisk.js';
 import { LogStore } from './LogStore.js';
-import { MemoryFileSystem, type Leftover } from './testing/MemoryFileSystem.js';
+import { MemoryFileSystem, type SurvivingWrites } from './testing/MemoryFileSystem.js';
 
 const kinds = ['append', 'conflict', 'ownSnapshot', 'installed', 'vote'] as const;
-const leftovers: readonly Leftover[] = ['nothing', 'half', 'everything'];
+const leftovers: readonly SurvivingWrites[] = ['nothing', 'half', 'everything'];
 
 interface Pick {
   readonly kind: (typeof kinds)[number];
@@ -22,7 +22,7 @@
   /** True if the power goes during this write. */
   readonly cut: boolean;
   readonly failAfter: number;
-  readonly leftover: Leftover;
+  readonly leftover: SurvivingWrites;
 }
 
 const picks = fc.array(
@@ -94,7 +94,7 @@
 
 function doneOn(disk: ModelDisk, work: Work): ModelDisk {
   const next = { ...disk, entries: [...disk.entries] };
-  if (work.type === 'snapshot') keepSnapshot(next, work.snapshot);
+  if (work.type === 'snapshot') saveSnapshot(next, work.snapshot);
   else writeBatch(next, work.batch);
   return next;
 }
@@ -135,7 +135,7 @@
   { failAfter, leftover }: Pick,
 ): Promise<void> {
   const after = doneOn(pair.disk, work);
-  fileSystem.failFrom = fileSystem.operations + failAfter;
+  fileSystem.failFromOperation = fileSystem.operationCount + failAfter;
   const acknowledged = await doOn(pair.store, work).then(
     () => true,
     () => false,
@@ -163,7 +163,7 @@
   const property = fc.asyncProperty(picks, async (sequence) => {
     const fileSystem = new MemoryFileSystem();
     const options = optionsOf(fileSystem);
-    const pair: Pair = { store: await LogStore.open(options), disk: newDisk() };
+    const pair: Pair = { store: await LogStore.open(options), disk: makeEmptyDisk() };
     for (const pick of sequence) {
       const work = workFor(pair.disk, pick);
       if (pick.cut) {
--- a/packages/store-core/src/log/replaceFile.ts
+++ b/packages/store-core/src/log/replaceFile.ts
@@ -5,7 +5,7 @@
 import { join } from 'node:path';
 import type { FileSystem } from './FileSystem.js';
 import { decodeFrame, encodeFrame } from './frames.js';
-import { damagedLog } from './logErrors.js';
+import { makeDamagedLogError } from './logErrors.js';
 
 const TEMPORARY_SUFFIX = '.tmp';
 
@@ -38,6 +38,6 @@
   const content = await fileSystem.read(join(folder, name));
   if (content === undefined) return undefined;
   const frame = decodeFrame(content, 0);
-  if (frame === undefined || frame.end !== content.length) throw damagedLog(name, 0);
+  if (frame === undefined || frame.endOffset !== content.length) throw makeDamagedLogError(name, 0);
   return frame.value;
 }
--- a/packages/store-core/src/log/replaySegments.ts
+++ b/packages/store-core/src/log/replaySegments.ts
@@ -1,7 +1,7 @@
 /** Reads the segments of a log back into entries, and tells an unfinished write from damage. */
 import type { LogEntry, SnapshotHeader } from '../consensus/consensusTypes.js';
-import { decodeFrame, hasFrameAfter } from './frames.js';
-import { damagedLog } from './logErrors.js';
+import { decodeFrame, hasValidFrameFrom } from './frames.js';
+import { makeDamagedLogError } from './logErrors.js';
 
 /** One change of the log. */
 export interface LogOperation {
@@ -20,17 +20,17 @@
 export interface ReplayedSegment {
   readonly name: string;
   /** Bytes of sound frames. */
-  readonly length: number;
+  readonly byteLength: number;
   /** Highest index of any entry in it, also of dropped ones. */
   readonly highestIndex: number;
 }
 
-export interface Replay {
+export interface ReplayedLog {
   readonly segments: readonly ReplayedSegment[];
   readonly entries: readonly LogEntry[];
 }
 
-export function highestIndexOf(operations: readonly LogOperation[]): number {
+export function findHighestIndex(operations: readonly LogOperation[]): number {
   return Math.max(0, ...operations.map(({ entries }) => entries.at(-1)?.index ?? 0));
 }
 
@@ -55,7 +55,7 @@
 }
 
 /** Replays segments in order. Only the last may end in an unfinished frame. */
-export function replaySegments(contents: readonly SegmentContent[]): Replay {
+export function replaySegments(contents: readonly SegmentContent[]): ReplayedLog {
   const entries: LogEntry[] = [];
   const segments = contents.map(({ name, content }, position) => {
     let offset = 0;
@@ -66,16 +66,16 @@
       const operations = frame.value as readonly LogOperation[];
       const start = offset;
       operations.forEach((operation) =>
-        replayOperation(entries, operation, (reason) => damagedLog(name, start, reason)),
+        replayOperation(entries, operation, (reason) => makeDamagedLogError(name, start, reason)),
       );
-      highestIndex = Math.max(highestIndex, highestIndexOf(operations));
-      offset = frame.end;
+      highestIndex = Math.max(highestIndex, findHighestIndex(operations));
+      offset = frame.endOffset;
     }
     const isLast = position === contents.length - 1;
-    if (offset < content.length && (!isLast || hasFrameAfter(content, offset + 1))) {
-      throw damagedLog(name, offset);
+    if (offset < content.length && (!isLast || hasValidFrameFrom(content, offset + 1))) {
+      throw makeDamagedLogError(name, offset);
     }
-    return { name, length: offset, highestIndex };
+    return { name, byteLength: offset, highestIndex };
   });
   return { segments, entries };
 }
@@ -84,7 +84,7 @@
  * The entries behind a snapshot. If the log differs from the snapshot at its index, or ends before
  * it, the snapshot replaces all of the log.
  */
-export function entriesBehind(
+export function selectEntriesAfterSnapshot(
   header: SnapshotHeader | undefined,
   entries: readonly LogEntry[],
   lastSegment: string,
@@ -94,7 +94,7 @@
   if (first === undefined) return [];
   if (first.index > index + 1) {
     const reason = `the log begins at entry ${first.index}, the snapshot ends at ${index}`;
-    throw damagedLog(lastSegment, 0, reason);
+    throw makeDamagedLogError(lastSegment, 0, reason);
   }
   if (first.index === index + 1) return entries;
   const shared = entries[index - first.index];
--- a/packages/store-core/src/log/testing/MemoryFileSystem.ts
+++ b/packages/store-core/src/log/testing/MemoryFileSystem.ts
@@ -12,10 +12,10 @@
 
 /** What a file needs of its disk. */
 interface DiskMeter {
-  syncs: number;
-  bytesLeft: number;
-  readonly syncsIgnored: boolean;
-  step(): void;
+  syncCount: number;
+  freeBytes: number;
+  readonly ignoresSyncs: boolean;
+  countOperation(): void;
 }
 
 class MemoryFile extends OpenFile {
@@ -27,9 +27,9 @@
   }
 
   override async write(data: Uint8Array, position: number): Promise<void> {
-    this.disk.step();
-    const taken = Math.min(data.length, this.disk.bytesLeft);
-    this.disk.bytesLeft -= taken;
+    this.disk.countOperation();
+    const taken = Math.min(data.length, this.disk.freeBytes);
+    this.disk.freeBytes -= taken;
     const { live } = this.content;
     const next = Buffer.alloc(Math.max(live.length, position + taken));
     next.set(live);
@@ -39,13 +39,13 @@
   }
 
   override async sync(): Promise<void> {
-    this.disk.step();
-    this.disk.syncs += 1;
-    if (!this.disk.syncsIgnored) this.content.synced = this.content.live;
+    this.disk.countOperation();
+    this.disk.syncCount += 1;
+    if (!this.disk.ignoresSyncs) this.content.synced = this.content.live;
   }
 
   override async truncate(length: number): Promise<void> {
-    this.disk.step();
+    this.disk.countOperation();
     this.content.live = this.content.live.subarray(0, length);
   }
 
@@ -55,33 +55,33 @@
 }
 
 /** What a power cut leaves of writes that were not synced. */
-export type Leftover = 'nothing' | 'half' | 'everything';
+export type SurvivingWrites = 'nothing' | 'half' | 'everything';
 
 export class MemoryFileSystem extends FileSystem {
   private names = new Map<string, Content>();
 
   private syncedNames = new Map<string, Content>();
 
-  operations = 0;
+  operationCount = 0;
 
-  syncs = 0;
+  syncCount = 0;
 
   /** The operation with this number, and all behind it, fail. */
-  failFrom = Number.POSITIVE_INFINITY;
+  failFromOperation = Number.POSITIVE_INFINITY;
 
   /** True for a disk that says it has synced a file and hasn't. */
-  syncsIgnored = false;
+  ignoresSyncs = false;
 
   /** Bytes that the disk still takes. */
-  bytesLeft = Number.POSITIVE_INFINITY;
+  freeBytes = Number.POSITIVE_INFINITY;
 
-  step(): void {
-    this.operations += 1;
-    if (this.operations >= this.failFrom) throw new Error('The power is gone');
+  countOperation(): void {
+    this.operationCount += 1;
+    if (this.operationCount >= this.failFromOperation) throw new Error('The power is gone');
   }
 
   /** Takes the power away and brings it back. Locks of before are of another boot. */
-  cutPower(leftover: Leftover): void {
+  cutPower(leftover: SurvivingWrites): void {
     if (leftover === 'nothing') this.names = new Map(this.syncedNames);
     this.names.forEach((content, path) => {
       const { live, synced } = content;
@@ -96,11 +96,11 @@
       if (basename(path).startsWith('lock-')) this.names.delete(path);
     });
     this.syncedNames = new Map(this.names);
-    this.failFrom = Number.POSITIVE_INFINITY;
+    this.failFromOperation = Number.POSITIVE_INFINITY;
   }
 
   override async open(path: string): Promise<OpenFile> {
-    this.step();
+    this.countOperation();
     const content = this.names.get(path) ?? { live: Buffer.alloc(0), synced: Buffer.alloc(0) };
     this.names.set(path, content);
     return new MemoryFile(this, content);
@@ -117,11 +117,11 @@
   }
 
   override async makeFolder(): Promise<void> {
-    this.step();
+    this.countOperation();
   }
 
   override async rename(from: string, to: string): Promise<void> {
-    this.step();
+    this.countOperation();
     const content = this.names.get(from);
     if (content === undefined) throw new Error(`${from} is missing`);
     this.names.delete(from);
@@ -129,7 +129,7 @@
   }
 
   override async link(from: string, to: string): Promise<boolean> {
-    this.step();
+    this.countOperation();
     const content = this.names.get(from);
     if (content === undefined || this.names.has(to)) return false;
     this.names.set(to, content);
@@ -137,12 +137,12 @@
   }
 
   override async remove(path: string): Promise<void> {
-    this.step();
+    this.countOperation();
     this.names.delete(path);
   }
 
   override async syncFolder(): Promise<void> {
-    this.step();
+    this.countOperation();
     this.syncedNames = new Map(this.names);
   }
 }
