--- a/packages/store-core/src/consensus/consensusExploration.test.ts
+++ b/packages/store-core/src/consensus/consensusExploration.test.ts
@@ -20,7 +20,7 @@
   type Scenario,
 } from './testing/scenario.js';
 
-/** a and c have won their pre-votes and have requested votes in the same term. */
+/** Stores `a` and `c` have won their pre-votes and have requested votes in the same term. */
 function prepareTwoCandidates(fault: InjectedFault): ModelCluster {
   let cluster = fireTimer(fireTimer(makeThreeVoters(fault), 'a'), 'c');
   cluster = deliverMatching(cluster, (message) => message.instance === 'b');
@@ -28,7 +28,9 @@
   return syncDisk(syncDisk({ ...cluster, network: [] }, 'a', 1), 'c', 1);
 }
 
-/** a leads again, and has an entry of an earlier term that c, elected in between, lacks. */
+/**
+ * Store `a` leads again and has an entry of an earlier term that `c`, elected in between, lacks.
+ */
 function prepareOldTermEntry(fault: InjectedFault): ModelCluster {
   const isLedBy = (instance: string) => (cluster: ModelCluster) =>
     findLeader(cluster)?.instance === instance;
@@ -37,19 +39,19 @@
   cluster = fireTimer({ ...crash(cluster, 'a'), network: [] }, 'c');
   cluster = syncDisk(runInstancesUntil(cluster, ['b', 'c'], isLedBy('c')), 'c', 9);
   cluster = restart(restart({ ...crash(cluster, 'c'), network: [] }, 'c'), 'a');
-  // The first election fails, but a receives the newer term.
+  // The first election fails, but reports the newer term to `a`.
   cluster = runInstancesUntil(fireTimer(cluster, 'a'), ['a', 'b'], isLedBy('a'));
   cluster = runInstancesUntil(fireTimer(cluster, 'a'), ['a', 'b'], isLedBy('a'));
   assert.equal(findLeader(cluster)?.instance, 'a');
-  // c was unreachable until here, so the messages to it are dropped.
+  // Store `c` was unreachable until here, so the messages to it are dropped.
   const withoutC = cluster.network.filter(({ instance }) => instance !== 'c');
   return { ...cluster, network: withoutC };
 }
 
-/** a, the first leader, is partitioned while b, the second, acknowledges a write. */
+/** The first leader, `a`, is partitioned while the second, `b`, acknowledges a write. */
 function prepareTwoLeaders(fault: InjectedFault): ModelCluster {
-  const first = electLeader(makeThreeVoters(fault), 'a');
-  return runUntilIdleWithout(propose(electLeader(first, 'b', ['a']), 'b'), ['a']);
+  const clusterLedByA = electLeader(makeThreeVoters(fault), 'a');
+  return runUntilIdleWithout(propose(electLeader(clusterLedByA, 'b', ['a']), 'b'), ['a']);
 }
 
 const scenarios: readonly Scenario[] = [
@@ -87,13 +89,13 @@
 ];
 
 scenarios.forEach((scenario) => {
-  test(`No check fails in ${scenario.name}`, (context) => {
+  test(`No check fails with ${scenario.name}`, (context) => {
     const exploration = exploreScenario(context, scenario, {});
     assert.equal(exploration.violation, undefined);
     assert.equal(exploration.exhaustive, true);
   });
   scenario.faultsToDetect.forEach((fault) => {
-    test(`${fault.disabledSafeguard ?? fault.mutation} is detected in ${scenario.name}`, (context) => {
+    test(`The disabled safeguard or injected fault ${fault.disabledSafeguard ?? fault.mutation} is detected with ${scenario.name}`, (context) => {
       const exploration = exploreScenario(context, scenario, fault);
       assert.ok(exploration.violation !== undefined);
       context.diagnostic(exploration.violation.reason);
--- a/packages/store-core/src/consensus/diskExploration.test.ts
+++ b/packages/store-core/src/consensus/diskExploration.test.ts
@@ -19,7 +19,7 @@
   type Scenario,
 } from './testing/scenario.js';
 
-/** A write is acknowledged with copies at a and b only. */
+/** A write is acknowledged with copies at `a` and `b` only. */
 function prepareWriteWithoutC(fault: InjectedFault): ModelCluster {
   return runUntilIdleWithout(propose(electLeader(makeThreeVoters(fault), 'a'), 'a'), ['c']);
 }
@@ -56,7 +56,7 @@
   return dispatchEvent(cluster, 'a', { type: 'changeMembership', requestId: 'add', change });
 }
 
-/** c lacks entries that a and b have compacted. */
+/** Store `c` lacks entries that `a` and `b` have compacted. */
 function prepareVoterBehindSnapshot(fault: InjectedFault): ModelCluster {
   let cluster = electLeader(
     makeThreeVoters(fault, {
@@ -69,7 +69,7 @@
   for (let write = 0; write < 3; write += 1) {
     cluster = runUntilIdleWithout(propose(cluster, 'a'), ['c']);
   }
-  // The leader finds out how far c is behind, and sends the first part of a snapshot.
+  // The leader finds out how far `c` is behind, and sends the first part of a snapshot.
   cluster = deliverMatching(fireTimer(cluster, 'a'), (message) => message.instance === 'c');
   cluster = deliverMatching(cluster, (message) => message.envelope.from.instance === 'c');
   return cluster;
@@ -110,13 +110,13 @@
 ];
 
 scenarios.forEach((scenario) => {
-  test(`No check fails in ${scenario.name}`, (context) => {
+  test(`No check fails with ${scenario.name}`, (context) => {
     const exploration = exploreScenario(context, scenario, {});
     assert.equal(exploration.violation, undefined);
     assert.equal(exploration.exhaustive, true);
   });
   scenario.faultsToDetect.forEach((fault) => {
-    test(`${fault.disabledSafeguard ?? fault.mutation} is detected in ${scenario.name}`, (context) => {
+    test(`The disabled safeguard or injected fault ${fault.disabledSafeguard ?? fault.mutation} is detected with ${scenario.name}`, (context) => {
       const exploration = exploreScenario(context, scenario, fault);
       assert.ok(exploration.violation !== undefined);
       context.diagnostic(exploration.violation.reason);
--- a/packages/store-core/src/consensus/silentMembers.ts
+++ b/packages/store-core/src/consensus/silentMembers.ts
@@ -6,17 +6,20 @@
  */
 import type { Member } from './consensusTypes.js';
 import type { LeaderState } from './ConsensusState.js';
-import { updateReplicationTargets } from './appends.js';
+import { updatePeersAndBroadcastAppends } from './appends.js';
 import { appendNewEntry } from './memoryLog.js';
 import {
-  applyMembershipChange,
+  computeMembershipAfterChange,
   currentMembership,
   mayChangeMembership,
   votersOf,
 } from './membership.js';
 import type { StepContext } from './StepContext.js';
 
-/** Two voters need the same quorum as three, so the third is worth keeping. */
+/**
+ * A removal never leaves fewer than three voters: two need the same quorum as three, but tolerate
+ * no failure.
+ */
 const MIN_REACHABLE_VOTERS = 3;
 
 function millisecondsSinceResponse(
@@ -31,8 +34,8 @@
 
 /**
  * True if enough voters are reachable to remove an unreachable one. The unreachable voter may
- * merely be partitioned, and until it returns, changes must survive as many lost disks as at other
- * times.
+ * merely be partitioned, so the remaining ones must by themselves tolerate as many lost disks as
+ * before.
  */
 function hasEnoughReachableVoters(context: StepContext, leader: LeaderState): boolean {
   const { state } = context;
@@ -64,10 +67,10 @@
   const unreachableMember = findUnreachableMember(context, leader);
   if (unreachableMember === undefined) return;
   const { identity, address } = unreachableMember;
-  const membership = applyMembershipChange(state, { type: 'removeMember', identity });
+  const membership = computeMembershipAfterChange(state, { type: 'removeMember', identity });
   if (membership === undefined) return;
   const silence = millisecondsSinceResponse(context, leader, identity);
   effects.push({ type: 'silentMemberRemoved', instance: address.instance, silence });
   appendNewEntry(state, { type: 'membership', membership }, wallNow);
-  updateReplicationTargets(context, leader);
+  updatePeersAndBroadcastAppends(context, leader);
 }
