--- a/packages/controller-core/src/planning/chooseMix.test.ts
+++ b/packages/controller-core/src/planning/chooseMix.test.ts
@@ -34,52 +34,59 @@
   };
 }
 
-function missing(request: MixRequest, counts: readonly number[]): number {
-  const { totalSlots: total, maxLostSlots: largestLoss } = countMixSlots(
+function countMissingSlots(request: MixRequest, counts: readonly number[]): number {
+  const { totalSlots, maxLostSlots } = countMixSlots(
     request.offers,
     counts,
     request.waveLossFraction,
   );
-  const lackingAfterLoss = Math.max(0, request.need.afterLoss - (total - largestLoss));
-  return Math.max(0, request.need.normal - total) + lackingAfterLoss;
+  const missingAfterLoss = Math.max(0, request.need.afterLoss - (totalSlots - maxLostSlots));
+  return Math.max(0, request.need.normal - totalSlots) + missingAfterLoss;
 }
 
 /** Cost of the cheapest mix that lacks the fewest slots, by trying all. */
-function cheapestByTrying(request: MixRequest): { readonly cost: number; readonly lacks: number } {
-  const highest = request.offers.map((offer) => (offer.closed ? offer.presentCount : 8));
-  let best = { cost: Infinity, lacks: Infinity };
+function findCheapestByExhaustiveSearch(request: MixRequest): {
+  readonly comparisonEurosPerHour: number;
+  readonly missingSlots: number;
+} {
+  const maxCounts = request.offers.map((offer) => (offer.closed ? offer.presentCount : 8));
+  let best = { comparisonEurosPerHour: Infinity, missingSlots: Infinity };
   const visit = (counts: readonly number[]): void => {
-    if (counts.length < highest.length) {
-      const most = highest[counts.length] ?? 0;
-      for (let count = 0; count <= most; count += 1) visit([...counts, count]);
+    if (counts.length < maxCounts.length) {
+      const maxCount = maxCounts[counts.length] ?? 0;
+      for (let count = 0; count <= maxCount; count += 1) visit([...counts, count]);
       return;
     }
     if (counts.reduce((sum, count) => sum + count, 0) > request.maxInstances) return;
-    const lacks = missing(request, counts);
-    const cost = request.offers.reduce(
+    const missingSlots = countMissingSlots(request, counts);
+    const comparisonEurosPerHour = request.offers.reduce(
       (sum, offer, position) => sum + offer.riskAdjustedEurosPerHour * (counts[position] ?? 0),
       0,
     );
-    if (lacks < best.lacks || (lacks === best.lacks && cost < best.cost)) best = { cost, lacks };
+    if (
+      missingSlots < best.missingSlots ||
+      (missingSlots === best.missingSlots && comparisonEurosPerHour < best.comparisonEurosPerHour)
+    )
+      best = { comparisonEurosPerHour, missingSlots };
   };
   visit([]);
   return best;
 }
 
 test('the mix lacks as little as any, and is nearly always the cheapest of those', () => {
-  let dearer = 0;
+  let moreExpensiveCount = 0;
   for (let seed = 1; seed <= 60; seed += 1) {
     const request = randomRequest(seed);
     const mix = chooseMix(request);
-    const best = cheapestByTrying(request);
-    assert.equal(mix.missingSlots, best.lacks, `seed ${seed} lacks slots`);
+    const best = findCheapestByExhaustiveSearch(request);
+    assert.equal(mix.missingSlots, best.missingSlots, `seed ${seed} lacks slots`);
     assert.ok(
-      mix.comparisonEurosPerHour <= best.cost * 1.25,
+      mix.comparisonEurosPerHour <= best.comparisonEurosPerHour * 1.25,
       `seed ${seed}: ${mix.comparisonEurosPerHour}`,
     );
-    if (mix.comparisonEurosPerHour > best.cost) dearer += 1;
+    if (mix.comparisonEurosPerHour > best.comparisonEurosPerHour) moreExpensiveCount += 1;
   }
-  assert.ok(dearer <= 6, `${dearer} of 60 were dearer than the best`);
+  assert.ok(moreExpensiveCount <= 6, `${moreExpensiveCount} of 60 were dearer than the best`);
 });
 
 test('an instance that is there is kept unless another place is much cheaper', () => {
--- a/packages/controller-core/src/planning/chooseMix.ts
+++ b/packages/controller-core/src/planning/chooseMix.ts
@@ -45,62 +45,67 @@
 }
 
 /** At most this many amounts are tried of each kind; above it, they are spaced evenly. */
-const MOST_CANDIDATES = 24;
+const MAX_CANDIDATE_STEPS = 24;
 
 /** Against a wave that takes everything, no number of reclaimable instances helps. */
-const LEAST_LEFT = 0.05;
+const MIN_FRACTION_LEFT_BY_WAVE = 0.05;
 
 /** Units of one offer at one price. */
-interface Segment {
+interface PriceTier {
   readonly offer: Offer;
   readonly position: number;
-  readonly price: Euros;
-  readonly units: number;
+  readonly eurosPerHour: Euros;
+  readonly instanceCount: number;
 }
 
-function toSegments(request: MixRequest): Segment[] {
-  const segments = request.offers.flatMap((offer, position) => [
+function listPriceTiers(request: MixRequest): PriceTier[] {
+  const tiers = request.offers.flatMap((offer, position) => [
     {
       offer,
       position,
-      price: offer.riskAdjustedEurosPerHour * (1 - request.retentionDiscount),
-      units: offer.presentCount,
+      eurosPerHour: offer.riskAdjustedEurosPerHour * (1 - request.retentionDiscount),
+      instanceCount: offer.presentCount,
     },
     {
       offer,
       position,
-      price: offer.riskAdjustedEurosPerHour,
-      units: offer.closed ? 0 : Math.max(0, request.maxInstances - offer.presentCount),
+      eurosPerHour: offer.riskAdjustedEurosPerHour,
+      instanceCount: offer.closed ? 0 : Math.max(0, request.maxInstances - offer.presentCount),
     },
   ]);
-  return segments
-    .filter((segment) => segment.units > 0)
+  return tiers
+    .filter((tier) => tier.instanceCount > 0)
     .sort(
       (a, b) =>
-        a.price / a.offer.slotsPerInstance - b.price / b.offer.slotsPerInstance ||
+        a.eurosPerHour / a.offer.slotsPerInstance - b.eurosPerHour / b.offer.slotsPerInstance ||
         a.position - b.position,
     );
 }
 
 /** Takes the cheapest units until there are enough slots, at most `bound` in a data centre. */
-function fill(
-  segments: readonly Segment[],
+function addCheapestInstances(
+  tiers: readonly PriceTier[],
   counts: number[],
-  slots: number,
-  bound: number,
+  targetSlots: number,
+  maxSlotsPerDataCentre: number,
 ): number {
-  const taken = new Map<string, number>();
-  let total = 0;
-  for (const { offer, position, units } of segments) {
-    const there = taken.get(offer.dataCentre) ?? 0;
-    const fits = Math.floor((bound - there) / offer.slotsPerInstance);
-    const lacking = Math.ceil((slots - total) / offer.slotsPerInstance);
-    const added = Math.max(0, Math.min(units, fits, lacking));
-    counts[position] = (counts[position] ?? 0) + added;
-    taken.set(offer.dataCentre, there + added * offer.slotsPerInstance);
-    total += added * offer.slotsPerInstance;
+  const slotsByDataCentre = new Map<string, number>();
+  let totalSlots = 0;
+  for (const { offer, position, instanceCount } of tiers) {
+    const slotsInDataCentre = slotsByDataCentre.get(offer.dataCentre) ?? 0;
+    const fittingCount = Math.floor(
+      (maxSlotsPerDataCentre - slotsInDataCentre) / offer.slotsPerInstance,
+    );
+    const missingCount = Math.ceil((targetSlots - totalSlots) / offer.slotsPerInstance);
+    const addedCount = Math.max(0, Math.min(instanceCount, fittingCount, missingCount));
+    counts[position] = (counts[position] ?? 0) + addedCount;
+    slotsByDataCentre.set(
+      offer.dataCentre,
+      slotsInDataCentre + addedCount * offer.slotsPerInstance,
+    );
+    totalSlots += addedCount * offer.slotsPerInstance;
   }
-  return total;
+  return totalSlots;
 }
 
 /** Slots in all, and the most that one loss of the planned kind can take. */
@@ -109,20 +114,20 @@
   counts: readonly number[],
   waveLossFraction: number,
 ): { readonly totalSlots: number; readonly maxLostSlots: number } {
-  const reclaimable = new Map<string, number>();
-  let total = 0;
-  let allReclaimable = 0;
+  const slotsByDataCentre = new Map<string, number>();
+  let totalSlots = 0;
+  let reclaimableSlots = 0;
   offers.forEach((offer, position) => {
     const slots = (counts[position] ?? 0) * offer.slotsPerInstance;
-    total += slots;
+    totalSlots += slots;
     if (!offer.reclaimable) return;
-    allReclaimable += slots;
-    reclaimable.set(offer.dataCentre, (reclaimable.get(offer.dataCentre) ?? 0) + slots);
+    reclaimableSlots += slots;
+    slotsByDataCentre.set(offer.dataCentre, (slotsByDataCentre.get(offer.dataCentre) ?? 0) + slots);
   });
-  const ofOneDataCentre = Math.max(0, ...reclaimable.values());
+  const maxSlotsOfOneDataCentre = Math.max(0, ...slotsByDataCentre.values());
   return {
-    totalSlots: total,
-    maxLostSlots: Math.max(ofOneDataCentre, waveLossFraction * allReclaimable),
+    totalSlots,
+    maxLostSlots: Math.max(maxSlotsOfOneDataCentre, waveLossFraction * reclaimableSlots),
   };
 }
 
@@ -130,38 +135,46 @@
  * Slots lacking now and after the loss, added up: where the loss cannot be covered at all, as in a
  * pool of one data centre, what is lacking now must still decide.
  */
-function missingIn(request: MixRequest, counts: readonly number[]): number {
-  const { totalSlots: total, maxLostSlots: largestLoss } = countMixSlots(
+function countMissingSlots(request: MixRequest, counts: readonly number[]): number {
+  const { totalSlots, maxLostSlots } = countMixSlots(
     request.offers,
     counts,
     request.waveLossFraction,
   );
-  const lackingNow = Math.max(0, request.need.normal - total);
-  const lackingAfterLoss = Math.max(0, request.need.afterLoss - (total - largestLoss));
-  return lackingNow + lackingAfterLoss;
+  const missingNormally = Math.max(0, request.need.normal - totalSlots);
+  const missingAfterLoss = Math.max(0, request.need.afterLoss - (totalSlots - maxLostSlots));
+  return missingNormally + missingAfterLoss;
 }
 
-function costOf(request: MixRequest, counts: readonly number[]): Euros {
+function computeComparisonEurosPerHour(request: MixRequest, counts: readonly number[]): Euros {
   return request.offers.reduce((sum, offer, position) => {
     const count = counts[position] ?? 0;
-    const kept = Math.min(count, offer.presentCount);
-    return sum + offer.riskAdjustedEurosPerHour * (count - kept * request.retentionDiscount);
+    const keptCount = Math.min(count, offer.presentCount);
+    return sum + offer.riskAdjustedEurosPerHour * (count - keptCount * request.retentionDiscount);
   }, 0);
 }
 
-function sumOf(counts: readonly number[]): number {
+function countInstances(counts: readonly number[]): number {
   return counts.reduce((sum, count) => sum + count, 0);
 }
 
 /** Takes away what the mix can do without, dearest first; filling whole instances overshoots. */
-function trim(request: MixRequest, segments: readonly Segment[], counts: number[]): void {
-  const before = missingIn(request, counts);
-  [...segments]
-    .sort((a, b) => b.price - a.price || b.position - a.position)
+function removeUnneededInstances(
+  request: MixRequest,
+  tiers: readonly PriceTier[],
+  counts: number[],
+): void {
+  const missingBefore = countMissingSlots(request, counts);
+  [...tiers]
+    .sort((a, b) => b.eurosPerHour - a.eurosPerHour || b.position - a.position)
     .forEach(({ position }) => {
       while ((counts[position] ?? 0) > 0) {
         counts[position] = (counts[position] ?? 0) - 1;
-        if (missingIn(request, counts) <= before && sumOf(counts) >= request.minInstances) continue;
+        if (
+          countMissingSlots(request, counts) <= missingBefore &&
+          countInstances(counts) >= request.minInstances
+        )
+          continue;
         counts[position] = (counts[position] ?? 0) + 1;
         break;
       }
@@ -169,68 +182,78 @@
 }
 
 /** Adds the cheapest instances until the pool has its least size. */
-function raiseToLeast(request: MixRequest, segments: readonly Segment[], counts: number[]): void {
-  let lacking = request.minInstances - sumOf(counts);
-  [...segments]
-    .sort((a, b) => a.price - b.price || a.position - b.position)
+function raiseToMinInstances(
+  request: MixRequest,
+  tiers: readonly PriceTier[],
+  counts: number[],
+): void {
+  let missingCount = request.minInstances - countInstances(counts);
+  [...tiers]
+    .sort((a, b) => a.eurosPerHour - b.eurosPerHour || a.position - b.position)
     .forEach(({ offer, position }) => {
-      const mostThere = offer.closed ? offer.presentCount : request.maxInstances;
-      const added = Math.max(0, Math.min(lacking, mostThere - (counts[position] ?? 0)));
-      counts[position] = (counts[position] ?? 0) + added;
-      lacking -= added;
+      const maxCount = offer.closed ? offer.presentCount : request.maxInstances;
+      const addedCount = Math.max(0, Math.min(missingCount, maxCount - (counts[position] ?? 0)));
+      counts[position] = (counts[position] ?? 0) + addedCount;
+      missingCount -= addedCount;
     });
 }
 
 /** Takes the smallest instances away until the pool has no more than its most. */
-function lowerToMost(request: MixRequest, counts: number[]): void {
-  let above = sumOf(counts) - request.maxInstances;
+function lowerToMaxInstances(request: MixRequest, counts: number[]): void {
+  let excessCount = countInstances(counts) - request.maxInstances;
   [...request.offers.keys()]
     .sort(
       (a, b) =>
         (request.offers[a]?.slotsPerInstance ?? 0) - (request.offers[b]?.slotsPerInstance ?? 0),
     )
     .forEach((position) => {
-      const removed = Math.max(0, Math.min(above, counts[position] ?? 0));
-      counts[position] = (counts[position] ?? 0) - removed;
-      above -= removed;
+      const removedCount = Math.max(0, Math.min(excessCount, counts[position] ?? 0));
+      counts[position] = (counts[position] ?? 0) - removedCount;
+      excessCount -= removedCount;
     });
 }
 
-function spaced(from: number, to: number, step: number): number[] {
-  const steps = Math.max(1, Math.min(MOST_CANDIDATES, Math.ceil((to - from) / step)));
+function spaceEvenly(from: number, to: number, step: number): number[] {
+  const steps = Math.max(1, Math.min(MAX_CANDIDATE_STEPS, Math.ceil((to - from) / step)));
   return Array.from({ length: steps + 1 }, (_, count) =>
     count === steps ? to : from + Math.round((count * (to - from)) / steps),
   );
 }
 
-function smallestSlots(offers: readonly Offer[]): number {
+function findMinSlotsPerInstance(offers: readonly Offer[]): number {
   return Math.max(1, Math.min(...offers.map((offer) => offer.slotsPerInstance)));
 }
 
 /** A mix with so many on-demand slots and so many reclaimable ones in a data centre at most. */
 function buildMix(
   request: MixRequest,
-  segments: readonly Segment[],
+  tiers: readonly PriceTier[],
   onDemandSlots: number,
-  bound: number,
+  maxReclaimableSlots: number,
 ): Mix {
   const counts = request.offers.map(() => 0);
-  const onDemand = segments.filter(({ offer }) => !offer.reclaimable);
-  const reclaimable = segments.filter(({ offer }) => offer.reclaimable);
-  const firm = fill(onDemand, counts, onDemandSlots, Infinity);
+  const onDemandTiers = tiers.filter(({ offer }) => !offer.reclaimable);
+  const reclaimableTiers = tiers.filter(({ offer }) => offer.reclaimable);
+  const filledOnDemandSlots = addCheapestInstances(onDemandTiers, counts, onDemandSlots, Infinity);
   const { normal, afterLoss } = request.need;
   // A wave of a share of all leaves the rest: so many are needed for the rest to be enough.
-  const underWave =
-    Math.max(0, afterLoss - firm) / Math.max(1 - request.waveLossFraction, LEAST_LEFT);
-  const lacking = Math.max(afterLoss - firm + bound, underWave, normal - firm);
-  if (bound > 0) fill(reclaimable, counts, lacking, bound);
-  trim(request, segments, counts);
-  raiseToLeast(request, segments, counts);
-  lowerToMost(request, counts);
+  const slotsNeededBeforeWave =
+    Math.max(0, afterLoss - filledOnDemandSlots) /
+    Math.max(1 - request.waveLossFraction, MIN_FRACTION_LEFT_BY_WAVE);
+  const targetReclaimableSlots = Math.max(
+    afterLoss - filledOnDemandSlots + maxReclaimableSlots,
+    slotsNeededBeforeWave,
+    normal - filledOnDemandSlots,
+  );
+  if (maxReclaimableSlots > 0)
+    addCheapestInstances(reclaimableTiers, counts, targetReclaimableSlots, maxReclaimableSlots);
+  removeUnneededInstances(request, tiers, counts);
+  raiseToMinInstances(request, tiers, counts);
+  lowerToMaxInstances(request, counts);
   return {
     counts,
-    missingSlots: missingIn(request, counts),
-    comparisonEurosPerHour: costOf(request, counts),
+    missingSlots: countMissingSlots(request, counts),
+    comparisonEurosPerHour: computeComparisonEurosPerHour(request, counts),
   };
 }
 
@@ -241,18 +264,34 @@
 
 /** The cheapest mix that lacks the fewest slots. */
 export function chooseMix(request: MixRequest): Mix {
-  const segments = toSegments(request);
-  const highest = Math.max(request.need.normal, request.need.afterLoss);
-  const firmOffers = request.offers.filter((offer) => !offer.reclaimable);
+  const tiers = listPriceTiers(request);
+  const highestNeed = Math.max(request.need.normal, request.need.afterLoss);
+  const onDemandOffers = request.offers.filter((offer) => !offer.reclaimable);
   const reclaimableOffers = request.offers.filter((offer) => offer.reclaimable);
-  const firmAmounts = firmOffers.length > 0 ? spaced(0, highest, smallestSlots(firmOffers)) : [0];
-  const step = smallestSlots(reclaimableOffers);
-  const largest = Math.max(step, ...reclaimableOffers.map((offer) => offer.slotsPerInstance));
-  const bounds = reclaimableOffers.length > 0 ? [0, ...spaced(step, highest + largest, step)] : [0];
-  let best = buildMix(request, segments, 0, 0);
-  for (const onDemandSlots of firmAmounts) {
-    for (const bound of bounds) {
-      const mix = buildMix(request, segments, onDemandSlots, bound);
+  const onDemandSlotCandidates =
+    onDemandOffers.length > 0
+      ? spaceEvenly(0, highestNeed, findMinSlotsPerInstance(onDemandOffers))
+      : [0];
+  const minSlotsPerInstance = findMinSlotsPerInstance(reclaimableOffers);
+  const maxSlotsPerInstance = Math.max(
+    minSlotsPerInstance,
+    ...reclaimableOffers.map((offer) => offer.slotsPerInstance),
+  );
+  const maxReclaimableSlotCandidates =
+    reclaimableOffers.length > 0
+      ? [
+          0,
+          ...spaceEvenly(
+            minSlotsPerInstance,
+            highestNeed + maxSlotsPerInstance,
+            minSlotsPerInstance,
+          ),
+        ]
+      : [0];
+  let best = buildMix(request, tiers, 0, 0);
+  for (const onDemandSlots of onDemandSlotCandidates) {
+    for (const maxReclaimableSlots of maxReclaimableSlotCandidates) {
+      const mix = buildMix(request, tiers, onDemandSlots, maxReclaimableSlots);
       if (isBetter(mix, best)) best = mix;
     }
   }
--- a/packages/controller-core/src/planning/deadlines.ts
+++ b/packages/controller-core/src/planning/deadlines.ts
@@ -7,7 +7,7 @@
   return hours * 60 + minutes;
 }
 
-function holds(from: number, to: number, minute: number): boolean {
+function isMinuteBetween(from: number, to: number, minute: number): boolean {
   return from < to ? minute >= from && minute < to : minute >= from || minute < to;
 }
 
@@ -15,7 +15,7 @@
 export function deadlineAt(route: Route, at: EpochMilliseconds): Deadline {
   const minute = minuteOfDay(route.timeZone, at);
   const span = route.deadlinesByHour.find(({ from, to }) =>
-    holds(toMinutes(from), toMinutes(to), minute),
+    isMinuteBetween(toMinutes(from), toMinutes(to), minute),
   );
   return span ?? route.deadline;
 }
--- a/packages/controller-core/src/planning/estimatePoolNeed.ts
+++ b/packages/controller-core/src/planning/estimatePoolNeed.ts
@@ -10,11 +10,11 @@
 import { computeOfferedLoad, computeRequiredSlots, type QueueLoad } from './queueing.js';
 
 /** The time ahead is looked at in steps of this length. */
-const FORECAST_STEP: Milliseconds = 2 * 60_000;
+const FORECAST_STEP_MILLISECONDS: Milliseconds = 2 * 60_000;
 /** Starts are asked this much ahead of what a start has taken, as starts vary. */
-const START_MARGIN = 1.25;
+const START_DURATION_SAFETY_FACTOR = 1.25;
 /** A wait of less than this is not planned for, however little patience a route leaves. */
-const LEAST_PATIENCE: Milliseconds = 50;
+const MIN_ALLOWED_WAIT_MILLISECONDS: Milliseconds = 50;
 
 /**
  * How long a request of the route may wait for a place: whichever of the deadlines for the first
@@ -27,25 +27,29 @@
   serviceMilliseconds: number,
 ): Milliseconds {
   const deadline = deadlineAt(route, at);
-  const forFirst = deadline.firstTokenMilliseconds - serviceMilliseconds / 10;
-  const forWhole = deadline.wholeAnswerMilliseconds - serviceMilliseconds * 1.5;
-  return Math.max(LEAST_PATIENCE, Math.min(forFirst, forWhole));
+  const waitBeforeFirstToken = deadline.firstTokenMilliseconds - serviceMilliseconds / 10;
+  const waitBeforeWholeAnswer = deadline.wholeAnswerMilliseconds - serviceMilliseconds * 1.5;
+  return Math.max(
+    MIN_ALLOWED_WAIT_MILLISECONDS,
+    Math.min(waitBeforeFirstToken, waitBeforeWholeAnswer),
+  );
 }
 
 interface RouteLoad extends QueueLoad {
-  readonly measured: number;
+  readonly measuredRequestsPerSecond: number;
 }
 
-function loadAt(state: ControllerState, route: Route, at: EpochMilliseconds): RouteLoad {
+function computeRouteLoad(state: ControllerState, route: Route, at: EpochMilliseconds): RouteLoad {
   const demand = state.demand.get(route.name) ?? createRouteDemand();
   const { requestsPerSecond, serviceMilliseconds } = sumDemand(demand);
   const forecast = forecastRequestsPerSecond(state, route, demand, at);
-  const { headroom, headroomWithoutProfile: headroomWithoutShape } = state.policy;
-  const expected = at === state.wallNow ? requestsPerSecond : (forecast ?? requestsPerSecond);
-  const factor = 1 + (forecast === undefined ? headroomWithoutShape : headroom);
+  const { headroom, headroomWithoutProfile } = state.policy;
+  const expectedRequestsPerSecond =
+    at === state.wallNow ? requestsPerSecond : (forecast ?? requestsPerSecond);
+  const headroomFactor = 1 + (forecast === undefined ? headroomWithoutProfile : headroom);
   return {
-    measured: requestsPerSecond,
-    requestsPerSecond: expected * factor,
+    measuredRequestsPerSecond: requestsPerSecond,
+    requestsPerSecond: expectedRequestsPerSecond * headroomFactor,
     serviceMilliseconds,
     allowedWait: computeAllowedWait(route, at, serviceMilliseconds),
   };
@@ -55,24 +59,27 @@
  * Engines serve the earliest deadline first, so a patient route's requests do not delay those of
  * an impatient one: each route needs places for itself and all that are less patient.
  */
-export function computeRequiredSlotsForRoutes(loads: readonly QueueLoad[], onTime: number): number {
+export function computeRequiredSlotsForRoutes(
+  loads: readonly QueueLoad[],
+  onTimeTarget: number,
+): number {
   const sorted = [...loads].sort((a, b) => a.allowedWait - b.allowedWait);
-  let rate = 0;
-  let busy = 0;
-  return sorted.reduce((most, load) => {
-    rate += load.requestsPerSecond;
-    busy += computeOfferedLoad(load);
-    if (rate === 0) return most;
-    const together = {
-      requestsPerSecond: rate,
-      serviceMilliseconds: (busy / rate) * 1000,
+  let requestsPerSecond = 0;
+  let offeredLoad = 0;
+  return sorted.reduce((maxSlots, load) => {
+    requestsPerSecond += load.requestsPerSecond;
+    offeredLoad += computeOfferedLoad(load);
+    if (requestsPerSecond === 0) return maxSlots;
+    const combinedLoad = {
+      requestsPerSecond,
+      serviceMilliseconds: (offeredLoad / requestsPerSecond) * 1000,
       allowedWait: load.allowedWait,
     };
-    return Math.max(most, computeRequiredSlots(together, onTime));
+    return Math.max(maxSlots, computeRequiredSlots(combinedLoad, onTimeTarget));
   }, 0);
 }
 
-function needOf(state: ControllerState, loads: readonly QueueLoad[]): SlotNeed {
+function computeNeed(state: ControllerState, loads: readonly QueueLoad[]): SlotNeed {
   return {
     normal: computeRequiredSlotsForRoutes(loads, state.policy.onTimeTarget),
     afterLoss: computeRequiredSlotsForRoutes(loads, state.policy.onTimeTargetAfterLoss),
@@ -81,8 +88,8 @@
 
 /** How far ahead a start has to be asked. */
 export function computeStartLeadTime(state: ControllerState, pool: Pool): Milliseconds {
-  const measured = state.startDurations.get(pool.name) ?? state.policy.defaultStartDuration;
-  return measured * START_MARGIN;
+  const startDuration = state.startDurations.get(pool.name) ?? state.policy.defaultStartDuration;
+  return startDuration * START_DURATION_SAFETY_FACTOR;
 }
 
 export interface PoolNeed {
@@ -94,34 +101,44 @@
 /** The places that the pool needs, and the figures behind them. */
 export function estimatePoolNeed(state: ControllerState, pool: Pool): PoolNeed {
   const routes = state.configuration.routes.rows.filter((route) => route.pool === pool.name);
-  const lead = computeStartLeadTime(state, pool);
-  const steps = Math.ceil(lead / FORECAST_STEP);
-  const nowLoads = routes.map((route) => loadAt(state, route, state.wallNow));
-  const now = needOf(state, nowLoads);
-  let ahead = now;
+  const leadTime = computeStartLeadTime(state, pool);
+  const steps = Math.ceil(leadTime / FORECAST_STEP_MILLISECONDS);
+  const currentLoads = routes.map((route) => computeRouteLoad(state, route, state.wallNow));
+  const currentNeed = computeNeed(state, currentLoads);
+  let peakAhead = currentNeed;
   let forecastPerSecond = 0;
   for (let step = 0; step <= steps; step += 1) {
-    const at = state.wallNow + Math.min(lead, step * FORECAST_STEP);
-    const loads = step === 0 ? nowLoads : routes.map((route) => loadAt(state, route, at));
-    const need = needOf(state, loads);
-    ahead = {
-      normal: Math.max(ahead.normal, need.normal),
-      afterLoss: Math.max(ahead.afterLoss, need.afterLoss),
+    const at = state.wallNow + Math.min(leadTime, step * FORECAST_STEP_MILLISECONDS);
+    const loads =
+      step === 0 ? currentLoads : routes.map((route) => computeRouteLoad(state, route, at));
+    const need = computeNeed(state, loads);
+    peakAhead = {
+      normal: Math.max(peakAhead.normal, need.normal),
+      afterLoss: Math.max(peakAhead.afterLoss, need.afterLoss),
     };
-    const total = loads.reduce((sum, load) => sum + load.requestsPerSecond, 0);
-    forecastPerSecond = Math.max(forecastPerSecond, total);
+    const totalRequestsPerSecond = loads.reduce((sum, load) => sum + load.requestsPerSecond, 0);
+    forecastPerSecond = Math.max(forecastPerSecond, totalRequestsPerSecond);
   }
-  const busy = nowLoads.reduce((sum, load) => sum + load.measured * load.serviceMilliseconds, 0);
-  const measured = nowLoads.reduce((sum, load) => sum + load.measured, 0);
-  const figures = {
-    ...now,
-    requestsPerSecond: measured,
+  const measuredConcurrencyMilliseconds = currentLoads.reduce(
+    (sum, load) => sum + load.measuredRequestsPerSecond * load.serviceMilliseconds,
+    0,
+  );
+  const measuredRequestsPerSecond = currentLoads.reduce(
+    (sum, load) => sum + load.measuredRequestsPerSecond,
+    0,
+  );
+  const currentEstimate = {
+    ...currentNeed,
+    requestsPerSecond: measuredRequestsPerSecond,
     forecastPerSecond,
-    serviceMilliseconds: measured > 0 ? busy / measured : 0,
+    serviceMilliseconds:
+      measuredRequestsPerSecond > 0
+        ? measuredConcurrencyMilliseconds / measuredRequestsPerSecond
+        : 0,
     shortestAllowedWait: Math.min(
-      ...nowLoads.map((load) => load.allowedWait),
+      ...currentLoads.map((load) => load.allowedWait),
       Number.MAX_SAFE_INTEGER,
     ),
   };
-  return { currentEstimate: figures, peakAhead: ahead };
+  return { currentEstimate, peakAhead };
 }
--- a/packages/controller-core/src/planning/isOwnTurn.ts
+++ b/packages/controller-core/src/planning/isOwnTurn.ts
@@ -10,6 +10,6 @@
 
 export function isOwnTurn(state: ControllerState, pool: Pool): boolean {
   const dataCentres = [...pool.dataCentres].sort();
-  const turn = Math.floor(state.wallNow / state.policy.turnDuration) % dataCentres.length;
-  return dataCentres[turn] === state.dataCentre;
+  const turnIndex = Math.floor(state.wallNow / state.policy.turnDuration) % dataCentres.length;
+  return dataCentres[turnIndex] === state.dataCentre;
 }
--- a/packages/controller-core/src/planning/offers.ts
+++ b/packages/controller-core/src/planning/offers.ts
@@ -40,7 +40,11 @@
   );
 }
 
-function countWaves(state: ControllerState, dataCentre: string, instanceClass: string): number {
+function countRecentWaves(
+  state: ControllerState,
+  dataCentre: string,
+  instanceClass: string,
+): number {
   const place = placeKey(dataCentre, instanceClass);
   return state.waves.filter((wave) => wave.places.has(place)).length;
 }
@@ -61,7 +65,7 @@
   ).length;
 }
 
-function offerOf(
+function makeOffer(
   state: ControllerState,
   pool: Pool,
   dataCentre: string,
@@ -69,8 +73,8 @@
 ): Offer {
   const { name, reclaimable, concurrency } = instanceClass;
   const eurosPerHour = state.prices.get(placeKey(dataCentre, name)) ?? instanceClass.eurosPerHour;
-  const waves = reclaimable ? countWaves(state, dataCentre, name) : 0;
-  const there = instancesOf(state, pool).filter(
+  const waves = reclaimable ? countRecentWaves(state, dataCentre, name) : 0;
+  const keptCount = instancesOf(state, pool).filter(
     (instance) =>
       instance.dataCentre === dataCentre && instance.instanceClass === name && isKept(instance),
   ).length;
@@ -81,7 +85,7 @@
     slotsPerInstance: concurrency,
     eurosPerHour,
     riskAdjustedEurosPerHour: eurosPerHour * (1 + waves * state.policy.wavePricePenalty),
-    presentCount: there + countPendingStarts(state, pool, dataCentre, name),
+    presentCount: keptCount + countPendingStarts(state, pool, dataCentre, name),
     closed: isClosed(state, dataCentre, name),
   };
 }
@@ -91,6 +95,8 @@
   return [...pool.dataCentres]
     .sort()
     .flatMap((dataCentre) =>
-      pool.instanceClasses.map((instanceClass) => offerOf(state, pool, dataCentre, instanceClass)),
+      pool.instanceClasses.map((instanceClass) =>
+        makeOffer(state, pool, dataCentre, instanceClass),
+      ),
     );
 }
--- a/packages/controller-core/src/planning/planPools.ts
+++ b/packages/controller-core/src/planning/planPools.ts
@@ -12,13 +12,13 @@
 import type { PlannedPlace, PoolPlan, SlotNeed } from './PoolPlan.js';
 import { estimatePoolNeed } from './estimatePoolNeed.js';
 
-const MINUTE = 60_000;
+const MINUTE_MILLISECONDS = 60_000;
 
 type RecentNeeds = PoolPlan['recentNeeds'];
 
 /** Keeps the highest need of each of the last minutes. */
-function remember(state: ControllerState, recent: RecentNeeds, need: SlotNeed): RecentNeeds {
-  const at = Math.floor(state.now / MINUTE) * MINUTE;
+function recordNeed(state: ControllerState, recent: RecentNeeds, need: SlotNeed): RecentNeeds {
+  const at = Math.floor(state.now / MINUTE_MILLISECONDS) * MINUTE_MILLISECONDS;
   const last = recent.at(-1);
   const kept = recent.filter((past) => past.at > state.now - state.policy.scaleInDelay);
   if (last?.at !== at) return [...kept, { ...need, at }];
@@ -30,7 +30,7 @@
   return [...kept.filter((past) => past.at !== at), merged];
 }
 
-function highestOf(needs: readonly SlotNeed[]): SlotNeed {
+function findHighestNeed(needs: readonly SlotNeed[]): SlotNeed {
   return {
     normal: Math.max(0, ...needs.map((need) => need.normal)),
     afterLoss: Math.max(0, ...needs.map((need) => need.afterLoss)),
@@ -42,26 +42,26 @@
  * data centre can take no more than what is there, and that loss is planned for anyway; so only
  * waves over several of them count.
  */
-function largestWave(state: ControllerState, pool: Pool): number {
-  const shares = state.waves
+function findMaxWaveLossFraction(state: ControllerState, pool: Pool): number {
+  const lossFractions = state.waves
     .filter((wave) => wave.pool === pool.name && wave.dataCentres.size > 1)
     .map((wave) => Math.min(1, wave.lostSlots / Math.max(1, wave.reclaimableSlotsBefore)));
-  return Math.max(0, ...shares);
+  return Math.max(0, ...lossFractions);
 }
 
 /**
  * While instances wait for another version, one more is kept: each of them is out of service for
  * a while, and the deadline has to be met without it.
  */
-function rolloutSlots(state: ControllerState, pool: Pool): number {
-  const waits = instancesOf(state, pool).some(
+function countRolloutSlots(state: ControllerState, pool: Pool): number {
+  const isRolloutPending = instancesOf(state, pool).some(
     (instance) => isKept(instance) && hasModel(pool, instance) && !isUpToDate(pool, instance),
   );
-  if (!waits) return 0;
+  if (!isRolloutPending) return 0;
   return Math.min(...pool.instanceClasses.map(({ concurrency }) => concurrency));
 }
 
-function toPlaces(offers: readonly Offer[], mix: Mix): PlannedPlace[] {
+function makePlannedPlaces(offers: readonly Offer[], mix: Mix): PlannedPlace[] {
   return offers.map((offer, position) => ({
     dataCentre: offer.dataCentre,
     instanceClass: offer.instanceClass,
@@ -73,44 +73,49 @@
 }
 
 function planPool(state: ControllerState, pool: Pool): PoolPlan {
-  const { currentEstimate: figures, peakAhead: ahead } = estimatePoolNeed(state, pool);
-  const before = state.plans.get(pool.name);
-  const recentNeeds = remember(state, before?.recentNeeds ?? [], ahead);
-  const need = highestOf(recentNeeds);
-  const waveLossFraction = largestWave(state, pool);
+  const { currentEstimate, peakAhead } = estimatePoolNeed(state, pool);
+  const previousPlan = state.plans.get(pool.name);
+  const recentNeeds = recordNeed(state, previousPlan?.recentNeeds ?? [], peakAhead);
+  const need = findHighestNeed(recentNeeds);
+  const waveLossFraction = findMaxWaveLossFraction(state, pool);
   const offers = listOffers(state, pool);
   const { least: minInstances, most: maxInstances } = pool;
-  const { retentionDiscount: retentionDiscount } = state.policy;
-  const extra = rolloutSlots(state, pool);
-  const needed = { normal: need.normal + extra, afterLoss: need.afterLoss + extra };
+  const { retentionDiscount } = state.policy;
+  const rolloutSlots = countRolloutSlots(state, pool);
+  const needWithRollout = {
+    normal: need.normal + rolloutSlots,
+    afterLoss: need.afterLoss + rolloutSlots,
+  };
   const request = {
     offers,
-    need: needed,
-    waveLossFraction: waveLossFraction,
-    minInstances: minInstances,
-    maxInstances: maxInstances,
-    retentionDiscount: retentionDiscount,
+    need: needWithRollout,
+    waveLossFraction,
+    minInstances,
+    maxInstances,
+    retentionDiscount,
   };
   const requestJson = JSON.stringify(request);
   const mix =
-    before?.cachedChoice.requestJson === requestJson ? before.cachedChoice.mix : chooseMix(request);
-  const places = toPlaces(offers, mix);
+    previousPlan?.cachedChoice.requestJson === requestJson
+      ? previousPlan.cachedChoice.mix
+      : chooseMix(request);
+  const places = makePlannedPlaces(offers, mix);
   const eurosPerHour = places.reduce((sum, place) => sum + place.eurosPerHour * place.wanted, 0);
   return {
     pool: pool.name,
     places,
-    currentEstimate: figures,
+    currentEstimate,
     need,
-    rolloutSlots: extra,
-    waveLossFraction: waveLossFraction,
+    rolloutSlots,
+    waveLossFraction,
     missingSlots: mix.missingSlots,
     eurosPerHour,
-    cachedChoice: { requestJson: requestJson, mix },
+    cachedChoice: { requestJson, mix },
     recentNeeds,
   };
 }
 
-function wantedByPlace(plan: PoolPlan): Record<string, number> {
+function countWantedByPlace(plan: PoolPlan): Record<string, number> {
   return Object.fromEntries(
     plan.places
       .filter((place) => place.wanted > 0)
@@ -118,32 +123,33 @@
   );
 }
 
-function describe(plan: PoolPlan): Record<string, unknown> {
-  const { currentEstimate: figures, need } = plan;
+function makePlanLogFields(plan: PoolPlan): Record<string, unknown> {
+  const { currentEstimate, need } = plan;
   return {
     pool: plan.pool,
-    wanted: wantedByPlace(plan),
+    wanted: countWantedByPlace(plan),
     slotsNeeded: need.normal,
     slotsNeededAfterLoss: need.afterLoss,
     rolloutSlots: plan.rolloutSlots,
     waveShare: plan.waveLossFraction,
     missingSlots: plan.missingSlots,
-    requestsPerSecond: figures.requestsPerSecond,
-    forecastPerSecond: figures.forecastPerSecond,
-    serviceMilliseconds: figures.serviceMilliseconds,
-    patienceMilliseconds: figures.shortestAllowedWait,
+    requestsPerSecond: currentEstimate.requestsPerSecond,
+    forecastPerSecond: currentEstimate.forecastPerSecond,
+    serviceMilliseconds: currentEstimate.serviceMilliseconds,
+    patienceMilliseconds: currentEstimate.shortestAllowedWait,
     eurosPerHour: plan.eurosPerHour,
   };
 }
 
-function logChange(before: PoolPlan | undefined, plan: PoolPlan): ControllerEffect[] {
+function logChange(previousPlan: PoolPlan | undefined, plan: PoolPlan): ControllerEffect[] {
   const effects: ControllerEffect[] = [];
-  const old = before === undefined ? '' : JSON.stringify(wantedByPlace(before));
-  if (old !== JSON.stringify(wantedByPlace(plan))) {
-    effects.push({ type: 'log', event: 'planChanged', fields: describe(plan) });
+  const previousWanted =
+    previousPlan === undefined ? '' : JSON.stringify(countWantedByPlace(previousPlan));
+  if (previousWanted !== JSON.stringify(countWantedByPlace(plan))) {
+    effects.push({ type: 'log', event: 'planChanged', fields: makePlanLogFields(plan) });
   }
-  if (plan.missingSlots > 0 && (before?.missingSlots ?? 0) === 0) {
-    effects.push({ type: 'log', event: 'planFallsShort', fields: describe(plan) });
+  if (plan.missingSlots > 0 && (previousPlan?.missingSlots ?? 0) === 0) {
+    effects.push({ type: 'log', event: 'planFallsShort', fields: makePlanLogFields(plan) });
   }
   return effects;
 }
@@ -158,9 +164,9 @@
       state.plans.delete(name);
     });
   return pools.flatMap((pool) => {
-    const before = state.plans.get(pool.name);
+    const previousPlan = state.plans.get(pool.name);
     const plan = planPool(state, pool);
     state.plans.set(pool.name, plan);
-    return logChange(before, plan);
+    return logChange(previousPlan, plan);
   });
 }
--- a/packages/controller-core/src/planning/queueing.ts
+++ b/packages/controller-core/src/planning/queueing.ts
@@ -6,7 +6,7 @@
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 
-const MOST_SLOTS = 1_000_000;
+const MAX_SLOTS = 1_000_000;
 
 /** One part of a pool's load. */
 export interface QueueLoad {
@@ -22,31 +22,46 @@
 }
 
 /** Share of requests that wait longer than `patience`, given the Erlang B blocking at `slots`. */
-function lateShareFrom(blocking: number, slots: number, busy: number, load: QueueLoad): number {
-  if (slots <= busy) return 1;
-  const waiting = (slots * blocking) / (slots - busy * (1 - blocking));
-  return waiting * Math.exp((-(slots - busy) * load.allowedWait) / load.serviceMilliseconds);
+function computeLateFractionFromBlocking(
+  blockingProbability: number,
+  slots: number,
+  offeredLoad: number,
+  load: QueueLoad,
+): number {
+  if (slots <= offeredLoad) return 1;
+  const waitProbability =
+    (slots * blockingProbability) / (slots - offeredLoad * (1 - blockingProbability));
+  return (
+    waitProbability *
+    Math.exp((-(slots - offeredLoad) * load.allowedWait) / load.serviceMilliseconds)
+  );
 }
 
 /** Share of requests that wait longer than their patience with so many places. */
 export function computeLateFraction(slots: number, load: QueueLoad): number {
-  const busy = computeOfferedLoad(load);
-  if (busy <= 0) return 0;
-  let blocking = 1;
+  const offeredLoad = computeOfferedLoad(load);
+  if (offeredLoad <= 0) return 0;
+  let blockingProbability = 1;
   for (let count = 1; count <= slots; count += 1) {
-    blocking = (busy * blocking) / (count + busy * blocking);
+    blockingProbability =
+      (offeredLoad * blockingProbability) / (count + offeredLoad * blockingProbability);
   }
-  return lateShareFrom(blocking, slots, busy, load);
+  return computeLateFractionFromBlocking(blockingProbability, slots, offeredLoad, load);
 }
 
 /** The fewest places with which a share of `onTime` of the requests wait no longer than allowed. */
-export function computeRequiredSlots(load: QueueLoad, onTime: number): number {
-  const busy = computeOfferedLoad(load);
-  if (busy <= 0) return 0;
-  let blocking = 1;
-  for (let count = 1; count <= MOST_SLOTS; count += 1) {
-    blocking = (busy * blocking) / (count + busy * blocking);
-    if (lateShareFrom(blocking, count, busy, load) <= 1 - onTime) return count;
+export function computeRequiredSlots(load: QueueLoad, onTimeTarget: number): number {
+  const offeredLoad = computeOfferedLoad(load);
+  if (offeredLoad <= 0) return 0;
+  let blockingProbability = 1;
+  for (let count = 1; count <= MAX_SLOTS; count += 1) {
+    blockingProbability =
+      (offeredLoad * blockingProbability) / (count + offeredLoad * blockingProbability);
+    if (
+      computeLateFractionFromBlocking(blockingProbability, count, offeredLoad, load) <=
+      1 - onTimeTarget
+    )
+      return count;
   }
-  return MOST_SLOTS;
+  return MAX_SLOTS;
 }
--- a/packages/controller-core/src/planning/scaleIn.ts
+++ b/packages/controller-core/src/planning/scaleIn.ts
@@ -20,7 +20,7 @@
 import { isOwnTurn } from './isOwnTurn.js';
 
 /** An end without an answer is resent after so long; ending what is gone already is no fault. */
-const END_TIMEOUT = 30_000;
+const END_RESEND_DELAY_MILLISECONDS = 30_000;
 
 /** Takes an instance out of service for good. */
 export function drainInstance(
@@ -44,28 +44,30 @@
 
 /** Those that serve nothing go first, then those with the wrong weights, then the newest. */
 function compareForRemoval(pool: Pool, a: FleetInstance, b: FleetInstance): number {
-  const worth = (instance: FleetInstance) =>
+  const retentionRank = (instance: FleetInstance) =>
     Number(isServing(pool, instance)) + Number(isUpToDate(pool, instance));
   return (
-    worth(a) - worth(b) || b.firstSeenAt - a.firstSeenAt || a.instance.localeCompare(b.instance)
+    retentionRank(a) - retentionRank(b) ||
+    b.firstSeenAt - a.firstSeenAt ||
+    a.instance.localeCompare(b.instance)
   );
 }
 
-function findSurplus(state: ControllerState, pool: Pool): FleetInstance[] {
+function findSurplusInstances(state: ControllerState, pool: Pool): FleetInstance[] {
   const plan = state.plans.get(pool.name);
   if (plan === undefined) return [];
   return plan.places
     .filter((place) => place.dataCentre === state.dataCentre)
     .flatMap((place) => {
-      const there = instancesOf(state, pool).filter(
+      const kept = instancesOf(state, pool).filter(
         (instance) =>
           isKept(instance) &&
           placeKey(instance.dataCentre, instance.instanceClass) ===
             placeKey(place.dataCentre, place.instanceClass),
       );
-      return there
+      return kept
         .sort((a, b) => compareForRemoval(pool, a, b))
-        .slice(0, Math.max(0, there.length - place.wanted));
+        .slice(0, Math.max(0, kept.length - place.wanted));
     });
 }
 
@@ -79,7 +81,7 @@
   if (drainedThisTurn) return [];
   // One that only starts must stay too while the pool lacks capacity: the plan may have moved to
   // a place that refuses again, and draining here would buy and drain in turns.
-  const candidate = findSurplus(state, pool).find((instance) =>
+  const candidate = findSurplusInstances(state, pool).find((instance) =>
     canDrainInstance(state, pool, instance),
   );
   if (candidate === undefined) return [];
@@ -94,27 +96,28 @@
  * True if nothing can still run there. A backend server that reports nothing at all any more is
  * ended only when even the longest answer, begun just before the drain, must be over.
  */
-function canEnd(state: ControllerState, instance: FleetInstance): boolean {
+function canEndInstance(state: ControllerState, instance: FleetInstance): boolean {
   if (isIdle(state, instance)) return true;
-  const heardAt = instance.loadReportReceivedAt ?? instance.phaseSince;
-  const silentFor = state.now - Math.max(heardAt, instance.phaseSince);
-  const longest = state.configuration.routes.rows
+  const lastReportAt = instance.loadReportReceivedAt ?? instance.phaseSince;
+  const timeWithoutReport = state.now - Math.max(lastReportAt, instance.phaseSince);
+  const maxAnswerDuration = state.configuration.routes.rows
     .filter((route) => route.pool === instance.pool)
     .flatMap((route) => [route.deadline, ...route.deadlinesByHour])
-    .reduce((most, deadline) => Math.max(most, deadline.wholeAnswerMilliseconds), 0);
-  return silentFor > longest + state.policy.maxListLag;
+    .reduce((maxSoFar, deadline) => Math.max(maxSoFar, deadline.wholeAnswerMilliseconds), 0);
+  return timeWithoutReport > maxAnswerDuration + state.policy.maxListLag;
 }
 
 /** Ends what was drained and is idle; resends an end whose answer was lost. */
 export function endDrainedInstances(state: ControllerState): ControllerEffect[] {
-  const ready = [...state.fleet.values()].filter(
+  const endable = [...state.fleet.values()].filter(
     (instance) =>
       instance.dataCentre === state.dataCentre &&
       instance.phase === 'draining' &&
-      (instance.endSentAt === undefined || state.now - instance.endSentAt >= END_TIMEOUT) &&
-      canEnd(state, instance),
+      (instance.endSentAt === undefined ||
+        state.now - instance.endSentAt >= END_RESEND_DELAY_MILLISECONDS) &&
+      canEndInstance(state, instance),
   );
-  return ready.flatMap((instance): ControllerEffect[] => {
+  return endable.flatMap((instance): ControllerEffect[] => {
     const resent = instance.endSentAt !== undefined;
     instance.endSentAt = state.now;
     const { instance: name, pool } = instance;
@@ -144,7 +147,7 @@
  * a class or a data centre was taken out of a row, callers still depend on its instances, so each
  * stays until the pool's other instances meet the need.
  */
-function drainStrays(state: ControllerState): ControllerEffect[] {
+function drainStrayInstances(state: ControllerState): ControllerEffect[] {
   if (state.configuration.pools.revision === 0) return [];
   return [...state.fleet.values()]
     .filter((instance) => instance.dataCentre === state.dataCentre && isKept(instance))
@@ -158,7 +161,7 @@
 }
 
 /** Drains instances that never came to serve: they would count as capacity to come for ever. */
-function drainDuds(state: ControllerState): ControllerEffect[] {
+function drainInstancesThatNeverServed(state: ControllerState): ControllerEffect[] {
   return [...state.fleet.values()]
     .filter(
       (instance) =>
@@ -172,8 +175,8 @@
 
 export function scaleIn(state: ControllerState): ControllerEffect[] {
   return [
-    ...drainStrays(state),
-    ...drainDuds(state),
+    ...drainStrayInstances(state),
+    ...drainInstancesThatNeverServed(state),
     ...state.configuration.pools.rows.flatMap((pool) => scaleInPool(state, pool)),
     ...endDrainedInstances(state),
   ];
--- a/packages/controller-core/src/planning/servingCapacity.ts
+++ b/packages/controller-core/src/planning/servingCapacity.ts
@@ -11,22 +11,26 @@
 import { isDataCentreReachable } from './offers.js';
 
 /** What serves in the own data centre, but for one instance. */
-function servingHere(state: ControllerState, pool: Pool, without?: FleetInstance): ServingReport {
+function computeOwnServing(
+  state: ControllerState,
+  pool: Pool,
+  excluded?: FleetInstance,
+): ServingReport {
   const classes = instancesOf(state, pool)
     .filter(({ dataCentre }) => dataCentre === state.dataCentre)
-    .filter((instance) => instance !== without && isServing(pool, instance))
+    .filter((instance) => instance !== excluded && isServing(pool, instance))
     .map((instance) => instanceClassOf(pool, instance));
-  const slots = classes.reduce((sum, found) => sum + (found?.concurrency ?? 0), 0);
-  const firm = classes
-    .filter((found) => found?.reclaimable !== true)
-    .reduce((sum, found) => sum + (found?.concurrency ?? 0), 0);
+  const slots = classes.reduce((sum, instanceClass) => sum + (instanceClass?.concurrency ?? 0), 0);
+  const onDemandSlots = classes
+    .filter((instanceClass) => instanceClass?.reclaimable !== true)
+    .reduce((sum, instanceClass) => sum + (instanceClass?.concurrency ?? 0), 0);
   const instances = classes.length;
-  return { pool: pool.name, instances, slots, reclaimableSlots: slots - firm };
+  return { pool: pool.name, instances, slots, reclaimableSlots: slots - onDemandSlots };
 }
 
 /** What serves in the own data centre, for the report to the other controllers. */
 export function buildOwnServingReports(state: ControllerState): ServingReport[] {
-  return state.configuration.pools.rows.map((pool) => servingHere(state, pool));
+  return state.configuration.pools.rows.map((pool) => computeOwnServing(state, pool));
 }
 
 /** What serves in all data centres together. */
@@ -44,19 +48,19 @@
 export function computeServingCapacity(
   state: ControllerState,
   pool: Pool,
-  without?: FleetInstance,
+  excluded?: FleetInstance,
 ): ServingCapacity {
-  const elsewhere = pool.dataCentres
+  const peerReports = pool.dataCentres
     .filter(
       (dataCentre) => dataCentre !== state.dataCentre && isDataCentreReachable(state, dataCentre),
     )
     .flatMap((dataCentre) => state.peers.get(dataCentre)?.serving ?? [])
     .filter((serving) => serving.pool === pool.name);
-  const all = [servingHere(state, pool, without), ...elsewhere];
+  const reports = [computeOwnServing(state, pool, excluded), ...peerReports];
   return {
-    instances: all.reduce((sum, { instances }) => sum + instances, 0),
-    totalSlots: all.reduce((sum, { slots }) => sum + slots, 0),
-    maxLostSlots: Math.max(...all.map(({ reclaimableSlots }) => reclaimableSlots)),
+    instances: reports.reduce((sum, { instances }) => sum + instances, 0),
+    totalSlots: reports.reduce((sum, { slots }) => sum + slots, 0),
+    maxLostSlots: Math.max(...reports.map(({ reclaimableSlots }) => reclaimableSlots)),
   };
 }
 
@@ -73,12 +77,8 @@
 ): boolean {
   const plan = state.plans.get(pool.name);
   if (plan === undefined) return false;
-  const { totalSlots: total, maxLostSlots: largestLoss } = computeServingCapacity(
-    state,
-    pool,
-    instance,
-  );
-  return total >= plan.need.normal && total - largestLoss >= plan.need.afterLoss;
+  const { totalSlots, maxLostSlots } = computeServingCapacity(state, pool, instance);
+  return totalSlots >= plan.need.normal && totalSlots - maxLostSlots >= plan.need.afterLoss;
 }
 
 /** True if the pool keeps its least size of serving instances, and its deadlines, without it. */
--- a/packages/controller-core/src/singleton/advanceSizes.ts
+++ b/packages/controller-core/src/singleton/advanceSizes.ts
@@ -21,38 +21,38 @@
 import type { AcceptedSize, SingletonState, PoolSizingState } from './SingletonState.js';
 
 /** What was needed or planned is kept for so long before capacity may fall below it. */
-const FALL_AFTER_MILLISECONDS: Milliseconds = 20_000;
+const SCALE_IN_DELAY_MILLISECONDS: Milliseconds = 20_000;
 
 /**
  * The same for on-demand instances, which cost five to seven times as much: a start and a second
  * reading of the list, so that none is let go while it starts.
  */
-const ON_DEMAND_FALL_AFTER_MILLISECONDS: Milliseconds = 8000;
+const ON_DEMAND_SCALE_IN_DELAY_MILLISECONDS: Milliseconds = 8000;
 
 /** Rates are taken over ten seconds; before, they say less than what is there already. */
-const MEASURED_AFTER_MILLISECONDS: Milliseconds = 12_000;
+const MIN_MEASUREMENT_MILLISECONDS: Milliseconds = 12_000;
 
 /**
  * An instance that was ordered serves after its start and is listed up to this much later: the
  * list lags by most of a second and is read once a second.
  */
-const LISTED_LATE_MILLISECONDS: Milliseconds = 2000;
+const MAX_LISTING_DELAY_MILLISECONDS: Milliseconds = 2000;
 
 /** An entry that was not heard for so long has no demand. */
-const ENTRY_SILENCE_MILLISECONDS: Milliseconds = 5000;
+const ENTRY_TIMEOUT_MILLISECONDS: Milliseconds = 5000;
 
 /** Waves count as following each other within the time of so many starts. */
-const STARTS_LOOKED_BACK = 2;
+const WAVE_WINDOW_START_DURATIONS = 2;
 
 /** After a refusal the platform is asked again this much later. */
-const CLOSED_MILLISECONDS: Milliseconds = 3000;
+const REFUSAL_CLOSURE_MILLISECONDS: Milliseconds = 3000;
 
 const DEFAULT_CONCURRENCY = 8;
 
-function poolStateOf(state: SingletonState, name: string): PoolSizingState {
-  const known = state.pools.get(name);
-  if (known !== undefined) return known;
-  const made: PoolSizingState = {
+function getPoolSizingState(state: SingletonState, name: string): PoolSizingState {
+  const existing = state.pools.get(name);
+  if (existing !== undefined) return existing;
+  const created: PoolSizingState = {
     recentNeeds: [],
     recentPlans: [],
     initialCount: 0,
@@ -61,18 +61,23 @@
     acceptedSizes: new Map(),
     closedUntil: new Map(),
   };
-  state.pools.set(name, made);
-  return made;
+  state.pools.set(name, created);
+  return created;
 }
 
-function demandFor(state: SingletonState, pool: Pool): RouteDemandReport[] {
+function listPoolDemand(state: SingletonState, pool: Pool): RouteDemandReport[] {
   return [...state.entryReports.values()]
-    .filter(({ receivedAt: heardAt }) => state.now - heardAt <= ENTRY_SILENCE_MILLISECONDS)
+    .filter(({ receivedAt }) => state.now - receivedAt <= ENTRY_TIMEOUT_MILLISECONDS)
     .flatMap(({ report }) => report.demand ?? [])
     .filter((demand) => demand.pool === pool.name);
 }
 
-function countThere(state: SingletonState, pool: Pool, dataCentre: string, reclaimable: boolean) {
+function countLiveInstances(
+  state: SingletonState,
+  pool: Pool,
+  dataCentre: string,
+  reclaimable: boolean,
+) {
   return state.instances.filter(
     (instance) =>
       instance.pool === pool.name &&
@@ -82,15 +87,19 @@
   ).length;
 }
 
-function placesOf(state: SingletonState, pool: Pool, sized: PoolSizingState): DataCentreState[] {
+function listDataCentreStates(
+  state: SingletonState,
+  pool: Pool,
+  sizingState: PoolSizingState,
+): DataCentreState[] {
   return pool.dataCentres.map((dataCentre) => {
-    const onDemand = countThere(state, pool, dataCentre, false);
+    const onDemand = countLiveInstances(state, pool, dataCentre, false);
     return {
       dataCentre,
-      reclaimable: countThere(state, pool, dataCentre, true),
+      reclaimable: countLiveInstances(state, pool, dataCentre, true),
       onDemand,
-      isClosed: (sized.closedUntil.get(dataCentre) ?? Number.NEGATIVE_INFINITY) > state.now,
-      orderedOnDemand: sized.acceptedSizes.get(dataCentre)?.onDemand?.count ?? onDemand,
+      isClosed: (sizingState.closedUntil.get(dataCentre) ?? Number.NEGATIVE_INFINITY) > state.now,
+      orderedOnDemand: sizingState.acceptedSizes.get(dataCentre)?.onDemand?.count ?? onDemand,
     };
   });
 }
@@ -100,28 +109,28 @@
  * that holds what was ordered by this very measure. While one kind takes over from the other both
  * are there, and only the larger number counts.
  */
-function needNow(
+function estimateNeed(
   state: SingletonState,
-  sized: PoolSizingState,
+  sizingState: PoolSizingState,
   load: PoolLoad,
-  places: readonly DataCentreState[],
+  dataCentres: readonly DataCentreState[],
 ): InstanceNeed {
-  const { firstDemandAt: demandSince } = state;
-  const measured = computeInstanceNeed(load);
-  const isMeasured =
-    demandSince !== undefined && state.now - demandSince >= MEASURED_AFTER_MILLISECONDS;
-  if (isMeasured) return measured;
-  const reclaimable = places.reduce((sum, place) => sum + place.reclaimable, 0);
-  const onDemand = places.reduce((sum, place) => sum + place.onDemand, 0);
-  if (!state.isListStable || sized.initialCount === 0)
-    sized.initialCount = Math.max(reclaimable, onDemand);
+  const { firstDemandAt } = state;
+  const measuredNeed = computeInstanceNeed(load);
+  const isDemandMeasured =
+    firstDemandAt !== undefined && state.now - firstDemandAt >= MIN_MEASUREMENT_MILLISECONDS;
+  if (isDemandMeasured) return measuredNeed;
+  const reclaimable = dataCentres.reduce((sum, listed) => sum + listed.reclaimable, 0);
+  const onDemand = dataCentres.reduce((sum, listed) => sum + listed.onDemand, 0);
+  if (!state.isListStable || sizingState.initialCount === 0)
+    sizingState.initialCount = Math.max(reclaimable, onDemand);
   return {
-    normal: Math.max(sized.initialCount, measured.normal),
-    afterLoss: Math.max(Math.ceil(sized.initialCount / 2), measured.afterLoss),
+    normal: Math.max(sizingState.initialCount, measuredNeed.normal),
+    afterLoss: Math.max(Math.ceil(sizingState.initialCount / 2), measuredNeed.afterLoss),
   };
 }
 
-function highestOf(needs: readonly { readonly need: InstanceNeed }[]): InstanceNeed {
+function findHighestNeed(needs: readonly { readonly need: InstanceNeed }[]): InstanceNeed {
   return {
     normal: Math.max(1, ...needs.map(({ need }) => need.normal)),
     afterLoss: Math.max(1, ...needs.map(({ need }) => need.afterLoss)),
@@ -129,24 +138,27 @@
 }
 
 /** Keeps the highest reclaimable plan of the last while: starting and ending them is no saving. */
-function steady(
+function recordPlanAndDelayScaleIn(
   state: SingletonState,
-  sized: PoolSizingState,
+  sizingState: PoolSizingState,
   plan: readonly DataCentreSize[],
 ): DataCentreSize[] {
-  sized.recentPlans = sized.recentPlans.filter(
-    ({ at }) => state.now - at < FALL_AFTER_MILLISECONDS,
+  sizingState.recentPlans = sizingState.recentPlans.filter(
+    ({ at }) => state.now - at < SCALE_IN_DELAY_MILLISECONDS,
   );
-  sized.recentPlans.push({ at: state.now, sizes: plan });
+  sizingState.recentPlans.push({ at: state.now, sizes: plan });
   return plan.map((size, position) => ({
     ...size,
     reclaimable: Math.max(
-      ...sized.recentPlans.map(({ sizes }) => sizes[position]?.reclaimable ?? 0),
+      ...sizingState.recentPlans.map(({ sizes }) => sizes[position]?.reclaimable ?? 0),
     ),
   }));
 }
 
-function ordersFor(pool: Pool, { dataCentre, reclaimable, onDemand }: DataCentreSize): SizeOrder[] {
+function makeOrders(
+  pool: Pool,
+  { dataCentre, reclaimable, onDemand }: DataCentreSize,
+): SizeOrder[] {
   return [
     { pool: pool.name, dataCentre, reclaimable: true, count: reclaimable },
     { pool: pool.name, dataCentre, reclaimable: false, count: onDemand },
@@ -158,74 +170,82 @@
  * replace what a wave or a crash has taken: an order that has come to nothing is given again, or
  * the pool would stay as small, and on-demand instances stand in for the rest of the day.
  */
-function isInForce(
+function isFulfilledOrPending(
   state: SingletonState,
   sizing: PoolSizing,
-  ordered: AcceptedSize | undefined,
-  place: DataCentreState,
+  acceptedSize: AcceptedSize | undefined,
+  dataCentre: DataCentreState,
   order: SizeOrder,
 ): boolean {
-  const told = order.reclaimable ? ordered?.reclaimable : ordered?.onDemand;
-  const there = order.reclaimable ? place.reclaimable : place.onDemand;
-  if (told === undefined) return there === order.count;
-  if (told.count !== order.count) return false;
-  const patience = sizing.startMilliseconds + LISTED_LATE_MILLISECONDS;
-  return there >= order.count || state.now - told.acceptedAt < patience;
+  const accepted = order.reclaimable ? acceptedSize?.reclaimable : acceptedSize?.onDemand;
+  const liveCount = order.reclaimable ? dataCentre.reclaimable : dataCentre.onDemand;
+  if (accepted === undefined) return liveCount === order.count;
+  if (accepted.count !== order.count) return false;
+  const fulfilmentTimeout = sizing.startMilliseconds + MAX_LISTING_DELAY_MILLISECONDS;
+  return liveCount >= order.count || state.now - accepted.acceptedAt < fulfilmentTimeout;
 }
 
-function measure(state: SingletonState, pool: Pool): PoolLoad {
+function measurePoolLoad(state: SingletonState, pool: Pool): PoolLoad {
   const concurrency = pool.instanceClasses[0]?.concurrency ?? DEFAULT_CONCURRENCY;
-  return measureLoad(demandFor(state, pool), concurrency);
+  return measureLoad(listPoolDemand(state, pool), concurrency);
 }
 
 /** Takes note of the data centres that were to have reclaimable instances, and have lost all of them. */
-function countWaves(
+function recordAndCountWaves(
   state: SingletonState,
-  sized: PoolSizingState,
-  places: readonly DataCentreState[],
+  sizingState: PoolSizingState,
+  dataCentres: readonly DataCentreState[],
   { startMilliseconds }: PoolSizing,
 ): number {
-  const { acceptedSizes: ordered, previousReclaimable: reclaimableBefore } = sized;
-  const hit = places.filter(
+  const { acceptedSizes, previousReclaimable } = sizingState;
+  const reclaimedDataCentres = dataCentres.filter(
     ({ dataCentre, reclaimable }) =>
       reclaimable === 0 &&
-      (reclaimableBefore.get(dataCentre) ?? 0) > 0 &&
-      ordered.get(dataCentre)?.reclaimable?.count !== 0,
+      (previousReclaimable.get(dataCentre) ?? 0) > 0 &&
+      acceptedSizes.get(dataCentre)?.reclaimable?.count !== 0,
   );
-  places.forEach(({ dataCentre, reclaimable }) => reclaimableBefore.set(dataCentre, reclaimable));
-  const since = state.now - STARTS_LOOKED_BACK * startMilliseconds;
-  sized.waveTimes = [...sized.waveTimes, ...hit.map(() => state.now)].filter((at) => at > since);
-  return sized.waveTimes.length;
+  dataCentres.forEach(({ dataCentre, reclaimable }) =>
+    previousReclaimable.set(dataCentre, reclaimable),
+  );
+  const windowStart = state.now - WAVE_WINDOW_START_DURATIONS * startMilliseconds;
+  sizingState.waveTimes = [
+    ...sizingState.waveTimes,
+    ...reclaimedDataCentres.map(() => state.now),
+  ].filter((at) => at > windowStart);
+  return sizingState.waveTimes.length;
 }
 
 function sizePool(state: SingletonState, pool: Pool, sizing: PoolSizing, epoch: number) {
-  const sized = poolStateOf(state, pool.name);
-  const places = placesOf(state, pool, sized);
-  const load = measure(state, pool);
-  sized.recentNeeds = sized.recentNeeds.filter(
-    ({ at }) => state.now - at < FALL_AFTER_MILLISECONDS,
+  const sizingState = getPoolSizingState(state, pool.name);
+  const dataCentres = listDataCentreStates(state, pool, sizingState);
+  const load = measurePoolLoad(state, pool);
+  sizingState.recentNeeds = sizingState.recentNeeds.filter(
+    ({ at }) => state.now - at < SCALE_IN_DELAY_MILLISECONDS,
   );
-  sized.recentNeeds.push({ at: state.now, need: needNow(state, sized, load, places) });
-  const recent = sized.recentNeeds.filter(
-    ({ at }) => state.now - at < ON_DEMAND_FALL_AFTER_MILLISECONDS,
+  sizingState.recentNeeds.push({
+    at: state.now,
+    need: estimateNeed(state, sizingState, load, dataCentres),
+  });
+  const shortWindowNeeds = sizingState.recentNeeds.filter(
+    ({ at }) => state.now - at < ON_DEMAND_SCALE_IN_DELAY_MILLISECONDS,
   );
-  const need = highestOf(sized.recentNeeds);
-  const needs = { longWindow: need, shortWindow: highestOf(recent) };
-  const wavesLately = countWaves(state, sized, places, sizing);
-  const plan = steady(
+  const need = findHighestNeed(sizingState.recentNeeds);
+  const needs = { longWindow: need, shortWindow: findHighestNeed(shortWindowNeeds) };
+  const recentWaveCount = recordAndCountWaves(state, sizingState, dataCentres, sizing);
+  const plan = recordPlanAndDelayScaleIn(
     state,
-    sized,
-    planSizes({ sizing, needs, dataCentres: places, recentWaveCount: wavesLately }),
+    sizingState,
+    planSizes({ sizing, needs, dataCentres, recentWaveCount }),
   );
   return plan.flatMap((size, position): SingletonEffect[] => {
-    const place = places[position];
-    if (place === undefined) return [];
-    const ordered = sized.acceptedSizes.get(size.dataCentre);
+    const dataCentre = dataCentres[position];
+    if (dataCentre === undefined) return [];
+    const acceptedSize = sizingState.acceptedSizes.get(size.dataCentre);
     // By a list that still fills, on-demand instances would be let go that only are not listed yet.
-    return ordersFor(pool, size)
+    return makeOrders(pool, size)
       .filter((order) => order.reclaimable || state.isListStable)
-      .filter((order) => !isInForce(state, sizing, ordered, place, order))
-      .filter((order) => !(order.reclaimable && place.isClosed))
+      .filter((order) => !isFulfilledOrPending(state, sizing, acceptedSize, dataCentre, order))
+      .filter((order) => !(order.reclaimable && dataCentre.isClosed))
       .flatMap((order): SingletonEffect[] => [
         { type: 'log', event: 'sizeOrdered', fields: { ...order, ...need, ...load } },
         { type: 'orderSize', order, epoch },
@@ -248,19 +268,19 @@
   order: SizeOrder,
   outcome: 'done' | 'refused' | 'failed',
 ): SingletonEffect[] {
-  const sized = poolStateOf(state, order.pool);
+  const sizingState = getPoolSizingState(state, order.pool);
   const { dataCentre, reclaimable, count } = order;
   if (outcome === 'refused') {
-    sized.closedUntil.set(dataCentre, state.now + CLOSED_MILLISECONDS);
+    sizingState.closedUntil.set(dataCentre, state.now + REFUSAL_CLOSURE_MILLISECONDS);
     return [{ type: 'log', event: 'sizeRefused', fields: { ...order } }];
   }
   // What became of a failed order is not known; it is given again with the next plan.
   if (outcome === 'failed') return [];
-  const before = sized.acceptedSizes.get(dataCentre);
-  const told = { count, acceptedAt: state.now };
-  sized.acceptedSizes.set(dataCentre, {
-    ...before,
-    ...(reclaimable ? { reclaimable: told } : { onDemand: told }),
+  const previous = sizingState.acceptedSizes.get(dataCentre);
+  const accepted = { count, acceptedAt: state.now };
+  sizingState.acceptedSizes.set(dataCentre, {
+    ...previous,
+    ...(reclaimable ? { reclaimable: accepted } : { onDemand: accepted }),
   });
   return [];
 }
--- a/packages/controller-core/src/singleton/advanceUsage.ts
+++ b/packages/controller-core/src/singleton/advanceUsage.ts
@@ -8,25 +8,25 @@
 import type { SingletonState, UsageWindow } from './SingletonState.js';
 
 /** After a window's end entries report once more; two reports may be lost on the way. */
-const SETTLE_AFTER_MILLISECONDS: Milliseconds = 3200;
+const WINDOW_SETTLE_DELAY_MILLISECONDS: Milliseconds = 3200;
 
 /** Windows before the last that are looked after: a new holder takes over what was left. */
-const WINDOWS_BACK = 3;
+const PREVIOUS_WINDOWS = 3;
 
-const RETRY_MILLISECONDS: Milliseconds = 1000;
+const RETRY_DELAY_MILLISECONDS: Milliseconds = 1000;
 
-function windowOf(state: SingletonState, number: number): UsageWindow {
-  const known = state.usageWindows.get(number);
-  if (known !== undefined) return known;
-  const made = { counts: undefined, isReported: false, retryAt: Number.NEGATIVE_INFINITY };
-  state.usageWindows.set(number, made);
-  return made;
+function getUsageWindow(state: SingletonState, number: number): UsageWindow {
+  const existing = state.usageWindows.get(number);
+  if (existing !== undefined) return existing;
+  const created = { counts: undefined, isReported: false, retryAt: Number.NEGATIVE_INFINITY };
+  state.usageWindows.set(number, created);
+  return created;
 }
 
 function advanceWindow(state: SingletonState, number: number, epoch: number): SingletonEffect[] {
-  const window = windowOf(state, number);
+  const window = getUsageWindow(state, number);
   if (window.isReported || window.retryAt > state.now) return [];
-  window.retryAt = state.now + RETRY_MILLISECONDS;
+  window.retryAt = state.now + RETRY_DELAY_MILLISECONDS;
   if (window.counts !== undefined) {
     return [{ type: 'reportUsage', window: number, counts: window.counts, epoch }];
   }
@@ -39,11 +39,15 @@
   // A system that is not configured yet has run nothing, and nobody waits for its usage.
   if (state.configuration.revision === 0) return [];
   const { epoch } = state;
-  const last = Math.floor((state.wallNow - SETTLE_AFTER_MILLISECONDS) / usageWindow) - 1;
+  const lastWindow =
+    Math.floor((state.wallNow - WINDOW_SETTLE_DELAY_MILLISECONDS) / usageWindow) - 1;
   [...state.usageWindows.keys()]
-    .filter((number) => number < last - WINDOWS_BACK)
+    .filter((number) => number < lastWindow - PREVIOUS_WINDOWS)
     .forEach((number) => state.usageWindows.delete(number));
-  const numbers = Array.from({ length: WINDOWS_BACK + 1 }, (_, back) => last - WINDOWS_BACK + back);
+  const numbers = Array.from(
+    { length: PREVIOUS_WINDOWS + 1 },
+    (_, offset) => lastWindow - PREVIOUS_WINDOWS + offset,
+  );
   return numbers.flatMap((number) => advanceWindow(state, number, epoch));
 }
 
@@ -53,7 +57,7 @@
   number: number,
   counts: UsageCounts,
 ): SingletonEffect[] {
-  const window = windowOf(state, number);
+  const window = getUsageWindow(state, number);
   window.counts = counts;
   window.retryAt = Number.NEGATIVE_INFINITY;
   return state.epoch === undefined ? [] : advanceWindow(state, number, state.epoch);
--- a/packages/controller-core/src/singleton/reduceSingleton.test.ts
+++ b/packages/controller-core/src/singleton/reduceSingleton.test.ts
@@ -10,7 +10,7 @@
 import type { SingletonEffect, SingletonEventPayload } from './singletonEvents.js';
 import { makeSingletonState } from './SingletonState.js';
 
-const WINDOW = 5000;
+const WINDOW_MILLISECONDS = 5000;
 
 const pool: Pool = {
   name: 'engines',
@@ -53,16 +53,16 @@
 }
 
 /** A process whose clock the test sets; `feed` returns the effects without the log lines. */
-function makeProcess() {
-  const state = makeSingletonState({ usageWindow: WINDOW, ordersInstances: true });
-  return (at: number, occurrence: SingletonEventPayload): SingletonEffect[] =>
-    reduceSingleton(state, { ...occurrence, now: at, wallNow: at }).filter(
+function makeFeed() {
+  const state = makeSingletonState({ usageWindow: WINDOW_MILLISECONDS, ordersInstances: true });
+  return (at: number, payload: SingletonEventPayload): SingletonEffect[] =>
+    reduceSingleton(state, { ...payload, now: at, wallNow: at }).filter(
       ({ type }) => type !== 'log',
     );
 }
 
 test('a window is settled in the log once its reports have come, then reported as settled', () => {
-  const feed = makeProcess();
+  const feed = makeFeed();
   feed(0, { type: 'configurationReceived', configuration });
   feed(0, { type: 'leaseHeld', epoch: 3 });
   feed(4900, { type: 'entryReported', report: makeReport({ laden: 4 }) });
@@ -70,9 +70,9 @@
     feed(6000, { type: 'tick' }).filter(({ type }) => type === 'reportUsage'),
     [],
   );
-  const settles = feed(8300, { type: 'tick' });
+  const effects = feed(8300, { type: 'tick' });
   assert.ok(
-    settles.some(
+    effects.some(
       (effect) => effect.type === 'settleUsage' && effect.window === 0 && effect.counts.laden === 4,
     ),
   );
@@ -87,18 +87,18 @@
 });
 
 test('a report that failed is made again with the same counts', () => {
-  const feed = makeProcess();
+  const feed = makeFeed();
   feed(0, { type: 'configurationReceived', configuration });
   feed(0, { type: 'leaseHeld', epoch: 3 });
   feed(8300, { type: 'usageSettled', window: 0, counts: { laden: 5 } });
-  const again = feed(9400, { type: 'tick' }).filter(({ type }) => type === 'reportUsage');
-  assert.deepEqual(again, [{ type: 'reportUsage', window: 0, counts: { laden: 5 }, epoch: 3 }]);
+  const retries = feed(9400, { type: 'tick' }).filter(({ type }) => type === 'reportUsage');
+  assert.deepEqual(retries, [{ type: 'reportUsage', window: 0, counts: { laden: 5 }, epoch: 3 }]);
 });
 
 // The platform would hear two holders at once. A process that has lost its lease, or never had it,
 // asks for nothing, whatever it hears.
 test('nothing is asked for without the lease', () => {
-  const feed = makeProcess();
+  const feed = makeFeed();
   const instances = [
     {
       instance: 'i-1',
@@ -123,7 +123,7 @@
 });
 
 test('an order that was refused is given again after a while, one that was taken is not', () => {
-  const feed = makeProcess();
+  const feed = makeFeed();
   const instances = [0, 1].map((number) => ({
     instance: `i-${number}`,
     dataCentre: 'a',
@@ -136,21 +136,25 @@
   feed(0, { type: 'configurationReceived', configuration });
   feed(0, { type: 'leaseHeld', epoch: 1 });
   feed(0, { type: 'instancesListed', instances });
-  const first = feed(3000, { type: 'instancesListed', instances });
-  first.forEach((effect) => {
+  const firstOrders = feed(3000, { type: 'instancesListed', instances });
+  firstOrders.forEach((effect) => {
     if (effect.type !== 'orderSize') return;
     const outcome = effect.order.reclaimable ? 'refused' : 'done';
     feed(3010, { type: 'sizeOrdered', order: effect.order, outcome });
   });
-  const soon = feed(4000, { type: 'instancesListed', instances });
-  assert.ok(soon.every((effect) => effect.type === 'orderSize' && !effect.order.reclaimable));
-  const later = feed(7000, { type: 'instancesListed', instances });
-  assert.ok(later.some((effect) => effect.type === 'orderSize' && effect.order.reclaimable));
+  const ordersDuringClosure = feed(4000, { type: 'instancesListed', instances });
+  assert.ok(
+    ordersDuringClosure.every((effect) => effect.type === 'orderSize' && !effect.order.reclaimable),
+  );
+  const ordersAfterClosure = feed(7000, { type: 'instancesListed', instances });
+  assert.ok(
+    ordersAfterClosure.some((effect) => effect.type === 'orderSize' && effect.order.reclaimable),
+  );
 });
 
 /** A process that holds the lease, and whose orders all succeed; `list` returns the new ones. */
-function makeBuyer() {
-  const feed = makeProcess();
+function makeLeaseHolder() {
+  const feed = makeFeed();
   feed(0, { type: 'configurationReceived', configuration });
   feed(0, { type: 'leaseHeld', epoch: 1 });
   const list = (at: number, reclaimable: Record<string, number>, onDemand = {}): string[] => {
@@ -188,10 +192,10 @@
 // data centre; the platform starts no others for an order that it carried out before. So once
 // those ordered should have come and have not, the order is given again.
 test('what a wave has taken is ordered again', () => {
-  const { list } = makeBuyer();
-  const first = list(0, {}, { a: 1, b: 1 });
+  const { list } = makeLeaseHolder();
+  const firstOrders = list(0, {}, { a: 1, b: 1 });
   list(1000, {}, { a: 1, b: 1 });
-  assert.ok(first.includes('a reclaimable 1') && first.includes('b reclaimable 1'));
+  assert.ok(firstOrders.includes('a reclaimable 1') && firstOrders.includes('b reclaimable 1'));
   list(6000, { a: 1, b: 1 });
   assert.deepEqual(list(20_000, { a: 1, b: 1 }), []);
   assert.deepEqual(
@@ -207,7 +211,7 @@
 // Reclaimable engines take over from on-demand ones before any demand is known. For a moment both
 // are there; taken for twice the need, twice as many would be ordered and paid for.
 test('both kinds that are there during a change are not added up', () => {
-  const { list } = makeBuyer();
+  const { list } = makeLeaseHolder();
   list(0, {}, { a: 2, b: 2 });
   list(1000, {}, { a: 2, b: 2 });
   const orders = list(7000, { a: 2, b: 2 }, { a: 1, b: 1 });
@@ -221,9 +225,9 @@
 // over are ordered at once; by the first few that are listed, the others would be let go too early,
 // and the first callers find too few engines.
 test('no on-demand instance is let go by a list that still grows', () => {
-  const { list } = makeBuyer();
-  const first = list(0, {}, { a: 1 });
-  assert.ok(first.length > 0 && first.every((order) => order.includes('reclaimable')));
+  const { list } = makeLeaseHolder();
+  const firstOrders = list(0, {}, { a: 1 });
+  assert.ok(firstOrders.length > 0 && firstOrders.every((order) => order.includes('reclaimable')));
   assert.ok(list(1000, {}, { a: 2 }).every((order) => order.includes('reclaimable')));
   list(2000, {}, { a: 2, b: 1 });
   assert.ok(list(3000, {}, { a: 2, b: 1 }).some((order) => order.includes('onDemand')));
--- a/packages/controller-core/src/singleton/reduceSingleton.ts
+++ b/packages/controller-core/src/singleton/reduceSingleton.ts
@@ -8,14 +8,14 @@
 import type { SingletonEffect, SingletonEvent } from './singletonEvents.js';
 import type { SingletonState } from './SingletonState.js';
 
-function noteEntry(state: SingletonState, report: EntryReport): void {
+function receiveEntryReport(state: SingletonState, report: EntryReport): void {
   state.entryReports.set(report.instance, { report, receivedAt: state.now });
   state.usage.receive(report);
   if ((report.demand ?? []).length > 0) state.firstDemandAt ??= state.now;
 }
 
 /** The list fills while the instances of a system that starts come up, for several seconds. */
-function noteList(state: SingletonState, instances: readonly PlatformInstance[]): void {
+function receiveInstanceList(state: SingletonState, instances: readonly PlatformInstance[]): void {
   state.instances = instances;
   if (instances.length === 0) return;
   state.isListStable ||= instances.length <= state.previousListLength;
@@ -32,13 +32,13 @@
       state.configuration = event.configuration;
       return [];
     case 'entryReported':
-      noteEntry(state, event.report);
+      receiveEntryReport(state, event.report);
       return [];
     case 'usageTold':
       event.usage.forEach((usage) => state.usage.receive(usage));
       return [];
     case 'instancesListed':
-      noteList(state, event.instances);
+      receiveInstanceList(state, event.instances);
       return advanceSizes(state);
     case 'leaseHeld':
       state.epoch = event.epoch;
--- a/packages/controller-core/src/sizing/computeInstanceNeed.test.ts
+++ b/packages/controller-core/src/sizing/computeInstanceNeed.test.ts
@@ -13,11 +13,11 @@
 // Callers come at four times their usual rate for ten seconds. By the rate of ten seconds the engines
 // for them would serve when the rush is over.
 test('a rush counts by the rate of the last few seconds', () => {
-  const usual = measureLoad([{ ...report, recentPerSecond: 10 }], 64);
-  const rush = measureLoad([{ ...report, recentPerSecond: 40 }], 64);
-  assert.deepEqual(usual, { places: 0.25, prompts: 1 });
-  assert.deepEqual(rush, { places: 1, prompts: 4 });
-  assert.ok(computeInstanceNeed(rush).afterLoss > computeInstanceNeed(usual).afterLoss);
+  const usualLoad = measureLoad([{ ...report, recentPerSecond: 10 }], 64);
+  const rushLoad = measureLoad([{ ...report, recentPerSecond: 40 }], 64);
+  assert.deepEqual(usualLoad, { places: 0.25, prompts: 1 });
+  assert.deepEqual(rushLoad, { places: 1, prompts: 4 });
+  assert.ok(computeInstanceNeed(rushLoad).afterLoss > computeInstanceNeed(usualLoad).afterLoss);
 });
 
 // A lull of a few seconds between two rushes lets nothing go, and an entry of an older version that
--- a/packages/controller-core/src/sizing/computeInstanceNeed.ts
+++ b/packages/controller-core/src/sizing/computeInstanceNeed.ts
@@ -10,8 +10,8 @@
  * Shares of an engine that may be in use. The time for a prompt is learnt from first tokens and holds
  * what it waits for others, so it is longer than the mere computing, and the shares are higher.
  */
-const NORMAL_SHARES = { places: 0.3, prompts: 0.65 } as const;
-const AFTER_LOSS_SHARES = { places: 0.5, prompts: 0.95 } as const;
+const MAX_UTILIZATION = { places: 0.3, prompts: 0.65 } as const;
+const MAX_UTILIZATION_AFTER_LOSS = { places: 0.5, prompts: 0.95 } as const;
 
 const MILLISECONDS_PER_SECOND = 1000;
 
@@ -23,7 +23,7 @@
 
 type RateOf = (report: RouteDemandReport) => number;
 
-function loadAt(
+function computeLoad(
   demand: readonly RouteDemandReport[],
   concurrency: number,
   rateOf: RateOf,
@@ -43,22 +43,28 @@
  * seconds to start, and a rush may last no longer than it takes to show in ten.
  */
 export function measureLoad(demand: readonly RouteDemandReport[], concurrency: number): PoolLoad {
-  const steady = loadAt(demand, concurrency, ({ requestsPerSecond }) => requestsPerSecond);
-  const recent = loadAt(demand, concurrency, ({ recentPerSecond = 0 }) => recentPerSecond);
+  const longTermLoad = computeLoad(
+    demand,
+    concurrency,
+    ({ requestsPerSecond }) => requestsPerSecond,
+  );
+  const recentLoad = computeLoad(demand, concurrency, ({ recentPerSecond = 0 }) => recentPerSecond);
   return {
-    places: Math.max(steady.places, recent.places),
-    prompts: Math.max(steady.prompts, recent.prompts),
+    places: Math.max(longTermLoad.places, recentLoad.places),
+    prompts: Math.max(longTermLoad.prompts, recentLoad.prompts),
   };
 }
 
-function instancesFor(load: PoolLoad, shares: PoolLoad): number {
-  return Math.ceil(Math.max(load.places / shares.places, load.prompts / shares.prompts));
+function countInstances(load: PoolLoad, maxUtilization: PoolLoad): number {
+  return Math.ceil(
+    Math.max(load.places / maxUtilization.places, load.prompts / maxUtilization.prompts),
+  );
 }
 
 /** The instances that a load needs. */
 export function computeInstanceNeed(load: PoolLoad): InstanceNeed {
   return {
-    normal: instancesFor(load, NORMAL_SHARES),
-    afterLoss: instancesFor(load, AFTER_LOSS_SHARES),
+    normal: countInstances(load, MAX_UTILIZATION),
+    afterLoss: countInstances(load, MAX_UTILIZATION_AFTER_LOSS),
   };
 }
--- a/packages/controller-core/src/sizing/planSizes.ts
+++ b/packages/controller-core/src/sizing/planSizes.ts
@@ -55,73 +55,84 @@
   readonly onDemand: number;
 }
 
-interface Draft {
-  readonly place: DataCentreState;
-  readonly price: number;
+interface DraftSize {
+  readonly listed: DataCentreState;
+  readonly relativePrice: number;
   reclaimable: number;
   onDemand: number;
 }
 
-function sumOf(drafts: readonly Draft[], pick: (draft: Draft) => number): number {
-  return drafts.reduce((sum, draft) => sum + pick(draft), 0);
+function sumBy(drafts: readonly DraftSize[], valueOf: (draft: DraftSize) => number): number {
+  return drafts.reduce((sum, draft) => sum + valueOf(draft), 0);
 }
 
-function byPrice(drafts: readonly Draft[]): Draft[] {
-  return [...drafts].sort((a, b) => a.price - b.price);
+function sortByPrice(drafts: readonly DraftSize[]): DraftSize[] {
+  return [...drafts].sort((a, b) => a.relativePrice - b.relativePrice);
 }
 
 /** The place with fewest, the cheapest of several: an even spread bounds the largest loss. */
-function emptiest(drafts: readonly Draft[], pick: (draft: Draft) => number): Draft | undefined {
-  return byPrice(drafts).sort((a, b) => pick(a) - pick(b))[0];
+function findSmallest(
+  drafts: readonly DraftSize[],
+  countOf: (draft: DraftSize) => number,
+): DraftSize | undefined {
+  return sortByPrice(drafts).sort((a, b) => countOf(a) - countOf(b))[0];
 }
 
 /**
  * Waves after which the reclaimable instances are still enough, if none come back in between: where
  * they are cheap, another of them costs a fraction of the on-demand one that it makes good.
  */
-const WAVES_HELD_FOR_WHILE_CHEAP = 2;
-const WAVES_HELD_FOR = 1;
+const WAVES_COVERED_WHILE_CHEAP = 2;
+const WAVES_COVERED = 1;
 
 /** Of the price of an on-demand instance. */
-const CHEAP_SHARE = 0.5;
+const MAX_CHEAP_FRACTION_OF_ON_DEMAND_PRICE = 0.5;
 
 /** Where few data centres give any now, nothing would be left after the waves, however many are held. */
-const MOST_HELD_OF_NEED = 3;
+const MAX_RECLAIMABLE_MULTIPLE_OF_NEED = 3;
 
 /** Instances of the data centres that have most of them. */
-function countLargest(counts: readonly number[], waves: number): number {
+function countInLargestDataCentres(counts: readonly number[], waves: number): number {
   return [...counts]
     .sort((a, b) => b - a)
     .slice(0, waves)
     .reduce((sum, count) => sum + count, 0);
 }
 
-function isEnough(drafts: readonly Draft[], need: InstanceNeed, price: number): boolean {
+function isReclaimableEnough(
+  drafts: readonly DraftSize[],
+  need: InstanceNeed,
+  reclaimablePriceFraction: number,
+): boolean {
   const counts = drafts.map(({ reclaimable }) => reclaimable);
-  const total = sumOf(drafts, (draft) => draft.reclaimable);
+  const total = sumBy(drafts, (draft) => draft.reclaimable);
   if (total < need.normal) return false;
-  const left = (waves: number) => total - countLargest(counts, waves);
-  if (left(WAVES_HELD_FOR) < need.afterLoss) return false;
-  if (price > CHEAP_SHARE || total >= MOST_HELD_OF_NEED * need.afterLoss) return true;
-  const waves = Math.min(WAVES_HELD_FOR_WHILE_CHEAP, Math.floor(drafts.length / 2));
-  return left(waves) >= need.afterLoss;
+  const countRemainingAfter = (waves: number) => total - countInLargestDataCentres(counts, waves);
+  if (countRemainingAfter(WAVES_COVERED) < need.afterLoss) return false;
+  if (
+    reclaimablePriceFraction > MAX_CHEAP_FRACTION_OF_ON_DEMAND_PRICE ||
+    total >= MAX_RECLAIMABLE_MULTIPLE_OF_NEED * need.afterLoss
+  )
+    return true;
+  const waves = Math.min(WAVES_COVERED_WHILE_CHEAP, Math.floor(drafts.length / 2));
+  return countRemainingAfter(waves) >= need.afterLoss;
 }
 
 /** A place without more to give counts with what it has: an order for fewer would end those. */
 function spreadReclaimable(
-  drafts: readonly Draft[],
+  drafts: readonly DraftSize[],
   { sizing, needs: { longWindow: need } }: SizeRequest,
 ): void {
-  const price = sizing.reclaimableShare ?? 1;
+  const reclaimablePriceFraction = sizing.reclaimableShare ?? 1;
   drafts.forEach((draft) => {
-    const { isClosed, reclaimable } = draft.place;
+    const { isClosed, reclaimable } = draft.listed;
     draft.reclaimable = isClosed ? reclaimable : Math.min(sizing.least, sizing.most);
   });
-  while (!isEnough(drafts, need, price)) {
-    const open = drafts.filter(
-      ({ place, reclaimable }) => !place.isClosed && reclaimable < sizing.most,
+  while (!isReclaimableEnough(drafts, need, reclaimablePriceFraction)) {
+    const expandable = drafts.filter(
+      ({ listed, reclaimable }) => !listed.isClosed && reclaimable < sizing.most,
     );
-    const next = emptiest(open, (draft) => draft.reclaimable);
+    const next = findSmallest(expandable, (draft) => draft.reclaimable);
     if (next === undefined) return;
     next.reclaimable += 1;
   }
@@ -132,68 +143,73 @@
  * after it comes too late for it. While the platform has none to give, as many as came within the time
  * of two starts.
  */
-function countWavesAhead(drafts: readonly Draft[], wavesLately: number): number {
-  const isShort = drafts.some(({ place }) => place.isClosed);
-  return isShort ? Math.max(1, wavesLately) : 1;
+function countWavesToCover(drafts: readonly DraftSize[], recentWaveCount: number): number {
+  const isAnyClosed = drafts.some(({ listed }) => listed.isClosed);
+  return isAnyClosed ? Math.max(1, recentWaveCount) : 1;
 }
 
 /** What the reclaimable instances that serve now would lack after the waves that may follow. */
-function countLacking(
-  drafts: readonly Draft[],
-  { sizing, needs: { shortWindow: need }, recentWaveCount: wavesLately = 0 }: SizeRequest,
+function countRequiredOnDemand(
+  drafts: readonly DraftSize[],
+  { sizing, needs: { shortWindow: need }, recentWaveCount = 0 }: SizeRequest,
 ): number {
   if (sizing.reclaimableShare === undefined) return Math.max(need.normal, need.afterLoss);
-  const serving = sumOf(drafts, ({ place }) => place.reclaimable);
-  const counts = drafts.map(({ place }) => place.reclaimable);
-  const atRisk = countLargest(counts, countWavesAhead(drafts, wavesLately));
-  return Math.max(0, need.afterLoss - (serving - atRisk));
+  const servingCount = sumBy(drafts, ({ listed }) => listed.reclaimable);
+  const countsByDataCentre = drafts.map(({ listed }) => listed.reclaimable);
+  const countAtRisk = countInLargestDataCentres(
+    countsByDataCentre,
+    countWavesToCover(drafts, recentWaveCount),
+  );
+  return Math.max(0, need.afterLoss - (servingCount - countAtRisk));
 }
 
 /** Starts from the last plan; adds where instances are there already, then where they are cheap. */
-function fillOnDemand(drafts: readonly Draft[], request: SizeRequest): void {
+function planOnDemand(drafts: readonly DraftSize[], request: SizeRequest): void {
   const { sizing } = request;
-  const lacking = countLacking(drafts, request);
+  const requiredOnDemand = countRequiredOnDemand(drafts, request);
   drafts.forEach((draft) => {
-    draft.onDemand = Math.min(draft.place.orderedOnDemand, sizing.most);
+    draft.onDemand = Math.min(draft.listed.orderedOnDemand, sizing.most);
   });
-  const total = () => sumOf(drafts, (draft) => draft.onDemand);
-  while (total() > lacking) {
-    const dearest = byPrice(drafts.filter(({ onDemand }) => onDemand > 0)).at(-1);
-    if (dearest === undefined) return;
-    dearest.onDemand -= 1;
+  const countOnDemand = () => sumBy(drafts, (draft) => draft.onDemand);
+  while (countOnDemand() > requiredOnDemand) {
+    const mostExpensive = sortByPrice(drafts.filter(({ onDemand }) => onDemand > 0)).at(-1);
+    if (mostExpensive === undefined) return;
+    mostExpensive.onDemand -= 1;
   }
-  while (total() < lacking) {
-    const serving = ({ place, onDemand }: Draft) => place.reclaimable + onDemand;
-    const open = drafts.filter((draft) => serving(draft) < sizing.most);
-    const there = open.filter(({ place, onDemand }) => onDemand < place.onDemand);
-    const next = byPrice(there)[0] ?? emptiest(open, serving);
+  while (countOnDemand() < requiredOnDemand) {
+    const countInstances = ({ listed, onDemand }: DraftSize) => listed.reclaimable + onDemand;
+    const expandable = drafts.filter((draft) => countInstances(draft) < sizing.most);
+    const withUnplannedInstances = expandable.filter(
+      ({ listed, onDemand }) => onDemand < listed.onDemand,
+    );
+    const next = sortByPrice(withUnplannedInstances)[0] ?? findSmallest(expandable, countInstances);
     if (next === undefined) return;
     next.onDemand += 1;
   }
 }
 
 /** The platform bounds both kinds together. */
-function keepBounds(drafts: readonly Draft[], { sizing }: SizeRequest): void {
+function enforceBounds(drafts: readonly DraftSize[], { sizing }: SizeRequest): void {
   drafts.forEach((draft) => {
-    const least = sizing.least - draft.reclaimable;
-    draft.onDemand = Math.max(draft.onDemand, least);
+    const minOnDemand = sizing.least - draft.reclaimable;
+    draft.onDemand = Math.max(draft.onDemand, minOnDemand);
     draft.reclaimable = Math.min(draft.reclaimable, sizing.most - draft.onDemand);
   });
 }
 
 export function planSizes(request: SizeRequest): DataCentreSize[] {
-  const { sizing, dataCentres: places } = request;
-  const drafts = places.map((place) => ({
-    place,
-    price: sizing.prices[place.dataCentre] ?? 1,
+  const { sizing, dataCentres } = request;
+  const drafts = dataCentres.map((listed) => ({
+    listed,
+    relativePrice: sizing.prices[listed.dataCentre] ?? 1,
     reclaimable: 0,
     onDemand: 0,
   }));
   if (sizing.reclaimableShare !== undefined) spreadReclaimable(drafts, request);
-  fillOnDemand(drafts, request);
-  keepBounds(drafts, request);
-  return drafts.map(({ place, reclaimable, onDemand }) => ({
-    dataCentre: place.dataCentre,
+  planOnDemand(drafts, request);
+  enforceBounds(drafts, request);
+  return drafts.map(({ listed, reclaimable, onDemand }) => ({
+    dataCentre: listed.dataCentre,
     reclaimable,
     onDemand,
   }));
--- a/packages/controller-core/src/testing/ControllerHarness.ts
+++ b/packages/controller-core/src/testing/ControllerHarness.ts
@@ -19,7 +19,7 @@
 type EventFields<Event> = Event extends ControllerEvent ? Omit<Event, 'now' | 'wallNow'> : never;
 
 /** 11:00 in Vienna, in winter. */
-const STARTED_AT = Date.UTC(2026, 0, 15, 10);
+const START_WALL_TIME = Date.UTC(2026, 0, 15, 10);
 
 export const dataCentres = ['wien-a', 'wien-b', 'stpoelten', 'eisenstadt'];
 
@@ -104,7 +104,7 @@
   }
 
   get wallNow(): number {
-    return STARTED_AT + this.now;
+    return START_WALL_TIME + this.now;
   }
 
   dispatch(fields: EventFields<ControllerEvent>): ControllerEffect[] {
@@ -113,18 +113,18 @@
   }
 
   /** Moves time on by whole seconds; in each, everybody reports and then a tick comes. */
-  advance(span: Milliseconds): ControllerEffect[] {
+  advance(duration: Milliseconds): ControllerEffect[] {
     const effects: ControllerEffect[] = [];
-    for (const end = this.now + span; this.now < end;) {
+    for (const end = this.now + duration; this.now < end;) {
       this.now += 1000;
-      effects.push(...this.hearAll(), ...this.dispatch({ type: 'tick' }));
+      effects.push(...this.deliverReports(), ...this.dispatch({ type: 'tick' }));
     }
     return effects;
   }
 
   /** Takes the lease and waits until a new holder may buy; returns what it did meanwhile. */
   acquireLease(epoch = 1, unfencedFrom = this.now): ControllerEffect[] {
-    this.hearAll();
+    this.deliverReports();
     const effects = this.dispatch({ type: 'leaseHeld', epoch, unfencedFrom });
     return [...effects, ...this.advance(this.state.policy.takeoverPurchaseDelay)];
   }
@@ -168,25 +168,25 @@
     return this.dispatch({ type: 'orderAnswered', instance, epoch, sequence, outcome });
   }
 
-  private hearAll(): ControllerEffect[] {
+  private deliverReports(): ControllerEffect[] {
     const demand = [
       { route: 'appraisals', requestsPerSecond: this.requestsPerSecond, serviceMilliseconds: 1000 },
     ];
     if (this.requestsPerSecond > 0)
       this.dispatch({ type: 'demandReported', entry: 'entry-1', demand });
-    if (this.peersReachable) this.hearPeers();
+    if (this.peersReachable) this.deliverPeerReports();
     const { listedInstances: rows } = this;
     if (rows === undefined) return [];
     const effects = this.dispatch({ type: 'platformListed', instances: rows });
     if (!this.deliversLoadReports) return effects;
     rows
       .filter(({ dataCentre }) => dataCentre === this.state.dataCentre)
-      .forEach(({ instance }) => this.report(instance));
+      .forEach(({ instance }) => this.deliverLoadReport(instance));
     return effects;
   }
 
   /** The other controllers report their demand and what the list shows as live. */
-  private hearPeers(): void {
+  private deliverPeerReports(): void {
     this.pool.dataCentres.forEach((dataCentre) => {
       const instances = (this.listedInstances ?? []).filter(
         (listed) => listed.dataCentre === dataCentre && listed.state === 'live',
@@ -205,10 +205,16 @@
     });
   }
 
-  private report(instance: string): void {
-    const running = this.runningCalls.get(instance) ?? 0;
+  private deliverLoadReport(instance: string): void {
+    const callCount = this.runningCalls.get(instance) ?? 0;
     const measuredAt = this.wallNow + this.serverClockOffset;
-    const report = { instance, measuredAt, running, queued: 0, ...this.loadedModels.get(instance) };
+    const report = {
+      instance,
+      measuredAt,
+      running: callCount,
+      queued: 0,
+      ...this.loadedModels.get(instance),
+    };
     this.dispatch({ type: 'loadReported', report });
   }
 }
--- a/packages/controller-core/src/usage/UsageLedger.ts
+++ b/packages/controller-core/src/usage/UsageLedger.ts
@@ -6,15 +6,15 @@
 import type { EntryReport, EntryUsage, UsageCounts } from '@hornbeampond/schema';
 
 /** Windows that are kept; older ones have been settled or are too late to be of use. */
-const KEPT_WINDOWS = 12;
+const RETAINED_WINDOWS = 12;
 
 /** Words that came by two ways may overtake each other. */
-function largerOf(known: UsageCounts, told: UsageCounts): UsageCounts {
-  const larger: Record<string, number> = { ...known };
-  Object.entries(told).forEach(([workspace, count]) => {
-    larger[workspace] = Math.max(count, larger[workspace] ?? 0);
+function mergeHighest(previous: UsageCounts, received: UsageCounts): UsageCounts {
+  const merged: Record<string, number> = { ...previous };
+  Object.entries(received).forEach(([workspace, count]) => {
+    merged[workspace] = Math.max(count, merged[workspace] ?? 0);
   });
-  return larger;
+  return merged;
 }
 
 export class UsageLedger {
@@ -23,14 +23,14 @@
 
   /** Takes in counts, of which a later word never tells less. */
   receive({ instance, incarnation, begun = {} }: EntryUsage | EntryReport): void {
-    const start = `${instance}/${incarnation}`;
+    const entryRun = `${instance}/${incarnation}`;
     Object.entries(begun).forEach(([number, counts]) => {
       const window = Number(number);
-      const starts = this.windows.get(window) ?? new Map<string, UsageCounts>();
-      starts.set(start, largerOf(starts.get(start) ?? {}, counts));
-      this.windows.set(window, starts);
+      const countsByRun = this.windows.get(window) ?? new Map<string, UsageCounts>();
+      countsByRun.set(entryRun, mergeHighest(countsByRun.get(entryRun) ?? {}, counts));
+      this.windows.set(window, countsByRun);
     });
-    this.forgetOld();
+    this.removeOldWindows();
   }
 
   /** What all entries are known to have begun in a window, by workspace in order of name. */
@@ -44,10 +44,10 @@
     return Object.fromEntries([...sums].sort(([a], [b]) => (a < b ? -1 : 1)));
   }
 
-  private forgetOld(): void {
+  private removeOldWindows(): void {
     const newest = Math.max(...this.windows.keys());
     [...this.windows.keys()]
-      .filter((window) => window <= newest - KEPT_WINDOWS)
+      .filter((window) => window <= newest - RETAINED_WINDOWS)
       .forEach((window) => this.windows.delete(window));
   }
 }
