--- a/packages/controller-core/src/planning/PoolPlan.ts
+++ b/packages/controller-core/src/planning/PoolPlan.ts
@@ -1,8 +1,11 @@
-/** What a pool should have, and the figures that it was planned from. */
+/**
+ * The plan of a pool: the instances it should have at each place, and the need that the plan is
+ * based on.
+ */
 import type { Euros, Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { Mix } from './chooseMix.js';
 
-/** Instances of one class in one data centre. */
+/** A place (one instance class in one data centre) and the number of instances wanted there. */
 export interface PlannedPlace {
   readonly dataCentre: string;
   readonly instanceClass: string;
@@ -12,38 +15,49 @@
   readonly wanted: number;
 }
 
-/** Places for requests that the deadlines ask for. */
+/** Slots (requests in progress at full speed) that are needed to meet the deadlines. */
 export interface SlotNeed {
-  /** While all capacity stands. */
+  /** While no capacity is lost. */
   readonly normal: number;
-  /** Just after the loss that is planned for. */
+  /** Right after the loss that is planned for. */
   readonly afterLoss: number;
 }
 
+/** The need at the time of planning, and the demand it was computed from. */
 export interface NeedEstimate extends SlotNeed {
+  /** Measured rate, without headroom. */
   readonly requestsPerSecond: number;
+  /** Highest rate expected between now and the end of a start, with headroom. */
   readonly forecastPerSecond: number;
+  /** Measured mean time in service. */
   readonly serviceMilliseconds: number;
-  /** The shortest wait for a place that any of the pool's routes allows. */
+  /** The shortest wait for a slot that any of the pool's routes allows. */
   readonly shortestAllowedWait: Milliseconds;
 }
 
 export interface PoolPlan {
   readonly pool: string;
   readonly places: readonly PlannedPlace[];
-  /** What the deadlines ask for at this moment. */
   readonly currentEstimate: NeedEstimate;
-  /** What was planned for: the highest need of the last while and of the time ahead. */
+  /** The need that is planned for: the highest of `recentNeeds`. */
   readonly need: SlotNeed;
-  /** Slots kept beyond the need while instances wait for another version. */
+  /** Slots planned on top of the need while instances wait to load another version. */
   readonly rolloutSlots: number;
-  /** Share of the reclaimable slots that the largest remembered wave took. */
+  /**
+   * Largest fraction of the reclaimable slots taken by one recent wave over several data centres.
+   */
   readonly waveLossFraction: number;
-  /** Slots that the plan lacks because of `most` or because nothing more can be bought. */
+  /**
+   * Slots missing from the plan, normally and after the planned loss together. The pool's `most`
+   * and closed places are the usual reasons.
+   */
   readonly missingSlots: number;
   readonly eurosPerHour: Euros;
-  /** What the mix was chosen for, and the choice: the same question is not searched again. */
+  /** The last request to `chooseMix` and its result, so that the same search is not repeated. */
   readonly cachedChoice: { readonly requestJson: string; readonly mix: Mix };
-  /** Needs of the last minutes, one a minute; scaling in waits until all of them are lower. */
+  /**
+   * Highest need in each of the last minutes, forecast included. The planned need falls only after
+   * all of them are lower.
+   */
   readonly recentNeeds: readonly (SlotNeed & { readonly at: MonotonicMilliseconds })[];
 }
--- a/packages/controller-core/src/planning/chooseMix.test.ts
+++ b/packages/controller-core/src/planning/chooseMix.test.ts
@@ -4,7 +4,9 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { chooseMix, countMixSlots, type MixRequest, type Offer } from './chooseMix.js';
 
-/** Three data centres with a reclaimable class each, and one on-demand offer. */
+/**
+ * Returns a request with three reclaimable offers, one per data centre, and one on-demand offer.
+ */
 function randomRequest(seed: number): MixRequest {
   const generator = xoroshiro128plus(seed);
   const pick = (from: number, to: number) => uniformInt(generator, from, to);
@@ -44,7 +46,7 @@
   return Math.max(0, request.need.normal - totalSlots) + missingAfterLoss;
 }
 
-/** Cost of the cheapest mix that lacks the fewest slots, by trying all. */
+/** Returns the lowest comparison price among all mixes with the fewest missing slots. */
 function findCheapestByExhaustiveSearch(request: MixRequest): {
   readonly comparisonEurosPerHour: number;
   readonly missingSlots: number;
@@ -73,23 +75,27 @@
   return best;
 }
 
-test('the mix lacks as little as any, and is nearly always the cheapest of those', () => {
+test('the mix has the fewest missing slots possible and is nearly always the cheapest such mix', () => {
   let moreExpensiveCount = 0;
   for (let seed = 1; seed <= 60; seed += 1) {
     const request = randomRequest(seed);
     const mix = chooseMix(request);
     const best = findCheapestByExhaustiveSearch(request);
-    assert.equal(mix.missingSlots, best.missingSlots, `seed ${seed} lacks slots`);
+    assert.equal(
+      mix.missingSlots,
+      best.missingSlots,
+      `seed ${seed}: more slots are missing than necessary`,
+    );
     assert.ok(
       mix.comparisonEurosPerHour <= best.comparisonEurosPerHour * 1.25,
-      `seed ${seed}: ${mix.comparisonEurosPerHour}`,
+      `seed ${seed}: ${mix.comparisonEurosPerHour} is too expensive`,
     );
     if (mix.comparisonEurosPerHour > best.comparisonEurosPerHour) moreExpensiveCount += 1;
   }
-  assert.ok(moreExpensiveCount <= 6, `${moreExpensiveCount} of 60 were dearer than the best`);
+  assert.ok(moreExpensiveCount <= 6, `${moreExpensiveCount} of 60 cost more than the cheapest mix`);
 });
 
-test('an instance that is there is kept unless another place is much cheaper', () => {
+test('a present instance is kept unless another place is much cheaper', () => {
   const offer = (dataCentre: string, price: number, kept: number): Offer => ({
     dataCentre,
     instanceClass: 'firm',
--- a/packages/controller-core/src/planning/chooseMix.ts
+++ b/packages/controller-core/src/planning/chooseMix.ts
@@ -1,63 +1,69 @@
 /**
- * Chooses the cheapest mix of data centres, classes, reclaimable and on-demand instances that
- * meets the deadline even right after the loss of any one data centre's reclaimable instances, or
- * of a wave as large as one seen lately.
+ * Chooses a cheap mix of instances over all places that covers the need as far as possible, also
+ * right after the planned loss: the reclaimable instances of any one data centre, or a reclaim wave
+ * as large as a recent one.
  *
- * The search tries amounts of on-demand capacity and bounds on the reclaimable capacity in any
- * one data centre; for each pair the cheapest places are filled in order of price a slot. It is
- * deterministic, so that all controllers with the same figures find the same mix.
+ * The search combines candidate amounts of on-demand slots with candidate limits on the reclaimable
+ * slots of a data centre. For each pair it fills the places in order of the price per slot. It is a
+ * deterministic heuristic: the same request gives the same mix in all controllers.
  */
 import type { Euros } from '@hornbeampond/schema';
 import type { SlotNeed } from './PoolPlan.js';
 
-/** A data centre and class that instances may be kept or bought at. */
+/** A place (one instance class in one data centre) where instances can be kept or bought. */
 export interface Offer {
   readonly dataCentre: string;
   readonly instanceClass: string;
   readonly reclaimable: boolean;
   readonly slotsPerInstance: number;
   readonly eurosPerHour: Euros;
-  /** Price that it is compared by; higher than what is paid where waves were seen. */
+  /** Price used for comparison, increased for each recent reclaim wave at the place. */
   readonly riskAdjustedEurosPerHour: Euros;
-  /** Instances that are there. */
+  /** Instances that are kept, plus unanswered starts. */
   readonly presentCount: number;
-  /** True if no more can be bought for now. */
+  /** True if no more instances can be bought for now. */
   readonly closed: boolean;
 }
 
 export interface MixRequest {
   readonly offers: readonly Offer[];
   readonly need: SlotNeed;
-  /** Share of all reclaimable slots that one wave may take. */
+  /** Fraction of all reclaimable slots that one wave is assumed to take. */
   readonly waveLossFraction: number;
-  /** Fewest and most instances over all data centres. */
+  /** Limits on the number of instances over all data centres. */
   readonly minInstances: number;
   readonly maxInstances: number;
-  /** An instance that is there is compared at a price lower by this share. */
+  /** Fraction by which the comparison price of a present instance is reduced. */
   readonly retentionDiscount: number;
 }
 
 export interface Mix {
-  /** Instances wanted by offer, in the order of the offers. */
+  /** Instances wanted at each offer, in the order of the offers. */
   readonly counts: readonly number[];
+  /** Slots missing normally, plus those missing after the planned loss. */
   readonly missingSlots: number;
   readonly comparisonEurosPerHour: Euros;
 }
 
-/** At most this many amounts are tried of each kind; above it, they are spaced evenly. */
+/** Limits the candidates of each kind; a larger range is divided into this many equal steps. */
 const MAX_CANDIDATE_STEPS = 24;
 
-/** Against a wave that takes everything, no number of reclaimable instances helps. */
+/**
+ * Avoids a division by zero for a wave that takes all reclaimable slots: no number of them would
+ * help.
+ */
 const MIN_FRACTION_LEFT_BY_WAVE = 0.05;
 
-/** Units of one offer at one price. */
+/** Instances of one offer that have the same comparison price. */
 interface PriceTier {
   readonly offer: Offer;
+  /** Index of the offer. */
   readonly position: number;
   readonly eurosPerHour: Euros;
   readonly instanceCount: number;
 }
 
+/** Returns the present and the additional instances of each offer, lowest price per slot first. */
 function listPriceTiers(request: MixRequest): PriceTier[] {
   const tiers = request.offers.flatMap((offer, position) => [
     {
@@ -82,7 +88,10 @@
     );
 }
 
-/** Takes the cheapest units until there are enough slots, at most `bound` in a data centre. */
+/**
+ * Adds instances to `counts` in the order of the tiers until `targetSlots` is reached, within the
+ * limit per data centre. Returns the slots added.
+ */
 function addCheapestInstances(
   tiers: readonly PriceTier[],
   counts: number[],
@@ -108,7 +117,7 @@
   return totalSlots;
 }
 
-/** Slots in all, and the most that one loss of the planned kind can take. */
+/** Counts the slots of a mix, and the most that one planned loss takes of them. */
 export function countMixSlots(
   offers: readonly Offer[],
   counts: readonly number[],
@@ -132,8 +141,8 @@
 }
 
 /**
- * Slots lacking now and after the loss, added up: where the loss cannot be covered at all, as in a
- * pool of one data centre, what is lacking now must still decide.
+ * Returns the slots missing normally plus those missing after the planned loss. In a pool of one
+ * data centre the loss can never be covered; the sum still prefers mixes that are enough normally.
  */
 function countMissingSlots(request: MixRequest, counts: readonly number[]): number {
   const { totalSlots, maxLostSlots } = countMixSlots(
@@ -158,7 +167,10 @@
   return counts.reduce((sum, count) => sum + count, 0);
 }
 
-/** Takes away what the mix can do without, dearest first; filling whole instances overshoots. */
+/**
+ * Removes instances, most expensive first, while no more slots go missing: filling whole instances
+ * may overshoot the need.
+ */
 function removeUnneededInstances(
   request: MixRequest,
   tiers: readonly PriceTier[],
@@ -181,7 +193,7 @@
     });
 }
 
-/** Adds the cheapest instances until the pool has its least size. */
+/** Adds the cheapest instances until the pool has its minimum number. */
 function raiseToMinInstances(
   request: MixRequest,
   tiers: readonly PriceTier[],
@@ -198,7 +210,7 @@
     });
 }
 
-/** Takes the smallest instances away until the pool has no more than its most. */
+/** Removes the instances with the fewest slots until the pool has at most its maximum number. */
 function lowerToMaxInstances(request: MixRequest, counts: number[]): void {
   let excessCount = countInstances(counts) - request.maxInstances;
   [...request.offers.keys()]
@@ -213,6 +225,10 @@
     });
 }
 
+/**
+ * Returns integers from `from` to `to`, about `step` apart, or further if that would take more than
+ * `MAX_CANDIDATE_STEPS` steps.
+ */
 function spaceEvenly(from: number, to: number, step: number): number[] {
   const steps = Math.max(1, Math.min(MAX_CANDIDATE_STEPS, Math.ceil((to - from) / step)));
   return Array.from({ length: steps + 1 }, (_, count) =>
@@ -224,7 +240,10 @@
   return Math.max(1, Math.min(...offers.map((offer) => offer.slotsPerInstance)));
 }
 
-/** A mix with so many on-demand slots and so many reclaimable ones in a data centre at most. */
+/**
+ * Fills about `onDemandSlots` on-demand slots, then reclaimable ones, at most `maxReclaimableSlots`
+ * in a data centre. Then removes instances that are not needed and applies the pool's limits.
+ */
 function buildMix(
   request: MixRequest,
   tiers: readonly PriceTier[],
@@ -236,7 +255,8 @@
   const reclaimableTiers = tiers.filter(({ offer }) => offer.reclaimable);
   const filledOnDemandSlots = addCheapestInstances(onDemandTiers, counts, onDemandSlots, Infinity);
   const { normal, afterLoss } = request.need;
-  // A wave of a share of all leaves the rest: so many are needed for the rest to be enough.
+  // A wave leaves only a fraction of the reclaimable slots, and that fraction must cover the
+  // need.
   const slotsNeededBeforeWave =
     Math.max(0, afterLoss - filledOnDemandSlots) /
     Math.max(1 - request.waveLossFraction, MIN_FRACTION_LEFT_BY_WAVE);
@@ -262,7 +282,7 @@
   return mix.comparisonEurosPerHour < best.comparisonEurosPerHour - 1e-9;
 }
 
-/** The cheapest mix that lacks the fewest slots. */
+/** Returns the candidate with the fewest missing slots, and among those the cheapest. */
 export function chooseMix(request: MixRequest): Mix {
   const tiers = listPriceTiers(request);
   const highestNeed = Math.max(request.need.normal, request.need.afterLoss);
--- a/packages/controller-core/src/planning/deadlines.ts
+++ b/packages/controller-core/src/planning/deadlines.ts
@@ -1,4 +1,4 @@
-/** Which deadline of a route is in force at a point in time. */
+/** Finds the deadline of a route that applies at a given time. */
 import type { Deadline, EpochMilliseconds, Route } from '@hornbeampond/schema';
 import { minuteOfDay } from '../demand/localTime.js';
 
@@ -7,11 +7,15 @@
   return hours * 60 + minutes;
 }
 
+/**
+ * True if the minute of the day is in the span. A span that does not end after its start crosses
+ * midnight.
+ */
 function isMinuteBetween(from: number, to: number, minute: number): boolean {
   return from < to ? minute >= from && minute < to : minute >= from || minute < to;
 }
 
-/** The first span that holds the local time is in force, else the route's own deadline. */
+/** Returns the first span that contains the local time, or else the route's default deadline. */
 export function deadlineAt(route: Route, at: EpochMilliseconds): Deadline {
   const minute = minuteOfDay(route.timeZone, at);
   const span = route.deadlinesByHour.find(({ from, to }) =>
--- a/packages/controller-core/src/planning/estimatePoolNeed.ts
+++ b/packages/controller-core/src/planning/estimatePoolNeed.ts
@@ -1,6 +1,6 @@
 /**
- * Places for requests that a pool needs: now, and over the time that a start would take, so that
- * capacity asked for now is there when a rush begins.
+ * Estimates the slots that a pool needs now, and the most it will need until an instance started
+ * now could serve, so that capacity for a forecast peak is ordered in time.
  */
 import type { EpochMilliseconds, Milliseconds, Pool, Route } from '@hornbeampond/schema';
 import { createRouteDemand, forecastRequestsPerSecond, sumDemand } from '../demand/RouteDemand.js';
@@ -9,17 +9,17 @@
 import type { NeedEstimate, SlotNeed } from './PoolPlan.js';
 import { computeOfferedLoad, computeRequiredSlots, type QueueLoad } from './queueing.js';
 
-/** The time ahead is looked at in steps of this length. */
+/** Interval between the points in time at which the forecast is evaluated. */
 const FORECAST_STEP_MILLISECONDS: Milliseconds = 2 * 60_000;
-/** Starts are asked this much ahead of what a start has taken, as starts vary. */
+/** Factor on the usual start duration, because start durations vary. */
 const START_DURATION_SAFETY_FACTOR = 1.25;
-/** A wait of less than this is not planned for, however little patience a route leaves. */
+/** Lower limit of the planned wait, for routes whose deadlines leave no time to wait. */
 const MIN_ALLOWED_WAIT_MILLISECONDS: Milliseconds = 50;
 
 /**
- * How long a request of the route may wait for a place: whichever of the deadlines for the first
- * token and for the whole answer leaves less. The first token itself is taken to need a tenth of
- * the time that the whole answer takes.
+ * Returns how long a request may wait for a slot: the smaller of what the first-token and the
+ * whole-answer deadline leave. A first token is assumed to take a tenth of the mean service time, a
+ * whole answer one and a half times that time.
  */
 export function computeAllowedWait(
   route: Route,
@@ -39,6 +39,10 @@
   readonly measuredRequestsPerSecond: number;
 }
 
+/**
+ * Returns the expected load at a point in time, with headroom; the current rate if there is no
+ * forecast.
+ */
 function computeRouteLoad(state: ControllerState, route: Route, at: EpochMilliseconds): RouteLoad {
   const demand = state.demand.get(route.name) ?? createRouteDemand();
   const { requestsPerSecond, serviceMilliseconds } = sumDemand(demand);
@@ -56,8 +60,9 @@
 }
 
 /**
- * Engines serve the earliest deadline first, so a patient route's requests do not delay those of
- * an impatient one: each route needs places for itself and all that are less patient.
+ * Returns the slots that a pool needs for the loads of all its routes. Engines serve the earliest
+ * deadline first, so a request does not wait for those of routes that allow a longer wait. Each
+ * route therefore needs slots for itself and for the routes with a shorter allowed wait.
  */
 export function computeRequiredSlotsForRoutes(
   loads: readonly QueueLoad[],
@@ -86,19 +91,19 @@
   };
 }
 
-/** How far ahead a start has to be asked. */
+/** Returns how long before it is needed an instance has to be started. */
 export function computeStartLeadTime(state: ControllerState, pool: Pool): Milliseconds {
   const startDuration = state.startDurations.get(pool.name) ?? state.policy.defaultStartDuration;
   return startDuration * START_DURATION_SAFETY_FACTOR;
 }
 
 export interface PoolNeed {
+  /** The need for the current rates with headroom. */
   readonly currentEstimate: NeedEstimate;
-  /** The highest need from now to the end of the time a start takes. */
+  /** The highest need between now and the end of the start lead time. */
   readonly peakAhead: SlotNeed;
 }
 
-/** The places that the pool needs, and the figures behind them. */
 export function estimatePoolNeed(state: ControllerState, pool: Pool): PoolNeed {
   const routes = state.configuration.routes.rows.filter((route) => route.pool === pool.name);
   const leadTime = computeStartLeadTime(state, pool);
@@ -119,7 +124,7 @@
     const totalRequestsPerSecond = loads.reduce((sum, load) => sum + load.requestsPerSecond, 0);
     forecastPerSecond = Math.max(forecastPerSecond, totalRequestsPerSecond);
   }
-  const measuredConcurrencyMilliseconds = currentLoads.reduce(
+  const weightedServiceMilliseconds = currentLoads.reduce(
     (sum, load) => sum + load.measuredRequestsPerSecond * load.serviceMilliseconds,
     0,
   );
@@ -132,9 +137,7 @@
     requestsPerSecond: measuredRequestsPerSecond,
     forecastPerSecond,
     serviceMilliseconds:
-      measuredRequestsPerSecond > 0
-        ? measuredConcurrencyMilliseconds / measuredRequestsPerSecond
-        : 0,
+      measuredRequestsPerSecond > 0 ? weightedServiceMilliseconds / measuredRequestsPerSecond : 0,
     shortestAllowedWait: Math.min(
       ...currentLoads.map((load) => load.allowedWait),
       Number.MAX_SAFE_INTEGER,
--- a/packages/controller-core/src/planning/isOwnTurn.ts
+++ b/packages/controller-core/src/planning/isOwnTurn.ts
@@ -1,9 +1,9 @@
 /**
- * Capacity is taken out of service by one data centre at a time.
+ * Lets only one data centre at a time take capacity out of service, by turns of the wall clock.
  *
- * Without this, two controllers that each see one instance too many would both drain one, and the
- * pool would fall below its need until the next purchase. The wall clock gives each data centre
- * its turn; a turn is far longer than the clocks differ and than the platform's list lags.
+ * Otherwise two controllers that each see one surplus instance would both drain one, and the pool
+ * would fall below its need until the next purchase. A turn is much longer than the assumed clock
+ * skew.
  */
 import type { Pool } from '@hornbeampond/schema';
 import type { ControllerState } from '../state.js';
--- a/packages/controller-core/src/planning/offers.ts
+++ b/packages/controller-core/src/planning/offers.ts
@@ -1,10 +1,16 @@
-/** What can be kept or bought for a pool, with prices and closures as this controller knows them. */
+/**
+ * Lists the offers of a pool: what can be kept or bought at each place (one instance class in one
+ * data centre), with the prices and closures that this controller knows.
+ */
 import type { InstanceClass, Pool } from '@hornbeampond/schema';
 import { instancesOf, isKept } from '../fleet/FleetInstance.js';
 import { placeKey, type ControllerState } from '../state.js';
 import type { Offer } from './chooseMix.js';
 
-/** True if the data centre's controller is heard, so that somebody can buy there. */
+/**
+ * True if the data centre's controller is this one or has reported recently. Only that controller
+ * buys there.
+ */
 export function isDataCentreReachable(state: ControllerState, dataCentre: string): boolean {
   if (dataCentre === state.dataCentre) return true;
   const peer = state.peers.get(dataCentre);
@@ -27,7 +33,10 @@
   );
 }
 
-/** True if nothing is to be bought at a place for now. */
+/**
+ * True if nothing can be bought at the place for now: this controller or that of the data centre
+ * has closed it, or the data centre is unreachable.
+ */
 export function isClosed(
   state: ControllerState,
   dataCentre: string,
@@ -49,7 +58,10 @@
   return state.waves.filter((wave) => wave.places.has(place)).length;
 }
 
-/** Purchases without an answer count as capacity to come for a while only. */
+/**
+ * Counts the unanswered starts of this controller that still count as upcoming capacity; 0 for
+ * other data centres.
+ */
 export function countPendingStarts(
   state: ControllerState,
   pool: Pool,
@@ -90,7 +102,7 @@
   };
 }
 
-/** Every place of the pool, in one order for all controllers. */
+/** Returns one offer for each place of the pool, in the same order in all controllers. */
 export function listOffers(state: ControllerState, pool: Pool): Offer[] {
   return [...pool.dataCentres]
     .sort()
--- a/packages/controller-core/src/planning/planPools.ts
+++ b/packages/controller-core/src/planning/planPools.ts
@@ -1,7 +1,8 @@
 /**
- * Plans every pool over all its data centres. Each active controller makes the same plan from the
- * tables, the platform's list and the other controllers' reports, and acts on the part of its own
- * data centre only; so nothing has to be agreed by messages, and no two buy the same instance.
+ * Plans the instances of every pool over all its data centres. Each active controller plans from
+ * the tables, the platform's list and the other controllers' reports, and acts only in its own data
+ * centre. Controllers with the same inputs make the same plan, so no messages are needed to agree
+ * on it, and no two controllers buy in the same data centre.
  */
 import type { Pool } from '@hornbeampond/schema';
 import type { ControllerEffect } from '../effects.js';
@@ -16,11 +17,18 @@
 
 type RecentNeeds = PoolPlan['recentNeeds'];
 
-/** Keeps the highest need of each of the last minutes. */
-function recordNeed(state: ControllerState, recent: RecentNeeds, need: SlotNeed): RecentNeeds {
+/**
+ * Returns the recent needs with the new one, one entry per minute, without those older than
+ * `scaleInDelay`.
+ */
+function addRecentNeed(
+  state: ControllerState,
+  recentNeeds: RecentNeeds,
+  need: SlotNeed,
+): RecentNeeds {
   const at = Math.floor(state.now / MINUTE_MILLISECONDS) * MINUTE_MILLISECONDS;
-  const last = recent.at(-1);
-  const kept = recent.filter((past) => past.at > state.now - state.policy.scaleInDelay);
+  const last = recentNeeds.at(-1);
+  const kept = recentNeeds.filter((past) => past.at > state.now - state.policy.scaleInDelay);
   if (last?.at !== at) return [...kept, { ...need, at }];
   const merged = {
     at,
@@ -38,9 +46,9 @@
 }
 
 /**
- * Share of the pool's reclaimable slots that the largest remembered wave took. A wave inside one
- * data centre can take no more than what is there, and that loss is planned for anyway; so only
- * waves over several of them count.
+ * Returns the largest fraction of the pool's reclaimable slots that a recent wave took. Waves
+ * within one data centre are left out, because the loss of any one data centre is planned for
+ * anyway.
  */
 function findMaxWaveLossFraction(state: ControllerState, pool: Pool): number {
   const lossFractions = state.waves
@@ -50,8 +58,8 @@
 }
 
 /**
- * While instances wait for another version, one more is kept: each of them is out of service for
- * a while, and the deadline has to be met without it.
+ * Returns the slots of one instance of the smallest class while instances wait to load another
+ * version, else 0: an instance is out of service while it loads.
  */
 function countRolloutSlots(state: ControllerState, pool: Pool): number {
   const isRolloutPending = instancesOf(state, pool).some(
@@ -75,7 +83,7 @@
 function planPool(state: ControllerState, pool: Pool): PoolPlan {
   const { currentEstimate, peakAhead } = estimatePoolNeed(state, pool);
   const previousPlan = state.plans.get(pool.name);
-  const recentNeeds = recordNeed(state, previousPlan?.recentNeeds ?? [], peakAhead);
+  const recentNeeds = addRecentNeed(state, previousPlan?.recentNeeds ?? [], peakAhead);
   const need = findHighestNeed(recentNeeds);
   const waveLossFraction = findMaxWaveLossFraction(state, pool);
   const offers = listOffers(state, pool);
@@ -154,7 +162,10 @@
   return effects;
 }
 
-/** Makes the plans anew; says so where what is wanted has changed. */
+/**
+ * Plans all pools and removes the plans of pools that no longer exist. Logs a plan that wants other
+ * instances than before, and one that starts to fall short of the need.
+ */
 export function planPools(state: ControllerState): ControllerEffect[] {
   const pools = state.configuration.pools.rows;
   const names = new Set(pools.map((pool) => pool.name));
--- a/packages/controller-core/src/planning/queueing.ts
+++ b/packages/controller-core/src/planning/queueing.ts
@@ -1,27 +1,32 @@
 /**
- * How many places keep the wait within a deadline, by the Erlang C formula for random arrivals.
+ * Computes how many slots keep the wait within a limit for a given fraction of the requests, by the
+ * Erlang C formula for random arrivals.
  *
- * Real engines slow down as they fill, so a place is a request at full speed (the pools table's
- * `concurrency`), and the formula is used for the wait before one only.
+ * A slot is one request in progress at full speed (`concurrency` in the pools table). Engines slow
+ * down as they fill, which the formula does not model; it is used only for the wait until a slot is
+ * free.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 
 const MAX_SLOTS = 1_000_000;
 
-/** One part of a pool's load. */
+/** Requests that wait for the same slots, and the wait that they allow. */
 export interface QueueLoad {
   readonly requestsPerSecond: number;
   readonly serviceMilliseconds: number;
-  /** How long a request may wait for a place. */
+  /** How long a request may wait for a slot. */
   readonly allowedWait: Milliseconds;
 }
 
-/** Places that are busy on average. */
+/** Returns the offered load in Erlangs: the number of slots that are busy on average. */
 export function computeOfferedLoad(load: QueueLoad): number {
   return (load.requestsPerSecond * load.serviceMilliseconds) / 1000;
 }
 
-/** Share of requests that wait longer than `patience`, given the Erlang B blocking at `slots`. */
+/**
+ * Returns the fraction of requests that wait longer than allowed, from the Erlang B blocking
+ * probability.
+ */
 function computeLateFractionFromBlocking(
   blockingProbability: number,
   slots: number,
@@ -37,7 +42,9 @@
   );
 }
 
-/** Share of requests that wait longer than their patience with so many places. */
+/**
+ * Returns the fraction of requests that wait longer than allowed with the given number of slots.
+ */
 export function computeLateFraction(slots: number, load: QueueLoad): number {
   const offeredLoad = computeOfferedLoad(load);
   if (offeredLoad <= 0) return 0;
@@ -49,7 +56,10 @@
   return computeLateFractionFromBlocking(blockingProbability, slots, offeredLoad, load);
 }
 
-/** The fewest places with which a share of `onTime` of the requests wait no longer than allowed. */
+/**
+ * Returns the fewest slots, up to `MAX_SLOTS`, with which the fraction `onTimeTarget` of the
+ * requests waits no longer than allowed.
+ */
 export function computeRequiredSlots(load: QueueLoad, onTimeTarget: number): number {
   const offeredLoad = computeOfferedLoad(load);
   if (offeredLoad <= 0) return 0;
--- a/packages/controller-core/src/planning/scaleIn.ts
+++ b/packages/controller-core/src/planning/scaleIn.ts
@@ -1,6 +1,8 @@
 /**
- * Takes instances out that the plan no longer wants: drained first, ended only once idle. The
- * plan's need already holds the highest of the last minutes, so a short dip takes nothing out.
+ * Takes instances of the controller's data centre out of service: those that the plan no longer
+ * wants, those that no row of the pools table covers, and those that never served. An instance is
+ * drained first and ended only when no call can be running at it. The planned need is the highest
+ * of the last minutes, so a short decrease drains nothing.
  */
 import type { DrainReason, Pool } from '@hornbeampond/schema';
 import type { ControllerEffect } from '../effects.js';
@@ -19,10 +21,13 @@
 import { canDrainInstance } from './servingCapacity.js';
 import { isOwnTurn } from './isOwnTurn.js';
 
-/** An end without an answer is resent after so long; ending what is gone already is no fault. */
+/**
+ * The end of an instance is requested again after this long; ending one that no longer exists does
+ * no harm.
+ */
 const END_RESEND_DELAY_MILLISECONDS = 30_000;
 
-/** Takes an instance out of service for good. */
+/** Starts to drain an instance, which is then ended once it is idle. */
 export function drainInstance(
   state: ControllerState,
   instance: FleetInstance,
@@ -42,7 +47,10 @@
   ];
 }
 
-/** Those that serve nothing go first, then those with the wrong weights, then the newest. */
+/**
+ * Sorts for removal: instances that neither serve nor have the wanted model first, those that do
+ * both last, and newer ones first among equals.
+ */
 function compareForRemoval(pool: Pool, a: FleetInstance, b: FleetInstance): number {
   const retentionRank = (instance: FleetInstance) =>
     Number(isServing(pool, instance)) + Number(isUpToDate(pool, instance));
@@ -71,7 +79,7 @@
     });
 }
 
-/** At most one instance of a pool in one turn. */
+/** Drains a surplus instance, at most one of the pool in each turn of the data centre. */
 function scaleInPool(state: ControllerState, pool: Pool): ControllerEffect[] {
   if (!isOwnTurn(state, pool)) return [];
   const turnStartedAt = state.now - (state.wallNow % state.policy.turnDuration);
@@ -79,8 +87,9 @@
     (instance) => instance.phase === 'draining' && instance.phaseSince >= turnStartedAt,
   );
   if (drainedThisTurn) return [];
-  // One that only starts must stay too while the pool lacks capacity: the plan may have moved to
-  // a place that refuses again, and draining here would buy and drain in turns.
+  // Instances that are still starting are also kept while the pool is short of capacity. The plan
+  // may have moved to a place that refuses again; draining here would alternate between buying
+  // and draining.
   const candidate = findSurplusInstances(state, pool).find((instance) =>
     canDrainInstance(state, pool, instance),
   );
@@ -93,8 +102,8 @@
 }
 
 /**
- * True if nothing can still run there. A backend server that reports nothing at all any more is
- * ended only when even the longest answer, begun just before the drain, must be over.
+ * True if no call can be running at the instance. If load reports stop, that is certain only after
+ * the longest whole-answer deadline plus the maximum list lag.
  */
 function canEndInstance(state: ControllerState, instance: FleetInstance): boolean {
   if (isIdle(state, instance)) return true;
@@ -107,7 +116,10 @@
   return timeWithoutReport > maxAnswerDuration + state.policy.maxListLag;
 }
 
-/** Ends what was drained and is idle; resends an end whose answer was lost. */
+/**
+ * Ends drained instances at which no call can be running, and repeats requests whose answer was
+ * lost.
+ */
 export function endDrainedInstances(state: ControllerState): ControllerEffect[] {
   const endable = [...state.fleet.values()].filter(
     (instance) =>
@@ -132,7 +144,7 @@
   });
 }
 
-/** True if no row of the pools table allows for it. */
+/** True if no row of the pools table covers the instance's pool, data centre and class. */
 function isStray(state: ControllerState, instance: FleetInstance): boolean {
   const pool = poolOf(state, instance.pool);
   if (pool === undefined) return true;
@@ -142,10 +154,9 @@
 }
 
 /**
- * Drains instances of the own data centre that belong to no row of the pools table. Before a
- * table has come in, none is a stray: a restarted controller would end the whole fleet. Where only
- * a class or a data centre was taken out of a row, callers still depend on its instances, so each
- * stays until the pool's other instances meet the need.
+ * Drains instances that no row of the pools table covers. Before the first table arrives none is
+ * drained: a restarted controller would otherwise drain the whole fleet. If only a class or a data
+ * centre was removed from a row, its instances are kept until the others cover the pool's need.
  */
 function drainStrayInstances(state: ControllerState): ControllerEffect[] {
   if (state.configuration.pools.revision === 0) return [];
@@ -160,7 +171,10 @@
     .flatMap((instance) => drainInstance(state, instance, 'stray', {}));
 }
 
-/** Drains instances that never came to serve: they would count as capacity to come for ever. */
+/**
+ * Drains instances that have not served within the startup timeout; they would count as upcoming
+ * capacity for ever.
+ */
 function drainInstancesThatNeverServed(state: ControllerState): ControllerEffect[] {
   return [...state.fleet.values()]
     .filter(
--- a/packages/controller-core/src/planning/servingCapacity.ts
+++ b/packages/controller-core/src/planning/servingCapacity.ts
@@ -1,4 +1,7 @@
-/** What serves now, and whether a pool's deadlines still hold without certain instances. */
+/**
+ * Computes the capacity that serves now, and whether it would still cover the planned need of a
+ * pool without a given instance.
+ */
 import type { Pool } from '@hornbeampond/schema';
 import type { ServingReport } from '../events.js';
 import {
@@ -10,7 +13,10 @@
 import type { ControllerState } from '../state.js';
 import { isDataCentreReachable } from './offers.js';
 
-/** What serves in the own data centre, but for one instance. */
+/**
+ * Returns the capacity that serves in the controller's own data centre, without the excluded
+ * instance.
+ */
 function computeOwnServing(
   state: ControllerState,
   pool: Pool,
@@ -28,22 +34,24 @@
   return { pool: pool.name, instances, slots, reclaimableSlots: slots - onDemandSlots };
 }
 
-/** What serves in the own data centre, for the report to the other controllers. */
+/**
+ * Returns the capacity in the own data centre, by pool, for the report to the other controllers.
+ */
 export function buildOwnServingReports(state: ControllerState): ServingReport[] {
   return state.configuration.pools.rows.map((pool) => computeOwnServing(state, pool));
 }
 
-/** What serves in all data centres together. */
+/** Capacity of one pool that serves in all reachable data centres. */
 export interface ServingCapacity {
   readonly instances: number;
   readonly totalSlots: number;
+  /** Largest number of reclaimable slots in one data centre. */
   readonly maxLostSlots: number;
 }
 
 /**
- * Slots that serve in all data centres, and the most that the loss of one data centre's
- * reclaimable instances would take. A data centre that is not heard counts for nothing: taking
- * capacity out here must not depend on what may be cut off.
+ * Adds up the serving capacity of all data centres. An unreachable one counts as 0, so that no
+ * capacity is removed here in reliance on capacity that may be partitioned.
  */
 export function computeServingCapacity(
   state: ControllerState,
@@ -65,10 +73,9 @@
 }
 
 /**
- * True if what would still serve meets what was planned for, the planned loss included.
- *
- * A remembered wave counts through the plan, which holds more instances for it; here the loss of
- * one data centre is enough, else a pool without on-demand instances could never scale in.
+ * True if the remaining capacity covers the planned need, also after the loss of any one data
+ * centre's reclaimable instances. Larger waves are covered by the plan, which wants more instances
+ * for them; if they counted here, a pool without on-demand instances could never scale in.
  */
 export function meetsNeedWithout(
   state: ControllerState,
@@ -81,7 +88,10 @@
   return totalSlots >= plan.need.normal && totalSlots - maxLostSlots >= plan.need.afterLoss;
 }
 
-/** True if the pool keeps its least size of serving instances, and its deadlines, without it. */
+/**
+ * True if without the instance the pool has its minimum number of serving instances and covers its
+ * need.
+ */
 export function canDrainInstance(
   state: ControllerState,
   pool: Pool,
--- a/packages/controller-core/src/singleton/SingletonState.ts
+++ b/packages/controller-core/src/singleton/SingletonState.ts
@@ -1,6 +1,7 @@
 /**
- * What the one process knows that reports usage and sizes pools for the whole cluster. Every
- * process that may take the lease keeps this state up to date, so that a successor has it at once.
+ * State of the process that reports usage and sizes pools for the whole cluster. Every process that
+ * may acquire the lease keeps what it receives up to date, so that a new holder can act
+ * immediately; the sizing state of the pools is built up anew by each holder.
  */
 import {
   emptyConfiguration,
@@ -15,83 +16,91 @@
 import type { DataCentreSize, InstanceNeed } from '../sizing/planSizes.js';
 import { UsageLedger } from '../usage/UsageLedger.js';
 
-/** What a start of the process is told. */
+/** Options of the process. */
 export interface SingletonOptions {
-  /** Length of the windows of the usage report; 0 if none is due. */
+  /** Length of a usage window; 0 if no usage is reported. */
   readonly usageWindow: Milliseconds;
+  /** False if the platform takes no orders for instance counts. */
   readonly ordersInstances: boolean;
 }
 
-/** A report of one entry, with the time it came. */
+/** The latest report of one entry. */
 export interface ReceivedEntryReport {
   readonly report: EntryReport;
   readonly receivedAt: MonotonicMilliseconds;
 }
 
-/** One moment's need, kept for a while: capacity follows a rise at once and a fall late. */
+/** The need at one time; capacity falls only after the recent needs are all lower. */
 export interface PastNeed {
   readonly at: MonotonicMilliseconds;
   readonly need: InstanceNeed;
 }
 
-/** One plan, kept as long. */
+/** The plan made at one time, in the pool's order of data centres. */
 export interface PastPlan {
   readonly at: MonotonicMilliseconds;
   readonly sizes: readonly DataCentreSize[];
 }
 
-/** The last order for one kind of instances in one data centre. */
+/** The last order that the platform accepted for one kind of instances in one data centre. */
 export interface AcceptedCount {
   readonly count: number;
   readonly acceptedAt: MonotonicMilliseconds;
 }
 
-/** What the platform was told last for one data centre; a kind that it was not told is missing. */
+/** The last accepted orders for one data centre; a kind without one is missing. */
 export interface AcceptedSize {
   readonly reclaimable?: AcceptedCount;
   readonly onDemand?: AcceptedCount;
 }
 
+/** What the lease holder keeps to size one pool. */
 export interface PoolSizingState {
   recentNeeds: PastNeed[];
   recentPlans: PastPlan[];
   /** By data centre. */
   readonly acceptedSizes: Map<string, AcceptedSize>;
-  /** Instances that were there before any were ordered. */
+  /**
+   * Listed instances of the more numerous kind, recorded until the list is stable. It replaces the
+   * need until demand is measured.
+   */
   initialCount: number;
-  /** When waves have taken the reclaimable instances of a data centre, and how many it had before. */
+  /** When recent waves were detected, one for each data centre that lost its instances. */
   waveTimes: MonotonicMilliseconds[];
+  /** Live reclaimable instances in the previous list, by data centre. */
   readonly previousReclaimable: Map<string, number>;
-  /** Until when reclaimable instances cannot be had, by data centre. */
+  /** Until when no reclaimable instances are ordered after a refusal, by data centre. */
   readonly closedUntil: Map<string, MonotonicMilliseconds>;
 }
 
-/** One usage window on its way to the platform. */
+/** Progress of one usage window: its counts are settled in the replicated log, then reported. */
 export interface UsageWindow {
-  /** The counts that the log has settled on; undefined before. */
+  /** The settled counts; undefined until the log has them. */
   counts: UsageCounts | undefined;
   isReported: boolean;
-  /** When the next step may be tried again. */
+  /** When the pending step may be repeated. */
   retryAt: MonotonicMilliseconds;
 }
 
 export interface SingletonState {
   readonly options: SingletonOptions;
   configuration: Configuration;
-  /** Set while this process holds the lease. */
+  /** Epoch of the lease; undefined while this process does not hold it. */
   epoch: number | undefined;
   readonly usage: UsageLedger;
-  /** By number. */
+  /** By window number. */
   readonly usageWindows: Map<number, UsageWindow>;
+  /** By entry. */
   readonly entryReports: Map<string, ReceivedEntryReport>;
+  /** The platform's latest list. */
   instances: readonly PlatformInstance[];
-  /** Instances on the list before, until the list has stopped to grow. */
+  /** Length of the last list that was not empty. */
   previousListLength: number;
-  /** True once the list has not grown from one reading to the next. */
+  /** True once a list was not longer than the previous one; it grows while a cluster starts. */
   isListStable: boolean;
-  /** When demand was first heard of, so that a window that is not full yet is not believed. */
+  /** When demand was first reported. Rates are too low until their window is full. */
   firstDemandAt: MonotonicMilliseconds | undefined;
-  /** By name. */
+  /** By pool name. */
   readonly pools: Map<string, PoolSizingState>;
   now: MonotonicMilliseconds;
   wallNow: EpochMilliseconds;
--- a/packages/controller-core/src/singleton/advanceSizes.ts
+++ b/packages/controller-core/src/singleton/advanceSizes.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the sizes of the pools: measures what is needed, plans, and tells the platform what has
- * changed. Capacity follows a rise at once; it falls only after the need was lower for a while, so
- * that a lull between two rushes costs no starts.
+ * Sizes the pools: estimates the need, plans the number of instances, and sends orders for the
+ * counts that differ from the platform's. Capacity follows an increase of the need immediately, but
+ * a decrease only after a delay, so that a lull between two peaks costs no starts.
  */
 import type {
   Milliseconds,
@@ -20,31 +20,31 @@
 import type { SingletonEffect } from './singletonEvents.js';
 import type { AcceptedSize, SingletonState, PoolSizingState } from './SingletonState.js';
 
-/** What was needed or planned is kept for so long before capacity may fall below it. */
+/** Reclaimable capacity falls only after the need and the plan have been lower for this long. */
 const SCALE_IN_DELAY_MILLISECONDS: Milliseconds = 20_000;
 
 /**
- * The same for on-demand instances, which cost five to seven times as much: a start and a second
- * reading of the list, so that none is let go while it starts.
+ * The same for on-demand instances. Shorter because they cost several times as much; covers a start
+ * of a few seconds and the listing delay, so that none is removed while it starts.
  */
 const ON_DEMAND_SCALE_IN_DELAY_MILLISECONDS: Milliseconds = 8000;
 
-/** Rates are taken over ten seconds; before, they say less than what is there already. */
+/** Rates cover ten seconds; before they do, the existing instances are the better estimate. */
 const MIN_MEASUREMENT_MILLISECONDS: Milliseconds = 12_000;
 
 /**
- * An instance that was ordered serves after its start and is listed up to this much later: the
- * list lags by most of a second and is read once a second.
+ * How much later than its start duration a new instance may be listed: the list lags by most of a
+ * second and is read once a second.
  */
 const MAX_LISTING_DELAY_MILLISECONDS: Milliseconds = 2000;
 
-/** An entry that was not heard for so long has no demand. */
+/** The demand of an entry is dropped after this long without a report. */
 const ENTRY_TIMEOUT_MILLISECONDS: Milliseconds = 5000;
 
-/** Waves count as following each other within the time of so many starts. */
+/** Length of the window in which waves are counted, in start durations. */
 const WAVE_WINDOW_START_DURATIONS = 2;
 
-/** After a refusal the platform is asked again this much later. */
+/** After a refusal, no reclaimable instances are ordered in the data centre for this long. */
 const REFUSAL_CLOSURE_MILLISECONDS: Milliseconds = 3000;
 
 const DEFAULT_CONCURRENCY = 8;
@@ -105,11 +105,12 @@
 }
 
 /**
- * Until demand has been measured, what was found is taken for what is needed: not what is there, as
- * that holds what was ordered by this very measure. While one kind takes over from the other both
- * are there, and only the larger number counts.
+ * Returns the measured need and, until demand has been measured long enough, at least the initial
+ * instance count. Updates that count until the list is stable and the count is above 0; later lists
+ * also contain instances that were ordered because of it. While reclaimable instances replace
+ * on-demand ones both are listed, so only the larger number counts.
  */
-function estimateNeed(
+function updateNeedEstimate(
   state: SingletonState,
   sizingState: PoolSizingState,
   load: PoolLoad,
@@ -137,7 +138,10 @@
   };
 }
 
-/** Keeps the highest reclaimable plan of the last while: starting and ending them is no saving. */
+/**
+ * Records the plan, and returns it with the highest reclaimable counts of the recent plans: ending
+ * instances and starting them again saves nothing.
+ */
 function recordPlanAndDelayScaleIn(
   state: SingletonState,
   sizingState: PoolSizingState,
@@ -166,9 +170,10 @@
 }
 
 /**
- * True if the platform was told this already and has it, or has it without being told. It does not
- * replace what a wave or a crash has taken: an order that has come to nothing is given again, or
- * the pool would stay as small, and on-demand instances stand in for the rest of the day.
+ * True if the order need not be sent: it was accepted before and is fulfilled or may still be, or
+ * no order was accepted and the listed count is already right. The platform does not replace
+ * instances lost to a wave or a crash, so an order that is still unfulfilled after a start is sent
+ * again.
  */
 function isFulfilledOrPending(
   state: SingletonState,
@@ -190,7 +195,10 @@
   return measureLoad(listPoolDemand(state, pool), concurrency);
 }
 
-/** Takes note of the data centres that were to have reclaimable instances, and have lost all of them. */
+/**
+ * Records a wave for each data centre that lost all its reclaimable instances without an accepted
+ * order for 0, and returns the number of recent waves.
+ */
 function recordAndCountWaves(
   state: SingletonState,
   sizingState: PoolSizingState,
@@ -224,7 +232,7 @@
   );
   sizingState.recentNeeds.push({
     at: state.now,
-    need: estimateNeed(state, sizingState, load, dataCentres),
+    need: updateNeedEstimate(state, sizingState, load, dataCentres),
   });
   const shortWindowNeeds = sizingState.recentNeeds.filter(
     ({ at }) => state.now - at < ON_DEMAND_SCALE_IN_DELAY_MILLISECONDS,
@@ -241,7 +249,8 @@
     const dataCentre = dataCentres[position];
     if (dataCentre === undefined) return [];
     const acceptedSize = sizingState.acceptedSizes.get(size.dataCentre);
-    // By a list that still fills, on-demand instances would be let go that only are not listed yet.
+    // While the list still grows, some on-demand instances are not listed yet, and an order for
+    // the listed number would end them.
     return makeOrders(pool, size)
       .filter((order) => order.reclaimable || state.isListStable)
       .filter((order) => !isFulfilledOrPending(state, sizing, acceptedSize, dataCentre, order))
@@ -253,7 +262,10 @@
   });
 }
 
-/** To be called with each new list: a wave that it shows is answered at once. */
+/**
+ * Plans and orders the sizes of all pools. Called for each new list, so that a wave is handled as
+ * soon as it is listed.
+ */
 export function advanceSizes(state: SingletonState): SingletonEffect[] {
   const { epoch } = state;
   if (!state.options.ordersInstances || epoch === undefined) return [];
@@ -262,7 +274,10 @@
   );
 }
 
-/** Remembers what the platform was told, or that it has none to give there for now. */
+/**
+ * Records an accepted order. After a refusal, closes the data centre to orders of reclaimable
+ * instances for a while.
+ */
 export function handleSizeOrderOutcome(
   state: SingletonState,
   order: SizeOrder,
@@ -274,7 +289,7 @@
     sizingState.closedUntil.set(dataCentre, state.now + REFUSAL_CLOSURE_MILLISECONDS);
     return [{ type: 'log', event: 'sizeRefused', fields: { ...order } }];
   }
-  // What became of a failed order is not known; it is given again with the next plan.
+  // It is unknown whether a failed order took effect; the next plan orders again.
   if (outcome === 'failed') return [];
   const previous = sizingState.acceptedSizes.get(dataCentre);
   const accepted = { count, acceptedAt: state.now };
--- a/packages/controller-core/src/singleton/advanceUsage.ts
+++ b/packages/controller-core/src/singleton/advanceUsage.ts
@@ -1,64 +1,76 @@
 /**
- * Brings the usage of each window to the platform. The counts are first settled in the log: a
- * holder that took over in between, and heard other reports than its predecessor, would otherwise
- * report the same window with other counts. What is settled may be sent any number of times.
+ * Settles the usage counts of each window in the replicated log, then reports them to the platform.
+ * Without settling, a new lease holder that received other entry reports than its predecessor could
+ * report the same window with different counts. Settled counts may be reported any number of times.
  */
 import type { Milliseconds, UsageCounts } from '@hornbeampond/schema';
 import type { SingletonEffect } from './singletonEvents.js';
 import type { SingletonState, UsageWindow } from './SingletonState.js';
 
-/** After a window's end entries report once more; two reports may be lost on the way. */
+/**
+ * Entries report once more after the end of a window; this leaves time for two of their reports to
+ * be lost.
+ */
 const WINDOW_SETTLE_DELAY_MILLISECONDS: Milliseconds = 3200;
 
-/** Windows before the last that are looked after: a new holder takes over what was left. */
-const PREVIOUS_WINDOWS = 3;
+/**
+ * Number of earlier windows that are still settled and reported, so that a new holder completes
+ * what its predecessor left.
+ */
+const PREVIOUS_WINDOW_COUNT = 3;
 
 const RETRY_DELAY_MILLISECONDS: Milliseconds = 1000;
 
-function getUsageWindow(state: SingletonState, number: number): UsageWindow {
-  const existing = state.usageWindows.get(number);
+function getUsageWindow(state: SingletonState, windowNumber: number): UsageWindow {
+  const existing = state.usageWindows.get(windowNumber);
   if (existing !== undefined) return existing;
   const created = { counts: undefined, isReported: false, retryAt: Number.NEGATIVE_INFINITY };
-  state.usageWindows.set(number, created);
+  state.usageWindows.set(windowNumber, created);
   return created;
 }
 
-function advanceWindow(state: SingletonState, number: number, epoch: number): SingletonEffect[] {
-  const window = getUsageWindow(state, number);
+/** Returns the next step for a window: settle its counts, or report the settled ones. */
+function advanceWindow(
+  state: SingletonState,
+  windowNumber: number,
+  epoch: number,
+): SingletonEffect[] {
+  const window = getUsageWindow(state, windowNumber);
   if (window.isReported || window.retryAt > state.now) return [];
   window.retryAt = state.now + RETRY_DELAY_MILLISECONDS;
   if (window.counts !== undefined) {
-    return [{ type: 'reportUsage', window: number, counts: window.counts, epoch }];
+    return [{ type: 'reportUsage', window: windowNumber, counts: window.counts, epoch }];
   }
-  return [{ type: 'settleUsage', window: number, counts: state.usage.total(number) }];
+  return [{ type: 'settleUsage', window: windowNumber, counts: state.usage.total(windowNumber) }];
 }
 
+/** Advances the last window that ended long enough ago, and the windows before it. */
 export function advanceUsage(state: SingletonState): SingletonEffect[] {
   const { usageWindow } = state.options;
   if (usageWindow <= 0 || state.epoch === undefined) return [];
-  // A system that is not configured yet has run nothing, and nobody waits for its usage.
+  // Before the first configuration no request has run, so there is nothing to report.
   if (state.configuration.revision === 0) return [];
   const { epoch } = state;
   const lastWindow =
     Math.floor((state.wallNow - WINDOW_SETTLE_DELAY_MILLISECONDS) / usageWindow) - 1;
   [...state.usageWindows.keys()]
-    .filter((number) => number < lastWindow - PREVIOUS_WINDOWS)
-    .forEach((number) => state.usageWindows.delete(number));
-  const numbers = Array.from(
-    { length: PREVIOUS_WINDOWS + 1 },
-    (_, offset) => lastWindow - PREVIOUS_WINDOWS + offset,
+    .filter((windowNumber) => windowNumber < lastWindow - PREVIOUS_WINDOW_COUNT)
+    .forEach((windowNumber) => state.usageWindows.delete(windowNumber));
+  const windowNumbers = Array.from(
+    { length: PREVIOUS_WINDOW_COUNT + 1 },
+    (_, offset) => lastWindow - PREVIOUS_WINDOW_COUNT + offset,
   );
-  return numbers.flatMap((number) => advanceWindow(state, number, epoch));
+  return windowNumbers.flatMap((windowNumber) => advanceWindow(state, windowNumber, epoch));
 }
 
-/** Goes on with a window as soon as its counts are settled. */
+/** Stores the settled counts and, if this process holds the lease, reports them. */
 export function handleUsageSettled(
   state: SingletonState,
-  number: number,
+  windowNumber: number,
   counts: UsageCounts,
 ): SingletonEffect[] {
-  const window = getUsageWindow(state, number);
+  const window = getUsageWindow(state, windowNumber);
   window.counts = counts;
   window.retryAt = Number.NEGATIVE_INFINITY;
-  return state.epoch === undefined ? [] : advanceWindow(state, number, state.epoch);
+  return state.epoch === undefined ? [] : advanceWindow(state, windowNumber, state.epoch);
 }
--- a/packages/controller-core/src/singleton/reduceSingleton.test.ts
+++ b/packages/controller-core/src/singleton/reduceSingleton.test.ts
@@ -52,8 +52,11 @@
   };
 }
 
-/** A process whose clock the test sets; `feed` returns the effects without the log lines. */
-function makeFeed() {
+/**
+ * Returns a function that passes an event at the given time to a new process and returns the
+ * effects without log lines.
+ */
+function makeProcess() {
   const state = makeSingletonState({ usageWindow: WINDOW_MILLISECONDS, ordersInstances: true });
   return (at: number, payload: SingletonEventPayload): SingletonEffect[] =>
     reduceSingleton(state, { ...payload, now: at, wallNow: at }).filter(
@@ -61,8 +64,8 @@
     );
 }
 
-test('a window is settled in the log once its reports have come, then reported as settled', () => {
-  const feed = makeFeed();
+test('a window is settled in the log after its last reports, then reported with the settled counts', () => {
+  const feed = makeProcess();
   feed(0, { type: 'configurationReceived', configuration });
   feed(0, { type: 'leaseHeld', epoch: 3 });
   feed(4900, { type: 'entryReported', report: makeReport({ laden: 4 }) });
@@ -76,7 +79,7 @@
       (effect) => effect.type === 'settleUsage' && effect.window === 0 && effect.counts.laden === 4,
     ),
   );
-  // Another holder had proposed other counts before: those of the log are reported.
+  // Another holder has settled other counts before; these are reported.
   const reports = feed(8400, { type: 'usageSettled', window: 0, counts: { laden: 5 } });
   assert.deepEqual(reports, [{ type: 'reportUsage', window: 0, counts: { laden: 5 }, epoch: 3 }]);
   feed(8500, { type: 'usageReported', window: 0 });
@@ -86,8 +89,8 @@
   );
 });
 
-test('a report that failed is made again with the same counts', () => {
-  const feed = makeFeed();
+test('an unanswered usage report is repeated with the same counts', () => {
+  const feed = makeProcess();
   feed(0, { type: 'configurationReceived', configuration });
   feed(0, { type: 'leaseHeld', epoch: 3 });
   feed(8300, { type: 'usageSettled', window: 0, counts: { laden: 5 } });
@@ -95,10 +98,9 @@
   assert.deepEqual(retries, [{ type: 'reportUsage', window: 0, counts: { laden: 5 }, epoch: 3 }]);
 });
 
-// The platform would hear two holders at once. A process that has lost its lease, or never had it,
-// asks for nothing, whatever it hears.
-test('nothing is asked for without the lease', () => {
-  const feed = makeFeed();
+// Guards against orders and reports from two holders at the same time.
+test('nothing is ordered or reported without the lease', () => {
+  const feed = makeProcess();
   const instances = [
     {
       instance: 'i-1',
@@ -122,8 +124,8 @@
   assert.ok(orders.length > 0);
 });
 
-test('an order that was refused is given again after a while, one that was taken is not', () => {
-  const feed = makeFeed();
+test('a refused order is repeated after a while, an accepted one is not', () => {
+  const feed = makeProcess();
   const instances = [0, 1].map((number) => ({
     instance: `i-${number}`,
     dataCentre: 'a',
@@ -152,9 +154,12 @@
   );
 });
 
-/** A process that holds the lease, and whose orders all succeed; `list` returns the new ones. */
+/**
+ * Returns a process that holds the lease and whose orders are all accepted; `list` passes it a list
+ * and returns its new orders.
+ */
 function makeLeaseHolder() {
-  const feed = makeFeed();
+  const feed = makeProcess();
   feed(0, { type: 'configurationReceived', configuration });
   feed(0, { type: 'leaseHeld', epoch: 1 });
   const list = (at: number, reclaimable: Record<string, number>, onDemand = {}): string[] => {
@@ -188,10 +193,9 @@
   );
 }
 
-// Callers are late and refused for the rest of a rush. A wave takes the reclaimable engines of a
-// data centre; the platform starts no others for an order that it carried out before. So once
-// those ordered should have come and have not, the order is given again.
-test('what a wave has taken is ordered again', () => {
+// Guards against a lasting shortage: the platform does not replace instances that a wave has
+// taken, so the order must be repeated once their start is overdue.
+test('instances lost to a wave are ordered again', () => {
   const { list } = makeLeaseHolder();
   const firstOrders = list(0, {}, { a: 1, b: 1 });
   list(1000, {}, { a: 1, b: 1 });
@@ -208,9 +212,9 @@
   );
 });
 
-// Reclaimable engines take over from on-demand ones before any demand is known. For a moment both
-// are there; taken for twice the need, twice as many would be ordered and paid for.
-test('both kinds that are there during a change are not added up', () => {
+// Guards against ordering twice the need: until demand is known, the listed instances stand for
+// it, and both kinds are listed while reclaimable instances replace on-demand ones.
+test('reclaimable and on-demand instances are not added up while one kind replaces the other', () => {
   const { list } = makeLeaseHolder();
   list(0, {}, { a: 2, b: 2 });
   list(1000, {}, { a: 2, b: 2 });
@@ -221,10 +225,8 @@
   );
 });
 
-// The list grows while the engines of a system that starts come up. The cheap ones that are to take
-// over are ordered at once; by the first few that are listed, the others would be let go too early,
-// and the first callers find too few engines.
-test('no on-demand instance is let go by a list that still grows', () => {
+// Guards against ending on-demand instances that are not listed yet while a cluster starts.
+test('no on-demand instance is ended while the list still grows', () => {
   const { list } = makeLeaseHolder();
   const firstOrders = list(0, {}, { a: 1 });
   assert.ok(firstOrders.length > 0 && firstOrders.every((order) => order.includes('reclaimable')));
--- a/packages/controller-core/src/singleton/reduceSingleton.ts
+++ b/packages/controller-core/src/singleton/reduceSingleton.ts
@@ -1,6 +1,7 @@
 /**
- * The reducer of the work of which one process in the whole cluster does all: reporting usage, and
- * sizing pools where the platform is told numbers. It asks for nothing while it holds no lease.
+ * Reducer of the work that one process does for the whole cluster: reporting usage, and sizing
+ * pools on platforms that accept a target count. It sends no order, settlement or report without
+ * the lease.
  */
 import { assertNever, type EntryReport, type PlatformInstance } from '@hornbeampond/schema';
 import { advanceSizes, handleSizeOrderOutcome } from './advanceSizes.js';
@@ -14,7 +15,10 @@
   if ((report.demand ?? []).length > 0) state.firstDemandAt ??= state.now;
 }
 
-/** The list fills while the instances of a system that starts come up, for several seconds. */
+/**
+ * Stores the list and detects when it has stopped growing: while a cluster starts, its instances
+ * are listed over several seconds.
+ */
 function receiveInstanceList(state: SingletonState, instances: readonly PlatformInstance[]): void {
   state.instances = instances;
   if (instances.length === 0) return;
@@ -42,7 +46,7 @@
       return advanceSizes(state);
     case 'leaseHeld':
       state.epoch = event.epoch;
-      // What the holder before was told is not known; everything is planned anew.
+      // The orders accepted from the previous holder are unknown, so sizing starts anew.
       state.pools.clear();
       return [];
     case 'leaseLost':
--- a/packages/controller-core/src/singleton/singletonEvents.ts
+++ b/packages/controller-core/src/singleton/singletonEvents.ts
@@ -1,4 +1,4 @@
-/** What happens to the process that reports usage and sizes pools, and what it asks of its shell. */
+/** Events and effects of the process that reports usage and sizes pools for the whole cluster. */
 import type {
   Configuration,
   EntryReport,
@@ -15,18 +15,18 @@
   | { readonly type: 'tick' }
   | { readonly type: 'configurationReceived'; readonly configuration: Configuration }
   | { readonly type: 'entryReported'; readonly report: EntryReport }
-  /** What entries tell between two reports, or a store has kept of what they told. */
+  /** Usage that entries send between two reports, or that a store has persisted. */
   | { readonly type: 'usageTold'; readonly usage: readonly EntryUsage[] }
   | { readonly type: 'instancesListed'; readonly instances: readonly PlatformInstance[] }
   | { readonly type: 'leaseHeld'; readonly epoch: number }
   | { readonly type: 'leaseLost' }
-  /** The counts that the log keeps for a window, whoever proposed them. */
+  /** The counts that the log has for a window, whichever process proposed them. */
   | { readonly type: 'usageSettled'; readonly window: number; readonly counts: UsageCounts }
   | { readonly type: 'usageReported'; readonly window: number }
   | {
       readonly type: 'sizeOrdered';
       readonly order: SizeOrder;
-      /** `refused`: the platform has none to give; `failed`: it is not known what became of it. */
+      /** `refused`: the platform has no instances to give; `failed`: the result is unknown. */
       readonly outcome: 'done' | 'refused' | 'failed';
     };
 
--- a/packages/controller-core/src/sizing/computeInstanceNeed.ts
+++ b/packages/controller-core/src/sizing/computeInstanceNeed.ts
@@ -1,21 +1,25 @@
 /**
- * How many instances of a pool the measured demand needs. An engine runs out of two things: places
- * in its batch, which long answers take, and time to compute prompts, which delays the tokens of
- * all that run beside them. The scarcer one decides.
+ * Computes how many instances of a pool the reported demand needs. An engine has two limited
+ * resources: slots in its batch, which long answers occupy, and time for prefill, which delays the
+ * tokens of the other requests in the batch. The scarcer resource decides.
  */
 import type { RouteDemandReport } from '@hornbeampond/schema';
 import type { InstanceNeed } from './planSizes.js';
 
 /**
- * Shares of an engine that may be in use. The time for a prompt is learnt from first tokens and holds
- * what it waits for others, so it is longer than the mere computing, and the shares are higher.
+ * Utilization to plan for: slots in use (`places`) and time spent on prefill (`prompts`). Prefill
+ * times are estimated from first-token delays, which include waiting for other prompts, so the
+ * limits for `prompts` are higher.
  */
 const MAX_UTILIZATION = { places: 0.3, prompts: 0.65 } as const;
 const MAX_UTILIZATION_AFTER_LOSS = { places: 0.5, prompts: 0.95 } as const;
 
 const MILLISECONDS_PER_SECOND = 1000;
 
-/** Load of a pool in instances that would be in use all the time. */
+/**
+ * Load of a pool, as the number of instances it would occupy completely: `places` by slots in use,
+ * `prompts` by time spent on prefill.
+ */
 export interface PoolLoad {
   readonly places: number;
   readonly prompts: number;
@@ -23,6 +27,7 @@
 
 type RateOf = (report: RouteDemandReport) => number;
 
+/** Computes the load with the rate that `rateOf` takes from each report. */
 function computeLoad(
   demand: readonly RouteDemandReport[],
   concurrency: number,
@@ -39,8 +44,9 @@
 }
 
 /**
- * The load over the last ten seconds, or over the last few where that is more. An engine takes
- * seconds to start, and a rush may last no longer than it takes to show in ten.
+ * Returns the load by the ten-second rate or by the rate of the last few seconds, whichever is
+ * higher. An engine takes seconds to start, so a sudden increase must count before the ten-second
+ * rate shows it.
  */
 export function measureLoad(demand: readonly RouteDemandReport[], concurrency: number): PoolLoad {
   const longTermLoad = computeLoad(
@@ -61,7 +67,7 @@
   );
 }
 
-/** The instances that a load needs. */
+/** Returns the instances that the load needs, normally and after the planned loss. */
 export function computeInstanceNeed(load: PoolLoad): InstanceNeed {
   return {
     normal: countInstances(load, MAX_UTILIZATION),
--- a/packages/controller-core/src/sizing/planSizes.test.ts
+++ b/packages/controller-core/src/sizing/planSizes.test.ts
@@ -47,22 +47,23 @@
 
 const dataCentreNames = ['a', 'b', 'c', 'd'];
 
-test('reclaimable instances are spread evenly, the cheapest places having one more', () => {
+test('reclaimable instances are spread evenly, with the remainder in the cheapest data centres', () => {
   const serving = dataCentreNames.map((name) => makeDataCentre(name, { reclaimable: 2 }));
   assert.equal(plan({ normal: 6, afterLoss: 2 }, serving), 'a 1+0, b 2+0, c 1+0, d 2+0');
   const expensive = { ...sizing, reclaimableShare: 0.8 };
   assert.equal(plan({ normal: 6, afterLoss: 4 }, serving, expensive), 'a 1+0, b 2+0, c 1+0, d 2+0');
 });
 
-// Guards against callers who wait after the second of two waves that come sooner than a start takes.
-test('as many cheap reclaimable instances are held as two waves leave enough of', () => {
+// Guards against a shortage after the second of two waves that follow each other faster than an
+// instance starts.
+test('while reclaimable instances are cheap, enough are planned to cover two waves', () => {
   const serving = dataCentreNames.map((name) => makeDataCentre(name, { reclaimable: 2 }));
   assert.equal(plan({ normal: 6, afterLoss: 3 }, serving), 'a 2+0, b 2+0, c 1+0, d 2+0');
   assert.equal(plan({ normal: 6, afterLoss: 4 }, serving), 'a 2+0, b 2+0, c 2+0, d 2+0');
 });
 
-// Guards against orders without end where nothing is left after two waves, however many are held.
-test('of few data centres, or few that give any, no more is held than makes sense', () => {
+// Guards against ever larger orders where no number of instances would be enough after two waves.
+test('the number of reclaimable instances is limited if few data centres exist or are open', () => {
   const need = { normal: 3, afterLoss: 2 };
   const twoDataCentres = ['a', 'b'].map((name) => makeDataCentre(name, { reclaimable: 2 }));
   const threeDataCentres = ['a', 'b', 'c'].map((name) => makeDataCentre(name, { reclaimable: 1 }));
@@ -73,14 +74,17 @@
   assert.match(plan(need, halfClosed, sizingUpToForty), /^a 3\+\d, b 3\+\d, c 0\+\d, d 0\+\d$/);
 });
 
-test('on-demand instances serve until the reclaimable ones are there', () => {
+test('on-demand instances are kept until the reclaimable ones are listed', () => {
   const serving = dataCentreNames.map((name) =>
     makeDataCentre(name, { onDemand: name === 'c' ? 2 : 1 }),
   );
   assert.equal(plan({ normal: 5, afterLoss: 3 }, serving), 'a 2+1, b 2+1, c 1+0, d 2+1');
 });
 
-/** On-demand instances planned after a wave has taken b, with two reclaimable ones left elsewhere. */
+/**
+ * Returns the on-demand instances planned after a wave in b, with two reclaimable ones left in each
+ * other data centre.
+ */
 function planAfterWave(recentWaveCount: number, isClosed: boolean): number {
   const dataCentres = dataCentreNames.map((name) =>
     name === 'b' ? makeDataCentre(name, { isClosed }) : makeDataCentre(name, { reclaimable: 2 }),
@@ -92,25 +96,24 @@
   );
 }
 
-// Callers wait or are refused while a wave has left too few engines. The platform takes all of b on
-// notice; the next wave follows before an instance ordered then would serve. So what one more loss
-// would lack is ordered with the first, also where reclaimable ones are to be had again.
-test('after a wave, what the next one would lack is ordered at once', () => {
+// Guards against a shortage after the next wave, which may come before an instance ordered after
+// it serves.
+test('after a wave, on-demand instances for the next one are planned immediately', () => {
   assert.equal(planAfterWave(1, true), 1);
   assert.equal(planAfterWave(1, false), 1);
 });
 
-// The second wave has come within a start of the first, and none are to be had: a third may come
-// before what is ordered now serves.
-test('after waves in a row that cannot be made good, as many again are prepared for', () => {
+// Guards against a shortage when waves follow each other faster than an instance starts and no
+// reclaimable instances are available to replace the lost ones.
+test('after several waves without replacements, the plan covers as many further waves', () => {
   assert.equal(planAfterWave(2, true), 3);
   assert.equal(planAfterWave(3, true), 5);
   assert.equal(planAfterWave(2, false), 1);
 });
 
-// The platform answers an order for more with a refusal, and takes one for fewer as an order to end
-// instances. A plan that counted a place without more to give as empty would end what serves there.
-test('a place without more to give keeps what it has', () => {
+// Guards against ending serving instances: the platform refuses an order for more, but an order
+// for fewer ends instances.
+test('a closed data centre keeps its reclaimable instances', () => {
   const dataCentres = dataCentreNames.map((name) =>
     makeDataCentre(name, { reclaimable: 1, isClosed: name === 'b' }),
   );
@@ -122,9 +125,9 @@
   assert.equal(planned.find(({ dataCentre }) => dataCentre === 'b')?.reclaimable, 1);
 });
 
-// A rush is over. The cheap instances stay for the next one; what stands in for those that a wave
-// took costs several times as much, and goes as soon as the rush that it was ordered for.
-test('on-demand instances are let go before reclaimable ones', () => {
+// Guards against paying for expensive on-demand instances longer than the demand lasts. The cheap
+// reclaimable ones stay for the next peak.
+test('on-demand instances are removed before reclaimable ones', () => {
   const dataCentres = dataCentreNames.map((name) =>
     makeDataCentre(name, {
       reclaimable: name === 'b' ? 0 : 2,
@@ -142,8 +145,9 @@
   assert.deepEqual([sum('reclaimable'), sum('onDemand')], [12, 1]);
 });
 
-// Each move between data centres costs a start and cuts the answers that run on the old instance.
-test('what was planned on demand stays where it is', () => {
+// Guards against moving instances: each move costs a start and interrupts the answers on the old
+// instance.
+test('on-demand instances stay in their data centres', () => {
   const dataCentres = [
     makeDataCentre('a', { reclaimable: 2, onDemand: 2, orderedOnDemand: 2 }),
     makeDataCentre('b', { isClosed: true }),
@@ -156,7 +160,7 @@
   );
 });
 
-test('no place is planned beyond its bounds, whatever is needed', () => {
+test('the plan stays within the limits of each data centre, whatever the need', () => {
   const dataCentres = dataCentreNames.map((name) => makeDataCentre(name));
   planSizes({
     sizing,
@@ -168,7 +172,7 @@
   });
 });
 
-test('where nothing is reclaimable, on-demand instances carry the need', () => {
+test('on-demand instances cover the need if there are no reclaimable ones', () => {
   const { reclaimableShare, ...sizingWithoutReclaimable } = sizing;
   assert.equal(reclaimableShare, 0.15);
   const dataCentres = dataCentreNames.map((name) => makeDataCentre(name));
--- a/packages/controller-core/src/sizing/planSizes.ts
+++ b/packages/controller-core/src/sizing/planSizes.ts
@@ -1,42 +1,39 @@
 /**
- * Plans how many instances of a pool each data centre has, reclaimable and on-demand, where the
- * platform is told numbers rather than sells single instances.
+ * Plans how many reclaimable and on-demand instances of a pool each data centre has, for platforms
+ * that accept a target count instead of single purchases.
  *
- * Reclaimable ones cost a fraction, and a wave takes all of one data centre at a time. So they are
- * spread evenly, as many as leave enough to go on with after one such loss, or after two
- * where they are cheap. On-demand ones are
- * held for what the reclaimable ones that serve now lack of that: while some start, and after a
- * wave for as long as no more are to be had.
- *
- * A plan changes as little as it can: what was planned last is where it starts. Instances that are
- * moved between data centres would each cost a start and the answers that run on the old one.
+ * Reclaimable instances are cheap, but a reclaim wave takes all of those in one data centre. They
+ * are spread evenly, and enough are planned to cover the need after one such loss, or after two
+ * where they are cheap. On-demand instances cover what the listed reclaimable ones would lack after
+ * the next wave. They stay where they were ordered as far as possible: a move to another data
+ * centre costs a start and interrupts the answers on the old instance.
  */
 import type { PoolSizing } from '@hornbeampond/schema';
 
-/** What the plan has to be enough for, in instances. */
+/** Number of instances that a plan must provide. */
 export interface InstanceNeed {
-  /** With all there. */
+  /** While no instance is lost. */
   readonly normal: number;
-  /** Just after the reclaimable instances of one data centre are gone. */
+  /** Right after the loss of one data centre's reclaimable instances. */
   readonly afterLoss: number;
 }
 
-/** The need over two spans: capacity follows a rise at once and a fall late. */
+/** The highest need over two history windows, so that planned capacity falls only after a delay. */
 export interface NeedWindows {
-  /** Over the span for which cheap instances are kept. */
+  /** For reclaimable instances. */
   readonly longWindow: InstanceNeed;
-  /** Over the shorter one for which on-demand instances are. */
+  /** For on-demand instances, which are more expensive and therefore removed earlier. */
   readonly shortWindow: InstanceNeed;
 }
 
-/** One data centre: what the platform lists there, without what leaves, and what was planned. */
+/** Live instances that the platform lists in one data centre, and what was ordered there. */
 export interface DataCentreState {
   readonly dataCentre: string;
   readonly reclaimable: number;
   readonly onDemand: number;
-  /** True while the platform has no reclaimable instances to give there. */
+  /** True while the platform is assumed to have no more reclaimable instances there. */
   readonly isClosed: boolean;
-  /** On-demand instances of the last plan. */
+  /** On-demand instances of the last accepted order; the listed ones if there was none. */
   readonly orderedOnDemand: number;
 }
 
@@ -44,20 +41,21 @@
   readonly sizing: PoolSizing;
   readonly needs: NeedWindows;
   readonly dataCentres: readonly DataCentreState[];
-  /** Waves that have taken reclaimable instances within the last two starts. */
+  /** Number of waves within the last two start durations. */
   readonly recentWaveCount?: number;
 }
 
-/** What is to be ordered for one data centre. */
+/** Planned number of instances in one data centre. */
 export interface DataCentreSize {
   readonly dataCentre: string;
   readonly reclaimable: number;
   readonly onDemand: number;
 }
 
+/** The plan for one data centre while it is being made. */
 interface DraftSize {
   readonly listed: DataCentreState;
-  readonly relativePrice: number;
+  readonly onDemandPrice: number;
   reclaimable: number;
   onDemand: number;
 }
@@ -67,10 +65,13 @@
 }
 
 function sortByPrice(drafts: readonly DraftSize[]): DraftSize[] {
-  return [...drafts].sort((a, b) => a.relativePrice - b.relativePrice);
+  return [...drafts].sort((a, b) => a.onDemandPrice - b.onDemandPrice);
 }
 
-/** The place with fewest, the cheapest of several: an even spread bounds the largest loss. */
+/**
+ * Returns the data centre with the lowest count, and the cheapest of several: an even spread limits
+ * the largest loss.
+ */
 function findSmallest(
   drafts: readonly DraftSize[],
   countOf: (draft: DraftSize) => number,
@@ -79,19 +80,22 @@
 }
 
 /**
- * Waves after which the reclaimable instances are still enough, if none come back in between: where
- * they are cheap, another of them costs a fraction of the on-demand one that it makes good.
+ * Number of waves in a row after which the remaining reclaimable instances must still cover the
+ * need. While they are cheap, covering a second wave costs less than on-demand replacements would.
  */
 const WAVES_COVERED_WHILE_CHEAP = 2;
 const WAVES_COVERED = 1;
 
-/** Of the price of an on-demand instance. */
+/** Reclaimable instances are cheap up to this fraction of the on-demand price. */
 const MAX_CHEAP_FRACTION_OF_ON_DEMAND_PRICE = 0.5;
 
-/** Where few data centres give any now, nothing would be left after the waves, however many are held. */
+/**
+ * Limits what is planned for a second wave to this multiple of the need after a loss. If only few
+ * data centres are open, no number of instances would be enough.
+ */
 const MAX_RECLAIMABLE_MULTIPLE_OF_NEED = 3;
 
-/** Instances of the data centres that have most of them. */
+/** Returns the instances in the data centres with the highest counts, one data centre per wave. */
 function countInLargestDataCentres(counts: readonly number[], waves: number): number {
   return [...counts]
     .sort((a, b) => b - a)
@@ -118,7 +122,10 @@
   return countRemainingAfter(waves) >= need.afterLoss;
 }
 
-/** A place without more to give counts with what it has: an order for fewer would end those. */
+/**
+ * Adds reclaimable instances evenly until they are enough. A closed data centre keeps its listed
+ * count: an order for fewer would end instances that serve.
+ */
 function spreadReclaimable(
   drafts: readonly DraftSize[],
   { sizing, needs: { longWindow: need } }: SizeRequest,
@@ -139,16 +146,19 @@
 }
 
 /**
- * Further waves that the on-demand instances have to make up for: the next one, since what is ordered
- * after it comes too late for it. While the platform has none to give, as many as came within the time
- * of two starts.
+ * Returns how many further waves the on-demand instances must cover: the next one, since an order
+ * sent after it would be too late, and as many as occurred recently while any data centre is
+ * closed.
  */
 function countWavesToCover(drafts: readonly DraftSize[], recentWaveCount: number): number {
   const isAnyClosed = drafts.some(({ listed }) => listed.isClosed);
   return isAnyClosed ? Math.max(1, recentWaveCount) : 1;
 }
 
-/** What the reclaimable instances that serve now would lack after the waves that may follow. */
+/**
+ * Returns the on-demand instances needed in addition to the listed reclaimable ones, after the
+ * waves to cover. Without reclaimable instances they cover the whole need.
+ */
 function countRequiredOnDemand(
   drafts: readonly DraftSize[],
   { sizing, needs: { shortWindow: need }, recentWaveCount = 0 }: SizeRequest,
@@ -163,7 +173,11 @@
   return Math.max(0, need.afterLoss - (servingCount - countAtRisk));
 }
 
-/** Starts from the last plan; adds where instances are there already, then where they are cheap. */
+/**
+ * Changes the last accepted on-demand counts as little as possible. Surplus is removed where it is
+ * most expensive. Instances are added first where listed on-demand instances are not yet part of
+ * the plan, then in the data centre with the fewest instances.
+ */
 function planOnDemand(drafts: readonly DraftSize[], request: SizeRequest): void {
   const { sizing } = request;
   const requiredOnDemand = countRequiredOnDemand(drafts, request);
@@ -188,7 +202,7 @@
   }
 }
 
-/** The platform bounds both kinds together. */
+/** Keeps the sum of both kinds within the limits of a data centre. */
 function enforceBounds(drafts: readonly DraftSize[], { sizing }: SizeRequest): void {
   drafts.forEach((draft) => {
     const minOnDemand = sizing.least - draft.reclaimable;
@@ -201,7 +215,7 @@
   const { sizing, dataCentres } = request;
   const drafts = dataCentres.map((listed) => ({
     listed,
-    relativePrice: sizing.prices[listed.dataCentre] ?? 1,
+    onDemandPrice: sizing.prices[listed.dataCentre] ?? 1,
     reclaimable: 0,
     onDemand: 0,
   }));
--- a/packages/controller-core/src/testing/ControllerHarness.ts
+++ b/packages/controller-core/src/testing/ControllerHarness.ts
@@ -1,6 +1,7 @@
 /**
- * Drives one controller in virtual time for tests: a clock, the tables, and short ways to tell it
- * things. It answers no purchase and no order by itself, so each test decides what gets lost.
+ * Drives one controller in virtual time for tests: it holds the clock, the tables and the simulated
+ * surroundings, and turns them into events. It does not answer purchases and orders by itself,
+ * except in `provisionPlan`, so a test decides which answers are lost.
  */
 import type {
   Configuration,
@@ -50,6 +51,7 @@
   checksFencing: true,
 };
 
+/** Returns a configuration with the given pool and one route to it. */
 export function makeConfiguration(pool: Pool, revision = 1): Configuration {
   return {
     revision,
@@ -72,28 +74,31 @@
 
   now = 0;
 
-  /** Requests a second that the one entry reports. */
+  /** Request rate that the only entry of the own data centre reports. */
   requestsPerSecond = 0;
 
-  /** Requests a second that each other data centre reports. */
+  /** Request rate that the controller of each data centre in the pool reports. */
   peerRequestsPerSecond = 0;
 
-  /** What the platform lists; undefined while its list cannot be read. */
+  /** The platform's list; undefined while it cannot be read. */
   listedInstances: PlatformInstance[] | undefined = [];
 
-  /** What engines of the own data centre report to have loaded; the others report nothing. */
+  /**
+   * Models that engines of the own data centre report as loaded, by instance. Engines that are
+   * missing here report none.
+   */
   readonly loadedModels = new Map<string, LoadedModel>();
 
-  /** Calls that run at an instance; one that is not named runs none. */
+  /** Number of running calls by instance; 0 if missing. */
   readonly runningCalls = new Map<string, number>();
 
-  /** How far the clocks of the backend servers are ahead. */
+  /** How far the clocks of the backend servers are ahead of the controller's. */
   serverClockOffset: Milliseconds = 0;
 
-  /** False while no load report comes in. */
+  /** False while load reports are lost. */
   deliversLoadReports = true;
 
-  /** False while the other data centres are cut off. */
+  /** False while the other data centres are partitioned. */
   peersReachable = true;
 
   constructor(options: HarnessOptions = {}) {
@@ -112,7 +117,7 @@
     return reduceController(this.state, event);
   }
 
-  /** Moves time on by whole seconds; in each, everybody reports and then a tick comes. */
+  /** Advances the clock in steps of a second; each step delivers all reports and then a tick. */
   advance(duration: Milliseconds): ControllerEffect[] {
     const effects: ControllerEffect[] = [];
     for (const end = this.now + duration; this.now < end;) {
@@ -122,7 +127,7 @@
     return effects;
   }
 
-  /** Takes the lease and waits until a new holder may buy; returns what it did meanwhile. */
+  /** Acquires the lease and waits until a new holder may buy; returns the effects since then. */
   acquireLease(epoch = 1, unfencedFrom = this.now): ControllerEffect[] {
     this.deliverReports();
     const effects = this.dispatch({ type: 'leaseHeld', epoch, unfencedFrom });
@@ -130,8 +135,8 @@
   }
 
   /**
-   * Takes the lease and lets the platform list, live and loaded, just what the plan wants; the
-   * own purchases are answered.
+   * Acquires the lease, then lets the platform list exactly the instances that the plan wants, live
+   * and with the model loaded, and answers the own purchases with them.
    */
   provisionPlan(): void {
     this.acquireLease();
@@ -147,12 +152,12 @@
     this.listedInstances.forEach(({ instance }) =>
       this.loadedModels.set(instance, { model, version }),
     );
-    const own = this.listedInstances.filter(
+    const ownInstances = this.listedInstances.filter(
       ({ dataCentre }) => dataCentre === this.state.dataCentre,
     );
     [...this.state.pendingStarts.values()].forEach(({ startToken, instanceClass }) => {
-      const position = own.findIndex((listed) => listed.instanceClass === instanceClass);
-      const [instance] = position < 0 ? [] : own.splice(position, 1);
+      const index = ownInstances.findIndex((listed) => listed.instanceClass === instanceClass);
+      const [instance] = index < 0 ? [] : ownInstances.splice(index, 1);
       if (instance !== undefined) this.answerStart(startToken, { type: 'started', instance });
     });
     this.advance(60_000);
@@ -175,17 +180,17 @@
     if (this.requestsPerSecond > 0)
       this.dispatch({ type: 'demandReported', entry: 'entry-1', demand });
     if (this.peersReachable) this.deliverPeerReports();
-    const { listedInstances: rows } = this;
-    if (rows === undefined) return [];
-    const effects = this.dispatch({ type: 'platformListed', instances: rows });
+    const { listedInstances } = this;
+    if (listedInstances === undefined) return [];
+    const effects = this.dispatch({ type: 'platformListed', instances: listedInstances });
     if (!this.deliversLoadReports) return effects;
-    rows
+    listedInstances
       .filter(({ dataCentre }) => dataCentre === this.state.dataCentre)
       .forEach(({ instance }) => this.deliverLoadReport(instance));
     return effects;
   }
 
-  /** The other controllers report their demand and what the list shows as live. */
+  /** Delivers a report for each data centre, with its demand and its live instances in the list. */
   private deliverPeerReports(): void {
     this.pool.dataCentres.forEach((dataCentre) => {
       const instances = (this.listedInstances ?? []).filter(
@@ -219,7 +224,7 @@
   }
 }
 
-/** A live row of the platform's list. */
+/** Returns a live instance as the platform lists it. */
 export function makePlatformInstance(
   instance: string,
   dataCentre = 'wien-a',
@@ -237,7 +242,7 @@
   };
 }
 
-/** The effects of one type. */
+/** Returns the effects of one type. */
 export function effectsOfType<Type extends ControllerEffect['type']>(
   effects: readonly ControllerEffect[],
   type: Type,
@@ -247,12 +252,12 @@
   );
 }
 
-/** Names of the log events among the effects. */
+/** Returns the names of the log events among the effects. */
 export function listLogEvents(effects: readonly ControllerEffect[]): string[] {
   return effectsOfType(effects, 'log').map(({ event }) => event);
 }
 
-/** The start effects' places, such as `wien-a/spot`, sorted. */
+/** Returns the places of the start effects, such as `wien-a/spot`, sorted. */
 export function listStartPlaces(effects: readonly ControllerEffect[]): string[] {
   return effectsOfType(effects, 'startInstance')
     .map(({ dataCentre, instanceClass }) => `${dataCentre}/${instanceClass}`)
--- a/packages/controller-core/src/usage/UsageLedger.test.ts
+++ b/packages/controller-core/src/usage/UsageLedger.test.ts
@@ -19,7 +19,7 @@
   };
 }
 
-test('the newest report of each start of an entry counts, and none twice', () => {
+test('each run of an entry counts once, with its newest report', () => {
   const ledger = new UsageLedger();
   ledger.receive(report({ begun: { 7: { laden: 3 } } }));
   ledger.receive(report({ begun: { 7: { laden: 5 } } }));
@@ -27,21 +27,22 @@
   assert.deepEqual(ledger.total(7), { kunde: 1, laden: 7 });
 });
 
-// The platform is told less than has run if an entry that is killed takes its counts with it. Its
-// last report was heard; the restarted entry begins at nothing under another incarnation.
-test('what an entry began before it was restarted still counts', () => {
+// Guards against losing the counts of an entry that was killed; the restarted entry counts from 0
+// under a new incarnation.
+test('counts from before a restart of an entry still count', () => {
   const ledger = new UsageLedger();
   ledger.receive(report({ begun: { 7: { laden: 5 } } }));
   ledger.receive(report({ incarnation: 2, begun: { 7: { laden: 1 } } }));
   assert.deepEqual(ledger.total(7), { laden: 6 });
 });
 
-test('a window that nobody reported has no counts', () => {
+test('a window without reports has no counts', () => {
   assert.deepEqual(new UsageLedger().total(3), {});
 });
 
-// Counts come with reports and between them, through two stores; an older word may come last.
-test('an older word of the same start takes nothing away', () => {
+// Guards against lower counts when messages arrive out of order: counts are sent in reports and
+// between them, through two stores.
+test('an older message of the same run lowers no count', () => {
   const ledger = new UsageLedger();
   ledger.receive({ instance: 'entry-1', incarnation: 1, begun: { 7: { laden: 5, kunde: 2 } } });
   ledger.receive(report({ begun: { 7: { laden: 3 } } }));
--- a/packages/controller-core/src/usage/UsageLedger.ts
+++ b/packages/controller-core/src/usage/UsageLedger.ts
@@ -1,14 +1,17 @@
 /**
- * Adds up, by window of the wall clock, what all entries began to run. An entry repeats its whole
- * counts in each report, so the newest report of each start of an entry replaces its earlier ones;
- * counts of an entry that has restarted since stay.
+ * Sums the requests that all entries have begun, by window of the wall clock. An entry sends its
+ * complete counts each time, so the highest count of each run of an entry is kept. Counts from
+ * before an entry's restart remain in the sum.
  */
 import type { EntryReport, EntryUsage, UsageCounts } from '@hornbeampond/schema';
 
-/** Windows that are kept; older ones have been settled or are too late to be of use. */
+/** Number of windows kept, up to the newest; older ones are no longer settled. */
 const RETAINED_WINDOWS = 12;
 
-/** Words that came by two ways may overtake each other. */
+/**
+ * Merges counts of one run. Counts never decrease, so of two that arrive in either order the higher
+ * one is newer.
+ */
 function mergeHighest(previous: UsageCounts, received: UsageCounts): UsageCounts {
   const merged: Record<string, number> = { ...previous };
   Object.entries(received).forEach(([workspace, count]) => {
@@ -18,10 +21,10 @@
 }
 
 export class UsageLedger {
-  /** Counts by window, then by start of an entry. */
+  /** Counts by window number, then by run of an entry. */
   private readonly windows = new Map<number, Map<string, UsageCounts>>();
 
-  /** Takes in counts, of which a later word never tells less. */
+  /** Merges the counts of an entry, in any order of arrival, and removes old windows. */
   receive({ instance, incarnation, begun = {} }: EntryUsage | EntryReport): void {
     const entryRun = `${instance}/${incarnation}`;
     Object.entries(begun).forEach(([number, counts]) => {
@@ -33,7 +36,7 @@
     this.removeOldWindows();
   }
 
-  /** What all entries are known to have begun in a window, by workspace in order of name. */
+  /** Returns the requests begun in a window, by workspace in the order of their names. */
   total(window: number): UsageCounts {
     const sums = new Map<string, number>();
     this.windows.get(window)?.forEach((counts) => {
