--- a/packages/controller-core/src/planning/estimatePoolNeed.ts
+++ b/packages/controller-core/src/planning/estimatePoolNeed.ts
@@ -110,16 +110,16 @@
   const steps = Math.ceil(leadTime / FORECAST_STEP_MILLISECONDS);
   const currentLoads = routes.map((route) => computeRouteLoad(state, route, state.wallNow));
   const currentNeed = computeNeed(state, currentLoads);
-  let peakAhead = currentNeed;
+  let peakNeed = currentNeed;
   let forecastPerSecond = 0;
   for (let step = 0; step <= steps; step += 1) {
     const at = state.wallNow + Math.min(leadTime, step * FORECAST_STEP_MILLISECONDS);
     const loads =
       step === 0 ? currentLoads : routes.map((route) => computeRouteLoad(state, route, at));
     const need = computeNeed(state, loads);
-    peakAhead = {
-      normal: Math.max(peakAhead.normal, need.normal),
-      afterLoss: Math.max(peakAhead.afterLoss, need.afterLoss),
+    peakNeed = {
+      normal: Math.max(peakNeed.normal, need.normal),
+      afterLoss: Math.max(peakNeed.afterLoss, need.afterLoss),
     };
     const totalRequestsPerSecond = loads.reduce((sum, load) => sum + load.requestsPerSecond, 0);
     forecastPerSecond = Math.max(forecastPerSecond, totalRequestsPerSecond);
@@ -143,5 +143,5 @@
       Number.MAX_SAFE_INTEGER,
     ),
   };
-  return { currentEstimate, peakAhead };
+  return { currentEstimate, peakAhead: peakNeed };
 }
--- a/packages/controller-core/src/planning/planPools.ts
+++ b/packages/controller-core/src/planning/planPools.ts
@@ -18,8 +18,8 @@
 type RecentNeeds = PoolPlan['recentNeeds'];
 
 /**
- * Returns the recent needs with the new one, one entry per minute, without those older than
- * `scaleInDelay`.
+ * Returns the recent needs with the new one. Keeps the highest need of each minute, and none older
+ * than `scaleInDelay`.
  */
 function addRecentNeed(
   state: ControllerState,
@@ -81,9 +81,9 @@
 }
 
 function planPool(state: ControllerState, pool: Pool): PoolPlan {
-  const { currentEstimate, peakAhead } = estimatePoolNeed(state, pool);
+  const { currentEstimate, peakAhead: peakNeed } = estimatePoolNeed(state, pool);
   const previousPlan = state.plans.get(pool.name);
-  const recentNeeds = addRecentNeed(state, previousPlan?.recentNeeds ?? [], peakAhead);
+  const recentNeeds = addRecentNeed(state, previousPlan?.recentNeeds ?? [], peakNeed);
   const need = findHighestNeed(recentNeeds);
   const waveLossFraction = findMaxWaveLossFraction(state, pool);
   const offers = listOffers(state, pool);
--- a/packages/controller-core/src/planning/scaleIn.ts
+++ b/packages/controller-core/src/planning/scaleIn.ts
@@ -156,7 +156,8 @@
 /**
  * Drains instances that no row of the pools table covers. Before the first table arrives none is
  * drained: a restarted controller would otherwise drain the whole fleet. If only a class or a data
- * centre was removed from a row, its instances are kept until the others cover the pool's need.
+ * centre was removed from a row, each of its instances is kept until the rest of the pool covers
+ * the need.
  */
 function drainStrayInstances(state: ControllerState): ControllerEffect[] {
   if (state.configuration.pools.revision === 0) return [];
--- a/packages/controller-core/src/singleton/SingletonState.ts
+++ b/packages/controller-core/src/singleton/SingletonState.ts
@@ -61,8 +61,8 @@
   /** By data centre. */
   readonly acceptedSizes: Map<string, AcceptedSize>;
   /**
-   * Listed instances of the more numerous kind, recorded until the list is stable. It replaces the
-   * need until demand is measured.
+   * Listed instances of the more numerous kind, recorded until the list is stable. The need is at
+   * least this until demand is measured.
    */
   initialCount: number;
   /** When recent waves were detected, one for each data centre that lost its instances. */
--- a/packages/controller-core/src/singleton/advanceSizes.ts
+++ b/packages/controller-core/src/singleton/advanceSizes.ts
@@ -41,8 +41,8 @@
 /** The demand of an entry is dropped after this long without a report. */
 const ENTRY_TIMEOUT_MILLISECONDS: Milliseconds = 5000;
 
-/** Length of the window in which waves are counted, in start durations. */
-const WAVE_WINDOW_START_DURATIONS = 2;
+/** Reclaim waves are counted over this multiple of the start duration. */
+const WAVE_WINDOW_IN_START_DURATIONS = 2;
 
 /** After a refusal, no reclaimable instances are ordered in the data centre for this long. */
 const REFUSAL_CLOSURE_MILLISECONDS: Milliseconds = 3000;
@@ -105,10 +105,13 @@
 }
 
 /**
- * Returns the measured need and, until demand has been measured long enough, at least the initial
- * instance count. Updates that count until the list is stable and the count is above 0; later lists
- * also contain instances that were ordered because of it. While reclaimable instances replace
- * on-demand ones both are listed, so only the larger number counts.
+ * Returns the measured need. Until demand has been measured long enough, the result is at least the
+ * initial instance count, and half of it after a loss.
+ *
+ * Takes that count from the platform's list of instances until the list is stable and the count is
+ * above 0, and keeps it from then on: later lists include instances ordered to meet the count.
+ * While reclaimable instances replace on-demand ones both are listed, so only the larger number
+ * counts.
  */
 function updateNeedEstimate(
   state: SingletonState,
@@ -172,8 +175,8 @@
 /**
  * True if the order need not be sent: it was accepted before and is fulfilled or may still be, or
  * no order was accepted and the listed count is already right. The platform does not replace
- * instances lost to a wave or a crash, so an order that is still unfulfilled after a start is sent
- * again.
+ * instances lost to a wave or a crash, so an order that is unfulfilled after the start duration and
+ * the listing delay is sent again.
  */
 function isFulfilledOrPending(
   state: SingletonState,
@@ -215,11 +218,11 @@
   dataCentres.forEach(({ dataCentre, reclaimable }) =>
     previousReclaimable.set(dataCentre, reclaimable),
   );
-  const windowStart = state.now - WAVE_WINDOW_START_DURATIONS * startMilliseconds;
+  const waveWindowStart = state.now - WAVE_WINDOW_IN_START_DURATIONS * startMilliseconds;
   sizingState.waveTimes = [
     ...sizingState.waveTimes,
     ...reclaimedDataCentres.map(() => state.now),
-  ].filter((at) => at > windowStart);
+  ].filter((at) => at > waveWindowStart);
   return sizingState.waveTimes.length;
 }
 
@@ -237,28 +240,33 @@
   const shortWindowNeeds = sizingState.recentNeeds.filter(
     ({ at }) => state.now - at < ON_DEMAND_SCALE_IN_DELAY_MILLISECONDS,
   );
-  const need = findHighestNeed(sizingState.recentNeeds);
-  const needs = { longWindow: need, shortWindow: findHighestNeed(shortWindowNeeds) };
+  const longWindowNeed = findHighestNeed(sizingState.recentNeeds);
+  const needWindows = {
+    longWindow: longWindowNeed,
+    shortWindow: findHighestNeed(shortWindowNeeds),
+  };
   const recentWaveCount = recordAndCountWaves(state, sizingState, dataCentres, sizing);
   const plan = recordPlanAndDelayScaleIn(
     state,
     sizingState,
-    planSizes({ sizing, needs, dataCentres, recentWaveCount }),
+    planSizes({ sizing, needWindows, dataCentres, recentWaveCount }),
   );
   return plan.flatMap((size, position): SingletonEffect[] => {
     const dataCentre = dataCentres[position];
     if (dataCentre === undefined) return [];
     const acceptedSize = sizingState.acceptedSizes.get(size.dataCentre);
-    // While the list still grows, some on-demand instances are not listed yet, and an order for
-    // the listed number would end them.
-    return makeOrders(pool, size)
-      .filter((order) => order.reclaimable || state.isListStable)
-      .filter((order) => !isFulfilledOrPending(state, sizing, acceptedSize, dataCentre, order))
-      .filter((order) => !(order.reclaimable && dataCentre.isClosed))
-      .flatMap((order): SingletonEffect[] => [
-        { type: 'log', event: 'sizeOrdered', fields: { ...order, ...need, ...load } },
-        { type: 'orderSize', order, epoch },
-      ]);
+    return (
+      makeOrders(pool, size)
+        // Until the list is stable, the planned on-demand count may be based on an incomplete list,
+        // and the order would end instances that are not listed yet.
+        .filter((order) => order.reclaimable || state.isListStable)
+        .filter((order) => !isFulfilledOrPending(state, sizing, acceptedSize, dataCentre, order))
+        .filter((order) => !(order.reclaimable && dataCentre.isClosed))
+        .flatMap((order): SingletonEffect[] => [
+          { type: 'log', event: 'sizeOrdered', fields: { ...order, ...longWindowNeed, ...load } },
+          { type: 'orderSize', order, epoch },
+        ])
+    );
   });
 }
 
--- a/packages/controller-core/src/singleton/advanceUsage.ts
+++ b/packages/controller-core/src/singleton/advanceUsage.ts
@@ -8,14 +8,14 @@
 import type { SingletonState, UsageWindow } from './SingletonState.js';
 
 /**
- * Entries report once more after the end of a window; this leaves time for two of their reports to
- * be lost.
+ * The counts of a window are complete in the first report of each entry after its end. Entries
+ * report every second; the delay allows for two lost reports.
  */
 const WINDOW_SETTLE_DELAY_MILLISECONDS: Milliseconds = 3200;
 
 /**
- * Number of earlier windows that are still settled and reported, so that a new holder completes
- * what its predecessor left.
+ * Number of windows before the last one that are also settled and reported if that has not been
+ * done, so that a new lease holder completes what its predecessor left.
  */
 const PREVIOUS_WINDOW_COUNT = 3;
 
@@ -29,8 +29,11 @@
   return created;
 }
 
-/** Returns the next step for a window: settle its counts, or report the settled ones. */
-function advanceWindow(
+/**
+ * Returns the next step for a window: settle its counts, or report the settled ones. Returns
+ * nothing if the window was reported or the last step was too recent.
+ */
+function startNextStep(
   state: SingletonState,
   windowNumber: number,
   epoch: number,
@@ -44,15 +47,18 @@
   return [{ type: 'settleUsage', window: windowNumber, counts: state.usage.total(windowNumber) }];
 }
 
-/** Advances the last window that ended long enough ago, and the windows before it. */
+/**
+ * Starts the next step for the last window that ended long enough ago and for the
+ * `PREVIOUS_WINDOW_COUNT` windows before it. Removes older windows.
+ */
 export function advanceUsage(state: SingletonState): SingletonEffect[] {
-  const { usageWindow } = state.options;
-  if (usageWindow <= 0 || state.epoch === undefined) return [];
+  const { usageWindow: windowMilliseconds } = state.options;
+  if (windowMilliseconds <= 0 || state.epoch === undefined) return [];
   // Before the first configuration no request has run, so there is nothing to report.
   if (state.configuration.revision === 0) return [];
   const { epoch } = state;
   const lastWindow =
-    Math.floor((state.wallNow - WINDOW_SETTLE_DELAY_MILLISECONDS) / usageWindow) - 1;
+    Math.floor((state.wallNow - WINDOW_SETTLE_DELAY_MILLISECONDS) / windowMilliseconds) - 1;
   [...state.usageWindows.keys()]
     .filter((windowNumber) => windowNumber < lastWindow - PREVIOUS_WINDOW_COUNT)
     .forEach((windowNumber) => state.usageWindows.delete(windowNumber));
@@ -60,7 +66,7 @@
     { length: PREVIOUS_WINDOW_COUNT + 1 },
     (_, offset) => lastWindow - PREVIOUS_WINDOW_COUNT + offset,
   );
-  return windowNumbers.flatMap((windowNumber) => advanceWindow(state, windowNumber, epoch));
+  return windowNumbers.flatMap((windowNumber) => startNextStep(state, windowNumber, epoch));
 }
 
 /** Stores the settled counts and, if this process holds the lease, reports them. */
@@ -72,5 +78,5 @@
   const window = getUsageWindow(state, windowNumber);
   window.counts = counts;
   window.retryAt = Number.NEGATIVE_INFINITY;
-  return state.epoch === undefined ? [] : advanceWindow(state, windowNumber, state.epoch);
+  return state.epoch === undefined ? [] : startNextStep(state, windowNumber, state.epoch);
 }
--- a/packages/controller-core/src/singleton/reduceSingleton.test.ts
+++ b/packages/controller-core/src/singleton/reduceSingleton.test.ts
@@ -64,11 +64,11 @@
     );
 }
 
-test('a window is settled in the log after its last reports, then reported with the settled counts', () => {
+test('a window is settled in the replicated log after its last reports, then reported with the settled counts', () => {
   const feed = makeProcess();
   feed(0, { type: 'configurationReceived', configuration });
   feed(0, { type: 'leaseHeld', epoch: 3 });
-  feed(4900, { type: 'entryReported', report: makeReport({ laden: 4 }) });
+  feed(4900, { type: 'entryReported', report: makeReport({ workspaceA: 4 }) });
   assert.deepEqual(
     feed(6000, { type: 'tick' }).filter(({ type }) => type === 'reportUsage'),
     [],
@@ -76,12 +76,15 @@
   const effects = feed(8300, { type: 'tick' });
   assert.ok(
     effects.some(
-      (effect) => effect.type === 'settleUsage' && effect.window === 0 && effect.counts.laden === 4,
+      (effect) =>
+        effect.type === 'settleUsage' && effect.window === 0 && effect.counts.workspaceA === 4,
     ),
   );
-  // Another holder has settled other counts before; these are reported.
-  const reports = feed(8400, { type: 'usageSettled', window: 0, counts: { laden: 5 } });
-  assert.deepEqual(reports, [{ type: 'reportUsage', window: 0, counts: { laden: 5 }, epoch: 3 }]);
+  // Another holder has settled 5 before, so 5 is reported.
+  const reports = feed(8400, { type: 'usageSettled', window: 0, counts: { workspaceA: 5 } });
+  assert.deepEqual(reports, [
+    { type: 'reportUsage', window: 0, counts: { workspaceA: 5 }, epoch: 3 },
+  ]);
   feed(8500, { type: 'usageReported', window: 0 });
   assert.equal(
     feed(9600, { type: 'tick' }).some((effect) => 'window' in effect && effect.window === 0),
@@ -93,9 +96,11 @@
   const feed = makeProcess();
   feed(0, { type: 'configurationReceived', configuration });
   feed(0, { type: 'leaseHeld', epoch: 3 });
-  feed(8300, { type: 'usageSettled', window: 0, counts: { laden: 5 } });
+  feed(8300, { type: 'usageSettled', window: 0, counts: { workspaceA: 5 } });
   const retries = feed(9400, { type: 'tick' }).filter(({ type }) => type === 'reportUsage');
-  assert.deepEqual(retries, [{ type: 'reportUsage', window: 0, counts: { laden: 5 }, epoch: 3 }]);
+  assert.deepEqual(retries, [
+    { type: 'reportUsage', window: 0, counts: { workspaceA: 5 }, epoch: 3 },
+  ]);
 });
 
 // Guards against orders and reports from two holders at the same time.
--- a/packages/controller-core/src/singleton/singletonEvents.ts
+++ b/packages/controller-core/src/singleton/singletonEvents.ts
@@ -20,7 +20,7 @@
   | { readonly type: 'instancesListed'; readonly instances: readonly PlatformInstance[] }
   | { readonly type: 'leaseHeld'; readonly epoch: number }
   | { readonly type: 'leaseLost' }
-  /** The counts that the log has for a window, whichever process proposed them. */
+  /** The counts that the replicated log holds for a window, whichever process proposed them. */
   | { readonly type: 'usageSettled'; readonly window: number; readonly counts: UsageCounts }
   | { readonly type: 'usageReported'; readonly window: number }
   | {
--- a/packages/controller-core/src/sizing/planSizes.test.ts
+++ b/packages/controller-core/src/sizing/planSizes.test.ts
@@ -30,7 +30,7 @@
   };
 }
 
-function makeSteadyNeeds(need: InstanceNeed): NeedWindows {
+function makeEqualNeedWindows(need: InstanceNeed): NeedWindows {
   return { longWindow: need, shortWindow: need };
 }
 
@@ -40,7 +40,7 @@
   dataCentres: readonly DataCentreState[],
   limits = sizing,
 ): string {
-  return planSizes({ sizing: limits, needs: makeSteadyNeeds(need), dataCentres })
+  return planSizes({ sizing: limits, needWindows: makeEqualNeedWindows(need), dataCentres })
     .map(({ dataCentre, reclaimable, onDemand }) => `${dataCentre} ${reclaimable}+${onDemand}`)
     .join(', ');
 }
@@ -89,8 +89,8 @@
   const dataCentres = dataCentreNames.map((name) =>
     name === 'b' ? makeDataCentre(name, { isClosed }) : makeDataCentre(name, { reclaimable: 2 }),
   );
-  const needs = makeSteadyNeeds({ normal: 8, afterLoss: 5 });
-  return planSizes({ sizing, needs, dataCentres, recentWaveCount }).reduce(
+  const needWindows = makeEqualNeedWindows({ normal: 8, afterLoss: 5 });
+  return planSizes({ sizing, needWindows, dataCentres, recentWaveCount }).reduce(
     (sum, { onDemand }) => sum + onDemand,
     0,
   );
@@ -119,7 +119,7 @@
   );
   const planned = planSizes({
     sizing,
-    needs: makeSteadyNeeds({ normal: 8, afterLoss: 5 }),
+    needWindows: makeEqualNeedWindows({ normal: 8, afterLoss: 5 }),
     dataCentres,
   });
   assert.equal(planned.find(({ dataCentre }) => dataCentre === 'b')?.reclaimable, 1);
@@ -135,11 +135,11 @@
       orderedOnDemand: 1,
     }),
   );
-  const needs = {
+  const needWindows = {
     longWindow: { normal: 6, afterLoss: 5 },
     shortWindow: { normal: 3, afterLoss: 2 },
   };
-  const planned = planSizes({ sizing, needs, dataCentres });
+  const planned = planSizes({ sizing, needWindows, dataCentres });
   const sum = (kind: 'reclaimable' | 'onDemand') =>
     planned.reduce((total, size) => total + size[kind], 0);
   assert.deepEqual([sum('reclaimable'), sum('onDemand')], [12, 1]);
@@ -164,7 +164,7 @@
   const dataCentres = dataCentreNames.map((name) => makeDataCentre(name));
   planSizes({
     sizing,
-    needs: makeSteadyNeeds({ normal: 100, afterLoss: 90 }),
+    needWindows: makeEqualNeedWindows({ normal: 100, afterLoss: 90 }),
     dataCentres,
   }).forEach((size) => {
     const total = size.reclaimable + size.onDemand;
--- a/packages/controller-core/src/sizing/planSizes.ts
+++ b/packages/controller-core/src/sizing/planSizes.ts
@@ -39,7 +39,7 @@
 
 export interface SizeRequest {
   readonly sizing: PoolSizing;
-  readonly needs: NeedWindows;
+  readonly needWindows: NeedWindows;
   readonly dataCentres: readonly DataCentreState[];
   /** Number of waves within the last two start durations. */
   readonly recentWaveCount?: number;
@@ -128,7 +128,7 @@
  */
 function spreadReclaimable(
   drafts: readonly DraftSize[],
-  { sizing, needs: { longWindow: need } }: SizeRequest,
+  { sizing, needWindows: { longWindow: need } }: SizeRequest,
 ): void {
   const reclaimablePriceFraction = sizing.reclaimableShare ?? 1;
   drafts.forEach((draft) => {
@@ -161,7 +161,7 @@
  */
 function countRequiredOnDemand(
   drafts: readonly DraftSize[],
-  { sizing, needs: { shortWindow: need }, recentWaveCount = 0 }: SizeRequest,
+  { sizing, needWindows: { shortWindow: need }, recentWaveCount = 0 }: SizeRequest,
 ): number {
   if (sizing.reclaimableShare === undefined) return Math.max(need.normal, need.afterLoss);
   const servingCount = sumBy(drafts, ({ listed }) => listed.reclaimable);
--- a/packages/controller-core/src/usage/UsageLedger.ts
+++ b/packages/controller-core/src/usage/UsageLedger.ts
@@ -5,7 +5,7 @@
  */
 import type { EntryReport, EntryUsage, UsageCounts } from '@hornbeampond/schema';
 
-/** Number of windows kept, up to the newest; older ones are no longer settled. */
+/** Number of windows kept, the newest included: more than are settled and reported. */
 const RETAINED_WINDOWS = 12;
 
 /**
@@ -22,16 +22,16 @@
 
 export class UsageLedger {
   /** Counts by window number, then by run of an entry. */
-  private readonly windows = new Map<number, Map<string, UsageCounts>>();
+  private readonly countsByWindow = new Map<number, Map<string, UsageCounts>>();
 
   /** Merges the counts of an entry, in any order of arrival, and removes old windows. */
   receive({ instance, incarnation, begun = {} }: EntryUsage | EntryReport): void {
     const entryRun = `${instance}/${incarnation}`;
     Object.entries(begun).forEach(([number, counts]) => {
       const window = Number(number);
-      const countsByRun = this.windows.get(window) ?? new Map<string, UsageCounts>();
+      const countsByRun = this.countsByWindow.get(window) ?? new Map<string, UsageCounts>();
       countsByRun.set(entryRun, mergeHighest(countsByRun.get(entryRun) ?? {}, counts));
-      this.windows.set(window, countsByRun);
+      this.countsByWindow.set(window, countsByRun);
     });
     this.removeOldWindows();
   }
@@ -39,7 +39,7 @@
   /** Returns the requests begun in a window, by workspace in the order of their names. */
   total(window: number): UsageCounts {
     const sums = new Map<string, number>();
-    this.windows.get(window)?.forEach((counts) => {
+    this.countsByWindow.get(window)?.forEach((counts) => {
       Object.entries(counts).forEach(([workspace, count]) => {
         sums.set(workspace, (sums.get(workspace) ?? 0) + count);
       });
@@ -48,9 +48,9 @@
   }
 
   private removeOldWindows(): void {
-    const newest = Math.max(...this.windows.keys());
-    [...this.windows.keys()]
+    const newest = Math.max(...this.countsByWindow.keys());
+    [...this.countsByWindow.keys()]
       .filter((window) => window <= newest - RETAINED_WINDOWS)
-      .forEach((window) => this.windows.delete(window));
+      .forEach((window) => this.countsByWindow.delete(window));
   }
 }
