--- a/packages/controller-core/src/planning/scaleIn.ts
+++ b/packages/controller-core/src/planning/scaleIn.ts
@@ -1,6 +1,8 @@
 /**
- * Takes instances out that the plan no longer wants: drained first, ended only once idle. The
- * plan's need already holds the highest of the last minutes, so a short dip takes nothing out.
+ * Takes instances of the controller's data centre out of service: those that the plan no longer
+ * wants, those that no row of the pools table covers, and those that never served. An instance is
+ * drained first and ended only when no call can be running at it. The planned need is the highest
+ * of the last minutes, so a short decrease drains nothing.
  */
 import type { DrainReason, Pool } from '@hornbeampond/schema';
 import type { ControllerEffect } from '../effects.js';
@@ -19,10 +21,13 @@
 import { canDrainInstance } from './servingCapacity.js';
 import { isOwnTurn } from './isOwnTurn.js';
 
-/** An end without an answer is resent after so long; ending what is gone already is no fault. */
-const END_TIMEOUT = 30_000;
+/**
+ * The end of an instance is requested again after this long; ending one that no longer exists does
+ * no harm.
+ */
+const END_RESEND_DELAY_MILLISECONDS = 30_000;
 
-/** Takes an instance out of service for good. */
+/** Starts to drain an instance, which is then ended once it is idle. */
 export function drainInstance(
   state: ControllerState,
   instance: FleetInstance,
@@ -42,34 +47,39 @@
   ];
 }
 
-/** Those that serve nothing go first, then those with the wrong weights, then the newest. */
+/**
+ * Sorts for removal: instances that neither serve nor have the wanted model first, those that do
+ * both last, and newer ones first among equals.
+ */
 function compareForRemoval(pool: Pool, a: FleetInstance, b: FleetInstance): number {
-  const worth = (instance: FleetInstance) =>
+  const retentionRank = (instance: FleetInstance) =>
     Number(isServing(pool, instance)) + Number(isUpToDate(pool, instance));
   return (
-    worth(a) - worth(b) || b.firstSeenAt - a.firstSeenAt || a.instance.localeCompare(b.instance)
+    retentionRank(a) - retentionRank(b) ||
+    b.firstSeenAt - a.firstSeenAt ||
+    a.instance.localeCompare(b.instance)
   );
 }
 
-function findSurplus(state: ControllerState, pool: Pool): FleetInstance[] {
+function findSurplusInstances(state: ControllerState, pool: Pool): FleetInstance[] {
   const plan = state.plans.get(pool.name);
   if (plan === undefined) return [];
   return plan.places
     .filter((place) => place.dataCentre === state.dataCentre)
     .flatMap((place) => {
-      const there = instancesOf(state, pool).filter(
+      const kept = instancesOf(state, pool).filter(
         (instance) =>
           isKept(instance) &&
           placeKey(instance.dataCentre, instance.instanceClass) ===
             placeKey(place.dataCentre, place.instanceClass),
       );
-      return there
+      return kept
         .sort((a, b) => compareForRemoval(pool, a, b))
-        .slice(0, Math.max(0, there.length - place.wanted));
+        .slice(0, Math.max(0, kept.length - place.wanted));
     });
 }
 
-/** At most one instance of a pool in one turn. */
+/** Drains a surplus instance, at most one of the pool in each turn of the data centre. */
 function scaleInPool(state: ControllerState, pool: Pool): ControllerEffect[] {
   if (!isOwnTurn(state, pool)) return [];
   const turnStartedAt = state.now - (state.wallNow % state.policy.turnDuration);
@@ -77,9 +87,10 @@
     (instance) => instance.phase === 'draining' && instance.phaseSince >= turnStartedAt,
   );
   if (drainedThisTurn) return [];
-  // One that only starts must stay too while the pool lacks capacity: the plan may have moved to
-  // a place that refuses again, and draining here would buy and drain in turns.
-  const candidate = findSurplus(state, pool).find((instance) =>
+  // Instances that are still starting are also kept while the pool is short of capacity. The plan
+  // may have moved to a place that refuses again; draining here would alternate between buying
+  // and draining.
+  const candidate = findSurplusInstances(state, pool).find((instance) =>
     canDrainInstance(state, pool, instance),
   );
   if (candidate === undefined) return [];
@@ -91,30 +102,34 @@
 }
 
 /**
- * True if nothing can still run there. A backend server that reports nothing at all any more is
- * ended only when even the longest answer, begun just before the drain, must be over.
+ * True if no call can be running at the instance. If load reports stop, that is certain only after
+ * the longest whole-answer deadline plus the maximum list lag.
  */
-function canEnd(state: ControllerState, instance: FleetInstance): boolean {
+function canEndInstance(state: ControllerState, instance: FleetInstance): boolean {
   if (isIdle(state, instance)) return true;
-  const heardAt = instance.loadReportReceivedAt ?? instance.phaseSince;
-  const silentFor = state.now - Math.max(heardAt, instance.phaseSince);
-  const longest = state.configuration.routes.rows
+  const lastReportAt = instance.loadReportReceivedAt ?? instance.phaseSince;
+  const timeWithoutReport = state.now - Math.max(lastReportAt, instance.phaseSince);
+  const maxAnswerDuration = state.configuration.routes.rows
     .filter((route) => route.pool === instance.pool)
     .flatMap((route) => [route.deadline, ...route.deadlinesByHour])
-    .reduce((most, deadline) => Math.max(most, deadline.wholeAnswerMilliseconds), 0);
-  return silentFor > longest + state.policy.maxListLag;
+    .reduce((maxSoFar, deadline) => Math.max(maxSoFar, deadline.wholeAnswerMilliseconds), 0);
+  return timeWithoutReport > maxAnswerDuration + state.policy.maxListLag;
 }
 
-/** Ends what was drained and is idle; resends an end whose answer was lost. */
+/**
+ * Ends drained instances at which no call can be running, and repeats requests whose answer was
+ * lost.
+ */
 export function endDrainedInstances(state: ControllerState): ControllerEffect[] {
-  const ready = [...state.fleet.values()].filter(
+  const endable = [...state.fleet.values()].filter(
     (instance) =>
       instance.dataCentre === state.dataCentre &&
       instance.phase === 'draining' &&
-      (instance.endSentAt === undefined || state.now - instance.endSentAt >= END_TIMEOUT) &&
-      canEnd(state, instance),
+      (instance.endSentAt === undefined ||
+        state.now - instance.endSentAt >= END_RESEND_DELAY_MILLISECONDS) &&
+      canEndInstance(state, instance),
   );
-  return ready.flatMap((instance): ControllerEffect[] => {
+  return endable.flatMap((instance): ControllerEffect[] => {
     const resent = instance.endSentAt !== undefined;
     instance.endSentAt = state.now;
     const { instance: name, pool } = instance;
@@ -129,7 +144,7 @@
   });
 }
 
-/** True if no row of the pools table allows for it. */
+/** True if no row of the pools table covers the instance's pool, data centre and class. */
 function isStray(state: ControllerState, instance: FleetInstance): boolean {
   const pool = poolOf(state, instance.pool);
   if (pool === undefined) return true;
@@ -139,12 +154,12 @@
 }
 
 /**
- * Drains instances of the own data centre that belong to no row of the pools table. Before a
- * table has come in, none is a stray: a restarted controller would end the whole fleet. Where only
- * a class or a data centre was taken out of a row, callers still depend on its instances, so each
- * stays until the pool's other instances meet the need.
+ * Drains instances that no row of the pools table covers. Before the first table arrives none is
+ * drained: a restarted controller would otherwise drain the whole fleet. If only a class or a data
+ * centre was removed from a row, each of its instances is kept until the rest of the pool covers
+ * the need.
  */
-function drainStrays(state: ControllerState): ControllerEffect[] {
+function drainStrayInstances(state: ControllerState): ControllerEffect[] {
   if (state.configuration.pools.revision === 0) return [];
   return [...state.fleet.values()]
     .filter((instance) => instance.dataCentre === state.dataCentre && isKept(instance))
@@ -157,8 +172,11 @@
     .flatMap((instance) => drainInstance(state, instance, 'stray', {}));
 }
 
-/** Drains instances that never came to serve: they would count as capacity to come for ever. */
-function drainDuds(state: ControllerState): ControllerEffect[] {
+/**
+ * Drains instances that have not served within the startup timeout; they would count as upcoming
+ * capacity for ever.
+ */
+function drainInstancesThatNeverServed(state: ControllerState): ControllerEffect[] {
   return [...state.fleet.values()]
     .filter(
       (instance) =>
@@ -172,8 +190,8 @@
 
 export function scaleIn(state: ControllerState): ControllerEffect[] {
   return [
-    ...drainStrays(state),
-    ...drainDuds(state),
+    ...drainStrayInstances(state),
+    ...drainInstancesThatNeverServed(state),
     ...state.configuration.pools.rows.flatMap((pool) => scaleInPool(state, pool)),
     ...endDrainedInstances(state),
   ];
--- a/packages/controller-core/src/singleton/reduceSingleton.test.ts
+++ b/packages/controller-core/src/singleton/reduceSingleton.test.ts
@@ -10,7 +10,7 @@
 import type { SingletonEffect, SingletonEventPayload } from './singletonEvents.js';
 import { makeSingletonState } from './SingletonState.js';
 
-const WINDOW = 5000;
+const WINDOW_MILLISECONDS = 5000;
 
 const pool: Pool = {
   name: 'engines',
@@ -52,33 +52,39 @@
   };
 }
 
-/** A process whose clock the test sets; `feed` returns the effects without the log lines. */
+/**
+ * Returns a function that passes an event at the given time to a new process and returns the
+ * effects without log lines.
+ */
 function makeProcess() {
-  const state = makeSingletonState({ usageWindow: WINDOW, ordersInstances: true });
-  return (at: number, occurrence: SingletonEventPayload): SingletonEffect[] =>
-    reduceSingleton(state, { ...occurrence, now: at, wallNow: at }).filter(
+  const state = makeSingletonState({ usageWindow: WINDOW_MILLISECONDS, ordersInstances: true });
+  return (at: number, payload: SingletonEventPayload): SingletonEffect[] =>
+    reduceSingleton(state, { ...payload, now: at, wallNow: at }).filter(
       ({ type }) => type !== 'log',
     );
 }
 
-test('a window is settled in the log once its reports have come, then reported as settled', () => {
+test('a window is settled in the replicated log after its last reports, then reported with the settled counts', () => {
   const feed = makeProcess();
   feed(0, { type: 'configurationReceived', configuration });
   feed(0, { type: 'leaseHeld', epoch: 3 });
-  feed(4900, { type: 'entryReported', report: makeReport({ laden: 4 }) });
+  feed(4900, { type: 'entryReported', report: makeReport({ workspaceA: 4 }) });
   assert.deepEqual(
     feed(6000, { type: 'tick' }).filter(({ type }) => type === 'reportUsage'),
     [],
   );
-  const settles = feed(8300, { type: 'tick' });
+  const effects = feed(8300, { type: 'tick' });
   assert.ok(
-    settles.some(
-      (effect) => effect.type === 'settleUsage' && effect.window === 0 && effect.counts.laden === 4,
+    effects.some(
+      (effect) =>
+        effect.type === 'settleUsage' && effect.window === 0 && effect.counts.workspaceA === 4,
     ),
   );
-  // Another holder had proposed other counts before: those of the log are reported.
-  const reports = feed(8400, { type: 'usageSettled', window: 0, counts: { laden: 5 } });
-  assert.deepEqual(reports, [{ type: 'reportUsage', window: 0, counts: { laden: 5 }, epoch: 3 }]);
+  // Another holder has settled 5 before, so 5 is reported.
+  const reports = feed(8400, { type: 'usageSettled', window: 0, counts: { workspaceA: 5 } });
+  assert.deepEqual(reports, [
+    { type: 'reportUsage', window: 0, counts: { workspaceA: 5 }, epoch: 3 },
+  ]);
   feed(8500, { type: 'usageReported', window: 0 });
   assert.equal(
     feed(9600, { type: 'tick' }).some((effect) => 'window' in effect && effect.window === 0),
@@ -86,18 +92,19 @@
   );
 });
 
-test('a report that failed is made again with the same counts', () => {
+test('an unanswered usage report is repeated with the same counts', () => {
   const feed = makeProcess();
   feed(0, { type: 'configurationReceived', configuration });
   feed(0, { type: 'leaseHeld', epoch: 3 });
-  feed(8300, { type: 'usageSettled', window: 0, counts: { laden: 5 } });
-  const again = feed(9400, { type: 'tick' }).filter(({ type }) => type === 'reportUsage');
-  assert.deepEqual(again, [{ type: 'reportUsage', window: 0, counts: { laden: 5 }, epoch: 3 }]);
+  feed(8300, { type: 'usageSettled', window: 0, counts: { workspaceA: 5 } });
+  const retries = feed(9400, { type: 'tick' }).filter(({ type }) => type === 'reportUsage');
+  assert.deepEqual(retries, [
+    { type: 'reportUsage', window: 0, counts: { workspaceA: 5 }, epoch: 3 },
+  ]);
 });
 
-// The platform would hear two holders at once. A process that has lost its lease, or never had it,
-// asks for nothing, whatever it hears.
-test('nothing is asked for without the lease', () => {
+// Guards against orders and reports from two holders at the same time.
+test('nothing is ordered or reported without the lease', () => {
   const feed = makeProcess();
   const instances = [
     {
@@ -122,7 +129,7 @@
   assert.ok(orders.length > 0);
 });
 
-test('an order that was refused is given again after a while, one that was taken is not', () => {
+test('a refused order is repeated after a while, an accepted one is not', () => {
   const feed = makeProcess();
   const instances = [0, 1].map((number) => ({
     instance: `i-${number}`,
@@ -136,20 +143,27 @@
   feed(0, { type: 'configurationReceived', configuration });
   feed(0, { type: 'leaseHeld', epoch: 1 });
   feed(0, { type: 'instancesListed', instances });
-  const first = feed(3000, { type: 'instancesListed', instances });
-  first.forEach((effect) => {
+  const firstOrders = feed(3000, { type: 'instancesListed', instances });
+  firstOrders.forEach((effect) => {
     if (effect.type !== 'orderSize') return;
     const outcome = effect.order.reclaimable ? 'refused' : 'done';
     feed(3010, { type: 'sizeOrdered', order: effect.order, outcome });
   });
-  const soon = feed(4000, { type: 'instancesListed', instances });
-  assert.ok(soon.every((effect) => effect.type === 'orderSize' && !effect.order.reclaimable));
-  const later = feed(7000, { type: 'instancesListed', instances });
-  assert.ok(later.some((effect) => effect.type === 'orderSize' && effect.order.reclaimable));
+  const ordersDuringClosure = feed(4000, { type: 'instancesListed', instances });
+  assert.ok(
+    ordersDuringClosure.every((effect) => effect.type === 'orderSize' && !effect.order.reclaimable),
+  );
+  const ordersAfterClosure = feed(7000, { type: 'instancesListed', instances });
+  assert.ok(
+    ordersAfterClosure.some((effect) => effect.type === 'orderSize' && effect.order.reclaimable),
+  );
 });
 
-/** A process that holds the lease, and whose orders all succeed; `list` returns the new ones. */
-function makeBuyer() {
+/**
+ * Returns a process that holds the lease and whose orders are all accepted; `list` passes it a list
+ * and returns its new orders.
+ */
+function makeLeaseHolder() {
   const feed = makeProcess();
   feed(0, { type: 'configurationReceived', configuration });
   feed(0, { type: 'leaseHeld', epoch: 1 });
@@ -184,14 +198,13 @@
   );
 }
 
-// Callers are late and refused for the rest of a rush. A wave takes the reclaimable engines of a
-// data centre; the platform starts no others for an order that it carried out before. So once
-// those ordered should have come and have not, the order is given again.
-test('what a wave has taken is ordered again', () => {
-  const { list } = makeBuyer();
-  const first = list(0, {}, { a: 1, b: 1 });
+// Guards against a lasting shortage: the platform does not replace instances that a wave has
+// taken, so the order must be repeated once their start is overdue.
+test('instances lost to a wave are ordered again', () => {
+  const { list } = makeLeaseHolder();
+  const firstOrders = list(0, {}, { a: 1, b: 1 });
   list(1000, {}, { a: 1, b: 1 });
-  assert.ok(first.includes('a reclaimable 1') && first.includes('b reclaimable 1'));
+  assert.ok(firstOrders.includes('a reclaimable 1') && firstOrders.includes('b reclaimable 1'));
   list(6000, { a: 1, b: 1 });
   assert.deepEqual(list(20_000, { a: 1, b: 1 }), []);
   assert.deepEqual(
@@ -204,10 +217,10 @@
   );
 });
 
-// Reclaimable engines take over from on-demand ones before any demand is known. For a moment both
-// are there; taken for twice the need, twice as many would be ordered and paid for.
-test('both kinds that are there during a change are not added up', () => {
-  const { list } = makeBuyer();
+// Guards against ordering twice the need: until demand is known, the listed instances stand for
+// it, and both kinds are listed while reclaimable instances replace on-demand ones.
+test('reclaimable and on-demand instances are not added up while one kind replaces the other', () => {
+  const { list } = makeLeaseHolder();
   list(0, {}, { a: 2, b: 2 });
   list(1000, {}, { a: 2, b: 2 });
   const orders = list(7000, { a: 2, b: 2 }, { a: 1, b: 1 });
@@ -217,13 +230,11 @@
   );
 });
 
-// The list grows while the engines of a system that starts come up. The cheap ones that are to take
-// over are ordered at once; by the first few that are listed, the others would be let go too early,
-// and the first callers find too few engines.
-test('no on-demand instance is let go by a list that still grows', () => {
-  const { list } = makeBuyer();
-  const first = list(0, {}, { a: 1 });
-  assert.ok(first.length > 0 && first.every((order) => order.includes('reclaimable')));
+// Guards against ending on-demand instances that are not listed yet while a cluster starts.
+test('no on-demand instance is ended while the list still grows', () => {
+  const { list } = makeLeaseHolder();
+  const firstOrders = list(0, {}, { a: 1 });
+  assert.ok(firstOrders.length > 0 && firstOrders.every((order) => order.includes('reclaimable')));
   assert.ok(list(1000, {}, { a: 2 }).every((order) => order.includes('reclaimable')));
   list(2000, {}, { a: 2, b: 1 });
   assert.ok(list(3000, {}, { a: 2, b: 1 }).some((order) => order.includes('onDemand')));
--- a/packages/controller-core/src/sizing/computeInstanceNeed.ts
+++ b/packages/controller-core/src/sizing/computeInstanceNeed.ts
@@ -1,21 +1,25 @@
 /**
- * How many instances of a pool the measured demand needs. An engine runs out of two things: places
- * in its batch, which long answers take, and time to compute prompts, which delays the tokens of
- * all that run beside them. The scarcer one decides.
+ * Computes how many instances of a pool the reported demand needs. An engine has two limited
+ * resources: slots in its batch, which long answers occupy, and time for prefill, which delays the
+ * tokens of the other requests in the batch. The scarcer resource decides.
  */
 import type { RouteDemandReport } from '@hornbeampond/schema';
 import type { InstanceNeed } from './planSizes.js';
 
 /**
- * Shares of an engine that may be in use. The time for a prompt is learnt from first tokens and holds
- * what it waits for others, so it is longer than the mere computing, and the shares are higher.
+ * Utilization to plan for: slots in use (`places`) and time spent on prefill (`prompts`). Prefill
+ * times are estimated from first-token delays, which include waiting for other prompts, so the
+ * limits for `prompts` are higher.
  */
-const NORMAL_SHARES = { places: 0.3, prompts: 0.65 } as const;
-const AFTER_LOSS_SHARES = { places: 0.5, prompts: 0.95 } as const;
+const MAX_UTILIZATION = { places: 0.3, prompts: 0.65 } as const;
+const MAX_UTILIZATION_AFTER_LOSS = { places: 0.5, prompts: 0.95 } as const;
 
 const MILLISECONDS_PER_SECOND = 1000;
 
-/** Load of a pool in instances that would be in use all the time. */
+/**
+ * Load of a pool, as the number of instances it would occupy completely: `places` by slots in use,
+ * `prompts` by time spent on prefill.
+ */
 export interface PoolLoad {
   readonly places: number;
   readonly prompts: number;
@@ -23,7 +27,8 @@
 
 type RateOf = (report: RouteDemandReport) => number;
 
-function loadAt(
+/** Computes the load with the rate that `rateOf` takes from each report. */
+function computeLoad(
   demand: readonly RouteDemandReport[],
   concurrency: number,
   rateOf: RateOf,
@@ -39,26 +44,33 @@
 }
 
 /**
- * The load over the last ten seconds, or over the last few where that is more. An engine takes
- * seconds to start, and a rush may last no longer than it takes to show in ten.
+ * Returns the load by the ten-second rate or by the rate of the last few seconds, whichever is
+ * higher. An engine takes seconds to start, so a sudden increase must count before the ten-second
+ * rate shows it.
  */
 export function measureLoad(demand: readonly RouteDemandReport[], concurrency: number): PoolLoad {
-  const steady = loadAt(demand, concurrency, ({ requestsPerSecond }) => requestsPerSecond);
-  const recent = loadAt(demand, concurrency, ({ recentPerSecond = 0 }) => recentPerSecond);
+  const longTermLoad = computeLoad(
+    demand,
+    concurrency,
+    ({ requestsPerSecond }) => requestsPerSecond,
+  );
+  const recentLoad = computeLoad(demand, concurrency, ({ recentPerSecond = 0 }) => recentPerSecond);
   return {
-    places: Math.max(steady.places, recent.places),
-    prompts: Math.max(steady.prompts, recent.prompts),
+    places: Math.max(longTermLoad.places, recentLoad.places),
+    prompts: Math.max(longTermLoad.prompts, recentLoad.prompts),
   };
 }
 
-function instancesFor(load: PoolLoad, shares: PoolLoad): number {
-  return Math.ceil(Math.max(load.places / shares.places, load.prompts / shares.prompts));
+function countInstances(load: PoolLoad, maxUtilization: PoolLoad): number {
+  return Math.ceil(
+    Math.max(load.places / maxUtilization.places, load.prompts / maxUtilization.prompts),
+  );
 }
 
-/** The instances that a load needs. */
+/** Returns the instances that the load needs, normally and after the planned loss. */
 export function computeInstanceNeed(load: PoolLoad): InstanceNeed {
   return {
-    normal: instancesFor(load, NORMAL_SHARES),
-    afterLoss: instancesFor(load, AFTER_LOSS_SHARES),
+    normal: countInstances(load, MAX_UTILIZATION),
+    afterLoss: countInstances(load, MAX_UTILIZATION_AFTER_LOSS),
   };
 }
