--- a/apps/store/src/DiskOperations.ts
+++ b/apps/store/src/DiskOperations.ts
@@ -19,19 +19,19 @@
   readonly disk: StoreDisk;
   readonly timers: TimerService;
   readonly logger: Logger;
-  dispatch(occurrence: ConsensusEventPayload): void;
+  dispatch(event: ConsensusEventPayload): void;
   send(instance: string, envelope: Envelope): void;
 }
 
 export class DiskOperations {
-  private under: Promise<void> = Promise.resolve();
+  private lastOperation: Promise<void> = Promise.resolve();
 
-  private readonly sending: SnapshotCache;
+  private readonly snapshotCache: SnapshotCache;
 
   private closed = false;
 
   constructor(private readonly options: DiskOperationsOptions) {
-    this.sending = new SnapshotCache(options.timers);
+    this.snapshotCache = new SnapshotCache(options.timers);
   }
 
   /** Writes are handed in at once: those that wait for a sync share the next one. */
@@ -41,31 +41,32 @@
       () => dispatch({ type: 'persisted', batch: effect.batch }),
       (error: unknown) => this.reportFailure(error),
     );
-    this.under = Promise.all([this.under, written]).then(() => {});
+    this.lastOperation = Promise.all([this.lastOperation, written]).then(() => {});
   }
 
   saveSnapshot(snapshot: SavedSnapshot): void {
-    this.inOrder(async () => {
+    this.enqueue(async () => {
       await this.options.disk.saveSnapshot(snapshot);
       this.options.dispatch({ type: 'compacted', header: snapshot.header });
     });
   }
 
   discardLog(throughIndex: SnapshotHeader['index']): void {
-    this.inOrder(async () => this.options.disk.discardLog(throughIndex));
+    this.enqueue(async () => this.options.disk.discardLog(throughIndex));
   }
 
   sendSnapshot(effect: SendSnapshotEffect): void {
-    const kept = this.sending.find(effect.header);
-    if (kept !== undefined) {
-      this.sendPart(effect, kept);
+    const cached = this.snapshotCache.find(effect.header);
+    if (cached !== undefined) {
+      this.sendPart(effect, cached);
       return;
     }
-    this.inOrder(async () => {
+    this.enqueue(async () => {
       // Loaded meanwhile for another part or peer.
-      const snapshot = this.sending.find(effect.header) ?? (await this.options.disk.readSnapshot());
+      const snapshot =
+        this.snapshotCache.find(effect.header) ?? (await this.options.disk.readSnapshot());
       if (snapshot === undefined || this.closed) return;
-      this.sending.keep(snapshot);
+      this.snapshotCache.keep(snapshot);
       this.sendPart(effect, snapshot);
     });
   }
@@ -73,16 +74,18 @@
   /** Starts nothing more for other stores. */
   stop(): void {
     this.closed = true;
-    this.sending.clear();
+    this.snapshotCache.clear();
   }
 
   /** Resolves once all that was asked for is done. */
   async finish(): Promise<void> {
-    await this.under;
+    await this.lastOperation;
   }
 
-  private inOrder(work: () => Promise<void>): void {
-    this.under = this.under.then(work).catch((error: unknown) => this.reportFailure(error));
+  private enqueue(work: () => Promise<void>): void {
+    this.lastOperation = this.lastOperation
+      .then(work)
+      .catch((error: unknown) => this.reportFailure(error));
   }
 
   private reportFailure(error: unknown): void {
--- a/apps/store/src/FolderDisk.ts
+++ b/apps/store/src/FolderDisk.ts
@@ -12,7 +12,7 @@
 import type { RememberedEntries } from '@hornbeampond/schema';
 import { StoreDisk, type DiskContents, type SavedSnapshot } from './StoreDisk.js';
 
-const MEMORY_FILE = 'entries';
+const ENTRY_STATE_FILE = 'entries';
 
 export interface FolderDiskOptions {
   readonly folder: string;
@@ -35,29 +35,29 @@
   }
 
   override async write(batch: PersistEffect): Promise<void> {
-    await this.opened.write(batch);
+    await this.openedLog.write(batch);
   }
 
   override async saveSnapshot(snapshot: SavedSnapshot): Promise<void> {
-    await this.opened.saveSnapshot(snapshot);
+    await this.openedLog.saveSnapshot(snapshot);
   }
 
   override async readSnapshot(): Promise<SavedSnapshot | undefined> {
-    return this.opened.readSnapshot();
+    return this.openedLog.readSnapshot();
   }
 
   override async discardLog(throughIndex: number): Promise<void> {
-    await this.opened.discardLog(throughIndex);
+    await this.openedLog.discardLog(throughIndex);
   }
 
   override async readPersistedEntryState(): Promise<RememberedEntries | undefined> {
     const { folder } = this.options;
-    const read = await readWholeFile(new NodeFileSystem(), folder, MEMORY_FILE);
+    const read = await readWholeFile(new NodeFileSystem(), folder, ENTRY_STATE_FILE);
     return read as RememberedEntries | undefined;
   }
 
-  override async savePersistedEntryState(memory: RememberedEntries): Promise<void> {
-    await replaceFile(new NodeFileSystem(), this.options.folder, MEMORY_FILE, memory);
+  override async savePersistedEntryState(state: RememberedEntries): Promise<void> {
+    await replaceFile(new NodeFileSystem(), this.options.folder, ENTRY_STATE_FILE, state);
   }
 
   /** Gives the folder a new identity, as that of an empty disk. It must be closed. */
@@ -69,7 +69,7 @@
     await this.log?.close();
   }
 
-  private get opened(): LogStore {
+  private get openedLog(): LogStore {
     if (this.log === undefined) throw new TypeError('the disk is not open');
     return this.log;
   }
--- a/apps/store/src/InstanceListCache.test.ts
+++ b/apps/store/src/InstanceListCache.test.ts
@@ -4,7 +4,7 @@
 import { ManualTimerService } from '@hornbeampond/testing';
 import { InstanceListCache } from './InstanceListCache.js';
 
-function listed(instance: string, fields: Partial<SharedInstance> = {}): SharedInstance {
+function makeInstance(instance: string, fields: Partial<SharedInstance> = {}): SharedInstance {
   return {
     instance,
     dataCentre: 'wien-a',
@@ -18,18 +18,18 @@
 }
 
 test('only what a reading has changed is told', () => {
-  const board = new InstanceListCache(new ManualTimerService());
-  board.update([listed('a'), listed('b'), listed('c')]);
-  const leaving = listed('b', { state: 'leaving', goneIn: 2500 });
-  assert.deepEqual(board.update([listed('a'), leaving]), { changed: [leaving], gone: ['c'] });
-  assert.deepEqual(board.update([listed('a'), leaving]), { changed: [], gone: [] });
+  const cache = new InstanceListCache(new ManualTimerService());
+  cache.update([makeInstance('a'), makeInstance('b'), makeInstance('c')]);
+  const leaving = makeInstance('b', { state: 'leaving', goneIn: 2500 });
+  assert.deepEqual(cache.update([makeInstance('a'), leaving]), { changed: [leaving], gone: ['c'] });
+  assert.deepEqual(cache.update([makeInstance('a'), leaving]), { changed: [], gone: [] });
 });
 
 test('a subscriber is told the last reading and its age', () => {
   const timers = new ManualTimerService();
-  const board = new InstanceListCache(timers);
-  assert.equal(board.latest, undefined);
-  board.update([listed('a')]);
+  const cache = new InstanceListCache(timers);
+  assert.equal(cache.latest, undefined);
+  cache.update([makeInstance('a')]);
   timers.advance(700);
-  assert.deepEqual(board.latest, { instances: [listed('a')], instancesAge: 700 });
+  assert.deepEqual(cache.latest, { instances: [makeInstance('a')], instancesAge: 700 });
 });
--- a/apps/store/src/InstanceListCache.ts
+++ b/apps/store/src/InstanceListCache.ts
@@ -12,12 +12,12 @@
 } from '@hornbeampond/schema';
 
 /** Both come from the same codec, with their fields in the same order. */
-function isSame(one: SharedInstance | undefined, other: SharedInstance): boolean {
+function isEqual(one: SharedInstance | undefined, other: SharedInstance): boolean {
   return JSON.stringify(one) === JSON.stringify(other);
 }
 
 export class InstanceListCache {
-  private known = new Map<string, SharedInstance>();
+  private instances = new Map<string, SharedInstance>();
 
   private readAt: MonotonicMilliseconds | undefined;
 
@@ -27,17 +27,17 @@
   get latest(): { instances: SharedInstance[]; instancesAge: Milliseconds } | undefined {
     if (this.readAt === undefined) return undefined;
     const instancesAge = this.timers.monotonicNow() - this.readAt;
-    return { instances: [...this.known.values()], instancesAge };
+    return { instances: [...this.instances.values()], instancesAge };
   }
 
   /** Takes in a reading, and returns what it has changed. */
   update(instances: readonly SharedInstance[]): SharedInstances {
-    const before = this.known;
-    this.known = new Map(instances.map((instance) => [instance.instance, instance]));
+    const before = this.instances;
+    this.instances = new Map(instances.map((instance) => [instance.instance, instance]));
     this.readAt = this.timers.monotonicNow();
     return {
-      changed: instances.filter((instance) => !isSame(before.get(instance.instance), instance)),
-      gone: [...before.keys()].filter((name) => !this.known.has(name)),
+      changed: instances.filter((instance) => !isEqual(before.get(instance.instance), instance)),
+      gone: [...before.keys()].filter((name) => !this.instances.has(name)),
     };
   }
 }
--- a/apps/store/src/JoinRequests.ts
+++ b/apps/store/src/JoinRequests.ts
@@ -7,8 +7,8 @@
 import type { JoiningVoter, StoreRequest } from '@hornbeampond/schema';
 import type { StorePeers } from './StorePeers.js';
 
-const INTERVAL_MILLISECONDS = 250;
-const REQUEST_MILLISECONDS = 2000;
+const REQUEST_INTERVAL_MILLISECONDS = 250;
+const REQUEST_TIMEOUT_MILLISECONDS = 2000;
 
 export interface JoinRequestsOptions {
   readonly timers: TimerService;
@@ -19,20 +19,22 @@
 }
 
 export class JoinRequests {
-  private unsubscribe: Unsubscribe = () => {};
+  private cancelTimer: Unsubscribe = () => {};
 
   constructor(private readonly options: JoinRequestsOptions) {}
 
   start(): void {
     this.stop();
-    this.unsubscribe = this.options.timers.every(INTERVAL_MILLISECONDS, () => this.ask());
+    this.cancelTimer = this.options.timers.every(REQUEST_INTERVAL_MILLISECONDS, () =>
+      this.sendRequests(),
+    );
   }
 
   stop(): void {
-    this.unsubscribe();
+    this.cancelTimer();
   }
 
-  private ask(): void {
+  private sendRequests(): void {
     if (!this.options.isNeeded()) {
       this.stop();
       return;
@@ -40,7 +42,7 @@
     const request: StoreRequest = { type: 'addVoter', voter: this.options.describeSelf() };
     this.options.peers.all.forEach((client) => {
       // Only the leader carries it out; the answers of all others say nothing new.
-      if (client.isOpen) client.request(request, REQUEST_MILLISECONDS).catch(() => {});
+      if (client.isOpen) client.request(request, REQUEST_TIMEOUT_MILLISECONDS).catch(() => {});
     });
   }
 }
--- a/apps/store/src/LeaderWatch.ts
+++ b/apps/store/src/LeaderWatch.ts
@@ -6,7 +6,7 @@
 import type { Milliseconds } from '@hornbeampond/schema';
 
 /** Election timeouts without a known leader after which a store is out of touch. */
-const LEADERLESS_TIMEOUTS = 4;
+const LEADERLESS_ELECTION_TIMEOUTS = 4;
 
 export interface LeaderWatchOptions {
   readonly timers: TimerService;
@@ -17,7 +17,7 @@
 export class LeaderWatch {
   private isLeaderless = false;
 
-  private cancel: Unsubscribe = () => {};
+  private cancelTimer: Unsubscribe = () => {};
 
   constructor(private readonly options: LeaderWatchOptions) {}
 
@@ -27,13 +27,13 @@
     // A store that stands for election again and again has been leaderless all the while.
     if (isLeaderless === this.isLeaderless) return;
     this.isLeaderless = isLeaderless;
-    this.cancel();
+    this.cancelTimer();
     if (!isLeaderless) return;
     const { timers, electionTimeout, onLeaderTimeout: onOutOfTouch } = this.options;
-    this.cancel = timers.after(LEADERLESS_TIMEOUTS * electionTimeout, onOutOfTouch);
+    this.cancelTimer = timers.after(LEADERLESS_ELECTION_TIMEOUTS * electionTimeout, onOutOfTouch);
   }
 
   stop(): void {
-    this.cancel();
+    this.cancelTimer();
   }
 }
--- a/apps/store/src/OperatorRequestHandler.ts
+++ b/apps/store/src/OperatorRequestHandler.ts
@@ -3,7 +3,7 @@
 import { HornbeampondError, type OperatorKey, type StoreResponse } from '@hornbeampond/schema';
 import { authorizeOperator, readBody, writeJson } from '@hornbeampond/transport';
 
-const MOST_BODY_BYTES = 4096;
+const MAX_BODY_BYTES = 4096;
 
 export interface OperatorRequestHandlerOptions {
   readonly operatorKeys: readonly OperatorKey[];
@@ -12,7 +12,7 @@
   removeStore(instance: string): Promise<StoreResponse>;
 }
 
-function readInstance(body: Buffer): string {
+function parseInstance(body: Buffer): string {
   const value: unknown = JSON.parse(body.toString('utf8'));
   if (typeof value === 'object' && value !== null && 'instance' in value) {
     if (typeof value.instance === 'string') return value.instance;
@@ -28,7 +28,7 @@
     if (folder !== 'store') return false;
     if (request.method !== 'POST') throw new HornbeampondError('methodNotAllowed', 'Use POST');
     authorizeOperator(request, this.options.operatorKeys);
-    const body = await readBody(request, MOST_BODY_BYTES);
+    const body = await readBody(request, MAX_BODY_BYTES);
     switch (operation) {
       case 'found':
         this.options.foundCluster();
@@ -37,7 +37,7 @@
         this.options.requestJoin();
         break;
       case 'remove': {
-        const removed = await this.options.removeStore(readInstance(body));
+        const removed = await this.options.removeStore(parseInstance(body));
         if (removed.type !== 'accepted') {
           const detail = `The store was not removed: ${removed.type}`;
           throw new HornbeampondError('storeUnavailable', detail);
--- a/apps/store/src/PendingRequests.ts
+++ b/apps/store/src/PendingRequests.ts
@@ -7,34 +7,34 @@
 
 export type Respond = (response: StoreResponse) => void;
 
-interface WaitingRequest {
+interface PendingRequest {
   readonly respond: Respond;
   /** Makes the response of a request that succeeded; `result` is there for commands. */
-  readonly succeed: (result: CommandResult | undefined) => StoreResponse;
+  readonly makeResponse: (result: CommandResult | undefined) => StoreResponse;
 }
 
 export class PendingRequests {
-  private readonly waiting = new Map<string, WaitingRequest>();
+  private readonly requests = new Map<string, PendingRequest>();
 
-  private count = 0;
+  private lastRequestNumber = 0;
 
   /** Takes a request in and names it. */
-  add(respond: Respond, succeed: WaitingRequest['succeed']): string {
-    this.count += 1;
-    const requestId = String(this.count);
-    this.waiting.set(requestId, { respond, succeed });
+  add(respond: Respond, succeed: PendingRequest['makeResponse']): string {
+    this.lastRequestNumber += 1;
+    const requestId = String(this.lastRequestNumber);
+    this.requests.set(requestId, { respond, makeResponse: succeed });
     return requestId;
   }
 
   /** Gives a request its fate. */
   complete(requestId: string, outcome: RequestOutcome, result: CommandResult | undefined): void {
-    const request = this.waiting.get(requestId);
+    const request = this.requests.get(requestId);
     if (request === undefined) return;
-    this.waiting.delete(requestId);
+    this.requests.delete(requestId);
     switch (outcome.type) {
       case 'committed':
       case 'readable':
-        request.respond(request.succeed(result));
+        request.respond(request.makeResponse(result));
         return;
       case 'notLeader':
         request.respond(outcome);
--- a/apps/store/src/PersistedEntryState.test.ts
+++ b/apps/store/src/PersistedEntryState.test.ts
@@ -25,50 +25,50 @@
 }
 
 /** Lets the promises that wait settle. */
-async function settle(): Promise<void> {
+async function flushPromises(): Promise<void> {
   await new Promise((resolve) => {
     setImmediate(resolve);
   });
 }
 
-function makeMemory(disk: MemoryDisk, lines: string[] = []) {
+function makeState(disk: MemoryDisk, lines: string[] = []) {
   const timers = new ManualTimerService();
   const write = (line: string) => {
     lines.push(line);
   };
   const logger = new Logger({ process: 'test', instance: 'store-1' }, 'info', write);
-  return { timers, memory: new PersistedEntryState({ disk, timers, logger }) };
+  return { timers, state: new PersistedEntryState({ disk, timers, logger }) };
 }
 
 // All processes lose power a moment after an entry has told what a workspace has spent. Entries that
 // start would take the window for unspent, if the store did not tell them.
 test('what entries have told is there again after a loss of power', async () => {
   const disk = new MemoryDisk();
-  const before = makeMemory(disk);
-  await before.memory.open();
-  before.memory.recordReport(report(500, 8000));
+  const before = makeState(disk);
+  await before.state.open();
+  before.state.recordReport(report(500, 8000));
   before.timers.advance(250);
-  await settle();
-  const after = makeMemory(disk);
-  await after.memory.open();
-  assert.deepEqual(after.memory.contents.spending?.windowSpent, { laden: [500] });
-  assert.deepEqual(after.memory.contents.spending?.entries, {
+  await flushPromises();
+  const after = makeState(disk);
+  await after.state.open();
+  assert.deepEqual(after.state.contents.spending?.windowSpent, { laden: [500] });
+  assert.deepEqual(after.state.contents.spending?.entries, {
     'entry-1': { incarnation: 1, spent: { laden: 1500 } },
   });
 });
 
 test('an entry that has just started does not replace the word of one that knows the window', async () => {
-  const { timers, memory } = makeMemory(new MemoryDisk());
-  await memory.open();
-  memory.recordReport(report(500, 8000));
-  memory.recordReport(report(20, 100));
-  assert.deepEqual(memory.contents.spending?.windowSpent, { laden: [500] });
+  const { timers, state } = makeState(new MemoryDisk());
+  await state.open();
+  state.recordReport(report(500, 8000));
+  state.recordReport(report(20, 100));
+  assert.deepEqual(state.contents.spending?.windowSpent, { laden: [500] });
   timers.advance(2000);
-  memory.recordReport(report(30, 2100));
-  assert.deepEqual(memory.contents.spending?.windowSpent, { laden: [30] });
+  state.recordReport(report(30, 2100));
+  assert.deepEqual(state.contents.spending?.windowSpent, { laden: [30] });
 });
 
-class FullDisk extends MemoryDisk {
+class FailingDisk extends MemoryDisk {
   override async savePersistedEntryState(): Promise<void> {
     throw new Error('ENOSPC');
   }
@@ -82,12 +82,12 @@
 // nothing that it has promised depends on it.
 test('a disk that fails costs the memory only', async () => {
   const lines: string[] = [];
-  const { timers, memory } = makeMemory(new FullDisk(), lines);
-  await memory.open();
-  memory.recordReport(report(500, 8000));
+  const { timers, state } = makeState(new FailingDisk(), lines);
+  await state.open();
+  state.recordReport(report(500, 8000));
   timers.advance(250);
-  await settle();
+  await flushPromises();
   const events = lines.map((line) => (JSON.parse(line) as { event: string }).event);
   assert.deepEqual(events, ['memoryUnreadable', 'memoryNotKept']);
-  assert.deepEqual(memory.contents.spending?.windowSpent, { laden: [500] });
+  assert.deepEqual(state.contents.spending?.windowSpent, { laden: [500] });
 });
--- a/apps/store/src/PersistedEntryState.ts
+++ b/apps/store/src/PersistedEntryState.ts
@@ -22,10 +22,10 @@
 import { RecentEntryUsage } from './RecentEntryUsage.js';
 
 /** How much a loss of power may take at most, beside what entries have not reported. */
-const WRITE_MILLISECONDS: Milliseconds = 250;
+const WRITE_INTERVAL_MILLISECONDS: Milliseconds = 250;
 
 /** An entry that knows less of the window is passed over until the one kept is so old. */
-const REPLACED_AFTER_MILLISECONDS: Milliseconds = 2000;
+const SPENDING_REPLACEMENT_AGE_MILLISECONDS: Milliseconds = 2000;
 
 export interface PersistedEntryStateOptions {
   readonly disk: StoreDisk;
@@ -43,13 +43,13 @@
   private readonly usage = new RecentEntryUsage();
 
   /** What each entry has told, by name. */
-  private readonly entries = new Map<string, EntrySpending>();
+  private readonly spendingByEntry = new Map<string, EntrySpending>();
 
   private hasChanged = false;
 
   private isWriting = false;
 
-  private stop: Unsubscribe = () => {};
+  private cancelTimer: Unsubscribe = () => {};
 
   constructor(private readonly options: PersistedEntryStateOptions) {}
 
@@ -66,15 +66,15 @@
   async open(): Promise<void> {
     const { disk, timers, logger } = this.options;
     try {
-      const kept = await disk.readPersistedEntryState();
-      this.spending = kept?.spending;
-      this.delays = kept?.delays ?? {};
-      this.prefixes.record(kept?.computed ?? {});
-      kept?.usage.forEach((usage) => this.usage.record(usage));
+      const saved = await disk.readPersistedEntryState();
+      this.spending = saved?.spending;
+      this.delays = saved?.delays ?? {};
+      this.prefixes.record(saved?.computed ?? {});
+      saved?.usage.forEach((usage) => this.usage.record(usage));
     } catch (error) {
       logger.write('memoryUnreadable', { reason: String(error) });
     }
-    this.stop = timers.every(WRITE_MILLISECONDS, () => {
+    this.cancelTimer = timers.every(WRITE_INTERVAL_MILLISECONDS, () => {
       void this.write();
     });
   }
@@ -88,17 +88,17 @@
     this.recordSpending({ ...report, spent });
     const at = this.options.timers.wallNow();
     const known = this.spending;
-    const isOld = known === undefined || at - known.at >= REPLACED_AFTER_MILLISECONDS;
-    if (!isOld && windowReach < known.windowReach) return;
-    const entries = Object.fromEntries(this.entries);
+    const isStale = known === undefined || at - known.at >= SPENDING_REPLACEMENT_AGE_MILLISECONDS;
+    if (!isStale && windowReach < known.windowReach) return;
+    const entries = Object.fromEntries(this.spendingByEntry);
     this.spending = { at, windowSpent, windowReach, entries };
   }
 
   /** Takes in what an entry tells between two reports. */
   recordSpending({ instance, incarnation, spent }: EntrySpending & { instance: string }): void {
-    const known = this.entries.get(instance);
+    const known = this.spendingByEntry.get(instance);
     const before = known?.incarnation === incarnation ? known.spent : {};
-    this.entries.set(instance, { incarnation, spent: { ...before, ...spent } });
+    this.spendingByEntry.set(instance, { incarnation, spent: { ...before, ...spent } });
   }
 
   recordWork({ instance, incarnation, computed, begun }: WorkReport): void {
@@ -113,7 +113,7 @@
   }
 
   close(): void {
-    this.stop();
+    this.cancelTimer();
   }
 
   private async write(): Promise<void> {
--- a/apps/store/src/RecentEntryUsage.test.ts
+++ b/apps/store/src/RecentEntryUsage.test.ts
@@ -4,21 +4,21 @@
 
 // An entry is started again in the middle of a window. What its first life began still counts.
 test('each life of an entry keeps its own counts', () => {
-  const memory = new RecentEntryUsage();
-  memory.record({ instance: 'entry-1', incarnation: 1, begun: { 7: { laden: 20 } } });
-  memory.record({ instance: 'entry-1', incarnation: 2, begun: { 7: { laden: 3 } } });
-  memory.record({ instance: 'entry-1', incarnation: 2, begun: { 7: { laden: 5 } } });
-  assert.deepEqual(memory.reports, [
+  const recentUsage = new RecentEntryUsage();
+  recentUsage.record({ instance: 'entry-1', incarnation: 1, begun: { 7: { laden: 20 } } });
+  recentUsage.record({ instance: 'entry-1', incarnation: 2, begun: { 7: { laden: 3 } } });
+  recentUsage.record({ instance: 'entry-1', incarnation: 2, begun: { 7: { laden: 5 } } });
+  assert.deepEqual(recentUsage.reports, [
     { instance: 'entry-1', incarnation: 1, begun: { 7: { laden: 20 } } },
     { instance: 'entry-1', incarnation: 2, begun: { 7: { laden: 5 } } },
   ]);
 });
 
 test('windows that are long over are forgotten, and lives of which nothing else is known', () => {
-  const memory = new RecentEntryUsage();
-  memory.record({ instance: 'entry-1', incarnation: 1, begun: { 7: { laden: 20 } } });
-  memory.record({ instance: 'entry-2', incarnation: 1, begun: { 10: { laden: 1 }, 11: {} } });
-  assert.deepEqual(memory.reports, [
+  const recentUsage = new RecentEntryUsage();
+  recentUsage.record({ instance: 'entry-1', incarnation: 1, begun: { 7: { laden: 20 } } });
+  recentUsage.record({ instance: 'entry-2', incarnation: 1, begun: { 10: { laden: 1 }, 11: {} } });
+  assert.deepEqual(recentUsage.reports, [
     { instance: 'entry-2', incarnation: 1, begun: { 10: { laden: 1 }, 11: {} } },
   ]);
 });
--- a/apps/store/src/RecentEntryUsage.ts
+++ b/apps/store/src/RecentEntryUsage.ts
@@ -2,33 +2,37 @@
 import type { BegunCounts, EntryUsage } from '@hornbeampond/schema';
 
 /** Older windows have been reported. */
-const KEPT_WINDOWS = 4;
+const RETAINED_WINDOWS = 4;
 
 export class RecentEntryUsage {
   /** By instance and incarnation. */
-  private readonly lives = new Map<string, EntryUsage>();
+  private readonly usageByIncarnation = new Map<string, EntryUsage>();
 
-  private newest = 0;
+  private newestWindow = 0;
 
   get reports(): EntryUsage[] {
-    return [...this.lives.values()];
+    return [...this.usageByIncarnation.values()];
   }
 
   record({ instance, incarnation, begun }: EntryUsage): void {
-    this.newest = Math.max(this.newest, ...Object.keys(begun).map(Number));
-    const life = `${instance}/${incarnation}`;
-    const merged = { ...this.lives.get(life)?.begun, ...begun };
-    this.lives.set(life, { instance, incarnation, begun: this.withoutOld(merged) });
-    this.lives.forEach((known, name) => {
-      const kept = this.withoutOld(known.begun);
-      if (Object.keys(kept).length === 0) this.lives.delete(name);
-      else this.lives.set(name, { ...known, begun: kept });
+    this.newestWindow = Math.max(this.newestWindow, ...Object.keys(begun).map(Number));
+    const key = `${instance}/${incarnation}`;
+    const merged = { ...this.usageByIncarnation.get(key)?.begun, ...begun };
+    this.usageByIncarnation.set(key, {
+      instance,
+      incarnation,
+      begun: this.withoutOldWindows(merged),
+    });
+    this.usageByIncarnation.forEach((usage, name) => {
+      const recent = this.withoutOldWindows(usage.begun);
+      if (Object.keys(recent).length === 0) this.usageByIncarnation.delete(name);
+      else this.usageByIncarnation.set(name, { ...usage, begun: recent });
     });
   }
 
-  private withoutOld(begun: BegunCounts): BegunCounts {
-    const isKept = ([number]: readonly [string, unknown]) =>
-      Number(number) > this.newest - KEPT_WINDOWS;
-    return Object.fromEntries(Object.entries(begun).filter(isKept));
+  private withoutOldWindows(begun: BegunCounts): BegunCounts {
+    const isRecent = ([number]: readonly [string, unknown]) =>
+      Number(number) > this.newestWindow - RETAINED_WINDOWS;
+    return Object.fromEntries(Object.entries(begun).filter(isRecent));
   }
 }
--- a/apps/store/src/RecentPrefixes.test.ts
+++ b/apps/store/src/RecentPrefixes.test.ts
@@ -3,19 +3,19 @@
 import { RecentPrefixes } from './RecentPrefixes.js';
 
 test('the latest prefixes of a backend server are kept, those used again among them', () => {
-  const memory = new RecentPrefixes();
+  const recentPrefixes = new RecentPrefixes();
   const digests = Array.from({ length: 500 }, (_, number) => `part-${number}`);
-  memory.record({ engine: digests });
-  memory.record({ engine: ['part-0', 'new'] });
-  const kept = memory.computed.engine ?? [];
+  recentPrefixes.record({ engine: digests });
+  recentPrefixes.record({ engine: ['part-0', 'new'] });
+  const kept = recentPrefixes.computed.engine ?? [];
   assert.equal(kept.length, 500);
   assert.deepEqual([kept.includes('part-0'), kept.includes('part-1')], [true, false]);
   assert.deepEqual(kept.slice(-2), ['part-0', 'new']);
 });
 
 test('what a backend server had goes with it', () => {
-  const memory = new RecentPrefixes();
-  memory.record({ engine: ['a'], other: ['b'] });
-  memory.retainOnly(['other']);
-  assert.deepEqual(memory.computed, { other: ['b'] });
+  const recentPrefixes = new RecentPrefixes();
+  recentPrefixes.record({ engine: ['a'], other: ['b'] });
+  recentPrefixes.retainOnly(['other']);
+  assert.deepEqual(recentPrefixes.computed, { other: ['b'] });
 });
--- a/apps/store/src/RecentPrefixes.ts
+++ b/apps/store/src/RecentPrefixes.ts
@@ -1,7 +1,7 @@
 /** Which prompt prefixes backend servers were told to have computed, the latest of them. */
 
 /** Prefixes that are kept of one backend server: those that are used by turns, not all there were. */
-const MOST_PREFIXES = 500;
+const MAX_PREFIXES_PER_SERVER = 500;
 
 export class RecentPrefixes {
   /** By backend server, the latest last. */
@@ -13,15 +13,15 @@
 
   record(computed: Readonly<Record<string, readonly string[]>>): void {
     Object.entries(computed).forEach(([name, digests]) => {
-      const known = this.byServer.get(name) ?? new Set();
-      this.byServer.set(name, known);
+      const prefixes = this.byServer.get(name) ?? new Set();
+      this.byServer.set(name, prefixes);
       digests.forEach((digest) => {
-        known.delete(digest);
-        known.add(digest);
+        prefixes.delete(digest);
+        prefixes.add(digest);
       });
-      for (const oldest of known) {
-        if (known.size <= MOST_PREFIXES) break;
-        known.delete(oldest);
+      for (const oldest of prefixes) {
+        if (prefixes.size <= MAX_PREFIXES_PER_SERVER) break;
+        prefixes.delete(oldest);
       }
     });
   }
--- a/apps/store/src/SnapshotCache.ts
+++ b/apps/store/src/SnapshotCache.ts
@@ -11,12 +11,12 @@
 import type { SavedSnapshot } from './StoreDisk.js';
 
 /** Above the time in which a live peer answers one part. */
-const KEEP_MILLISECONDS = 10_000;
+const IDLE_TIMEOUT_MILLISECONDS = 10_000;
 
 export class SnapshotCache {
   private saved: SavedSnapshot | undefined;
 
-  private cancelRelease: Unsubscribe = () => {};
+  private cancelTimer: Unsubscribe = () => {};
 
   constructor(private readonly timers: TimerService) {}
 
@@ -30,12 +30,12 @@
 
   keep(saved: SavedSnapshot): void {
     this.saved = saved;
-    this.cancelRelease();
-    this.cancelRelease = this.timers.after(KEEP_MILLISECONDS, () => this.clear());
+    this.cancelTimer();
+    this.cancelTimer = this.timers.after(IDLE_TIMEOUT_MILLISECONDS, () => this.clear());
   }
 
   clear(): void {
-    this.cancelRelease();
+    this.cancelTimer();
     this.saved = undefined;
   }
 }
--- a/apps/store/src/StoreCluster.test.ts
+++ b/apps/store/src/StoreCluster.test.ts
@@ -10,7 +10,7 @@
 import { MemoryDisk } from './testing/MemoryDisk.js';
 import { StoreCluster, waitFor, type TestClient } from './testing/StoreCluster.js';
 
-const PATIENCE = 8000;
+const TIMEOUT_MILLISECONDS = 8000;
 
 let cluster: StoreCluster;
 let clients: TestClient[];
@@ -25,7 +25,7 @@
   assert.deepEqual(cluster.failures, []);
 });
 
-function pool(name: string): Pool {
+function makePool(name: string): Pool {
   return {
     name,
     kind: 'plainService',
@@ -38,8 +38,8 @@
 }
 
 /** A change of the pools table, which leaves as many rows as its number. */
-function change(number: number, baseRevision = number - 1): PutTableCommand {
-  const rows = Array.from({ length: number }, (_, position) => pool(`pool-${position + 1}`));
+function makeChange(number: number, baseRevision = number - 1): PutTableCommand {
+  const rows = Array.from({ length: number }, (_, position) => makePool(`pool-${position + 1}`));
   return { type: 'putTable', table: 'pools', baseRevision, changeId: `change-${number}`, rows };
 }
 
@@ -49,8 +49,8 @@
   return found;
 }
 
-async function run(position: number, command: StoreCommand): Promise<CommandResult> {
-  const outcome = await clientAt(position).client.propose(command, PATIENCE);
+async function runCommand(position: number, command: StoreCommand): Promise<CommandResult> {
+  const outcome = await clientAt(position).client.propose(command, TIMEOUT_MILLISECONDS);
   assert.equal(outcome.type, 'result');
   return outcome.result;
 }
@@ -58,7 +58,7 @@
 /** Puts changes one after another, each through the next client. */
 async function runChanges(from: number, through: number): Promise<void> {
   for (let number = from; number <= through; number += 1) {
-    const result = await run(number % clients.length, change(number));
+    const result = await runCommand(number % clients.length, makeChange(number));
     assert.deepEqual(result, { type: 'tableAccepted', revision: number });
   }
 }
@@ -74,14 +74,14 @@
 }
 
 async function readThroughLeader(): Promise<number> {
-  return (await clientAt(0).client.readConfiguration(PATIENCE)).revision;
+  return (await clientAt(0).client.readConfiguration(TIMEOUT_MILLISECONDS)).revision;
 }
 
 // Four operators hold the table at the same revision and each puts a change of his own at the same
 // moment. The log orders them: the first wins, and the others are told the revision to look at.
 test('of changes that race from one revision exactly one wins', async () => {
   const racing = clients.map(async (_, position) =>
-    run(position, { ...change(position + 1, 0), changeId: `operator-${position}` }),
+    runCommand(position, { ...makeChange(position + 1, 0), changeId: `operator-${position}` }),
   );
   const results = await Promise.all(racing);
   const won = results.filter(({ type }) => type === 'tableAccepted');
@@ -101,7 +101,7 @@
   const leader = await cluster.waitForLeader();
   await runChanges(1, 2);
   await cluster.close(leader);
-  assert.deepEqual(await run(3, change(1)), { type: 'tableAccepted', revision: 1 });
+  assert.deepEqual(await runCommand(3, makeChange(1)), { type: 'tableAccepted', revision: 1 });
   assert.equal(await readThroughLeader(), 2);
 });
 
@@ -151,7 +151,7 @@
   await runChanges(1, 3);
   const leader = await cluster.waitForLeader();
   const { client } = cluster.connect('entry-5', [leader]);
-  assert.equal((await client.readConfiguration(PATIENCE)).revision, 3);
+  assert.equal((await client.readConfiguration(TIMEOUT_MILLISECONDS)).revision, 3);
   cluster.links.isolate(leader);
   const early = assert.rejects(client.readConfiguration(1200));
   await cluster.waitForLeader(leader);
@@ -191,7 +191,7 @@
     const rows = client.configurations.at(-1)?.pools.rows.map(({ name }) => name);
     assert.deepEqual(
       rows,
-      change(number).rows.map((row) => (row as Pool).name),
+      makeChange(number).rows.map((row) => (row as Pool).name),
     );
   });
 });
@@ -209,13 +209,13 @@
     attemptId: `attempt-${attempt}`,
     expiresAfter: 60_000,
   });
-  assert.deepEqual(await run(0, claim(1)), { type: 'claimOpened' });
-  assert.deepEqual(await run(1, claim(2)), { type: 'claimRunning' });
+  assert.deepEqual(await runCommand(0, claim(1)), { type: 'claimOpened' });
+  assert.deepEqual(await runCommand(1, claim(2)), { type: 'claimRunning' });
   await cluster.close(await cluster.waitForLeader());
-  assert.deepEqual(await run(1, claim(2)), { type: 'claimRunning' });
+  assert.deepEqual(await runCommand(1, claim(2)), { type: 'claimRunning' });
   const answer = { status: 201, headers: {}, body: Buffer.from('sold') };
   const { workspace, key, attemptId } = claim(1);
-  const settled = await run(0, {
+  const settled = await runCommand(0, {
     type: 'settleClaim',
     workspace,
     key,
@@ -224,7 +224,7 @@
     answer,
   });
   assert.deepEqual(settled, { type: 'claimSettled' });
-  const again = await run(2, claim(3));
+  const again = await runCommand(2, claim(3));
   assert.equal(again.type, 'claimDone');
   assert.equal(Buffer.from(again.answer?.body ?? []).toString(), 'sold');
 });
--- a/apps/store/src/StoreDisk.ts
+++ b/apps/store/src/StoreDisk.ts
@@ -32,7 +32,7 @@
   /** What `saveMemory` kept last, or undefined. */
   abstract readPersistedEntryState(): Promise<RememberedEntries | undefined>;
 
-  abstract savePersistedEntryState(memory: RememberedEntries): Promise<void>;
+  abstract savePersistedEntryState(state: RememberedEntries): Promise<void>;
 
   abstract close(): Promise<void>;
 }
--- a/apps/store/src/StorePeers.ts
+++ b/apps/store/src/StorePeers.ts
@@ -58,9 +58,9 @@
 
   private connect(address: StoreAddress): void {
     if (address.instance === this.self) return;
-    const known = this.clients.get(address.instance);
-    if (known?.address.host === address.host && known.address.port === address.port) return;
-    known?.close();
+    const existing = this.clients.get(address.instance);
+    if (existing?.address.host === address.host && existing.address.port === address.port) return;
+    existing?.close();
     this.clients.set(address.instance, new PeerClient(address, this.context));
   }
 
--- a/apps/store/src/StoreProcess.test.ts
+++ b/apps/store/src/StoreProcess.test.ts
@@ -32,7 +32,7 @@
 }
 
 /** Holds back what it holds until it is released. */
-class SlowDisk extends MemoryDisk {
+class BlockedDisk extends MemoryDisk {
   release: () => void = () => {};
 
   private readonly released = new Promise<void>((resolve) => {
@@ -46,7 +46,7 @@
 }
 
 /** Throws in the middle of a step, as a fault of the program would. */
-class FaultyDisk extends MemoryDisk {
+class ThrowingDisk extends MemoryDisk {
   override write(batch: PersistEffect): Promise<void> {
     throw new TypeError(`no batch ${batch.batch}`);
   }
@@ -56,27 +56,27 @@
 // the leader would connect back at once, be refused, and come again only after a grown pause; the
 // store would be behind for that long. So the first connection comes once the disk is read.
 test('a store connects to its peers only once it listens', async () => {
-  const arrivals: Socket[] = [];
-  const peer = createServer((socket) => arrivals.push(socket));
+  const connections: Socket[] = [];
+  const peer = createServer((socket) => connections.push(socket));
   peer.listen(0, LOOPBACK);
   await once(peer, 'listening');
   const { port } = peer.address() as AddressInfo;
   const address = { instance: 'store-2', dataCentre: 'wien-b', host: LOOPBACK, port };
-  const disk = new SlowDisk();
+  const disk = new BlockedDisk();
   const store = new StoreProcess(makeSettings([address]), new SystemTimerService(), disk);
   const started = store.start();
   // Connections arrive in order: one that the store had opened would be there before this one.
   const own = createConnection(port, LOOPBACK);
   await once(peer, 'connection');
-  assert.equal(arrivals.length, 1);
-  assert.equal(arrivals[0]?.remotePort, own.localPort);
+  assert.equal(connections.length, 1);
+  assert.equal(connections[0]?.remotePort, own.localPort);
   const next = once(peer, 'connection');
   disk.release();
   await Promise.all([started, next]);
-  assert.equal(arrivals.length, 2);
+  assert.equal(connections.length, 2);
   await store.close();
   own.destroy();
-  arrivals.forEach((socket) => socket.destroy());
+  connections.forEach((socket) => socket.destroy());
   peer.close();
 });
 
@@ -86,7 +86,7 @@
 test('a store that fails in a step says so once and answers nothing more', async () => {
   const failures: StoreFailure[] = [];
   const timers = new SystemTimerService();
-  const store = new StoreProcess(makeSettings([]), timers, new FaultyDisk(), (_, failure) =>
+  const store = new StoreProcess(makeSettings([]), timers, new ThrowingDisk(), (_, failure) =>
     failures.push(failure),
   );
   const { peers: port } = await store.start();
--- a/apps/store/src/StoreProcess.ts
+++ b/apps/store/src/StoreProcess.ts
@@ -88,13 +88,13 @@
 
   readonly metrics = new Metrics({ withProcessMetrics: true });
 
-  private readonly server: PeerServer;
+  private readonly peerServer: PeerServer;
 
-  private readonly operators: OperatorServer;
+  private readonly operatorServer: OperatorServer;
 
   private readonly peers: StorePeers;
 
-  private readonly desk = new PendingRequests();
+  private readonly pendingRequests = new PendingRequests();
 
   private readonly subscribers = new Subscribers();
 
@@ -103,13 +103,13 @@
   private machine = new MachineState();
 
   /** Results of commands of this step, until their replies have been sent. */
-  private readonly results = new Map<number, CommandResult>();
+  private readonly resultsByIndex = new Map<number, CommandResult>();
 
   private readonly disk: DiskOperations;
 
-  private readonly joining: JoinRequests;
+  private readonly joinRequests: JoinRequests;
 
-  private readonly requests: StoreRequestHandler;
+  private readonly requestHandler: StoreRequestHandler;
 
   private address: StoreAddress;
 
@@ -119,9 +119,9 @@
 
   private readonly publisher: ConfigurationPublisher;
 
-  private readonly memory: PersistedEntryState;
+  private readonly persistedEntryState: PersistedEntryState;
 
-  private readonly work: WorkReportBatcher;
+  private readonly workReportBatcher: WorkReportBatcher;
 
   private closed = false;
 
@@ -131,7 +131,7 @@
   constructor(
     private readonly settings: StoreSettings,
     private readonly timers: TimerService,
-    private readonly storage: StoreDisk,
+    private readonly storeDisk: StoreDisk,
     private readonly onFailure: (store: StoreProcess, failure: StoreFailure) => void = () => {},
     onEntryReport: (report: EntryReport) => void = () => {},
   ) {
@@ -151,7 +151,7 @@
       electionTimeout: settings.electionTimeoutMilliseconds,
       onLeaderTimeout: () => {
         this.subscribers.push({ type: 'outOfTouch' });
-        this.joining.start();
+        this.joinRequests.start();
       },
     });
     this.publisher = new ConfigurationPublisher({
@@ -160,78 +160,82 @@
       subscribers: this.subscribers,
       readMachine: () => this.machine,
     });
-    this.work = new WorkReportBatcher(timers, this.subscribers);
-    this.memory = new PersistedEntryState({ disk: storage, timers, logger: this.logger });
+    this.workReportBatcher = new WorkReportBatcher(timers, this.subscribers);
+    this.persistedEntryState = new PersistedEntryState({
+      disk: storeDisk,
+      timers,
+      logger: this.logger,
+    });
     this.peers = new StorePeers(instance, context, settings.stores);
     this.disk = new DiskOperations({
-      disk: storage,
+      disk: storeDisk,
       timers,
       logger: this.logger,
-      dispatch: (occurrence) => this.dispatch(occurrence),
+      dispatch: (event) => this.dispatch(event),
       send: (store, envelope) => this.peers.send(store, envelope),
     });
-    this.joining = new JoinRequests({
+    this.joinRequests = new JoinRequests({
       timers,
       peers: this.peers,
-      isNeeded: () => this.needsLetIn(),
+      isNeeded: () => this.needsToJoin(),
       describeSelf: () => ({ ...this.address, identity: this.loop.state.self.identity }),
     });
-    this.requests = new StoreRequestHandler({
+    this.requestHandler = new StoreRequestHandler({
       timers,
-      pendingRequests: this.desk,
+      pendingRequests: this.pendingRequests,
       subscribers: this.subscribers,
       readState: () => this.loop.state,
       readMachine: () => this.machine,
       readStatus: () => this.readStatus(),
-      dispatch: (occurrence) => this.dispatch(occurrence),
+      dispatch: (event) => this.dispatch(event),
       onEntryReport: (report) => {
-        this.memory.recordReport(report);
+        this.persistedEntryState.recordReport(report);
         onEntryReport(report);
       },
       instanceList: new InstanceListCache(timers),
       onWorkReport: (work) => {
-        this.memory.recordWork(work);
-        this.work.add(work);
+        this.persistedEntryState.recordWork(work);
+        this.workReportBatcher.add(work);
       },
-      onSpendingReport: (spending) => this.memory.recordSpending(spending),
-      onInstanceList: (instances) => this.memory.removeUnlistedInstances(instances),
-      readPersistedEntryState: () => this.memory.contents,
+      onSpendingReport: (spending) => this.persistedEntryState.recordSpending(spending),
+      onInstanceList: (instances) => this.persistedEntryState.removeUnlistedInstances(instances),
+      readPersistedEntryState: () => this.persistedEntryState.contents,
       leastVoters: settings.leastVoters,
     });
-    this.server = new PeerServer(context, {
+    this.peerServer = new PeerServer(context, {
       onOpen: ({ peer }) => this.peers.reconnectNow(peer.instance),
       onPush: (session, body) => this.receive(session, body as Envelope),
       onRequest: (session, body, respond) =>
-        this.requests.handle(session, body as StoreRequest, respond),
-      onClose: (session) => this.requests.removeSession(session),
+        this.requestHandler.handle(session, body as StoreRequest, respond),
+      onClose: (session) => this.requestHandler.removeSession(session),
     });
-    const operations = new OperatorRequestHandler({
+    const operatorRequests = new OperatorRequestHandler({
       operatorKeys: settings.operatorKeys,
       foundCluster: () => this.foundCluster(),
-      requestJoin: () => this.joining.start(),
-      removeStore: async (removed) => this.requests.removeVoter(removed),
+      requestJoin: () => this.joinRequests.start(),
+      removeStore: async (removed) => this.requestHandler.removeVoter(removed),
     });
-    this.operators = new OperatorServer({
+    this.operatorServer = new OperatorServer({
       metrics: this.metrics,
       isReady: () => leaderHint(this.loop.state) !== undefined,
       readStatus: async () => ({ stores: [this.readStatus()] }),
-      handle: async (request, response, url) => operations.handle(request, response, url),
+      handle: async (request, response, url) => operatorRequests.handle(request, response, url),
     });
   }
 
   /** Reads the disk and starts to serve. */
   async start(): Promise<StorePorts> {
-    const contents = await this.storage.open(this.settings.instance);
+    const contents = await this.storeDisk.open(this.settings.instance);
     this.isNew = contents.isNew;
-    this.loop = this.makeLoop(contents);
-    await this.memory.open();
-    const peers = await this.server.listen(this.settings.listen);
+    this.loop = this.makeEventLoop(contents);
+    await this.persistedEntryState.open();
+    const peers = await this.peerServer.listen(this.settings.listen);
     this.address = { ...this.address, port: peers };
-    const operators = await this.operators.listen(this.settings.operatorListen);
+    const operators = await this.operatorServer.listen(this.settings.operatorListen);
     this.peers.open();
     this.peers.updateMembers(memberAddresses(this.loop.state));
     this.dispatch({ type: 'started' });
-    if (contents.isNew) this.joining.start();
+    if (contents.isNew) this.joinRequests.start();
     this.logger.write('processReady', { peers, operators });
     return { peers, operators };
   }
@@ -246,7 +250,7 @@
       const detail = 'This store is part of a cluster already';
       throw new HornbeampondError('badRequest', detail);
     }
-    this.joining.stop();
+    this.joinRequests.stop();
     this.dispatch({
       type: 'found',
       member: { identity: state.self.identity, address: this.address },
@@ -269,17 +273,17 @@
     this.cancelWake();
     this.leaderWatch.stop();
     this.publisher.stop();
-    this.memory.close();
-    this.work.close();
-    this.joining.stop();
+    this.persistedEntryState.close();
+    this.workReportBatcher.close();
+    this.joinRequests.stop();
     this.disk.stop();
     this.peers.close();
-    await Promise.all([this.server.close(), this.operators.close()]);
+    await Promise.all([this.peerServer.close(), this.operatorServer.close()]);
     await this.disk.finish();
-    await this.storage.close();
+    await this.storeDisk.close();
   }
 
-  private makeLoop({ restored, snapshot }: DiskContents) {
+  private makeEventLoop({ restored, snapshot }: DiskContents) {
     if (snapshot !== undefined) this.machine = restoreSnapshot(codec.decode(snapshot.data));
     const { cluster, electionTimeoutMilliseconds, heartbeatMilliseconds } = this.settings;
     const { silentStoreMilliseconds, leastVoters } = this.settings;
@@ -298,16 +302,16 @@
     return new EventLoop<ConsensusState, ConsensusEvent, ConsensusEffect>(
       state,
       reduceConsensus,
-      (effect) => this.carryOut(effect),
+      (effect) => this.applyEffect(effect),
       (error, event) => this.reportError(error, event.type),
     );
   }
 
-  private dispatch(occurrence: ConsensusEventPayload): void {
+  private dispatch(event: ConsensusEventPayload): void {
     if (this.closed || this.failed) return;
     const clocks = { now: this.timers.monotonicNow(), wallNow: this.timers.wallNow() };
-    this.loop.dispatch({ ...occurrence, ...clocks });
-    this.requests.answerEarlySubscriptions();
+    this.loop.dispatch({ ...event, ...clocks });
+    this.requestHandler.answerEarlySubscriptions();
   }
 
   private receive(session: PeerSession, envelope: Envelope): void {
@@ -326,13 +330,13 @@
    * its own log does not say so: it would stand for election for ever. A disk that takes no writes is
    * not offered again.
    */
-  private needsLetIn(): boolean {
+  private needsToJoin(): boolean {
     const { state } = this.loop;
     if (state.readOnly || state.diskRefused) return false;
     return !this.isMember() || leaderHint(state) === undefined;
   }
 
-  private carryOut(effect: ConsensusEffect): void {
+  private applyEffect(effect: ConsensusEffect): void {
     // After an entry that was applied in part, replies to later ones would rest on a state that
     // no other store has. The process ends; nothing more leaves it until then.
     if (this.failed) return;
@@ -347,7 +351,7 @@
         this.disk.sendSnapshot(effect);
         return;
       case 'apply':
-        this.apply(effect.entry);
+        this.applyEntry(effect.entry);
         return;
       case 'restore': {
         const { revision } = this.machine.configuration;
@@ -366,8 +370,8 @@
         return;
       case 'reply': {
         const index = effect.outcome.type === 'committed' ? effect.outcome.index : undefined;
-        const result = index === undefined ? undefined : this.results.get(index);
-        this.desk.complete(effect.requestId, effect.outcome, result);
+        const result = index === undefined ? undefined : this.resultsByIndex.get(index);
+        this.pendingRequests.complete(effect.requestId, effect.outcome, result);
         return;
       }
       case 'wake':
@@ -409,7 +413,7 @@
     }
   }
 
-  private apply(entry: LogEntry): void {
+  private applyEntry(entry: LogEntry): void {
     if (entry.body.type !== 'command') return;
     const stamped: StampedCommand = {
       at: entry.at,
@@ -417,8 +421,8 @@
     };
     const { revision } = this.machine.configuration;
     const result = applyCommand(this.machine, stamped);
-    this.results.clear();
-    this.results.set(entry.index, result);
+    this.resultsByIndex.clear();
+    this.resultsByIndex.set(entry.index, result);
     if (this.machine.configuration.revision > revision) this.publisher.publishSince(revision);
     if (result.type === 'crashCounted') this.publisher.publishQuarantine();
   }
--- a/apps/store/src/StoreRequestHandler.ts
+++ b/apps/store/src/StoreRequestHandler.ts
@@ -29,7 +29,7 @@
 import type { Subscribers } from './Subscribers.js';
 
 /** Election timeouts without a word from a member after which its disk may be taken for lost. */
-const LOST_TIMEOUTS = 4;
+const LOST_MEMBER_ELECTION_TIMEOUTS = 4;
 
 export interface StoreRequestHandlerOptions {
   readonly timers: TimerService;
@@ -38,7 +38,7 @@
   readState(): ConsensusState;
   readMachine(): MachineState;
   readStatus(): StoreStatus;
-  dispatch(occurrence: ConsensusEventPayload): void;
+  dispatch(event: ConsensusEventPayload): void;
   onEntryReport(report: EntryReport): void;
   onWorkReport(work: WorkReport): void;
   onSpendingReport(spending: SpendingReport): void;
@@ -56,44 +56,44 @@
   private hasCaughtUp = false;
 
   /** Subscriptions that wait until this store has caught up. */
-  private readonly early = new Map<PeerSession, () => void>();
+  private readonly earlySubscriptions = new Map<PeerSession, () => void>();
 
   constructor(private readonly options: StoreRequestHandlerOptions) {}
 
   handle(session: PeerSession, request: StoreRequest, respond: Respond): void {
-    const { pendingRequests: desk, dispatch, subscribers, readStatus } = this.options;
+    const { pendingRequests, dispatch, subscribers, readStatus } = this.options;
     switch (request.type) {
       case 'propose':
         this.propose(request.command, respond);
         return;
       case 'readConfiguration': {
-        const requestId = desk.add(respond, () => this.describeConfiguration());
+        const requestId = pendingRequests.add(respond, () => this.makeConfigurationResponse());
         dispatch({ type: 'read', requestId });
         return;
       }
       case 'readDocument': {
-        const requestId = desk.add(respond, () => this.describeDocument());
+        const requestId = pendingRequests.add(respond, () => this.makeDocumentResponse());
         dispatch({ type: 'read', requestId });
         return;
       }
       case 'peekConfiguration':
-        respond(this.describeConfiguration());
+        respond(this.makeConfigurationResponse());
         return;
       case 'subscribe':
-        this.early.set(session, () => {
+        this.earlySubscriptions.set(session, () => {
           subscribers.add(session, request.report);
-          respond(this.describeSubscription());
+          respond(this.makeSubscribedResponse());
         });
         this.answerEarlySubscriptions();
         return;
       case 'report':
         subscribers.recordReport(session, request.report);
-        respond(this.acceptReport());
+        respond(this.makeAcceptedResponse());
         return;
       case 'shareReport':
         this.options.onEntryReport(request.report);
         subscribers.pushReport(request.report);
-        respond(this.acceptReport());
+        respond(this.makeAcceptedResponse());
         return;
       case 'shareInstances':
         this.options.onInstanceList(request.instances.map(({ instance }) => instance));
@@ -101,16 +101,16 @@
           type: 'instances',
           ...this.options.instanceList.update(request.instances),
         });
-        respond(this.acceptReport());
+        respond(this.makeAcceptedResponse());
         return;
       case 'shareWork':
         this.options.onWorkReport(request.work);
-        respond(this.acceptReport());
+        respond(this.makeAcceptedResponse());
         return;
       case 'shareSpending':
         this.options.onSpendingReport(request.spending);
         subscribers.push({ type: 'spending', spending: request.spending });
-        respond(this.acceptReport());
+        respond(this.makeAcceptedResponse());
         return;
       case 'readStatus':
         respond({ type: 'status', status: readStatus() });
@@ -119,7 +119,7 @@
         this.addVoter(request, respond);
         return;
       case 'removeVoter':
-        this.removeByName(request.instance, respond);
+        this.removeInstance(request.instance, respond);
         return;
       default:
         assertNever(request);
@@ -133,27 +133,27 @@
    */
   answerEarlySubscriptions(): void {
     this.hasCaughtUp ||= hasCommittedInCurrentTerm(this.options.readState());
-    if (!this.hasCaughtUp || this.early.size === 0) return;
-    const answers = [...this.early.values()];
-    this.early.clear();
+    if (!this.hasCaughtUp || this.earlySubscriptions.size === 0) return;
+    const answers = [...this.earlySubscriptions.values()];
+    this.earlySubscriptions.clear();
     answers.forEach((answer) => answer());
   }
 
   /** Lets go of a session that has ended. */
   removeSession(session: PeerSession): void {
-    this.early.delete(session);
+    this.earlySubscriptions.delete(session);
     this.options.subscribers.remove(session);
   }
 
   async removeVoter(instance: string): Promise<StoreResponse> {
     return new Promise((resolve) => {
-      this.removeByName(instance, resolve);
+      this.removeInstance(instance, resolve);
     });
   }
 
   /** Commands that come in within one turn of the process go into the log as one batch. */
   private propose(command: StoreCommand, respond: Respond): void {
-    if (this.isTooYoung(command)) {
+    if (this.hasTooFewVoters(command)) {
       respond({ type: 'unavailable', reason: 'too few stores have joined yet' });
       return;
     }
@@ -175,7 +175,7 @@
    * True for an operators' change while the cluster is still being founded. The founder is a quorum
    * by itself until others have joined: what it acknowledged then would be gone with its disk.
    */
-  private isTooYoung({ type }: StoreCommand): boolean {
+  private hasTooFewVoters({ type }: StoreCommand): boolean {
     if (type !== 'replaceTables' && type !== 'putTable') return false;
     const { members } = currentMembership(this.options.readState());
     const voters = members.filter(({ role }) => role === 'voter');
@@ -193,13 +193,13 @@
       respond({ type: 'accepted' });
       return;
     }
-    const lost = members.find((member) => member.address.instance === address.instance);
-    if (lost === undefined) {
-      this.change(respond, { type: 'addLearner', member: { identity, address } });
-    } else if (this.isHeardOf(lost.identity)) {
+    const previous = members.find((member) => member.address.instance === address.instance);
+    if (previous === undefined) {
+      this.changeMembership(respond, { type: 'addLearner', member: { identity, address } });
+    } else if (this.isReachable(previous.identity)) {
       respond({ type: 'unavailable', reason: `another ${address.instance} is running` });
     } else {
-      this.change(respond, { type: 'removeMember', identity: lost.identity });
+      this.changeMembership(respond, { type: 'removeMember', identity: previous.identity });
     }
   }
 
@@ -207,26 +207,29 @@
    * True if this store leads and hears of the member. A second store started by mistake under its
    * name, on an empty folder, would otherwise push it out of the cluster, copies and all.
    */
-  private isHeardOf(identity: string): boolean {
+  private isReachable(identity: string): boolean {
     const { role, settings, self } = this.options.readState();
     if (role.type !== 'leader') return false;
     if (identity === self.identity) return true;
-    const lastHeardAt = role.progress[identity]?.lastResponseAt;
-    const patience = LOST_TIMEOUTS * settings.electionTimeout;
-    return lastHeardAt !== undefined && this.options.timers.monotonicNow() - lastHeardAt < patience;
+    const lastResponseAt = role.progress[identity]?.lastResponseAt;
+    const lostMemberTimeout = LOST_MEMBER_ELECTION_TIMEOUTS * settings.electionTimeout;
+    return (
+      lastResponseAt !== undefined &&
+      this.options.timers.monotonicNow() - lastResponseAt < lostMemberTimeout
+    );
   }
 
-  private removeByName(instance: string, respond: Respond): void {
+  private removeInstance(instance: string, respond: Respond): void {
     const { members } = currentMembership(this.options.readState());
     const member = members.find((known) => known.address.instance === instance);
     if (member === undefined) {
       respond({ type: 'unavailable', reason: `${instance} is no member` });
       return;
     }
-    this.change(respond, { type: 'takeOutMember', identity: member.identity });
+    this.changeMembership(respond, { type: 'takeOutMember', identity: member.identity });
   }
 
-  private change(
+  private changeMembership(
     respond: Respond,
     change: Extract<ConsensusEventPayload, { type: 'changeMembership' }>['change'],
   ): void {
@@ -234,15 +237,15 @@
     this.options.dispatch({ type: 'changeMembership', requestId, change });
   }
 
-  private acceptReport(): StoreResponse {
+  private makeAcceptedResponse(): StoreResponse {
     return { type: 'accepted', revision: this.options.readMachine().configuration.revision };
   }
 
-  private describeConfiguration(): StoreResponse {
+  private makeConfigurationResponse(): StoreResponse {
     return { type: 'configuration', configuration: this.options.readMachine().configuration };
   }
 
-  private describeDocument(): StoreResponse {
+  private makeDocumentResponse(): StoreResponse {
     const { configuration, document } = this.options.readMachine();
     const version = configuration.whole?.version;
     if (version === undefined || document === undefined) {
@@ -251,7 +254,7 @@
     return { type: 'document', version, document };
   }
 
-  private describeSubscription(): StoreResponse {
+  private makeSubscribedResponse(): StoreResponse {
     const machine = this.options.readMachine();
     const quarantine = quarantineAt(machine, this.options.timers.wallNow());
     const stores = memberAddresses(this.options.readState());
--- a/apps/store/src/Subscribers.ts
+++ b/apps/store/src/Subscribers.ts
@@ -49,15 +49,15 @@
    * by is most of it, and would reach each entry from each other one once a second.
    */
   pushReport(report: EntryReport): void {
-    const { begun, demand, delays, windowSpent, windowReach, ...brief } = report;
-    this.pushToEntries({ type: 'entryReport', report: brief });
+    const { begun, demand, delays, windowSpent, windowReach, ...entryFields } = report;
+    this.pushToEntries({ type: 'entryReport', report: entryFields });
     this.pushToNonEntries({ type: 'entryReport', report });
   }
 
-  private send(push: StorePush, isFor: (report: InstanceReport) => boolean): void {
+  private send(push: StorePush, isRecipient: (report: InstanceReport) => boolean): void {
     const sessions = [...this.sessions].filter((session) => {
       const report = this.reportBySession.get(session);
-      return report !== undefined && isFor(report);
+      return report !== undefined && isRecipient(report);
     });
     if (sessions.length === 0) return;
     const frame = encodeFrame({ type: 'push', body: push });
--- a/apps/store/src/WorkReportBatcher.ts
+++ b/apps/store/src/WorkReportBatcher.ts
@@ -6,9 +6,9 @@
 import type { EntryUsage, Milliseconds, WorkReport } from '@hornbeampond/schema';
 import type { Subscribers } from './Subscribers.js';
 
-const COLLECTED_MILLISECONDS: Milliseconds = 20;
+const BATCH_DELAY_MILLISECONDS: Milliseconds = 20;
 
-function usageOf({ instance, incarnation, begun }: WorkReport): EntryUsage[] {
+function extractUsage({ instance, incarnation, begun }: WorkReport): EntryUsage[] {
   return begun === undefined ? [] : [{ instance, incarnation, begun }];
 }
 
@@ -17,9 +17,9 @@
 }
 
 export class WorkReportBatcher {
-  private collected: WorkReport[] = [];
+  private pending: WorkReport[] = [];
 
-  private cancel: Unsubscribe = () => {};
+  private cancelTimer: Unsubscribe = () => {};
 
   constructor(
     private readonly timers: TimerService,
@@ -27,20 +27,20 @@
   ) {}
 
   add(report: WorkReport): void {
-    this.collected.push(report);
-    if (this.collected.length > 1) return;
-    this.cancel = this.timers.after(COLLECTED_MILLISECONDS, () => this.handOn());
+    this.pending.push(report);
+    if (this.pending.length > 1) return;
+    this.cancelTimer = this.timers.after(BATCH_DELAY_MILLISECONDS, () => this.sendBatch());
   }
 
   close(): void {
-    this.cancel();
+    this.cancelTimer();
   }
 
-  private handOn(): void {
-    const { collected, subscribers } = this;
-    this.collected = [];
+  private sendBatch(): void {
+    const { pending: collected, subscribers } = this;
+    this.pending = [];
     subscribers.pushToEntries({ type: 'work', reports: collected.map(withoutUsage) });
-    const usage = collected.flatMap(usageOf);
+    const usage = collected.flatMap(extractUsage);
     if (usage.length > 0) subscribers.pushToNonEntries({ type: 'usage', usage });
   }
 }
--- a/apps/store/src/describeStore.ts
+++ b/apps/store/src/describeStore.ts
@@ -21,9 +21,9 @@
 /** Who votes, and who is still catching up, by instance. */
 export function describeMembers(state: ConsensusState): Pick<StoreStatus, 'voters' | 'learners'> {
   const { members } = currentMembership(state);
-  const named = (role: 'voter' | 'learner') =>
+  const listInstances = (role: 'voter' | 'learner') =>
     members.filter((member) => member.role === role).map((member) => member.address.instance);
-  return { voters: named('voter'), learners: named('learner') };
+  return { voters: listInstances('voter'), learners: listInstances('learner') };
 }
 
 export function describeStore(view: StoreView): StoreStatus {
--- a/apps/store/src/testing/MemoryDisk.ts
+++ b/apps/store/src/testing/MemoryDisk.ts
@@ -19,7 +19,7 @@
 
   private snapshot: SavedSnapshot | undefined;
 
-  private memory: RememberedEntries | undefined;
+  private persistedEntryState: RememberedEntries | undefined;
 
   override async open(instance: string): Promise<DiskContents> {
     this.runs += 1;
@@ -69,10 +69,10 @@
   }
 
   override async readPersistedEntryState(): Promise<RememberedEntries | undefined> {
-    return this.memory;
+    return this.persistedEntryState;
   }
 
-  override async savePersistedEntryState(memory: RememberedEntries): Promise<void> {
-    this.memory = memory;
+  override async savePersistedEntryState(state: RememberedEntries): Promise<void> {
+    this.persistedEntryState = state;
   }
 }
--- a/apps/store/src/testing/StoreCluster.ts
+++ b/apps/store/src/testing/StoreCluster.ts
@@ -14,26 +14,26 @@
 
 const CLUSTER = 'tested';
 const SECRET = 'secret-of-the-tested-cluster';
-const PATIENCE_MILLISECONDS = 8000;
-const LOOK_MILLISECONDS = 10;
+const WAIT_TIMEOUT_MILLISECONDS = 8000;
+const POLL_INTERVAL_MILLISECONDS = 10;
 
 /** Resolves once the condition gives a value; rejects when that takes too long. */
 export async function waitFor<Value>(
-  what: string,
-  look: () => Value | undefined | Promise<Value | undefined>,
+  description: string,
+  poll: () => Value | undefined | Promise<Value | undefined>,
 ): Promise<Value> {
-  const endsAt = Date.now() + PATIENCE_MILLISECONDS;
+  const endsAt = Date.now() + WAIT_TIMEOUT_MILLISECONDS;
   while (Date.now() < endsAt) {
-    const value = await look();
+    const value = await poll();
     if (value !== undefined) return value;
     await new Promise((resolve) => {
-      setTimeout(resolve, LOOK_MILLISECONDS);
+      setTimeout(resolve, POLL_INTERVAL_MILLISECONDS);
     });
   }
-  throw new Error(`${what}: not within ${PATIENCE_MILLISECONDS} ms`);
+  throw new Error(`${description}: not within ${WAIT_TIMEOUT_MILLISECONDS} ms`);
 }
 
-interface TestedStore {
+interface TestStore {
   readonly instance: string;
   readonly dataCentre: string;
   disk: StoreDisk;
@@ -55,11 +55,11 @@
 
   private readonly timers = new SystemTimerService();
 
-  private readonly stores: TestedStore[];
+  private readonly stores: TestStore[];
 
   private readonly clients: StoreClient[] = [];
 
-  private readonly seconds: StoreProcess[] = [];
+  private readonly duplicates: StoreProcess[] = [];
 
   private constructor(
     dataCentres: readonly string[],
@@ -81,14 +81,14 @@
   ): Promise<StoreCluster> {
     const cluster = new StoreCluster(dataCentres, silentStoreMilliseconds);
     for (const { instance } of cluster.stores) await cluster.open(instance);
-    cluster.find('store-1').process?.foundCluster();
+    cluster.findStore('store-1').process?.foundCluster();
     await cluster.waitForVoters(dataCentres.length);
     return cluster;
   }
 
   /** Starts a store on its disk, or on another. */
   async open(instance: string, disk?: StoreDisk): Promise<void> {
-    const store = this.find(instance);
+    const store = this.findStore(instance);
     if (disk !== undefined) store.disk = disk;
     const process = await this.makeProcess(store, store.disk, store.port);
     store.port = (await process.start()).peers;
@@ -98,14 +98,14 @@
 
   /** Starts a second process under the name of a store that runs, on an empty disk. */
   async openDuplicate(instance: string): Promise<StoreProcess> {
-    const process = await this.makeProcess(this.find(instance), new MemoryDisk(), 0);
+    const process = await this.makeProcess(this.findStore(instance), new MemoryDisk(), 0);
     await process.start();
-    this.seconds.push(process);
+    this.duplicates.push(process);
     return process;
   }
 
   private async makeProcess(
-    { instance, dataCentre }: TestedStore,
+    { instance, dataCentre }: TestStore,
     disk: StoreDisk,
     port: number,
   ): Promise<StoreProcess> {
@@ -134,7 +134,7 @@
   }
 
   async close(instance: string): Promise<void> {
-    const store = this.find(instance);
+    const store = this.findStore(instance);
     const { process } = store;
     store.process = undefined;
     await process?.close();
@@ -142,7 +142,7 @@
 
   async stop(): Promise<void> {
     this.clients.forEach((client) => client.close());
-    await Promise.all(this.seconds.map(async (process) => process.close()));
+    await Promise.all(this.duplicates.map(async (process) => process.close()));
     await Promise.all(this.stores.map(async ({ instance }) => this.close(instance)));
     await this.links.close();
   }
@@ -176,10 +176,10 @@
   }
 
   /** Waits until all running stores, or one of them, count so many voters and no learner. */
-  async waitForVoters(count: number, counting?: string): Promise<void> {
+  async waitForVoters(count: number, observer?: string): Promise<void> {
     await waitFor(`${count} voters`, async () => {
       const statuses = (await this.readStatus()).filter(
-        ({ instance }) => counting === undefined || instance === counting,
+        ({ instance }) => observer === undefined || instance === observer,
       );
       const all = statuses.every(
         ({ voters, learners }) => voters.length + learners.length * 100 === count,
@@ -200,7 +200,7 @@
         const statuses = await client.readStatus();
         if (statuses.length === running.length) return statuses;
         await new Promise((resolve) => {
-          setTimeout(resolve, LOOK_MILLISECONDS);
+          setTimeout(resolve, POLL_INTERVAL_MILLISECONDS);
         });
       }
       throw new Error('a running store does not answer');
@@ -209,17 +209,17 @@
     }
   }
 
-  private find(instance: string): TestedStore {
+  private findStore(instance: string): TestStore {
     const store = this.stores.find((known) => known.instance === instance);
     if (store === undefined) throw new Error(`no store ${instance}`);
     return store;
   }
 
   addressesOf(instances: readonly string[]): StoreAddress[] {
-    return instances.map((instance) => this.addressOf(this.find(instance)));
+    return instances.map((instance) => this.addressOf(this.findStore(instance)));
   }
 
-  private addressOf({ instance, dataCentre, port }: TestedStore): StoreAddress {
+  private addressOf({ instance, dataCentre, port }: TestStore): StoreAddress {
     return { instance, dataCentre, host: LOOPBACK, port };
   }
 
--- a/apps/store/src/testing/StoreLinks.ts
+++ b/apps/store/src/testing/StoreLinks.ts
@@ -13,7 +13,7 @@
 export const LOOPBACK = '127.0.0.1';
 
 interface Link {
-  readonly between: readonly [string, string];
+  readonly stores: readonly [string, string];
   readonly server: Server;
   readonly sockets: Set<Socket>;
 }
@@ -21,7 +21,7 @@
 export class StoreLinks {
   private readonly links: Link[] = [];
 
-  private readonly cutOff = new Set<string>();
+  private readonly isolatedStores = new Set<string>();
 
   /** Where each store really listens; known once it has started. */
   private readonly ports = new Map<string, number>();
@@ -29,8 +29,8 @@
   /** The port under which `from` reaches `to`. */
   async open(from: string, to: string): Promise<number> {
     const server = createServer();
-    const link: Link = { between: [from, to], server, sockets: new Set() };
-    server.on('connection', (inner) => this.join(link, inner));
+    const link: Link = { stores: [from, to], server, sockets: new Set() };
+    server.on('connection', (incoming) => this.connectLink(link, incoming));
     this.links.push(link);
     await new Promise<void>((resolve) => {
       server.listen(0, LOOPBACK, resolve);
@@ -43,14 +43,14 @@
   }
 
   isolate(store: string): void {
-    this.cutOff.add(store);
+    this.isolatedStores.add(store);
   }
 
   /** What was sent during the cut is lost, so the connections of that time are ended. */
   heal(store: string): void {
-    this.cutOff.delete(store);
+    this.isolatedStores.delete(store);
     this.links
-      .filter(({ between }) => between.includes(store))
+      .filter(({ stores: between }) => between.includes(store))
       .forEach(({ sockets }) => sockets.forEach((socket) => socket.destroy()));
   }
 
@@ -65,14 +65,14 @@
     );
   }
 
-  private join(link: Link, inner: Socket): void {
-    const port = this.ports.get(link.between[1]);
+  private connectLink(link: Link, incoming: Socket): void {
+    const port = this.ports.get(link.stores[1]);
     if (port === undefined) {
-      inner.destroy();
+      incoming.destroy();
       return;
     }
-    const outer = createConnection({ host: LOOPBACK, port });
-    const pair = [inner, outer];
+    const outgoing = createConnection({ host: LOOPBACK, port });
+    const pair = [incoming, outgoing];
     pair.forEach((socket) => {
       link.sockets.add(socket);
       socket.setNoDelay(true);
@@ -82,11 +82,11 @@
         pair.forEach((either) => either.destroy());
       });
     });
-    inner.on('data', (bytes: Buffer) => this.pass(link, bytes, outer));
-    outer.on('data', (bytes: Buffer) => this.pass(link, bytes, inner));
+    incoming.on('data', (bytes: Buffer) => this.forward(link, bytes, outgoing));
+    outgoing.on('data', (bytes: Buffer) => this.forward(link, bytes, incoming));
   }
 
-  private pass({ between }: Link, bytes: Buffer, to: Socket): void {
-    if (!between.some((store) => this.cutOff.has(store))) to.write(bytes);
+  private forward({ stores: between }: Link, bytes: Buffer, to: Socket): void {
+    if (!between.some((store) => this.isolatedStores.has(store))) to.write(bytes);
   }
 }
--- a/apps/store/src/unreachableStores.test.ts
+++ b/apps/store/src/unreachableStores.test.ts
@@ -2,13 +2,13 @@
 import { afterEach, beforeEach, test } from 'node:test';
 import { StoreCluster } from './testing/StoreCluster.js';
 
-const SILENT_MILLISECONDS = 1500;
+const UNREACHABLE_STORE_TIMEOUT_MILLISECONDS = 1500;
 
 let cluster: StoreCluster;
 
 beforeEach(async () => {
   const dataCentres = ['wien-a', 'wien-b', 'stpoelten', 'eisenstadt'];
-  cluster = await StoreCluster.start(dataCentres, SILENT_MILLISECONDS);
+  cluster = await StoreCluster.start(dataCentres, UNREACHABLE_STORE_TIMEOUT_MILLISECONDS);
 });
 
 afterEach(async () => {
--- a/packages/store-core/src/machine/ConfigurationHistory.ts
+++ b/packages/store-core/src/machine/ConfigurationHistory.ts
@@ -19,26 +19,26 @@
   readonly reordered: boolean;
 }
 
-function byName<Row extends NamedRow>(rows: readonly Row[]): Map<string, Row> {
+function indexByName<Row extends NamedRow>(rows: readonly Row[]): Map<string, Row> {
   return new Map(rows.map((row) => [row.name, row]));
 }
 
-function changedNames(before: readonly NamedRow[], after: readonly NamedRow[]): string[] {
-  const earlier = byName(before);
+function findChangedNames(before: readonly NamedRow[], after: readonly NamedRow[]): string[] {
+  const earlier = indexByName(before);
   return after
     .filter((row) => JSON.stringify(row) !== JSON.stringify(earlier.get(row.name)))
     .map((row) => row.name);
 }
 
-function removedNames(before: readonly NamedRow[], after: readonly NamedRow[]): string[] {
-  const later = byName(after);
+function findRemovedNames(before: readonly NamedRow[], after: readonly NamedRow[]): string[] {
+  const later = indexByName(after);
   return before.filter((row) => !later.has(row.name)).map((row) => row.name);
 }
 
 /** A delta replaces rows in place and appends new ones; any other order cannot be told by it. */
 function isReordered(before: readonly NamedRow[], after: readonly NamedRow[]): boolean {
-  const earlier = byName(before);
-  const later = byName(after);
+  const earlier = indexByName(before);
+  const later = indexByName(after);
   const kept = before.filter((row) => later.has(row.name)).map((row) => row.name);
   const added = after.filter((row) => !earlier.has(row.name)).map((row) => row.name);
   const expected = [...kept, ...added];
@@ -58,8 +58,8 @@
   history.push({
     revision: after.revision,
     table,
-    changed: changedNames(before[table].rows, after[table].rows),
-    removed: removedNames(before[table].rows, after[table].rows),
+    changed: findChangedNames(before[table].rows, after[table].rows),
+    removed: findRemovedNames(before[table].rows, after[table].rows),
     reordered: isReordered(before[table].rows, after[table].rows),
   });
   if (history.length > MAX_CHANGES_IN_DELTA) history.shift();
@@ -72,15 +72,15 @@
   fromRevision: number,
 ): ConfigurationDelta | undefined {
   if (fromRevision > current.revision) return undefined;
-  const later = history.filter((touched) => touched.revision > fromRevision);
-  const isKnown = later.length === current.revision - fromRevision;
-  if (!isKnown || later.some((touched) => touched.reordered)) return undefined;
-  if (hasReturnedRow(later, current)) return undefined;
+  const laterChanges = history.filter((change) => change.revision > fromRevision);
+  const isComplete = laterChanges.length === current.revision - fromRevision;
+  if (!isComplete || laterChanges.some((change) => change.reordered)) return undefined;
+  if (hasReaddedRow(laterChanges, current)) return undefined;
   return {
     fromRevision,
     toRevision: current.revision,
-    routes: tableDelta(later, 'routes', current.routes),
-    pools: tableDelta(later, 'pools', current.pools),
+    routes: makeTableDelta(laterChanges, 'routes', current.routes),
+    pools: makeTableDelta(laterChanges, 'pools', current.pools),
   };
 }
 
@@ -88,21 +88,21 @@
  * A row that was removed and added again stands at the end now; a subscriber that missed the
  * removal would keep it in its old place.
  */
-function hasReturnedRow(later: readonly TableChange[], current: Configuration): boolean {
-  return later.some((touched) => {
-    const present = byName<NamedRow>(current[touched.table].rows);
-    return touched.removed.some((name) => present.has(name));
+function hasReaddedRow(laterChanges: readonly TableChange[], current: Configuration): boolean {
+  return laterChanges.some((change) => {
+    const present = indexByName<NamedRow>(current[change.table].rows);
+    return change.removed.some((name) => present.has(name));
   });
 }
 
-function tableDelta<Row extends NamedRow>(
-  later: readonly TableChange[],
+function makeTableDelta<Row extends NamedRow>(
+  laterChanges: readonly TableChange[],
   name: TableName,
   table: Table<Row>,
 ): { revision: number; changed: Row[]; removed: string[] } | undefined {
-  const touched = later.filter((change) => change.table === name);
-  if (touched.length === 0) return undefined;
-  const names = new Set(touched.flatMap((change) => [...change.changed, ...change.removed]));
+  const tableChanges = laterChanges.filter((change) => change.table === name);
+  if (tableChanges.length === 0) return undefined;
+  const names = new Set(tableChanges.flatMap((change) => [...change.changed, ...change.removed]));
   const changed = table.rows.filter((row) => names.has(row.name));
   const present = new Set(changed.map((row) => row.name));
   const removed = [...names].filter((row) => !present.has(row));
--- a/packages/store-core/src/machine/claims.ts
+++ b/packages/store-core/src/machine/claims.ts
@@ -27,8 +27,8 @@
 }
 
 /** Keeps a span that a client chose within bounds; one that is no number counts as none. */
-export function clampDuration(span: Milliseconds, most: Milliseconds): Milliseconds {
-  return span > 0 ? Math.min(span, most) : 0;
+export function clampDuration(duration: Milliseconds, maxDuration: Milliseconds): Milliseconds {
+  return duration > 0 ? Math.min(duration, maxDuration) : 0;
 }
 
 function isOpen(claim: Claim, at: EpochMilliseconds): boolean {
@@ -36,7 +36,7 @@
 }
 
 /** What an attempt is told of a claim that stands already. */
-function readClaim(
+function describeExistingClaim(
   state: MachineState,
   at: EpochMilliseconds,
   claim: Claim,
@@ -44,8 +44,8 @@
 ): ClaimResult {
   if (claim.digest !== command.digest) return { type: 'claimKeyReused' };
   if (isOpen(claim, at)) {
-    const held = claim.attemptId === command.attemptId;
-    return { type: held ? 'claimOpened' : 'claimRunning' };
+    const isHolder = claim.attemptId === command.attemptId;
+    return { type: isHolder ? 'claimOpened' : 'claimRunning' };
   }
   if (claim.phase !== 'done') return { type: 'claimUnknown' };
   const answer = state.answers.get(claimName(command));
@@ -60,7 +60,7 @@
   if (state.barredAttempts.has(command.attemptId)) return { type: 'claimBarred' };
   const name = claimName(command);
   const claim = state.claims.get(name);
-  if (claim !== undefined) return readClaim(state, at, claim, command);
+  if (claim !== undefined) return describeExistingClaim(state, at, claim, command);
   if (state.claims.size >= MAX_CLAIMS) return { type: 'claimsFull' };
   const expiresAt = at + clampDuration(command.expiresAfter, MAX_CLAIM_EXPIRY_MILLISECONDS);
   state.claims.set(name, {
@@ -86,26 +86,26 @@
 ): ClaimResult {
   const name = claimName(command);
   const claim = state.claims.get(name);
-  const isOwn = claim?.attemptId === command.attemptId;
-  if (isOwn && claim.phase !== 'open') return { type: 'claimNotHeld' };
+  const isHolder = claim?.attemptId === command.attemptId;
+  if (isHolder && claim.phase !== 'open') return { type: 'claimNotHeld' };
   // A claim that has expired was told `unknown` to others; it stays so, though nothing was sent.
-  if (isOwn && isOpen(claim, at)) state.claims.delete(name);
+  if (isHolder && isOpen(claim, at)) state.claims.delete(name);
   state.barredAttempts.delete(command.attemptId);
   state.barredAttempts.set(command.attemptId, at + BARRED_ATTEMPT_RETENTION_MILLISECONDS);
   return { type: 'claimReleased' };
 }
 
-function sizeOf(answer: StoredAnswer): number {
+function countAnswerBytes(answer: StoredAnswer): number {
   const headers = Object.entries(answer.headers);
   const headerBytes = headers.reduce((sum, [name, value]) => sum + name.length + value.length, 0);
   return headerBytes + (answer.body?.byteLength ?? 0);
 }
 
-function dropAnswer(state: MachineState, name: string): void {
+function removeAnswer(state: MachineState, name: string): void {
   const answer = state.answers.get(name);
   if (answer === undefined) return;
   state.answers.delete(name);
-  state.answerBytes -= sizeOf(answer);
+  state.answerBytes -= countAnswerBytes(answer);
 }
 
 /**
@@ -118,13 +118,13 @@
 }
 
 /** Keeps an answer for resends, within the bounds; a claim without one still reads `done`. */
-function keepAnswer(state: MachineState, name: string, answer: StoredAnswer | undefined): void {
-  if (answer === undefined || sizeOf(answer) > LARGEST_STORED_ANSWER_BYTES) return;
+function storeAnswer(state: MachineState, name: string, answer: StoredAnswer | undefined): void {
+  if (answer === undefined || countAnswerBytes(answer) > LARGEST_STORED_ANSWER_BYTES) return;
   state.answers.set(name, copyAnswer(answer));
-  state.answerBytes += sizeOf(answer);
+  state.answerBytes += countAnswerBytes(answer);
   for (const oldest of state.answers.keys()) {
     if (state.answerBytes <= MAX_TOTAL_STORED_ANSWER_BYTES) return;
-    dropAnswer(state, oldest);
+    removeAnswer(state, oldest);
   }
 }
 
@@ -147,7 +147,7 @@
     phase: command.outcome,
     keptUntil: at + CLAIM_RETENTION_MILLISECONDS,
   });
-  if (command.outcome === 'done') keepAnswer(state, name, command.answer);
+  if (command.outcome === 'done') storeAnswer(state, name, command.answer);
   return { type: 'claimSettled' };
 }
 
@@ -156,7 +156,7 @@
   for (const [name, claim] of state.claims) {
     if (claim.keptUntil > at) break;
     state.claims.delete(name);
-    dropAnswer(state, name);
+    removeAnswer(state, name);
   }
   for (const [attemptId, until] of state.barredAttempts) {
     if (until > at) break;
--- a/packages/store-core/src/machine/leases.ts
+++ b/packages/store-core/src/machine/leases.ts
@@ -12,14 +12,14 @@
 import { MAX_LEASE_DURATION_MILLISECONDS } from './constants.js';
 import type { Lease, MachineState } from './MachineState.js';
 
-function renewed(lease: Lease, at: EpochMilliseconds, command: TakeLeaseCommand): Lease {
-  const asked = clampDuration(command.duration, MAX_LEASE_DURATION_MILLISECONDS);
+function renewLease(lease: Lease, at: EpochMilliseconds, command: TakeLeaseCommand): Lease {
+  const requested = clampDuration(command.duration, MAX_LEASE_DURATION_MILLISECONDS);
   // The holder measures each grant by itself; an earlier and longer one may still be running.
-  const duration = Math.max(asked, lease.duration);
-  return { ...lease, duration, until: Math.max(lease.until, at + asked) };
+  const duration = Math.max(requested, lease.duration);
+  return { ...lease, duration, until: Math.max(lease.until, at + requested) };
 }
 
-function granted(
+function grantLease(
   lease: Lease | undefined,
   at: EpochMilliseconds,
   command: TakeLeaseCommand,
@@ -45,7 +45,7 @@
   if (isHeld && lease.holder !== command.holder) {
     return { type: 'leaseRefused', holder: lease.holder, remaining: lease.until - at };
   }
-  const next = isHeld ? renewed(lease, at, command) : granted(lease, at, command);
+  const next = isHeld ? renewLease(lease, at, command) : grantLease(lease, at, command);
   state.leases.set(command.lease, next);
   const { epoch, previousDuration } = next;
   const duration = clampDuration(command.duration, MAX_LEASE_DURATION_MILLISECONDS);
--- a/packages/store-core/src/machine/machineProperties.test.ts
+++ b/packages/store-core/src/machine/machineProperties.test.ts
@@ -16,13 +16,13 @@
 const SEED = 20261203;
 const codec = new Encoder({ useRecords: false });
 
-const name = (...names: string[]) => fc.constantFrom(...names);
-const claim = {
-  workspace: name('laden', 'shop'),
-  key: name('k', 'l'),
-  attemptId: name('a', 'b', 'c'),
+const oneOf = (...names: string[]) => fc.constantFrom(...names);
+const claimArbitraries = {
+  workspace: oneOf('laden', 'shop'),
+  key: oneOf('k', 'l'),
+  attemptId: oneOf('a', 'b', 'c'),
 };
-const answer = fc.constantFrom<StoredAnswer>(
+const answerArbitrary = fc.constantFrom<StoredAnswer>(
   { status: 201, headers: { x: 'y' }, body: new Uint8Array([1, 2]) },
   { status: 200, headers: {} },
 );
@@ -35,42 +35,42 @@
 }
 
 const poolRows = fc.uniqueArray(
-  fc.tuple(name('buylist', 'offers', 'lots', 'prices'), fc.integer({ min: 1, max: 3 })),
+  fc.tuple(oneOf('buylist', 'offers', 'lots', 'prices'), fc.integer({ min: 1, max: 3 })),
   { selector: ([poolName]) => poolName, maxLength: 4 },
 );
 
-const command: fc.Arbitrary<StoreCommand> = fc.oneof(
+const commandArbitrary: fc.Arbitrary<StoreCommand> = fc.oneof(
   fc.record({
-    ...claim,
+    ...claimArbitraries,
     type: fc.constant('openClaim' as const),
-    digest: name('lot', 'other'),
-    holder: name('entry-1'),
+    digest: oneOf('lot', 'other'),
+    holder: oneOf('entry-1'),
     expiresAfter: fc.constant(60_000),
   }),
-  fc.record({ ...claim, type: fc.constant('releaseClaim' as const) }),
+  fc.record({ ...claimArbitraries, type: fc.constant('releaseClaim' as const) }),
   fc.record({
-    ...claim,
+    ...claimArbitraries,
     type: fc.constant('settleClaim' as const),
     outcome: fc.constantFrom('done' as const, 'unknown' as const),
-    answer,
+    answer: answerArbitrary,
   }),
   fc.record({
     type: fc.constant('takeLease' as const),
-    lease: name('wien-a', 'wien-b'),
-    holder: name('x', 'y'),
+    lease: oneOf('wien-a', 'wien-b'),
+    holder: oneOf('x', 'y'),
     duration: fc.constantFrom(1000, 90_000),
   }),
   fc.record({
     type: fc.constant('reportCrash' as const),
-    backendServer: name('s'),
-    crashId: name('1', '2', '3', '4'),
+    backendServer: oneOf('s'),
+    crashId: oneOf('1', '2', '3', '4'),
     digests: fc.subarray(['d', 'e', 'f']),
   }),
   fc.record({
     type: fc.constant('putTable' as const),
     table: fc.constant('pools' as const),
     baseRevision: fc.nat(3),
-    changeId: name('p', 'q', 'r', 's'),
+    changeId: oneOf('p', 'q', 'r', 's'),
     rows: poolRows.map((rows) => rows.map(([poolName, most]) => poolRow(poolName, most))),
   }),
 );
@@ -78,8 +78,8 @@
 const DAY = 24 * 60 * 60 * 1000;
 
 /** Commands with times that mostly creep and now and then leap, or go back. */
-const log: fc.Arbitrary<StampedCommand[]> = fc
-  .array(fc.tuple(fc.constantFrom(1, 10, 61_000, 11 * 60_000, DAY, -5000), command), {
+const logArbitrary: fc.Arbitrary<StampedCommand[]> = fc
+  .array(fc.tuple(fc.constantFrom(1, 10, 61_000, 11 * 60_000, DAY, -5000), commandArbitrary), {
     maxLength: 60,
   })
   .map((entries) => {
@@ -95,19 +95,19 @@
 // after a change of leader.
 test('machine: a restored snapshot answers and ends as the state it was taken from', () => {
   fc.assert(
-    fc.property(log, fc.nat(60), (commands, cut) => {
-      const steady = new MachineState();
+    fc.property(logArbitrary, fc.nat(60), (commands, cut) => {
+      const uninterrupted = new MachineState();
       let restarted = new MachineState();
       commands.forEach((stamped, position) => {
         if (position === cut) {
           restarted = restoreSnapshot(codec.decode(codec.encode(takeSnapshot(restarted))));
         }
-        const expected: unknown = codec.decode(codec.encode(applyCommand(steady, stamped)));
-        const given: unknown = codec.decode(codec.encode(applyCommand(restarted, stamped)));
-        assert.deepEqual(given, expected);
+        const expected: unknown = codec.decode(codec.encode(applyCommand(uninterrupted, stamped)));
+        const actual: unknown = codec.decode(codec.encode(applyCommand(restarted, stamped)));
+        assert.deepEqual(actual, expected);
       });
-      const ends = [takeSnapshot(steady), takeSnapshot(restarted)];
-      const [first, second] = ends.map((end) => codec.encode(end).toString('hex'));
+      const finalSnapshots = [takeSnapshot(uninterrupted), takeSnapshot(restarted)];
+      const [first, second] = finalSnapshots.map((end) => codec.encode(end).toString('hex'));
       assert.equal(second, first);
     }),
     { seed: SEED, numRuns: 1500 },
@@ -116,15 +116,15 @@
 
 test('machine: bounds on answers and maps hold after any commands', () => {
   fc.assert(
-    fc.property(log, (commands) => {
+    fc.property(logArbitrary, (commands) => {
       const state = new MachineState();
       commands.forEach((stamped) => applyCommand(state, stamped));
-      const kept = [...state.answers.values()].map(({ headers, body }) =>
+      const storedBytes = [...state.answers.values()].map(({ headers, body }) =>
         JSON.stringify(headers) === '{}' ? (body?.byteLength ?? 0) : 4,
       );
       assert.equal(
         state.answerBytes,
-        kept.reduce((sum, bytes) => sum + bytes, 0),
+        storedBytes.reduce((sum, bytes) => sum + bytes, 0),
       );
       [...state.answers.keys()].forEach((key) =>
         assert.equal(state.claims.get(key)?.phase, 'done'),
@@ -172,8 +172,8 @@
 });
 
 test('machine: a snapshot of another version is refused', () => {
-  const later = { ...takeSnapshot(new MachineState()), version: 3 };
-  assert.throws(() => restoreSnapshot(later), /snapshot version 3 is not the supported 2/);
+  const newerSnapshot = { ...takeSnapshot(new MachineState()), version: 3 };
+  assert.throws(() => restoreSnapshot(newerSnapshot), /snapshot version 3 is not the supported 2/);
   assert.throws(() => restoreSnapshot(undefined), /snapshot version undefined/);
 });
 
@@ -182,16 +182,21 @@
 test('machine: a kept answer keeps no more memory than its own', () => {
   const state = new MachineState();
   const frame = new Uint8Array(1024 * 1024);
-  const intent = { workspace: 'laden', key: 'k', attemptId: 'a' };
+  const attempt = { workspace: 'laden', key: 'k', attemptId: 'a' };
   const opened = {
-    ...intent,
+    ...attempt,
     type: 'openClaim',
     digest: 'd',
     holder: 'e',
     expiresAfter: 1,
   } as const;
-  const kept = { status: 200, headers: {}, body: frame.subarray(0, 10) };
-  const settled = { ...intent, type: 'settleClaim', outcome: 'done', answer: kept } as const;
+  const storedAnswer = { status: 200, headers: {}, body: frame.subarray(0, 10) };
+  const settled = {
+    ...attempt,
+    type: 'settleClaim',
+    outcome: 'done',
+    answer: storedAnswer,
+  } as const;
   applyCommand(state, { at: 1, command: opened });
   applyCommand(state, { at: 1, command: settled });
   const restored = restoreSnapshot(codec.decode(codec.encode(takeSnapshot(state))));
--- a/packages/store-core/src/machine/putTable.ts
+++ b/packages/store-core/src/machine/putTable.ts
@@ -21,7 +21,7 @@
 import { recordTableChange } from './ConfigurationHistory.js';
 import type { MachineState } from './MachineState.js';
 
-type Proposed =
+type ChangeCheck =
   | { readonly ok: true; readonly configuration: Configuration }
   | { readonly ok: false; readonly faults: readonly Fault[] };
 
@@ -31,16 +31,16 @@
   return Object.fromEntries(Object.entries(value).sort(([a], [b]) => (a < b ? -1 : 1)));
 }
 
-function digestOf({ table, baseRevision, rows }: PutTableCommand): string {
+function computeDigest({ table, baseRevision, rows }: PutTableCommand): string {
   const content = JSON.stringify({ table, baseRevision, rows }, sortKeys);
   return createHash('sha256').update(content).digest('base64url');
 }
 
-function checkedAgainst(
+function checkJoinedTables(
   configuration: Configuration,
   routes: Configuration['routes'],
   pools: Configuration['pools'],
-): Proposed {
+): ChangeCheck {
   const faults = checkJoin(routes.rows, pools.rows);
   if (faults.length > 0) return { ok: false, faults };
   const revision = configuration.revision + 1;
@@ -48,28 +48,28 @@
 }
 
 /** Checks the rows by themselves and joined with the other table as it is in the log. */
-function propose(current: Configuration, command: PutTableCommand): Proposed {
+function checkChange(current: Configuration, command: PutTableCommand): ChangeCheck {
   const revision = current.revision + 1;
   if (command.table === 'routes') {
     const checked = checkRoutes(command.rows);
     if (!checked.ok) return checked;
-    return checkedAgainst(current, { revision, rows: checked.rows }, current.pools);
+    return checkJoinedTables(current, { revision, rows: checked.rows }, current.pools);
   }
   const checked = checkPools(command.rows);
   if (!checked.ok) return checked;
-  return checkedAgainst(current, current.routes, { revision, rows: checked.rows });
+  return checkJoinedTables(current, current.routes, { revision, rows: checked.rows });
 }
 
-function decide(state: MachineState, command: PutTableCommand): PutTableResult {
+function applyChange(state: MachineState, command: PutTableCommand): PutTableResult {
   const before = state.configuration;
   const currentRevision = before[command.table].revision;
   if (command.baseRevision !== currentRevision) return { type: 'revisionStale', currentRevision };
-  const proposed = propose(before, command);
-  if (!proposed.ok)
-    return { type: 'tableInvalid', faults: proposed.faults.slice(0, MAX_REPORTED_FAULTS) };
-  state.configuration = proposed.configuration;
-  recordTableChange(state.history, command.table, before, proposed.configuration);
-  return { type: 'tableAccepted', revision: proposed.configuration.revision };
+  const checked = checkChange(before, command);
+  if (!checked.ok)
+    return { type: 'tableInvalid', faults: checked.faults.slice(0, MAX_REPORTED_FAULTS) };
+  state.configuration = checked.configuration;
+  recordTableChange(state.history, command.table, before, checked.configuration);
+  return { type: 'tableAccepted', revision: checked.configuration.revision };
 }
 
 /**
@@ -82,12 +82,12 @@
   at: EpochMilliseconds,
   command: PutTableCommand,
 ): PutTableResult {
-  const digest = digestOf(command);
-  const known = state.changes.get(command.changeId);
-  if (known !== undefined) {
-    return known.digest === digest ? known.result : { type: 'changeIdReused' };
+  const digest = computeDigest(command);
+  const earlier = state.changes.get(command.changeId);
+  if (earlier !== undefined) {
+    return earlier.digest === digest ? earlier.result : { type: 'changeIdReused' };
   }
-  const result = decide(state, command);
+  const result = applyChange(state, command);
   state.changes.set(command.changeId, { at, digest, result });
   return result;
 }
@@ -95,8 +95,8 @@
 /** Drops change ids that are past their window, or too many. */
 export function pruneChanges(state: MachineState, at: EpochMilliseconds): void {
   for (const [changeId, change] of state.changes) {
-    const isPast = change.at + CHANGE_RETENTION_MILLISECONDS <= at;
-    if (!isPast && state.changes.size <= MAX_CHANGE_RECORDS) return;
+    const isExpired = change.at + CHANGE_RETENTION_MILLISECONDS <= at;
+    if (!isExpired && state.changes.size <= MAX_CHANGE_RECORDS) return;
     state.changes.delete(changeId);
   }
 }
--- a/packages/store-core/src/machine/quarantine.test.ts
+++ b/packages/store-core/src/machine/quarantine.test.ts
@@ -7,7 +7,7 @@
 import { quarantineAt } from './quarantine.js';
 
 /** Splits what ran at a crash among entries; each reports its own part. */
-function reportsOf(crashId: string, digests: readonly string[], owners: readonly number[]) {
+function splitCrashReport(crashId: string, digests: readonly string[], owners: readonly number[]) {
   const parts = new Map<number, string[]>();
   digests.forEach((digest, position) => {
     const owner = owners[position] ?? 0;
@@ -32,20 +32,20 @@
     fc.property(batchSize, owners, picks, (size, ownedBy, order) => {
       const batch = Array.from({ length: size }, (_unused, position) => `lot-${position}`);
       const reports = [
-        ...reportsOf('one', ['bad', ...batch], ownedBy),
-        ...reportsOf('two', ['new-1', 'bad', 'new-2'], ownedBy),
-        ...reportsOf('three', ['bad', 'new-3'], ownedBy),
+        ...splitCrashReport('one', ['bad', ...batch], ownedBy),
+        ...splitCrashReport('two', ['new-1', 'bad', 'new-2'], ownedBy),
+        ...splitCrashReport('three', ['bad', 'new-3'], ownedBy),
       ];
       const state = new MachineState();
-      const late = [...reports, ...reports];
-      for (let at = 1; late.length > 0; at += 1) {
-        const pick = Number(order.next().value) % late.length;
-        const [command] = late.splice(pick, 1);
+      const pending = [...reports, ...reports];
+      for (let at = 1; pending.length > 0; at += 1) {
+        const pick = Number(order.next().value) % pending.length;
+        const [command] = pending.splice(pick, 1);
         if (command !== undefined) applyCommand(state, { at, command });
-        const named = quarantineAt(state, at).map(({ digest }) => digest);
+        const quarantined = quarantineAt(state, at).map(({ digest }) => digest);
         assert.ok(
-          named.every((digest) => digest === 'bad'),
-          `${named.join()} named`,
+          quarantined.every((digest) => digest === 'bad'),
+          `${quarantined.join()} named`,
         );
       }
       assert.deepEqual(
--- a/packages/store-core/src/machine/quarantine.ts
+++ b/packages/store-core/src/machine/quarantine.ts
@@ -24,78 +24,85 @@
 import type { CrashRecord, MachineState } from './MachineState.js';
 
 /** A crash while it is judged: once a digest is named for it, its neighbours are cleared of it. */
-interface JudgedCrash {
+interface AttributedCrash {
   readonly crash: CrashRecord;
-  readonly named: Set<string>;
+  readonly culprits: Set<string>;
 }
 
 /** What was judged so far, by each digest that was in progress. */
-type CrashesByDigest = Map<string, JudgedCrash[]>;
+type CrashesByDigest = Map<string, AttributedCrash[]>;
 
 interface Candidate {
   readonly digest: string;
   /** Earlier crashes within the window that the digest has not been cleared of. */
-  readonly against: readonly JudgedCrash[];
+  readonly priorCrashes: readonly AttributedCrash[];
 }
 
 function findCandidates(crash: CrashRecord, earlier: CrashesByDigest): Candidate[] {
   return crash.digests
     .map((digest) => ({
       digest,
-      against: (earlier.get(digest) ?? []).filter(
-        ({ crash: { at }, named }) =>
-          at + CRASH_WINDOW_MILLISECONDS > crash.at && (named.size === 0 || named.has(digest)),
+      priorCrashes: (earlier.get(digest) ?? []).filter(
+        ({ crash: { at }, culprits }) =>
+          at + CRASH_WINDOW_MILLISECONDS > crash.at &&
+          (culprits.size === 0 || culprits.has(digest)),
       ),
     }))
-    .filter(({ against }) => against.length > 0);
+    .filter(({ priorCrashes }) => priorCrashes.length > 0);
 }
 
-function nameDigests(candidates: readonly Candidate[]): string[] {
-  const known = candidates.filter(({ digest, against }) =>
-    against.some(({ named }) => named.has(digest)),
+function findCulprits(candidates: readonly Candidate[]): string[] {
+  const knownCulprits = candidates.filter(({ digest, priorCrashes }) =>
+    priorCrashes.some(({ culprits }) => culprits.has(digest)),
   );
-  if (known.length > 0) return known.map(({ digest }) => digest);
+  if (knownCulprits.length > 0) return knownCulprits.map(({ digest }) => digest);
   if (candidates.length === 1) return candidates.map(({ digest }) => digest);
   const repeated = candidates.filter(
-    ({ against }) => against.length + 1 >= MIN_SHARED_CRASHES_FOR_QUARANTINE,
+    ({ priorCrashes }) => priorCrashes.length + 1 >= MIN_SHARED_CRASHES_FOR_QUARANTINE,
   );
   return repeated.map(({ digest }) => digest);
 }
 
 /** Clears the neighbours of the named digests in earlier crashes that nobody was named for. */
-function clearNeighbours(named: readonly string[], earlier: CrashesByDigest): void {
+function attributeEarlierCrashes(culprits: readonly string[], earlier: CrashesByDigest): void {
   const crashesOf = (digest: string) => earlier.get(digest) ?? [];
-  const unnamed = new Set(named.flatMap(crashesOf).filter((judged) => judged.named.size === 0));
-  named.forEach((digest) => {
+  const unattributed = new Set(
+    culprits.flatMap(crashesOf).filter((attributed) => attributed.culprits.size === 0),
+  );
+  culprits.forEach((digest) => {
     crashesOf(digest)
-      .filter((judged) => unnamed.has(judged))
-      .forEach((judged) => judged.named.add(digest));
+      .filter((attributed) => unattributed.has(attributed))
+      .forEach((attributed) => attributed.culprits.add(digest));
   });
 }
 
 /** Judges all crashes in the log's order. */
-function judge(crashes: Iterable<CrashRecord>): JudgedCrash[] {
+function attributeCrashes(crashes: Iterable<CrashRecord>): AttributedCrash[] {
   const earlier: CrashesByDigest = new Map();
   return [...crashes].map((crash) => {
-    const named = nameDigests(findCandidates(crash, earlier));
-    const judged = { crash, named: new Set(named) };
-    clearNeighbours(named, earlier);
+    const culprits = findCulprits(findCandidates(crash, earlier));
+    const attributed = { crash, culprits: new Set(culprits) };
+    attributeEarlierCrashes(culprits, earlier);
     crash.digests.forEach((digest) => {
-      const known = earlier.get(digest);
-      if (known === undefined) earlier.set(digest, [judged]);
-      else known.push(judged);
+      const crashesOfDigest = earlier.get(digest);
+      if (crashesOfDigest === undefined) earlier.set(digest, [attributed]);
+      else crashesOfDigest.push(attributed);
     });
-    return judged;
+    return attributed;
   });
 }
 
 /** The digests that are kept from backend servers at that time. */
 export function quarantineAt(state: MachineState, at: EpochMilliseconds): QuarantineEntry[] {
-  const until = new Map<string, EpochMilliseconds>();
-  judge(state.crashes.values()).forEach(({ crash, named }) => {
-    named.forEach((digest) => until.set(digest, crash.at + QUARANTINE_DURATION_MILLISECONDS));
+  const quarantinedUntil = new Map<string, EpochMilliseconds>();
+  attributeCrashes(state.crashes.values()).forEach(({ crash, culprits }) => {
+    culprits.forEach((digest) =>
+      quarantinedUntil.set(digest, crash.at + QUARANTINE_DURATION_MILLISECONDS),
+    );
   });
-  return [...until].filter(([, end]) => end > at).map(([digest, end]) => ({ digest, until: end }));
+  return [...quarantinedUntil]
+    .filter(([, end]) => end > at)
+    .map(([digest, until]) => ({ digest, until }));
 }
 
 /** Counts a crash once, whichever entries report it, and tells which of the digests are named. */
@@ -104,10 +111,10 @@
   at: EpochMilliseconds,
   command: ReportCrashCommand,
 ): CrashResult {
-  const known = state.crashes.get(command.crashId);
-  const digests = [...new Set([...(known?.digests ?? []), ...command.digests])];
+  const existing = state.crashes.get(command.crashId);
+  const digests = [...new Set([...(existing?.digests ?? []), ...command.digests])];
   state.crashes.set(command.crashId, {
-    at: known?.at ?? at,
+    at: existing?.at ?? at,
     digests: digests.slice(0, MAX_DIGESTS_PER_CRASH),
   });
   const reported = new Set(command.digests);
@@ -120,8 +127,8 @@
 /** Drops crashes that can neither count nor quarantine any more, or are too many. */
 export function pruneCrashes(state: MachineState, at: EpochMilliseconds): void {
   for (const [crashId, crash] of state.crashes) {
-    const isPast = crash.at + CRASH_WINDOW_MILLISECONDS + QUARANTINE_DURATION_MILLISECONDS <= at;
-    if (!isPast && state.crashes.size <= MAX_CRASHES) return;
+    const isExpired = crash.at + CRASH_WINDOW_MILLISECONDS + QUARANTINE_DURATION_MILLISECONDS <= at;
+    if (!isExpired && state.crashes.size <= MAX_CRASHES) return;
     state.crashes.delete(crashId);
   }
 }
--- a/packages/store-core/src/machine/replaceTables.test.ts
+++ b/packages/store-core/src/machine/replaceTables.test.ts
@@ -25,7 +25,10 @@
 };
 const key = 'a'.repeat(64);
 
-function change(version: number, fields: Partial<ReplaceTablesCommand> = {}): ReplaceTablesCommand {
+function makeCommand(
+  version: number,
+  fields: Partial<ReplaceTablesCommand> = {},
+): ReplaceTablesCommand {
   return {
     type: 'replaceTables',
     version,
@@ -46,7 +49,7 @@
 test('the highest version is in force, and a resend of any is acknowledged', () => {
   const state = new MachineState();
   [7, 3, 7, 9, 7].forEach((version) => {
-    assert.equal(apply(state, change(version)).type, 'tablesReplaced');
+    assert.equal(apply(state, makeCommand(version)).type, 'tablesReplaced');
   });
   assert.equal(state.configuration.whole?.version, 9);
   assert.equal(state.configuration.revision, 2);
@@ -57,8 +60,8 @@
 // could hold two configurations under one number for ever.
 test('other content under the version in force changes nothing', () => {
   const state = new MachineState();
-  apply(state, change(7));
-  assert.deepEqual(apply(state, change(7, { document: 'other', routes: [] })), {
+  apply(state, makeCommand(7));
+  assert.deepEqual(apply(state, makeCommand(7, { document: 'other', routes: [] })), {
     type: 'tablesReplaced',
     version: 7,
   });
@@ -66,7 +69,7 @@
   assert.equal(state.configuration.routes.rows.length, 1);
 });
 
-const faulty: readonly [string, Partial<ReplaceTablesCommand>, RegExp][] = [
+const invalidCommands: readonly [string, Partial<ReplaceTablesCommand>, RegExp][] = [
   ['a pool that is not there', { pools: [] }, /no "desk"/],
   [
     'weights that add up to 0',
@@ -94,11 +97,11 @@
     /shares a key/,
   ],
 ];
-faulty.forEach(([what, fields, reason]) => {
-  test(`${what} is refused with its place, and nothing of the change is in force`, () => {
+invalidCommands.forEach(([description, fields, reason]) => {
+  test(`${description} is refused with its place, and nothing of the change is in force`, () => {
     const state = new MachineState();
-    apply(state, change(1));
-    const result = apply(state, change(2, fields));
+    apply(state, makeCommand(1));
+    const result = apply(state, makeCommand(2, fields));
     assert.ok(result.type === 'tablesInvalid');
     assert.match(
       result.faults.map((fault) => `${fault.where}: ${fault.reason}`).join('\n'),
@@ -110,7 +113,7 @@
 
 test('a snapshot keeps the document, the version and the usage that was settled', () => {
   const state = new MachineState();
-  apply(state, change(7));
+  apply(state, makeCommand(7));
   applyCommand(state, { at: 0, command: { type: 'settleUsage', window: 4, counts: { laden: 2 } } });
   const restored = restoreSnapshot(takeSnapshot(state));
   assert.equal(restored.document, 'document 7');
@@ -124,7 +127,7 @@
 
 test('subscribers are sent the whole, since a delta tells of no workspaces', () => {
   const state = new MachineState();
-  apply(state, change(1));
-  apply(state, change(2));
+  apply(state, makeCommand(1));
+  apply(state, makeCommand(2));
   assert.equal(configurationSince(state, 1).type, 'whole');
 });
--- a/packages/store-core/src/machine/replaceTables.ts
+++ b/packages/store-core/src/machine/replaceTables.ts
@@ -16,7 +16,7 @@
 import { MAX_REPORTED_FAULTS } from './constants.js';
 import type { MachineState } from './MachineState.js';
 
-type Replacement =
+type ReplacementCheck =
   | { readonly ok: true; readonly configuration: Configuration }
   | { readonly ok: false; readonly faults: readonly Fault[] };
 
@@ -24,7 +24,7 @@
 export function checkReplacement(
   current: Configuration,
   command: ReplaceTablesCommand,
-): Replacement {
+): ReplacementCheck {
   const routes = checkRoutes(command.routes);
   if (!routes.ok) return routes;
   const pools = checkPools(command.pools);
@@ -54,9 +54,9 @@
   state: MachineState,
   command: ReplaceTablesCommand,
 ): ReplaceTablesResult {
-  const held = state.configuration.whole?.version;
-  if (held !== undefined && command.version <= held) {
-    return { type: 'tablesReplaced', version: held };
+  const currentVersion = state.configuration.whole?.version;
+  if (currentVersion !== undefined && command.version <= currentVersion) {
+    return { type: 'tablesReplaced', version: currentVersion };
   }
   const checked = checkReplacement(state.configuration, command);
   if (!checked.ok)
--- a/packages/store-core/src/machine/snapshot.ts
+++ b/packages/store-core/src/machine/snapshot.ts
@@ -56,7 +56,10 @@
     : undefined;
 }
 
-function fill<Key, Value>(map: Map<Key, Value>, entries: readonly (readonly [Key, Value])[]): void {
+function fillMap<Key, Value>(
+  map: Map<Key, Value>,
+  entries: readonly (readonly [Key, Value])[],
+): void {
   entries.forEach(([name, value]) => map.set(name, value));
 }
 
@@ -74,12 +77,12 @@
   state.configuration = snapshot.configuration;
   state.document = snapshot.document;
   state.answerBytes = snapshot.answerBytes;
-  fill(state.changes, snapshot.changes);
-  fill(state.claims, snapshot.claims);
+  fillMap(state.changes, snapshot.changes);
+  fillMap(state.claims, snapshot.claims);
   snapshot.answers.forEach(([name, answer]) => state.answers.set(name, copyAnswer(answer)));
-  fill(state.barredAttempts, snapshot.barredAttempts);
-  fill(state.leases, snapshot.leases);
-  fill(state.usage, snapshot.usage);
-  fill(state.crashes, snapshot.crashes);
+  fillMap(state.barredAttempts, snapshot.barredAttempts);
+  fillMap(state.leases, snapshot.leases);
+  fillMap(state.usage, snapshot.usage);
+  fillMap(state.crashes, snapshot.crashes);
   return state;
 }
