--- a/packages/store-core/src/machine/ConfigurationHistory.ts
+++ b/packages/store-core/src/machine/ConfigurationHistory.ts
@@ -1,6 +1,7 @@
 /**
- * Remembers which rows the latest changes touched, so that a subscriber a few changes behind gets
- * only those rows. One further behind, or one whose row order cannot be told, gets all.
+ * Records which rows the latest table changes affected, so that a subscriber a few changes behind is
+ * sent only those rows. Where a recorded change is missing or a delta could not reproduce the order of
+ * the rows, no delta is made and the subscriber needs the whole configuration.
  */
 import type { Configuration, ConfigurationDelta, Table, TableName } from '@hornbeampond/schema';
 import { MAX_CHANGES_IN_DELTA } from './constants.js';
@@ -15,7 +16,7 @@
   /** Names of rows that were added or replaced. */
   readonly changed: readonly string[];
   readonly removed: readonly string[];
-  /** True if applying a delta would leave the rows in another order. */
+  /** True if a delta would not reproduce the order of the rows. */
   readonly reordered: boolean;
 }
 
@@ -35,7 +36,7 @@
   return before.filter((row) => !later.has(row.name)).map((row) => row.name);
 }
 
-/** A delta replaces rows in place and appends new ones; any other order cannot be told by it. */
+/** A delta replaces rows in place and appends new ones; it cannot express any other order. */
 function isReordered(before: readonly NamedRow[], after: readonly NamedRow[]): boolean {
   const earlier = indexByName(before);
   const later = indexByName(after);
@@ -48,7 +49,7 @@
 /** The latest changes, oldest first. */
 export type ConfigurationHistory = TableChange[];
 
-/** Notes the change of one table from one configuration to the next. */
+/** Records the change of one table between two configurations. */
 export function recordTableChange(
   history: ConfigurationHistory,
   table: TableName,
@@ -65,7 +66,7 @@
   if (history.length > MAX_CHANGES_IN_DELTA) history.shift();
 }
 
-/** The delta from `fromRevision` to `current`, or undefined if only the whole will do. */
+/** The delta from `fromRevision` to `current`, or undefined if none can be made. */
 export function makeConfigurationDelta(
   history: ConfigurationHistory,
   current: Configuration,
@@ -85,8 +86,8 @@
 }
 
 /**
- * A row that was removed and added again stands at the end now; a subscriber that missed the
- * removal would keep it in its old place.
+ * True if a row was removed and added again. It is now at the end of the table, but a delta without
+ * the removal would replace it at its old position.
  */
 function hasReaddedRow(laterChanges: readonly TableChange[], current: Configuration): boolean {
   return laterChanges.some((change) => {
--- a/packages/store-core/src/machine/MachineState.ts
+++ b/packages/store-core/src/machine/MachineState.ts
@@ -1,6 +1,6 @@
 /**
- * The state that every voter derives from the log: tables, claims, leases and crashes. Maps are in
- * the order in which their entries fall due, so that what has run out is found at the front.
+ * The state that every store derives from the log: tables, claims, leases, usage and crashes. Maps
+ * whose records are removed after a time keep insertion order, and removal starts with the oldest.
  */
 import {
   emptyConfiguration,
@@ -12,15 +12,15 @@
 } from '@hornbeampond/schema';
 import type { ConfigurationHistory } from './ConfigurationHistory.js';
 
-/** The first answer to a change id. */
+/** The first result of a change id. */
 export interface ChangeRecord {
   readonly at: EpochMilliseconds;
-  /** Digest of the change's content, to tell a resend from another change under the same id. */
+  /** Digest of the change's content; distinguishes a resend from another change with the same id. */
   readonly digest: string;
   readonly result: PutTableResult;
 }
 
-/** `open` reads as `unknown` once `expiresAt` has come. */
+/** From `expiresAt` on, `open` is reported as `unknown`. */
 export type ClaimPhase = 'open' | 'done' | 'unknown';
 
 export interface Claim {
@@ -29,7 +29,7 @@
   readonly attemptId: string;
   readonly expiresAt: EpochMilliseconds;
   readonly phase: ClaimPhase;
-  /** When the claim may be forgotten. */
+  /** When the claim may be removed. */
   readonly keptUntil: EpochMilliseconds;
 }
 
@@ -40,51 +40,51 @@
   /** Longest duration granted under this epoch. */
   readonly duration: Milliseconds;
   /**
-   * Longest duration granted under any earlier epoch; 0 if there was none. All of them count: the
-   * log's clock may have jumped past several leases whose holders still measure them.
+   * Longest duration granted under any earlier epoch; 0 if there was none. All epochs count: the
+   * log's clock may have jumped past several leases that their holders still consider valid.
    */
   readonly previousDuration: Milliseconds;
 }
 
-/** One crash of a backend server with all that ran there, from all entries that reported it. */
+/** One crash of a backend server, with the digests of the requests that entries reported for it. */
 export interface CrashRecord {
   readonly at: EpochMilliseconds;
   readonly digests: readonly string[];
 }
 
 export class MachineState {
-  /** The latest time that a command was stamped with; time never goes back. */
+  /** Time of the last command; it never goes back, even if a timestamp does. */
   lastAt: EpochMilliseconds = 0;
 
   configuration: Configuration = emptyConfiguration;
 
-  /** What the operator sent who replaced all tables last, for those who read it back. */
+  /** The document sent with the last replacement of all tables, kept for operators to read back. */
   document: string | undefined;
 
   /** By change id, oldest first. */
   readonly changes = new Map<string, ChangeRecord>();
 
-  /** By workspace and key (`claimName`), in the order in which they were opened or settled. */
+  /** By workspace and key (see `claimName`), in the order in which they were opened or settled. */
   readonly claims = new Map<string, Claim>();
 
-  /** Answers of claims that are done, oldest first. */
+  /** Stored answers of claims that are done, by claim name, oldest first. */
   readonly answers = new Map<string, StoredAnswer>();
 
-  /** Size of all `answers` together. */
+  /** Total size of `answers`. */
   answerBytes = 0;
 
-  /** Released attempts with the time until which they are barred, in that order. */
+  /** By id of a released attempt, the time until which it is barred; ordered by that time. */
   readonly barredAttempts = new Map<string, EpochMilliseconds>();
 
-  /** By name. Never dropped, since an epoch must not be given twice; one for each data centre. */
+  /** By name. Never removed, so that no epoch is granted twice. */
   readonly leases = new Map<string, Lease>();
 
-  /** Counts of the latest usage windows, by number, oldest first. */
+  /** Counts of the latest usage windows, by window number, in the order in which they were settled. */
   readonly usage = new Map<number, Readonly<Record<string, number>>>();
 
-  /** By crash id, oldest first. */
+  /** By crash id, in the order of their first reports. */
   readonly crashes = new Map<string, CrashRecord>();
 
-  /** Which rows the latest changes touched. It decides no result, so snapshots leave it out. */
+  /** Rows affected by the latest changes. No result depends on it, so snapshots omit it. */
   readonly history: ConfigurationHistory = [];
 }
--- a/packages/store-core/src/machine/applyCommand.ts
+++ b/packages/store-core/src/machine/applyCommand.ts
@@ -1,6 +1,6 @@
 /**
- * The state machine of the replicated log: one deterministic function from state and stamped
- * command to result. Time is only what the command is stamped with, so all voters agree.
+ * The state machine of the replicated log: a deterministic function of the state and a timestamped
+ * command. Time comes only from the commands, so all stores compute the same results.
  */
 import type {
   CommandResult,
@@ -47,7 +47,7 @@
 
 /** Applies the next command of the log to the state, in place, and returns its result. */
 export function applyCommand(state: MachineState, stamped: StampedCommand): CommandResult {
-  // A new leader's wall clock may be behind; what has expired must not be taken for valid again.
+  // A new leader's wall clock may be behind; expired claims and leases must not become valid again.
   const at = Math.max(state.lastAt, stamped.at);
   state.lastAt = at;
   pruneChanges(state, at);
--- a/packages/store-core/src/machine/claims.ts
+++ b/packages/store-core/src/machine/claims.ts
@@ -1,6 +1,6 @@
 /**
- * Claims of calls that may run at most once. One attempt holds the open claim of a workspace's
- * key, and only that attempt may send the call, once.
+ * Claims of calls that may run at most once. The open claim of a workspace's key is held by one
+ * attempt, and only that attempt may send the call, once.
  */
 import {
   LARGEST_STORED_ANSWER_BYTES,
@@ -21,12 +21,12 @@
 } from './constants.js';
 import type { Claim, MachineState } from './MachineState.js';
 
-/** Name of a claim among all workspaces; a workspace's name holds no space. */
+/** Identifies a claim among those of all workspaces; the name of a workspace contains no space. */
 export function claimName({ workspace, key }: { workspace: string; key: string }): string {
   return `${workspace} ${key}`;
 }
 
-/** Keeps a span that a client chose within bounds; one that is no number counts as none. */
+/** Limits a duration that a client chose; a negative one or NaN counts as 0. */
 export function clampDuration(duration: Milliseconds, maxDuration: Milliseconds): Milliseconds {
   return duration > 0 ? Math.min(duration, maxDuration) : 0;
 }
@@ -35,7 +35,7 @@
   return claim.phase === 'open' && at < claim.expiresAt;
 }
 
-/** What an attempt is told of a claim that stands already. */
+/** The result of opening a claim that exists already. */
 function describeExistingClaim(
   state: MachineState,
   at: EpochMilliseconds,
@@ -75,9 +75,9 @@
 }
 
 /**
- * Gives an attempt up and bars it. The sender may not know whether its `openClaim` was lost or is
- * still on its way: without the bar it could open the claim after the caller was told `ran: no`,
- * and the caller's resend would then be held off by an attempt that nobody will send.
+ * Gives up an attempt and bars it. Its `openClaim` may still be in transit: without the bar it could
+ * open the claim after the caller received `ran: no`, and the claim of an attempt that is never sent
+ * would block the caller's retry.
  */
 export function releaseClaim(
   state: MachineState,
@@ -88,7 +88,7 @@
   const claim = state.claims.get(name);
   const isHolder = claim?.attemptId === command.attemptId;
   if (isHolder && claim.phase !== 'open') return { type: 'claimNotHeld' };
-  // A claim that has expired was told `unknown` to others; it stays so, though nothing was sent.
+  // An expired claim may have been reported `unknown` to other attempts, so it stays `unknown`.
   if (isHolder && isOpen(claim, at)) state.claims.delete(name);
   state.barredAttempts.delete(command.attemptId);
   state.barredAttempts.set(command.attemptId, at + BARRED_ATTEMPT_RETENTION_MILLISECONDS);
@@ -109,15 +109,15 @@
 }
 
 /**
- * Decoded bodies are views of the frame or snapshot that they came in, and one small answer kept
- * would keep all of it in memory. A copy holds only its own bytes.
+ * Copies the body of an answer. A decoded body is a view of the frame or snapshot that contained it,
+ * and would keep all of that in memory.
  */
 export function copyAnswer(answer: StoredAnswer): StoredAnswer {
   if (answer.body === undefined) return answer;
   return { ...answer, body: new Uint8Array(answer.body) };
 }
 
-/** Keeps an answer for resends, within the bounds; a claim without one still reads `done`. */
+/** Stores an answer for resends, within the size limits; a claim without one is still `done`. */
 function storeAnswer(state: MachineState, name: string, answer: StoredAnswer | undefined): void {
   if (answer === undefined || countAnswerBytes(answer) > LARGEST_STORED_ANSWER_BYTES) return;
   state.answers.set(name, copyAnswer(answer));
@@ -129,8 +129,8 @@
 }
 
 /**
- * Notes how the call ended. The attempt that sent it may still say `done` after its claim has
- * expired or was settled `unknown`: that is the truth come late, and opens nothing again.
+ * Records how the call ended. The attempt that holds the claim may still report `done` after the
+ * claim has expired or was settled `unknown`; this does not reopen the claim.
  */
 export function settleClaim(
   state: MachineState,
@@ -151,7 +151,7 @@
   return { type: 'claimSettled' };
 }
 
-/** Drops claims and bars whose time is past. */
+/** Removes claims and barred attempts from the oldest on, up to the first that must be kept. */
 export function expireClaims(state: MachineState, at: EpochMilliseconds): void {
   for (const [name, claim] of state.claims) {
     if (claim.keptUntil > at) break;
--- a/packages/store-core/src/machine/constants.ts
+++ b/packages/store-core/src/machine/constants.ts
@@ -1,6 +1,6 @@
 /**
- * The bounds of the state machine. All replicas must use the same values, since results depend on
- * them: a change here is a change of the snapshot version.
+ * Limits of the state machine. All stores must use the same values, since results depend on them:
+ * changing one requires a new snapshot version.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 
@@ -9,67 +9,61 @@
 const HOUR: Milliseconds = 60 * MINUTE;
 
 /**
- * How long a change id gets its first answer again. Two days cover a script that an operator
- * resumes the next morning; a later resend finds its base revision stale, so it is still harmless.
+ * How long a resent change gets its first result. Two days cover a script that an operator resumes
+ * the next morning. A later resend of an accepted change is refused, since its base revision is stale.
  */
 export const CHANGE_RETENTION_MILLISECONDS: Milliseconds = 48 * HOUR;
 
-/** Change ids kept at most: two days at 8,000 changes a day, three times over. */
+/** Above this number the oldest change ids are removed before the end of their retention. */
 export const MAX_CHANGE_RECORDS = 48_000;
 
-/** Usage windows whose counts are kept: far more than any holder still reports. */
+/** Usage windows whose counts are kept; more than a holder still reports. */
 export const MAX_USAGE_WINDOWS = 64;
 
-/** Faults reported for one refused table; more do not help, and each answer is kept. */
+/** Faults reported for one refused command; limited since results of table changes are stored. */
 export const MAX_REPORTED_FAULTS = 100;
 
 /**
- * How long a claim is remembered after it was settled or has expired. A caller that resends its
- * key later than this is taken for a new call, so the span is above any client's own retries.
+ * How long a claim is kept after it was settled or has expired. After that a resend counts as a new
+ * call, so this is longer than clients retry.
  */
 export const CLAIM_RETENTION_MILLISECONDS: Milliseconds = 24 * HOUR;
 
-/** Longest time that a claim may stay open; above the longest deadline that tables are run with. */
+/** Longest time that a claim may stay open; longer than any deadline in use. */
 export const MAX_CLAIM_EXPIRY_MILLISECONDS: Milliseconds = HOUR;
 
-/**
- * Claims kept at most: 4.6 new ones a second all day, in about 0.2 GB. Past it new ones are
- * refused, since a claim that is dropped early would let its call run twice.
- */
+/** At this number new claims are refused: removing one early would let its call run twice. */
 export const MAX_CLAIMS = 400_000;
 
-/** All kept answers together. Above it the oldest go first; their claims still read `done`. */
+/** Total size of the stored answers. Above it the oldest are removed; their claims stay `done`. */
 export const MAX_TOTAL_STORED_ANSWER_BYTES = 64 * 1024 * 1024;
 
 /**
- * How long a released attempt stays barred. Above the longest time that an `openClaim` can be on
- * its way: proposers give up on a request, and stores on an uncommitted command, within seconds.
+ * How long a released attempt stays barred. Longer than an `openClaim` can be in transit, since
+ * proposers abandon a request, and stores an uncommitted command, within seconds.
  */
 export const BARRED_ATTEMPT_RETENTION_MILLISECONDS: Milliseconds = 10 * MINUTE;
 
-/** Longest lease that is granted; it bounds how long a successor has to wait. */
+/** Longest lease that is granted; it limits how long a successor has to wait. */
 export const MAX_LEASE_DURATION_MILLISECONDS: Milliseconds = 5 * MINUTE;
 
-/** Two crashes further apart than this are not held against the same request. */
+/** Two crashes further apart than this are not attributed to the same request. */
 export const CRASH_WINDOW_MILLISECONDS: Milliseconds = HOUR;
 
-/** How long a named digest is kept from backend servers after the crash that named it. */
+/** How long a digest stays quarantined after the latest crash attributed to it. */
 export const QUARANTINE_DURATION_MILLISECONDS: Milliseconds = 10 * MINUTE;
 
-/** Crashes at which a digest is named even if another shared each of them. */
+/** Crashes after which a digest is quarantined even if another digest was present at each of them. */
 export const MIN_SHARED_CRASHES_FOR_QUARANTINE = 3;
 
-/**
- * Crashes kept at most, since each report judges all of them again; announced reclaims are not
- * reported as crashes.
- */
+/** Crashes that are kept; limited since each report attributes all of them again. */
 export const MAX_CRASHES = 256;
 
 /**
- * Digests kept for one crash: several times the requests that one backend server runs at a time.
- * With `MOST_CRASHES` it bounds the time that one report takes to judge.
+ * Digests kept for one crash; several times the requests that one backend server runs at a time.
+ * Together with `MAX_CRASHES` it limits the work of one report.
  */
 export const MAX_DIGESTS_PER_CRASH = 256;
 
-/** Changes from which deltas are made; a subscriber further behind gets the whole configuration. */
+/** Changes kept for deltas; a subscriber further behind gets the whole configuration. */
 export const MAX_CHANGES_IN_DELTA = 256;
--- a/packages/store-core/src/machine/leases.ts
+++ b/packages/store-core/src/machine/leases.ts
@@ -1,6 +1,6 @@
 /**
- * Leases with epochs. The epoch grows when the holder changes, and when a lease had ended before
- * its holder renewed it, so that no two spans of holding share one.
+ * Leases with epochs. Every grant of a free lease starts a new epoch, even to the last holder, and
+ * renewals keep it; so no two separate periods of holding share an epoch.
  */
 import type {
   EpochMilliseconds,
@@ -14,7 +14,7 @@
 
 function renewLease(lease: Lease, at: EpochMilliseconds, command: TakeLeaseCommand): Lease {
   const requested = clampDuration(command.duration, MAX_LEASE_DURATION_MILLISECONDS);
-  // The holder measures each grant by itself; an earlier and longer one may still be running.
+  // The holder measures each grant separately; an earlier, longer one may still be running.
   const duration = Math.max(requested, lease.duration);
   return { ...lease, duration, until: Math.max(lease.until, at + requested) };
 }
@@ -34,7 +34,7 @@
   };
 }
 
-/** Takes a free lease, renews an own one, or tells who holds it. */
+/** Grants a free lease, renews the caller's own, or reports who holds it. */
 export function takeLease(
   state: MachineState,
   at: EpochMilliseconds,
@@ -52,7 +52,7 @@
   return { type: 'leaseHeld', epoch, duration, previousDuration };
 }
 
-/** Ends a lease early; one that is held under another epoch is left alone. */
+/** Ends a lease early if it is held under the given holder and epoch. */
 export function releaseLease(
   state: MachineState,
   at: EpochMilliseconds,
--- a/packages/store-core/src/machine/putTable.ts
+++ b/packages/store-core/src/machine/putTable.ts
@@ -1,6 +1,6 @@
 /**
- * Changes of the two tables. The log's order decides a race: of two changes made from the same
- * revision of a table the first is accepted and the second told that its base is stale.
+ * Changes one table, routes or pools. The order of the log decides a race: of two valid changes to the
+ * same revision of a table the first is accepted, and the second is refused as stale.
  */
 import { createHash } from 'node:crypto';
 import {
@@ -25,7 +25,7 @@
   | { readonly ok: true; readonly configuration: Configuration }
   | { readonly ok: false; readonly faults: readonly Fault[] };
 
-/** Writes the keys of each object in one order, so that equal content has one digest. */
+/** JSON replacer that sorts the keys of each object, so that equal content has one digest. */
 function sortKeys(_key: string, value: unknown): unknown {
   if (typeof value !== 'object' || value === null || Array.isArray(value)) return value;
   return Object.fromEntries(Object.entries(value).sort(([a], [b]) => (a < b ? -1 : 1)));
@@ -47,7 +47,7 @@
   return { ok: true, configuration: { ...configuration, revision, routes, pools } };
 }
 
-/** Checks the rows by themselves and joined with the other table as it is in the log. */
+/** Checks the rows by themselves and together with the other table. */
 function checkChange(current: Configuration, command: PutTableCommand): ChangeCheck {
   const revision = current.revision + 1;
   if (command.table === 'routes') {
@@ -73,9 +73,9 @@
 }
 
 /**
- * Runs one change. An operator whose answer was lost resends the change, perhaps after a restart
- * or through another leader; without the first answer kept he would be told that his own accepted
- * change lost the race. The answer is part of the replicated state, so every voter has it.
+ * Applies one change and stores its result by change id. An operator who did not receive the result
+ * resends the change, perhaps to another leader, and gets it again; otherwise an accepted change would
+ * seem to have lost a race against itself.
  */
 export function putTable(
   state: MachineState,
@@ -92,7 +92,7 @@
   return result;
 }
 
-/** Drops change ids that are past their window, or too many. */
+/** Removes change ids past their retention, and the oldest ones above `MAX_CHANGE_RECORDS`. */
 export function pruneChanges(state: MachineState, at: EpochMilliseconds): void {
   for (const [changeId, change] of state.changes) {
     const isExpired = change.at + CHANGE_RETENTION_MILLISECONDS <= at;
--- a/packages/store-core/src/machine/quarantine.ts
+++ b/packages/store-core/src/machine/quarantine.ts
@@ -1,12 +1,10 @@
 /**
- * Finds the requests that crash backend servers. What is kept is the crashes; who is named follows
- * from them, so that a crash reported in parts by several entries is judged as one.
+ * Finds the requests that crash backend servers. Only the crashes are stored and culprits are derived
+ * from them, so that a crash reported in parts by several entries is attributed as one.
  *
- * All that ran on a crashed backend server are suspects, which entries run again apart from each
- * other. The second crash then has one suspect among its requests, and that one is named. Where
- * several suspects crashed together twice, the crash does not tell them apart: none is named until
- * `INSEPARABLE_CRASHES`, so that an innocent neighbour costs at most one more backend server
- * rather than being refused.
+ * Entries retry the requests of a crashed server on separate servers, so a second crash normally has
+ * one request that ran at both: the culprit. Several such requests are indistinguishable, and none is
+ * a culprit before `MIN_SHARED_CRASHES_FOR_QUARANTINE` crashes; this costs at most one more server.
  */
 import type {
   CrashResult,
@@ -23,18 +21,18 @@
 } from './constants.js';
 import type { CrashRecord, MachineState } from './MachineState.js';
 
-/** A crash while it is judged: once a digest is named for it, its neighbours are cleared of it. */
+/** A crash with its culprits; once it has one, its other digests are exonerated of this crash. */
 interface AttributedCrash {
   readonly crash: CrashRecord;
   readonly culprits: Set<string>;
 }
 
-/** What was judged so far, by each digest that was in progress. */
+/** The crashes attributed so far, by each digest that was running. */
 type CrashesByDigest = Map<string, AttributedCrash[]>;
 
 interface Candidate {
   readonly digest: string;
-  /** Earlier crashes within the window that the digest has not been cleared of. */
+  /** Earlier crashes within the window of which the digest is not exonerated. */
   readonly priorCrashes: readonly AttributedCrash[];
 }
 
@@ -63,7 +61,7 @@
   return repeated.map(({ digest }) => digest);
 }
 
-/** Clears the neighbours of the named digests in earlier crashes that nobody was named for. */
+/** Makes the culprits those of their earlier crashes that had none, exonerating the other digests. */
 function attributeEarlierCrashes(culprits: readonly string[], earlier: CrashesByDigest): void {
   const crashesOf = (digest: string) => earlier.get(digest) ?? [];
   const unattributed = new Set(
@@ -76,7 +74,7 @@
   });
 }
 
-/** Judges all crashes in the log's order. */
+/** Attributes all crashes, in the order of the log. */
 function attributeCrashes(crashes: Iterable<CrashRecord>): AttributedCrash[] {
   const earlier: CrashesByDigest = new Map();
   return [...crashes].map((crash) => {
@@ -92,7 +90,7 @@
   });
 }
 
-/** The digests that are kept from backend servers at that time. */
+/** The digests that are quarantined at the given time. */
 export function quarantineAt(state: MachineState, at: EpochMilliseconds): QuarantineEntry[] {
   const quarantinedUntil = new Map<string, EpochMilliseconds>();
   attributeCrashes(state.crashes.values()).forEach(({ crash, culprits }) => {
@@ -105,7 +103,7 @@
     .map(([digest, until]) => ({ digest, until }));
 }
 
-/** Counts a crash once, whichever entries report it, and tells which of the digests are named. */
+/** Records a crash once for all its reports; returns which of the reported digests are quarantined. */
 export function reportCrash(
   state: MachineState,
   at: EpochMilliseconds,
@@ -124,7 +122,7 @@
   return { type: 'crashCounted', quarantined };
 }
 
-/** Drops crashes that can neither count nor quarantine any more, or are too many. */
+/** Removes crashes too old to affect quarantine, and the oldest ones above `MAX_CRASHES`. */
 export function pruneCrashes(state: MachineState, at: EpochMilliseconds): void {
   for (const [crashId, crash] of state.crashes) {
     const isExpired = crash.at + CRASH_WINDOW_MILLISECONDS + QUARANTINE_DURATION_MILLISECONDS <= at;
--- a/packages/store-core/src/machine/replaceTables.ts
+++ b/packages/store-core/src/machine/replaceTables.ts
@@ -1,7 +1,7 @@
 /**
- * Replacement of all tables at once under the operators' own version. The highest version wins
- * whatever order the log takes two racing operators in, so a resend and an overtaken change need
- * no memory of their own: both are answered with the version that is in force.
+ * Replaces all tables together, under a version that operators assign. The highest version wins in
+ * whatever order the log has the commands. Resent and superseded commands therefore need no stored
+ * result: both are answered with the version in force.
  */
 import {
   checkJoin,
@@ -20,7 +20,7 @@
   | { readonly ok: true; readonly configuration: Configuration }
   | { readonly ok: false; readonly faults: readonly Fault[] };
 
-/** The configuration that the command makes, or everything that is wrong with it. */
+/** The configuration that the command makes, or the faults of the first check that fails. */
 export function checkReplacement(
   current: Configuration,
   command: ReplaceTablesCommand,
@@ -63,7 +63,7 @@
     return { type: 'tablesInvalid', faults: checked.faults.slice(0, MAX_REPORTED_FAULTS) };
   state.configuration = checked.configuration;
   state.document = command.document;
-  // A delta cannot tell of workspaces; subscribers are sent the whole.
+  // A delta cannot carry workspaces; without history subscribers are sent the whole configuration.
   state.history.length = 0;
   return { type: 'tablesReplaced', version: command.version };
 }
--- a/packages/store-core/src/machine/settleUsage.ts
+++ b/packages/store-core/src/machine/settleUsage.ts
@@ -1,6 +1,6 @@
 /**
- * The counts of each usage window, as the first proposal of them had it. Whoever reports a window
- * reports these, so that two holders never report one window with different counts.
+ * Stores the counts of each usage window as first proposed. Every later proposal for the window gets
+ * these counts, so that two holders of the reporting lease never report it differently.
  */
 import type { SettleUsageCommand, SettleUsageResult } from '@hornbeampond/schema';
 import { MAX_USAGE_WINDOWS } from './constants.js';
--- a/packages/store-core/src/machine/snapshot.ts
+++ b/packages/store-core/src/machine/snapshot.ts
@@ -1,7 +1,8 @@
 /**
- * The state as one plain value that CBOR can carry, to cut the log short and to bring laggards up
- * to date. It must hold all that decides a result: a change id or a bar left out would come back
- * as a doubled change or an opened claim after a restart.
+ * Converts the state to a plain value that CBOR can encode, and back. Snapshots allow the log to be
+ * truncated and bring stores that are far behind up to date. A snapshot must contain everything that a
+ * result depends on: without the change ids or barred attempts a change could be applied twice, or a
+ * released claim opened, after a restart.
  */
 import type { Configuration, EpochMilliseconds, StoredAnswer } from '@hornbeampond/schema';
 import { HornbeampondError } from '@hornbeampond/schema';
@@ -14,7 +15,7 @@
   type Lease,
 } from './MachineState.js';
 
-/** Grows with every change of the snapshot's form or of the rules that read it. */
+/** Increases with every change of the snapshot's format or of the rules that use its contents. */
 export const SNAPSHOT_VERSION = 2;
 
 export interface MachineSnapshot {
@@ -32,7 +33,7 @@
   readonly crashes: readonly (readonly [string, CrashRecord])[];
 }
 
-/** Copies the state; records are never changed in place, so they are shared with it. */
+/** Copies the maps of the state but not their records, which are never changed in place. */
 export function takeSnapshot(state: MachineState): MachineSnapshot {
   return {
     version: SNAPSHOT_VERSION,
@@ -63,7 +64,7 @@
   entries.forEach(([name, value]) => map.set(name, value));
 }
 
-/** Makes a state of a snapshot; one of another version is refused with a clear error. */
+/** Restores the state from a snapshot; throws if its version is not the supported one. */
 export function restoreSnapshot(value: unknown): MachineState {
   const version = readVersion(value);
   if (version !== SNAPSHOT_VERSION) {
