--- a/packages/store-core/src/machine/machine.test.ts
+++ b/packages/store-core/src/machine/machine.test.ts
@@ -20,7 +20,7 @@
   readonly command: StoreCommand;
 }
 
-/** Runs commands at times after the start and tells each with its result, one a line. */
+/** Runs the commands and returns the text of each with its result. */
 function formatTranscript(state: MachineState, commands: readonly TimedCommand[]): string {
   return commands
     .map(({ after, command }) => {
@@ -90,7 +90,7 @@
   return { type: 'reportCrash', backendServer: 'buylist-1', crashId, digests };
 }
 
-test('machine: the life of claims', async () => {
+test('machine: a claim is opened, released, barred and settled', async () => {
   const commands = [
     { after: 0, command: openCommand('a') },
     { after: 1, command: openCommand('a') },
@@ -110,9 +110,9 @@
   await matchSnapshot(import.meta.url, 'claims', formatTranscript(new MachineState(), commands));
 });
 
-// The entry that held the claim died or was cut off. A caller's resend is told `unknown` after the
-// expiry; if the first entry comes back with the answer it had, resends are given that instead.
-test('machine: a claim that expires reads unknown until its answer comes', async () => {
+// The entry that holds the claim is unreachable. After the expiry a resend gets `unknown`, and once the
+// entry has settled the claim with an answer, a resend gets that answer.
+test('machine: an expired claim is unknown until its holder settles it', async () => {
   const commands = [
     { after: 0, command: openCommand('a') },
     { after: MINUTE - 1, command: openCommand('b') },
@@ -125,16 +125,15 @@
   await matchSnapshot(import.meta.url, 'expiry', formatTranscript(new MachineState(), commands));
 });
 
-test('machine: an answer above the bound is not kept, and its claim still reads done', () => {
+test('machine: an answer above the size limit is not stored, and its claim is still done', () => {
   const state = new MachineState();
   run(state, 0, openCommand('a'));
   run(state, 1, settleCommand('a', 'done', 64 * 1024 + 1));
   assert.deepEqual(run(state, 2, openCommand('b')), { type: 'claimDone' });
 });
 
-// Answers are stored faster than they are forgotten. The oldest go, and a resend of theirs is told
-// that the call ran, never that this is not known.
-test('machine: past the bound on all answers the oldest are dropped', () => {
+// Guards against a resend that gets `unknown` for a call that ran, only because its answer was removed.
+test('machine: above the total size limit the oldest answers are removed', () => {
   const state = new MachineState();
   const keys = Array.from({ length: 1100 }, (_unused, position) => `offer-${position}`);
   keys.forEach((key) => {
@@ -149,7 +148,7 @@
   assert.equal(state.answerBytes, 64 * 1024 * 1024);
 });
 
-test('machine: claims and bars are forgotten after their time', () => {
+test('machine: claims and barred attempts are removed after their retention', () => {
   const state = new MachineState();
   run(state, 0, openCommand('a'));
   run(state, 0, settleCommand('a', 'done', 10));
@@ -162,9 +161,8 @@
   assert.deepEqual([state.claims.size, state.answers.size, state.answerBytes], [0, 0, 0]);
 });
 
-// A flood of keys fills the bound. Were the oldest claim dropped instead, a resend of its call
-// would run twice; so new ones are refused until time has made room.
-test('machine: past the bound on claims new ones are refused', () => {
+// Guards against removing an old claim to make room for a new one: a resend of its call would run twice.
+test('machine: at the limit new claims are refused until old ones expire', () => {
   const state = new MachineState();
   for (let position = 0; position < MAX_CLAIMS; position += 1) {
     run(state, 0, { ...openCommand(`${position}`), key: `offer-${position}` } as StoreCommand);
@@ -210,8 +208,7 @@
   await matchSnapshot(import.meta.url, 'leases', formatTranscript(new MachineState(), commands));
 });
 
-// A new leader's wall clock is behind. Without the machine's own lower bound on time a lease that
-// had ended would be held again, by two.
+// A new leader's wall clock is behind. Guards against an expired lease that becomes valid again.
 test('machine: time never goes back', () => {
   const state = new MachineState();
   run(state, 0, takeLeaseCommand('x', 1000));
@@ -220,9 +217,9 @@
   assert.equal(state.lastAt, START + 1000);
 });
 
-// A lot crashes the backend server under it and two neighbours. All three are run again, apart from
-// each other; the lot takes down a second one, and from then on it alone is refused.
-test('machine: the second crash names the one suspect, and clears its neighbours', async () => {
+// Three requests run at a crash and are retried on separate servers. The one that crashes a second
+// server is quarantined alone.
+test('machine: a second crash quarantines its only suspect and exonerates the others', async () => {
   const commands = [
     { after: 0, command: crashReport('one', 'bad', 'left', 'right') },
     { after: 1, command: crashReport('one', 'bad') },
@@ -238,9 +235,9 @@
   assert.deepEqual(named(10 * MINUTE + 4), []);
 });
 
-// Two requests happened to crash together twice, before word of the first crash had spread. Either
-// may be the cause: none is refused yet. Run apart, the third crash tells.
-test('machine: requests that crashed together twice are told apart by the third crash', async () => {
+// Two requests ran together at two crashes. Neither is quarantined until a third crash, at which one
+// of them ran alone or both ran together again.
+test('machine: requests that crashed together twice are distinguished by a third crash', async () => {
   const together = [
     { after: 0, command: crashReport('one', 'bad', 'good') },
     { after: 1, command: crashReport('two', 'bad', 'good') },
@@ -253,9 +250,9 @@
   await matchSnapshot(import.meta.url, 'inseparable', transcripts.join('\n\n'));
 });
 
-// One crash is reported in parts, by the entries whose requests ran there. The first part alone has
-// one suspect, who is named; with the second part there are two, and the naming is taken back.
-test('machine: a crash reported in parts is judged as one', () => {
+// Two entries report one crash. The first report has a single suspect, which is quarantined; the second
+// report adds another suspect, so that neither stays quarantined.
+test('machine: a crash reported in parts is attributed as one', () => {
   const state = new MachineState();
   run(state, 0, crashReport('one', 'bad', 'good'));
   run(state, 1, crashReport('two', 'good'));
--- a/packages/store-core/src/machine/machineProperties.test.ts
+++ b/packages/store-core/src/machine/machineProperties.test.ts
@@ -77,7 +77,7 @@
 
 const DAY = 24 * 60 * 60 * 1000;
 
-/** Commands with times that mostly creep and now and then leap, or go back. */
+/** Commands at times that advance by small and large steps and sometimes go back. */
 const logArbitrary: fc.Arbitrary<StampedCommand[]> = fc
   .array(fc.tuple(fc.constantFrom(1, 10, 61_000, 11 * 60_000, DAY, -5000), commandArbitrary), {
     maxLength: 60,
@@ -90,10 +90,9 @@
     });
   });
 
-// A store restarts in the middle of the log, or a laggard is sent a snapshot. Every later answer is
-// the one that a store which never restarted gives; otherwise a resend would get another answer
-// after a change of leader.
-test('machine: a restored snapshot answers and ends as the state it was taken from', () => {
+// A store restarts in the middle of the log, or is sent a snapshot. Guards against results that differ
+// from those of a store that never restarted.
+test('machine: a restored snapshot gives the same results and the same final state', () => {
   fc.assert(
     fc.property(logArbitrary, fc.nat(60), (commands, cut) => {
       const uninterrupted = new MachineState();
@@ -114,7 +113,7 @@
   );
 });
 
-test('machine: bounds on answers and maps hold after any commands', () => {
+test('machine: answerBytes is the size of all stored answers, and their claims are done', () => {
   fc.assert(
     fc.property(logArbitrary, (commands) => {
       const state = new MachineState();
@@ -134,7 +133,7 @@
   );
 });
 
-test('machine: a delta from any earlier revision gives the whole, in order', () => {
+test('machine: a delta from an earlier revision gives the current rows in their order', () => {
   let deltas = 0;
   fc.assert(
     fc.property(fc.array(poolRows, { maxLength: 8 }), (changes) => {
@@ -160,7 +159,7 @@
   assert.ok(deltas > 2000, `only ${deltas} deltas were checked`);
 });
 
-test('machine: a subscriber too far behind gets everything', () => {
+test('machine: a subscriber too far behind gets the whole configuration', () => {
   const state = new MachineState();
   for (let change = 0; change < 300; change += 1) {
     const rows = [poolRow('buylist', 1 + change)];
@@ -177,9 +176,9 @@
   assert.throws(() => restoreSnapshot(undefined), /snapshot version undefined/);
 });
 
-// Answers are decoded as views of what they came in. Were they kept so, each would keep a whole
-// batch of the log or a whole snapshot in memory, far past the bound on answers.
-test('machine: a kept answer keeps no more memory than its own', () => {
+// A decoded body is a view of a log batch or a snapshot. Guards against storing the view, which keeps
+// all of that in memory.
+test('machine: a stored answer keeps only its own bytes in memory', () => {
   const state = new MachineState();
   const frame = new Uint8Array(1024 * 1024);
   const attempt = { workspace: 'laden', key: 'k', attemptId: 'a' };
--- a/packages/store-core/src/machine/quarantine.test.ts
+++ b/packages/store-core/src/machine/quarantine.test.ts
@@ -6,7 +6,7 @@
 import { MachineState } from './MachineState.js';
 import { quarantineAt } from './quarantine.js';
 
-/** Splits what ran at a crash among entries; each reports its own part. */
+/** Splits the digests of a crash among the entries that own them; each entry reports its own. */
 function splitCrashReport(crashId: string, digests: readonly string[], owners: readonly number[]) {
   const parts = new Map<number, string[]>();
   digests.forEach((digest, position) => {
@@ -21,10 +21,9 @@
   }));
 }
 
-// A bad lot runs in a batch, then apart from all that ran there, beside lots that are new; and once
-// more before word has spread. Several entries report parts of each crash, late, twice and in any
-// order. Only the bad lot may ever be refused, and in the end it is.
-test('machine: with suspects run apart only the culprit is ever quarantined', () => {
+// A poison request crashes a server with a batch, then twice a server where it runs beside new requests.
+// Entries report parts of each crash twice and in any order. Guards against quarantining a harmless one.
+test('machine: when suspects run on separate servers, only the culprit is quarantined', () => {
   const owners = fc.array(fc.nat(2), { minLength: 8, maxLength: 8 });
   const batchSize = fc.integer({ min: 1, max: 6 });
   const picks = fc.infiniteStream(fc.nat());
@@ -45,7 +44,7 @@
         const quarantined = quarantineAt(state, at).map(({ digest }) => digest);
         assert.ok(
           quarantined.every((digest) => digest === 'bad'),
-          `${quarantined.join()} named`,
+          `${quarantined.join()} are quarantined`,
         );
       }
       assert.deepEqual(
--- a/packages/store-core/src/machine/replaceTables.test.ts
+++ b/packages/store-core/src/machine/replaceTables.test.ts
@@ -44,9 +44,9 @@
   return applyCommand(state, { at: 0, command });
 }
 
-// Two operators send changes through two stores, and one is sent again after its answer was lost.
-// Whatever order the log takes them in, the highest version is in force, and nobody is refused.
-test('the highest version is in force, and a resend of any is acknowledged', () => {
+// Operators send versions through several stores and resend one whose result was lost. Guards against
+// an older version that replaces a newer one, and against a refused resend.
+test('the highest version is in force, and every resend is acknowledged', () => {
   const state = new MachineState();
   [7, 3, 7, 9, 7].forEach((version) => {
     assert.equal(apply(state, makeCommand(version)).type, 'tablesReplaced');
@@ -56,8 +56,7 @@
   assert.equal(state.document, 'document 9');
 });
 
-// An operator's tool sends other content under the number in force. Were it obeyed, two instances
-// could hold two configurations under one number for ever.
+// Guards against two instances that have different configurations under one version.
 test('other content under the version in force changes nothing', () => {
   const state = new MachineState();
   apply(state, makeCommand(7));
@@ -70,14 +69,14 @@
 });
 
 const invalidCommands: readonly [string, Partial<ReplaceTablesCommand>, RegExp][] = [
-  ['a pool that is not there', { pools: [] }, /no "desk"/],
+  ['a pool that does not exist', { pools: [] }, /no "desk"/],
   [
     'weights that add up to 0',
     { routes: [{ ...route, split: [{ pool: 'desk', weight: 0 }] }] },
     /add up to 0/,
   ],
   [
-    'a split to a pool that is not there',
+    'a split to a pool that does not exist',
     { routes: [{ ...route, split: [{ pool: 'x', weight: 1 }] }] },
     /no "x"/,
   ],
@@ -98,7 +97,7 @@
   ],
 ];
 invalidCommands.forEach(([description, fields, reason]) => {
-  test(`${description} is refused with its place, and nothing of the change is in force`, () => {
+  test(`${description} is refused with its location, and no part of the command takes effect`, () => {
     const state = new MachineState();
     apply(state, makeCommand(1));
     const result = apply(state, makeCommand(2, fields));
@@ -111,7 +110,7 @@
   });
 });
 
-test('a snapshot keeps the document, the version and the usage that was settled', () => {
+test('a snapshot keeps the document, the version and the settled usage', () => {
   const state = new MachineState();
   apply(state, makeCommand(7));
   applyCommand(state, { at: 0, command: { type: 'settleUsage', window: 4, counts: { laden: 2 } } });
@@ -125,7 +124,7 @@
   });
 });
 
-test('subscribers are sent the whole, since a delta tells of no workspaces', () => {
+test('subscribers are sent the whole configuration, since a delta carries no workspaces', () => {
   const state = new MachineState();
   apply(state, makeCommand(1));
   apply(state, makeCommand(2));
