--- a/apps/store/src/ConfigurationPublisher.ts
+++ b/apps/store/src/ConfigurationPublisher.ts
@@ -1,9 +1,9 @@
 /**
- * Hands changes of the configuration and of the quarantine to the subscribers of a store.
+ * Sends changes of the configuration and the quarantine to the subscribers of a store.
  *
- * Changes are published at the end of the turn in which they were applied. A store that has
- * restarted applies its whole log in one turn; told of each entry, its subscribers would serve by
- * configurations that were replaced long ago, one after the other.
+ * Configuration changes are published at the end of the event loop turn in which they were applied. A
+ * restarted store applies its whole log in one turn; if each entry were published, subscribers would
+ * use one superseded configuration after another.
  */
 import type { Metrics, TimerService } from '@hornbeampond/runtime';
 import { configurationSince, quarantineAt, type MachineState } from '@hornbeampond/store-core';
@@ -17,14 +17,14 @@
 }
 
 export class ConfigurationPublisher {
-  /** True while a publication is due; it covers all that is applied until then. */
+  /** True while a publication is scheduled; it covers all changes applied until then. */
   private isDue = false;
 
   private isStopped = false;
 
   constructor(private readonly options: ConfigurationPublisherOptions) {}
 
-  /** Publishes soon what has changed since `previousRevision`, which subscribers were sent before. */
+  /** Schedules the changes since `previousRevision`, the last revision that was sent. */
   publishSince(previousRevision: number): void {
     if (this.isDue) return;
     this.isDue = true;
--- a/apps/store/src/DiskOperations.ts
+++ b/apps/store/src/DiskOperations.ts
@@ -1,7 +1,7 @@
 /**
- * What a running store has its disk do: writes of the log in the order of their steps, snapshots, and
- * the parts of snapshots that go to other stores. Each end is told as an event; a failure ends the
- * store's part in all that needs a disk.
+ * The disk operations of a running store: log writes, snapshots, and reading the parts of snapshots
+ * that are sent to other stores. Completed writes and snapshots are dispatched as consensus events, and
+ * so is every failure.
  */
 import type { Logger, TimerService } from '@hornbeampond/runtime';
 import {
@@ -34,7 +34,7 @@
     this.snapshotCache = new SnapshotCache(options.timers);
   }
 
-  /** Writes are handed in at once: those that wait for a sync share the next one. */
+  /** Starts a write without waiting for earlier operations, so that writes can share one sync. */
   persist(effect: PersistEffect): void {
     const { disk, dispatch } = this.options;
     const written = disk.write(effect).then(
@@ -62,7 +62,7 @@
       return;
     }
     this.enqueue(async () => {
-      // Loaded meanwhile for another part or peer.
+      // While this waited, the snapshot may have been loaded for another part or peer.
       const snapshot =
         this.snapshotCache.find(effect.header) ?? (await this.options.disk.readSnapshot());
       if (snapshot === undefined || this.closed) return;
@@ -71,13 +71,13 @@
     });
   }
 
-  /** Starts nothing more for other stores. */
+  /** Stops loading snapshots for other stores. */
   stop(): void {
     this.closed = true;
     this.snapshotCache.clear();
   }
 
-  /** Resolves once all that was asked for is done. */
+  /** Resolves once all operations that were requested have ended. */
   async finish(): Promise<void> {
     await this.lastOperation;
   }
@@ -96,7 +96,7 @@
 
   private sendPart(effect: SendSnapshotEffect, snapshot: SavedSnapshot): void {
     const envelope = fillSnapshotPart(effect, snapshot);
-    // Replaced meanwhile: the leader asks again for the newer one.
+    // Undefined if a newer snapshot has replaced the requested one; the leader then sends the newer one.
     if (envelope !== undefined) this.options.send(effect.instance, envelope);
   }
 }
--- a/apps/store/src/FolderDisk.ts
+++ b/apps/store/src/FolderDisk.ts
@@ -1,4 +1,4 @@
-/** The disk of a store process: the data folder that its settings name. */
+/** A store's disk in the data folder that its settings name. */
 
 import {
   LogStore,
@@ -60,7 +60,7 @@
     await replaceFile(new NodeFileSystem(), this.options.folder, ENTRY_STATE_FILE, state);
   }
 
-  /** Gives the folder a new identity, as that of an empty disk. It must be closed. */
+  /** Gives the folder a new identity, as if it were empty. The disk must be closed. */
   async resetIdentity(): Promise<void> {
     await renewIdentity(this.options);
   }
--- a/apps/store/src/InstanceListCache.test.ts
+++ b/apps/store/src/InstanceListCache.test.ts
@@ -17,7 +17,7 @@
   };
 }
 
-test('only what a reading has changed is told', () => {
+test('an update returns only the differences from the previous list', () => {
   const cache = new InstanceListCache(new ManualTimerService());
   cache.update([makeInstance('a'), makeInstance('b'), makeInstance('c')]);
   const leaving = makeInstance('b', { state: 'leaving', goneIn: 2500 });
@@ -25,7 +25,7 @@
   assert.deepEqual(cache.update([makeInstance('a'), leaving]), { changed: [], gone: [] });
 });
 
-test('a subscriber is told the last reading and its age', () => {
+test('the latest list is returned with its age', () => {
   const timers = new ManualTimerService();
   const cache = new InstanceListCache(timers);
   assert.equal(cache.latest, undefined);
--- a/apps/store/src/InstanceListCache.ts
+++ b/apps/store/src/InstanceListCache.ts
@@ -1,7 +1,7 @@
 /**
- * The platform's list of instances, as the processes that read it tell it to this store, for those that
- * subscribe here. One process reads it for all: the platform takes some tens of calls a second from the
- * whole cluster, and each entry reading it for itself would spend them at fifty entries.
+ * The platform's latest list of instances, for the subscribers of this store. One process reads the
+ * list and shares it with the stores, because the platform limits the rate of calls of the whole
+ * cluster and entries that each read the list would exceed it.
  */
 import type { TimerService } from '@hornbeampond/runtime';
 import type {
@@ -11,7 +11,7 @@
   SharedInstances,
 } from '@hornbeampond/schema';
 
-/** Both come from the same codec, with their fields in the same order. */
+/** Compares as text: both come from the same codec, with their fields in the same order. */
 function isEqual(one: SharedInstance | undefined, other: SharedInstance): boolean {
   return JSON.stringify(one) === JSON.stringify(other);
 }
@@ -23,14 +23,14 @@
 
   constructor(private readonly timers: TimerService) {}
 
-  /** The last reading and its age, or undefined before the first. */
+  /** The latest list and its age, or undefined before the first list. */
   get latest(): { instances: SharedInstance[]; instancesAge: Milliseconds } | undefined {
     if (this.readAt === undefined) return undefined;
     const instancesAge = this.timers.monotonicNow() - this.readAt;
     return { instances: [...this.instances.values()], instancesAge };
   }
 
-  /** Takes in a reading, and returns what it has changed. */
+  /** Replaces the list and returns its differences from the previous one. */
   update(instances: readonly SharedInstance[]): SharedInstances {
     const before = this.instances;
     this.instances = new Map(instances.map((instance) => [instance.instance, instance]));
--- a/apps/store/src/JoinRequests.ts
+++ b/apps/store/src/JoinRequests.ts
@@ -1,7 +1,7 @@
 /**
- * A store whose disk is new, or that was taken out while it was away, asks the others to be let in,
- * until it is a member and hears of a leader. It votes and counts as a copy only once it has caught
- * up; the leader sees to that.
+ * Asks the other stores to add this one to the cluster, at regular intervals until `isNeeded` says
+ * that it is a member and knows a leader. This is for stores with a new disk and for stores that were
+ * removed while they were unreachable.
  */
 import type { TimerService, Unsubscribe } from '@hornbeampond/runtime';
 import type { JoiningVoter, StoreRequest } from '@hornbeampond/schema';
@@ -13,7 +13,7 @@
 export interface JoinRequestsOptions {
   readonly timers: TimerService;
   readonly peers: StorePeers;
-  /** False once this store is a member that follows a leader, or is one. */
+  /** False once this store is a member and knows a leader, or cannot join. */
   isNeeded(): boolean;
   describeSelf(): JoiningVoter;
 }
@@ -41,7 +41,7 @@
     }
     const request: StoreRequest = { type: 'addVoter', voter: this.options.describeSelf() };
     this.options.peers.all.forEach((client) => {
-      // Only the leader carries it out; the answers of all others say nothing new.
+      // Only the leader can add this store. Failures need no handling, since the request is repeated.
       if (client.isOpen) client.request(request, REQUEST_TIMEOUT_MILLISECONDS).catch(() => {});
     });
   }
--- a/apps/store/src/LeaderWatch.ts
+++ b/apps/store/src/LeaderWatch.ts
@@ -1,11 +1,11 @@
 /**
- * Tells when a store has known no leader for a while. Its subscribers would otherwise follow a store
- * that hears of no change, while others are within their reach.
+ * Reports when a store has known no leader for some time. Its subscribers would otherwise stay with a
+ * store that receives no changes, although others are reachable.
  */
 import type { TimerService, Unsubscribe } from '@hornbeampond/runtime';
 import type { Milliseconds } from '@hornbeampond/schema';
 
-/** Election timeouts without a known leader after which a store is out of touch. */
+/** Election timeouts without a known leader after which `onLeaderTimeout` is called. */
 const LEADERLESS_ELECTION_TIMEOUTS = 4;
 
 export interface LeaderWatchOptions {
@@ -21,10 +21,10 @@
 
   constructor(private readonly options: LeaderWatchOptions) {}
 
-  /** Takes note of the leader that the store follows now, if it knows one. */
+  /** Records the leader that the store knows now, if any. */
   recordLeader(leader: string | undefined): void {
     const isLeaderless = leader === undefined;
-    // A store that stands for election again and again has been leaderless all the while.
+    // Repeated elections without a leader must not restart the timer.
     if (isLeaderless === this.isLeaderless) return;
     this.isLeaderless = isLeaderless;
     this.cancelTimer();
--- a/apps/store/src/OperatorRequestHandler.ts
+++ b/apps/store/src/OperatorRequestHandler.ts
@@ -1,4 +1,4 @@
-/** What operators can tell one store on its operators' port. */
+/** Handles operators' HTTP requests that make a store found or join a cluster or remove a member. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { HornbeampondError, type OperatorKey, type StoreResponse } from '@hornbeampond/schema';
 import { authorizeOperator, readBody, writeJson } from '@hornbeampond/transport';
--- a/apps/store/src/PendingRequests.ts
+++ b/apps/store/src/PendingRequests.ts
@@ -1,6 +1,6 @@
 /**
- * Requests of clients that wait for the log, by request id: what to do with their fate. A request
- * is answered once.
+ * Client requests that wait for consensus, by request id. Each is answered once, with the outcome that
+ * consensus reports.
  */
 import type { RequestOutcome } from '@hornbeampond/store-core';
 import type { CommandResult, StoreResponse } from '@hornbeampond/schema';
@@ -9,7 +9,7 @@
 
 interface PendingRequest {
   readonly respond: Respond;
-  /** Makes the response of a request that succeeded; `result` is there for commands. */
+  /** Makes the response to a request that succeeded; only commands have a `result`. */
   readonly makeResponse: (result: CommandResult | undefined) => StoreResponse;
 }
 
@@ -18,7 +18,7 @@
 
   private lastRequestNumber = 0;
 
-  /** Takes a request in and names it. */
+  /** Adds a request and returns its id. */
   add(respond: Respond, succeed: PendingRequest['makeResponse']): string {
     this.lastRequestNumber += 1;
     const requestId = String(this.lastRequestNumber);
@@ -26,7 +26,7 @@
     return requestId;
   }
 
-  /** Gives a request its fate. */
+  /** Answers a request according to its outcome. */
   complete(requestId: string, outcome: RequestOutcome, result: CommandResult | undefined): void {
     const request = this.requests.get(requestId);
     if (request === undefined) return;
--- a/apps/store/src/PersistedEntryState.test.ts
+++ b/apps/store/src/PersistedEntryState.test.ts
@@ -24,7 +24,7 @@
   };
 }
 
-/** Lets the promises that wait settle. */
+/** Lets pending promises settle. */
 async function flushPromises(): Promise<void> {
   await new Promise((resolve) => {
     setImmediate(resolve);
@@ -40,9 +40,9 @@
   return { timers, state: new PersistedEntryState({ disk, timers, logger }) };
 }
 
-// All processes lose power a moment after an entry has told what a workspace has spent. Entries that
-// start would take the window for unspent, if the store did not tell them.
-test('what entries have told is there again after a loss of power', async () => {
+// All processes lose power shortly after an entry has reported spending. Guards against entries that
+// start with an unspent allowance.
+test('spending that entries reported is restored after a power loss', async () => {
   const disk = new MemoryDisk();
   const before = makeState(disk);
   await before.state.open();
@@ -57,7 +57,7 @@
   });
 });
 
-test('an entry that has just started does not replace the word of one that knows the window', async () => {
+test('a report that covers less of the window replaces the stored one only when that is old', async () => {
   const { timers, state } = makeState(new MemoryDisk());
   await state.open();
   state.recordReport(report(500, 8000));
@@ -78,9 +78,9 @@
   }
 }
 
-// The disk takes no more bytes and what is on it is damaged. The store says so and goes on, since
-// nothing that it has promised depends on it.
-test('a disk that fails costs the memory only', async () => {
+// The disk is full and the saved state is damaged. Guards against a store that stops, or logs nothing,
+// because of state that is only best effort.
+test('a store whose disk fails logs it and keeps the entry state in memory', async () => {
   const lines: string[] = [];
   const { timers, state } = makeState(new FailingDisk(), lines);
   await state.open();
--- a/apps/store/src/PersistedEntryState.ts
+++ b/apps/store/src/PersistedEntryState.ts
@@ -1,13 +1,10 @@
 /**
- * Keeps on the store's disk what entries hold in memory only and would need when all of them lose power
- * together. What workspaces have spent of their allowances lately: otherwise it is spent a second time,
- * or callers within their allowance are refused for as long as the window is. Which prompt prefixes
- * engines have computed, and how long prompts take: otherwise all prompts are computed anew, just when
- * everyone who has waited comes at once. How many requests began to run: otherwise the usage of the
- * window in which power was lost is told too low.
+ * Saves to the store's disk what entries hold in memory only and need after all of them have lost
+ * power: spent allowances, computed prompt prefixes, learnt delays and counts of started requests.
+ * Without it allowances would be spent twice, prompts computed again and usage undercounted.
  *
- * It is a memory and no promise: it is written a few times a second and not agreed on, and a store that
- * cannot write it goes on without. Entries count what is missing as they count late reports.
+ * This is best effort: the state is saved a few times a second and not replicated, and a store that
+ * cannot read or write it continues without.
  */
 import type { Logger, TimerService, Unsubscribe } from '@hornbeampond/runtime';
 import type {
@@ -21,10 +18,10 @@
 import type { StoreDisk } from './StoreDisk.js';
 import { RecentEntryUsage } from './RecentEntryUsage.js';
 
-/** How much a loss of power may take at most, beside what entries have not reported. */
+/** What entries reported within this time before a power loss may be lost. */
 const WRITE_INTERVAL_MILLISECONDS: Milliseconds = 250;
 
-/** An entry that knows less of the window is passed over until the one kept is so old. */
+/** Until the stored window totals are this old, those of a report that covers less are ignored. */
 const SPENDING_REPLACEMENT_AGE_MILLISECONDS: Milliseconds = 2000;
 
 export interface PersistedEntryStateOptions {
@@ -42,7 +39,7 @@
 
   private readonly usage = new RecentEntryUsage();
 
-  /** What each entry has told, by name. */
+  /** The latest reported spending of each entry, by instance. */
   private readonly spendingByEntry = new Map<string, EntrySpending>();
 
   private hasChanged = false;
@@ -94,7 +91,7 @@
     this.spending = { at, windowSpent, windowReach, entries };
   }
 
-  /** Takes in what an entry tells between two reports. */
+  /** Records spending that an entry reports, between its entry reports or in them. */
   recordSpending({ instance, incarnation, spent }: EntrySpending & { instance: string }): void {
     const known = this.spendingByEntry.get(instance);
     const before = known?.incarnation === incarnation ? known.spent : {};
@@ -107,7 +104,7 @@
     if (begun !== undefined) this.usage.record({ instance, incarnation, begun });
   }
 
-  /** Forgets what instances that are listed no longer have had computed. */
+  /** Removes the prefixes of backend servers that are not among the listed instances. */
   removeUnlistedInstances(instances: readonly string[]): void {
     this.prefixes.retainOnly(instances);
   }
--- a/apps/store/src/RecentEntryUsage.test.ts
+++ b/apps/store/src/RecentEntryUsage.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test';
 import { RecentEntryUsage } from './RecentEntryUsage.js';
 
-// An entry is started again in the middle of a window. What its first life began still counts.
-test('each life of an entry keeps its own counts', () => {
+// An entry restarts in the middle of a window. Guards against losing the counts from before.
+test('each incarnation of an entry keeps its own counts', () => {
   const recentUsage = new RecentEntryUsage();
   recentUsage.record({ instance: 'entry-1', incarnation: 1, begun: { 7: { laden: 20 } } });
   recentUsage.record({ instance: 'entry-1', incarnation: 2, begun: { 7: { laden: 3 } } });
@@ -14,7 +14,7 @@
   ]);
 });
 
-test('windows that are long over are forgotten, and lives of which nothing else is known', () => {
+test('old windows are removed, and so are incarnations without newer ones', () => {
   const recentUsage = new RecentEntryUsage();
   recentUsage.record({ instance: 'entry-1', incarnation: 1, begun: { 7: { laden: 20 } } });
   recentUsage.record({ instance: 'entry-2', incarnation: 1, begun: { 10: { laden: 1 }, 11: {} } });
--- a/apps/store/src/RecentEntryUsage.ts
+++ b/apps/store/src/RecentEntryUsage.ts
@@ -1,7 +1,7 @@
-/** What each life of an entry has told of the requests that began to run, in the newest windows. */
+/** Counts of started requests that each incarnation of an entry reported, in the newest windows. */
 import type { BegunCounts, EntryUsage } from '@hornbeampond/schema';
 
-/** Older windows have been reported. */
+/** Usage windows that are kept. Older windows have been reported by then. */
 const RETAINED_WINDOWS = 4;
 
 export class RecentEntryUsage {
--- a/apps/store/src/RecentPrefixes.test.ts
+++ b/apps/store/src/RecentPrefixes.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { RecentPrefixes } from './RecentPrefixes.js';
 
-test('the latest prefixes of a backend server are kept, those used again among them', () => {
+test('the most recent prefixes of a backend server are kept, including those reported again', () => {
   const recentPrefixes = new RecentPrefixes();
   const digests = Array.from({ length: 500 }, (_, number) => `part-${number}`);
   recentPrefixes.record({ engine: digests });
@@ -13,7 +13,7 @@
   assert.deepEqual(kept.slice(-2), ['part-0', 'new']);
 });
 
-test('what a backend server had goes with it', () => {
+test('the prefixes of a removed backend server are removed', () => {
   const recentPrefixes = new RecentPrefixes();
   recentPrefixes.record({ engine: ['a'], other: ['b'] });
   recentPrefixes.retainOnly(['other']);
--- a/apps/store/src/RecentPrefixes.ts
+++ b/apps/store/src/RecentPrefixes.ts
@@ -1,10 +1,10 @@
-/** Which prompt prefixes backend servers were told to have computed, the latest of them. */
+/** The prompt prefixes that each backend server computed most recently, as reported by entries. */
 
-/** Prefixes that are kept of one backend server: those that are used by turns, not all there were. */
+/** Prefixes kept for each backend server; above this the least recently reported are removed. */
 const MAX_PREFIXES_PER_SERVER = 500;
 
 export class RecentPrefixes {
-  /** By backend server, the latest last. */
+  /** Digests by backend server, the most recent last. */
   private readonly byServer = new Map<string, Set<string>>();
 
   get computed(): Record<string, string[]> {
--- a/apps/store/src/SnapshotCache.test.ts
+++ b/apps/store/src/SnapshotCache.test.ts
@@ -9,9 +9,8 @@
   return { header, data: new Uint8Array(8) };
 }
 
-// A laggard takes in a snapshot part by part. A newer snapshot is saved meanwhile; its parts must
-// not be mixed with those of the older one, so only the snapshot that was asked for is found.
-test('only the snapshot that is asked for is found', () => {
+// A newer snapshot is saved while an older one is being sent. Guards against mixing parts of both.
+test('only the snapshot with the requested header is found', () => {
   const cache = new SnapshotCache(new ManualTimerService());
   const older = snapshotAt(10);
   cache.keep(older);
@@ -20,9 +19,8 @@
   assert.equal(cache.find({ ...older.header, term: 2 }), undefined);
 });
 
-// The laggard dies in the middle. No part is asked for any more, and nothing else would let go of
-// a snapshot that may be hundreds of megabytes.
-test('a snapshot is let go of when no part has been asked for in a while', () => {
+// The receiver fails in the middle of a transfer. Guards against keeping a large snapshot for ever.
+test('a snapshot is released when no part has been requested for a while', () => {
   const timers = new ManualTimerService();
   const cache = new SnapshotCache(timers);
   const snapshot = snapshotAt(10);
--- a/apps/store/src/SnapshotCache.ts
+++ b/apps/store/src/SnapshotCache.ts
@@ -1,16 +1,13 @@
 /**
- * Keeps the snapshot that is being sent in memory between its parts.
- *
- * Without it each part of a large snapshot loads and checks the whole file again, behind all
- * writes that wait for the disk; a laggard's catching up grows with the square of the size. It is
- * let go of when no part has been asked for in a while, so that it does not hold the memory for
- * ever.
+ * Keeps the snapshot that is being sent in memory between its parts. Otherwise every part would read
+ * and verify the whole file again, and the transfer time would grow with the square of the size. The
+ * snapshot is released when no part has been requested for a while.
  */
 import type { TimerService, Unsubscribe } from '@hornbeampond/runtime';
 import type { SnapshotHeader } from '@hornbeampond/store-core';
 import type { SavedSnapshot } from './StoreDisk.js';
 
-/** Above the time in which a live peer answers one part. */
+/** Longer than a reachable peer takes to acknowledge one part. */
 const IDLE_TIMEOUT_MILLISECONDS = 10_000;
 
 export class SnapshotCache {
@@ -20,7 +17,7 @@
 
   constructor(private readonly timers: TimerService) {}
 
-  /** The snapshot of this header, if it is the one that is kept. */
+  /** The kept snapshot if it has this header; its release is then postponed. */
   find({ index, term }: SnapshotHeader): SavedSnapshot | undefined {
     const { saved } = this;
     if (saved?.header.index !== index || saved.header.term !== term) return undefined;
--- a/apps/store/src/StoreCluster.test.ts
+++ b/apps/store/src/StoreCluster.test.ts
@@ -37,7 +37,7 @@
   };
 }
 
-/** A change of the pools table, which leaves as many rows as its number. */
+/** A change that replaces the pools table by as many rows as its number. */
 function makeChange(number: number, baseRevision = number - 1): PutTableCommand {
   const rows = Array.from({ length: number }, (_, position) => makePool(`pool-${position + 1}`));
   return { type: 'putTable', table: 'pools', baseRevision, changeId: `change-${number}`, rows };
@@ -55,7 +55,7 @@
   return outcome.result;
 }
 
-/** Puts changes one after another, each through the next client. */
+/** Runs changes one after another, each through the next client. */
 async function runChanges(from: number, through: number): Promise<void> {
   for (let number = from; number <= through; number += 1) {
     const result = await runCommand(number % clients.length, makeChange(number));
@@ -77,9 +77,8 @@
   return (await clientAt(0).client.readConfiguration(TIMEOUT_MILLISECONDS)).revision;
 }
 
-// Four operators hold the table at the same revision and each puts a change of his own at the same
-// moment. The log orders them: the first wins, and the others are told the revision to look at.
-test('of changes that race from one revision exactly one wins', async () => {
+// Four operators change the same revision concurrently. Guards against two accepted changes.
+test('of concurrent changes to one revision exactly one is accepted', async () => {
   const racing = clients.map(async (_, position) =>
     runCommand(position, { ...makeChange(position + 1, 0), changeId: `operator-${position}` }),
   );
@@ -94,10 +93,9 @@
   assert.equal(await readThroughLeader(), 1);
 });
 
-// An operator's change is accepted, and its answer is lost with the leader. He sends the change
-// again under its change id, through another entry, after another change has gone by. He is told
-// that his change was accepted, not that it lost a race against itself.
-test('a change sent again after the leader is closed gets its first answer', async () => {
+// An operator loses the result of an accepted change with the leader, and resends the change after
+// another one was accepted. Guards against the answer that the change is stale.
+test('a change that is resent after the leader has stopped gets its first result', async () => {
   const leader = await cluster.waitForLeader();
   await runChanges(1, 2);
   await cluster.close(leader);
@@ -105,10 +103,9 @@
   assert.equal(await readThroughLeader(), 2);
 });
 
-// Changes go on while the leader is closed in the middle of them. Proposals whose answer is lost
-// are sent again under their change id. Every change is accepted once, in order, and the closed
-// store has them all once it is back.
-test('closing the leader loses no change and stops none for long', async () => {
+// The leader stops while changes are proposed, and starts again. Guards against changes that are lost,
+// applied twice or out of order, and against a restarted store without the changes it missed.
+test('changes continue without loss when the leader stops', async () => {
   await runChanges(1, 5);
   const changing = runChanges(6, 30);
   const leader = await cluster.waitForLeader();
@@ -124,10 +121,9 @@
   assert.equal(await readThroughLeader(), 30);
 });
 
-// A store loses its disk and comes back empty under its old name. It is taken in again under the
-// identity of its new disk, as a learner first. Right after that repair two other stores are lost.
-// Three of five are left, and the repaired one is needed for each change.
-test('after a lost disk is repaired the cluster can lose two more stores', async () => {
+// A store loses its disk, joins again on an empty one and becomes a voter. Then two other stores stop,
+// so that every change needs the new disk. Guards against a replacement that does not count as a copy.
+test('after a lost disk is replaced the cluster can lose two more stores', async () => {
   await runChanges(1, 10);
   const leader = await cluster.waitForLeader();
   const others = ['store-1', 'store-2', 'store-3', 'store-4', 'store-5'].filter(
@@ -144,10 +140,9 @@
   assert.equal(await readThroughLeader(), 25);
 });
 
-// The leader's connections to the other stores go silent, while its clients still reach it. The
-// others elect a leader and accept a change. The old leader may not answer a read, since what it
-// holds is old; it answers again once the partition is healed, with the new revision.
-test('a leader that is cut off from the others answers no read', async () => {
+// The leader is partitioned from the other stores but not from its clients, and the other stores accept
+// a change under a new leader. Guards against stale reads from the old leader.
+test('a leader that is partitioned from the other stores answers no read', async () => {
   await runChanges(1, 3);
   const leader = await cluster.waitForLeader();
   const { client } = cluster.connect('entry-5', [leader]);
@@ -166,10 +161,9 @@
   );
 });
 
-// Entries follow the configuration while the stores they are subscribed to are closed in turn and
-// come back. A store that was away is behind for a moment; what it then says is older than what
-// its subscribers have. No subscriber is handed an older revision than before.
-test('the revisions that subscribers are handed never go back', async () => {
+// The stores that entries subscribe to stop and restart one after another. Guards against a restarted
+// store that is still behind and sends its subscribers an older revision than they have.
+test('the revisions that subscribers receive never go back', async () => {
   await runChanges(1, 3);
   let number = 3;
   for (const instance of ['store-2', 'store-1', 'store-3']) {
@@ -196,9 +190,8 @@
   });
 });
 
-// A caller's purchase offer is claimed through one entry. The caller loses patience and sends it
-// again through another, which is told that it runs; after the leader is closed and the first run
-// has ended, a third entry is handed the stored answer. No second attempt is let through.
+// A caller sends a claimed request through one entry and retries through two others while the leader
+// stops. Guards against a second attempt that is allowed to run.
 test('a claim opened through one client is seen through every other', async () => {
   const claim = (attempt: number): OpenClaimCommand => ({
     type: 'openClaim',
@@ -229,10 +222,9 @@
   assert.equal(Buffer.from(again.answer?.body ?? []).toString(), 'sold');
 });
 
-// Entries stay connected to the store of their data centre while it is cut off from the other
-// stores. Without a word from it they would follow a store that hears of nothing any more, although
-// others are within reach; callers would meet old routes for as long as the cut lasts.
-test('subscribers leave a store that has lost touch with the others', async () => {
+// The store that an entry subscribes to is partitioned from the other stores. Guards against an entry
+// that keeps old routes for the whole partition although other stores are reachable.
+test('subscribers leave a store that is partitioned from the others', async () => {
   await runChanges(1, 2);
   await waitForRevision(2);
   const followed = await waitFor('a store that entry-1 follows', async () => {
@@ -244,10 +236,9 @@
   await waitForRevision(5);
 });
 
-// Nothing is to be seen by callers. An operator starts a second store under the name of one that
-// runs, on an empty folder. Were it taken for the same store with a lost disk, the one that runs would
-// lose its vote, and with it a copy of everything; it is turned away as long as the other is heard of.
-test('a second store under a name that is in use is not let in', async () => {
+// An operator starts a second store with the name of a running one, on an empty folder. Guards against
+// replacing the running store, which would cost a copy of all data.
+test('a second store with a name in use is not admitted', async () => {
   await runChanges(1, 2);
   const leader = await cluster.waitForLeader();
   const name = leader === 'store-4' ? 'store-3' : 'store-4';
@@ -261,10 +252,9 @@
   await runChanges(41, 42);
 });
 
-// All stores and an entry lose power at once, and start together. A store knows what its own disk
-// holds, but not yet what of it was agreed on. Told that, the entry would serve its callers by routes
-// and keys that were replaced hundreds of changes ago, until the stores have a leader again.
-test('a starting entry is told nothing older than what was agreed on before a power loss', async () => {
+// All stores and an entry start together after a power loss. Until the stores have a leader, none knows
+// which of its entries are committed. Guards against an entry that starts with old routes and keys.
+test('after a power loss a starting entry receives nothing older than the last committed revision', async () => {
   const stores = ['store-1', 'store-2', 'store-3', 'store-4', 'store-5'];
   await runChanges(1, 12);
   await Promise.all(stores.map(async (instance) => cluster.close(instance)));
@@ -275,8 +265,8 @@
   assert.deepEqual(revisionsOf(entry), [12]);
 });
 
-// Guards against a process that seeks only stores which are gone, while changed settings name others.
-test('a process whose stores are all gone finds the others by changed settings', async () => {
+// Guards against a process that keeps connecting to stopped stores although changed settings name others.
+test('a process whose only store has stopped finds others through changed settings', async () => {
   await runChanges(1, 2);
   const { client, configurations } = cluster.connect('entry-5', ['store-2']);
   await waitFor('revision 2', () => (configurations.at(-1)?.revision === 2 ? true : undefined));
--- a/apps/store/src/StoreDisk.ts
+++ b/apps/store/src/StoreDisk.ts
@@ -1,6 +1,6 @@
 /**
- * What a store needs of its disk. Whatever resolves here is synced; nothing is acknowledged to
- * anyone before.
+ * The disk operations that a store needs. A promise of a write resolves only once the data is synced,
+ * so that nothing is acknowledged before.
  */
 import type { RememberedEntries } from '@hornbeampond/schema';
 import type { PersistEffect, RestoredState, SavedSnapshot } from '@hornbeampond/store-core';
@@ -16,10 +16,10 @@
 }
 
 export abstract class StoreDisk {
-  /** Reads the whole disk and counts a new run of the process on it. */
+  /** Reads the whole disk and records a new run of the process on it. */
   abstract open(instance: string): Promise<DiskContents>;
 
-  /** Makes one batch durable. Batches are handed in one after another. */
+  /** Makes one batch durable. Batches are written in the order of the calls. */
   abstract write(batch: PersistEffect): Promise<void>;
 
   abstract saveSnapshot(snapshot: SavedSnapshot): Promise<void>;
@@ -29,7 +29,7 @@
 
   abstract discardLog(throughIndex: number): Promise<void>;
 
-  /** What `saveMemory` kept last, or undefined. */
+  /** What `savePersistedEntryState` saved last, or undefined. */
   abstract readPersistedEntryState(): Promise<RememberedEntries | undefined>;
 
   abstract savePersistedEntryState(state: RememberedEntries): Promise<void>;
--- a/apps/store/src/StorePeers.ts
+++ b/apps/store/src/StorePeers.ts
@@ -1,6 +1,6 @@
 /**
- * The connections from this store to the others: those of the settings, and those that the log has
- * taken in since.
+ * The connections from this store to the others: to the stores named in its settings and to the
+ * members listed in the log.
  */
 import type { StoreAddress } from '@hornbeampond/schema';
 import type { Envelope } from '@hornbeampond/store-core';
@@ -14,8 +14,8 @@
   private members: readonly StoreAddress[] = [];
 
   /**
-   * @param configured - Stores of the settings. Their addresses hold, whatever the log says: how
-   *   another store is reached from here is for this instance's operator to know.
+   * @param configured - Stores of the settings. Their addresses take precedence over those in the log,
+   *   since the operator of this instance knows how another store is reached from here.
    */
   constructor(
     private readonly self: string,
@@ -26,15 +26,15 @@
   }
 
   /**
-   * Connects to the stores of the settings; to be called once this store listens. A peer that is
-   * greeted earlier connects back at once, is refused, and then waits out a pause that has grown
-   * while this store was away: for up to two seconds the leader could not reach it.
+   * Connects to the stores of the settings; call it only once this store listens. A peer that notices
+   * an earlier connection would connect back immediately, be refused, and wait for its reconnect delay,
+   * during which a leader could not reach this store.
    */
   open(): void {
     this.configured.forEach((address) => this.connect(address));
   }
 
-  /** Takes over the stores that changed settings name. */
+  /** Replaces the stores of the settings. */
   setConfigured(addresses: readonly StoreAddress[]): void {
     this.configured = addresses;
     this.configuredNames = new Set(addresses.map(({ instance }) => instance));
@@ -42,7 +42,7 @@
     this.updateMembers(this.members);
   }
 
-  /** Keeps a connection to each member of the log, and to no other that the settings don't name. */
+  /** Connects to each member; closes connections to stores that neither log nor settings name. */
   updateMembers(addresses: readonly StoreAddress[]): void {
     this.members = addresses;
     const members = new Set(addresses.map(({ instance }) => instance));
@@ -64,17 +64,17 @@
     this.clients.set(address.instance, new PeerClient(address, this.context));
   }
 
-  /** Sends if connected; what is lost, the agreement sends again. */
+  /** Sends if connected; consensus sends lost messages again. */
   send(instance: string, envelope: Envelope): void {
     this.clients.get(instance)?.push(envelope);
   }
 
-  /** A store that has just connected to us can be connected to: a repair need not wait. */
+  /** Connects without the reconnect delay; for a store that has just connected to this one. */
   reconnectNow(instance: string): void {
     this.clients.get(instance)?.connectNow();
   }
 
-  /** Every connection, for requests to whichever store leads. */
+  /** All clients, for requests that only the leader can answer. */
   get all(): readonly PeerClient[] {
     return [...this.clients.values()];
   }
--- a/apps/store/src/StoreProcess.test.ts
+++ b/apps/store/src/StoreProcess.test.ts
@@ -31,7 +31,7 @@
   };
 }
 
-/** Holds back what it holds until it is released. */
+/** Opens only after `release` was called. */
 class BlockedDisk extends MemoryDisk {
   release: () => void = () => {};
 
@@ -45,16 +45,15 @@
   }
 }
 
-/** Throws in the middle of a step, as a fault of the program would. */
+/** Throws from `write` synchronously, as a programming error would. */
 class ThrowingDisk extends MemoryDisk {
   override write(batch: PersistEffect): Promise<void> {
     throw new TypeError(`no batch ${batch.batch}`);
   }
 }
 
-// A store is started again and reads its disk, which takes a while. If it greeted the leader now,
-// the leader would connect back at once, be refused, and come again only after a grown pause; the
-// store would be behind for that long. So the first connection comes once the disk is read.
+// A restarted store reads its disk, which takes a while. Guards against a leader that notices an early
+// connection, fails to connect back, and tries again only after its reconnect delay.
 test('a store connects to its peers only once it listens', async () => {
   const connections: Socket[] = [];
   const peer = createServer((socket) => connections.push(socket));
@@ -65,7 +64,7 @@
   const disk = new BlockedDisk();
   const store = new StoreProcess(makeSettings([address]), new SystemTimerService(), disk);
   const started = store.start();
-  // Connections arrive in order: one that the store had opened would be there before this one.
+  // Connections arrive in order, so one that the store had opened would arrive before this one.
   const own = createConnection(port, LOOPBACK);
   await once(peer, 'connection');
   assert.equal(connections.length, 1);
@@ -80,10 +79,9 @@
   peer.close();
 });
 
-// A step of the store throws half way. What it holds can't be trusted from there on, so it says so
-// once, to be ended by whoever runs it. Until then it answers nothing: an operator whose change
-// comes in is not told its fate by a store that may not know it, and sends it again elsewhere.
-test('a store that fails in a step says so once and answers nothing more', async () => {
+// An effect throws, so the state of the store may be incomplete. Guards against a store that then
+// reports an outcome which it may not know, and against repeated reports of the failure.
+test('a store that fails in an effect reports the failure once and answers no proposal', async () => {
   const failures: StoreFailure[] = [];
   const timers = new SystemTimerService();
   const store = new StoreProcess(makeSettings([]), timers, new ThrowingDisk(), (_, failure) =>
--- a/apps/store/src/StoreProcess.ts
+++ b/apps/store/src/StoreProcess.ts
@@ -1,6 +1,7 @@
 /**
- * One running store: it drives the reducer of the agreement, keeps its disk, applies what is
- * agreed to the tables, claims and leases, and answers clients.
+ * A running store. It drives the consensus reducer, carries out its effects on disk and network,
+ * applies committed commands to the state machine, and serves clients, peers and operators. After an
+ * unexpected error it carries out no further effect.
  */
 import { Encoder } from 'cbor-x';
 import {
@@ -64,7 +65,7 @@
 
 const codec = new Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false });
 
-/** What happens to a store, without the clocks. */
+/** A consensus event without the clock readings, which `dispatch` adds. */
 export type ConsensusEventPayload = ConsensusEvent extends infer Event
   ? Event extends { now: number; wallNow: number }
     ? Omit<Event, 'now' | 'wallNow'>
@@ -72,9 +73,9 @@
   : never;
 
 /**
- * Why a store cannot go on. `diskRefused`: a peer has shown that the disk is older than what it
- * promised; it needs a new identity. `unexpectedError`: a step was not carried out to its end, and
- * going on could give callers two histories.
+ * Why a store cannot continue. `diskRefused`: a peer has shown that the disk lacks data that this
+ * store acknowledged, so it needs a new identity. `unexpectedError`: an event was not handled
+ * completely, so the state may differ from that of the other stores.
  */
 export type StoreFailure = 'diskRefused' | 'unexpectedError';
 
@@ -102,10 +103,10 @@
 
   private machine = new MachineState();
 
-  /** Results of commands of this step, until their replies have been sent. */
+  /** The result of the last applied command, by its log index. */
   private readonly resultsByIndex = new Map<number, CommandResult>();
 
-  private readonly disk: DiskOperations;
+  private readonly diskOperations: DiskOperations;
 
   private readonly joinRequests: JoinRequests;
 
@@ -125,13 +126,13 @@
 
   private closed = false;
 
-  /** True once a step was not carried out to its end. */
+  /** True once an event was not handled completely. */
   private failed = false;
 
   constructor(
     private readonly settings: StoreSettings,
     private readonly timers: TimerService,
-    private readonly storeDisk: StoreDisk,
+    private readonly disk: StoreDisk,
     private readonly onFailure: (store: StoreProcess, failure: StoreFailure) => void = () => {},
     onEntryReport: (report: EntryReport) => void = () => {},
   ) {
@@ -162,13 +163,13 @@
     });
     this.workReportBatcher = new WorkReportBatcher(timers, this.subscribers);
     this.persistedEntryState = new PersistedEntryState({
-      disk: storeDisk,
+      disk,
       timers,
       logger: this.logger,
     });
     this.peers = new StorePeers(instance, context, settings.stores);
-    this.disk = new DiskOperations({
-      disk: storeDisk,
+    this.diskOperations = new DiskOperations({
+      disk,
       timers,
       logger: this.logger,
       dispatch: (event) => this.dispatch(event),
@@ -223,9 +224,9 @@
     });
   }
 
-  /** Reads the disk and starts to serve. */
+  /** Reads the disk, listens and connects to the other stores. */
   async start(): Promise<StorePorts> {
-    const contents = await this.storeDisk.open(this.settings.instance);
+    const contents = await this.disk.open(this.settings.instance);
     this.isNew = contents.isNew;
     this.loop = this.makeEventLoop(contents);
     await this.persistedEntryState.open();
@@ -243,7 +244,7 @@
   /** True if the disk was empty at start. */
   isNew = false;
 
-  /** Founds a cluster on this disk; refused unless the disk is empty. */
+  /** Founds a cluster with this store as its only member; throws if it has been part of a cluster. */
   foundCluster(): void {
     const { state } = this.loop;
     if (state.term > 0 || this.isMember()) {
@@ -257,7 +258,7 @@
     });
   }
 
-  /** Seeks the stores that changed settings name, beside the members of the log. */
+  /** Connects to the stores that changed settings name, beside the members listed in the log. */
   useStores(addresses: readonly StoreAddress[]): void {
     this.peers.setConfigured(addresses);
   }
@@ -276,11 +277,11 @@
     this.persistedEntryState.close();
     this.workReportBatcher.close();
     this.joinRequests.stop();
-    this.disk.stop();
+    this.diskOperations.stop();
     this.peers.close();
     await Promise.all([this.peerServer.close(), this.operatorServer.close()]);
-    await this.disk.finish();
-    await this.storeDisk.close();
+    await this.diskOperations.finish();
+    await this.disk.close();
   }
 
   private makeEventLoop({ restored, snapshot }: DiskContents) {
@@ -326,9 +327,9 @@
   }
 
   /**
-   * True if no leader counts on this store. One that was cut off for long was taken out meanwhile, and
-   * its own log does not say so: it would stand for election for ever. A disk that takes no writes is
-   * not offered again.
+   * True if this store is not a member or knows no leader. A store that was unreachable for long may
+   * have been removed; its own log does not say so, and it would campaign for ever. A store whose disk
+   * is read-only or was refused does not join.
    */
   private needsToJoin(): boolean {
     const { state } = this.loop;
@@ -337,18 +338,18 @@
   }
 
   private applyEffect(effect: ConsensusEffect): void {
-    // After an entry that was applied in part, replies to later ones would rest on a state that
-    // no other store has. The process ends; nothing more leaves it until then.
+    // A partly applied entry leaves a state that no other store has, so nothing that depends on it may
+    // be sent or written before the process ends.
     if (this.failed) return;
     switch (effect.type) {
       case 'persist':
-        this.disk.persist(effect);
+        this.diskOperations.persist(effect);
         return;
       case 'send':
         this.peers.send(effect.instance, effect.envelope);
         return;
       case 'sendSnapshot':
-        this.disk.sendSnapshot(effect);
+        this.diskOperations.sendSnapshot(effect);
         return;
       case 'apply':
         this.applyEntry(effect.entry);
@@ -360,13 +361,13 @@
         return;
       }
       case 'takeSnapshot':
-        this.disk.saveSnapshot({
+        this.diskOperations.saveSnapshot({
           header: effect.header,
           data: codec.encode(takeSnapshot(this.machine)),
         });
         return;
       case 'discardLog':
-        this.disk.discardLog(effect.throughIndex);
+        this.diskOperations.discardLog(effect.throughIndex);
         return;
       case 'reply': {
         const index = effect.outcome.type === 'committed' ? effect.outcome.index : undefined;
--- a/apps/store/src/StoreRequestHandler.ts
+++ b/apps/store/src/StoreRequestHandler.ts
@@ -1,6 +1,7 @@
 /**
- * Answers what entries, controllers, operators and joining stores ask of a store. What needs the
- * log goes to the reducer and is answered when the reducer has decided its fate.
+ * Handles the requests of entries, controllers, operators and joining stores to a store. A request
+ * that needs the log is dispatched to the consensus reducer and answered with its outcome; this store
+ * handles all others alone.
  */
 import type { TimerService } from '@hornbeampond/runtime';
 import {
@@ -28,7 +29,7 @@
 import type { ConsensusEventPayload } from './StoreProcess.js';
 import type { Subscribers } from './Subscribers.js';
 
-/** Election timeouts without a word from a member after which its disk may be taken for lost. */
+/** Election timeouts without a response from a member after which its disk may be assumed lost. */
 const LOST_MEMBER_ELECTION_TIMEOUTS = 4;
 
 export interface StoreRequestHandlerOptions {
@@ -43,10 +44,10 @@
   onWorkReport(work: WorkReport): void;
   onSpendingReport(spending: SpendingReport): void;
   readonly instanceList: InstanceListCache;
-  /** Names of all instances on the list, when it was read. */
+  /** Called with the names of all listed instances when the list arrives. */
   onInstanceList(instances: readonly string[]): void;
   readPersistedEntryState(): RememberedEntries;
-  /** Fewest voters with which operators' changes are taken. */
+  /** With fewer voters than this, changes of the tables are refused. */
   readonly leastVoters: number;
 }
 
@@ -127,9 +128,8 @@
   }
 
   /**
-   * Answers the subscriptions that came before this store had caught up with the others since its
-   * start. What its disk alone holds may be hundreds of changes old, and a starting entry would
-   * serve by it.
+   * Answers the waiting subscriptions once this store has applied an entry of the current term. Until
+   * then the state from its disk may be far out of date, and a starting entry would use it.
    */
   answerEarlySubscriptions(): void {
     this.hasCaughtUp ||= hasCommittedInCurrentTerm(this.options.readState());
@@ -139,7 +139,7 @@
     answers.forEach((answer) => answer());
   }
 
-  /** Lets go of a session that has ended. */
+  /** Removes a session that has ended. */
   removeSession(session: PeerSession): void {
     this.earlySubscriptions.delete(session);
     this.options.subscribers.remove(session);
@@ -151,7 +151,7 @@
     });
   }
 
-  /** Commands that come in within one turn of the process go into the log as one batch. */
+  /** Commands received in one turn of the event loop are proposed as one batch. */
   private propose(command: StoreCommand, respond: Respond): void {
     if (this.hasTooFewVoters(command)) {
       respond({ type: 'unavailable', reason: 'too few stores have joined yet' });
@@ -172,8 +172,8 @@
   }
 
   /**
-   * True for an operators' change while the cluster is still being founded. The founder is a quorum
-   * by itself until others have joined: what it acknowledged then would be gone with its disk.
+   * True for a change of the tables while the cluster has too few voters. The founder is a quorum by
+   * itself until others have joined; what it acknowledged by then would be lost with its disk.
    */
   private hasTooFewVoters({ type }: StoreCommand): boolean {
     if (type !== 'replaceTables' && type !== 'putTable') return false;
@@ -183,8 +183,9 @@
   }
 
   /**
-   * A store whose disk is new asks to join. If the log still knows its instance by another disk,
-   * that disk is lost: its identity is removed first, so that it is never counted again.
+   * Adds a store that asks to join. If the log lists its instance with the identity of another disk and
+   * that member does not respond, the disk is considered lost: its identity is removed, so that it never
+   * counts again, and the store is added when it repeats its request.
    */
   private addVoter(request: Extract<StoreRequest, { type: 'addVoter' }>, respond: Respond): void {
     const { identity, ...address } = request.voter;
@@ -204,8 +205,8 @@
   }
 
   /**
-   * True if this store leads and hears of the member. A second store started by mistake under its
-   * name, on an empty folder, would otherwise push it out of the cluster, copies and all.
+   * True if this store leads and the member has responded recently or is this store. Otherwise a second
+   * store started by mistake with the member's name, on an empty folder, would replace it.
    */
   private isReachable(identity: string): boolean {
     const { role, settings, self } = this.options.readState();
--- a/apps/store/src/Subscribers.ts
+++ b/apps/store/src/Subscribers.ts
@@ -1,5 +1,6 @@
 /**
- * The instances that follow the configuration at this store, and what each last said of itself.
+ * Tracks the subscribers of this store and the latest report of every connected instance, and sends
+ * pushes to all subscribers, to entries only or to all but entries.
  */
 import type { EntryReport, InstanceReport, StorePush } from '@hornbeampond/schema';
 import { encodeFrame, type PeerSession } from '@hornbeampond/transport';
@@ -7,7 +8,7 @@
 export class Subscribers {
   private readonly sessions = new Set<PeerSession>();
 
-  /** By session, so that a report goes with the connection that made it. */
+  /** By session, so that a report is removed together with the connection that sent it. */
   private readonly reportBySession = new Map<PeerSession, InstanceReport>();
 
   add(session: PeerSession, report: InstanceReport): void {
@@ -15,7 +16,7 @@
     this.reportBySession.set(session, report);
   }
 
-  /** Notes a report; instances report to every store they are connected to. */
+  /** Records a report. Sessions that have not subscribed report too; nothing is pushed to them. */
   recordReport(session: PeerSession, report: InstanceReport): void {
     this.reportBySession.set(session, report);
   }
@@ -29,24 +30,24 @@
     return [...this.reportBySession.values()].sort((a, b) => a.instance.localeCompare(b.instance));
   }
 
-  /** Sends to all; the frame is made once, whatever their number. */
+  /** Sends a push to all subscribers. */
   push(push: StorePush): void {
     this.send(push, () => true);
   }
 
-  /** Sends what only entries go by. */
+  /** Sends a push that only entries use. */
   pushToEntries(push: StorePush): void {
     this.send(push, ({ role }) => role === 'entry');
   }
 
-  /** Sends what entries have no use for. */
+  /** Sends a push that entries do not use. */
   pushToNonEntries(push: StorePush): void {
     this.send(push, ({ role }) => role !== 'entry');
   }
 
   /**
-   * Hands on what an entry says of itself. What only the planner of the fleet and a store's memory go
-   * by is most of it, and would reach each entry from each other one once a second.
+   * Sends an entry's report to all subscribers. Entries get it without the fields that only the fleet
+   * planner and the persisted entry state use, which are the largest part of a report.
    */
   pushReport(report: EntryReport): void {
     const { begun, demand, delays, windowSpent, windowReach, ...entryFields } = report;
--- a/apps/store/src/WorkReportBatcher.test.ts
+++ b/apps/store/src/WorkReportBatcher.test.ts
@@ -23,7 +23,7 @@
   return { type: 'workReport', instance, incarnation: 1, work: {}, computed: {} };
 }
 
-test('what entries tell within a moment goes out together', () => {
+test('work reports received within a short time are sent in one push', () => {
   const timers = new ManualTimerService();
   const subscribers = new RecordingSubscribers();
   const batcher = new WorkReportBatcher(timers, subscribers);
@@ -40,8 +40,8 @@
   );
 });
 
-// Counts of what began to run go to those that report usage; fifty entries have no use for each other's.
-test('usage is handed to others than entries', () => {
+// Guards against sending usage counts to entries, which do not use them.
+test('usage counts are sent only to subscribers that are not entries', () => {
   const timers = new ManualTimerService();
   const subscribers = new RecordingSubscribers();
   const batcher = new WorkReportBatcher(timers, subscribers);
--- a/apps/store/src/WorkReportBatcher.ts
+++ b/apps/store/src/WorkReportBatcher.ts
@@ -1,6 +1,7 @@
 /**
- * Collects what entries tell of their work for a moment and hands it on together: at fifty entries one
- * frame for each word of each would cost the entries more than the calls that it is about.
+ * Collects the work reports of entries for a short time and sends them to the subscribed entries in
+ * one push. With many entries, a push for each report would cost more than the calls it describes.
+ * The usage counts of the reports are sent only to subscribers that are not entries.
  */
 import type { TimerService, Unsubscribe } from '@hornbeampond/runtime';
 import type { EntryUsage, Milliseconds, WorkReport } from '@hornbeampond/schema';
--- a/apps/store/src/describeStore.ts
+++ b/apps/store/src/describeStore.ts
@@ -1,4 +1,4 @@
-/** A store's own view of the log and of what it keeps, for operators. */
+/** Describes a store for operators: its role, its view of the log and its state machine. */
 import type { EpochMilliseconds, InstanceReport, StoreStatus } from '@hornbeampond/schema';
 import {
   currentMembership,
@@ -13,12 +13,12 @@
   readonly instance: string;
   readonly state: ConsensusState;
   readonly machine: MachineState;
-  /** What its subscribers last said of themselves. */
+  /** The latest reports of connected instances. */
   readonly instances: readonly InstanceReport[];
   readonly wallNow: EpochMilliseconds;
 }
 
-/** Who votes, and who is still catching up, by instance. */
+/** Instance names of the voters and of the learners, which are still catching up. */
 export function describeMembers(state: ConsensusState): Pick<StoreStatus, 'voters' | 'learners'> {
   const { members } = currentMembership(state);
   const listInstances = (role: 'voter' | 'learner') =>
--- a/apps/store/src/openFolderDisk.ts
+++ b/apps/store/src/openFolderDisk.ts
@@ -1,4 +1,4 @@
-/** The disk of a store, with its notices in the log, and the end of a store that cannot go on. */
+/** Opens a store's disk, with its notices written to the log, and ends the process of a failed store. */
 import { exitCodes, type Logger } from '@hornbeampond/runtime';
 import type { StoreSettings } from '@hornbeampond/schema';
 import { FolderDisk } from './FolderDisk.js';
@@ -22,8 +22,9 @@
 }
 
 /**
- * Ends the process; whoever keeps it running starts it again. A refused disk is given a new
- * identity first, so that it joins as an empty one and votes on nothing that it no longer knows.
+ * Closes the store and ends the process, which its supervisor is expected to restart. A refused disk
+ * gets a new identity first, so that the store joins as an empty one and votes on nothing that its
+ * disk has lost.
  */
 export async function stopFailedStore(
   store: StoreProcess,
--- a/apps/store/src/testing/MemoryDisk.ts
+++ b/apps/store/src/testing/MemoryDisk.ts
@@ -1,5 +1,5 @@
 /**
- * A disk in memory that outlives the process on it, for tests of several stores in one process.
+ * A disk in memory that outlives the store that uses it, for running several stores in one process.
  */
 import { randomUUID } from 'node:crypto';
 import type { LogEntry, PersistEffect } from '@hornbeampond/store-core';
--- a/apps/store/src/testing/StoreCluster.ts
+++ b/apps/store/src/testing/StoreCluster.ts
@@ -1,4 +1,4 @@
-/** Five stores on disks in memory, and clients of them, in one process over loopback. */
+/** A cluster of stores with disks in memory, and its clients, in one process over loopback. */
 import { Logger, SystemTimerService } from '@hornbeampond/runtime';
 import type {
   Configuration,
@@ -17,7 +17,7 @@
 const WAIT_TIMEOUT_MILLISECONDS = 8000;
 const POLL_INTERVAL_MILLISECONDS = 10;
 
-/** Resolves once the condition gives a value; rejects when that takes too long. */
+/** Resolves with the first defined value of `poll`; rejects after a timeout. */
 export async function waitFor<Value>(
   description: string,
   poll: () => Value | undefined | Promise<Value | undefined>,
@@ -42,7 +42,7 @@
   port: number;
 }
 
-/** A client together with every revision that it was handed, in order. */
+/** A client together with every configuration that it received, in order. */
 export interface TestClient {
   readonly client: StoreClient;
   readonly configurations: Configuration[];
@@ -74,7 +74,7 @@
     }));
   }
 
-  /** Starts one store for each place; resolves once all of them vote. */
+  /** Starts one store for each given data centre; resolves once all of them are voters. */
   static async start(
     dataCentres: readonly string[],
     silentStoreMilliseconds: Milliseconds = 0,
@@ -86,7 +86,7 @@
     return cluster;
   }
 
-  /** Starts a store on its disk, or on another. */
+  /** Starts a store on its disk, or on the given one from now on. */
   async open(instance: string, disk?: StoreDisk): Promise<void> {
     const store = this.findStore(instance);
     if (disk !== undefined) store.disk = disk;
@@ -96,7 +96,7 @@
     this.links.setPort(instance, store.port);
   }
 
-  /** Starts a second process under the name of a store that runs, on an empty disk. */
+  /** Starts a second process with the name of a running store, on an empty disk. */
   async openDuplicate(instance: string): Promise<StoreProcess> {
     const process = await this.makeProcess(this.findStore(instance), new MemoryDisk(), 0);
     await process.start();
@@ -147,7 +147,7 @@
     await this.links.close();
   }
 
-  /** A client of all stores, or of some; it follows the configuration. */
+  /** Connects a client to all stores, or to the given ones, and subscribes it to the configuration. */
   connect(name: string, instances = this.stores.map(({ instance }) => instance)): TestClient {
     const configurations: Configuration[] = [];
     const addresses = this.addressesOf(instances);
@@ -166,7 +166,7 @@
     return { client, configurations };
   }
 
-  /** The store that leads, as the one with the highest term says; others may not know yet. */
+  /** Waits until the leader with the highest term is not `except`, and returns it. */
   async waitForLeader(except?: string): Promise<string> {
     return waitFor('a leader', async () => {
       const leading = (await this.readStatus()).filter(({ role }) => role === 'leader');
@@ -175,7 +175,7 @@
     });
   }
 
-  /** Waits until all running stores, or one of them, count so many voters and no learner. */
+  /** Waits until all running stores, or only `observer`, see this many voters and no learner. */
   async waitForVoters(count: number, observer?: string): Promise<void> {
     await waitFor(`${count} voters`, async () => {
       const statuses = (await this.readStatus()).filter(
--- a/apps/store/src/testing/StoreLinks.ts
+++ b/apps/store/src/testing/StoreLinks.ts
@@ -1,6 +1,6 @@
 /**
- * Forwarders between the stores of a test, one for each direction of each pair. A store that is
- * cut off is cut off silently: its connections stay open and carry nothing.
+ * TCP proxies between the stores of a test, one for each direction of each pair. The connections of an
+ * isolated store stay open, but all data on them is dropped.
  */
 import {
   createConnection,
@@ -23,10 +23,10 @@
 
   private readonly isolatedStores = new Set<string>();
 
-  /** Where each store really listens; known once it has started. */
+  /** The port on which each store itself listens, once it has started. */
   private readonly ports = new Map<string, number>();
 
-  /** The port under which `from` reaches `to`. */
+  /** Opens a proxy from one store to another and returns its port. */
   async open(from: string, to: string): Promise<number> {
     const server = createServer();
     const link: Link = { stores: [from, to], server, sockets: new Set() };
@@ -46,7 +46,7 @@
     this.isolatedStores.add(store);
   }
 
-  /** What was sent during the cut is lost, so the connections of that time are ended. */
+  /** Ends an isolation. Data was dropped meanwhile, so the connections of the store are closed. */
   heal(store: string): void {
     this.isolatedStores.delete(store);
     this.links
--- a/apps/store/src/unreachableStores.test.ts
+++ b/apps/store/src/unreachableStores.test.ts
@@ -16,8 +16,8 @@
   assert.deepEqual(cluster.failures, []);
 });
 
-// Guards against a store that never votes again after a cut that was long enough to be taken for gone.
-test('a store that was cut off for long is let in again by itself', async () => {
+// Guards against a store that never votes again after a partition long enough for its removal.
+test('a store removed during a partition joins again by itself', async () => {
   const leader = await cluster.waitForLeader();
   cluster.links.isolate(leader);
   const next = await cluster.waitForLeader(leader);
@@ -26,8 +26,8 @@
   await cluster.waitForVoters(4);
 });
 
-// Guards against a restarted store that waits for ever for a leader who has taken it out.
-test('a store that was stopped for long is let in again when it starts', async () => {
+// Guards against a restarted store that waits for ever for a leader that has removed it.
+test('a store removed while it was stopped joins again when it starts', async () => {
   const leader = await cluster.waitForLeader();
   const stopped = leader === 'store-4' ? 'store-3' : 'store-4';
   await cluster.close(stopped);
