--- a/apps/store/src/ConfigurationPublisher.ts
+++ b/apps/store/src/ConfigurationPublisher.ts
@@ -24,7 +24,7 @@
 
   constructor(private readonly options: ConfigurationPublisherOptions) {}
 
-  /** Schedules the changes since `previousRevision`, the last revision that was sent. */
+  /** Schedules a push of the changes since `previousRevision`, the last revision that was pushed. */
   publishSince(previousRevision: number): void {
     if (this.isDue) return;
     this.isDue = true;
--- a/apps/store/src/DiskOperations.ts
+++ b/apps/store/src/DiskOperations.ts
@@ -1,7 +1,7 @@
 /**
  * The disk operations of a running store: log writes, snapshots, and reading the parts of snapshots
- * that are sent to other stores. Completed writes and snapshots are dispatched as consensus events, and
- * so is every failure.
+ * that are sent to other stores. Completed log writes, saved snapshots and all failures are dispatched
+ * as consensus events.
  */
 import type { Logger, TimerService } from '@hornbeampond/runtime';
 import {
@@ -24,7 +24,8 @@
 }
 
 export class DiskOperations {
-  private lastOperation: Promise<void> = Promise.resolve();
+  /** Resolves once all operations requested so far have ended. */
+  private allOperations: Promise<void> = Promise.resolve();
 
   private readonly snapshotCache: SnapshotCache;
 
@@ -41,7 +42,7 @@
       () => dispatch({ type: 'persisted', batch: effect.batch }),
       (error: unknown) => this.reportFailure(error),
     );
-    this.lastOperation = Promise.all([this.lastOperation, written]).then(() => {});
+    this.allOperations = Promise.all([this.allOperations, written]).then(() => {});
   }
 
   saveSnapshot(snapshot: SavedSnapshot): void {
@@ -77,13 +78,13 @@
     this.snapshotCache.clear();
   }
 
-  /** Resolves once all operations that were requested have ended. */
+  /** Waits for the operations that were requested so far. */
   async finish(): Promise<void> {
-    await this.lastOperation;
+    await this.allOperations;
   }
 
   private enqueue(work: () => Promise<void>): void {
-    this.lastOperation = this.lastOperation
+    this.allOperations = this.allOperations
       .then(work)
       .catch((error: unknown) => this.reportFailure(error));
   }
--- a/apps/store/src/JoinRequests.ts
+++ b/apps/store/src/JoinRequests.ts
@@ -1,7 +1,6 @@
 /**
- * Asks the other stores to add this one to the cluster, at regular intervals until `isNeeded` says
- * that it is a member and knows a leader. This is for stores with a new disk and for stores that were
- * removed while they were unreachable.
+ * Asks the other stores at regular intervals to add this one to the cluster, until `isNeeded` returns
+ * false. This serves stores with a new disk and stores that were removed while they were unreachable.
  */
 import type { TimerService, Unsubscribe } from '@hornbeampond/runtime';
 import type { JoiningVoter, StoreRequest } from '@hornbeampond/schema';
--- a/apps/store/src/LeaderWatch.ts
+++ b/apps/store/src/LeaderWatch.ts
@@ -29,8 +29,11 @@
     this.isLeaderless = isLeaderless;
     this.cancelTimer();
     if (!isLeaderless) return;
-    const { timers, electionTimeout, onLeaderTimeout: onOutOfTouch } = this.options;
-    this.cancelTimer = timers.after(LEADERLESS_ELECTION_TIMEOUTS * electionTimeout, onOutOfTouch);
+    const { timers, electionTimeout, onLeaderTimeout } = this.options;
+    this.cancelTimer = timers.after(
+      LEADERLESS_ELECTION_TIMEOUTS * electionTimeout,
+      onLeaderTimeout,
+    );
   }
 
   stop(): void {
--- a/apps/store/src/PendingRequests.ts
+++ b/apps/store/src/PendingRequests.ts
@@ -19,10 +19,10 @@
   private lastRequestNumber = 0;
 
   /** Adds a request and returns its id. */
-  add(respond: Respond, succeed: PendingRequest['makeResponse']): string {
+  add(respond: Respond, makeResponse: PendingRequest['makeResponse']): string {
     this.lastRequestNumber += 1;
     const requestId = String(this.lastRequestNumber);
-    this.requests.set(requestId, { respond, makeResponse: succeed });
+    this.requests.set(requestId, { respond, makeResponse });
     return requestId;
   }
 
--- a/apps/store/src/PersistedEntryState.ts
+++ b/apps/store/src/PersistedEntryState.ts
@@ -1,6 +1,6 @@
 /**
  * Saves to the store's disk what entries hold in memory only and need after all of them have lost
- * power: spent allowances, computed prompt prefixes, learnt delays and counts of started requests.
+ * power: spent allowances, computed prompt prefixes, estimated delays and counts of started requests.
  * Without it allowances would be spent twice, prompts computed again and usage undercounted.
  *
  * This is best effort: the state is saved a few times a second and not replicated, and a store that
--- a/apps/store/src/StoreRequestHandler.ts
+++ b/apps/store/src/StoreRequestHandler.ts
@@ -153,7 +153,7 @@
 
   /** Commands received in one turn of the event loop are proposed as one batch. */
   private propose(command: StoreCommand, respond: Respond): void {
-    if (this.hasTooFewVoters(command)) {
+    if (this.needsMoreVoters(command)) {
       respond({ type: 'unavailable', reason: 'too few stores have joined yet' });
       return;
     }
@@ -175,7 +175,7 @@
    * True for a change of the tables while the cluster has too few voters. The founder is a quorum by
    * itself until others have joined; what it acknowledged by then would be lost with its disk.
    */
-  private hasTooFewVoters({ type }: StoreCommand): boolean {
+  private needsMoreVoters({ type }: StoreCommand): boolean {
     if (type !== 'replaceTables' && type !== 'putTable') return false;
     const { members } = currentMembership(this.options.readState());
     const voters = members.filter(({ role }) => role === 'voter');
--- a/apps/store/src/WorkReportBatcher.ts
+++ b/apps/store/src/WorkReportBatcher.ts
@@ -38,10 +38,10 @@
   }
 
   private sendBatch(): void {
-    const { pending: collected, subscribers } = this;
+    const { pending, subscribers } = this;
     this.pending = [];
-    subscribers.pushToEntries({ type: 'work', reports: collected.map(withoutUsage) });
-    const usage = collected.flatMap(extractUsage);
+    subscribers.pushToEntries({ type: 'work', reports: pending.map(withoutUsage) });
+    const usage = pending.flatMap(extractUsage);
     if (usage.length > 0) subscribers.pushToNonEntries({ type: 'usage', usage });
   }
 }
--- a/apps/store/src/testing/StoreLinks.ts
+++ b/apps/store/src/testing/StoreLinks.ts
@@ -50,7 +50,7 @@
   heal(store: string): void {
     this.isolatedStores.delete(store);
     this.links
-      .filter(({ stores: between }) => between.includes(store))
+      .filter(({ stores }) => stores.includes(store))
       .forEach(({ sockets }) => sockets.forEach((socket) => socket.destroy()));
   }
 
@@ -86,7 +86,7 @@
     outgoing.on('data', (bytes: Buffer) => this.forward(link, bytes, incoming));
   }
 
-  private forward({ stores: between }: Link, bytes: Buffer, to: Socket): void {
-    if (!between.some((store) => this.isolatedStores.has(store))) to.write(bytes);
+  private forward({ stores }: Link, bytes: Buffer, to: Socket): void {
+    if (!stores.some((store) => this.isolatedStores.has(store))) to.write(bytes);
   }
 }
--- a/packages/store-core/src/machine/leases.ts
+++ b/packages/store-core/src/machine/leases.ts
@@ -52,7 +52,7 @@
   return { type: 'leaseHeld', epoch, duration, previousDuration };
 }
 
-/** Ends a lease early if it is held under the given holder and epoch. */
+/** Ends a lease early if the given holder still holds it under the given epoch. */
 export function releaseLease(
   state: MachineState,
   at: EpochMilliseconds,
--- a/packages/store-core/src/machine/machine.test.ts
+++ b/packages/store-core/src/machine/machine.test.ts
@@ -242,9 +242,9 @@
     { after: 0, command: crashReport('one', 'bad', 'good') },
     { after: 1, command: crashReport('two', 'bad', 'good') },
   ];
-  const apart = [...together, { after: 2, command: crashReport('three', 'bad') }];
-  const never = [...together, { after: 2, command: crashReport('three', 'bad', 'good') }];
-  const transcripts = [apart, never].map((commands) =>
+  const thirdAlone = [...together, { after: 2, command: crashReport('three', 'bad') }];
+  const thirdTogether = [...together, { after: 2, command: crashReport('three', 'bad', 'good') }];
+  const transcripts = [thirdAlone, thirdTogether].map((commands) =>
     formatTranscript(new MachineState(), commands),
   );
   await matchSnapshot(import.meta.url, 'inseparable', transcripts.join('\n\n'));
--- a/packages/store-core/src/machine/quarantine.ts
+++ b/packages/store-core/src/machine/quarantine.ts
@@ -99,7 +99,7 @@
     );
   });
   return [...quarantinedUntil]
-    .filter(([, end]) => end > at)
+    .filter(([, until]) => until > at)
     .map(([digest, until]) => ({ digest, until }));
 }
 
