--- a/apps/store/src/ConfigurationPublisher.ts
+++ b/apps/store/src/ConfigurationPublisher.ts
@@ -2,8 +2,8 @@
  * Sends changes of the configuration and the quarantine to the subscribers of a store.
  *
  * Configuration changes are published at the end of the event loop turn in which they were applied. A
- * restarted store applies its whole log in one turn; if each entry were published, subscribers would
- * use one superseded configuration after another.
+ * restarted store applies its whole log in one turn; if each log entry were published, subscribers
+ * would use one superseded configuration after another.
  */
 import type { Metrics, TimerService } from '@hornbeampond/runtime';
 import { configurationSince, quarantineAt, type MachineState } from '@hornbeampond/store-core';
--- a/apps/store/src/PersistedEntryState.test.ts
+++ b/apps/store/src/PersistedEntryState.test.ts
@@ -57,7 +57,7 @@
   });
 });
 
-test('a report that covers less of the window replaces the stored one only when that is old', async () => {
+test('spending totals that reach back less far replace only old ones', async () => {
   const { timers, state } = makeState(new MemoryDisk());
   await state.open();
   state.recordReport(report(500, 8000));
--- a/apps/store/src/PersistedEntryState.ts
+++ b/apps/store/src/PersistedEntryState.ts
@@ -1,10 +1,10 @@
 /**
  * Saves to the store's disk what entries hold in memory only and need after all of them have lost
  * power: spent allowances, computed prompt prefixes, estimated delays and counts of started requests.
- * Without it allowances would be spent twice, prompts computed again and usage undercounted.
+ * Without this state allowances would be spent twice, prompts computed again and usage undercounted.
  *
- * This is best effort: the state is saved a few times a second and not replicated, and a store that
- * cannot read or write it continues without.
+ * Saving is best effort: the state is written a few times a second and not replicated, and a store
+ * that cannot read or write the state continues without it.
  */
 import type { Logger, TimerService, Unsubscribe } from '@hornbeampond/runtime';
 import type {
@@ -21,7 +21,7 @@
 /** What entries reported within this time before a power loss may be lost. */
 const WRITE_INTERVAL_MILLISECONDS: Milliseconds = 250;
 
-/** Until the stored window totals are this old, those of a report that covers less are ignored. */
+/** Totals that reach back less far than the stored ones replace them only once those are this old. */
 const SPENDING_REPLACEMENT_AGE_MILLISECONDS: Milliseconds = 2000;
 
 export interface PersistedEntryStateOptions {
@@ -91,7 +91,7 @@
     this.spending = { at, windowSpent, windowReach, entries };
   }
 
-  /** Records spending that an entry reports, between its entry reports or in them. */
+  /** Records an entry's spending, from a spending report or as part of an entry report. */
   recordSpending({ instance, incarnation, spent }: EntrySpending & { instance: string }): void {
     const known = this.spendingByEntry.get(instance);
     const before = known?.incarnation === incarnation ? known.spent : {};
--- a/apps/store/src/SnapshotCache.ts
+++ b/apps/store/src/SnapshotCache.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the snapshot that is being sent in memory between its parts. Otherwise every part would read
- * and verify the whole file again, and the transfer time would grow with the square of the size. The
- * snapshot is released when no part has been requested for a while.
+ * Keeps the snapshot that is being sent in memory between its parts. Without the cache every part would
+ * read and verify the whole file again, and the transfer time would grow with the square of the size.
+ * The snapshot is released when no part has been requested for a while.
  */
 import type { TimerService, Unsubscribe } from '@hornbeampond/runtime';
 import type { SnapshotHeader } from '@hornbeampond/store-core';
@@ -17,7 +17,7 @@
 
   constructor(private readonly timers: TimerService) {}
 
-  /** The kept snapshot if it has this header; its release is then postponed. */
+  /** Returns the cached snapshot if it has this header, and restarts the idle timeout. */
   find({ index, term }: SnapshotHeader): SavedSnapshot | undefined {
     const { saved } = this;
     if (saved?.header.index !== index || saved.header.term !== term) return undefined;
--- a/apps/store/src/StoreCluster.test.ts
+++ b/apps/store/src/StoreCluster.test.ts
@@ -252,8 +252,8 @@
   await runChanges(41, 42);
 });
 
-// All stores and an entry start together after a power loss. Until the stores have a leader, none knows
-// which of its entries are committed. Guards against an entry that starts with old routes and keys.
+// All stores and an entry start together after a power loss. Until the stores have a leader, no store
+// knows which part of its log is committed. Guards against an entry that starts with old routes and keys.
 test('after a power loss a starting entry receives nothing older than the last committed revision', async () => {
   const stores = ['store-1', 'store-2', 'store-3', 'store-4', 'store-5'];
   await runChanges(1, 12);
--- a/apps/store/src/StoreProcess.ts
+++ b/apps/store/src/StoreProcess.ts
@@ -338,8 +338,8 @@
   }
 
   private applyEffect(effect: ConsensusEffect): void {
-    // A partly applied entry leaves a state that no other store has, so nothing that depends on it may
-    // be sent or written before the process ends.
+    // A partly applied log entry leaves a state that no other store has, so nothing that depends on it
+    // may be sent or written before the process ends.
     if (this.failed) return;
     switch (effect.type) {
       case 'persist':
--- a/apps/store/src/StoreRequestHandler.ts
+++ b/apps/store/src/StoreRequestHandler.ts
@@ -1,7 +1,7 @@
 /**
  * Handles the requests of entries, controllers, operators and joining stores to a store. A request
- * that needs the log is dispatched to the consensus reducer and answered with its outcome; this store
- * handles all others alone.
+ * that needs the log is dispatched to the consensus reducer and answered with its outcome. This store
+ * handles all other requests alone.
  */
 import type { TimerService } from '@hornbeampond/runtime';
 import {
@@ -128,8 +128,8 @@
   }
 
   /**
-   * Answers the waiting subscriptions once this store has applied an entry of the current term. Until
-   * then the state from its disk may be far out of date, and a starting entry would use it.
+   * Answers the waiting subscriptions once this store has applied a log entry of the current term.
+   * Until then its state may be far out of date, and a subscriber that starts would use it.
    */
   answerEarlySubscriptions(): void {
     this.hasCaughtUp ||= hasCommittedInCurrentTerm(this.options.readState());
@@ -205,8 +205,8 @@
   }
 
   /**
-   * True if this store leads and the member has responded recently or is this store. Otherwise a second
-   * store started by mistake with the member's name, on an empty folder, would replace it.
+   * True if this store leads and the member has responded recently or is this store. Without this check
+   * a second store, started by mistake with the member's name and an empty folder, would replace it.
    */
   private isReachable(identity: string): boolean {
     const { role, settings, self } = this.options.readState();
--- a/packages/store-core/src/machine/claims.ts
+++ b/packages/store-core/src/machine/claims.ts
@@ -26,7 +26,7 @@
   return `${workspace} ${key}`;
 }
 
-/** Limits a duration that a client chose; a negative one or NaN counts as 0. */
+/** Limits a duration that a client chose; a negative duration or NaN counts as 0. */
 export function clampDuration(duration: Milliseconds, maxDuration: Milliseconds): Milliseconds {
   return duration > 0 ? Math.min(duration, maxDuration) : 0;
 }
@@ -117,7 +117,7 @@
   return { ...answer, body: new Uint8Array(answer.body) };
 }
 
-/** Stores an answer for resends, within the size limits; a claim without one is still `done`. */
+/** Stores an answer for resends, within the size limits; without it the claim is still `done`. */
 function storeAnswer(state: MachineState, name: string, answer: StoredAnswer | undefined): void {
   if (answer === undefined || countAnswerBytes(answer) > LARGEST_STORED_ANSWER_BYTES) return;
   state.answers.set(name, copyAnswer(answer));
@@ -130,7 +130,7 @@
 
 /**
  * Records how the call ended. The attempt that holds the claim may still report `done` after the
- * claim has expired or was settled `unknown`; this does not reopen the claim.
+ * claim has expired or was settled `unknown`; a late report does not reopen the claim.
  */
 export function settleClaim(
   state: MachineState,
--- a/packages/store-core/src/machine/constants.ts
+++ b/packages/store-core/src/machine/constants.ts
@@ -20,7 +20,7 @@
 /** Usage windows whose counts are kept; more than a holder still reports. */
 export const MAX_USAGE_WINDOWS = 64;
 
-/** Faults reported for one refused command; limited since results of table changes are stored. */
+/** Faults reported for one refused command; limited since the results of `putTable` are stored. */
 export const MAX_REPORTED_FAULTS = 100;
 
 /**
--- a/packages/store-core/src/machine/leases.ts
+++ b/packages/store-core/src/machine/leases.ts
@@ -1,6 +1,6 @@
 /**
- * Leases with epochs. Every grant of a free lease starts a new epoch, even to the last holder, and
- * renewals keep it; so no two separate periods of holding share an epoch.
+ * Leases with epochs. Every grant of a free lease starts a new epoch, even if the last holder takes it
+ * again. Renewing an unexpired lease keeps its epoch.
  */
 import type {
   EpochMilliseconds,
--- a/packages/store-core/src/machine/machine.test.ts
+++ b/packages/store-core/src/machine/machine.test.ts
@@ -217,8 +217,8 @@
   assert.equal(state.lastAt, START + 1000);
 });
 
-// Three requests run at a crash and are retried on separate servers. The one that crashes a second
-// server is quarantined alone.
+// Three requests run at one crash and do not run together again. Of these only the request that runs at
+// a second crash is quarantined.
 test('machine: a second crash quarantines its only suspect and exonerates the others', async () => {
   const commands = [
     { after: 0, command: crashReport('one', 'bad', 'left', 'right') },
@@ -250,8 +250,8 @@
   await matchSnapshot(import.meta.url, 'inseparable', transcripts.join('\n\n'));
 });
 
-// Two entries report one crash. The first report has a single suspect, which is quarantined; the second
-// report adds another suspect, so that neither stays quarantined.
+// Two entries report the second crash of two requests in parts. After the first report one request is
+// the only suspect and quarantined; the second report adds the other, so that neither stays quarantined.
 test('machine: a crash reported in parts is attributed as one', () => {
   const state = new MachineState();
   run(state, 0, crashReport('one', 'bad', 'good'));
--- a/packages/store-core/src/machine/putTable.ts
+++ b/packages/store-core/src/machine/putTable.ts
@@ -74,8 +74,8 @@
 
 /**
  * Applies one change and stores its result by change id. An operator who did not receive the result
- * resends the change, perhaps to another leader, and gets it again; otherwise an accepted change would
- * seem to have lost a race against itself.
+ * resends the change, perhaps to another leader, and gets the stored result. Applying the change again
+ * would refuse it as stale although it was accepted.
  */
 export function putTable(
   state: MachineState,
--- a/packages/store-core/src/machine/quarantine.test.ts
+++ b/packages/store-core/src/machine/quarantine.test.ts
@@ -21,9 +21,10 @@
   }));
 }
 
-// A poison request crashes a server with a batch, then twice a server where it runs beside new requests.
-// Entries report parts of each crash twice and in any order. Guards against quarantining a harmless one.
-test('machine: when suspects run on separate servers, only the culprit is quarantined', () => {
+// A poison request causes a crash while it runs in a batch, then two more while it runs beside newer
+// requests only. Entries report parts of each crash, each part twice and in any order. Guards against
+// quarantining a harmless request.
+test('machine: when suspects do not run together again, only the culprit is quarantined', () => {
   const owners = fc.array(fc.nat(2), { minLength: 8, maxLength: 8 });
   const batchSize = fc.integer({ min: 1, max: 6 });
   const picks = fc.infiniteStream(fc.nat());
--- a/packages/store-core/src/machine/quarantine.ts
+++ b/packages/store-core/src/machine/quarantine.ts
@@ -2,9 +2,9 @@
  * Finds the requests that crash backend servers. Only the crashes are stored and culprits are derived
  * from them, so that a crash reported in parts by several entries is attributed as one.
  *
- * Entries retry the requests of a crashed server on separate servers, so a second crash normally has
- * one request that ran at both: the culprit. Several such requests are indistinguishable, and none is
- * a culprit before `MIN_SHARED_CRASHES_FOR_QUARANTINE` crashes; this costs at most one more server.
+ * Entries retry the requests of a crashed server on separate servers, so normally one request runs at
+ * both the first and a second crash: the culprit. Several such requests cannot be distinguished, and
+ * none of them is a culprit before it has run at `MIN_SHARED_CRASHES_FOR_QUARANTINE` crashes.
  */
 import type {
   CrashResult,
--- a/packages/store-core/src/machine/snapshot.ts
+++ b/packages/store-core/src/machine/snapshot.ts
@@ -1,8 +1,8 @@
 /**
  * Converts the state to a plain value that CBOR can encode, and back. Snapshots allow the log to be
  * truncated and bring stores that are far behind up to date. A snapshot must contain everything that a
- * result depends on: without the change ids or barred attempts a change could be applied twice, or a
- * released claim opened, after a restart.
+ * result depends on: without the change ids a change could be applied twice after a restart, and
+ * without the barred attempts a released attempt could still open its claim.
  */
 import type { Configuration, EpochMilliseconds, StoredAnswer } from '@hornbeampond/schema';
 import { HornbeampondError } from '@hornbeampond/schema';
