--- a/apps/store/src/DiskOperations.ts
+++ b/apps/store/src/DiskOperations.ts
@@ -1,7 +1,7 @@
 /**
- * What a running store has its disk do: writes of the log in the order of their steps, snapshots, and
- * the parts of snapshots that go to other stores. Each end is told as an event; a failure ends the
- * store's part in all that needs a disk.
+ * The disk operations of a running store: log writes, snapshots, and reading the parts of snapshots
+ * that are sent to other stores. Completed log writes, saved snapshots and all failures are dispatched
+ * as consensus events.
  */
 import type { Logger, TimerService } from '@hornbeampond/runtime';
 import {
@@ -19,70 +19,74 @@
   readonly disk: StoreDisk;
   readonly timers: TimerService;
   readonly logger: Logger;
-  dispatch(occurrence: ConsensusEventPayload): void;
+  dispatch(event: ConsensusEventPayload): void;
   send(instance: string, envelope: Envelope): void;
 }
 
 export class DiskOperations {
-  private under: Promise<void> = Promise.resolve();
+  /** Resolves once all operations requested so far have ended. */
+  private allOperations: Promise<void> = Promise.resolve();
 
-  private readonly sending: SnapshotCache;
+  private readonly snapshotCache: SnapshotCache;
 
   private closed = false;
 
   constructor(private readonly options: DiskOperationsOptions) {
-    this.sending = new SnapshotCache(options.timers);
+    this.snapshotCache = new SnapshotCache(options.timers);
   }
 
-  /** Writes are handed in at once: those that wait for a sync share the next one. */
+  /** Starts a write without waiting for earlier operations, so that writes can share one sync. */
   persist(effect: PersistEffect): void {
     const { disk, dispatch } = this.options;
     const written = disk.write(effect).then(
       () => dispatch({ type: 'persisted', batch: effect.batch }),
       (error: unknown) => this.reportFailure(error),
     );
-    this.under = Promise.all([this.under, written]).then(() => {});
+    this.allOperations = Promise.all([this.allOperations, written]).then(() => {});
   }
 
   saveSnapshot(snapshot: SavedSnapshot): void {
-    this.inOrder(async () => {
+    this.enqueue(async () => {
       await this.options.disk.saveSnapshot(snapshot);
       this.options.dispatch({ type: 'compacted', header: snapshot.header });
     });
   }
 
   discardLog(throughIndex: SnapshotHeader['index']): void {
-    this.inOrder(async () => this.options.disk.discardLog(throughIndex));
+    this.enqueue(async () => this.options.disk.discardLog(throughIndex));
   }
 
   sendSnapshot(effect: SendSnapshotEffect): void {
-    const kept = this.sending.find(effect.header);
-    if (kept !== undefined) {
-      this.sendPart(effect, kept);
+    const cached = this.snapshotCache.find(effect.header);
+    if (cached !== undefined) {
+      this.sendPart(effect, cached);
       return;
     }
-    this.inOrder(async () => {
-      // Loaded meanwhile for another part or peer.
-      const snapshot = this.sending.find(effect.header) ?? (await this.options.disk.readSnapshot());
+    this.enqueue(async () => {
+      // While this waited, the snapshot may have been loaded for another part or peer.
+      const snapshot =
+        this.snapshotCache.find(effect.header) ?? (await this.options.disk.readSnapshot());
       if (snapshot === undefined || this.closed) return;
-      this.sending.keep(snapshot);
+      this.snapshotCache.keep(snapshot);
       this.sendPart(effect, snapshot);
     });
   }
 
-  /** Starts nothing more for other stores. */
+  /** Stops loading snapshots for other stores. */
   stop(): void {
     this.closed = true;
-    this.sending.clear();
+    this.snapshotCache.clear();
   }
 
-  /** Resolves once all that was asked for is done. */
+  /** Waits for the operations that were requested so far. */
   async finish(): Promise<void> {
-    await this.under;
+    await this.allOperations;
   }
 
-  private inOrder(work: () => Promise<void>): void {
-    this.under = this.under.then(work).catch((error: unknown) => this.reportFailure(error));
+  private enqueue(work: () => Promise<void>): void {
+    this.allOperations = this.allOperations
+      .then(work)
+      .catch((error: unknown) => this.reportFailure(error));
   }
 
   private reportFailure(error: unknown): void {
@@ -93,7 +97,7 @@
 
   private sendPart(effect: SendSnapshotEffect, snapshot: SavedSnapshot): void {
     const envelope = fillSnapshotPart(effect, snapshot);
-    // Replaced meanwhile: the leader asks again for the newer one.
+    // Undefined if a newer snapshot has replaced the requested one; the leader then sends the newer one.
     if (envelope !== undefined) this.options.send(effect.instance, envelope);
   }
 }
--- a/apps/store/src/PendingRequests.ts
+++ b/apps/store/src/PendingRequests.ts
@@ -1,40 +1,40 @@
 /**
- * Requests of clients that wait for the log, by request id: what to do with their fate. A request
- * is answered once.
+ * Client requests that wait for consensus, by request id. Each is answered once, with the outcome that
+ * consensus reports.
  */
 import type { RequestOutcome } from '@hornbeampond/store-core';
 import type { CommandResult, StoreResponse } from '@hornbeampond/schema';
 
 export type Respond = (response: StoreResponse) => void;
 
-interface WaitingRequest {
+interface PendingRequest {
   readonly respond: Respond;
-  /** Makes the response of a request that succeeded; `result` is there for commands. */
-  readonly succeed: (result: CommandResult | undefined) => StoreResponse;
+  /** Makes the response to a request that succeeded; only commands have a `result`. */
+  readonly makeResponse: (result: CommandResult | undefined) => StoreResponse;
 }
 
 export class PendingRequests {
-  private readonly waiting = new Map<string, WaitingRequest>();
+  private readonly requests = new Map<string, PendingRequest>();
 
-  private count = 0;
+  private lastRequestNumber = 0;
 
-  /** Takes a request in and names it. */
-  add(respond: Respond, succeed: WaitingRequest['succeed']): string {
-    this.count += 1;
-    const requestId = String(this.count);
-    this.waiting.set(requestId, { respond, succeed });
+  /** Adds a request and returns its id. */
+  add(respond: Respond, makeResponse: PendingRequest['makeResponse']): string {
+    this.lastRequestNumber += 1;
+    const requestId = String(this.lastRequestNumber);
+    this.requests.set(requestId, { respond, makeResponse });
     return requestId;
   }
 
-  /** Gives a request its fate. */
+  /** Answers a request according to its outcome. */
   complete(requestId: string, outcome: RequestOutcome, result: CommandResult | undefined): void {
-    const request = this.waiting.get(requestId);
+    const request = this.requests.get(requestId);
     if (request === undefined) return;
-    this.waiting.delete(requestId);
+    this.requests.delete(requestId);
     switch (outcome.type) {
       case 'committed':
       case 'readable':
-        request.respond(request.succeed(result));
+        request.respond(request.makeResponse(result));
         return;
       case 'notLeader':
         request.respond(outcome);
--- a/apps/store/src/PersistedEntryState.ts
+++ b/apps/store/src/PersistedEntryState.ts
@@ -1,13 +1,10 @@
 /**
- * Keeps on the store's disk what entries hold in memory only and would need when all of them lose power
- * together. What workspaces have spent of their allowances lately: otherwise it is spent a second time,
- * or callers within their allowance are refused for as long as the window is. Which prompt prefixes
- * engines have computed, and how long prompts take: otherwise all prompts are computed anew, just when
- * everyone who has waited comes at once. How many requests began to run: otherwise the usage of the
- * window in which power was lost is told too low.
+ * Saves to the store's disk what entries hold in memory only and need after all of them have lost
+ * power: spent allowances, computed prompt prefixes, estimated delays and counts of started requests.
+ * Without this state allowances would be spent twice, prompts computed again and usage undercounted.
  *
- * It is a memory and no promise: it is written a few times a second and not agreed on, and a store that
- * cannot write it goes on without. Entries count what is missing as they count late reports.
+ * Saving is best effort: the state is written a few times a second and not replicated, and a store
+ * that cannot read or write the state continues without it.
  */
 import type { Logger, TimerService, Unsubscribe } from '@hornbeampond/runtime';
 import type {
@@ -21,11 +18,11 @@
 import type { StoreDisk } from './StoreDisk.js';
 import { RecentEntryUsage } from './RecentEntryUsage.js';
 
-/** How much a loss of power may take at most, beside what entries have not reported. */
-const WRITE_MILLISECONDS: Milliseconds = 250;
+/** What entries reported within this time before a power loss may be lost. */
+const WRITE_INTERVAL_MILLISECONDS: Milliseconds = 250;
 
-/** An entry that knows less of the window is passed over until the one kept is so old. */
-const REPLACED_AFTER_MILLISECONDS: Milliseconds = 2000;
+/** Totals that reach back less far than the stored ones replace them only once those are this old. */
+const SPENDING_REPLACEMENT_AGE_MILLISECONDS: Milliseconds = 2000;
 
 export interface PersistedEntryStateOptions {
   readonly disk: StoreDisk;
@@ -42,14 +39,14 @@
 
   private readonly usage = new RecentEntryUsage();
 
-  /** What each entry has told, by name. */
-  private readonly entries = new Map<string, EntrySpending>();
+  /** The latest reported spending of each entry, by instance. */
+  private readonly spendingByEntry = new Map<string, EntrySpending>();
 
   private hasChanged = false;
 
   private isWriting = false;
 
-  private stop: Unsubscribe = () => {};
+  private cancelTimer: Unsubscribe = () => {};
 
   constructor(private readonly options: PersistedEntryStateOptions) {}
 
@@ -66,15 +63,15 @@
   async open(): Promise<void> {
     const { disk, timers, logger } = this.options;
     try {
-      const kept = await disk.readPersistedEntryState();
-      this.spending = kept?.spending;
-      this.delays = kept?.delays ?? {};
-      this.prefixes.record(kept?.computed ?? {});
-      kept?.usage.forEach((usage) => this.usage.record(usage));
+      const saved = await disk.readPersistedEntryState();
+      this.spending = saved?.spending;
+      this.delays = saved?.delays ?? {};
+      this.prefixes.record(saved?.computed ?? {});
+      saved?.usage.forEach((usage) => this.usage.record(usage));
     } catch (error) {
       logger.write('memoryUnreadable', { reason: String(error) });
     }
-    this.stop = timers.every(WRITE_MILLISECONDS, () => {
+    this.cancelTimer = timers.every(WRITE_INTERVAL_MILLISECONDS, () => {
       void this.write();
     });
   }
@@ -88,17 +85,17 @@
     this.recordSpending({ ...report, spent });
     const at = this.options.timers.wallNow();
     const known = this.spending;
-    const isOld = known === undefined || at - known.at >= REPLACED_AFTER_MILLISECONDS;
-    if (!isOld && windowReach < known.windowReach) return;
-    const entries = Object.fromEntries(this.entries);
+    const isStale = known === undefined || at - known.at >= SPENDING_REPLACEMENT_AGE_MILLISECONDS;
+    if (!isStale && windowReach < known.windowReach) return;
+    const entries = Object.fromEntries(this.spendingByEntry);
     this.spending = { at, windowSpent, windowReach, entries };
   }
 
-  /** Takes in what an entry tells between two reports. */
+  /** Records an entry's spending, from a spending report or as part of an entry report. */
   recordSpending({ instance, incarnation, spent }: EntrySpending & { instance: string }): void {
-    const known = this.entries.get(instance);
+    const known = this.spendingByEntry.get(instance);
     const before = known?.incarnation === incarnation ? known.spent : {};
-    this.entries.set(instance, { incarnation, spent: { ...before, ...spent } });
+    this.spendingByEntry.set(instance, { incarnation, spent: { ...before, ...spent } });
   }
 
   recordWork({ instance, incarnation, computed, begun }: WorkReport): void {
@@ -107,13 +104,13 @@
     if (begun !== undefined) this.usage.record({ instance, incarnation, begun });
   }
 
-  /** Forgets what instances that are listed no longer have had computed. */
+  /** Removes the prefixes of backend servers that are not among the listed instances. */
   removeUnlistedInstances(instances: readonly string[]): void {
     this.prefixes.retainOnly(instances);
   }
 
   close(): void {
-    this.stop();
+    this.cancelTimer();
   }
 
   private async write(): Promise<void> {
--- a/apps/store/src/StoreProcess.ts
+++ b/apps/store/src/StoreProcess.ts
@@ -1,6 +1,7 @@
 /**
- * One running store: it drives the reducer of the agreement, keeps its disk, applies what is
- * agreed to the tables, claims and leases, and answers clients.
+ * A running store. It drives the consensus reducer, carries out its effects on disk and network,
+ * applies committed commands to the state machine, and serves clients, peers and operators. After an
+ * unexpected error it carries out no further effect.
  */
 import { Encoder } from 'cbor-x';
 import {
@@ -64,7 +65,7 @@
 
 const codec = new Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false });
 
-/** What happens to a store, without the clocks. */
+/** A consensus event without the clock readings, which `dispatch` adds. */
 export type ConsensusEventPayload = ConsensusEvent extends infer Event
   ? Event extends { now: number; wallNow: number }
     ? Omit<Event, 'now' | 'wallNow'>
@@ -72,9 +73,9 @@
   : never;
 
 /**
- * Why a store cannot go on. `diskRefused`: a peer has shown that the disk is older than what it
- * promised; it needs a new identity. `unexpectedError`: a step was not carried out to its end, and
- * going on could give callers two histories.
+ * Why a store cannot continue. `diskRefused`: a peer has shown that the disk lacks data that this
+ * store acknowledged, so it needs a new identity. `unexpectedError`: an event was not handled
+ * completely, so the state may differ from that of the other stores.
  */
 export type StoreFailure = 'diskRefused' | 'unexpectedError';
 
@@ -88,13 +89,13 @@
 
   readonly metrics = new Metrics({ withProcessMetrics: true });
 
-  private readonly server: PeerServer;
+  private readonly peerServer: PeerServer;
 
-  private readonly operators: OperatorServer;
+  private readonly operatorServer: OperatorServer;
 
   private readonly peers: StorePeers;
 
-  private readonly desk = new PendingRequests();
+  private readonly pendingRequests = new PendingRequests();
 
   private readonly subscribers = new Subscribers();
 
@@ -102,14 +103,14 @@
 
   private machine = new MachineState();
 
-  /** Results of commands of this step, until their replies have been sent. */
-  private readonly results = new Map<number, CommandResult>();
+  /** The result of the last applied command, by its log index. */
+  private readonly resultsByIndex = new Map<number, CommandResult>();
 
-  private readonly disk: DiskOperations;
+  private readonly diskOperations: DiskOperations;
 
-  private readonly joining: JoinRequests;
+  private readonly joinRequests: JoinRequests;
 
-  private readonly requests: StoreRequestHandler;
+  private readonly requestHandler: StoreRequestHandler;
 
   private address: StoreAddress;
 
@@ -119,19 +120,19 @@
 
   private readonly publisher: ConfigurationPublisher;
 
-  private readonly memory: PersistedEntryState;
+  private readonly persistedEntryState: PersistedEntryState;
 
-  private readonly work: WorkReportBatcher;
+  private readonly workReportBatcher: WorkReportBatcher;
 
   private closed = false;
 
-  /** True once a step was not carried out to its end. */
+  /** True once an event was not handled completely. */
   private failed = false;
 
   constructor(
     private readonly settings: StoreSettings,
     private readonly timers: TimerService,
-    private readonly storage: StoreDisk,
+    private readonly disk: StoreDisk,
     private readonly onFailure: (store: StoreProcess, failure: StoreFailure) => void = () => {},
     onEntryReport: (report: EntryReport) => void = () => {},
   ) {
@@ -151,7 +152,7 @@
       electionTimeout: settings.electionTimeoutMilliseconds,
       onLeaderTimeout: () => {
         this.subscribers.push({ type: 'outOfTouch' });
-        this.joining.start();
+        this.joinRequests.start();
       },
     });
     this.publisher = new ConfigurationPublisher({
@@ -160,78 +161,82 @@
       subscribers: this.subscribers,
       readMachine: () => this.machine,
     });
-    this.work = new WorkReportBatcher(timers, this.subscribers);
-    this.memory = new PersistedEntryState({ disk: storage, timers, logger: this.logger });
+    this.workReportBatcher = new WorkReportBatcher(timers, this.subscribers);
+    this.persistedEntryState = new PersistedEntryState({
+      disk,
+      timers,
+      logger: this.logger,
+    });
     this.peers = new StorePeers(instance, context, settings.stores);
-    this.disk = new DiskOperations({
-      disk: storage,
+    this.diskOperations = new DiskOperations({
+      disk,
       timers,
       logger: this.logger,
-      dispatch: (occurrence) => this.dispatch(occurrence),
+      dispatch: (event) => this.dispatch(event),
       send: (store, envelope) => this.peers.send(store, envelope),
     });
-    this.joining = new JoinRequests({
+    this.joinRequests = new JoinRequests({
       timers,
       peers: this.peers,
-      isNeeded: () => this.needsLetIn(),
+      isNeeded: () => this.needsToJoin(),
       describeSelf: () => ({ ...this.address, identity: this.loop.state.self.identity }),
     });
-    this.requests = new StoreRequestHandler({
+    this.requestHandler = new StoreRequestHandler({
       timers,
-      pendingRequests: this.desk,
+      pendingRequests: this.pendingRequests,
       subscribers: this.subscribers,
       readState: () => this.loop.state,
       readMachine: () => this.machine,
       readStatus: () => this.readStatus(),
-      dispatch: (occurrence) => this.dispatch(occurrence),
+      dispatch: (event) => this.dispatch(event),
       onEntryReport: (report) => {
-        this.memory.recordReport(report);
+        this.persistedEntryState.recordReport(report);
         onEntryReport(report);
       },
       instanceList: new InstanceListCache(timers),
       onWorkReport: (work) => {
-        this.memory.recordWork(work);
-        this.work.add(work);
+        this.persistedEntryState.recordWork(work);
+        this.workReportBatcher.add(work);
       },
-      onSpendingReport: (spending) => this.memory.recordSpending(spending),
-      onInstanceList: (instances) => this.memory.removeUnlistedInstances(instances),
-      readPersistedEntryState: () => this.memory.contents,
+      onSpendingReport: (spending) => this.persistedEntryState.recordSpending(spending),
+      onInstanceList: (instances) => this.persistedEntryState.removeUnlistedInstances(instances),
+      readPersistedEntryState: () => this.persistedEntryState.contents,
       leastVoters: settings.leastVoters,
     });
-    this.server = new PeerServer(context, {
+    this.peerServer = new PeerServer(context, {
       onOpen: ({ peer }) => this.peers.reconnectNow(peer.instance),
       onPush: (session, body) => this.receive(session, body as Envelope),
       onRequest: (session, body, respond) =>
-        this.requests.handle(session, body as StoreRequest, respond),
-      onClose: (session) => this.requests.removeSession(session),
+        this.requestHandler.handle(session, body as StoreRequest, respond),
+      onClose: (session) => this.requestHandler.removeSession(session),
     });
-    const operations = new OperatorRequestHandler({
+    const operatorRequests = new OperatorRequestHandler({
       operatorKeys: settings.operatorKeys,
       foundCluster: () => this.foundCluster(),
-      requestJoin: () => this.joining.start(),
-      removeStore: async (removed) => this.requests.removeVoter(removed),
+      requestJoin: () => this.joinRequests.start(),
+      removeStore: async (removed) => this.requestHandler.removeVoter(removed),
     });
-    this.operators = new OperatorServer({
+    this.operatorServer = new OperatorServer({
       metrics: this.metrics,
       isReady: () => leaderHint(this.loop.state) !== undefined,
       readStatus: async () => ({ stores: [this.readStatus()] }),
-      handle: async (request, response, url) => operations.handle(request, response, url),
+      handle: async (request, response, url) => operatorRequests.handle(request, response, url),
     });
   }
 
-  /** Reads the disk and starts to serve. */
+  /** Reads the disk, listens and connects to the other stores. */
   async start(): Promise<StorePorts> {
-    const contents = await this.storage.open(this.settings.instance);
+    const contents = await this.disk.open(this.settings.instance);
     this.isNew = contents.isNew;
-    this.loop = this.makeLoop(contents);
-    await this.memory.open();
-    const peers = await this.server.listen(this.settings.listen);
+    this.loop = this.makeEventLoop(contents);
+    await this.persistedEntryState.open();
+    const peers = await this.peerServer.listen(this.settings.listen);
     this.address = { ...this.address, port: peers };
-    const operators = await this.operators.listen(this.settings.operatorListen);
+    const operators = await this.operatorServer.listen(this.settings.operatorListen);
     this.peers.open();
     this.peers.updateMembers(memberAddresses(this.loop.state));
     this.dispatch({ type: 'started' });
-    if (contents.isNew) this.joining.start();
+    if (contents.isNew) this.joinRequests.start();
     this.logger.write('processReady', { peers, operators });
     return { peers, operators };
   }
@@ -239,21 +244,21 @@
   /** True if the disk was empty at start. */
   isNew = false;
 
-  /** Founds a cluster on this disk; refused unless the disk is empty. */
+  /** Founds a cluster with this store as its only member; throws if it has been part of a cluster. */
   foundCluster(): void {
     const { state } = this.loop;
     if (state.term > 0 || this.isMember()) {
       const detail = 'This store is part of a cluster already';
       throw new HornbeampondError('badRequest', detail);
     }
-    this.joining.stop();
+    this.joinRequests.stop();
     this.dispatch({
       type: 'found',
       member: { identity: state.self.identity, address: this.address },
     });
   }
 
-  /** Seeks the stores that changed settings name, beside the members of the log. */
+  /** Connects to the stores that changed settings name, beside the members listed in the log. */
   useStores(addresses: readonly StoreAddress[]): void {
     this.peers.setConfigured(addresses);
   }
@@ -269,17 +274,17 @@
     this.cancelWake();
     this.leaderWatch.stop();
     this.publisher.stop();
-    this.memory.close();
-    this.work.close();
-    this.joining.stop();
-    this.disk.stop();
+    this.persistedEntryState.close();
+    this.workReportBatcher.close();
+    this.joinRequests.stop();
+    this.diskOperations.stop();
     this.peers.close();
-    await Promise.all([this.server.close(), this.operators.close()]);
-    await this.disk.finish();
-    await this.storage.close();
+    await Promise.all([this.peerServer.close(), this.operatorServer.close()]);
+    await this.diskOperations.finish();
+    await this.disk.close();
   }
 
-  private makeLoop({ restored, snapshot }: DiskContents) {
+  private makeEventLoop({ restored, snapshot }: DiskContents) {
     if (snapshot !== undefined) this.machine = restoreSnapshot(codec.decode(snapshot.data));
     const { cluster, electionTimeoutMilliseconds, heartbeatMilliseconds } = this.settings;
     const { silentStoreMilliseconds, leastVoters } = this.settings;
@@ -298,16 +303,16 @@
     return new EventLoop<ConsensusState, ConsensusEvent, ConsensusEffect>(
       state,
       reduceConsensus,
-      (effect) => this.carryOut(effect),
+      (effect) => this.applyEffect(effect),
       (error, event) => this.reportError(error, event.type),
     );
   }
 
-  private dispatch(occurrence: ConsensusEventPayload): void {
+  private dispatch(event: ConsensusEventPayload): void {
     if (this.closed || this.failed) return;
     const clocks = { now: this.timers.monotonicNow(), wallNow: this.timers.wallNow() };
-    this.loop.dispatch({ ...occurrence, ...clocks });
-    this.requests.answerEarlySubscriptions();
+    this.loop.dispatch({ ...event, ...clocks });
+    this.requestHandler.answerEarlySubscriptions();
   }
 
   private receive(session: PeerSession, envelope: Envelope): void {
@@ -322,32 +327,32 @@
   }
 
   /**
-   * True if no leader counts on this store. One that was cut off for long was taken out meanwhile, and
-   * its own log does not say so: it would stand for election for ever. A disk that takes no writes is
-   * not offered again.
+   * True if this store is not a member or knows no leader. A store that was unreachable for long may
+   * have been removed; its own log does not say so, and it would campaign for ever. A store whose disk
+   * is read-only or was refused does not join.
    */
-  private needsLetIn(): boolean {
+  private needsToJoin(): boolean {
     const { state } = this.loop;
     if (state.readOnly || state.diskRefused) return false;
     return !this.isMember() || leaderHint(state) === undefined;
   }
 
-  private carryOut(effect: ConsensusEffect): void {
-    // After an entry that was applied in part, replies to later ones would rest on a state that
-    // no other store has. The process ends; nothing more leaves it until then.
+  private applyEffect(effect: ConsensusEffect): void {
+    // A partly applied log entry leaves a state that no other store has, so nothing that depends on it
+    // may be sent or written before the process ends.
     if (this.failed) return;
     switch (effect.type) {
       case 'persist':
-        this.disk.persist(effect);
+        this.diskOperations.persist(effect);
         return;
       case 'send':
         this.peers.send(effect.instance, effect.envelope);
         return;
       case 'sendSnapshot':
-        this.disk.sendSnapshot(effect);
+        this.diskOperations.sendSnapshot(effect);
         return;
       case 'apply':
-        this.apply(effect.entry);
+        this.applyEntry(effect.entry);
         return;
       case 'restore': {
         const { revision } = this.machine.configuration;
@@ -356,18 +361,18 @@
         return;
       }
       case 'takeSnapshot':
-        this.disk.saveSnapshot({
+        this.diskOperations.saveSnapshot({
           header: effect.header,
           data: codec.encode(takeSnapshot(this.machine)),
         });
         return;
       case 'discardLog':
-        this.disk.discardLog(effect.throughIndex);
+        this.diskOperations.discardLog(effect.throughIndex);
         return;
       case 'reply': {
         const index = effect.outcome.type === 'committed' ? effect.outcome.index : undefined;
-        const result = index === undefined ? undefined : this.results.get(index);
-        this.desk.complete(effect.requestId, effect.outcome, result);
+        const result = index === undefined ? undefined : this.resultsByIndex.get(index);
+        this.pendingRequests.complete(effect.requestId, effect.outcome, result);
         return;
       }
       case 'wake':
@@ -409,7 +414,7 @@
     }
   }
 
-  private apply(entry: LogEntry): void {
+  private applyEntry(entry: LogEntry): void {
     if (entry.body.type !== 'command') return;
     const stamped: StampedCommand = {
       at: entry.at,
@@ -417,8 +422,8 @@
     };
     const { revision } = this.machine.configuration;
     const result = applyCommand(this.machine, stamped);
-    this.results.clear();
-    this.results.set(entry.index, result);
+    this.resultsByIndex.clear();
+    this.resultsByIndex.set(entry.index, result);
     if (this.machine.configuration.revision > revision) this.publisher.publishSince(revision);
     if (result.type === 'crashCounted') this.publisher.publishQuarantine();
   }
--- a/apps/store/src/StoreRequestHandler.ts
+++ b/apps/store/src/StoreRequestHandler.ts
@@ -1,6 +1,7 @@
 /**
- * Answers what entries, controllers, operators and joining stores ask of a store. What needs the
- * log goes to the reducer and is answered when the reducer has decided its fate.
+ * Handles the requests of entries, controllers, operators and joining stores to a store. A request
+ * that needs the log is dispatched to the consensus reducer and answered with its outcome. This store
+ * handles all other requests alone.
  */
 import type { TimerService } from '@hornbeampond/runtime';
 import {
@@ -28,8 +29,8 @@
 import type { ConsensusEventPayload } from './StoreProcess.js';
 import type { Subscribers } from './Subscribers.js';
 
-/** Election timeouts without a word from a member after which its disk may be taken for lost. */
-const LOST_TIMEOUTS = 4;
+/** Election timeouts without a response from a member after which its disk may be assumed lost. */
+const LOST_MEMBER_ELECTION_TIMEOUTS = 4;
 
 export interface StoreRequestHandlerOptions {
   readonly timers: TimerService;
@@ -38,15 +39,15 @@
   readState(): ConsensusState;
   readMachine(): MachineState;
   readStatus(): StoreStatus;
-  dispatch(occurrence: ConsensusEventPayload): void;
+  dispatch(event: ConsensusEventPayload): void;
   onEntryReport(report: EntryReport): void;
   onWorkReport(work: WorkReport): void;
   onSpendingReport(spending: SpendingReport): void;
   readonly instanceList: InstanceListCache;
-  /** Names of all instances on the list, when it was read. */
+  /** Called with the names of all listed instances when the list arrives. */
   onInstanceList(instances: readonly string[]): void;
   readPersistedEntryState(): PersistedEntryData;
-  /** Fewest voters with which operators' changes are taken. */
+  /** With fewer voters than this, changes of the tables are refused. */
   readonly leastVoters: number;
 }
 
@@ -56,44 +57,44 @@
   private hasCaughtUp = false;
 
   /** Subscriptions that wait until this store has caught up. */
-  private readonly early = new Map<PeerSession, () => void>();
+  private readonly earlySubscriptions = new Map<PeerSession, () => void>();
 
   constructor(private readonly options: StoreRequestHandlerOptions) {}
 
   handle(session: PeerSession, request: StoreRequest, respond: Respond): void {
-    const { pendingRequests: desk, dispatch, subscribers, readStatus } = this.options;
+    const { pendingRequests, dispatch, subscribers, readStatus } = this.options;
     switch (request.type) {
       case 'propose':
         this.propose(request.command, respond);
         return;
       case 'readConfiguration': {
-        const requestId = desk.add(respond, () => this.describeConfiguration());
+        const requestId = pendingRequests.add(respond, () => this.makeConfigurationResponse());
         dispatch({ type: 'read', requestId });
         return;
       }
       case 'readDocument': {
-        const requestId = desk.add(respond, () => this.describeDocument());
+        const requestId = pendingRequests.add(respond, () => this.makeDocumentResponse());
         dispatch({ type: 'read', requestId });
         return;
       }
       case 'peekConfiguration':
-        respond(this.describeConfiguration());
+        respond(this.makeConfigurationResponse());
         return;
       case 'subscribe':
-        this.early.set(session, () => {
+        this.earlySubscriptions.set(session, () => {
           subscribers.add(session, request.report);
-          respond(this.describeSubscription());
+          respond(this.makeSubscribedResponse());
         });
         this.answerEarlySubscriptions();
         return;
       case 'report':
         subscribers.recordReport(session, request.report);
-        respond(this.acceptReport());
+        respond(this.makeAcceptedResponse());
         return;
       case 'shareReport':
         this.options.onEntryReport(request.report);
         subscribers.pushReport(request.report);
-        respond(this.acceptReport());
+        respond(this.makeAcceptedResponse());
         return;
       case 'shareInstances':
         this.options.onInstanceList(request.instances.map(({ instance }) => instance));
@@ -101,16 +102,16 @@
           type: 'instances',
           ...this.options.instanceList.update(request.instances),
         });
-        respond(this.acceptReport());
+        respond(this.makeAcceptedResponse());
         return;
       case 'shareWork':
         this.options.onWorkReport(request.work);
-        respond(this.acceptReport());
+        respond(this.makeAcceptedResponse());
         return;
       case 'shareSpending':
         this.options.onSpendingReport(request.spending);
         subscribers.push({ type: 'spending', spending: request.spending });
-        respond(this.acceptReport());
+        respond(this.makeAcceptedResponse());
         return;
       case 'readStatus':
         respond({ type: 'status', status: readStatus() });
@@ -119,7 +120,7 @@
         this.addVoter(request, respond);
         return;
       case 'removeVoter':
-        this.removeByName(request.instance, respond);
+        this.removeInstance(request.instance, respond);
         return;
       default:
         assertNever(request);
@@ -127,33 +128,32 @@
   }
 
   /**
-   * Answers the subscriptions that came before this store had caught up with the others since its
-   * start. What its disk alone holds may be hundreds of changes old, and a starting entry would
-   * serve by it.
+   * Answers the waiting subscriptions once this store has applied a log entry of the current term.
+   * Until then its state may be far out of date, and a subscriber that starts would use it.
    */
   answerEarlySubscriptions(): void {
     this.hasCaughtUp ||= hasCommittedInCurrentTerm(this.options.readState());
-    if (!this.hasCaughtUp || this.early.size === 0) return;
-    const answers = [...this.early.values()];
-    this.early.clear();
+    if (!this.hasCaughtUp || this.earlySubscriptions.size === 0) return;
+    const answers = [...this.earlySubscriptions.values()];
+    this.earlySubscriptions.clear();
     answers.forEach((answer) => answer());
   }
 
-  /** Lets go of a session that has ended. */
+  /** Removes a session that has ended. */
   removeSession(session: PeerSession): void {
-    this.early.delete(session);
+    this.earlySubscriptions.delete(session);
     this.options.subscribers.remove(session);
   }
 
   async removeVoter(instance: string): Promise<StoreResponse> {
     return new Promise((resolve) => {
-      this.removeByName(instance, resolve);
+      this.removeInstance(instance, resolve);
     });
   }
 
-  /** Commands that come in within one turn of the process go into the log as one batch. */
+  /** Commands received in one turn of the event loop are proposed as one batch. */
   private propose(command: StoreCommand, respond: Respond): void {
-    if (this.isTooYoung(command)) {
+    if (this.needsMoreVoters(command)) {
       respond({ type: 'unavailable', reason: 'too few stores have joined yet' });
       return;
     }
@@ -172,10 +172,10 @@
   }
 
   /**
-   * True for an operators' change while the cluster is still being founded. The founder is a quorum
-   * by itself until others have joined: what it acknowledged then would be gone with its disk.
+   * True for a change of the tables while the cluster has too few voters. The founder is a quorum by
+   * itself until others have joined; what it acknowledged by then would be lost with its disk.
    */
-  private isTooYoung({ type }: StoreCommand): boolean {
+  private needsMoreVoters({ type }: StoreCommand): boolean {
     if (type !== 'replaceTables' && type !== 'putTable') return false;
     const { members } = currentMembership(this.options.readState());
     const voters = members.filter(({ role }) => role === 'voter');
@@ -183,8 +183,9 @@
   }
 
   /**
-   * A store whose disk is new asks to join. If the log still knows its instance by another disk,
-   * that disk is lost: its identity is removed first, so that it is never counted again.
+   * Adds a store that asks to join. If the log lists its instance with the identity of another disk and
+   * that member does not respond, the disk is considered lost: its identity is removed, so that it never
+   * counts again, and the store is added when it repeats its request.
    */
   private addVoter(request: Extract<StoreRequest, { type: 'addVoter' }>, respond: Respond): void {
     const { identity, ...address } = request.voter;
@@ -193,40 +194,43 @@
       respond({ type: 'accepted' });
       return;
     }
-    const lost = members.find((member) => member.address.instance === address.instance);
-    if (lost === undefined) {
-      this.change(respond, { type: 'addLearner', member: { identity, address } });
-    } else if (this.isHeardOf(lost.identity)) {
+    const previous = members.find((member) => member.address.instance === address.instance);
+    if (previous === undefined) {
+      this.changeMembership(respond, { type: 'addLearner', member: { identity, address } });
+    } else if (this.isReachable(previous.identity)) {
       respond({ type: 'unavailable', reason: `another ${address.instance} is running` });
     } else {
-      this.change(respond, { type: 'removeMember', identity: lost.identity });
+      this.changeMembership(respond, { type: 'removeMember', identity: previous.identity });
     }
   }
 
   /**
-   * True if this store leads and hears of the member. A second store started by mistake under its
-   * name, on an empty folder, would otherwise push it out of the cluster, copies and all.
+   * True if this store leads and the member has responded recently or is this store. Without this check
+   * a second store, started by mistake with the member's name and an empty folder, would replace it.
    */
-  private isHeardOf(identity: string): boolean {
+  private isReachable(identity: string): boolean {
     const { role, settings, self } = this.options.readState();
     if (role.type !== 'leader') return false;
     if (identity === self.identity) return true;
-    const lastHeardAt = role.progress[identity]?.lastResponseAt;
-    const patience = LOST_TIMEOUTS * settings.electionTimeout;
-    return lastHeardAt !== undefined && this.options.timers.monotonicNow() - lastHeardAt < patience;
+    const lastResponseAt = role.progress[identity]?.lastResponseAt;
+    const lostMemberTimeout = LOST_MEMBER_ELECTION_TIMEOUTS * settings.electionTimeout;
+    return (
+      lastResponseAt !== undefined &&
+      this.options.timers.monotonicNow() - lastResponseAt < lostMemberTimeout
+    );
   }
 
-  private removeByName(instance: string, respond: Respond): void {
+  private removeInstance(instance: string, respond: Respond): void {
     const { members } = currentMembership(this.options.readState());
     const member = members.find((known) => known.address.instance === instance);
     if (member === undefined) {
       respond({ type: 'unavailable', reason: `${instance} is no member` });
       return;
     }
-    this.change(respond, { type: 'takeOutMember', identity: member.identity });
+    this.changeMembership(respond, { type: 'takeOutMember', identity: member.identity });
   }
 
-  private change(
+  private changeMembership(
     respond: Respond,
     change: Extract<ConsensusEventPayload, { type: 'changeMembership' }>['change'],
   ): void {
@@ -234,15 +238,15 @@
     this.options.dispatch({ type: 'changeMembership', requestId, change });
   }
 
-  private acceptReport(): StoreResponse {
+  private makeAcceptedResponse(): StoreResponse {
     return { type: 'accepted', revision: this.options.readMachine().configuration.revision };
   }
 
-  private describeConfiguration(): StoreResponse {
+  private makeConfigurationResponse(): StoreResponse {
     return { type: 'configuration', configuration: this.options.readMachine().configuration };
   }
 
-  private describeDocument(): StoreResponse {
+  private makeDocumentResponse(): StoreResponse {
     const { configuration, document } = this.options.readMachine();
     const version = configuration.whole?.version;
     if (version === undefined || document === undefined) {
@@ -251,7 +255,7 @@
     return { type: 'document', version, document };
   }
 
-  private describeSubscription(): StoreResponse {
+  private makeSubscribedResponse(): StoreResponse {
     const machine = this.options.readMachine();
     const quarantine = quarantineAt(machine, this.options.timers.wallNow());
     const stores = memberAddresses(this.options.readState());
--- a/apps/store/src/testing/MemoryDisk.ts
+++ b/apps/store/src/testing/MemoryDisk.ts
@@ -1,5 +1,5 @@
 /**
- * A disk in memory that outlives the process on it, for tests of several stores in one process.
+ * A disk in memory that outlives the store that uses it, for running several stores in one process.
  */
 import { randomUUID } from 'node:crypto';
 import type { LogEntry, PersistEffect } from '@hornbeampond/store-core';
@@ -19,7 +19,7 @@
 
   private snapshot: SavedSnapshot | undefined;
 
-  private memory: PersistedEntryData | undefined;
+  private persistedEntryState: PersistedEntryData | undefined;
 
   override async open(instance: string): Promise<DiskContents> {
     this.runs += 1;
@@ -69,10 +69,10 @@
   }
 
   override async readPersistedEntryState(): Promise<PersistedEntryData | undefined> {
-    return this.memory;
+    return this.persistedEntryState;
   }
 
-  override async savePersistedEntryState(memory: PersistedEntryData): Promise<void> {
-    this.memory = memory;
+  override async savePersistedEntryState(state: PersistedEntryData): Promise<void> {
+    this.persistedEntryState = state;
   }
 }
--- a/packages/store-core/src/machine/claims.ts
+++ b/packages/store-core/src/machine/claims.ts
@@ -1,6 +1,6 @@
 /**
- * Claims of calls that may run at most once. One attempt holds the open claim of a workspace's
- * key, and only that attempt may send the call, once.
+ * Claims of calls that may run at most once. The open claim of a workspace's key is held by one
+ * attempt, and only that attempt may send the call, once.
  */
 import {
   MAX_STORED_ANSWER_BYTES,
@@ -21,22 +21,22 @@
 } from './constants.js';
 import type { Claim, MachineState } from './MachineState.js';
 
-/** Name of a claim among all workspaces; a workspace's name holds no space. */
+/** Identifies a claim among those of all workspaces; the name of a workspace contains no space. */
 export function claimName({ workspace, key }: { workspace: string; key: string }): string {
   return `${workspace} ${key}`;
 }
 
-/** Keeps a span that a client chose within bounds; one that is no number counts as none. */
-export function clampDuration(span: Milliseconds, most: Milliseconds): Milliseconds {
-  return span > 0 ? Math.min(span, most) : 0;
+/** Limits a duration that a client chose; a negative duration or NaN counts as 0. */
+export function clampDuration(duration: Milliseconds, maxDuration: Milliseconds): Milliseconds {
+  return duration > 0 ? Math.min(duration, maxDuration) : 0;
 }
 
 function isOpen(claim: Claim, at: EpochMilliseconds): boolean {
   return claim.phase === 'open' && at < claim.expiresAt;
 }
 
-/** What an attempt is told of a claim that stands already. */
-function readClaim(
+/** The result of opening a claim that exists already. */
+function describeExistingClaim(
   state: MachineState,
   at: EpochMilliseconds,
   claim: Claim,
@@ -44,8 +44,8 @@
 ): ClaimResult {
   if (claim.digest !== command.digest) return { type: 'claimKeyReused' };
   if (isOpen(claim, at)) {
-    const held = claim.attemptId === command.attemptId;
-    return { type: held ? 'claimOpened' : 'claimRunning' };
+    const isHolder = claim.attemptId === command.attemptId;
+    return { type: isHolder ? 'claimOpened' : 'claimRunning' };
   }
   if (claim.phase !== 'done') return { type: 'claimUnknown' };
   const answer = state.answers.get(claimName(command));
@@ -60,7 +60,7 @@
   if (state.barredAttempts.has(command.attemptId)) return { type: 'claimBarred' };
   const name = claimName(command);
   const claim = state.claims.get(name);
-  if (claim !== undefined) return readClaim(state, at, claim, command);
+  if (claim !== undefined) return describeExistingClaim(state, at, claim, command);
   if (state.claims.size >= MAX_CLAIMS) return { type: 'claimsFull' };
   const expiresAt = at + clampDuration(command.expiresAfter, MAX_CLAIM_EXPIRY_MILLISECONDS);
   state.claims.set(name, {
@@ -75,9 +75,9 @@
 }
 
 /**
- * Gives an attempt up and bars it. The sender may not know whether its `openClaim` was lost or is
- * still on its way: without the bar it could open the claim after the caller was told `ran: no`,
- * and the caller's resend would then be held off by an attempt that nobody will send.
+ * Gives up an attempt and bars it. Its `openClaim` may still be in transit: without the bar it could
+ * open the claim after the caller received `ran: no`, and the claim of an attempt that is never sent
+ * would block the caller's retry.
  */
 export function releaseClaim(
   state: MachineState,
@@ -86,51 +86,51 @@
 ): ClaimResult {
   const name = claimName(command);
   const claim = state.claims.get(name);
-  const isOwn = claim?.attemptId === command.attemptId;
-  if (isOwn && claim.phase !== 'open') return { type: 'claimNotHeld' };
-  // A claim that has expired was told `unknown` to others; it stays so, though nothing was sent.
-  if (isOwn && isOpen(claim, at)) state.claims.delete(name);
+  const isHolder = claim?.attemptId === command.attemptId;
+  if (isHolder && claim.phase !== 'open') return { type: 'claimNotHeld' };
+  // An expired claim may have been reported `unknown` to other attempts, so it stays `unknown`.
+  if (isHolder && isOpen(claim, at)) state.claims.delete(name);
   state.barredAttempts.delete(command.attemptId);
   state.barredAttempts.set(command.attemptId, at + BARRED_ATTEMPT_RETENTION_MILLISECONDS);
   return { type: 'claimReleased' };
 }
 
-function sizeOf(answer: StoredAnswer): number {
+function countAnswerBytes(answer: StoredAnswer): number {
   const headers = Object.entries(answer.headers);
   const headerBytes = headers.reduce((sum, [name, value]) => sum + name.length + value.length, 0);
   return headerBytes + (answer.body?.byteLength ?? 0);
 }
 
-function dropAnswer(state: MachineState, name: string): void {
+function removeAnswer(state: MachineState, name: string): void {
   const answer = state.answers.get(name);
   if (answer === undefined) return;
   state.answers.delete(name);
-  state.answerBytes -= sizeOf(answer);
+  state.answerBytes -= countAnswerBytes(answer);
 }
 
 /**
- * Decoded bodies are views of the frame or snapshot that they came in, and one small answer kept
- * would keep all of it in memory. A copy holds only its own bytes.
+ * Copies the body of an answer. A decoded body is a view of the frame or snapshot that contained it,
+ * and would keep all of that in memory.
  */
 export function copyAnswer(answer: StoredAnswer): StoredAnswer {
   if (answer.body === undefined) return answer;
   return { ...answer, body: new Uint8Array(answer.body) };
 }
 
-/** Keeps an answer for resends, within the bounds; a claim without one still reads `done`. */
-function keepAnswer(state: MachineState, name: string, answer: StoredAnswer | undefined): void {
-  if (answer === undefined || sizeOf(answer) > MAX_STORED_ANSWER_BYTES) return;
+/** Stores an answer for resends, within the size limits; without it the claim is still `done`. */
+function storeAnswer(state: MachineState, name: string, answer: StoredAnswer | undefined): void {
+  if (answer === undefined || countAnswerBytes(answer) > MAX_STORED_ANSWER_BYTES) return;
   state.answers.set(name, copyAnswer(answer));
-  state.answerBytes += sizeOf(answer);
+  state.answerBytes += countAnswerBytes(answer);
   for (const oldest of state.answers.keys()) {
     if (state.answerBytes <= MAX_TOTAL_STORED_ANSWER_BYTES) return;
-    dropAnswer(state, oldest);
+    removeAnswer(state, oldest);
   }
 }
 
 /**
- * Notes how the call ended. The attempt that sent it may still say `done` after its claim has
- * expired or was settled `unknown`: that is the truth come late, and opens nothing again.
+ * Records how the call ended. The attempt that holds the claim may still report `done` after the
+ * claim has expired or was settled `unknown`; a late report does not reopen the claim.
  */
 export function settleClaim(
   state: MachineState,
@@ -147,16 +147,16 @@
     phase: command.outcome,
     keptUntil: at + CLAIM_RETENTION_MILLISECONDS,
   });
-  if (command.outcome === 'done') keepAnswer(state, name, command.answer);
+  if (command.outcome === 'done') storeAnswer(state, name, command.answer);
   return { type: 'claimSettled' };
 }
 
-/** Drops claims and bars whose time is past. */
+/** Removes claims and barred attempts from the oldest on, up to the first that must be kept. */
 export function expireClaims(state: MachineState, at: EpochMilliseconds): void {
   for (const [name, claim] of state.claims) {
     if (claim.keptUntil > at) break;
     state.claims.delete(name);
-    dropAnswer(state, name);
+    removeAnswer(state, name);
   }
   for (const [attemptId, until] of state.barredAttempts) {
     if (until > at) break;
--- a/packages/store-core/src/machine/leases.ts
+++ b/packages/store-core/src/machine/leases.ts
@@ -1,6 +1,6 @@
 /**
- * Leases with epochs. The epoch grows when the holder changes, and when a lease had ended before
- * its holder renewed it, so that no two spans of holding share one.
+ * Leases with epochs. Every grant of a free lease starts a new epoch, even if the last holder takes it
+ * again. Renewing an unexpired lease keeps its epoch.
  */
 import type {
   EpochMilliseconds,
@@ -12,14 +12,14 @@
 import { MAX_LEASE_DURATION_MILLISECONDS } from './constants.js';
 import type { Lease, MachineState } from './MachineState.js';
 
-function renewed(lease: Lease, at: EpochMilliseconds, command: TakeLeaseCommand): Lease {
-  const asked = clampDuration(command.duration, MAX_LEASE_DURATION_MILLISECONDS);
-  // The holder measures each grant by itself; an earlier and longer one may still be running.
-  const duration = Math.max(asked, lease.duration);
-  return { ...lease, duration, until: Math.max(lease.until, at + asked) };
+function renewLease(lease: Lease, at: EpochMilliseconds, command: TakeLeaseCommand): Lease {
+  const requested = clampDuration(command.duration, MAX_LEASE_DURATION_MILLISECONDS);
+  // The holder measures each grant separately; an earlier, longer one may still be running.
+  const duration = Math.max(requested, lease.duration);
+  return { ...lease, duration, until: Math.max(lease.until, at + requested) };
 }
 
-function granted(
+function grantLease(
   lease: Lease | undefined,
   at: EpochMilliseconds,
   command: TakeLeaseCommand,
@@ -34,7 +34,7 @@
   };
 }
 
-/** Takes a free lease, renews an own one, or tells who holds it. */
+/** Grants a free lease, renews the caller's own, or reports who holds it. */
 export function takeLease(
   state: MachineState,
   at: EpochMilliseconds,
@@ -45,14 +45,14 @@
   if (isHeld && lease.holder !== command.holder) {
     return { type: 'leaseRefused', holder: lease.holder, remaining: lease.until - at };
   }
-  const next = isHeld ? renewed(lease, at, command) : granted(lease, at, command);
+  const next = isHeld ? renewLease(lease, at, command) : grantLease(lease, at, command);
   state.leases.set(command.lease, next);
   const { epoch, previousDuration } = next;
   const duration = clampDuration(command.duration, MAX_LEASE_DURATION_MILLISECONDS);
   return { type: 'leaseHeld', epoch, duration, previousDuration };
 }
 
-/** Ends a lease early; one that is held under another epoch is left alone. */
+/** Ends a lease early if the given holder still holds it under the given epoch. */
 export function releaseLease(
   state: MachineState,
   at: EpochMilliseconds,
--- a/packages/store-core/src/machine/replaceTables.test.ts
+++ b/packages/store-core/src/machine/replaceTables.test.ts
@@ -25,7 +25,10 @@
 };
 const key = 'a'.repeat(64);
 
-function change(version: number, fields: Partial<ReplaceTablesCommand> = {}): ReplaceTablesCommand {
+function makeCommand(
+  version: number,
+  fields: Partial<ReplaceTablesCommand> = {},
+): ReplaceTablesCommand {
   return {
     type: 'replaceTables',
     version,
@@ -41,24 +44,23 @@
   return applyCommand(state, { at: 0, command });
 }
 
-// Two operators send changes through two stores, and one is sent again after its answer was lost.
-// Whatever order the log takes them in, the highest version is in force, and nobody is refused.
-test('the highest version is in force, and a resend of any is acknowledged', () => {
+// Operators send versions through several stores and resend one whose result was lost. Guards against
+// an older version that replaces a newer one, and against a refused resend.
+test('the highest version is in force, and every resend is acknowledged', () => {
   const state = new MachineState();
   [7, 3, 7, 9, 7].forEach((version) => {
-    assert.equal(apply(state, change(version)).type, 'tablesReplaced');
+    assert.equal(apply(state, makeCommand(version)).type, 'tablesReplaced');
   });
   assert.equal(state.configuration.whole?.version, 9);
   assert.equal(state.configuration.revision, 2);
   assert.equal(state.document, 'document 9');
 });
 
-// An operator's tool sends other content under the number in force. Were it obeyed, two instances
-// could hold two configurations under one number for ever.
+// Guards against two instances that have different configurations under one version.
 test('other content under the version in force changes nothing', () => {
   const state = new MachineState();
-  apply(state, change(7));
-  assert.deepEqual(apply(state, change(7, { document: 'other', routes: [] })), {
+  apply(state, makeCommand(7));
+  assert.deepEqual(apply(state, makeCommand(7, { document: 'other', routes: [] })), {
     type: 'tablesReplaced',
     version: 7,
   });
@@ -66,15 +68,15 @@
   assert.equal(state.configuration.routes.rows.length, 1);
 });
 
-const faulty: readonly [string, Partial<ReplaceTablesCommand>, RegExp][] = [
-  ['a pool that is not there', { pools: [] }, /no "desk"/],
+const invalidCommands: readonly [string, Partial<ReplaceTablesCommand>, RegExp][] = [
+  ['a pool that does not exist', { pools: [] }, /no "desk"/],
   [
     'weights that add up to 0',
     { routes: [{ ...route, split: [{ pool: 'desk', weight: 0 }] }] },
     /add up to 0/,
   ],
   [
-    'a split to a pool that is not there',
+    'a split to a pool that does not exist',
     { routes: [{ ...route, split: [{ pool: 'x', weight: 1 }] }] },
     /no "x"/,
   ],
@@ -94,11 +96,11 @@
     /shares a key/,
   ],
 ];
-faulty.forEach(([what, fields, reason]) => {
-  test(`${what} is refused with its place, and nothing of the change is in force`, () => {
+invalidCommands.forEach(([description, fields, reason]) => {
+  test(`${description} is refused with its location, and no part of the command takes effect`, () => {
     const state = new MachineState();
-    apply(state, change(1));
-    const result = apply(state, change(2, fields));
+    apply(state, makeCommand(1));
+    const result = apply(state, makeCommand(2, fields));
     assert.ok(result.type === 'tablesInvalid');
     assert.match(
       result.faults.map((fault) => `${fault.where}: ${fault.reason}`).join('\n'),
@@ -108,9 +110,9 @@
   });
 });
 
-test('a snapshot keeps the document, the version and the usage that was settled', () => {
+test('a snapshot keeps the document, the version and the settled usage', () => {
   const state = new MachineState();
-  apply(state, change(7));
+  apply(state, makeCommand(7));
   applyCommand(state, { at: 0, command: { type: 'settleUsage', window: 4, counts: { laden: 2 } } });
   const restored = restoreSnapshot(takeSnapshot(state));
   assert.equal(restored.document, 'document 7');
@@ -122,9 +124,9 @@
   });
 });
 
-test('subscribers are sent the whole, since a delta tells of no workspaces', () => {
+test('subscribers are sent the whole configuration, since a delta carries no workspaces', () => {
   const state = new MachineState();
-  apply(state, change(1));
-  apply(state, change(2));
+  apply(state, makeCommand(1));
+  apply(state, makeCommand(2));
   assert.equal(configurationSince(state, 1).type, 'whole');
 });
