--- a/apps/controller/src/SingletonProcess.ts
+++ b/apps/controller/src/SingletonProcess.ts
@@ -20,7 +20,7 @@
   type StoreAddress,
   type UsageCounts,
 } from '@hornbeampond/schema';
-import { StoreClient, toShared, type PeerContext } from '@hornbeampond/transport';
+import { StoreClient, toSharedInstances, type PeerContext } from '@hornbeampond/transport';
 import { LeaseKeeper } from './LeaseKeeper.js';
 
 const LEASE = 'singleton';
@@ -74,7 +74,7 @@
           this.dispatch({ type: 'configurationReceived', configuration }),
         onEntryReport: (report) => this.dispatch({ type: 'entryReported', report }),
         onUsage: (usage) => this.dispatch({ type: 'usageTold', usage }),
-        onRemembered: ({ usage }) => this.dispatch({ type: 'usageTold', usage }),
+        onPersistedState: ({ usage }) => this.dispatch({ type: 'usageTold', usage }),
       },
       this.makeReport(),
       true,
@@ -188,7 +188,7 @@
     try {
       const signal = AbortSignal.timeout(CALL_MILLISECONDS);
       const instances = await platform.listInstances(signal);
-      this.store.shareInstances(toShared(instances, timers.wallNow()));
+      this.store.shareInstances(toSharedInstances(instances, timers.wallNow()));
       this.dispatch({ type: 'instancesListed', instances });
     } catch (error) {
       logger.write('platformUnreachable', { reason: String(error) });
--- a/apps/entry/src/AttemptRunner.ts
+++ b/apps/entry/src/AttemptRunner.ts
@@ -259,7 +259,7 @@
       path,
       headers: this.forwardedHeaders(exchange),
       body: exchange.body,
-      fresh: sendOnce,
+      requiresNewConnection: sendOnce,
       signal: attempt.controller.signal,
     });
     if (attempt.cancelled) return;
--- a/apps/entry/src/EntryProcess.ts
+++ b/apps/entry/src/EntryProcess.ts
@@ -32,10 +32,10 @@
   type StoreAddress,
 } from '@hornbeampond/schema';
 import {
-  fromShared,
+  fromSharedInstances,
   OperatorServer,
   StoreClient,
-  toShared,
+  toSharedInstances,
   type PeerContext,
 } from '@hornbeampond/transport';
 import { AdapterDirectory, type MakeAdapter } from './AdapterDirectory.js';
@@ -165,11 +165,11 @@
         },
         onQuarantine: (quarantine) => dispatch({ type: 'quarantineReceived', quarantine }),
         onEntryReport: (report) => dispatch({ type: 'entryReported', report }),
-        onInstances: (instances, age) =>
-          this.watcher.receiveInstances(fromShared(instances, timers.wallNow()), age),
-        onRemembered: (remembered) => dispatch({ type: 'knowledgeRemembered', remembered }),
-        onWork: (work) => dispatch({ type: 'workReported', work }),
-        onSpending: (spending) => dispatch({ type: 'spendingReported', spending }),
+        onInstanceList: (instances, age) =>
+          this.watcher.receiveInstances(fromSharedInstances(instances, timers.wallNow()), age),
+        onPersistedState: (remembered) => dispatch({ type: 'knowledgeRemembered', remembered }),
+        onWorkReport: (work) => dispatch({ type: 'workReported', work }),
+        onSpendingReport: (spending) => dispatch({ type: 'spendingReported', spending }),
       },
       this.makeReport(0),
       this.findsPeersByStores,
@@ -265,7 +265,7 @@
    */
   /** Seeks the stores that changed settings name, beside those it was told of. */
   useStores(addresses: readonly StoreAddress[]): void {
-    this.store.useSeeds(addresses);
+    this.store.setSeeds(addresses);
   }
 
   async shutDown(): Promise<void> {
@@ -341,7 +341,7 @@
   }
 
   private shareInstances(instances: readonly PlatformInstance[]): void {
-    this.store.shareInstances(toShared(instances, this.timers.wallNow()));
+    this.store.shareInstances(toSharedInstances(instances, this.timers.wallNow()));
   }
 
   private nameRequest(): string {
--- a/apps/store/src/StoreCluster.test.ts
+++ b/apps/store/src/StoreCluster.test.ts
@@ -272,6 +272,6 @@
   await waitFor('revision 2', () => (configurations.at(-1)?.revision === 2 ? true : undefined));
   await cluster.close('store-2');
   await runChanges(3, 4);
-  client.useSeeds(cluster.addressesOf(['store-3', 'store-4']));
+  client.setSeeds(cluster.addressesOf(['store-3', 'store-4']));
   await waitFor('revision 4', () => (configurations.at(-1)?.revision === 4 ? true : undefined));
 });
--- a/packages/adapters/src/BackendServerFailure.ts
+++ b/packages/adapters/src/BackendServerFailure.ts
@@ -14,7 +14,7 @@
  * - `silent`: the caller's limit passed (its `AbortSignal` fired) before the answer was whole.
  * - `malformed`: the answer broke the protocol or a size limit.
  */
-export const backendServerFailures = [
+export const backendServerFailureKinds = [
   'connectFailed',
   'busy',
   'serverError',
@@ -23,16 +23,16 @@
   'silent',
   'malformed',
 ] as const;
-export type BackendServerFailureKind = (typeof backendServerFailures)[number];
+export type BackendServerFailureKind = (typeof backendServerFailureKinds)[number];
 
 /** `nothing`: provably not one byte of the call was sent. `maybe`: it can have run. */
-export type Sent = 'nothing' | 'maybe';
+export type SentState = 'nothing' | 'maybe';
 
 export interface BackendServerFailureOptions {
   /** `connectionLost` unless given. */
   readonly failure?: BackendServerFailureKind;
   /** `maybe` unless given, which promises nothing. */
-  readonly sent?: Sent;
+  readonly sent?: SentState;
   /** HTTP status, if the server answered. */
   readonly status?: number;
   /** When to come back, if the server said so. */
@@ -43,7 +43,7 @@
 class BackendServerFailureBase extends ModernError {
   readonly failure: BackendServerFailureKind;
 
-  readonly sent: Sent;
+  readonly sent: SentState;
 
   readonly status: number | undefined;
 
--- a/packages/adapters/src/EngineAdapter.ts
+++ b/packages/adapters/src/EngineAdapter.ts
@@ -7,7 +7,7 @@
  * `BackendServerFailure`.
  */
 import type { CacheEvent, LoadReport, Order, OrderResult } from '@hornbeampond/schema';
-import type { SignOfLife } from './SignOfLife.js';
+import type { ProbeResponse } from './ProbeResponse.js';
 
 export interface ChatMessage {
   readonly role: string;
@@ -96,7 +96,7 @@
   abstract sendOrder(order: Order, signal: AbortSignal): Promise<OrderResult>;
 
   /** Asks for a sign of life over a new connection; rejects if there is none. */
-  abstract probe(signal: AbortSignal): Promise<SignOfLife>;
+  abstract probe(signal: AbortSignal): Promise<ProbeResponse>;
 
   /** Lets running calls finish on the connections they have; later calls open new ones. */
   abstract renewConnections(): void;
--- a/packages/adapters/src/PlainServiceAdapter.ts
+++ b/packages/adapters/src/PlainServiceAdapter.ts
@@ -5,7 +5,7 @@
  * failure is a `BackendServerFailure`. A status of 4xx or 5xx is an answer, not a failure.
  */
 import type { LoadReport } from '@hornbeampond/schema';
-import type { SignOfLife } from './SignOfLife.js';
+import type { ProbeResponse } from './ProbeResponse.js';
 
 /** Headers with lower-case names. A header that came more than once has all its values. */
 export type HeaderFields = Readonly<Record<string, string | readonly string[]>>;
@@ -21,7 +21,7 @@
    * True for a call that may not be repeated: it goes out on a connection opened for it alone,
    * at most once, and a failure tells surely whether a byte was sent.
    */
-  readonly fresh: boolean;
+  readonly requiresNewConnection: boolean;
   /** Bounds the whole call, the reading of the answer included. */
   readonly signal: AbortSignal;
 }
@@ -42,7 +42,7 @@
   abstract readLoad(signal: AbortSignal): Promise<LoadReport>;
 
   /** Asks for a sign of life over a new connection; rejects if there is none. */
-  abstract probe(signal: AbortSignal): Promise<SignOfLife>;
+  abstract probe(signal: AbortSignal): Promise<ProbeResponse>;
 
   /** Lets running calls finish on the connections they have; later calls open new ones. */
   abstract renewConnections(): void;
--- a/packages/adapters/src/SignOfLife.ts
+++ b/packages/adapters/src/ProbeResponse.ts
@@ -1,5 +1,5 @@
 /** What a backend server's answer to a probe tells. */
-export interface SignOfLife {
+export interface ProbeResponse {
   /** What its process calls itself since its start; missing if it tells none. */
   readonly incarnation?: string;
 }
--- a/packages/adapters/src/RelayAdapter.ts
+++ b/packages/adapters/src/RelayAdapter.ts
@@ -7,7 +7,7 @@
  * server says that it did not run the call: that is the failure `busy` with nothing sent.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
-import type { SignOfLife } from './SignOfLife.js';
+import type { ProbeResponse } from './ProbeResponse.js';
 
 /** Name and value of one header, as it stood on the wire. */
 export type HeaderLine = readonly [name: string, value: string];
@@ -33,7 +33,7 @@
 }
 
 /** A running call whose KV cache is to go to another backend server. */
-export interface RelayMove {
+export interface RelayCacheMove {
   /** The call's headers, by which the backend server knows it. */
   readonly headers: readonly HeaderLine[];
   readonly to: { readonly host: string; readonly port: number };
@@ -65,10 +65,10 @@
    * Stops a running call and moves its KV cache; its answer ends without its end. Resolves with
    * what names the cache at its new place. If it rejects, the call may run on or have stopped.
    */
-  abstract moveCache(move: RelayMove): Promise<string>;
+  abstract moveCache(move: RelayCacheMove): Promise<string>;
 
   /** Asks for a sign of life over a new connection; rejects if there is none. */
-  abstract probe(signal: AbortSignal): Promise<SignOfLife>;
+  abstract probe(signal: AbortSignal): Promise<ProbeResponse>;
 
   /** Lets running calls finish on the connections they have; later calls open new ones. */
   abstract renewConnections(): void;
--- a/packages/adapters/src/SingletonAdapter.ts
+++ b/packages/adapters/src/SingletonAdapter.ts
@@ -7,7 +7,7 @@
 import type { SizeOrder, UsageCounts } from '@hornbeampond/schema';
 
 /** Who calls, under which holding of the lease. */
-export interface Holding {
+export interface LeaseHolderIdentity {
   readonly holder: string;
   /** Grows whenever the holder changes. */
   readonly epoch: number;
@@ -18,14 +18,14 @@
   abstract reportUsage(
     window: number,
     counts: UsageCounts,
-    holding: Holding,
+    holding: LeaseHolderIdentity,
     signal: AbortSignal,
   ): Promise<void>;
 
   /** Says how many instances there are to be; `refused` if the platform has none to give. */
   abstract orderSize(
     order: SizeOrder,
-    holding: Holding,
+    holding: LeaseHolderIdentity,
     signal: AbortSignal,
   ): Promise<'done' | 'refused'>;
 }
--- a/packages/adapters/src/http/EventDataSplitter.ts
+++ b/packages/adapters/src/http/EventDataSplitter.ts
@@ -8,7 +8,7 @@
 import { BackendServerFailure } from '../BackendServerFailure.js';
 
 /** Bound of one line. */
-export const MOST_LINE_CHARACTERS = 1024 * 1024;
+export const MAX_LINE_CHARACTERS = 1024 * 1024;
 
 const DATA_PREFIX = 'data:';
 
@@ -21,7 +21,7 @@
   split(bytes: Uint8Array): string[] {
     const lines = (this.rest + this.decoder.decode(bytes, { stream: true })).split('\n');
     this.rest = lines.pop() ?? '';
-    if (this.rest.length > MOST_LINE_CHARACTERS) {
+    if (this.rest.length > MAX_LINE_CHARACTERS) {
       throw new BackendServerFailure('a line of the stream is too long', {
         failure: 'malformed',
         sent: 'maybe',
--- a/packages/adapters/src/http/HttpConnections.ts
+++ b/packages/adapters/src/http/HttpConnections.ts
@@ -16,7 +16,7 @@
 import {
   BackendServerFailure,
   type BackendServerFailureKind,
-  type Sent,
+  type SentState,
 } from '../BackendServerFailure.js';
 
 /** Idle connections are closed this soon, since an old one is likelier to be dead. */
@@ -70,7 +70,7 @@
   return broken ? 'malformed' : 'connectionLost';
 }
 
-function toFailure(cause: unknown, signal: AbortSignal, sent: Sent): BackendServerFailure {
+function toFailure(cause: unknown, signal: AbortSignal, sent: SentState): BackendServerFailure {
   if (cause instanceof BackendServerFailure) return cause;
   const message = describeError(cause);
   if (cause instanceof ConnectError) {
@@ -185,7 +185,7 @@
   }
 
   /** Sends a call once, on a connection opened for it alone. */
-  async sendFresh(call: HttpCall): Promise<HttpAnswer> {
+  async sendOnNewConnection(call: HttpCall): Promise<HttpAnswer> {
     let socket: Socket | undefined;
     const connect = makeSingleConnector((opened) => {
       socket = opened;
--- a/packages/adapters/src/http/HttpEngineAdapter.ts
+++ b/packages/adapters/src/http/HttpEngineAdapter.ts
@@ -23,9 +23,9 @@
   type ExportedCache,
 } from '../EngineAdapter.js';
 import { formatOrigin, HttpConnections, type HttpAnswer } from './HttpConnections.js';
-import type { SignOfLife } from '../SignOfLife.js';
+import type { ProbeResponse } from '../ProbeResponse.js';
 import { probeHealth } from './probeHealth.js';
-import { readBytes, readJson, readNothing, requireSuccess } from './readAnswer.js';
+import { readBytes, readJson, discardSuccessfulAnswer, requireSuccess } from './readAnswer.js';
 import { readCompletion } from './readCompletion.js';
 import { cacheEventsSchema, loadReportSchema, orderResultSchema } from './wireSchemas.js';
 
@@ -73,7 +73,7 @@
 
   override async cancel(attemptId: string, signal: AbortSignal): Promise<void> {
     try {
-      await readNothing(await this.post('/engine/cancel', { attemptId }, signal));
+      await discardSuccessfulAnswer(await this.post('/engine/cancel', { attemptId }, signal));
     } catch (error) {
       if (error instanceof BackendServerFailure && error.status === 404) return;
       throw error;
@@ -108,7 +108,7 @@
       body: cache.bytes,
       signal,
     });
-    await readNothing(answer);
+    await discardSuccessfulAnswer(answer);
   }
 
   override async readLoad(signal: AbortSignal): Promise<LoadReport> {
@@ -130,7 +130,7 @@
     return (await readJson(orderResultSchema, answer)).result;
   }
 
-  override async probe(signal: AbortSignal): Promise<SignOfLife> {
+  override async probe(signal: AbortSignal): Promise<ProbeResponse> {
     return probeHealth(this.connections, signal);
   }
 
--- a/packages/adapters/src/http/HttpPlainServiceAdapter.ts
+++ b/packages/adapters/src/http/HttpPlainServiceAdapter.ts
@@ -11,7 +11,7 @@
   type PlainServiceRequest,
 } from '../PlainServiceAdapter.js';
 import { formatOrigin, HttpConnections, type HttpAnswer } from './HttpConnections.js';
-import type { SignOfLife } from '../SignOfLife.js';
+import type { ProbeResponse } from '../ProbeResponse.js';
 import { connectionHeaders } from './connectionHeaders.js';
 import { probeHealth } from './probeHealth.js';
 import { readJson } from './readAnswer.js';
@@ -63,7 +63,7 @@
   readonly host: string;
   readonly port: number;
   /** Bound of one answer in bytes. */
-  readonly mostAnswerBytes?: number;
+  readonly maxAnswerBytes?: number;
 }
 
 export class HttpPlainServiceAdapter extends PlainServiceAdapter {
@@ -71,18 +71,18 @@
 
   private readonly mostAnswerBytes: number;
 
-  constructor({ host, port, mostAnswerBytes = MOST_ANSWER_BYTES }: HttpPlainServiceOptions) {
+  constructor({ host, port, maxAnswerBytes: mostAnswerBytes = MOST_ANSWER_BYTES }: HttpPlainServiceOptions) {
     super();
     this.connections = new HttpConnections(formatOrigin(host, port));
     this.mostAnswerBytes = mostAnswerBytes;
   }
 
   override async send(request: PlainServiceRequest): Promise<PlainServiceAnswer> {
-    const { method, path, body, fresh, signal } = request;
+    const { method, path, body, requiresNewConnection: fresh, signal } = request;
     const passedOn = Object.entries(withoutConnectionHeaders(request.headers));
     const headers = Object.fromEntries(passedOn.filter(([name]) => !ownRequestHeaders.has(name)));
     const call = { method, path, headers, body, signal };
-    const answer = await (fresh ? this.connections.sendFresh(call) : this.connections.send(call));
+    const answer = await (fresh ? this.connections.sendOnNewConnection(call) : this.connections.send(call));
     return this.toServiceAnswer(answer);
   }
 
@@ -91,7 +91,7 @@
     return readJson(loadReportSchema, await this.connections.send(call));
   }
 
-  override async probe(signal: AbortSignal): Promise<SignOfLife> {
+  override async probe(signal: AbortSignal): Promise<ProbeResponse> {
     return probeHealth(this.connections, signal);
   }
 
--- a/packages/adapters/src/http/HttpPlatformAdapter.ts
+++ b/packages/adapters/src/http/HttpPlatformAdapter.ts
@@ -15,7 +15,7 @@
   type ReclaimNotice,
 } from '../PlatformAdapter.js';
 import { HttpConnections } from './HttpConnections.js';
-import { MOST_JSON_BYTES, parseJson, readBytes, readJson, readNothing } from './readAnswer.js';
+import { MAX_JSON_BYTES, parseJson, readBytes, readJson, discardSuccessfulAnswer } from './readAnswer.js';
 import { instanceListSchema, instanceStartSchema, noticesSchema } from './wireSchemas.js';
 
 const REFUSED = 409;
@@ -48,7 +48,7 @@
     });
     const result =
       answer.status === REFUSED
-        ? parseJson(instanceStartSchema, String(await readBytes(answer, MOST_JSON_BYTES)))
+        ? parseJson(instanceStartSchema, String(await readBytes(answer, MAX_JSON_BYTES)))
         : await readJson(instanceStartSchema, answer);
     return 'refused' in result
       ? { type: 'refused', reason: result.refused }
@@ -59,10 +59,10 @@
     const path = `/instances/${encodeURIComponent(instance)}`;
     const answer = await this.connections.send({ method: 'DELETE', path, signal });
     if (answer.status === GONE) {
-      await readBytes(answer, MOST_JSON_BYTES);
+      await readBytes(answer, MAX_JSON_BYTES);
       return;
     }
-    await readNothing(answer);
+    await discardSuccessfulAnswer(answer);
   }
 
   override async readNotices(signal: AbortSignal): Promise<readonly ReclaimNotice[]> {
--- a/packages/adapters/src/http/probeHealth.ts
+++ b/packages/adapters/src/http/probeHealth.ts
@@ -3,8 +3,8 @@
  * be the very connection that went silent.
  */
 import type { HttpConnections } from './HttpConnections.js';
-import type { SignOfLife } from '../SignOfLife.js';
-import { MOST_JSON_BYTES, readBytes, requireSuccess } from './readAnswer.js';
+import type { ProbeResponse } from '../ProbeResponse.js';
+import { MAX_JSON_BYTES, readBytes, requireSuccess } from './readAnswer.js';
 
 /** Longest name of an incarnation that is taken; anything longer is no name. */
 const MOST_CHARACTERS = 200;
@@ -23,9 +23,9 @@
 export async function probeHealth(
   connections: HttpConnections,
   signal: AbortSignal,
-): Promise<SignOfLife> {
-  const answer = await connections.sendFresh({ method: 'GET', path: '/health', signal });
+): Promise<ProbeResponse> {
+  const answer = await connections.sendOnNewConnection({ method: 'GET', path: '/health', signal });
   await requireSuccess(answer);
-  const incarnation = readIncarnation((await readBytes(answer, MOST_JSON_BYTES)).toString('utf8'));
+  const incarnation = readIncarnation((await readBytes(answer, MAX_JSON_BYTES)).toString('utf8'));
   return incarnation === undefined ? {} : { incarnation };
 }
--- a/packages/adapters/src/http/readAnswer.ts
+++ b/packages/adapters/src/http/readAnswer.ts
@@ -5,7 +5,7 @@
 import type { HttpAnswer } from './HttpConnections.js';
 
 /** Bound of an answer that is read whole as JSON. */
-export const MOST_JSON_BYTES = 4 * 1024 * 1024;
+export const MAX_JSON_BYTES = 4 * 1024 * 1024;
 
 /** What is kept of an error answer's text. */
 const MOST_ERROR_CHARACTERS = 300;
@@ -42,7 +42,7 @@
 export async function requireSuccess(answer: HttpAnswer): Promise<void> {
   const { status } = answer;
   if (status >= 200 && status < 300) return;
-  const text = (await readBytes(answer, MOST_JSON_BYTES)).toString('utf8');
+  const text = (await readBytes(answer, MAX_JSON_BYTES)).toString('utf8');
   const message = `status ${status}: ${text.slice(0, MOST_ERROR_CHARACTERS)}`;
   throw new BackendServerFailure(message, {
     failure: failureOfStatus(status),
@@ -80,11 +80,11 @@
   answer: HttpAnswer,
 ): Promise<z.infer<Schema>> {
   await requireSuccess(answer);
-  return parseJson(schema, (await readBytes(answer, MOST_JSON_BYTES)).toString('utf8'));
+  return parseJson(schema, (await readBytes(answer, MAX_JSON_BYTES)).toString('utf8'));
 }
 
 /** Reads a 2xx answer whose body means nothing, so that its connection can be used again. */
-export async function readNothing(answer: HttpAnswer): Promise<void> {
+export async function discardSuccessfulAnswer(answer: HttpAnswer): Promise<void> {
   await requireSuccess(answer);
-  await readBytes(answer, MOST_JSON_BYTES);
+  await readBytes(answer, MAX_JSON_BYTES);
 }
--- a/packages/adapters/src/http/readCompletion.test.ts
+++ b/packages/adapters/src/http/readCompletion.test.ts
@@ -3,7 +3,7 @@
 import { BackendServerFailure } from '../BackendServerFailure.js';
 import type { CompletionChunk } from '../EngineAdapter.js';
 import { readCompletion } from './readCompletion.js';
-import { MOST_LINE_CHARACTERS } from './EventDataSplitter.js';
+import { MAX_LINE_CHARACTERS } from './EventDataSplitter.js';
 
 function encodeChunk(choice: object, rest: object = {}): string {
   return `data: ${JSON.stringify({ choices: [choice], ...rest })}\n\n`;
@@ -44,7 +44,7 @@
   'no finish reason': ['data: [DONE]\n\n', 'malformed'],
   'no JSON': ['data: {"choices"\n\n', 'malformed'],
   'a tool call': [encodeChunk({ delta: { tool_calls: [{}] } }), 'malformed'],
-  'a line without end': [`data: ${'x'.repeat(MOST_LINE_CHARACTERS)}`, 'malformed'],
+  'a line without end': [`data: ${'x'.repeat(MAX_LINE_CHARACTERS)}`, 'malformed'],
 } as const;
 
 Object.entries(faults).forEach(([name, [text, failure]]) => {
--- a/packages/adapters/src/index.ts
+++ b/packages/adapters/src/index.ts
@@ -5,7 +5,7 @@
 export * from './RelayAdapter.js';
 export * from './SingletonAdapter.js';
 export * from './WeightStoreAdapter.js';
-export * from './SignOfLife.js';
+export * from './ProbeResponse.js';
 export { connectionHeaders } from './http/connectionHeaders.js';
 export { HttpEngineAdapter } from './http/HttpEngineAdapter.js';
 export { HttpPlainServiceAdapter } from './http/HttpPlainServiceAdapter.js';
--- a/packages/testing/src/adapters/HttpPlainServiceAdapter.test.ts
+++ b/packages/testing/src/adapters/HttpPlainServiceAdapter.test.ts
@@ -17,14 +17,14 @@
   path: '/offers?shop=3',
   headers: { 'content-type': 'application/json', 'idempotency-key': 'offer-1' },
   body: Buffer.from('{"lot":17}'),
-  fresh: true,
+  requiresNewConnection: true,
   signal,
 };
 
 async function meet(t: TestContext, mostAnswerBytes?: number) {
   const service = await FakePlainService.start();
   const { host, port } = service;
-  const adapter = new HttpPlainServiceAdapter({ host, port, mostAnswerBytes });
+  const adapter = new HttpPlainServiceAdapter({ host, port, maxAnswerBytes: mostAnswerBytes });
   t.after(async () => {
     await adapter.close();
     await service.close();
@@ -146,7 +146,7 @@
 test('an answer above the bound is malformed, and its connection dropped', async (t) => {
   const { service, adapter } = await meet(t, 64);
   service.answerWith(() => ({ status: 200, body: 'x'.repeat(65) }));
-  const answer = await adapter.send({ ...offer, fresh: false });
+  const answer = await adapter.send({ ...offer, requiresNewConnection: false });
   await assert.rejects(readText(answer), hasFailure('malformed', 'maybe'));
 });
 
--- a/packages/testing/src/fakes/FakeControl.test.ts
+++ b/packages/testing/src/fakes/FakeControl.test.ts
@@ -27,7 +27,7 @@
       path: `/control/${path}`,
       headers: {},
       body: body === undefined ? undefined : Buffer.from(JSON.stringify(body)),
-      fresh: false,
+      requiresNewConnection: false,
       signal,
     });
     const parts = [];
--- a/packages/transport/src/ConfigurationFollower.test.ts
+++ b/packages/transport/src/ConfigurationFollower.test.ts
@@ -11,11 +11,11 @@
 // holds is older than what the entry has in force, and so are the changes it catches up with.
 test('what an older store sends is dropped until it has caught up', () => {
   const follower = new ConfigurationFollower();
-  assert.equal(follower.takeWhole(at(5)), 'newer');
-  assert.equal(follower.takeWhole(at(3)), 'old');
-  assert.equal(follower.takeDelta({ fromRevision: 3, toRevision: 4 }), 'old');
-  assert.equal(follower.takeDelta({ fromRevision: 4, toRevision: 5 }), 'old');
-  assert.equal(follower.takeDelta({ fromRevision: 5, toRevision: 6 }), 'newer');
+  assert.equal(follower.applyConfiguration(at(5)), 'newer');
+  assert.equal(follower.applyConfiguration(at(3)), 'old');
+  assert.equal(follower.applyConfigurationDelta({ fromRevision: 3, toRevision: 4 }), 'old');
+  assert.equal(follower.applyConfigurationDelta({ fromRevision: 4, toRevision: 5 }), 'old');
+  assert.equal(follower.applyConfigurationDelta({ fromRevision: 5, toRevision: 6 }), 'newer');
   assert.equal(follower.newest?.revision, 6);
 });
 
@@ -23,9 +23,9 @@
 // held would leave out rows, so nothing is taken and the whole is asked for.
 test('a delta that does not join is a gap and changes nothing', () => {
   const follower = new ConfigurationFollower();
-  assert.equal(follower.takeDelta({ fromRevision: 0, toRevision: 1 }), 'gap');
-  follower.takeWhole(at(5));
-  assert.equal(follower.takeDelta({ fromRevision: 6, toRevision: 7 }), 'gap');
-  assert.equal(follower.takeDelta({ fromRevision: 4, toRevision: 6 }), 'gap');
+  assert.equal(follower.applyConfigurationDelta({ fromRevision: 0, toRevision: 1 }), 'gap');
+  follower.applyConfiguration(at(5));
+  assert.equal(follower.applyConfigurationDelta({ fromRevision: 6, toRevision: 7 }), 'gap');
+  assert.equal(follower.applyConfigurationDelta({ fromRevision: 4, toRevision: 6 }), 'gap');
   assert.equal(follower.newest?.revision, 5);
 });
--- a/packages/transport/src/ConfigurationFollower.ts
+++ b/packages/transport/src/ConfigurationFollower.ts
@@ -5,7 +5,7 @@
 import { applyDelta, type Configuration, type ConfigurationDelta } from '@hornbeampond/schema';
 
 /** `gap`: changes were missed, and a whole configuration has to be asked for. */
-export type FollowResult = 'newer' | 'old' | 'gap';
+export type ConfigurationUpdateResult = 'newer' | 'old' | 'gap';
 
 export class ConfigurationFollower {
   private held: Configuration | undefined;
@@ -20,13 +20,13 @@
    * follows as soon as it has caught up. The same revision again is handed on: it says that
    * stores can be reached.
    */
-  takeWhole(configuration: Configuration): FollowResult {
+  applyConfiguration(configuration: Configuration): ConfigurationUpdateResult {
     if (this.held !== undefined && configuration.revision < this.held.revision) return 'old';
     this.held = configuration;
     return 'newer';
   }
 
-  takeDelta(delta: ConfigurationDelta): FollowResult {
+  applyConfigurationDelta(delta: ConfigurationDelta): ConfigurationUpdateResult {
     if (this.held === undefined) return 'gap';
     if (delta.toRevision <= this.held.revision) return 'old';
     const joined = applyDelta(this.held, delta);
--- a/packages/transport/src/FrameCodec.ts
+++ b/packages/transport/src/FrameCodec.ts
@@ -8,20 +8,20 @@
 const LENGTH_BYTES = 4;
 
 /** Largest frame in bytes; a whole configuration of the target's size fits. */
-export const MOST_FRAME_BYTES = 64 * 1024 * 1024;
+export const MAX_FRAME_BYTES = 64 * 1024 * 1024;
 
 const codec = new Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false });
 
 export class FrameTooLargeError extends Error {
   constructor(readonly frameBytes: number) {
-    super(`a frame of ${frameBytes} bytes is above the bound of ${MOST_FRAME_BYTES}`);
+    super(`a frame of ${frameBytes} bytes is above the bound of ${MAX_FRAME_BYTES}`);
   }
 }
 
 /** Makes the bytes of one frame. */
 export function encodeFrame(body: unknown): Buffer {
   const content = codec.encode(body);
-  if (content.length > MOST_FRAME_BYTES) throw new FrameTooLargeError(content.length);
+  if (content.length > MAX_FRAME_BYTES) throw new FrameTooLargeError(content.length);
   const frame = Buffer.allocUnsafe(LENGTH_BYTES + content.length);
   frame.writeUInt32BE(content.length, 0);
   content.copy(frame, LENGTH_BYTES);
@@ -34,10 +34,10 @@
 
   private buffered = 0;
 
-  constructor(private mostFrameBytes = MOST_FRAME_BYTES) {}
+  constructor(private mostFrameBytes = MAX_FRAME_BYTES) {}
 
   /** Bounds the frames from here on. */
-  allow(mostFrameBytes: number): void {
+  setMaxFrameBytes(mostFrameBytes: number): void {
     this.mostFrameBytes = mostFrameBytes;
   }
 
@@ -45,7 +45,7 @@
    * Takes in bytes and gives the bodies of all frames that are whole now, one at a time: what one
    * frame means may change the bound for the next.
    */
-  *push(chunk: Buffer): Generator {
+  *decode(chunk: Buffer): Generator {
     this.chunks.push(chunk);
     this.buffered += chunk.length;
     for (let length = this.wholeFrame(); length !== undefined; length = this.wholeFrame()) {
--- a/packages/transport/src/InstanceListFollower.ts
+++ b/packages/transport/src/InstanceListFollower.ts
@@ -10,7 +10,7 @@
     return instances;
   }
 
-  apply({ changed, gone }: InstanceListDelta): readonly SharedInstance[] {
+  applyDelta({ changed, gone }: InstanceListDelta): readonly SharedInstance[] {
     gone.forEach((name) => this.known.delete(name));
     changed.forEach((instance) => this.known.set(instance.instance, instance));
     return [...this.known.values()];
--- a/packages/transport/src/PeerClient.ts
+++ b/packages/transport/src/PeerClient.ts
@@ -82,7 +82,7 @@
       });
       const fail = (reason: string) => {
         settle();
-        connection.forget(id);
+        connection.discardResponse(id);
         reject(new PeerRequestError(reason, 'maybe'));
       };
       const lost = () => fail('the connection was lost');
@@ -130,7 +130,7 @@
       onClose: () => this.lose(connection),
     });
     this.connection = connection;
-    socket.once('connect', () => connection.begin());
+    socket.once('connect', () => connection.startHandshake());
   }
 
   private lose(connection: PeerConnection): void {
--- a/packages/transport/src/PeerConnection.test.ts
+++ b/packages/transport/src/PeerConnection.test.ts
@@ -215,7 +215,7 @@
   await ended;
   assert.ok(server.log.events.includes('frameRejected'));
   const decoder = new FrameDecoder(64);
-  assert.throws(() => [...decoder.push(encodeFrame('x'.repeat(65)))], FrameTooLargeError);
+  assert.throws(() => [...decoder.decode(encodeFrame('x'.repeat(65)))], FrameTooLargeError);
 });
 
 test('a first message that is no greeting is refused', bounded, async (context) => {
@@ -238,7 +238,7 @@
     const decoder = new FrameDecoder();
     const out: unknown[] = [];
     for (let at = 0; at < bytes.length; at += step) {
-      out.push(...decoder.push(bytes.subarray(at, at + step)));
+      out.push(...decoder.decode(bytes.subarray(at, at + step)));
     }
     assert.deepEqual(out, bodies, `cut every ${step} bytes`);
   });
--- a/packages/transport/src/PeerConnection.ts
+++ b/packages/transport/src/PeerConnection.ts
@@ -7,14 +7,14 @@
  */
 import type { Socket } from 'node:net';
 import type { Logger, Metrics, TimerService, Unsubscribe } from '@hornbeampond/runtime';
-import { FrameDecoder, MOST_FRAME_BYTES, encodeFrame } from './FrameCodec.js';
+import { FrameDecoder, MAX_FRAME_BYTES, encodeFrame } from './FrameCodec.js';
 import type {
   HandshakeMessage,
   PeerIdentity,
   PeerMessage,
   SessionMessage,
 } from './peerMessages.js';
-import { makeNonce, makeProof, sameProof, type Handshake } from './proveSecret.js';
+import { makeNonce, makeProof, areProofsEqual, type Handshake } from './makeProof.js';
 
 /** What every connection of a process shares. */
 export interface PeerContext {
@@ -100,7 +100,7 @@
   }
 
   /** Begins the handshake; for the client side, once its socket is connected. */
-  begin(): void {
+  startHandshake(): void {
     this.write({ type: 'hello', identity: this.context.identity, nonce: this.nonce });
   }
 
@@ -114,7 +114,7 @@
   }
 
   /** Forgets a request: its response will be dropped. */
-  forget(id: number): void {
+  discardResponse(id: number): void {
     this.pending.delete(id);
   }
 
@@ -170,7 +170,7 @@
     this.silentHeartbeats = 0;
     this.context.metrics?.count({ metric: 'frameBytes', label: 'in', amount: chunk.length });
     try {
-      for (const message of this.decoder.push(chunk)) {
+      for (const message of this.decoder.decode(chunk)) {
         this.context.metrics?.count({ metric: 'frames', label: 'in' });
         if (this.closed) return;
         this.take(message as PeerMessage);
@@ -272,12 +272,12 @@
 
   private proofHolds(side: 'client' | 'server', proof: Uint8Array): boolean {
     if (this.handshake === undefined) return false;
-    return sameProof(proof, makeProof(this.context.secret, side, this.handshake));
+    return areProofsEqual(proof, makeProof(this.context.secret, side, this.handshake));
   }
 
   private open(): void {
     this.expecting = 'session';
-    this.decoder.allow(MOST_FRAME_BYTES);
+    this.decoder.setMaxFrameBytes(MAX_FRAME_BYTES);
     if (this.peerIdentity !== undefined) this.handlers.onOpen(this.peerIdentity);
   }
 
--- a/packages/transport/src/StoreClient.ts
+++ b/packages/transport/src/StoreClient.ts
@@ -74,7 +74,7 @@
       report,
       handlers,
       readStores: () => this.stores,
-      onStores: (members) => {
+      onMembers: (members) => {
         this.members = members;
         this.connectToAll();
       },
@@ -102,7 +102,7 @@
   }
 
   /** Sends a request that only the leader carries out. */
-  async askLeader(request: StoreRequest, timeout: Milliseconds): Promise<StoreResponse> {
+  async requestFromLeader(request: StoreRequest, timeout: Milliseconds): Promise<StoreResponse> {
     const outcome = await this.ask(request, timeout);
     if (outcome.type === 'answered') return outcome.response;
     return { type: outcome.type, reason: 'no quorum of stores can be reached' };
@@ -160,7 +160,7 @@
   }
 
   /** Takes over the stores that changed settings name. */
-  useSeeds(addresses: readonly StoreAddress[]): void {
+  setSeeds(addresses: readonly StoreAddress[]): void {
     this.seeds = addresses;
     this.connectToAll();
   }
@@ -176,7 +176,7 @@
     this.stores.forEach((store) => {
       if (!store.client.isOpen) return;
       store.client.request(request, STATUS_MILLISECONDS).then(
-        (response) => this.subscription.hear(store, response as StoreResponse),
+        (response) => this.subscription.handleReportResponse(store, response as StoreResponse),
         () => {},
       );
     });
@@ -209,8 +209,8 @@
   private connect(address: StoreAddress): PeerClient {
     return new PeerClient(address, this.context, {
       onOpen: () => this.subscription.subscribeIfNeeded(),
-      onPush: (body) => this.subscription.receive(address, body as StorePush),
-      onClose: () => this.subscription.leave(address),
+      onPush: (body) => this.subscription.receivePush(address, body as StorePush),
+      onClose: () => this.subscription.handleDisconnect(address),
     });
   }
 
--- a/packages/transport/src/StoreSubscription.test.ts
+++ b/packages/transport/src/StoreSubscription.test.ts
@@ -54,7 +54,7 @@
     report: REPORT,
     handlers: { onConfiguration: ({ revision }) => revisions.push(revision) },
     readStores: () => [own, other],
-    onStores: () => {},
+    onMembers: () => {},
   });
   subscription.subscribeIfNeeded();
   await settle();
@@ -74,8 +74,8 @@
 test('an entry leaves a store that is behind what another store holds', async () => {
   const { timers, own, other, revisions, subscription } = await follow();
   other.revision = 4;
-  subscription.hear(own, own.accepted);
-  subscription.hear(other, other.accepted);
+  subscription.handleReportResponse(own, own.accepted);
+  subscription.handleReportResponse(other, other.accepted);
   timers.advance(249);
   await settle();
   assert.deepEqual(revisions, [3]);
@@ -90,9 +90,9 @@
 test('an entry stays with its store if the change comes from there a moment later', async () => {
   const { timers, own, other, revisions, subscription } = await follow();
   other.revision = 4;
-  subscription.hear(other, other.accepted);
+  subscription.handleReportResponse(other, other.accepted);
   timers.advance(20);
-  subscription.receive(own.address, {
+  subscription.receivePush(own.address, {
     type: 'configurationDelta',
     delta: { fromRevision: 3, toRevision: 4 },
   });
@@ -106,7 +106,7 @@
 test('an older store draws nobody', async () => {
   const { timers, other, subscription } = await follow();
   other.revision = 2;
-  subscription.hear(other, other.accepted);
+  subscription.handleReportResponse(other, other.accepted);
   timers.advance(1000);
   await settle();
   assert.equal(other.subscriptions, 0);
--- a/packages/transport/src/StoreSubscription.ts
+++ b/packages/transport/src/StoreSubscription.ts
@@ -26,7 +26,7 @@
 } from '@hornbeampond/schema';
 import type { TimerService, Unsubscribe } from '@hornbeampond/runtime';
 import { InstanceListFollower } from './InstanceListFollower.js';
-import { ConfigurationFollower, type FollowResult } from './ConfigurationFollower.js';
+import { ConfigurationFollower, type ConfigurationUpdateResult } from './ConfigurationFollower.js';
 import type { PeerClient } from './PeerClient.js';
 
 export interface StoreClientHandlers {
@@ -34,12 +34,12 @@
   onQuarantine?(quarantine: readonly QuarantineRecord[]): void;
   onEntryReport?(report: EntryReport): void;
   onUsage?(usage: readonly EntryUsage[]): void;
-  onWork?(work: WorkReport): void;
-  onSpending?(spending: SpendingReport): void;
+  onWorkReport?(work: WorkReport): void;
+  onSpendingReport?(spending: SpendingReport): void;
   /** A reading of the platform's list that another process has made, and its age. */
-  onInstances?(instances: readonly SharedInstance[], age: Milliseconds): void;
+  onInstanceList?(instances: readonly SharedInstance[], age: Milliseconds): void;
   /** What starting entries may learn from a store. */
-  onRemembered?(remembered: PersistedEntryData): void;
+  onPersistedState?(remembered: PersistedEntryData): void;
 }
 
 export interface StorePeer {
@@ -54,7 +54,7 @@
   readonly handlers: StoreClientHandlers;
   readStores(): readonly StorePeer[];
   /** Told the members of the log. */
-  onStores(members: readonly VoterAddress[]): void;
+  onMembers(members: readonly VoterAddress[]): void;
 }
 
 /** What one store is asked to send. */
@@ -117,7 +117,7 @@
   }
 
   /** Takes in a push of the store at this address. */
-  receive(address: StoreAddress, push: StorePush): void {
+  receivePush(address: StoreAddress, push: StorePush): void {
     const { subscription } = this;
     if (subscription?.store.address !== address) return;
     if (subscription.isAnswered) this.take(push);
@@ -125,14 +125,14 @@
   }
 
   /** The connection to the store at this address is lost. */
-  leave(address: StoreAddress): void {
+  handleDisconnect(address: StoreAddress): void {
     if (this.subscription?.store.address !== address) return;
     this.subscription = undefined;
     this.subscribeIfNeeded();
   }
 
   /** Compares what a store says it holds with what is held here. */
-  hear(store: StorePeer, response: StoreResponse): void {
+  handleReportResponse(store: StorePeer, response: StoreResponse): void {
     if (response.type !== 'accepted' || response.revision === undefined) return;
     const { revision } = response;
     if (this.cancelMove !== undefined || this.holds(revision)) return;
@@ -176,10 +176,10 @@
     this.passedOver.clear();
     this.takeInstances(response);
     // Ahead of the configuration: with that the requests that have waited for it are admitted.
-    this.options.handlers.onRemembered?.(response.remembered);
-    this.note(this.follower.takeWhole(response.configuration));
+    this.options.handlers.onPersistedState?.(response.remembered);
+    this.note(this.follower.applyConfiguration(response.configuration));
     this.options.handlers.onQuarantine?.(response.quarantine);
-    this.options.onStores(response.stores);
+    this.options.onMembers(response.stores);
     subscription.early.forEach((push) => this.take(push));
   }
 
@@ -188,17 +188,17 @@
     instancesAge = 0,
   }: Extract<StoreResponse, { type: 'subscribed' }>): void {
     this.instances.reset(instances);
-    if (instances !== undefined) this.options.handlers.onInstances?.(instances, instancesAge);
+    if (instances !== undefined) this.options.handlers.onInstanceList?.(instances, instancesAge);
   }
 
   private take(push: StorePush): void {
-    const { handlers, onStores } = this.options;
+    const { handlers, onMembers: onStores } = this.options;
     switch (push.type) {
       case 'configuration':
-        this.note(this.follower.takeWhole(push.configuration));
+        this.note(this.follower.applyConfiguration(push.configuration));
         return;
       case 'configurationDelta':
-        this.note(this.follower.takeDelta(push.delta));
+        this.note(this.follower.applyConfigurationDelta(push.delta));
         return;
       case 'quarantine':
         handlers.onQuarantine?.(push.quarantine);
@@ -210,16 +210,16 @@
         handlers.onEntryReport?.(push.report);
         return;
       case 'instances':
-        handlers.onInstances?.(this.instances.apply(push), 0);
+        handlers.onInstanceList?.(this.instances.applyDelta(push), 0);
         return;
       case 'work':
-        push.reports.forEach((report) => handlers.onWork?.(report));
+        push.reports.forEach((report) => handlers.onWorkReport?.(report));
         return;
       case 'usage':
         handlers.onUsage?.(push.usage);
         return;
       case 'spending':
-        handlers.onSpending?.(push.spending);
+        handlers.onSpendingReport?.(push.spending);
         return;
       default:
         this.leaveOutOfTouch();
@@ -237,7 +237,7 @@
   }
 
   /** Hands on what is newer; after a gap it asks the same store for all of it. */
-  private note(result: FollowResult): void {
+  private note(result: ConfigurationUpdateResult): void {
     const { newest } = this.follower;
     if (result === 'newer' && newest !== undefined) {
       this.options.handlers.onConfiguration?.(newest);
--- a/packages/transport/src/proveSecret.ts
+++ b/packages/transport/src/makeProof.ts
@@ -34,6 +34,6 @@
   return createHmac('sha256', secret).update(text).digest();
 }
 
-export function sameProof(left: Uint8Array, right: Uint8Array): boolean {
+export function areProofsEqual(left: Uint8Array, right: Uint8Array): boolean {
   return left.length === right.length && timingSafeEqual(left, right);
 }
--- a/packages/transport/src/sharedInstances.ts
+++ b/packages/transport/src/sharedInstances.ts
@@ -1,7 +1,7 @@
 /** Instances as processes tell them to each other: times are told as spans, since clocks differ. */
 import type { EpochMilliseconds, PlatformInstance, SharedInstance } from '@hornbeampond/schema';
 
-export function toShared(
+export function toSharedInstances(
   instances: readonly PlatformInstance[],
   wallNow: EpochMilliseconds,
 ): SharedInstance[] {
@@ -10,7 +10,7 @@
   );
 }
 
-export function fromShared(
+export function fromSharedInstances(
   instances: readonly SharedInstance[],
   wallNow: EpochMilliseconds,
 ): PlatformInstance[] {
