--- a/apps/controller/src/ControllerProcess.ts
+++ b/apps/controller/src/ControllerProcess.ts
@@ -33,7 +33,7 @@
 import { OperatorServer, StoreClient, writeJson, type PeerContext } from '@hornbeampond/transport';
 import { FleetExchange } from './FleetExchange.js';
 import { FleetWatcher } from './FleetWatcher.js';
-import { LeaseKeeper, LONGEST_ORDER_MILLISECONDS } from './LeaseKeeper.js';
+import { LeaseClient, MAX_ORDER_DURATION_MILLISECONDS } from './LeaseClient.js';
 
 const TICK_MILLISECONDS = 250;
 
@@ -69,7 +69,7 @@
 
   private readonly weightStore: WeightStoreAdapter | undefined;
 
-  private readonly lease: LeaseKeeper;
+  private readonly lease: LeaseClient;
 
   private readonly watcher: FleetWatcher;
 
@@ -112,12 +112,12 @@
       settings.weightStore === undefined
         ? undefined
         : new HttpWeightStoreAdapter(settings.weightStore.url);
-    this.lease = new LeaseKeeper({
+    this.lease = new LeaseClient({
       store: this.store,
       timers,
       logger: this.logger,
       lease: `controller/${dataCentre}`,
-      longestOrder: LONGEST_ORDER_MILLISECONDS,
+      maxOrderDuration: MAX_ORDER_DURATION_MILLISECONDS,
       holder: `${instance}/${timers.wallNow().toString(36)}`,
       duration: settings.leaseMilliseconds,
       onHeld: (epoch, unfencedFrom) => this.dispatch({ type: 'leaseHeld', epoch, unfencedFrom }),
@@ -132,7 +132,7 @@
       pollMilliseconds: settings.platform.pollMilliseconds,
       readConfiguration: () => this.loop.state.configuration,
       onListed: (instances) => this.dispatch({ type: 'platformListed', instances }),
-      onNotice: (noticed, goneAt) =>
+      onReclaimNotice: (noticed, goneAt) =>
         this.dispatch({ type: 'reclaimNoticed', instance: noticed, goneAt }),
       onLoad: (report) => this.dispatch({ type: 'loadReported', report }),
       onLost: (lost) => this.dispatch({ type: 'instanceLost', instance: lost }),
@@ -182,7 +182,7 @@
     this.logger.write('shutdownStarted', {});
     this.stopTicks();
     this.loseLease();
-    this.lease.stop();
+    this.lease.release();
     await this.timers.wait(RELEASE_MILLISECONDS);
     await this.close();
     this.logger.write('shutdownFinished', {});
@@ -237,11 +237,11 @@
         return;
       case 'drainInstance':
         this.drained.add(effect.instance);
-        this.exchange.exchange();
+        this.exchange.exchangeNow();
         return;
       case 'restoreInstance':
         this.drained.delete(effect.instance);
-        this.exchange.exchange();
+        this.exchange.exchangeNow();
         return;
       case 'endInstance':
         void this.endInstance(effect.instance);
@@ -301,9 +301,9 @@
       }
       const engine = this.watcher.findEngine(instance);
       // Asked at the last moment: the permission above may have taken longer than the lease.
-      const allowed = this.lease.mayGiveOrder(this.watcher.checksFencing(instance));
+      const allowed = this.lease.maySendOrder(this.watcher.checksFencing(instance));
       if (engine === undefined || !allowed) return { type: 'lost' };
-      const signal = AbortSignal.timeout(LONGEST_ORDER_MILLISECONDS);
+      const signal = AbortSignal.timeout(MAX_ORDER_DURATION_MILLISECONDS);
       return { type: await engine.sendOrder(order, signal) };
     } catch {
       return { type: 'lost' };
--- a/apps/controller/src/FleetExchange.ts
+++ b/apps/controller/src/FleetExchange.ts
@@ -66,7 +66,7 @@
   }
 
   async start(): Promise<number> {
-    this.stopExchange = this.options.timers.every(INTERVAL_MILLISECONDS, () => this.exchange());
+    this.stopExchange = this.options.timers.every(INTERVAL_MILLISECONDS, () => this.exchangeNow());
     return this.server.listen(this.options.settings.peerListen);
   }
 
@@ -77,7 +77,7 @@
   }
 
   /** Tells entries of a drain at once, rather than at the next interval. */
-  exchange(): void {
+  exchangeNow(): void {
     const report = this.options.readReport(this.reports % REPORTS_PER_SHAPES === 0);
     this.reports += 1;
     if (report !== undefined) this.controllers.forEach(({ client }) => client.push(report));
--- a/apps/controller/src/FleetWatcher.ts
+++ b/apps/controller/src/FleetWatcher.ts
@@ -27,10 +27,10 @@
   readonly dataCentre: string;
   readonly pollMilliseconds: Milliseconds;
   /** How long an instance may answer nothing; 30 s unless given. */
-  readonly lostMilliseconds?: Milliseconds;
+  readonly maxUnansweredMilliseconds?: Milliseconds;
   readConfiguration(): Configuration;
   onListed(instances: readonly PlatformInstance[]): void;
-  onNotice(instance: string, goneAt: EpochMilliseconds): void;
+  onReclaimNotice(instance: string, goneAt: EpochMilliseconds): void;
   onLoad(report: LoadReport): void;
   /** The instance is dead beyond doubt. */
   onLost(instance: string): void;
@@ -104,7 +104,13 @@
   }
 
   private async pollPlatform(): Promise<void> {
-    const { platform, pollMilliseconds, onListed, onNotice, logger } = this.options;
+    const {
+      platform,
+      pollMilliseconds,
+      onListed,
+      onReclaimNotice: onNotice,
+      logger,
+    } = this.options;
     const signal = AbortSignal.timeout(pollMilliseconds * 2);
     try {
       const [instances, notices] = await Promise.all([
@@ -134,7 +140,7 @@
       const now = this.options.timers.monotonicNow();
       const since = this.unansweredSince.get(instance) ?? now;
       this.unansweredSince.set(instance, since);
-      const patience = this.options.lostMilliseconds ?? LOST_MILLISECONDS;
+      const patience = this.options.maxUnansweredMilliseconds ?? LOST_MILLISECONDS;
       if (now - since >= patience) await this.checkLost(listed);
     }
   }
--- a/apps/controller/src/LeaseKeeper.ts
+++ b/apps/controller/src/LeaseClient.ts
@@ -20,12 +20,12 @@
 import type { StoreClient } from '@hornbeampond/transport';
 
 /** An order is given up after this long, also by an engine that took it in late. */
-export const LONGEST_ORDER_MILLISECONDS: Milliseconds = 5000;
+export const MAX_ORDER_DURATION_MILLISECONDS: Milliseconds = 5000;
 
 /** A third of the lease: two asks may be lost before it ends. */
 const RENEWALS_PER_LEASE = 3;
 
-export interface LeaseKeeperOptions {
+export interface LeaseClientOptions {
   readonly store: StoreClient;
   readonly timers: TimerService;
   readonly logger: Logger;
@@ -35,12 +35,12 @@
   readonly holder: string;
   readonly duration: Milliseconds;
   /** Longest time from the decision to give an order until it can act no more. */
-  readonly longestOrder: Milliseconds;
+  readonly maxOrderDuration: Milliseconds;
   onHeld(epoch: number, unfencedFrom: number): void;
   onLost(): void;
 }
 
-export class LeaseKeeper {
+export class LeaseClient {
   private readonly lease: LeaseHolder;
 
   private cancelAsk: Unsubscribe = () => {};
@@ -54,14 +54,14 @@
 
   private heldUntilWall = Number.NEGATIVE_INFINITY;
 
-  constructor(private readonly options: LeaseKeeperOptions) {
+  constructor(private readonly options: LeaseClientOptions) {
     this.lease = makeLeaseHolder({
       lease: options.lease,
       holder: options.holder,
       duration: options.duration,
       renewInterval: options.duration / RENEWALS_PER_LEASE,
       maxClockDriftFraction: MAX_CLOCK_DRIFT_FRACTION,
-      maxOrderDuration: options.longestOrder,
+      maxOrderDuration: options.maxOrderDuration,
     });
   }
 
@@ -74,7 +74,7 @@
    * one of a suspended instance stands still, and a holder that wakes after its lease has ended
    * would go on giving orders beside its successor.
    */
-  mayGiveOrder(checksFencing: boolean): boolean {
+  maySendOrder(checksFencing: boolean): boolean {
     if (this.options.timers.wallNow() >= this.heldUntilWall) return false;
     return maySendOrder(this.lease, this.now, checksFencing);
   }
@@ -95,7 +95,7 @@
   }
 
   /** Gives the lease back, so that a planned replacement need not wait for its end. */
-  stop(): void {
+  release(): void {
     this.cancelAsk();
     this.cancelEnd();
     this.feed({ type: 'stop' });
--- a/apps/controller/src/SingletonProcess.ts
+++ b/apps/controller/src/SingletonProcess.ts
@@ -21,7 +21,7 @@
   type UsageCounts,
 } from '@hornbeampond/schema';
 import { StoreClient, toSharedInstances, type PeerContext } from '@hornbeampond/transport';
-import { LeaseKeeper } from './LeaseKeeper.js';
+import { LeaseClient } from './LeaseClient.js';
 
 const LEASE = 'singleton';
 
@@ -52,7 +52,7 @@
 
   private readonly loop: EventLoop<SingletonState, SingletonEvent, SingletonEffect>;
 
-  private readonly lease: LeaseKeeper;
+  private readonly lease: LeaseClient;
 
   private subscriptions: Unsubscribe[] = [];
 
@@ -79,14 +79,14 @@
       this.makeReport(),
       true,
     );
-    this.lease = new LeaseKeeper({
+    this.lease = new LeaseClient({
       store: this.store,
       timers,
       logger,
       lease: LEASE,
       holder,
       duration: options.leaseMilliseconds,
-      longestOrder: CALL_MILLISECONDS,
+      maxOrderDuration: CALL_MILLISECONDS,
       onHeld: (epoch) => this.dispatch({ type: 'leaseHeld', epoch }),
       onLost: () => this.dispatch({ type: 'leaseLost' }),
     });
@@ -106,7 +106,7 @@
   /** Acts no more and gives the lease back. */
   async stop(): Promise<void> {
     this.subscriptions.forEach((unsubscribe) => unsubscribe());
-    this.lease.stop();
+    this.lease.release();
     await this.options.timers.wait(TICK_MILLISECONDS);
     this.store.close();
   }
@@ -153,7 +153,7 @@
     counts,
     epoch,
   }: Extract<SingletonEffect, { type: 'reportUsage' }>): Promise<void> {
-    if (!this.lease.mayGiveOrder(false)) return;
+    if (!this.lease.maySendOrder(false)) return;
     const { adapter, holder, logger } = this.options;
     try {
       const signal = AbortSignal.timeout(CALL_MILLISECONDS);
@@ -169,7 +169,7 @@
     order,
     epoch,
   }: Extract<SingletonEffect, { type: 'orderSize' }>): Promise<void> {
-    if (!this.lease.mayGiveOrder(false)) return;
+    if (!this.lease.maySendOrder(false)) return;
     const { adapter, holder, logger } = this.options;
     try {
       const signal = AbortSignal.timeout(CALL_MILLISECONDS);
--- a/apps/ctl/src/Command.ts
+++ b/apps/ctl/src/Command.ts
@@ -18,7 +18,7 @@
   /** Values of the verb's own options. */
   readonly options: Readonly<Record<string, string | boolean | undefined>>;
   /** Words after the verb. */
-  readonly words: readonly string[];
+  readonly positionals: readonly string[];
 }
 
 /** Bad input on the command line or in a file; nothing was changed. */
--- a/apps/ctl/src/OperatorClient.ts
+++ b/apps/ctl/src/OperatorClient.ts
@@ -6,7 +6,7 @@
 import { SystemTimerService, type TimerService } from '@hornbeampond/runtime';
 import type { Fault, ProblemDocument, StoreStatus, TableName } from '@hornbeampond/schema';
 
-export interface TableReading {
+export interface VersionedTable {
   readonly revision: number;
   readonly configurationRevision: number;
   readonly rows: readonly Readonly<Record<string, unknown>>[];
@@ -61,7 +61,7 @@
   }
 }
 
-export interface PutTable {
+export interface TableUpdate {
   readonly table: TableName;
   readonly baseRevision: number;
   readonly changeId: string;
@@ -89,8 +89,8 @@
     this.client = new Client(url, { headersTimeout: REQUEST_MILLISECONDS });
   }
 
-  async getTable(table: TableName): Promise<TableReading> {
-    return this.readJson(await this.send('GET', `/tables/${table}`)) as TableReading;
+  async getTable(table: TableName): Promise<VersionedTable> {
+    return this.readJson(await this.send('GET', `/tables/${table}`)) as VersionedTable;
   }
 
   async getStatus(): Promise<EntryStatus> {
@@ -104,7 +104,7 @@
   }
 
   /** Puts a table and returns its new revision. */
-  async putTable({ table, baseRevision, changeId, rows }: PutTable): Promise<number> {
+  async putTable({ table, baseRevision, changeId, rows }: TableUpdate): Promise<number> {
     const headers = { 'if-match': `"${baseRevision}"`, 'idempotency-key': changeId };
     const body = JSON.stringify({ rows });
     for (let sends = 1; ; sends += 1) {
--- a/apps/ctl/src/commands/describeStatus.ts
+++ b/apps/ctl/src/commands/describeStatus.ts
@@ -1,8 +1,8 @@
 /** The state of the system at a glance, as `status` and `watch` print it. */
 import type { EntryStatus } from '../OperatorClient.js';
 import type { Paint } from '../paint.js';
-import { printTable } from '../printTable.js';
-import { describeStores, findNewestStore } from './describeStores.js';
+import { formatTable } from '../formatTable.js';
+import { describeStores, findMostUpToDateStore } from './describeStores.js';
 
 type BackendServer = EntryStatus['backendServers'][number];
 
@@ -31,7 +31,7 @@
   });
   const titles = ['pool', 'live', 'starting', 'leaving', 'in progress here', 'euros an hour'];
   const total = rows.length > 0 ? [`cost: ${sumPrices(servers)} euros an hour`] : [];
-  return [...printTable(titles, rows), ...total];
+  return [...formatTable(titles, rows), ...total];
 }
 
 function describeCounts(title: string, counts: Readonly<Record<string, number>> = {}): string[] {
@@ -42,14 +42,14 @@
 }
 
 export function describeStatus(status: EntryStatus, paint: Paint): string[] {
-  const newest = findNewestStore(status.stores);
+  const newest = findMostUpToDateStore(status.stores);
   return [
     describeEntry(status, paint),
     ...describeCounts('refusals since its start', status.refusals),
     ...describeCounts('retries since its start', status.retries),
     ...describeCounts('recomputed tokens since its start', status.recomputedTokens),
     ...describeStores(status.stores, paint),
-    ...printTable(
+    ...formatTable(
       ['instance', 'data centre', 'role', 'revision in force'],
       (newest?.instances ?? []).map((report) => [
         report.instance,
@@ -58,13 +58,13 @@
         `${report.revision}${report.cutOff ? ' (cut off)' : ''}`,
       ]),
     ),
-    ...printTable(
+    ...formatTable(
       ['lease', 'holder', 'epoch'],
       (newest?.leases ?? []).map((lease) => [lease.lease, lease.holder, lease.epoch]),
     ),
     `quarantined requests: ${newest?.quarantine.length ?? 'not known'}`,
     ...describePools(status.backendServers),
-    ...printTable(
+    ...formatTable(
       ['backend server', 'pool', 'data centre', 'state', 'in progress here'],
       status.backendServers.map((server) => [
         server.instance,
--- a/apps/ctl/src/commands/describeStores.ts
+++ b/apps/ctl/src/commands/describeStores.ts
@@ -1,7 +1,7 @@
 /** The stores as they see themselves, for `status` and `store status`. */
 import type { StoreStatus } from '@hornbeampond/schema';
 import type { Paint } from '../paint.js';
-import { printTable } from '../printTable.js';
+import { formatTable } from '../formatTable.js';
 
 function describeLeader(stores: readonly StoreStatus[], paint: Paint): string {
   const leader = stores.find((store) => store.role === 'leader');
@@ -22,12 +22,12 @@
     store.appliedIndex,
     store.configurationRevision,
   ]);
-  const table = printTable(['store', 'role', 'term', 'commit', 'applied', 'revision'], rows);
+  const table = formatTable(['store', 'role', 'term', 'commit', 'applied', 'revision'], rows);
   return [describeLeader(stores, paint), ...table];
 }
 
 /** The store that knows most, whose word on leases, instances and quarantine is taken. */
-export function findNewestStore(stores: readonly StoreStatus[]): StoreStatus | undefined {
+export function findMostUpToDateStore(stores: readonly StoreStatus[]): StoreStatus | undefined {
   return stores.reduce<StoreStatus | undefined>(
     (most, store) => (store.appliedIndex > (most?.appliedIndex ?? -1) ? store : most),
     undefined,
--- a/apps/ctl/src/commands/plan.ts
+++ b/apps/ctl/src/commands/plan.ts
@@ -3,7 +3,7 @@
 import { Command, type CommandContext } from '../Command.js';
 import type { PlanRow } from '../OperatorClient.js';
 import type { Colour } from '../paint.js';
-import { printTable } from '../printTable.js';
+import { formatTable } from '../formatTable.js';
 
 const colourOfAction: Readonly<Record<string, Colour>> = {
   buy: 'green',
@@ -32,7 +32,7 @@
     row.serving,
     `${row.action}: ${row.reason}`,
   ]);
-  return printTable(titles, cells);
+  return formatTable(titles, cells);
 }
 
 /** Pools that cannot have what their deadlines need; each row of a pool carries the same figure. */
--- a/apps/ctl/src/commands/stores.ts
+++ b/apps/ctl/src/commands/stores.ts
@@ -30,7 +30,7 @@
 
   override readonly example = 'hornbeampondctl store remove store-eisenstadt-1';
 
-  override async run({ client, words, print }: CommandContext): Promise<number> {
+  override async run({ client, positionals: words, print }: CommandContext): Promise<number> {
     const [instance] = words;
     if (instance === undefined) throw new UsageError(['name the instance to remove']);
     await client.post('/store/remove', { instance });
--- a/apps/ctl/src/commands/tables.ts
+++ b/apps/ctl/src/commands/tables.ts
@@ -4,8 +4,8 @@
 import { exitCodes } from '@hornbeampond/runtime';
 import { Command, UsageError, type CommandContext } from '../Command.js';
 import { ProblemError, type EntryStatus } from '../OperatorClient.js';
-import { describeDifference, printDifference } from '../describeDifference.js';
-import { readTableFile, readTableName } from '../readTableFile.js';
+import { findRowDifferences, formatRowDifference } from '../findRowDifferences.js';
+import { readTableFile, parseTableName } from '../readTableFile.js';
 
 /** A change lost the race against another. */
 export const EXIT_RACE_LOST = 3;
@@ -25,8 +25,8 @@
 
   override readonly example = 'hornbeampondctl tables get routes > routes.toml';
 
-  override async run({ client, words, json, print }: CommandContext): Promise<number> {
-    const table = readTableName(words[0]);
+  override async run({ client, positionals: words, json, print }: CommandContext): Promise<number> {
+    const table = parseTableName(words[0]);
     const reading = await client.getTable(table);
     if (json) {
       print(JSON.stringify(reading));
@@ -47,14 +47,14 @@
 
   override readonly example = 'hornbeampondctl tables diff routes routes.toml';
 
-  override async run({ client, words, json, print }: CommandContext): Promise<number> {
-    const table = readTableName(words[0]);
+  override async run({ client, positionals: words, json, print }: CommandContext): Promise<number> {
+    const table = parseTableName(words[0]);
     const rows = readTableFile(table, words[1]);
     const reading = await client.getTable(table);
-    const differences = describeDifference(reading.rows, rows);
+    const differences = findRowDifferences(reading.rows, rows);
     if (json) print(JSON.stringify({ revision: reading.revision, differences }));
     else if (differences.length === 0) print(`no difference to revision ${reading.revision}`);
-    else differences.forEach((difference) => print(printDifference(difference)));
+    else differences.forEach((difference) => print(formatRowDifference(difference)));
     return exitCodes.done;
   }
 }
@@ -76,8 +76,14 @@
     'change-id': { type: 'string', purpose: 'name of the change, to send it again later' },
   } as const;
 
-  override async run({ client, words, options, json, print }: CommandContext): Promise<number> {
-    const table = readTableName(words[0]);
+  override async run({
+    client,
+    positionals: words,
+    options,
+    json,
+    print,
+  }: CommandContext): Promise<number> {
+    const table = parseTableName(words[0]);
     const rows = readTableFile(table, words[1]);
     const baseRevision =
       typeof options.revision === 'string'
@@ -126,7 +132,13 @@
     seconds: { type: 'string', purpose: `how long to wait (${DEFAULT_WAIT_SECONDS})` },
   } as const;
 
-  override async run({ client, words, options, timers, print }: CommandContext): Promise<number> {
+  override async run({
+    client,
+    positionals: words,
+    options,
+    timers,
+    print,
+  }: CommandContext): Promise<number> {
     const revision = Number(words[0]);
     if (!Number.isInteger(revision)) throw new UsageError(['name a revision']);
     const seconds = Number(options.seconds ?? DEFAULT_WAIT_SECONDS);
--- a/apps/ctl/src/describeDifference.ts
+++ b/apps/ctl/src/findRowDifferences.ts
@@ -1,7 +1,7 @@
 /** Tells what differs between two states of a table, row by row. */
 import { isDeepStrictEqual } from 'node:util';
 
-export interface Difference {
+export interface RowDifference {
   readonly change: 'added' | 'removed' | 'changed';
   readonly row: string;
   /** Keys that differ, of a changed row. */
@@ -14,16 +14,16 @@
   return new Map((rows as readonly Row[]).map((row) => [String(row.name), row]));
 }
 
-export function describeDifference(
+export function findRowDifferences(
   before: readonly unknown[],
   after: readonly unknown[],
-): Difference[] {
+): RowDifference[] {
   const old = byName(before);
   const now = byName(after);
   const removed = [...old.keys()]
     .filter((name) => !now.has(name))
-    .map((row): Difference => ({ change: 'removed', row, keys: [] }));
-  const others = [...now].flatMap(([name, row]): Difference[] => {
+    .map((row): RowDifference => ({ change: 'removed', row, keys: [] }));
+  const others = [...now].flatMap(([name, row]): RowDifference[] => {
     const earlier = old.get(name);
     if (earlier === undefined) return [{ change: 'added', row: name, keys: [] }];
     const keys = [...new Set([...Object.keys(earlier), ...Object.keys(row)])].filter(
@@ -34,7 +34,7 @@
   return [...removed, ...others];
 }
 
-export function printDifference({ change, row, keys }: Difference): string {
+export function formatRowDifference({ change, row, keys }: RowDifference): string {
   const sign = { added: '+', removed: '-', changed: '~' }[change];
   return keys.length === 0 ? `${sign} ${row}` : `${sign} ${row}: ${keys.join(', ')}`;
 }
--- a/apps/ctl/src/printTable.ts
+++ b/apps/ctl/src/formatTable.ts
@@ -1,7 +1,7 @@
 /** Lays rows out in columns. */
 
 /** Column titles and rows of equal length; without rows there is no table. */
-export function printTable(
+export function formatTable(
   titles: readonly string[],
   rows: readonly (readonly (string | number)[])[],
 ): string[] {
--- a/apps/ctl/src/readTableFile.ts
+++ b/apps/ctl/src/readTableFile.ts
@@ -4,7 +4,7 @@
 import { checkPools, checkRoutes, tableNames, type TableName } from '@hornbeampond/schema';
 import { UsageError } from './Command.js';
 
-export function readTableName(word: string | undefined): TableName {
+export function parseTableName(word: string | undefined): TableName {
   const table = tableNames.find((name) => name === word);
   if (table === undefined) throw new UsageError([`name a table: ${tableNames.join(' or ')}`]);
   return table;
--- a/apps/ctl/src/runCommandLine.test.ts
+++ b/apps/ctl/src/runCommandLine.test.ts
@@ -6,12 +6,12 @@
 import { fileURLToPath } from 'node:url';
 import { matchSnapshot } from '@hornbeampond/testing';
 import { commands, runCommandLine } from './runCommandLine.js';
-import { HurriedTimerService } from './testing/HurriedTimerService.js';
-import { OperatorsPortStandIn } from './testing/OperatorsPortStandIn.js';
+import { AutoAdvancingTimerService } from './testing/AutoAdvancingTimerService.js';
+import { FakeOperatorServer } from './testing/FakeOperatorServer.js';
 import { samplePlan, sampleStatus } from './testing/statusSamples.js';
 
 const pools = fileURLToPath(new URL('../../../examples/kartenwerk/pools.toml', import.meta.url));
-let port: OperatorsPortStandIn;
+let port: FakeOperatorServer;
 let folder: string;
 
 before(() => {
@@ -24,11 +24,11 @@
 });
 
 beforeEach(async () => {
-  if ((port as OperatorsPortStandIn | undefined) !== undefined) await port.close();
-  port = await OperatorsPortStandIn.start();
-  port.documents.set('/tables/pools', { revision: 7, configurationRevision: 7, rows: [] });
-  port.documents.set('/status', sampleStatus);
-  port.documents.set('/plan', { rows: samplePlan });
+  if ((port as FakeOperatorServer | undefined) !== undefined) await port.close();
+  port = await FakeOperatorServer.start();
+  port.responsesByPath.set('/tables/pools', { revision: 7, configurationRevision: 7, rows: [] });
+  port.responsesByPath.set('/status', sampleStatus);
+  port.responsesByPath.set('/plan', { rows: samplePlan });
 });
 
 interface Outcome {
@@ -46,7 +46,7 @@
       HORNBEAMPOND_OPERATOR_KEY: 'operator-key',
     },
     isTerminal,
-    timers: new HurriedTimerService(),
+    timers: new AutoAdvancingTimerService(),
     print: (line) => printed.push(line),
     printError: (line) => errors.push(line),
   });
@@ -82,8 +82,8 @@
 test('put sends the revision that was read and prints the new one', async () => {
   const outcome = await run(`tables put pools ${pools}`);
   assert.deepEqual(outcome, { exitCode: 0, printed: ['pools is at revision 8'], errors: [] });
-  assert.equal(port.changes.length, 1);
-  assert.equal(port.changes[0]?.ifMatch, '"7"');
+  assert.equal(port.receivedChanges.length, 1);
+  assert.equal(port.receivedChanges[0]?.ifMatch, '"7"');
 });
 
 // Two operators hold revision 7. The other's change comes first, so the log is at 9. Ours is refused
@@ -100,22 +100,22 @@
 // The change is carried out, but its answer is lost twice. The operator must see it succeed once:
 // the command sends it again under the same change id, and the log gives the first answer again.
 test('a change whose answer is lost is sent again under the same id and made once', async () => {
-  port.answersToLose = 2;
+  port.responsesToDrop = 2;
   const outcome = await run(`tables put pools ${pools}`);
   assert.equal(outcome.exitCode, 0);
   assert.deepEqual(outcome.printed, ['pools is at revision 8']);
-  assert.equal(port.changes.length, 3);
-  assert.equal(new Set(port.changes.map(({ changeId }) => changeId)).size, 1);
+  assert.equal(port.receivedChanges.length, 3);
+  assert.equal(new Set(port.receivedChanges.map(({ changeId }) => changeId)).size, 1);
   assert.equal(port.revision, 8);
 });
 
 // All answers are lost. The operator can't know whether the change was made, and gets the id under
 // which the same file can be sent again without harm.
 test('a change that stays unanswered exits 1 after a few sends', async () => {
-  port.answersToLose = 100;
+  port.responsesToDrop = 100;
   const outcome = await run(`tables put pools ${pools} --change-id mine`);
   assert.equal(outcome.exitCode, 1);
-  assert.equal(port.changes.length, 5);
+  assert.equal(port.receivedChanges.length, 5);
   assert.ok(outcome.errors.length > 0);
   assert.match([...outcome.printed, ...outcome.errors].join('\n'), /--change-id mine/);
 });
@@ -129,7 +129,7 @@
   );
   const outcome = await run(`tables put pools ${file}`);
   assert.equal(outcome.exitCode, 2);
-  assert.deepEqual(port.changes, []);
+  assert.deepEqual(port.receivedChanges, []);
   assert.deepEqual(outcome.printed, []);
   const text = outcome.errors.join('\n').replaceAll(file, 'pools.toml');
   await matchSnapshot(import.meta.url, 'faults of a file', text);
@@ -171,7 +171,7 @@
 test('plan --json gives the rows, and an entry, which has none, is told so', async () => {
   const { printed } = await run('plan --json');
   assert.deepEqual(JSON.parse(printed[0] ?? ''), samplePlan);
-  port.documents.delete('/plan');
+  port.responsesByPath.delete('/plan');
   const { exitCode, errors } = await run('plan');
   assert.equal(exitCode, 1);
   assert.match(errors[0] ?? '', /^routeNotFound: /);
--- a/apps/ctl/src/runCommandLine.ts
+++ b/apps/ctl/src/runCommandLine.ts
@@ -120,7 +120,7 @@
       timers,
       paint: choosePaint(io.isTerminal, io.environment.NO_COLOR),
       options: given,
-      words: positionals.slice(command.name.split(' ').length),
+      positionals: positionals.slice(command.name.split(' ').length),
       json: given.json === true,
       print: io.print,
     });
--- a/apps/ctl/src/testing/HurriedTimerService.ts
+++ b/apps/ctl/src/testing/AutoAdvancingTimerService.ts
@@ -1,7 +1,7 @@
 /** Time that jumps to whatever is waited for, so that waits end at once and always the same. */
 import { TimerService, type Unsubscribe } from '@hornbeampond/runtime';
 
-export class HurriedTimerService extends TimerService {
+export class AutoAdvancingTimerService extends TimerService {
   private now = 0;
 
   override monotonicNow(): number {
--- a/apps/ctl/src/testing/OperatorsPortStandIn.ts
+++ b/apps/ctl/src/testing/FakeOperatorServer.ts
@@ -9,23 +9,23 @@
 import { HornbeampondError, toProblemDocument } from '@hornbeampond/schema';
 
 /** A change as it came in. */
-export interface SentChange {
+export interface ReceivedChange {
   readonly path: string;
   readonly ifMatch: string | undefined;
   readonly changeId: string | undefined;
   readonly rows: number;
 }
 
-export class OperatorsPortStandIn {
-  readonly changes: SentChange[] = [];
+export class FakeOperatorServer {
+  readonly receivedChanges: ReceivedChange[] = [];
 
   /** Answers to `GET`, by path. */
-  readonly documents = new Map<string, unknown>();
+  readonly responsesByPath = new Map<string, unknown>();
 
   revision = 7;
 
   /** So many changes are carried out, and their connections closed without an answer. */
-  answersToLose = 0;
+  responsesToDrop = 0;
 
   private readonly server: Server;
 
@@ -41,8 +41,8 @@
     });
   }
 
-  static async start(): Promise<OperatorsPortStandIn> {
-    const standIn = new OperatorsPortStandIn();
+  static async start(): Promise<FakeOperatorServer> {
+    const standIn = new FakeOperatorServer();
     standIn.server.listen(0, '127.0.0.1');
     await once(standIn.server, 'listening');
     return standIn;
@@ -67,7 +67,7 @@
       await this.put(path, request, response);
       return;
     }
-    const document = this.documents.get(path);
+    const document = this.responsesByPath.get(path);
     if (document === undefined) throw new HornbeampondError('routeNotFound', `There is no ${path}`);
     response.end(JSON.stringify(document));
   }
@@ -80,7 +80,7 @@
     const { rows } = JSON.parse(await text(request)) as { readonly rows: readonly unknown[] };
     const ifMatch = request.headers['if-match'];
     const changeId = request.headers['idempotency-key'] as string;
-    this.changes.push({ path, ifMatch, changeId, rows: rows.length });
+    this.receivedChanges.push({ path, ifMatch, changeId, rows: rows.length });
     if (!this.acceptedIds.has(changeId)) {
       if (ifMatch !== `"${this.revision}"`) {
         const details = { currentRevision: this.revision };
@@ -89,8 +89,8 @@
       this.revision += 1;
       this.acceptedIds.add(changeId);
     }
-    if (this.answersToLose > 0) {
-      this.answersToLose -= 1;
+    if (this.responsesToDrop > 0) {
+      this.responsesToDrop -= 1;
       request.socket.destroy();
       return;
     }
--- a/apps/dev/src/DevCluster.ts
+++ b/apps/dev/src/DevCluster.ts
@@ -43,9 +43,9 @@
   readonly operatorsPort: number;
   readonly logLevel: LogLevel;
   /** Changes how the fake model engines behave, the bought ones too. */
-  readonly engine?: Omit<FakeEngineOptions, 'instance' | 'model'>;
+  readonly engineOptions?: Omit<FakeEngineOptions, 'instance' | 'model'>;
   /** Number of controllers, of which one acts; 1 unless given. */
-  readonly controllers?: number;
+  readonly controllerCount?: number;
   readonly leaseMilliseconds?: number;
   /** Changes what the controllers' decisions are steered by. */
   readonly policy?: Partial<ControllerPolicy>;
@@ -115,7 +115,7 @@
     const storePort = await this.startStore();
     const ports = await this.startEntry(storePort);
     await this.putTables(ports.operators);
-    const { controllers = 1 } = this.options;
+    const { controllerCount: controllers = 1 } = this.options;
     for (let number = 1; number <= controllers; number += 1) {
       await this.startController(`controller-${number}`, storePort, ports.peers);
     }
@@ -159,7 +159,7 @@
     }
     const engine = await FakeEngine.start({
       tokenDelay: TOKEN_DELAY_MILLISECONDS,
-      ...this.options.engine,
+      ...this.options.engineOptions,
       instance,
     });
     this.engines.push(engine);
--- a/apps/dev/src/controller.test.ts
+++ b/apps/dev/src/controller.test.ts
@@ -41,7 +41,7 @@
     logLevel: 'error',
     leaseMilliseconds: LEASE_MILLISECONDS,
     policy,
-    engine: { tokenDelay: 1 },
+    engineOptions: { tokenDelay: 1 },
     ...more,
   });
   context.after(async () => cluster.close());
@@ -116,7 +116,7 @@
 // back; it ends by itself, and the other takes it under a higher epoch and acts: it replaces an
 // engine, and its orders carry the new epoch, so that the engines refuse whatever the first sent.
 test('the second controller goes on when the first is killed', async (context) => {
-  const { cluster } = await startCluster(context, { controllers: 2 });
+  const { cluster } = await startCluster(context, { controllerCount: 2 });
   const holders = () => cluster.controllers.filter(({ epoch }) => epoch !== undefined);
   await until('a lease', () => holders().length === 1);
   const [first] = holders();
--- a/apps/dev/src/dataPlane.test.ts
+++ b/apps/dev/src/dataPlane.test.ts
@@ -156,7 +156,7 @@
 // Its socket fills, the entry stops reading the engine and the engine stops: what lies between them
 // is bounded by the sockets' buffers. The engine isn't to blame, so nothing is cut or run again.
 test('a caller that reads slowly holds back its engine and is not cut', async (context) => {
-  const { cluster, callers } = await startCluster(context, { engine: { tokenDelay: 0 } });
+  const { cluster, callers } = await startCluster(context, { engineOptions: { tokenDelay: 0 } });
   const tokens = 120_000;
   const response = await new Promise<IncomingMessage>((resolve, reject) => {
     const options = { method: 'POST', headers: { authorization }, agent: false } as const;
--- a/packages/adapters/src/http/HttpPlainServiceAdapter.ts
+++ b/packages/adapters/src/http/HttpPlainServiceAdapter.ts
@@ -71,7 +71,11 @@
 
   private readonly mostAnswerBytes: number;
 
-  constructor({ host, port, maxAnswerBytes: mostAnswerBytes = MOST_ANSWER_BYTES }: HttpPlainServiceOptions) {
+  constructor({
+    host,
+    port,
+    maxAnswerBytes: mostAnswerBytes = MOST_ANSWER_BYTES,
+  }: HttpPlainServiceOptions) {
     super();
     this.connections = new HttpConnections(formatOrigin(host, port));
     this.mostAnswerBytes = mostAnswerBytes;
@@ -82,7 +86,9 @@
     const passedOn = Object.entries(withoutConnectionHeaders(request.headers));
     const headers = Object.fromEntries(passedOn.filter(([name]) => !ownRequestHeaders.has(name)));
     const call = { method, path, headers, body, signal };
-    const answer = await (fresh ? this.connections.sendOnNewConnection(call) : this.connections.send(call));
+    const answer = await (fresh
+      ? this.connections.sendOnNewConnection(call)
+      : this.connections.send(call));
     return this.toServiceAnswer(answer);
   }
 
--- a/packages/adapters/src/http/HttpPlatformAdapter.ts
+++ b/packages/adapters/src/http/HttpPlatformAdapter.ts
@@ -15,7 +15,13 @@
   type ReclaimNotice,
 } from '../PlatformAdapter.js';
 import { HttpConnections } from './HttpConnections.js';
-import { MAX_JSON_BYTES, parseJson, readBytes, readJson, discardSuccessfulAnswer } from './readAnswer.js';
+import {
+  MAX_JSON_BYTES,
+  parseJson,
+  readBytes,
+  readJson,
+  discardSuccessfulAnswer,
+} from './readAnswer.js';
 import { instanceListSchema, instanceStartSchema, noticesSchema } from './wireSchemas.js';
 
 const REFUSED = 409;
