--- a/packages/testing/src/adapters/HttpPlainServiceAdapter.test.ts
+++ b/packages/testing/src/adapters/HttpPlainServiceAdapter.test.ts
@@ -72,7 +72,7 @@
     // only give up without knowing the outcome. A call that may not be repeated must not get there:
     // it opens a connection of its own and is answered, while the other still waits.
     const { service, adapter } = await meet(t);
-    const lookup = { ...offer, method: 'GET', body: undefined, fresh: false };
+    const lookup = { ...offer, method: 'GET', body: undefined, requiresNewConnection: false };
     const lookups = await Promise.all([1, 2, 3].map(() => adapter.send(lookup)));
     for (const answer of lookups) await readText(answer);
     service.goSilent();
