--- a/packages/adapters/src/digestPrefixes.ts
+++ b/packages/adapters/src/digestPrefixes.ts
@@ -24,8 +24,8 @@
   const tokens = splitPrompt(messages);
   const digests: string[] = [];
   const hash = createHash('sha256');
-  const blocks = Math.floor(tokens.length / TOKENS_PER_BLOCK);
-  for (let block = 0; block < blocks; block += 1) {
+  const blockCount = Math.floor(tokens.length / TOKENS_PER_BLOCK);
+  for (let block = 0; block < blockCount; block += 1) {
     const start = block * TOKENS_PER_BLOCK;
     hash.update(JSON.stringify(tokens.slice(start, start + TOKENS_PER_BLOCK)));
     digests.push(hash.copy().digest('hex').slice(0, DIGEST_CHARACTERS));
--- a/packages/adapters/src/http/EventDataSplitter.ts
+++ b/packages/adapters/src/http/EventDataSplitter.ts
@@ -15,13 +15,13 @@
 export class EventDataSplitter {
   private readonly decoder = new TextDecoder();
 
-  private rest = '';
+  private incompleteLine = '';
 
   /** Takes the next bytes and gives the values that they complete. */
   split(bytes: Uint8Array): string[] {
-    const lines = (this.rest + this.decoder.decode(bytes, { stream: true })).split('\n');
-    this.rest = lines.pop() ?? '';
-    if (this.rest.length > MAX_LINE_CHARACTERS) {
+    const lines = (this.incompleteLine + this.decoder.decode(bytes, { stream: true })).split('\n');
+    this.incompleteLine = lines.pop() ?? '';
+    if (this.incompleteLine.length > MAX_LINE_CHARACTERS) {
       throw new BackendServerFailure('a line of the stream is too long', {
         failure: 'malformed',
         sent: 'maybe',
--- a/packages/adapters/src/http/HttpConnections.ts
+++ b/packages/adapters/src/http/HttpConnections.ts
@@ -20,13 +20,13 @@
 } from '../BackendServerFailure.js';
 
 /** Idle connections are closed this soon, since an old one is likelier to be dead. */
-const KEEP_ALIVE_MILLISECONDS = 4000;
+const KEEP_ALIVE_TIMEOUT_MILLISECONDS = 4000;
 
 /** Without a bound, each call into a cut-off data centre would leave a socket for minutes. */
-const CONNECT_MILLISECONDS = 10_000;
+const CONNECT_TIMEOUT_MILLISECONDS = 10_000;
 
 /** Time for a connection to come free after its answer's own end; then it is dropped. */
-const DRAIN_MILLISECONDS = 1000;
+const DRAIN_TIMEOUT_MILLISECONDS = 1000;
 
 const noTimeouts = { headersTimeout: 0, bodyTimeout: 0 } as const;
 
@@ -52,7 +52,7 @@
    * Says that the answer is whole by its own word, whatever is left of the body. Leaving the body
    * then keeps the connection, once the rest has come.
    */
-  markWhole(): void;
+  markComplete(): void;
 }
 
 function describeError(error: unknown): string {
@@ -62,12 +62,12 @@
   return error instanceof Error ? error.message : String(error);
 }
 
-function classify(error: unknown): BackendServerFailureKind {
+function classifyError(error: unknown): BackendServerFailureKind {
   if (!(error instanceof Error)) return 'connectionLost';
   const code = 'code' in error ? error.code : undefined;
   if (code === 'UND_ERR_INVALID_ARG') return 'clientError';
-  const broken = error.name === 'HTTPParserError' || code === 'UND_ERR_HEADERS_OVERFLOW';
-  return broken ? 'malformed' : 'connectionLost';
+  const isMalformed = error.name === 'HTTPParserError' || code === 'UND_ERR_HEADERS_OVERFLOW';
+  return isMalformed ? 'malformed' : 'connectionLost';
 }
 
 function toFailure(cause: unknown, signal: AbortSignal, sent: SentState): BackendServerFailure {
@@ -83,7 +83,7 @@
       cause,
     });
   }
-  return new BackendServerFailure(message, { failure: classify(cause), sent, cause });
+  return new BackendServerFailure(message, { failure: classifyError(cause), sent, cause });
 }
 
 type ResponseBody = Dispatcher.ResponseData['body'];
@@ -92,20 +92,20 @@
 async function* readBody(
   body: ResponseBody,
   signal: AbortSignal,
-  leave: () => void,
+  onUnfinished: () => void,
 ): AsyncGenerator<Uint8Array> {
   try {
     for await (const bytes of body.iterator({ destroyOnReturn: false })) yield bytes as Uint8Array;
   } catch (error) {
     throw toFailure(error, signal, 'maybe');
   } finally {
-    if (!body.readableEnded) leave();
+    if (!body.readableEnded) onUnfinished();
   }
 }
 
 /** Lets the rest of an answer come and go, so that its connection can be used again. */
 function drain(body: ResponseBody): void {
-  const signal = AbortSignal.timeout(DRAIN_MILLISECONDS);
+  const signal = AbortSignal.timeout(DRAIN_TIMEOUT_MILLISECONDS);
   body.dump({ limit: Infinity, signal }).catch(() => {});
 }
 
@@ -114,20 +114,20 @@
   // A body that breaks before its reader comes would otherwise end the process; the reader
   // still gets the error.
   body.on('error', () => {});
-  let whole = false;
-  const leave = () => {
-    if (whole) drain(body);
+  let isComplete = false;
+  const onUnfinished = () => {
+    if (isComplete) drain(body);
     else body.destroy();
   };
-  const markWhole = () => {
-    whole = true;
+  const markComplete = () => {
+    isComplete = true;
   };
-  return { status, headers, body: readBody(body, signal, leave), markWhole };
+  return { status, headers, body: readBody(body, signal, onUnfinished), markComplete };
 }
 
 /** Wraps undici's connector; `onSocket` sees each socket before anything is written to it. */
 function makeConnector(onSocket: (socket: Socket) => void): buildConnector.connector {
-  const connect = buildConnector({ timeout: CONNECT_MILLISECONDS, keepAlive: true });
+  const connect = buildConnector({ timeout: CONNECT_TIMEOUT_MILLISECONDS, keepAlive: true });
   return (options, callback) => {
     connect(options, (...outcome) => {
       const [error, socket] = outcome;
@@ -142,15 +142,15 @@
 }
 
 /** A connector that serves once, so that no second send can happen whatever the client does. */
-function makeSingleConnector(onSocket: (socket: Socket) => void): buildConnector.connector {
+function makeSingleUseConnector(onSocket: (socket: Socket) => void): buildConnector.connector {
   const connect = makeConnector(onSocket);
-  let used = false;
+  let isUsed = false;
   return (options, callback) => {
-    if (used) {
+    if (isUsed) {
       callback(new Error('the one connection of this call is used up'), null);
       return;
     }
-    used = true;
+    isUsed = true;
     connect(options, callback);
   };
 }
@@ -163,7 +163,7 @@
 export class HttpConnections {
   private pool: Pool;
 
-  private readonly freshClients = new Set<Client>();
+  private readonly singleCallClients = new Set<Client>();
 
   /** @param origin - Such as `http://127.0.0.1:8080`. */
   constructor(private readonly origin: string) {
@@ -187,21 +187,21 @@
   /** Sends a call once, on a connection opened for it alone. */
   async sendOnNewConnection(call: HttpCall): Promise<HttpAnswer> {
     let socket: Socket | undefined;
-    const connect = makeSingleConnector((opened) => {
+    const connect = makeSingleUseConnector((opened) => {
       socket = opened;
     });
     const client = new Client(this.origin, { ...noTimeouts, pipelining: 1, connect });
-    this.freshClients.add(client);
+    this.singleCallClients.add(client);
     try {
       call.signal.throwIfAborted();
       const data = await client.request({ ...call, reset: true });
       data.body.once('close', () => {
-        this.freshClients.delete(client);
+        this.singleCallClients.delete(client);
         void client.destroy();
       });
       return makeAnswer(data, call.signal);
     } catch (error) {
-      this.freshClients.delete(client);
+      this.singleCallClients.delete(client);
       await client.destroy();
       socket?.destroy();
       const sent = socket === undefined || socket.bytesWritten === 0 ? 'nothing' : 'maybe';
@@ -211,23 +211,23 @@
 
   /** Leaves running calls their connections; later calls open new ones. */
   renew(): void {
-    const old = this.pool;
+    const previousPool = this.pool;
     this.pool = this.openPool();
-    void old.close();
+    void previousPool.close();
   }
 
   /** Ends all connections at once; calls in progress fail with `connectionLost`. */
   async close(): Promise<void> {
-    const fresh = [...this.freshClients];
-    this.freshClients.clear();
-    await Promise.all([this.pool.destroy(), ...fresh.map((client) => client.destroy())]);
+    const clients = [...this.singleCallClients];
+    this.singleCallClients.clear();
+    await Promise.all([this.pool.destroy(), ...clients.map((client) => client.destroy())]);
   }
 
   private openPool(): Pool {
     return new Pool(this.origin, {
       ...noTimeouts,
       pipelining: 1,
-      keepAliveTimeout: KEEP_ALIVE_MILLISECONDS,
+      keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MILLISECONDS,
       connect: makeConnector(() => {}),
     });
   }
--- a/packages/adapters/src/http/HttpEngineAdapter.ts
+++ b/packages/adapters/src/http/HttpEngineAdapter.ts
@@ -30,7 +30,7 @@
 import { cacheEventsSchema, loadReportSchema, orderResultSchema } from './wireSchemas.js';
 
 /** Bound of one exported KV cache. */
-const MOST_CACHE_BYTES = 512 * 1024 * 1024;
+const MAX_CACHE_BYTES = 512 * 1024 * 1024;
 
 const jsonHeaders = { 'content-type': 'application/json' } as const;
 
@@ -94,7 +94,7 @@
         sent: 'maybe',
       });
     }
-    return { attemptId, tokens, bytes: await readBytes(answer, MOST_CACHE_BYTES) };
+    return { attemptId, tokens, bytes: await readBytes(answer, MAX_CACHE_BYTES) };
   }
 
   override async importCache(cache: ExportedCache, signal: AbortSignal): Promise<void> {
--- a/packages/adapters/src/http/HttpPlainServiceAdapter.ts
+++ b/packages/adapters/src/http/HttpPlainServiceAdapter.ts
@@ -18,10 +18,10 @@
 import { loadReportSchema } from './wireSchemas.js';
 
 /** Bound of one answer, if the owner sets none. */
-const MOST_ANSWER_BYTES = 64 * 1024 * 1024;
+const DEFAULT_MAX_ANSWER_BYTES = 64 * 1024 * 1024;
 
 /** Headers of a request that undici sets by itself. */
-const ownRequestHeaders = new Set(['content-length', 'expect', 'host']);
+const headersSetByClient = new Set(['content-length', 'expect', 'host']);
 
 function toHeaderList(value: string | readonly string[]): string | string[] {
   return typeof value === 'string' ? value : [...value];
@@ -31,26 +31,27 @@
 function withoutConnectionHeaders(
   headers: Readonly<Record<string, string | readonly string[] | undefined>>,
 ): Record<string, string | string[]> {
-  const named = [headers.connection ?? []].flat().flatMap((value) => value.split(','));
-  const dropped = new Set(named.map((name) => name.trim().toLowerCase()));
+  const connectionOptions = [headers.connection ?? []].flat().flatMap((value) => value.split(','));
+  const dropped = new Set(connectionOptions.map((name) => name.trim().toLowerCase()));
   const kept: Record<string, string | string[]> = {};
   Object.entries(headers).forEach(([name, value]) => {
-    const lower = name.toLowerCase();
-    if (value === undefined || connectionHeaders.has(lower) || dropped.has(lower)) return;
-    kept[lower] = toHeaderList(value);
+    const lowerCaseName = name.toLowerCase();
+    if (value === undefined || connectionHeaders.has(lowerCaseName) || dropped.has(lowerCaseName))
+      return;
+    kept[lowerCaseName] = toHeaderList(value);
   });
   return kept;
 }
 
 async function* limitBytes(
   body: AsyncIterable<Uint8Array>,
-  mostBytes: number,
+  maxBytes: number,
 ): AsyncGenerator<Uint8Array> {
   let size = 0;
   for await (const bytes of body) {
     size += bytes.byteLength;
-    if (size > mostBytes) {
-      throw new BackendServerFailure(`answer above ${mostBytes} bytes`, {
+    if (size > maxBytes) {
+      throw new BackendServerFailure(`answer above ${maxBytes} bytes`, {
         failure: 'malformed',
         sent: 'maybe',
       });
@@ -69,24 +70,22 @@
 export class HttpPlainServiceAdapter extends PlainServiceAdapter {
   private readonly connections: HttpConnections;
 
-  private readonly mostAnswerBytes: number;
+  private readonly maxAnswerBytes: number;
 
-  constructor({
-    host,
-    port,
-    maxAnswerBytes: mostAnswerBytes = MOST_ANSWER_BYTES,
-  }: HttpPlainServiceOptions) {
+  constructor({ host, port, maxAnswerBytes = DEFAULT_MAX_ANSWER_BYTES }: HttpPlainServiceOptions) {
     super();
     this.connections = new HttpConnections(formatOrigin(host, port));
-    this.mostAnswerBytes = mostAnswerBytes;
+    this.maxAnswerBytes = maxAnswerBytes;
   }
 
   override async send(request: PlainServiceRequest): Promise<PlainServiceAnswer> {
-    const { method, path, body, requiresNewConnection: fresh, signal } = request;
-    const passedOn = Object.entries(withoutConnectionHeaders(request.headers));
-    const headers = Object.fromEntries(passedOn.filter(([name]) => !ownRequestHeaders.has(name)));
+    const { method, path, body, requiresNewConnection, signal } = request;
+    const forwardedHeaders = Object.entries(withoutConnectionHeaders(request.headers));
+    const headers = Object.fromEntries(
+      forwardedHeaders.filter(([name]) => !headersSetByClient.has(name)),
+    );
     const call = { method, path, headers, body, signal };
-    const answer = await (fresh
+    const answer = await (requiresNewConnection
       ? this.connections.sendOnNewConnection(call)
       : this.connections.send(call));
     return this.toServiceAnswer(answer);
@@ -111,7 +110,7 @@
 
   private toServiceAnswer(answer: HttpAnswer): PlainServiceAnswer {
     const headers: HeaderFields = withoutConnectionHeaders(answer.headers);
-    const body = limitBytes(answer.body, this.mostAnswerBytes);
+    const body = limitBytes(answer.body, this.maxAnswerBytes);
     return { status: answer.status, headers, body };
   }
 }
--- a/packages/adapters/src/http/HttpPlatformAdapter.ts
+++ b/packages/adapters/src/http/HttpPlatformAdapter.ts
@@ -24,8 +24,8 @@
 } from './readAnswer.js';
 import { instanceListSchema, instanceStartSchema, noticesSchema } from './wireSchemas.js';
 
-const REFUSED = 409;
-const GONE = 404;
+const CONFLICT_STATUS = 409;
+const NOT_FOUND_STATUS = 404;
 
 export class HttpPlatformAdapter extends PlatformAdapter {
   private readonly connections: HttpConnections;
@@ -53,7 +53,7 @@
       signal,
     });
     const result =
-      answer.status === REFUSED
+      answer.status === CONFLICT_STATUS
         ? parseJson(instanceStartSchema, String(await readBytes(answer, MAX_JSON_BYTES)))
         : await readJson(instanceStartSchema, answer);
     return 'refused' in result
@@ -64,7 +64,7 @@
   override async endInstance(instance: string, signal: AbortSignal): Promise<void> {
     const path = `/instances/${encodeURIComponent(instance)}`;
     const answer = await this.connections.send({ method: 'DELETE', path, signal });
-    if (answer.status === GONE) {
+    if (answer.status === NOT_FOUND_STATUS) {
       await readBytes(answer, MAX_JSON_BYTES);
       return;
     }
--- a/packages/adapters/src/http/probeHealth.ts
+++ b/packages/adapters/src/http/probeHealth.ts
@@ -7,14 +7,15 @@
 import { MAX_JSON_BYTES, readBytes, requireSuccess } from './readAnswer.js';
 
 /** Longest name of an incarnation that is taken; anything longer is no name. */
-const MOST_CHARACTERS = 200;
+const MAX_INCARNATION_CHARACTERS = 200;
 
 /** A server that answers in another shape is alive all the same: it only tells no incarnation. */
 function readIncarnation(text: string): string | undefined {
   try {
     const value = (JSON.parse(text) as { readonly incarnation?: unknown } | null)?.incarnation;
-    const named = typeof value === 'string' && value !== '' && value.length <= MOST_CHARACTERS;
-    return named ? value : undefined;
+    const isValid =
+      typeof value === 'string' && value !== '' && value.length <= MAX_INCARNATION_CHARACTERS;
+    return isValid ? value : undefined;
   } catch {
     return undefined;
   }
--- a/packages/adapters/src/http/readAnswer.ts
+++ b/packages/adapters/src/http/readAnswer.ts
@@ -8,23 +8,23 @@
 export const MAX_JSON_BYTES = 4 * 1024 * 1024;
 
 /** What is kept of an error answer's text. */
-const MOST_ERROR_CHARACTERS = 300;
+const MAX_ERROR_TEXT_CHARACTERS = 300;
 
 /** Reads an answer whole; one above `mostBytes` is `malformed` and its connection dropped. */
-export async function readBytes(answer: HttpAnswer, mostBytes: number): Promise<Buffer> {
-  const parts: Uint8Array[] = [];
+export async function readBytes(answer: HttpAnswer, maxBytes: number): Promise<Buffer> {
+  const chunks: Uint8Array[] = [];
   let size = 0;
-  for await (const part of answer.body) {
-    size += part.byteLength;
-    if (size > mostBytes) {
-      throw new BackendServerFailure(`answer above ${mostBytes} bytes`, {
+  for await (const chunk of answer.body) {
+    size += chunk.byteLength;
+    if (size > maxBytes) {
+      throw new BackendServerFailure(`answer above ${maxBytes} bytes`, {
         failure: 'malformed',
         sent: 'maybe',
       });
     }
-    parts.push(part);
+    chunks.push(chunk);
   }
-  return Buffer.concat(parts);
+  return Buffer.concat(chunks);
 }
 
 function readRetryAfter(answer: HttpAnswer): Milliseconds | undefined {
@@ -32,7 +32,7 @@
   return Number.isFinite(seconds) && seconds >= 0 ? seconds * 1000 : undefined;
 }
 
-function failureOfStatus(status: number): 'busy' | 'serverError' | 'clientError' | 'malformed' {
+function classifyStatus(status: number): 'busy' | 'serverError' | 'clientError' | 'malformed' {
   if (status === 429 || status === 503) return 'busy';
   if (status >= 500) return 'serverError';
   return status >= 400 ? 'clientError' : 'malformed';
@@ -43,9 +43,9 @@
   const { status } = answer;
   if (status >= 200 && status < 300) return;
   const text = (await readBytes(answer, MAX_JSON_BYTES)).toString('utf8');
-  const message = `status ${status}: ${text.slice(0, MOST_ERROR_CHARACTERS)}`;
+  const message = `status ${status}: ${text.slice(0, MAX_ERROR_TEXT_CHARACTERS)}`;
   throw new BackendServerFailure(message, {
-    failure: failureOfStatus(status),
+    failure: classifyStatus(status),
     sent: 'maybe',
     status,
     retryAfter: readRetryAfter(answer),
--- a/packages/adapters/src/http/readCompletion.test.ts
+++ b/packages/adapters/src/http/readCompletion.test.ts
@@ -9,7 +9,7 @@
   return `data: ${JSON.stringify({ choices: [choice], ...rest })}\n\n`;
 }
 
-async function* cutInto(text: string, size: number): AsyncGenerator<Uint8Array> {
+async function* splitIntoChunks(text: string, size: number): AsyncGenerator<Uint8Array> {
   const bytes = Buffer.from(text);
   for (let start = 0; start < bytes.length; start += size)
     yield bytes.subarray(start, start + size);
@@ -17,12 +17,12 @@
 
 async function readAll(text: string, size = 7): Promise<CompletionChunk[]> {
   const chunks: CompletionChunk[] = [];
-  const answer = { body: cutInto(text, size), markWhole: () => {} };
+  const answer = { body: splitIntoChunks(text, size), markComplete: () => {} };
   for await (const chunk of readCompletion(answer)) chunks.push(chunk);
   return chunks;
 }
 
-const whole = [
+const completeStream = [
   ': a comment\r\n\r\n',
   encodeChunk({ delta: { role: 'assistant', content: '' } }),
   encodeChunk({ delta: { content: 'près 車' } }, { tokens: 2 }),
@@ -36,11 +36,12 @@
     { type: 'token', text: 'près 車', tokens: 2 },
     { type: 'end', finishReason: 'stop', usage: { promptTokens: 3, completionTokens: 2 } },
   ];
-  for (const size of [1, 2, 3, 5, 64, 4096]) assert.deepEqual(await readAll(whole, size), expected);
+  for (const size of [1, 2, 3, 5, 64, 4096])
+    assert.deepEqual(await readAll(completeStream, size), expected);
 });
 
 const faults = {
-  'no [DONE]': [whole.replace('data: [DONE]\n\n', ''), 'connectionLost'],
+  'no [DONE]': [completeStream.replace('data: [DONE]\n\n', ''), 'connectionLost'],
   'no finish reason': ['data: [DONE]\n\n', 'malformed'],
   'no JSON': ['data: {"choices"\n\n', 'malformed'],
   'a tool call': [encodeChunk({ delta: { tool_calls: [{}] } }), 'malformed'],
--- a/packages/adapters/src/http/readCompletion.ts
+++ b/packages/adapters/src/http/readCompletion.ts
@@ -12,7 +12,7 @@
 import { parseJson } from './readAnswer.js';
 import { completionChunkSchema } from './wireSchemas.js';
 
-const DONE = '[DONE]';
+const DONE_MARKER = '[DONE]';
 
 type WireChunk = z.infer<typeof completionChunkSchema>;
 
@@ -27,8 +27,8 @@
 
   private usage: CompletionUsage | undefined;
 
-  read(data: string): CompletionChunk | undefined {
-    if (data === DONE) return this.makeEnd();
+  readEventData(data: string): CompletionChunk | undefined {
+    if (data === DONE_MARKER) return this.makeEndChunk();
     const chunk = parseJson(completionChunkSchema, data);
     const choice = chunk.choices[0];
     this.finishReason = choice?.finish_reason ?? this.finishReason;
@@ -37,7 +37,7 @@
     return text === '' ? undefined : { type: 'token', text, tokens: chunk.tokens ?? 1 };
   }
 
-  private makeEnd(): CompletionChunk {
+  private makeEndChunk(): CompletionChunk {
     const { finishReason, usage } = this;
     if (finishReason === undefined) {
       throw new BackendServerFailure('the stream ended with no finish reason', {
@@ -52,14 +52,14 @@
 /** Reads chunks to the end of the answer, which is marked whole so that its connection is kept. */
 export async function* readCompletion({
   body,
-  markWhole,
-}: Pick<HttpAnswer, 'body' | 'markWhole'>): AsyncGenerator<CompletionChunk> {
+  markComplete,
+}: Pick<HttpAnswer, 'body' | 'markComplete'>): AsyncGenerator<CompletionChunk> {
   const splitter = new EventDataSplitter();
   const reader = new CompletionReader();
-  for await (const part of body) {
-    for (const data of splitter.split(part)) {
-      const chunk = reader.read(data);
-      if (chunk?.type === 'end') markWhole();
+  for await (const bytes of body) {
+    for (const data of splitter.split(bytes)) {
+      const chunk = reader.readEventData(data);
+      if (chunk?.type === 'end') markComplete();
       if (chunk !== undefined) yield chunk;
       if (chunk?.type === 'end') return;
     }
--- a/packages/adapters/src/http/resetOnAbort.ts
+++ b/packages/adapters/src/http/resetOnAbort.ts
@@ -1,12 +1,12 @@
 /** Gives a call up in a way that nothing of it acts any more. */
 import type { ClientRequest } from 'node:http';
 
-function giveUp(call: ClientRequest, reason: unknown): void {
+function abortCall(call: ClientRequest, reason: unknown): void {
   const { socket } = call;
   // Node resets only once it has handed on all bytes, which a stalled connection never takes. What
   // is left of the call then is no whole call, and does no harm.
-  const isHandedOn = socket !== null && !socket.connecting && socket.writableLength === 0;
-  if (isHandedOn) socket.resetAndDestroy();
+  const isFullyWritten = socket !== null && !socket.connecting && socket.writableLength === 0;
+  if (isFullyWritten) socket.resetAndDestroy();
   else call.destroy(reason instanceof Error ? reason : new Error('given up'));
 }
 
@@ -16,7 +16,7 @@
  * act beside whoever has taken over meanwhile. A reset discards what has not been taken in.
  */
 export function resetOnAbort(call: ClientRequest, signal: AbortSignal): void {
-  const onAbort = () => giveUp(call, signal.reason);
+  const onAbort = () => abortCall(call, signal.reason);
   if (signal.aborted) {
     onAbort();
     return;
--- a/packages/transport/src/ConfigurationFollower.test.ts
+++ b/packages/transport/src/ConfigurationFollower.test.ts
@@ -3,7 +3,7 @@
 import { emptyConfiguration, type Configuration } from '@hornbeampond/schema';
 import { ConfigurationFollower } from './ConfigurationFollower.js';
 
-function at(revision: number): Configuration {
+function makeConfiguration(revision: number): Configuration {
   return { ...emptyConfiguration, revision };
 }
 
@@ -11,8 +11,8 @@
 // holds is older than what the entry has in force, and so are the changes it catches up with.
 test('what an older store sends is dropped until it has caught up', () => {
   const follower = new ConfigurationFollower();
-  assert.equal(follower.applyConfiguration(at(5)), 'newer');
-  assert.equal(follower.applyConfiguration(at(3)), 'old');
+  assert.equal(follower.applyConfiguration(makeConfiguration(5)), 'newer');
+  assert.equal(follower.applyConfiguration(makeConfiguration(3)), 'old');
   assert.equal(follower.applyConfigurationDelta({ fromRevision: 3, toRevision: 4 }), 'old');
   assert.equal(follower.applyConfigurationDelta({ fromRevision: 4, toRevision: 5 }), 'old');
   assert.equal(follower.applyConfigurationDelta({ fromRevision: 5, toRevision: 6 }), 'newer');
@@ -24,7 +24,7 @@
 test('a delta that does not join is a gap and changes nothing', () => {
   const follower = new ConfigurationFollower();
   assert.equal(follower.applyConfigurationDelta({ fromRevision: 0, toRevision: 1 }), 'gap');
-  follower.applyConfiguration(at(5));
+  follower.applyConfiguration(makeConfiguration(5));
   assert.equal(follower.applyConfigurationDelta({ fromRevision: 6, toRevision: 7 }), 'gap');
   assert.equal(follower.applyConfigurationDelta({ fromRevision: 4, toRevision: 6 }), 'gap');
   assert.equal(follower.newest?.revision, 5);
--- a/packages/transport/src/ConfigurationFollower.ts
+++ b/packages/transport/src/ConfigurationFollower.ts
@@ -8,10 +8,10 @@
 export type ConfigurationUpdateResult = 'newer' | 'old' | 'gap';
 
 export class ConfigurationFollower {
-  private held: Configuration | undefined;
+  private current: Configuration | undefined;
 
   get newest(): Configuration | undefined {
-    return this.held;
+    return this.current;
   }
 
   /**
@@ -21,17 +21,17 @@
    * stores can be reached.
    */
   applyConfiguration(configuration: Configuration): ConfigurationUpdateResult {
-    if (this.held !== undefined && configuration.revision < this.held.revision) return 'old';
-    this.held = configuration;
+    if (this.current !== undefined && configuration.revision < this.current.revision) return 'old';
+    this.current = configuration;
     return 'newer';
   }
 
   applyConfigurationDelta(delta: ConfigurationDelta): ConfigurationUpdateResult {
-    if (this.held === undefined) return 'gap';
-    if (delta.toRevision <= this.held.revision) return 'old';
-    const joined = applyDelta(this.held, delta);
-    if (joined === undefined) return 'gap';
-    this.held = joined;
+    if (this.current === undefined) return 'gap';
+    if (delta.toRevision <= this.current.revision) return 'old';
+    const updated = applyDelta(this.current, delta);
+    if (updated === undefined) return 'gap';
+    this.current = updated;
     return 'newer';
   }
 }
--- a/packages/transport/src/FrameCodec.ts
+++ b/packages/transport/src/FrameCodec.ts
@@ -5,7 +5,7 @@
  */
 import { Encoder } from 'cbor-x';
 
-const LENGTH_BYTES = 4;
+const LENGTH_PREFIX_BYTES = 4;
 
 /** Largest frame in bytes; a whole configuration of the target's size fits. */
 export const MAX_FRAME_BYTES = 64 * 1024 * 1024;
@@ -22,9 +22,9 @@
 export function encodeFrame(body: unknown): Buffer {
   const content = codec.encode(body);
   if (content.length > MAX_FRAME_BYTES) throw new FrameTooLargeError(content.length);
-  const frame = Buffer.allocUnsafe(LENGTH_BYTES + content.length);
+  const frame = Buffer.allocUnsafe(LENGTH_PREFIX_BYTES + content.length);
   frame.writeUInt32BE(content.length, 0);
-  content.copy(frame, LENGTH_BYTES);
+  content.copy(frame, LENGTH_PREFIX_BYTES);
   return frame;
 }
 
@@ -32,13 +32,13 @@
 export class FrameDecoder {
   private chunks: Buffer[] = [];
 
-  private buffered = 0;
+  private bufferedBytes = 0;
 
-  constructor(private mostFrameBytes = MAX_FRAME_BYTES) {}
+  constructor(private maxFrameBytes = MAX_FRAME_BYTES) {}
 
   /** Bounds the frames from here on. */
-  setMaxFrameBytes(mostFrameBytes: number): void {
-    this.mostFrameBytes = mostFrameBytes;
+  setMaxFrameBytes(maxFrameBytes: number): void {
+    this.maxFrameBytes = maxFrameBytes;
   }
 
   /**
@@ -47,28 +47,32 @@
    */
   *decode(chunk: Buffer): Generator {
     this.chunks.push(chunk);
-    this.buffered += chunk.length;
-    for (let length = this.wholeFrame(); length !== undefined; length = this.wholeFrame()) {
-      const joined = this.join();
-      const rest = joined.subarray(LENGTH_BYTES + length);
+    this.bufferedBytes += chunk.length;
+    for (
+      let length = this.readCompleteFrameLength();
+      length !== undefined;
+      length = this.readCompleteFrameLength()
+    ) {
+      const joined = this.joinChunks();
+      const rest = joined.subarray(LENGTH_PREFIX_BYTES + length);
       this.chunks = rest.length > 0 ? [rest] : [];
-      this.buffered = rest.length;
-      yield codec.decode(joined.subarray(LENGTH_BYTES, LENGTH_BYTES + length));
+      this.bufferedBytes = rest.length;
+      yield codec.decode(joined.subarray(LENGTH_PREFIX_BYTES, LENGTH_PREFIX_BYTES + length));
     }
   }
 
-  private wholeFrame(): number | undefined {
-    if (this.buffered < LENGTH_BYTES) return undefined;
-    if ((this.chunks[0]?.length ?? 0) < LENGTH_BYTES) this.join();
+  private readCompleteFrameLength(): number | undefined {
+    if (this.bufferedBytes < LENGTH_PREFIX_BYTES) return undefined;
+    if ((this.chunks[0]?.length ?? 0) < LENGTH_PREFIX_BYTES) this.joinChunks();
     const length = this.chunks[0]?.readUInt32BE(0) ?? 0;
-    if (length > this.mostFrameBytes) throw new FrameTooLargeError(length);
-    return this.buffered >= LENGTH_BYTES + length ? length : undefined;
+    if (length > this.maxFrameBytes) throw new FrameTooLargeError(length);
+    return this.bufferedBytes >= LENGTH_PREFIX_BYTES + length ? length : undefined;
   }
 
-  private join(): Buffer {
+  private joinChunks(): Buffer {
     const [first] = this.chunks;
     if (this.chunks.length === 1 && first !== undefined) return first;
-    const joined = Buffer.concat(this.chunks, this.buffered);
+    const joined = Buffer.concat(this.chunks, this.bufferedBytes);
     this.chunks = [joined];
     return joined;
   }
--- a/packages/transport/src/InstanceListFollower.ts
+++ b/packages/transport/src/InstanceListFollower.ts
@@ -2,17 +2,17 @@
 import type { SharedInstance, InstanceListDelta } from '@hornbeampond/schema';
 
 export class InstanceListFollower {
-  private known = new Map<string, SharedInstance>();
+  private instancesByName = new Map<string, SharedInstance>();
 
   /** Begins anew with what a store has when it is subscribed to. */
   reset(instances: readonly SharedInstance[] = []): readonly SharedInstance[] {
-    this.known = new Map(instances.map((instance) => [instance.instance, instance]));
+    this.instancesByName = new Map(instances.map((instance) => [instance.instance, instance]));
     return instances;
   }
 
   applyDelta({ changed, gone }: InstanceListDelta): readonly SharedInstance[] {
-    gone.forEach((name) => this.known.delete(name));
-    changed.forEach((instance) => this.known.set(instance.instance, instance));
-    return [...this.known.values()];
+    gone.forEach((name) => this.instancesByName.delete(name));
+    changed.forEach((instance) => this.instancesByName.set(instance.instance, instance));
+    return [...this.instancesByName.values()];
   }
 }
--- a/packages/transport/src/OperatorServer.ts
+++ b/packages/transport/src/OperatorServer.ts
@@ -27,7 +27,7 @@
 
   constructor(private readonly options: OperatorServerOptions) {
     this.server = createServer((request, response) => {
-      this.answer(request, response).catch((error: unknown) => {
+      this.respond(request, response).catch((error: unknown) => {
         const kind = error instanceof HornbeampondError ? error.kind : 'internalError';
         options.metrics.count({ metric: 'refusals', label: kind });
         if (response.headersSent) response.destroy();
@@ -51,7 +51,7 @@
     });
   }
 
-  private async answer(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  private async respond(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const url = new URL(request.url ?? '/', 'http://operators');
     switch (url.pathname) {
       case '/livez':
--- a/packages/transport/src/PeerClient.ts
+++ b/packages/transport/src/PeerClient.ts
@@ -29,32 +29,32 @@
   readonly port: number;
 }
 
-const FIRST_PAUSE_MILLISECONDS = 50;
+const INITIAL_RECONNECT_DELAY_MILLISECONDS = 50;
 
 /**
  * For so long after a connection was lost the pauses do not grow: processes that lose power together are
  * back within a second of each other, and callers wait for those that find the others late.
  */
-const SOON_BACK_MILLISECONDS = 2000;
-const LONGEST_PAUSE_MILLISECONDS = 2000;
+const FAST_RECONNECT_PERIOD_MILLISECONDS = 2000;
+const MAX_RECONNECT_DELAY_MILLISECONDS = 2000;
 
 export class PeerClient {
   private connection: PeerConnection | undefined;
 
-  private pause = FIRST_PAUSE_MILLISECONDS;
+  private reconnectDelayLimit = INITIAL_RECONNECT_DELAY_MILLISECONDS;
 
-  private isLost = false;
+  private isRetrying = false;
 
-  private lostAt = 0;
+  private retryingSince = 0;
 
   private cancelReconnect: Unsubscribe = () => {};
 
-  private stopped = false;
+  private isClosed = false;
 
   /** True between a lost connection and the next try. */
-  private waiting = false;
+  private isWaitingToReconnect = false;
 
-  private readonly failures = new Set<() => void>();
+  private readonly connectionLostCallbacks = new Set<() => void>();
 
   constructor(
     readonly address: PeerAddress,
@@ -75,23 +75,23 @@
       throw new PeerRequestError('not connected', 'nothing');
     }
     return new Promise((resolve, reject) => {
-      let settle: () => void = () => {};
+      let cleanUp: () => void = () => {};
       const id = connection.request(body, (response) => {
-        settle();
+        cleanUp();
         resolve(response);
       });
       const fail = (reason: string) => {
-        settle();
+        cleanUp();
         connection.discardResponse(id);
         reject(new PeerRequestError(reason, 'maybe'));
       };
-      const lost = () => fail('the connection was lost');
+      const onConnectionLost = () => fail('the connection was lost');
       const cancelTimeout = this.context.timers.after(timeout, () => fail('no answer in time'));
-      settle = () => {
+      cleanUp = () => {
         cancelTimeout();
-        this.failures.delete(lost);
+        this.connectionLostCallbacks.delete(onConnectionLost);
       };
-      this.failures.add(lost);
+      this.connectionLostCallbacks.add(onConnectionLost);
     });
   }
 
@@ -104,53 +104,56 @@
 
   /** Connects at once if it waits to; for when the peer has shown in another way that it is back. */
   connectNow(): void {
-    if (!this.waiting || this.stopped) return;
+    if (!this.isWaitingToReconnect || this.isClosed) return;
     this.cancelReconnect();
     this.connect();
   }
 
   close(): void {
-    this.stopped = true;
+    this.isClosed = true;
     this.cancelReconnect();
     this.connection?.close();
   }
 
   private connect(): void {
-    this.waiting = false;
+    this.isWaitingToReconnect = false;
     const socket = createConnection(this.address);
     const connection = new PeerConnection(socket, 'client', this.context, {
       onOpen: (peer) => {
-        this.pause = FIRST_PAUSE_MILLISECONDS;
-        this.isLost = false;
+        this.reconnectDelayLimit = INITIAL_RECONNECT_DELAY_MILLISECONDS;
+        this.isRetrying = false;
         this.context.logger.write('peerConnected', { peer: peer.instance });
         this.handlers.onOpen?.(peer);
       },
       onRequest: () => {},
       onPush: (body) => this.handlers.onPush?.(body),
-      onClose: () => this.lose(connection),
+      onClose: () => this.handleClose(connection),
     });
     this.connection = connection;
     socket.once('connect', () => connection.startHandshake());
   }
 
-  private lose(connection: PeerConnection): void {
+  private handleClose(connection: PeerConnection): void {
     if (connection.peer !== undefined) {
       this.context.logger.write('peerDisconnected', { peer: connection.peer.instance });
     }
-    [...this.failures].forEach((fail) => fail());
+    [...this.connectionLostCallbacks].forEach((fail) => fail());
     this.handlers.onClose?.();
-    if (this.stopped) return;
-    if (!this.isLost) this.lostAt = this.context.timers.monotonicNow();
-    this.isLost = true;
+    if (this.isClosed) return;
+    if (!this.isRetrying) this.retryingSince = this.context.timers.monotonicNow();
+    this.isRetrying = true;
     // Full jitter keeps the clients of a restarted process from coming back all at once.
-    const delay = Math.random() * this.pause;
-    const lostFor = this.context.timers.monotonicNow() - this.lostAt;
-    if (lostFor > SOON_BACK_MILLISECONDS) {
-      this.pause = Math.min(this.pause * 2, LONGEST_PAUSE_MILLISECONDS);
+    const delay = Math.random() * this.reconnectDelayLimit;
+    const retryingFor = this.context.timers.monotonicNow() - this.retryingSince;
+    if (retryingFor > FAST_RECONNECT_PERIOD_MILLISECONDS) {
+      this.reconnectDelayLimit = Math.min(
+        this.reconnectDelayLimit * 2,
+        MAX_RECONNECT_DELAY_MILLISECONDS,
+      );
     }
-    this.waiting = true;
+    this.isWaitingToReconnect = true;
     this.cancelReconnect = this.context.timers.after(delay, () => {
-      if (!this.stopped) this.connect();
+      if (!this.isClosed) this.connect();
     });
   }
 }
--- a/packages/transport/src/PeerConnection.test.ts
+++ b/packages/transport/src/PeerConnection.test.ts
@@ -11,7 +11,7 @@
 
 const HOST = '127.0.0.1';
 /** A failure that leaves a test waiting ends it here; nothing that is tested takes real time. */
-const bounded = { timeout: 10_000 } as const;
+const testOptions = { timeout: 10_000 } as const;
 const SECRET = 'a secret of the cluster';
 
 /** The events that one process has logged; a test can wait for one. */
@@ -34,16 +34,16 @@
   }
 }
 
-interface ContextChanges {
+interface ContextOverrides {
   readonly cluster?: string;
   readonly secret?: string;
 }
 
 /** What one process brings to its connections, with time that moves only when told to. */
-function makeContext(instance: string, changes: ContextChanges = {}) {
+function makeContext(instance: string, overrides: ContextOverrides = {}) {
   const timers = new ManualTimerService();
   const log = new LogRecord();
-  const { cluster = 'test', secret = SECRET } = changes;
+  const { cluster = 'test', secret = SECRET } = overrides;
   const identity = { cluster, instance, dataCentre: 'a', role: 'entry' } as const;
   const context: PeerContext = { identity, secret, timers, logger: log.logger };
   return { context, timers, log };
@@ -58,8 +58,8 @@
 }
 
 /** A client, with promises of its opening and closing. */
-function startClient(context: TestContext, port: number, changes: ContextChanges = {}) {
-  const process = makeContext('client', changes);
+function startClient(context: TestContext, port: number, overrides: ContextOverrides = {}) {
+  const process = makeContext('client', overrides);
   const handlers: PeerClientHandlers = {};
   const opened = new Promise<string>((resolve) => {
     handlers.onOpen = (peer) => resolve(peer.instance);
@@ -73,7 +73,7 @@
 }
 
 /** Asserts that a request fails, and returns what is known of it. */
-async function failureOf(request: Promise<unknown>): Promise<PeerRequestError> {
+async function expectFailure(request: Promise<unknown>): Promise<PeerRequestError> {
   const failure = await request.then(
     () => undefined,
     (error: unknown) => error,
@@ -82,7 +82,7 @@
   return failure;
 }
 
-test('a request is answered over an authenticated connection', bounded, async (context) => {
+test('a request is answered over an authenticated connection', testOptions, async (context) => {
   const server = await startServer(context, {
     onRequest: (session, body, respond) => respond({ from: session.peer.instance, body }),
   });
@@ -96,26 +96,30 @@
 
 // An operator mixes up two clusters, or a secret. Were the stranger let in, it could push tables and
 // drains of another deployment. It is refused before any message of a user is taken.
-[{ cluster: 'other' }, { secret: 'some other secret' }].forEach((changes) => {
-  test(`a peer with another ${Object.keys(changes)[0]} is refused`, bounded, async (context) => {
-    const seen: unknown[] = [];
-    const server = await startServer(context, {
-      onOpen: (session) => seen.push(session.peer),
-      onRequest: (_session, body) => seen.push(body),
-      onPush: (_session, body) => seen.push(body),
-    });
-    const { client, closed, log } = startClient(context, server.port, changes);
-    await closed;
-    const refused = [...server.log.events, ...log.events];
-    assert.ok(refused.includes('peerRefused'), refused.join());
-    assert.equal(client.isOpen, false);
-    assert.deepEqual(seen, []);
-  });
+[{ cluster: 'other' }, { secret: 'some other secret' }].forEach((overrides) => {
+  test(
+    `a peer with another ${Object.keys(overrides)[0]} is refused`,
+    testOptions,
+    async (context) => {
+      const seen: unknown[] = [];
+      const server = await startServer(context, {
+        onOpen: (session) => seen.push(session.peer),
+        onRequest: (_session, body) => seen.push(body),
+        onPush: (_session, body) => seen.push(body),
+      });
+      const { client, closed, log } = startClient(context, server.port, overrides);
+      await closed;
+      const refused = [...server.log.events, ...log.events];
+      assert.ok(refused.includes('peerRefused'), refused.join());
+      assert.equal(client.isOpen, false);
+      assert.deepEqual(seen, []);
+    },
+  );
 });
 
 // Something between the two ends forgets the connection: it stays open and nothing comes any more.
 // Without heartbeats its user would wait for ever. It is dropped after five without a byte.
-test('a connection that goes silent is dropped', bounded, async (context) => {
+test('a connection that goes silent is dropped', testOptions, async (context) => {
   const server = await startServer(context);
   const { client, opened, closed, timers, log } = startClient(context, server.port);
   await opened;
@@ -128,7 +132,7 @@
   assert.ok(log.events.includes('peerSilent'));
 });
 
-test('a connection that answers heartbeats is kept', bounded, async (context) => {
+test('a connection that answers heartbeats is kept', testOptions, async (context) => {
   const pushed: (() => void)[] = [];
   const server = await startServer(context, {
     onOpen: (session) => pushed.push(() => session.push('alive')),
@@ -159,20 +163,20 @@
 // done: a change or claim may be in the log. After that, without a connection, nothing is sent.
 test(
   'a request whose connection is lost may have been seen; the next was not sent',
-  bounded,
+  testOptions,
   async (context) => {
     const server = await startServer(context, { onRequest: (session) => session.close() });
     const { client, opened, closed } = startClient(context, server.port);
     await opened;
-    const lost = await failureOf(client.request('question', 60_000));
-    assert.equal(lost.sent, 'maybe');
+    const lostRequest = await expectFailure(client.request('question', 60_000));
+    assert.equal(lostRequest.sent, 'maybe');
     await closed;
-    const unsent = await failureOf(client.request('question', 60_000));
-    assert.equal(unsent.sent, 'nothing');
+    const unsentRequest = await expectFailure(client.request('question', 60_000));
+    assert.equal(unsentRequest.sent, 'nothing');
   },
 );
 
-test('a request without an answer in time may have been seen', bounded, async (context) => {
+test('a request without an answer in time may have been seen', testOptions, async (context) => {
   let asked = () => {};
   const arrival = new Promise<void>((resolve) => {
     asked = resolve;
@@ -180,13 +184,13 @@
   const server = await startServer(context, { onRequest: () => asked() });
   const { client, opened, timers } = startClient(context, server.port);
   await opened;
-  const failure = failureOf(client.request('question', 300));
+  const failure = expectFailure(client.request('question', 300));
   await arrival;
   timers.advance(300);
   assert.equal((await failure).sent, 'maybe');
 });
 
-test('a lost connection is opened anew', bounded, async (context) => {
+test('a lost connection is opened anew', testOptions, async (context) => {
   let sessions = 0;
   const server = await startServer(context, {
     onOpen: (session) => {
@@ -204,7 +208,7 @@
 
 // A stranger, or a fault, announces a frame of four gigabytes. If the length were believed the
 // process would hold the bytes until it has no memory left. It is refused at its first four bytes.
-test('a frame above the bound is refused before it is read', bounded, async (context) => {
+test('a frame above the bound is refused before it is read', testOptions, async (context) => {
   const server = await startServer(context);
   const socket = createConnection({ host: HOST, port: server.port });
   context.after(() => socket.destroy());
@@ -218,7 +222,7 @@
   assert.throws(() => [...decoder.decode(encodeFrame('x'.repeat(65)))], FrameTooLargeError);
 });
 
-test('a first message that is no greeting is refused', bounded, async (context) => {
+test('a first message that is no greeting is refused', testOptions, async (context) => {
   const seen: unknown[] = [];
   const server = await startServer(context, { onPush: (_session, body) => seen.push(body) });
   const socket = createConnection({ host: HOST, port: server.port });
@@ -231,7 +235,7 @@
 });
 
 // The network cuts the bytes where it likes. Each frame must come out whole, once and in order.
-test('frames come out whole however their bytes are cut', bounded, () => {
+test('frames come out whole however their bytes are cut', testOptions, () => {
   const bodies = ['a', { list: [1, 2, 3] }, 'x'.repeat(1000)];
   const bytes = Buffer.concat(bodies.map((body) => encodeFrame(body)));
   [1, 3, 7, 500, bytes.length].forEach((step) => {
@@ -246,45 +250,52 @@
 
 // A server that answers the greeting with a wrong proof is another than it says it is. The client
 // must give it no request.
-test('a server that cannot prove the secret is refused by the client', bounded, async (context) => {
-  const sockets = new Set<Socket>();
-  const impostor = createServer((socket) => {
-    sockets.add(socket);
-    const identity = { cluster: 'test', instance: 'server', dataCentre: 'a', role: 'store' };
-    const [nonce, proof] = [new Uint8Array(32), new Uint8Array(32)];
-    socket.on('error', () => {});
-    socket.once('data', () => {
-      socket.write(encodeFrame({ type: 'challenge', identity, nonce, proof }));
+test(
+  'a server that cannot prove the secret is refused by the client',
+  testOptions,
+  async (context) => {
+    const sockets = new Set<Socket>();
+    const impostor = createServer((socket) => {
+      sockets.add(socket);
+      const identity = { cluster: 'test', instance: 'server', dataCentre: 'a', role: 'store' };
+      const [nonce, proof] = [new Uint8Array(32), new Uint8Array(32)];
+      socket.on('error', () => {});
+      socket.once('data', () => {
+        socket.write(encodeFrame({ type: 'challenge', identity, nonce, proof }));
+      });
     });
-  });
-  impostor.listen(0, HOST);
-  await once(impostor, 'listening');
-  context.after(() => {
-    sockets.forEach((socket) => socket.destroy());
-    impostor.close();
-  });
-  const { client, closed, log } = startClient(context, (impostor.address() as AddressInfo).port);
-  await closed;
-  assert.equal(client.isOpen, false);
-  assert.ok(log.events.includes('peerRefused'));
-});
+    impostor.listen(0, HOST);
+    await once(impostor, 'listening');
+    context.after(() => {
+      sockets.forEach((socket) => socket.destroy());
+      impostor.close();
+    });
+    const { client, closed, log } = startClient(context, (impostor.address() as AddressInfo).port);
+    await closed;
+    assert.equal(client.isOpen, false);
+    assert.ok(log.events.includes('peerRefused'));
+  },
+);
 
 /** Opens a connection that never proves the secret, and resolves when the server has dropped it. */
-async function dropStranger(port: number, act: (socket: Socket) => Promise<void>): Promise<void> {
+async function expectDisconnect(
+  port: number,
+  sendBytes: (socket: Socket) => Promise<void>,
+): Promise<void> {
   const socket = createConnection(port, HOST);
   await once(socket, 'connect');
   const closed = once(socket, 'close');
   socket.on('error', () => {});
   socket.resume();
-  await act(socket);
+  await sendBytes(socket);
   await closed;
 }
 
 // A stranger connects and announces a large frame. Were it allowed what peers are, a few such
 // connections would fill the store's memory; it is dropped before the frame is there.
-test('a stranger may not announce a large frame', bounded, async (context) => {
+test('a stranger may not announce a large frame', testOptions, async (context) => {
   const server = await startServer(context);
-  await dropStranger(server.port, async (socket) => {
+  await expectDisconnect(server.port, async (socket) => {
     const length = Buffer.alloc(4);
     length.writeUInt32BE(1024 * 1024);
     socket.write(length);
@@ -294,11 +305,11 @@
 
 // A stranger sends a byte now and then, so it never looks silent. A handshake takes milliseconds; a
 // connection that is not open after a few heartbeats is dropped, or such callers would pile up.
-test('a stranger that trickles bytes is dropped', bounded, async (context) => {
+test('a stranger that trickles bytes is dropped', testOptions, async (context) => {
   const server = await startServer(context);
-  await dropStranger(server.port, async (socket) => {
-    for (let beats = 0; beats < 6; beats += 1) {
-      socket.write(Buffer.from([0]).subarray(0, beats < 3 ? 1 : 0));
+  await expectDisconnect(server.port, async (socket) => {
+    for (let heartbeats = 0; heartbeats < 6; heartbeats += 1) {
+      socket.write(Buffer.from([0]).subarray(0, heartbeats < 3 ? 1 : 0));
       await new Promise((resolve) => {
         setImmediate(resolve);
       });
--- a/packages/transport/src/PeerConnection.ts
+++ b/packages/transport/src/PeerConnection.ts
@@ -30,16 +30,16 @@
 const DEFAULT_HEARTBEAT_MILLISECONDS = 1000;
 
 /** A connection is dropped after so many heartbeats without a byte from the other end. */
-const SILENT_HEARTBEATS = 4;
+const MAX_HEARTBEATS_WITHOUT_DATA = 4;
 
 /** Frames of the handshake are small; a stranger must not make a process hold more. */
-const MOST_HANDSHAKE_BYTES = 4096;
+const MAX_HANDSHAKE_FRAME_BYTES = 4096;
 
 /** A connection that is not open after so many heartbeats is dropped, whatever trickles in. */
-const HANDSHAKE_HEARTBEATS = 5;
+const MAX_HANDSHAKE_HEARTBEATS = 5;
 
 /** Bytes that may wait for a slow peer before the connection is given up. */
-const MOST_WAITING_BYTES = 128 * 1024 * 1024;
+const MAX_SEND_BUFFER_BYTES = 128 * 1024 * 1024;
 
 export interface PeerConnectionHandlers {
   onOpen(peer: PeerIdentity): void;
@@ -49,28 +49,28 @@
   onClose(): void;
 }
 
-type Expecting = 'hello' | 'challenge' | 'proof' | 'welcome' | 'session';
+type ExpectedMessage = 'hello' | 'challenge' | 'proof' | 'welcome' | 'session';
 
 export class PeerConnection {
-  private readonly decoder = new FrameDecoder(MOST_HANDSHAKE_BYTES);
+  private readonly decoder = new FrameDecoder(MAX_HANDSHAKE_FRAME_BYTES);
 
   private readonly nonce = makeNonce();
 
-  private expecting: Expecting;
+  private expected: ExpectedMessage;
 
   private handshake: Handshake | undefined;
 
   private peerIdentity: PeerIdentity | undefined;
 
-  private readonly pending = new Map<number, (response: unknown) => void>();
+  private readonly responseHandlers = new Map<number, (response: unknown) => void>();
 
   private nextRequestId = 1;
 
-  private silentHeartbeats = 0;
+  private heartbeatsWithoutData = 0;
 
   private heartbeatsBeforeOpen = 0;
 
-  private wroteSinceBeat = false;
+  private wroteSinceHeartbeat = false;
 
   private closed = false;
 
@@ -82,17 +82,17 @@
     private readonly context: PeerContext,
     private readonly handlers: PeerConnectionHandlers,
   ) {
-    this.expecting = side === 'server' ? 'hello' : 'challenge';
+    this.expected = side === 'server' ? 'hello' : 'challenge';
     socket.setNoDelay(true);
-    socket.on('data', (chunk: Buffer) => this.receive(chunk));
+    socket.on('data', (chunk: Buffer) => this.receiveData(chunk));
     socket.on('error', () => this.close());
     socket.on('close', () => this.close());
     const interval = context.heartbeatMilliseconds ?? DEFAULT_HEARTBEAT_MILLISECONDS;
-    this.stopHeartbeats = context.timers.every(interval, () => this.beat());
+    this.stopHeartbeats = context.timers.every(interval, () => this.handleHeartbeatTimer());
   }
 
   get isOpen(): boolean {
-    return this.expecting === 'session' && !this.closed;
+    return this.expected === 'session' && !this.closed;
   }
 
   get peer(): PeerIdentity | undefined {
@@ -108,14 +108,14 @@
   request(body: unknown, onResponse: (response: unknown) => void): number {
     const id = this.nextRequestId;
     this.nextRequestId += 1;
-    this.pending.set(id, onResponse);
+    this.responseHandlers.set(id, onResponse);
     this.write({ type: 'request', id, body });
     return id;
   }
 
   /** Forgets a request: its response will be dropped. */
   discardResponse(id: number): void {
-    this.pending.delete(id);
+    this.responseHandlers.delete(id);
   }
 
   push(body: unknown): void {
@@ -131,26 +131,26 @@
     if (this.closed) return;
     this.closed = true;
     this.stopHeartbeats();
-    this.pending.clear();
+    this.responseHandlers.clear();
     this.socket.destroy();
     this.handlers.onClose();
   }
 
-  private beat(): void {
-    this.silentHeartbeats += 1;
-    if (this.silentHeartbeats > SILENT_HEARTBEATS) {
+  private handleHeartbeatTimer(): void {
+    this.heartbeatsWithoutData += 1;
+    if (this.heartbeatsWithoutData > MAX_HEARTBEATS_WITHOUT_DATA) {
       this.context.logger.write('peerSilent', { peer: this.peerIdentity?.instance });
       this.close();
       return;
     }
     if (this.isOpen) {
       // Any frame shows that this end is alive; at rest heartbeats were most of the control traffic.
-      if (!this.wroteSinceBeat) this.write({ type: 'heartbeat' });
-      this.wroteSinceBeat = false;
+      if (!this.wroteSinceHeartbeat) this.write({ type: 'heartbeat' });
+      this.wroteSinceHeartbeat = false;
       return;
     }
     this.heartbeatsBeforeOpen += 1;
-    if (this.heartbeatsBeforeOpen > HANDSHAKE_HEARTBEATS) this.refuse('no handshake in time');
+    if (this.heartbeatsBeforeOpen > MAX_HANDSHAKE_HEARTBEATS) this.refuse('no handshake in time');
   }
 
   private write(message: PeerMessage): void {
@@ -159,21 +159,21 @@
 
   private writeFrame(frame: Buffer): void {
     if (this.closed) return;
-    this.wroteSinceBeat = true;
+    this.wroteSinceHeartbeat = true;
     this.context.metrics?.count({ metric: 'frames', label: 'out' });
     this.context.metrics?.count({ metric: 'frameBytes', label: 'out', amount: frame.length });
     this.socket.write(frame);
-    if (this.socket.writableLength > MOST_WAITING_BYTES) this.close();
+    if (this.socket.writableLength > MAX_SEND_BUFFER_BYTES) this.close();
   }
 
-  private receive(chunk: Buffer): void {
-    this.silentHeartbeats = 0;
+  private receiveData(chunk: Buffer): void {
+    this.heartbeatsWithoutData = 0;
     this.context.metrics?.count({ metric: 'frameBytes', label: 'in', amount: chunk.length });
     try {
       for (const message of this.decoder.decode(chunk)) {
         this.context.metrics?.count({ metric: 'frames', label: 'in' });
         if (this.closed) return;
-        this.take(message as PeerMessage);
+        this.handleMessage(message as PeerMessage);
       }
     } catch (error) {
       this.context.logger.write('frameRejected', { reason: String(error) });
@@ -181,12 +181,12 @@
     }
   }
 
-  private take(message: PeerMessage): void {
-    if (this.expecting === 'session') this.takeSession(message as SessionMessage);
-    else this.takeHandshake(message as HandshakeMessage);
+  private handleMessage(message: PeerMessage): void {
+    if (this.expected === 'session') this.handleSessionMessage(message as SessionMessage);
+    else this.handleHandshakeMessage(message as HandshakeMessage);
   }
 
-  private takeSession(message: SessionMessage): void {
+  private handleSessionMessage(message: SessionMessage): void {
     switch (message.type) {
       case 'request':
         this.handlers.onRequest(message.body, (body) => {
@@ -194,8 +194,8 @@
         });
         return;
       case 'response': {
-        const onResponse = this.pending.get(message.id);
-        this.pending.delete(message.id);
+        const onResponse = this.responseHandlers.get(message.id);
+        this.responseHandlers.delete(message.id);
         onResponse?.(message.body);
         return;
       }
@@ -209,9 +209,9 @@
     }
   }
 
-  private takeHandshake(message: HandshakeMessage): void {
-    if (message.type !== this.expecting) {
-      this.refuse(`expected ${this.expecting}`);
+  private handleHandshakeMessage(message: HandshakeMessage): void {
+    if (message.type !== this.expected) {
+      this.refuse(`expected ${this.expected}`);
       return;
     }
     switch (message.type) {
@@ -222,14 +222,14 @@
         this.answerChallenge(message);
         return;
       case 'proof':
-        if (!this.proofHolds('client', message.proof)) this.refuse('wrong secret');
+        if (!this.isProofValid('client', message.proof)) this.refuse('wrong secret');
         else {
           this.write({ type: 'welcome' });
-          this.open();
+          this.openSession();
         }
         return;
       case 'welcome':
-        this.open();
+        this.openSession();
         return;
       default:
         this.refuse('unexpected message');
@@ -238,9 +238,9 @@
 
   private answerHello(client: PeerIdentity, clientNonce: Uint8Array): void {
     const { identity, secret } = this.context;
-    if (!this.sameCluster(client)) return;
+    if (!this.acceptPeerIdentity(client)) return;
     this.handshake = { client, server: identity, clientNonce, serverNonce: this.nonce };
-    this.expecting = 'proof';
+    this.expected = 'proof';
     const proof = makeProof(secret, 'server', this.handshake);
     this.write({ type: 'challenge', identity, nonce: this.nonce, proof });
   }
@@ -248,35 +248,35 @@
   private answerChallenge(challenge: Extract<HandshakeMessage, { type: 'challenge' }>): void {
     const { identity, secret } = this.context;
     const server = challenge.identity;
-    if (!this.sameCluster(server)) return;
+    if (!this.acceptPeerIdentity(server)) return;
     this.handshake = {
       client: identity,
       server,
       clientNonce: this.nonce,
       serverNonce: challenge.nonce,
     };
-    if (!this.proofHolds('server', challenge.proof)) {
+    if (!this.isProofValid('server', challenge.proof)) {
       this.refuse('wrong secret');
       return;
     }
-    this.expecting = 'welcome';
+    this.expected = 'welcome';
     this.write({ type: 'proof', proof: makeProof(secret, 'client', this.handshake) });
   }
 
-  private sameCluster(peer: PeerIdentity): boolean {
+  private acceptPeerIdentity(peer: PeerIdentity): boolean {
     this.peerIdentity = peer;
     if (peer.cluster === this.context.identity.cluster) return true;
     this.refuse('another cluster');
     return false;
   }
 
-  private proofHolds(side: 'client' | 'server', proof: Uint8Array): boolean {
+  private isProofValid(side: 'client' | 'server', proof: Uint8Array): boolean {
     if (this.handshake === undefined) return false;
     return areProofsEqual(proof, makeProof(this.context.secret, side, this.handshake));
   }
 
-  private open(): void {
-    this.expecting = 'session';
+  private openSession(): void {
+    this.expected = 'session';
     this.decoder.setMaxFrameBytes(MAX_FRAME_BYTES);
     if (this.peerIdentity !== undefined) this.handlers.onOpen(this.peerIdentity);
   }
--- a/packages/transport/src/StoreClient.ts
+++ b/packages/transport/src/StoreClient.ts
@@ -37,9 +37,9 @@
   | { readonly type: 'unsure' };
 
 /** A store that does not answer within this span is passed over for another. */
-const ATTEMPT_MILLISECONDS = 1500;
-const PAUSE_MILLISECONDS = 40;
-const STATUS_MILLISECONDS = 1000;
+const ATTEMPT_TIMEOUT_MILLISECONDS = 1500;
+const RETRY_DELAY_MILLISECONDS = 40;
+const BROADCAST_TIMEOUT_MILLISECONDS = 1000;
 
 export class StoreClient {
   private stores: StorePeer[];
@@ -49,13 +49,13 @@
   /** The members of the log, as last told; none until then. */
   private members: readonly VoterAddress[] = [];
 
-  private leader: string | undefined;
+  private leaderInstance: string | undefined;
 
-  private next = 0;
+  private roundRobinCounter = 0;
 
   private readonly subscription: StoreSubscription;
 
-  private stopped = false;
+  private isClosed = false;
 
   constructor(
     addresses: readonly StoreAddress[],
@@ -66,7 +66,7 @@
      * True to connect to all members of the log. Else the given addresses hold, whatever the log
      * says: how a store is reached from here is for this instance's operator to know.
      */
-    private readonly followsMembers = false,
+    private readonly connectsToAllMembers = false,
   ) {
     this.seeds = addresses;
     this.subscription = new StoreSubscription({
@@ -76,7 +76,7 @@
       readStores: () => this.stores,
       onMembers: (members) => {
         this.members = members;
-        this.connectToAll();
+        this.updateConnections();
       },
     });
     this.stores = addresses.map((address) => ({ address, client: this.connect(address) }));
@@ -84,7 +84,7 @@
 
   /** Runs a command through the log, resending it until `timeout` milliseconds have passed. */
   async propose(command: StoreCommand, timeout: Milliseconds): Promise<ProposalOutcome> {
-    const outcome = await this.ask({ type: 'propose', command }, timeout);
+    const outcome = await this.requestWithRetries({ type: 'propose', command }, timeout);
     if (outcome.type !== 'answered') return outcome;
     if (outcome.response.type === 'result') {
       return { type: 'result', result: outcome.response.result };
@@ -94,7 +94,7 @@
 
   /** Linearizable read of the tables. */
   async readConfiguration(timeout: Milliseconds): Promise<Configuration> {
-    const outcome = await this.ask({ type: 'readConfiguration' }, timeout);
+    const outcome = await this.requestWithRetries({ type: 'readConfiguration' }, timeout);
     if (outcome.type === 'answered' && outcome.response.type === 'configuration') {
       return outcome.response.configuration;
     }
@@ -103,7 +103,7 @@
 
   /** Sends a request that only the leader carries out. */
   async requestFromLeader(request: StoreRequest, timeout: Milliseconds): Promise<StoreResponse> {
-    const outcome = await this.ask(request, timeout);
+    const outcome = await this.requestWithRetries(request, timeout);
     if (outcome.type === 'answered') return outcome.response;
     return { type: outcome.type, reason: 'no quorum of stores can be reached' };
   }
@@ -114,7 +114,10 @@
       this.stores.map(async ({ client }) => {
         try {
           const request: StoreRequest = { type: 'readStatus' };
-          const response = (await client.request(request, STATUS_MILLISECONDS)) as StoreResponse;
+          const response = (await client.request(
+            request,
+            BROADCAST_TIMEOUT_MILLISECONDS,
+          )) as StoreResponse;
           return response.type === 'status' ? [response.status] : [];
         } catch {
           return [];
@@ -126,7 +129,7 @@
 
   /** Linearizable read of what the operator sent who replaced all tables last. */
   async readDocument(timeout: Milliseconds): Promise<string> {
-    const outcome = await this.ask({ type: 'readDocument' }, timeout);
+    const outcome = await this.requestWithRetries({ type: 'readDocument' }, timeout);
     if (outcome.type === 'answered' && outcome.response.type === 'document') {
       return outcome.response.document;
     }
@@ -135,47 +138,47 @@
 
   /** Hands a report to all other entries, by way of every store that is within reach. */
   shareReport(report: EntryReport): void {
-    this.tellAll({ type: 'shareReport', report });
+    this.sendToAll({ type: 'shareReport', report });
   }
 
   /** Hands the platform's list, as it was just read, to all that subscribe to a store. */
   shareInstances(instances: readonly SharedInstance[]): void {
-    this.tellAll({ type: 'shareInstances', instances });
+    this.sendToAll({ type: 'shareInstances', instances });
   }
 
   /** The same for what is told between two reports. */
   shareSpending(spending: SpendingReport): void {
-    this.tellAll({ type: 'shareSpending', spending });
+    this.sendToAll({ type: 'shareSpending', spending });
   }
 
   /** Hands on what has changed of this entry's work. */
   shareWork(work: WorkReport): void {
-    this.tellAll({ type: 'shareWork', work });
+    this.sendToAll({ type: 'shareWork', work });
   }
 
   /** Tells the stores what this instance has in force. */
   updateReport(report: InstanceReport): void {
     this.subscription.report = report;
-    this.tellAll({ type: 'report', report });
+    this.sendToAll({ type: 'report', report });
   }
 
   /** Takes over the stores that changed settings name. */
   setSeeds(addresses: readonly StoreAddress[]): void {
     this.seeds = addresses;
-    this.connectToAll();
+    this.updateConnections();
   }
 
   close(): void {
-    this.stopped = true;
+    this.isClosed = true;
     this.subscription.stop();
     this.stores.forEach(({ client }) => client.close());
   }
 
   /** Tells what the next telling repeats, so that a lost one does no harm. */
-  private tellAll(request: StoreRequest): void {
+  private sendToAll(request: StoreRequest): void {
     this.stores.forEach((store) => {
       if (!store.client.isOpen) return;
-      store.client.request(request, STATUS_MILLISECONDS).then(
+      store.client.request(request, BROADCAST_TIMEOUT_MILLISECONDS).then(
         (response) => this.subscription.handleReportResponse(store, response as StoreResponse),
         () => {},
       );
@@ -186,24 +189,30 @@
    * The stores to be connected to beside the seeds. Until members are told, those that are connected
    * are all there is.
    */
-  private get wantedMembers(): readonly VoterAddress[] {
-    if (!this.followsMembers) return [];
+  private get membersToConnect(): readonly VoterAddress[] {
+    if (!this.connectsToAllMembers) return [];
     if (this.members.length > 0) return this.members;
     return this.stores.filter(({ client }) => client.isOpen).map(({ address }) => address);
   }
 
   /** Connects to stores that have joined, and leaves those that are gone and are no seeds. */
-  private connectToAll(): void {
-    if (this.stopped) return;
-    const members = this.wantedMembers;
-    const isAt = (a: VoterAddress) => (b: VoterAddress) => a.host === b.host && a.port === b.port;
-    const wanted = [...members, ...this.seeds.filter((seed) => !members.some(isAt(seed)))];
-    const before = this.stores;
-    this.stores = wanted.map((address) => {
-      const known = before.find((store) => isAt(address)(store.address));
-      return known ?? { address, client: this.connect(address) };
+  private updateConnections(): void {
+    if (this.isClosed) return;
+    const members = this.membersToConnect;
+    const isSameAddress = (a: VoterAddress) => (b: VoterAddress) =>
+      a.host === b.host && a.port === b.port;
+    const addressesToConnect = [
+      ...members,
+      ...this.seeds.filter((seed) => !members.some(isSameAddress(seed))),
+    ];
+    const previousStores = this.stores;
+    this.stores = addressesToConnect.map((address) => {
+      const existing = previousStores.find((store) => isSameAddress(address)(store.address));
+      return existing ?? { address, client: this.connect(address) };
     });
-    before.filter((store) => !this.stores.includes(store)).forEach(({ client }) => client.close());
+    previousStores
+      .filter((store) => !this.stores.includes(store))
+      .forEach(({ client }) => client.close());
   }
 
   private connect(address: StoreAddress): PeerClient {
@@ -214,7 +223,7 @@
     });
   }
 
-  private async ask(
+  private async requestWithRetries(
     request: StoreRequest,
     timeout: Milliseconds,
   ): Promise<
@@ -223,24 +232,32 @@
     | { readonly type: 'unsure' }
   > {
     const { timers } = this.context;
-    const endsAt = timers.monotonicNow() + timeout;
-    let everSent = false;
-    for (let left = timeout; left > 0 && !this.stopped; left = endsAt - timers.monotonicNow()) {
+    const deadline = timers.monotonicNow() + timeout;
+    let mayHaveBeenSent = false;
+    for (
+      let remaining = timeout;
+      remaining > 0 && !this.isClosed;
+      remaining = deadline - timers.monotonicNow()
+    ) {
       const store = this.chooseStore();
-      const tried = await this.tryStore(store, request, Math.min(left, ATTEMPT_MILLISECONDS));
-      if (tried.type === 'answered') return tried;
-      everSent ||= tried.type === 'unsure';
-      await timers.wait(Math.min(PAUSE_MILLISECONDS, Math.max(1, left)));
+      const attempt = await this.tryStore(
+        store,
+        request,
+        Math.min(remaining, ATTEMPT_TIMEOUT_MILLISECONDS),
+      );
+      if (attempt.type === 'answered') return attempt;
+      mayHaveBeenSent ||= attempt.type === 'unsure';
+      await timers.wait(Math.min(RETRY_DELAY_MILLISECONDS, Math.max(1, remaining)));
     }
-    return { type: everSent ? 'unsure' : 'unavailable' };
+    return { type: mayHaveBeenSent ? 'unsure' : 'unavailable' };
   }
 
   private chooseStore(): StorePeer | undefined {
     const open = this.stores.filter(({ client }) => client.isOpen);
-    const leader = open.find(({ address }) => address.instance === this.leader);
+    const leader = open.find(({ address }) => address.instance === this.leaderInstance);
     if (leader !== undefined) return leader;
-    this.next += 1;
-    return open[this.next % Math.max(1, open.length)];
+    this.roundRobinCounter += 1;
+    return open[this.roundRobinCounter % Math.max(1, open.length)];
   }
 
   private async tryStore(
@@ -257,20 +274,21 @@
       const response = (await store.client.request(request, timeout)) as StoreResponse;
       switch (response.type) {
         case 'notLeader':
-          this.leader = response.leader === store.address.instance ? undefined : response.leader;
+          this.leaderInstance =
+            response.leader === store.address.instance ? undefined : response.leader;
           return { type: 'notSent' };
         case 'unavailable':
-          this.leader = undefined;
+          this.leaderInstance = undefined;
           return { type: 'notSent' };
         case 'unsure':
-          this.leader = undefined;
+          this.leaderInstance = undefined;
           return { type: 'unsure' };
         default:
-          this.leader = store.address.instance;
+          this.leaderInstance = store.address.instance;
           return { type: 'answered', response };
       }
     } catch (error) {
-      this.leader = undefined;
+      this.leaderInstance = undefined;
       const sent = error instanceof PeerRequestError ? error.sent : 'maybe';
       return { type: sent === 'nothing' ? 'notSent' : 'unsure' };
     }
--- a/packages/transport/src/StoreSubscription.test.ts
+++ b/packages/transport/src/StoreSubscription.test.ts
@@ -13,7 +13,7 @@
 } as const;
 
 /** A store that answers at once with the revision that it holds. */
-class AnsweringStore implements StorePeer {
+class FakeStore implements StorePeer {
   revision = 3;
 
   subscriptions = 0;
@@ -44,10 +44,10 @@
 }
 
 /** An entry that follows the store of its own data centre, with another one within reach. */
-async function follow() {
+async function subscribeEntry() {
   const timers = new ManualTimerService();
-  const own = new AnsweringStore('store-1', 'wien-a');
-  const other = new AnsweringStore('store-2', 'wien-b');
+  const own = new FakeStore('store-1', 'wien-a');
+  const other = new FakeStore('store-2', 'wien-b');
   const revisions: number[] = [];
   const subscription = new StoreSubscription({
     timers,
@@ -57,12 +57,12 @@
     onMembers: () => {},
   });
   subscription.subscribeIfNeeded();
-  await settle();
+  await flushPendingCallbacks();
   return { timers, own, other, revisions, subscription };
 }
 
 /** Lets answers that have been given reach whoever waits for them. */
-async function settle(): Promise<void> {
+async function flushPendingCallbacks(): Promise<void> {
   await new Promise((resolve) => {
     setImmediate(resolve);
   });
@@ -72,15 +72,15 @@
 // not know so itself for seconds. Meanwhile a route is added and acknowledged: callers of this entry
 // would get 404 for it. The other store's answer to the entry's next report gives it away.
 test('an entry leaves a store that is behind what another store holds', async () => {
-  const { timers, own, other, revisions, subscription } = await follow();
+  const { timers, own, other, revisions, subscription } = await subscribeEntry();
   other.revision = 4;
   subscription.handleReportResponse(own, own.accepted);
   subscription.handleReportResponse(other, other.accepted);
   timers.advance(249);
-  await settle();
+  await flushPendingCallbacks();
   assert.deepEqual(revisions, [3]);
   timers.advance(1);
-  await settle();
+  await flushPendingCallbacks();
   assert.deepEqual(revisions, [3, 4]);
   assert.equal(other.subscriptions, 1);
 });
@@ -88,7 +88,7 @@
 // All stores apply a change within milliseconds of each other, but answers overtake pushes. Moving
 // at once would have every entry ask for all tables again at each change.
 test('an entry stays with its store if the change comes from there a moment later', async () => {
-  const { timers, own, other, revisions, subscription } = await follow();
+  const { timers, own, other, revisions, subscription } = await subscribeEntry();
   other.revision = 4;
   subscription.handleReportResponse(other, other.accepted);
   timers.advance(20);
@@ -97,17 +97,17 @@
     delta: { fromRevision: 3, toRevision: 4 },
   });
   timers.advance(1000);
-  await settle();
+  await flushPendingCallbacks();
   assert.deepEqual(revisions, [3, 4]);
   assert.deepEqual([own.subscriptions, other.subscriptions], [1, 0]);
 });
 
 // A store that is behind says so in its answers; nothing is gained by a move to it.
 test('an older store draws nobody', async () => {
-  const { timers, other, subscription } = await follow();
+  const { timers, other, subscription } = await subscribeEntry();
   other.revision = 2;
   subscription.handleReportResponse(other, other.accepted);
   timers.advance(1000);
-  await settle();
+  await flushPendingCallbacks();
   assert.equal(other.subscriptions, 0);
 });
--- a/packages/transport/src/StoreSubscription.ts
+++ b/packages/transport/src/StoreSubscription.ts
@@ -66,53 +66,54 @@
    * Pushes that came with the answer in one read of the socket and are seen before it. Taken at
    * once they would not join to what is held.
    */
-  readonly early: StorePush[];
+  readonly earlyPushes: StorePush[];
 }
 
-const SUBSCRIBE_MILLISECONDS: Milliseconds = 1500;
-const PAUSE_MILLISECONDS: Milliseconds = 40;
+const SUBSCRIBE_TIMEOUT_MILLISECONDS: Milliseconds = 1500;
+const RETRY_DELAY_MILLISECONDS: Milliseconds = 40;
 
 /**
  * Stores apply a change within a few milliseconds of each other; after this long the one that is
  * subscribed to is behind for another reason. With the second between two reports it leaves more
  * than half of the two seconds within which a change has to be in force.
  */
-const BEHIND_MILLISECONDS: Milliseconds = 250;
+const MAX_LAG_MILLISECONDS: Milliseconds = 250;
 
 export class StoreSubscription {
   report: InstanceReport | undefined;
 
-  private readonly follower = new ConfigurationFollower();
+  private readonly configurationFollower = new ConfigurationFollower();
 
-  private readonly instances = new InstanceListFollower();
+  private readonly instanceListFollower = new InstanceListFollower();
 
   private subscription: Subscription | undefined;
 
-  private cancelMove: Unsubscribe | undefined;
+  private cancelSwitch: Unsubscribe | undefined;
 
   /** Stores that did not answer a subscription, until all have been tried. */
-  private readonly passedOver = new Set<StorePeer>();
+  private readonly failedStores = new Set<StorePeer>();
 
-  private next = 0;
+  private roundRobinCounter = 0;
 
-  private stopped = false;
+  private isStopped = false;
 
   constructor(private readonly options: StoreSubscriptionOptions) {
     this.report = options.report;
   }
 
   stop(): void {
-    this.stopped = true;
-    this.cancelMove?.();
+    this.isStopped = true;
+    this.cancelSwitch?.();
   }
 
   /** A store of the own data centre is preferred: it stays reachable when others are cut off. */
   subscribeIfNeeded(): void {
     const { report } = this;
-    if (report === undefined || this.stopped || this.subscription !== undefined) return;
-    if (this.openStores.every((store) => this.passedOver.has(store))) this.passedOver.clear();
-    const open = this.openStores.filter((store) => !this.passedOver.has(store));
-    const store = open.find(({ address }) => address.dataCentre === report.dataCentre) ?? open[0];
+    if (report === undefined || this.isStopped || this.subscription !== undefined) return;
+    if (this.openStores.every((store) => this.failedStores.has(store))) this.failedStores.clear();
+    const candidates = this.openStores.filter((store) => !this.failedStores.has(store));
+    const store =
+      candidates.find(({ address }) => address.dataCentre === report.dataCentre) ?? candidates[0];
     if (store !== undefined) this.subscribe(store, report);
   }
 
@@ -120,8 +121,8 @@
   receivePush(address: StoreAddress, push: StorePush): void {
     const { subscription } = this;
     if (subscription?.store.address !== address) return;
-    if (subscription.isAnswered) this.take(push);
-    else subscription.early.push(push);
+    if (subscription.isAnswered) this.handlePush(push);
+    else subscription.earlyPushes.push(push);
   }
 
   /** The connection to the store at this address is lost. */
@@ -135,11 +136,11 @@
   handleReportResponse(store: StorePeer, response: StoreResponse): void {
     if (response.type !== 'accepted' || response.revision === undefined) return;
     const { revision } = response;
-    if (this.cancelMove !== undefined || this.holds(revision)) return;
-    this.cancelMove = this.options.timers.after(BEHIND_MILLISECONDS, () => {
-      this.cancelMove = undefined;
+    if (this.cancelSwitch !== undefined || this.hasRevision(revision)) return;
+    this.cancelSwitch = this.options.timers.after(MAX_LAG_MILLISECONDS, () => {
+      this.cancelSwitch = undefined;
       const { report } = this;
-      if (this.stopped || report === undefined || this.holds(revision)) return;
+      if (this.isStopped || report === undefined || this.hasRevision(revision)) return;
       if (store.client.isOpen) this.subscribe(store, report);
     });
   }
@@ -148,69 +149,69 @@
     return this.options.readStores().filter(({ client }) => client.isOpen);
   }
 
-  private holds(revision: number): boolean {
-    return (this.follower.newest?.revision ?? 0) >= revision;
+  private hasRevision(revision: number): boolean {
+    return (this.configurationFollower.newest?.revision ?? 0) >= revision;
   }
 
   private subscribe(store: StorePeer, report: InstanceReport): void {
-    const subscription: Subscription = { store, isAnswered: false, early: [] };
+    const subscription: Subscription = { store, isAnswered: false, earlyPushes: [] };
     this.subscription = subscription;
-    store.client.request({ type: 'subscribe', report }, SUBSCRIBE_MILLISECONDS).then(
+    store.client.request({ type: 'subscribe', report }, SUBSCRIBE_TIMEOUT_MILLISECONDS).then(
       (response) => {
         if (this.subscription === subscription) {
-          this.acceptSubscription(subscription, response as StoreResponse);
+          this.handleSubscribeResponse(subscription, response as StoreResponse);
         }
       },
       () => {
         if (this.subscription !== subscription) return;
         this.subscription = undefined;
-        this.passedOver.add(store);
-        this.options.timers.after(PAUSE_MILLISECONDS, () => this.subscribeIfNeeded());
+        this.failedStores.add(store);
+        this.options.timers.after(RETRY_DELAY_MILLISECONDS, () => this.subscribeIfNeeded());
       },
     );
   }
 
-  private acceptSubscription(subscription: Subscription, response: StoreResponse): void {
+  private handleSubscribeResponse(subscription: Subscription, response: StoreResponse): void {
     if (response.type !== 'subscribed') return;
     subscription.isAnswered = true;
-    this.passedOver.clear();
-    this.takeInstances(response);
+    this.failedStores.clear();
+    this.resetInstanceList(response);
     // Ahead of the configuration: with that the requests that have waited for it are admitted.
     this.options.handlers.onPersistedState?.(response.remembered);
-    this.note(this.follower.applyConfiguration(response.configuration));
+    this.handleUpdateResult(this.configurationFollower.applyConfiguration(response.configuration));
     this.options.handlers.onQuarantine?.(response.quarantine);
     this.options.onMembers(response.stores);
-    subscription.early.forEach((push) => this.take(push));
+    subscription.earlyPushes.forEach((push) => this.handlePush(push));
   }
 
-  private takeInstances({
+  private resetInstanceList({
     instances,
     instancesAge = 0,
   }: Extract<StoreResponse, { type: 'subscribed' }>): void {
-    this.instances.reset(instances);
+    this.instanceListFollower.reset(instances);
     if (instances !== undefined) this.options.handlers.onInstanceList?.(instances, instancesAge);
   }
 
-  private take(push: StorePush): void {
-    const { handlers, onMembers: onStores } = this.options;
+  private handlePush(push: StorePush): void {
+    const { handlers, onMembers } = this.options;
     switch (push.type) {
       case 'configuration':
-        this.note(this.follower.applyConfiguration(push.configuration));
+        this.handleUpdateResult(this.configurationFollower.applyConfiguration(push.configuration));
         return;
       case 'configurationDelta':
-        this.note(this.follower.applyConfigurationDelta(push.delta));
+        this.handleUpdateResult(this.configurationFollower.applyConfigurationDelta(push.delta));
         return;
       case 'quarantine':
         handlers.onQuarantine?.(push.quarantine);
         return;
       case 'stores':
-        onStores(push.stores);
+        onMembers(push.stores);
         return;
       case 'entryReport':
         handlers.onEntryReport?.(push.report);
         return;
       case 'instances':
-        handlers.onInstanceList?.(this.instances.applyDelta(push), 0);
+        handlers.onInstanceList?.(this.instanceListFollower.applyDelta(push), 0);
         return;
       case 'work':
         push.reports.forEach((report) => handlers.onWorkReport?.(report));
@@ -222,23 +223,23 @@
         handlers.onSpendingReport?.(push.spending);
         return;
       default:
-        this.leaveOutOfTouch();
+        this.switchStore();
     }
   }
 
   /** Moves to another store, if one is within reach; it may be out of touch as well, and say so. */
-  private leaveOutOfTouch(): void {
+  private switchStore(): void {
     const { report, subscription } = this;
     if (report === undefined || subscription === undefined) return;
-    const others = this.openStores.filter((store) => store !== subscription.store);
-    this.next += 1;
-    const store = others[this.next % Math.max(1, others.length)];
+    const otherStores = this.openStores.filter((store) => store !== subscription.store);
+    this.roundRobinCounter += 1;
+    const store = otherStores[this.roundRobinCounter % Math.max(1, otherStores.length)];
     if (store !== undefined) this.subscribe(store, report);
   }
 
   /** Hands on what is newer; after a gap it asks the same store for all of it. */
-  private note(result: ConfigurationUpdateResult): void {
-    const { newest } = this.follower;
+  private handleUpdateResult(result: ConfigurationUpdateResult): void {
+    const { newest } = this.configurationFollower;
     if (result === 'newer' && newest !== undefined) {
       this.options.handlers.onConfiguration?.(newest);
     }
