--- a/packages/adapters/src/BackendServerFailure.ts
+++ b/packages/adapters/src/BackendServerFailure.ts
@@ -1,18 +1,19 @@
 /**
- * The one error that the adapters of backend servers, the platform and the weight store raise.
- * It says what went wrong and, above all, whether the other end can have seen the call.
+ * The error that all adapters throw when a call to a backend server, the platform or the weight
+ * store fails. It states the kind of failure and whether the call may have run.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 import ModernError from 'modern-errors';
 
 /**
- * - `connectFailed`: no connection came about.
- * - `busy`: the server answered that it takes no more now (429 or 503).
+ * - `connectFailed`: no connection could be established.
+ * - `busy`: the server accepts no more calls for now (status 429 or 503).
  * - `serverError`: the server answered with another 5xx status.
- * - `clientError`: the server answered with another 4xx status; a retry will not help.
- * - `connectionLost`: the connection ended before the answer did.
- * - `silent`: the caller's limit passed (its `AbortSignal` fired) before the answer was whole.
- * - `malformed`: the answer broke the protocol or a size limit.
+ * - `clientError`: the server answered with another 4xx status, or the call itself was invalid.
+ *   A retry does not help.
+ * - `connectionLost`: the connection ended before the answer was complete.
+ * - `silent`: the caller's `AbortSignal` fired before the answer was complete.
+ * - `malformed`: the answer violated the protocol or a size limit.
  */
 export const backendServerFailureKinds = [
   'connectFailed',
@@ -25,17 +26,17 @@
 ] as const;
 export type BackendServerFailureKind = (typeof backendServerFailureKinds)[number];
 
-/** `nothing`: provably not one byte of the call was sent. `maybe`: it can have run. */
+/** `nothing`: the call provably did not run. `maybe`: it may have run. */
 export type SentState = 'nothing' | 'maybe';
 
 export interface BackendServerFailureOptions {
-  /** `connectionLost` unless given. */
+  /** Defaults to `connectionLost`. */
   readonly failure?: BackendServerFailureKind;
-  /** `maybe` unless given, which promises nothing. */
+  /** Defaults to `maybe`, the safe assumption. */
   readonly sent?: SentState;
-  /** HTTP status, if the server answered. */
+  /** HTTP status, if it caused the failure. */
   readonly status?: number;
-  /** When to come back, if the server said so. */
+  /** Delay before a retry, if the server sent one. */
   readonly retryAfter?: Milliseconds;
   readonly cause?: unknown;
 }
@@ -59,13 +60,13 @@
   }
 }
 
-/** Constructor of the class, typed without the library's generics. */
+/** Constructor type of the class, without the generics of modern-errors. */
 type BackendServerFailureClass = new (
   message: string,
   options?: BackendServerFailureOptions,
 ) => BackendServerFailureBase & Error;
 
-/** modern-errors raises only classes that its `subclass` made, and wants their names to end so. */
+/** modern-errors requires classes made by `subclass`, with names that end in `Error`. */
 export const BackendServerFailure: BackendServerFailureClass = ModernError.subclass(
   'BackendServerFailureError',
   { custom: BackendServerFailureBase },
--- a/packages/adapters/src/EngineAdapter.ts
+++ b/packages/adapters/src/EngineAdapter.ts
@@ -1,10 +1,9 @@
 /**
- * How the system meets one model engine. The relay starts, resumes and cancels streams through
- * it; the controller gives orders; the router reads load and cache events.
+ * Interface to one model engine: it starts, resumes and cancels answers, exports and imports KV
+ * caches, reads load and cache events, sends orders and probes health.
  *
- * No method retries, and none has a timeout of its own: the caller's `AbortSignal` is the limit,
- * and aborting drops the connection that the call was on. Every failure is a
- * `BackendServerFailure`.
+ * No method retries or has a timeout of its own: the caller's `AbortSignal` is the only limit, and
+ * aborting drops the connection of the call. Every failure is a `BackendServerFailure`.
  */
 import type { CacheEvent, LoadReport, Order, OrderResult } from '@hornbeampond/schema';
 import type { ProbeResponse } from './ProbeResponse.js';
@@ -14,7 +13,7 @@
   readonly content: unknown;
 }
 
-/** A chat completion request as the caller sent it; unknown keys are passed on. */
+/** A chat completion request as the caller sent it; unknown keys are forwarded. */
 export interface CompletionBody {
   readonly model?: string;
   readonly messages: readonly ChatMessage[];
@@ -22,13 +21,13 @@
   readonly [key: string]: unknown;
 }
 
-/** What an earlier attempt has generated, and the caller has received or will receive first. */
+/** Output of earlier attempts, which the caller receives before that of the resumed attempt. */
 export interface ResumePoint {
   readonly generatedText: string;
   readonly generatedTokens: number;
 }
 
-/** Tokens by the engine's own count. */
+/** Token counts as reported by the engine. */
 export interface CompletionUsage {
   readonly promptTokens: number;
   readonly completionTokens: number;
@@ -39,68 +38,68 @@
   | { readonly type: 'end'; readonly finishReason: string; readonly usage?: CompletionUsage };
 
 /**
- * The chunks of one answer, to be read once. It ends after the `end` chunk; anything else throws
- * a `BackendServerFailure`, so a cut answer never looks complete. The engine is read only as fast
- * as the stream is; leaving the loop early drops the connection.
+ * The chunks of one answer, which can be read only once. The stream ends after the `end` chunk or
+ * throws a `BackendServerFailure`, so a truncated answer never looks complete. Reading slowly
+ * applies backpressure to the engine; leaving the loop before the `end` chunk drops the connection.
  */
 export type CompletionStream = AsyncIterable<CompletionChunk>;
 
 export interface CompletionStart {
-  /** Names this attempt at the engine; unique over all attempts. */
+  /** Identifies this attempt to the engine; unique among all attempts. */
   readonly attemptId: string;
   readonly body: CompletionBody;
-  /** Go on after this; the stream then holds only what follows. */
+  /** Continues after this text; the stream then contains only what follows it. */
   readonly resume?: ResumePoint;
-  /** 0 is served first, 9 last. */
+  /** From 0, served first, to 9, served last. */
   readonly priority: number;
-  /** Bounds the whole call, the stream included. */
+  /** Limits the whole call, including the reading of the stream. */
   readonly signal: AbortSignal;
 }
 
-/** The KV cache of one attempt, in the engine's own encoding. */
+/** The KV cache of one attempt, encoded by the engine. */
 export interface ExportedCache {
-  /** The attempt it was taken from. */
+  /** The attempt whose cache was exported. */
   readonly attemptId: string;
-  /** Tokens of prompt and answer that the cache spares whoever imports it. */
+  /** Tokens of prompt and answer that the importing engine need not compute. */
   readonly tokens: number;
   readonly bytes: Uint8Array;
 }
 
-/** Cache events in order. A jump in their sequences is a gap: what lies in it is not known. */
+/** Cache events in order. A jump in their sequence numbers means that events are missing. */
 export interface CacheEventBatch {
   readonly events: readonly CacheEvent[];
-  /** The newest sequence that the engine has given out, also if `events` ends before it. */
+  /** The highest sequence number the engine has assigned, even if `events` ends before it. */
   readonly newestSequence: number;
 }
 
 export abstract class EngineAdapter {
-  /** Starts an answer; resolves when the engine has accepted the call, before its first token. */
+  /** Starts an answer; resolves once the engine has accepted the call, before the first token. */
   abstract startCompletion(start: CompletionStart): Promise<CompletionStream>;
 
-  /** Frees what an attempt holds at the engine; an attempt that is not there is no fault. */
+  /** Frees the resources of an attempt at the engine. Succeeds if the attempt does not exist. */
   abstract cancel(attemptId: string, signal: AbortSignal): Promise<void>;
 
-  /** Takes the KV cache of an attempt in progress or just cancelled. */
+  /** Reads the KV cache of an attempt that is in progress or was just cancelled. */
   abstract exportCache(attemptId: string, signal: AbortSignal): Promise<ExportedCache>;
 
-  /** Gives an engine a KV cache; whichever attempt then resumes the same text finds it there. */
+  /** Loads a KV cache into the engine; a later attempt that resumes the same text can use it. */
   abstract importCache(cache: ExportedCache, signal: AbortSignal): Promise<void>;
 
-  /** The engine's latest load report, which may lag; `measuredAt` says how much. */
+  /** Reads the latest load report, which may be stale; `measuredAt` is the time it was taken. */
   abstract readLoad(signal: AbortSignal): Promise<LoadReport>;
 
-  /** Cache events with a sequence above `afterSequence`. */
+  /** Reads cache events with a sequence number above `afterSequence`. */
   abstract readCacheEvents(afterSequence: number, signal: AbortSignal): Promise<CacheEventBatch>;
 
-  /** Gives an order; `refusedAsOld` means that the engine knows a newer (epoch, sequence). */
+  /** Sends an order; `refusedAsOld` means the engine has seen a newer (epoch, sequence). */
   abstract sendOrder(order: Order, signal: AbortSignal): Promise<OrderResult>;
 
-  /** Asks for a sign of life over a new connection; rejects if there is none. */
+  /** Sends a health probe over a new connection; rejects unless the answer has a 2xx status. */
   abstract probe(signal: AbortSignal): Promise<ProbeResponse>;
 
-  /** Lets running calls finish on the connections they have; later calls open new ones. */
+  /** Makes later calls open new connections; running calls finish on their current ones. */
   abstract renewConnections(): void;
 
-  /** Ends all connections at once. */
+  /** Closes all connections immediately; calls in progress fail. */
   abstract close(): Promise<void>;
 }
--- a/packages/adapters/src/PlainServiceAdapter.ts
+++ b/packages/adapters/src/PlainServiceAdapter.ts
@@ -1,28 +1,30 @@
 /**
- * How the system meets one plain application service: its calls are passed on as they are.
+ * Interface to one plain application service, which receives calls unchanged but for hop-by-hop
+ * headers and `host`.
  *
- * No method retries or has a timeout of its own; the caller's `AbortSignal` is the limit. Every
- * failure is a `BackendServerFailure`. A status of 4xx or 5xx is an answer, not a failure.
+ * No method retries or has a timeout of its own; the caller's `AbortSignal` is the only limit.
+ * Every failure is a `BackendServerFailure`. A status of 4xx or 5xx to `send` is an answer, not a
+ * failure.
  */
 import type { LoadReport } from '@hornbeampond/schema';
 import type { ProbeResponse } from './ProbeResponse.js';
 
-/** Headers with lower-case names. A header that came more than once has all its values. */
+/** Headers by name. A header that occurs more than once has an array of values. */
 export type HeaderFields = Readonly<Record<string, string | readonly string[]>>;
 
 export interface PlainServiceRequest {
   readonly method: string;
-  /** Path and query, as in `/offers?shop=3`. */
+  /** Path and query, such as `/offers?shop=3`. */
   readonly path: string;
-  /** Hop-by-hop headers and `host` are left out by the adapter. */
+  /** The adapter removes hop-by-hop headers and `host`. */
   readonly headers: HeaderFields;
   readonly body?: Uint8Array;
   /**
-   * True for a call that may not be repeated: it goes out on a connection opened for it alone,
-   * at most once, and a failure tells surely whether a byte was sent.
+   * True for a call that must not be repeated: it is sent at most once, on a connection opened
+   * for it alone, so that a failure can state reliably that no byte was sent.
    */
   readonly requiresNewConnection: boolean;
-  /** Bounds the whole call, the reading of the answer included. */
+  /** Limits the whole call, including the reading of the answer. */
   readonly signal: AbortSignal;
 }
 
@@ -30,23 +32,23 @@
   readonly status: number;
   /** Without hop-by-hop headers. */
   readonly headers: HeaderFields;
-  /** Read once; throws a `BackendServerFailure` if the answer is cut or too large. */
+  /** Can be read once; throws a `BackendServerFailure` if the answer is truncated or too large. */
   readonly body: AsyncIterable<Uint8Array>;
 }
 
 export abstract class PlainServiceAdapter {
-  /** Sends a call; resolves when the answer's headers are there. */
+  /** Sends a call; resolves once the headers of the answer have arrived. */
   abstract send(request: PlainServiceRequest): Promise<PlainServiceAnswer>;
 
-  /** The service's latest load report, which may lag. */
+  /** Reads the latest load report of the service, which may be stale. */
   abstract readLoad(signal: AbortSignal): Promise<LoadReport>;
 
-  /** Asks for a sign of life over a new connection; rejects if there is none. */
+  /** Sends a health probe over a new connection; rejects unless the answer has a 2xx status. */
   abstract probe(signal: AbortSignal): Promise<ProbeResponse>;
 
-  /** Lets running calls finish on the connections they have; later calls open new ones. */
+  /** Makes later calls open new connections; running calls finish on their current ones. */
   abstract renewConnections(): void;
 
-  /** Ends all connections at once. */
+  /** Closes all connections immediately; calls in progress fail. */
   abstract close(): Promise<void>;
 }
--- a/packages/adapters/src/PlatformAdapter.ts
+++ b/packages/adapters/src/PlatformAdapter.ts
@@ -1,6 +1,6 @@
 /**
- * How the system meets the platform that sells instances. What it lists lags, and its notices
- * can reach one asker before another.
+ * Interface to the platform that provides instances. Its instance list lags, and different
+ * processes may see a reclaim notice at different times.
  *
  * No method retries or has a timeout of its own. Every failure is a `BackendServerFailure`.
  */
@@ -10,31 +10,31 @@
   readonly pool: string;
   readonly dataCentre: string;
   readonly instanceClass: string;
-  /** The same token never buys a second instance, so a start with a lost answer is resent. */
+  /** Idempotency key: a start can be resent with it without starting a second instance. */
   readonly startToken: string;
 }
 
 export type InstanceStartResult =
   | { readonly type: 'started'; readonly instance: PlatformInstance }
-  /** The platform has none to sell; nothing was bought. */
+  /** The platform has no instance to offer; none was started. */
   | { readonly type: 'refused'; readonly reason: string };
 
-/** The platform's word that it will take an instance away. */
+/** Announcement by the platform that it will reclaim an instance. */
 export interface ReclaimNotice {
   readonly instance: string;
   readonly goneAt: EpochMilliseconds;
 }
 
 export abstract class PlatformAdapter {
-  /** Live and leaving instances, as of some seconds ago. */
+  /** Lists live and leaving instances; the list may be seconds old. */
   abstract listInstances(signal: AbortSignal): Promise<readonly PlatformInstance[]>;
 
   abstract startInstance(start: InstanceStart, signal: AbortSignal): Promise<InstanceStartResult>;
 
-  /** Gives an instance back; one that is gone already is no fault. */
+  /** Ends an instance. Succeeds if the instance does not exist any more. */
   abstract endInstance(instance: string, signal: AbortSignal): Promise<void>;
 
-  /** All notices that are in force. */
+  /** Reads all reclaim notices in force. */
   abstract readNotices(signal: AbortSignal): Promise<readonly ReclaimNotice[]>;
 
   abstract close(): Promise<void>;
--- a/packages/adapters/src/ProbeResponse.ts
+++ b/packages/adapters/src/ProbeResponse.ts
@@ -1,5 +1,5 @@
-/** What a backend server's answer to a probe tells. */
+/** What a backend server reports in its answer to a health probe. */
 export interface ProbeResponse {
-  /** What its process calls itself since its start; missing if it tells none. */
+  /** Identifier that the process keeps from its start to its end; missing if it reports none. */
   readonly incarnation?: string;
 }
--- a/packages/adapters/src/RelayAdapter.ts
+++ b/packages/adapters/src/RelayAdapter.ts
@@ -1,46 +1,46 @@
 /**
- * How the system meets a backend server whose calls are opaque: any method, path and body go out
- * as the caller sent them, and the answer comes back as it is.
+ * Interface to a backend server whose calls are opaque: method, path, body and forwarded headers
+ * are sent as the caller sent them, and the answer is returned without its connection headers.
  *
- * No method retries or has a timeout of its own; the caller's `AbortSignal` is the limit. Every
- * failure is a `BackendServerFailure`. An answer of any status is an answer, unless the backend
- * server says that it did not run the call: that is the failure `busy` with nothing sent.
+ * No method retries or has a timeout of its own; the caller's `AbortSignal` is the only limit.
+ * Every failure is a `BackendServerFailure`. Any status is an answer, unless the backend server
+ * states that it did not run the call: that is the failure `busy` with nothing sent.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 import type { ProbeResponse } from './ProbeResponse.js';
 
-/** Name and value of one header, as it stood on the wire. */
+/** Name and value of one header as received. */
 export type HeaderLine = readonly [name: string, value: string];
 
 export interface RelayRequest {
   readonly method: string;
   /** Path and query, unchanged. */
   readonly path: string;
-  /** The caller's headers that are passed on. */
+  /** Headers of the caller that are forwarded. */
   readonly headers: readonly HeaderLine[];
   readonly body: Uint8Array;
-  /** Empty for a caller that needs no key. */
+  /** Empty if the caller needs no key. */
   readonly workspace: string;
-  /** Time until the whole answer is due; the backend server stops work then. */
+  /** Time until the whole answer is due; after it the backend server stops working on the call. */
   readonly timeLeft: Milliseconds;
-  /** 0 is served first, 9 last. */
+  /** From 0, served first, to 9, served last. */
   readonly urgency: number;
-  /** The last event that the caller has, where a stream goes on after it. */
+  /** The last event that the caller received, if a stream is to continue after it. */
   readonly resumeAfter?: string;
-  /** Names a moved KV cache from which the call goes on as the same run. */
+  /** Identifies a moved KV cache from which the call continues as the same run. */
   readonly continueFrom?: string;
   readonly signal: AbortSignal;
 }
 
-/** A running call whose KV cache is to go to another backend server. */
+/** Request to move the KV cache of a running call to another backend server. */
 export interface RelayCacheMove {
-  /** The call's headers, by which the backend server knows it. */
+  /** Headers of the call, by which the backend server identifies it. */
   readonly headers: readonly HeaderLine[];
   readonly to: { readonly host: string; readonly port: number };
   readonly signal: AbortSignal;
 }
 
-/** What a backend server says of its load along with an answer. */
+/** Load that a backend server reports along with an answer. */
 export interface RelayLoad {
   readonly running: number;
   readonly queued: number;
@@ -48,31 +48,31 @@
 
 export interface RelayResponse {
   readonly status: number;
-  /** Without those that speak of the connection. */
+  /** Without headers that concern only the connection. */
   readonly headers: readonly HeaderLine[];
-  /** True for a stream of events, which is passed on as it comes. */
+  /** True for a stream of events, which is forwarded as it arrives. */
   readonly isStream: boolean;
   readonly load?: RelayLoad;
-  /** Read once; throws a `BackendServerFailure` if the answer is cut. */
+  /** Can be read once; throws a `BackendServerFailure` if the answer is truncated. */
   readonly body: AsyncIterable<Uint8Array>;
 }
 
 export abstract class RelayAdapter {
-  /** Sends a call; resolves when the answer's headers are there. */
+  /** Sends a call; resolves once the headers of the answer have arrived. */
   abstract send(request: RelayRequest): Promise<RelayResponse>;
 
   /**
-   * Stops a running call and moves its KV cache; its answer ends without its end. Resolves with
-   * what names the cache at its new place. If it rejects, the call may run on or have stopped.
+   * Stops a running call, whose answer is then truncated, and moves its KV cache. Resolves with the
+   * identifier of the cache at the target. If it rejects, the call may still run or have stopped.
    */
   abstract moveCache(move: RelayCacheMove): Promise<string>;
 
-  /** Asks for a sign of life over a new connection; rejects if there is none. */
+  /** Sends a health probe over a new connection; rejects unless the answer has a 2xx status. */
   abstract probe(signal: AbortSignal): Promise<ProbeResponse>;
 
-  /** Lets running calls finish on the connections they have; later calls open new ones. */
+  /** Makes later calls open new connections; running calls finish on their current ones. */
   abstract renewConnections(): void;
 
-  /** Ends all connections at once. */
+  /** Closes all connections immediately; calls in progress fail. */
   abstract close(): Promise<void>;
 }
--- a/packages/adapters/src/SingletonAdapter.ts
+++ b/packages/adapters/src/SingletonAdapter.ts
@@ -1,31 +1,31 @@
 /**
- * How the platform is met by the one process that reports usage and sizes pools. Every call names
- * its holder and the epoch of its lease; whether the platform checks them is its own affair.
+ * Interface to the platform for the one process that reports usage and sets pool sizes. Every call
+ * states the holder of the lease and its epoch; the platform may or may not check them.
  *
  * No method retries or has a timeout of its own. Every failure is a `BackendServerFailure`.
  */
 import type { SizeOrder, UsageCounts } from '@hornbeampond/schema';
 
-/** Who calls, under which holding of the lease. */
+/** The calling process and the epoch of its lease. */
 export interface LeaseHolderIdentity {
   readonly holder: string;
-  /** Grows whenever the holder changes. */
+  /** Increases whenever the holder changes. */
   readonly epoch: number;
 }
 
 export abstract class SingletonAdapter {
-  /** Reports what each workspace began to run in one window; the same again does no harm. */
+  /** Reports what each workspace started to run in one window. Repeating a report is harmless. */
   abstract reportUsage(
     window: number,
     counts: UsageCounts,
-    holding: LeaseHolderIdentity,
+    leaseHolder: LeaseHolderIdentity,
     signal: AbortSignal,
   ): Promise<void>;
 
-  /** Says how many instances there are to be; `refused` if the platform has none to give. */
+  /** Requests a number of instances; resolves with `refused` if the platform has none to offer. */
   abstract orderSize(
     order: SizeOrder,
-    holding: LeaseHolderIdentity,
+    leaseHolder: LeaseHolderIdentity,
     signal: AbortSignal,
   ): Promise<'done' | 'refused'>;
 }
--- a/packages/adapters/src/WeightStoreAdapter.ts
+++ b/packages/adapters/src/WeightStoreAdapter.ts
@@ -1,13 +1,13 @@
 /**
- * How the system meets the rate-limited store that engines load weights from. The controller
- * asks for leave before it orders a load, so that a wave of starts does not queue up there.
+ * Interface to the rate-limited store from which engines load weights. The controller requests
+ * permission before it orders a load, so that simultaneous starts do not overload the store.
  *
  * No method retries or has a timeout of its own. Every failure is a `BackendServerFailure`.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 
 export interface LoadRequest {
-  /** The instance that will load. */
+  /** The instance that will load the weights. */
   readonly instance: string;
   readonly model: string;
   readonly adapter?: string;
@@ -17,15 +17,15 @@
 export type LoadPermission =
   { readonly type: 'granted' } | { readonly type: 'refused'; readonly retryAfter: Milliseconds };
 
-/** What the weight store allows. */
+/** Rate limit of the weight store. */
 export interface LoadRate {
   readonly loadsPerMinute: number;
-  /** Loads that would be granted now. */
+  /** Loads that can be granted now. */
   readonly available: number;
 }
 
 export abstract class WeightStoreAdapter {
-  /** Takes one load out of the rate, or says when to come back. */
+  /** Counts one load against the rate limit if it is granted; otherwise states when to retry. */
   abstract requestLoad(request: LoadRequest, signal: AbortSignal): Promise<LoadPermission>;
 
   abstract readRate(signal: AbortSignal): Promise<LoadRate>;
--- a/packages/adapters/src/digestPrefixes.ts
+++ b/packages/adapters/src/digestPrefixes.ts
@@ -1,7 +1,8 @@
 /**
- * Names the prefixes of a prompt as engines name them in their cache events: one digest for each
- * whole block of tokens, and each digest covers all blocks up to and including its own. A token
- * is taken to be a word here; where an engine counts otherwise, only its hints get worse.
+ * Computes the digests by which engines identify prompt prefixes in their cache events: one for
+ * each complete block of tokens, which covers all blocks up to and including that block. A token is
+ * approximated by a word; if an engine tokenizes differently, only cache hints become less
+ * accurate.
  */
 import { createHash } from 'node:crypto';
 import type { ChatMessage } from './EngineAdapter.js';
@@ -11,7 +12,7 @@
 
 const DIGEST_CHARACTERS = 16;
 
-/** Splits the messages of a prompt into tokens. */
+/** Splits the messages of a prompt into approximate tokens. */
 export function splitPrompt(messages: readonly ChatMessage[]): string[] {
   return messages.flatMap(({ role, content }) => {
     const text = typeof content === 'string' ? content : JSON.stringify(content);
@@ -19,7 +20,7 @@
   });
 }
 
-/** Digests of a prompt's prefixes, shortest first. */
+/** Computes the digests of the prefixes of a prompt, shortest first. */
 export function digestPrefixes(messages: readonly ChatMessage[]): string[] {
   const tokens = splitPrompt(messages);
   const digests: string[] = [];
--- a/packages/adapters/src/http/EventDataSplitter.ts
+++ b/packages/adapters/src/http/EventDataSplitter.ts
@@ -1,13 +1,12 @@
 /**
- * Splits a byte stream of server-sent events into the values of their `data:` lines.
+ * Splits a byte stream of server-sent events into the values of its `data:` lines.
  *
- * Lines may be cut anywhere, also within a character. Comments and other fields are passed over.
- * Each event of the engines has one `data:` line, so there is nothing to join. A last line without
- * its end is not given out: it may have been cut.
+ * Chunks may end anywhere, even within a character. Comments and other fields are ignored. Engines
+ * send one `data:` line per event, so lines are not joined. A last line without a line break is not
+ * returned, since it may be truncated.
  */
 import { BackendServerFailure } from '../BackendServerFailure.js';
 
-/** Bound of one line. */
 export const MAX_LINE_CHARACTERS = 1024 * 1024;
 
 const DATA_PREFIX = 'data:';
@@ -17,7 +16,7 @@
 
   private incompleteLine = '';
 
-  /** Takes the next bytes and gives the values that they complete. */
+  /** Adds bytes and returns the values of the `data:` lines that they complete. */
   split(bytes: Uint8Array): string[] {
     const lines = (this.incompleteLine + this.decoder.decode(bytes, { stream: true })).split('\n');
     this.incompleteLine = lines.pop() ?? '';
--- a/packages/adapters/src/http/HttpConnections.ts
+++ b/packages/adapters/src/http/HttpConnections.ts
@@ -1,15 +1,11 @@
 /**
- * The connections to one HTTP server, and the one place where a call goes out.
+ * Sends calls to one HTTP server and owns the connections to it: HTTP/1.1 over plain TCP to an IP
+ * address, without pipelining, redirects or retries. Apart from a limit on connecting, the caller's
+ * `AbortSignal` is the only timeout.
  *
- * What is assumed of the wire: HTTP/1.1 over plain TCP, by IP number. There is no pipelining, no
- * redirect is followed, and nothing is sent again by itself. The caller's `AbortSignal` is the only
- * timeout, but for one on connecting, which bounds the attempts that nobody waits for any more.
- *
- * A kept-alive connection can be dead without a sign (its server went away, or something between
- * the two ends lost track of it). A call on it then fails with bytes written and an unknown
- * outcome. `sendFresh` therefore opens a connection for one call alone. The socket counts what
- * was written to it, so after a failure `bytesWritten === 0` proves that the call cannot have
- * run: the socket is destroyed before the count is read, and the client may not connect again.
+ * A kept-alive connection may be dead without notice, so a failed call on it may have run.
+ * `sendOnNewConnection` opens a connection for one call; if no byte was written to its socket, the
+ * call cannot have run.
  */
 import type { Socket } from 'node:net';
 import { buildConnector, Client, Pool, type Dispatcher } from 'undici';
@@ -19,18 +15,18 @@
   type SentState,
 } from '../BackendServerFailure.js';
 
-/** Idle connections are closed this soon, since an old one is likelier to be dead. */
+/** Idle connections are closed early, since an old one is more likely to be dead. */
 const KEEP_ALIVE_TIMEOUT_MILLISECONDS = 4000;
 
-/** Without a bound, each call into a cut-off data centre would leave a socket for minutes. */
+/** Without this limit, each call to a partitioned data centre would hold a socket for minutes. */
 const CONNECT_TIMEOUT_MILLISECONDS = 10_000;
 
-/** Time for a connection to come free after its answer's own end; then it is dropped. */
+/** Time for a body to end after its answer is complete; then the connection is dropped. */
 const DRAIN_TIMEOUT_MILLISECONDS = 1000;
 
 const noTimeouts = { headersTimeout: 0, bodyTimeout: 0 } as const;
 
-/** An error out of the connector proves that the call had no connection to be written to. */
+/** Error of the connector; it proves that the call had no connection to be written to. */
 class ConnectError extends Error {
   readonly code = 'CONNECT_FAILED';
 }
@@ -46,11 +42,14 @@
 export interface HttpAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
-  /** Read once. Throws `BackendServerFailure`; leaving it early drops the connection. */
+  /**
+   * Can be read once; throws `BackendServerFailure`. Ending the iteration early drops the
+   * connection, unless `markComplete` was called.
+   */
   readonly body: AsyncIterable<Uint8Array>;
   /**
-   * Says that the answer is whole by its own word, whatever is left of the body. Leaving the body
-   * then keeps the connection, once the rest has come.
+   * Marks the answer as complete by its content, even if the body has not ended. If the reader
+   * then stops, the connection is kept once the rest of the body has been received.
    */
   markComplete(): void;
 }
@@ -77,7 +76,7 @@
     return new BackendServerFailure(message, { failure: 'connectFailed', sent: 'nothing', cause });
   }
   if (signal.aborted) {
-    return new BackendServerFailure('the caller ended the call', {
+    return new BackendServerFailure('the caller aborted the call', {
       failure: 'silent',
       sent,
       cause,
@@ -88,7 +87,7 @@
 
 type ResponseBody = Dispatcher.ResponseData['body'];
 
-/** Reads a body; `leave` decides what becomes of one that is not read to its end. */
+/** Reads a body and calls `onUnfinished` if the reader stops or fails before its end. */
 async function* readBody(
   body: ResponseBody,
   signal: AbortSignal,
@@ -103,7 +102,7 @@
   }
 }
 
-/** Lets the rest of an answer come and go, so that its connection can be used again. */
+/** Discards the rest of a body, so that its connection can be used again. */
 function drain(body: ResponseBody): void {
   const signal = AbortSignal.timeout(DRAIN_TIMEOUT_MILLISECONDS);
   body.dump({ limit: Infinity, signal }).catch(() => {});
@@ -111,8 +110,8 @@
 
 function makeAnswer(data: Dispatcher.ResponseData, signal: AbortSignal): HttpAnswer {
   const { statusCode: status, headers, body } = data;
-  // A body that breaks before its reader comes would otherwise end the process; the reader
-  // still gets the error.
+  // Without a listener, an error before the body is read would end the process. The reader still
+  // receives the error.
   body.on('error', () => {});
   let isComplete = false;
   const onUnfinished = () => {
@@ -125,7 +124,7 @@
   return { status, headers, body: readBody(body, signal, onUnfinished), markComplete };
 }
 
-/** Wraps undici's connector; `onSocket` sees each socket before anything is written to it. */
+/** Wraps the connector of undici; `onSocket` gets each socket before anything is written to it. */
 function makeConnector(onSocket: (socket: Socket) => void): buildConnector.connector {
   const connect = buildConnector({ timeout: CONNECT_TIMEOUT_MILLISECONDS, keepAlive: true });
   return (options, callback) => {
@@ -141,13 +140,13 @@
   };
 }
 
-/** A connector that serves once, so that no second send can happen whatever the client does. */
+/** Makes a connector that connects only once, so that the client cannot resend the call. */
 function makeSingleUseConnector(onSocket: (socket: Socket) => void): buildConnector.connector {
   const connect = makeConnector(onSocket);
   let isUsed = false;
   return (options, callback) => {
     if (isUsed) {
-      callback(new Error('the one connection of this call is used up'), null);
+      callback(new Error('this call has already used its only connection'), null);
       return;
     }
     isUsed = true;
@@ -155,7 +154,7 @@
   };
 }
 
-/** Writes an IPv6 number as URLs want it. */
+/** Formats an HTTP origin, with brackets around an IPv6 address. */
 export function formatOrigin(host: string, port: number): string {
   return `http://${host.includes(':') ? `[${host}]` : host}:${port}`;
 }
@@ -165,12 +164,12 @@
 
   private readonly singleCallClients = new Set<Client>();
 
-  /** @param origin - Such as `http://127.0.0.1:8080`. */
+  /** @param origin - For example `http://127.0.0.1:8080`. */
   constructor(private readonly origin: string) {
     this.pool = this.openPool();
   }
 
-  /** Sends a call that may be repeated, on a kept connection if one is free. */
+  /** Sends a call that may be repeated, on a kept-alive connection if one is free. */
   async send(call: HttpCall): Promise<HttpAnswer> {
     try {
       call.signal.throwIfAborted();
@@ -184,7 +183,7 @@
     }
   }
 
-  /** Sends a call once, on a connection opened for it alone. */
+  /** Sends a call at most once, on a connection opened for it alone. */
   async sendOnNewConnection(call: HttpCall): Promise<HttpAnswer> {
     let socket: Socket | undefined;
     const connect = makeSingleUseConnector((opened) => {
@@ -203,20 +202,21 @@
     } catch (error) {
       this.singleCallClients.delete(client);
       await client.destroy();
+      // Destroyed before `bytesWritten` is read, so that nothing is written afterwards.
       socket?.destroy();
       const sent = socket === undefined || socket.bytesWritten === 0 ? 'nothing' : 'maybe';
       throw toFailure(error, call.signal, sent);
     }
   }
 
-  /** Leaves running calls their connections; later calls open new ones. */
+  /** Makes later calls open new connections; running calls finish on their current ones. */
   renew(): void {
     const previousPool = this.pool;
     this.pool = this.openPool();
     void previousPool.close();
   }
 
-  /** Ends all connections at once; calls in progress fail with `connectionLost`. */
+  /** Closes all connections immediately; calls in progress fail with `connectionLost`. */
   async close(): Promise<void> {
     const clients = [...this.singleCallClients];
     this.singleCallClients.clear();
--- a/packages/adapters/src/http/HttpEngineAdapter.ts
+++ b/packages/adapters/src/http/HttpEngineAdapter.ts
@@ -1,15 +1,15 @@
 /**
- * Meets a model engine over HTTP. Every assumption about its wire is in this folder:
+ * Connects to a model engine over HTTP. Expected API:
  *
- * - `POST /v1/chat/completions`: OpenAI shape, always with `stream: true`; the answer is a stream
- *   of `chat.completion.chunk` events that ends with `data: [DONE]`. One choice, text only. A chunk
- *   may carry `tokens` where it holds more than one. Headers `x-attempt-id` and `x-request-priority`
- *   (0 first) go with it. To resume, the body has
+ * - `POST /v1/chat/completions` in the OpenAI format with `stream: true`, and with the headers
+ *   `x-attempt-id` and `x-request-priority` (0 first). The answer is a stream of
+ *   `chat.completion.chunk` events with one text choice, ended by `data: [DONE]`; `tokens` in a chunk
+ *   gives its number of tokens if that is not 1. To resume, the body contains
  *   `resume: {generated_text, generated_tokens}`; the stream then holds what follows that text.
- * - 429 and 503 mean busy: the request was not run.
- * - `POST /engine/cancel` `{attemptId}`; 404 for one that is not there.
- * - `GET /engine/cache?attempt=ID` gives the KV cache as bytes, its tokens in `x-cache-tokens`;
- *   `PUT` of the same takes it.
+ * - Status 429 or 503 means busy: the request was not run.
+ * - `POST /engine/cancel` `{attemptId}`; 404 if there is no such attempt.
+ * - `GET /engine/cache?attempt=ID` returns the KV cache as bytes, with its number of tokens in
+ *   `x-cache-tokens`; `PUT` of the same imports it.
  * - `GET /engine/load`, `GET /engine/cache-events?after=SEQUENCE`, `POST /engine/orders`,
  *   `GET /health`.
  */
@@ -29,13 +29,12 @@
 import { readCompletion } from './readCompletion.js';
 import { cacheEventsSchema, loadReportSchema, orderResultSchema } from './wireSchemas.js';
 
-/** Bound of one exported KV cache. */
 const MAX_CACHE_BYTES = 512 * 1024 * 1024;
 
 const jsonHeaders = { 'content-type': 'application/json' } as const;
 
 function makeCompletionBody({ body, resume }: CompletionStart): string {
-  // A `resume` of the caller's own is left out: it would be taken for one of ours.
+  // Overrides any `resume` in the body of the caller, which the engine would otherwise follow.
   const wireResume =
     resume === undefined
       ? undefined
@@ -89,7 +88,7 @@
     await requireSuccess(answer);
     const tokens = Number(answer.headers['x-cache-tokens']);
     if (!Number.isSafeInteger(tokens)) {
-      throw new BackendServerFailure('x-cache-tokens is missing', {
+      throw new BackendServerFailure('x-cache-tokens is missing or not an integer', {
         failure: 'malformed',
         sent: 'maybe',
       });
--- a/packages/adapters/src/http/HttpPlainServiceAdapter.ts
+++ b/packages/adapters/src/http/HttpPlainServiceAdapter.ts
@@ -1,6 +1,7 @@
 /**
- * Meets a plain service over HTTP. What is assumed of it, besides its own calls:
- * `GET /load` gives a load report as JSON, and `GET /health` answers 2xx.
+ * Connects to a plain service over HTTP. Calls and answers are forwarded without hop-by-hop
+ * headers, and answers are limited in size. Besides its own calls, the service is expected to
+ * return a load report as JSON for `GET /load` and a 2xx status for `GET /health`.
  */
 import type { LoadReport } from '@hornbeampond/schema';
 import { BackendServerFailure } from '../BackendServerFailure.js';
@@ -17,17 +18,16 @@
 import { readJson } from './readAnswer.js';
 import { loadReportSchema } from './wireSchemas.js';
 
-/** Bound of one answer, if the owner sets none. */
 const DEFAULT_MAX_ANSWER_BYTES = 64 * 1024 * 1024;
 
-/** Headers of a request that undici sets by itself. */
+/** Request headers that undici sets or does not accept. */
 const headersSetByClient = new Set(['content-length', 'expect', 'host']);
 
 function toHeaderList(value: string | readonly string[]): string | string[] {
   return typeof value === 'string' ? value : [...value];
 }
 
-/** Leaves out the headers of one connection, also those that `connection` names. */
+/** Removes hop-by-hop headers, including those named by the `connection` header. */
 function withoutConnectionHeaders(
   headers: Readonly<Record<string, string | readonly string[] | undefined>>,
 ): Record<string, string | string[]> {
@@ -51,7 +51,7 @@
   for await (const bytes of body) {
     size += bytes.byteLength;
     if (size > maxBytes) {
-      throw new BackendServerFailure(`answer above ${maxBytes} bytes`, {
+      throw new BackendServerFailure(`answer exceeds ${maxBytes} bytes`, {
         failure: 'malformed',
         sent: 'maybe',
       });
@@ -63,7 +63,6 @@
 export interface HttpPlainServiceOptions {
   readonly host: string;
   readonly port: number;
-  /** Bound of one answer in bytes. */
   readonly maxAnswerBytes?: number;
 }
 
--- a/packages/adapters/src/http/HttpPlatformAdapter.ts
+++ b/packages/adapters/src/http/HttpPlatformAdapter.ts
@@ -1,11 +1,11 @@
 /**
- * Meets the platform over HTTP. What is assumed of its API:
+ * Connects to the platform over HTTP. Expected API:
  *
- * - `GET /instances` gives `{instances: [...]}`.
- * - `POST /instances` `{pool, dataCentre, instanceClass, startToken}` gives `{instance}`, or
- *   `{refused: reason}` with status 409. A token it knows gives the first answer's instance.
- * - `DELETE /instances/NAME`; 404 for one that is gone.
- * - `GET /notices` gives `{notices: [{instance, goneAt}]}`, all that are in force.
+ * - `GET /instances` returns `{instances: [...]}`.
+ * - `POST /instances` `{pool, dataCentre, instanceClass, startToken}` returns `{instance}`, or
+ *   `{refused: reason}` with status 409. A repeated token returns the instance of the first answer.
+ * - `DELETE /instances/NAME`; 404 if the instance does not exist.
+ * - `GET /notices` returns `{notices: [{instance, goneAt}]}` with all notices in force.
  */
 import type { PlatformInstance } from '@hornbeampond/schema';
 import {
@@ -30,7 +30,7 @@
 export class HttpPlatformAdapter extends PlatformAdapter {
   private readonly connections: HttpConnections;
 
-  /** @param url - Base address of the API; a path in it is not kept. */
+  /** @param url - Base URL of the API; only its origin is used. */
   constructor(url: string) {
     super();
     this.connections = new HttpConnections(new URL(url).origin);
--- a/packages/adapters/src/http/HttpWeightStoreAdapter.ts
+++ b/packages/adapters/src/http/HttpWeightStoreAdapter.ts
@@ -1,9 +1,9 @@
 /**
- * Meets the weight store over HTTP. What is assumed of its API:
+ * Connects to the weight store over HTTP. Expected API:
  *
- * - `POST /loads` `{instance, model, adapter?, version?}` gives `{granted: true}`, or
+ * - `POST /loads` `{instance, model, adapter?, version?}` returns `{granted: true}`, or
  *   `{granted: false, retryAfterMilliseconds}` (both with status 200).
- * - `GET /rate` gives `{loadsPerMinute, available}`.
+ * - `GET /rate` returns `{loadsPerMinute, available}`.
  */
 import {
   WeightStoreAdapter,
@@ -18,7 +18,7 @@
 export class HttpWeightStoreAdapter extends WeightStoreAdapter {
   private readonly connections: HttpConnections;
 
-  /** @param url - Base address of the store; a path in it is not kept. */
+  /** @param url - Base URL of the store; only its origin is used. */
   constructor(url: string) {
     super();
     this.connections = new HttpConnections(new URL(url).origin);
--- a/packages/adapters/src/http/connectionHeaders.ts
+++ b/packages/adapters/src/http/connectionHeaders.ts
@@ -1,4 +1,4 @@
-/** Headers that concern one connection only (RFC 9110, section 7.6.1). */
+/** Hop-by-hop headers, which are not forwarded (RFC 9110, section 7.6.1). */
 export const connectionHeaders: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
--- a/packages/adapters/src/http/probeHealth.ts
+++ b/packages/adapters/src/http/probeHealth.ts
@@ -1,15 +1,15 @@
 /**
- * Asks a server for a sign of life over a new connection. A kept one would tell nothing: it may
- * be the very connection that went silent.
+ * Sends a health probe to a server over a new connection. A kept-alive connection would prove
+ * nothing, since it may be the very connection that stalled.
  */
 import type { HttpConnections } from './HttpConnections.js';
 import type { ProbeResponse } from '../ProbeResponse.js';
 import { MAX_JSON_BYTES, readBytes, requireSuccess } from './readAnswer.js';
 
-/** Longest name of an incarnation that is taken; anything longer is no name. */
+/** A longer incarnation is ignored. */
 const MAX_INCARNATION_CHARACTERS = 200;
 
-/** A server that answers in another shape is alive all the same: it only tells no incarnation. */
+/** Returns undefined for any other answer: a server without an incarnation is healthy too. */
 function readIncarnation(text: string): string | undefined {
   try {
     const value = (JSON.parse(text) as { readonly incarnation?: unknown } | null)?.incarnation;
--- a/packages/adapters/src/http/readAnswer.ts
+++ b/packages/adapters/src/http/readAnswer.ts
@@ -1,23 +1,23 @@
-/** Reads whole answers within bounds and turns statuses into failures. */
+/** Reads complete answers up to a size limit, and turns error statuses into failures. */
 import type { Milliseconds } from '@hornbeampond/schema';
 import type { z } from 'zod';
 import { BackendServerFailure } from '../BackendServerFailure.js';
 import type { HttpAnswer } from './HttpConnections.js';
 
-/** Bound of an answer that is read whole as JSON. */
+/** Limit of a JSON, error or discarded answer. */
 export const MAX_JSON_BYTES = 4 * 1024 * 1024;
 
-/** What is kept of an error answer's text. */
+/** Length of the excerpt of an error answer in the message of the failure. */
 const MAX_ERROR_TEXT_CHARACTERS = 300;
 
-/** Reads an answer whole; one above `mostBytes` is `malformed` and its connection dropped. */
+/** Reads a complete answer; above `maxBytes` it is `malformed` and its connection is dropped. */
 export async function readBytes(answer: HttpAnswer, maxBytes: number): Promise<Buffer> {
   const chunks: Uint8Array[] = [];
   let size = 0;
   for await (const chunk of answer.body) {
     size += chunk.byteLength;
     if (size > maxBytes) {
-      throw new BackendServerFailure(`answer above ${maxBytes} bytes`, {
+      throw new BackendServerFailure(`answer exceeds ${maxBytes} bytes`, {
         failure: 'malformed',
         sent: 'maybe',
       });
@@ -38,7 +38,7 @@
   return status >= 400 ? 'clientError' : 'malformed';
 }
 
-/** Passes answers with a 2xx status; any other is read and thrown. */
+/** Returns for a 2xx status; for any other, reads the answer and throws a failure. */
 export async function requireSuccess(answer: HttpAnswer): Promise<void> {
   const { status } = answer;
   if (status >= 200 && status < 300) return;
@@ -52,7 +52,7 @@
   });
 }
 
-/** Parses JSON text by a schema; anything else is `malformed`. */
+/** Parses JSON text by a schema; a mismatch is a `malformed` failure. */
 export function parseJson<Schema extends z.ZodType>(schema: Schema, text: string): z.infer<Schema> {
   let value: unknown;
   try {
@@ -67,14 +67,14 @@
   const parsed = schema.safeParse(value);
   if (parsed.success) return parsed.data;
   const reason = parsed.error.issues[0]?.message ?? 'unknown';
-  throw new BackendServerFailure(`answer of another shape: ${reason}`, {
+  throw new BackendServerFailure(`answer does not match its schema: ${reason}`, {
     failure: 'malformed',
     sent: 'maybe',
     cause: parsed.error,
   });
 }
 
-/** Reads a 2xx answer as JSON of the given shape. */
+/** Reads a 2xx answer as JSON that matches the schema. */
 export async function readJson<Schema extends z.ZodType>(
   schema: Schema,
   answer: HttpAnswer,
@@ -83,7 +83,7 @@
   return parseJson(schema, (await readBytes(answer, MAX_JSON_BYTES)).toString('utf8'));
 }
 
-/** Reads a 2xx answer whose body means nothing, so that its connection can be used again. */
+/** Requires a 2xx status and discards the body, so that the connection can be used again. */
 export async function discardSuccessfulAnswer(answer: HttpAnswer): Promise<void> {
   await requireSuccess(answer);
   await readBytes(answer, MAX_JSON_BYTES);
--- a/packages/adapters/src/http/readCompletion.test.ts
+++ b/packages/adapters/src/http/readCompletion.test.ts
@@ -31,7 +31,7 @@
   'data: [DONE]\n\n',
 ].join('');
 
-test('a stream reads the same however its bytes are cut', async () => {
+test('a stream yields the same chunks however its bytes are split', async () => {
   const expected = [
     { type: 'token', text: 'près 車', tokens: 2 },
     { type: 'end', finishReason: 'stop', usage: { promptTokens: 3, completionTokens: 2 } },
@@ -43,13 +43,13 @@
 const faults = {
   'no [DONE]': [completeStream.replace('data: [DONE]\n\n', ''), 'connectionLost'],
   'no finish reason': ['data: [DONE]\n\n', 'malformed'],
-  'no JSON': ['data: {"choices"\n\n', 'malformed'],
+  'invalid JSON': ['data: {"choices"\n\n', 'malformed'],
   'a tool call': [encodeChunk({ delta: { tool_calls: [{}] } }), 'malformed'],
-  'a line without end': [`data: ${'x'.repeat(MAX_LINE_CHARACTERS)}`, 'malformed'],
+  'a line above the limit': [`data: ${'x'.repeat(MAX_LINE_CHARACTERS)}`, 'malformed'],
 } as const;
 
 Object.entries(faults).forEach(([name, [text, failure]]) => {
-  test(`a stream with ${name} never looks complete`, async () => {
+  test(`a stream with ${name} fails instead of looking complete`, async () => {
     await assert.rejects(readAll(text, 65_536), (error) => {
       assert.ok(error instanceof BackendServerFailure);
       assert.deepEqual([error.failure, error.sent], [failure, 'maybe']);
--- a/packages/adapters/src/http/readCompletion.ts
+++ b/packages/adapters/src/http/readCompletion.ts
@@ -1,8 +1,8 @@
 /**
- * Reads a streamed answer of an engine.
+ * Reads the streamed answer of an engine.
  *
- * Only `data: [DONE]` after a finish reason makes an answer whole. Usage can come with the last
- * chunk or in one of its own after it, so the end is held until `[DONE]`.
+ * An answer is complete only if `data: [DONE]` follows a finish reason. Usage may arrive with the
+ * last chunk or in a separate chunk after it, so the `end` chunk is emitted only at `[DONE]`.
  */
 import type { z } from 'zod';
 import { BackendServerFailure } from '../BackendServerFailure.js';
@@ -21,7 +21,7 @@
   return { promptTokens: usage.prompt_tokens, completionTokens: usage.completion_tokens };
 }
 
-/** Turns the events of one stream into chunks and remembers what its end will need. */
+/** Converts the events of one stream to chunks; keeps finish reason and usage for the end. */
 class CompletionReader {
   private finishReason: string | undefined;
 
@@ -40,7 +40,7 @@
   private makeEndChunk(): CompletionChunk {
     const { finishReason, usage } = this;
     if (finishReason === undefined) {
-      throw new BackendServerFailure('the stream ended with no finish reason', {
+      throw new BackendServerFailure('the stream ended without a finish reason', {
         failure: 'malformed',
         sent: 'maybe',
       });
@@ -49,7 +49,7 @@
   }
 }
 
-/** Reads chunks to the end of the answer, which is marked whole so that its connection is kept. */
+/** Reads the chunks of an answer and marks it complete at its end, to keep the connection. */
 export async function* readCompletion({
   body,
   markComplete,
--- a/packages/adapters/src/http/resetOnAbort.ts
+++ b/packages/adapters/src/http/resetOnAbort.ts
@@ -1,19 +1,19 @@
-/** Gives a call up in a way that nothing of it acts any more. */
+/** Aborts a call so that bytes still in transit do not take effect at the server later. */
 import type { ClientRequest } from 'node:http';
 
 function abortCall(call: ClientRequest, reason: unknown): void {
   const { socket } = call;
-  // Node resets only once it has handed on all bytes, which a stalled connection never takes. What
-  // is left of the call then is no whole call, and does no harm.
+  // Node delays a reset until all bytes are written, which never happens on a stalled connection.
+  // If bytes are left, the connection is destroyed instead: the server gets an incomplete call.
   const isFullyWritten = socket !== null && !socket.connecting && socket.writableLength === 0;
   if (isFullyWritten) socket.resetAndDestroy();
-  else call.destroy(reason instanceof Error ? reason : new Error('given up'));
+  else call.destroy(reason instanceof Error ? reason : new Error('call aborted'));
 }
 
 /**
- * Resets the call's connection when `signal` is aborted. Closing it would leave bytes under way
- * that a partition holds up: they arrive when it heals, seconds after the call was given up, and
- * act beside whoever has taken over meanwhile. A reset discards what has not been taken in.
+ * Resets the connection of the call when `signal` is aborted. After a mere close, bytes delayed by
+ * a partition would arrive when it heals, and the aborted call would run beside the one that
+ * replaced it. A reset discards data that has not been delivered.
  */
 export function resetOnAbort(call: ClientRequest, signal: AbortSignal): void {
   const onAbort = () => abortCall(call, signal.reason);
@@ -22,6 +22,6 @@
     return;
   }
   signal.addEventListener('abort', onAbort, { once: true });
-  // Told before the connection is free for another call, which must not be reset.
+  // `close` is emitted before another call can use the connection, which must not be reset.
   call.once('close', () => signal.removeEventListener('abort', onAbort));
 }
--- a/packages/adapters/src/http/wireSchemas.ts
+++ b/packages/adapters/src/http/wireSchemas.ts
@@ -1,4 +1,4 @@
-/** Shapes of the JSON answers that the HTTP adapters read. Unknown keys are left out. */
+/** Schemas of the JSON answers that the HTTP adapters read. Unknown keys are dropped. */
 import { instanceStates } from '@hornbeampond/schema';
 import * as z from 'zod';
 
@@ -65,7 +65,7 @@
   available: z.number().min(0),
 });
 
-/** One `data:` line of a streamed answer, in the OpenAI `chat.completion.chunk` shape. */
+/** One `data:` line of a streamed answer, in the OpenAI `chat.completion.chunk` format. */
 export const completionChunkSchema = z.object({
   choices: z
     .array(
@@ -73,7 +73,7 @@
         delta: z
           .object({
             content: z.string().nullish(),
-            // Text is all that a resume can carry on; anything else must not get lost unseen.
+            // Only text can be resumed; other content must fail rather than be dropped silently.
             tool_calls: z.null('tool calls are not supported').optional(),
             function_call: z.null('function calls are not supported').optional(),
           })
@@ -82,7 +82,7 @@
       }),
     )
     .max(1, 'one choice is supported'),
-  /** Tokens in this chunk, if the engine says so; otherwise one. */
+  /** Tokens in this chunk; 1 if missing. */
   tokens: countSchema.optional(),
   usage: z.object({ prompt_tokens: countSchema, completion_tokens: countSchema }).nullish(),
 });
--- a/packages/transport/src/ConfigurationFollower.test.ts
+++ b/packages/transport/src/ConfigurationFollower.test.ts
@@ -7,9 +7,9 @@
   return { ...emptyConfiguration, revision };
 }
 
-// An entry loses its store and moves to one that has just come back and is behind. What that store
-// holds is older than what the entry has in force, and so are the changes it catches up with.
-test('what an older store sends is dropped until it has caught up', () => {
+// An entry switches to a store that has restarted and is behind. Applying the older configuration
+// or deltas of that store would bring back tables that operators have replaced.
+test('updates of a store that is behind are dropped until it has caught up', () => {
   const follower = new ConfigurationFollower();
   assert.equal(follower.applyConfiguration(makeConfiguration(5)), 'newer');
   assert.equal(follower.applyConfiguration(makeConfiguration(3)), 'old');
@@ -19,9 +19,9 @@
   assert.equal(follower.newest?.revision, 6);
 });
 
-// A push is missed, or a store takes over a snapshot and jumps. Applying the next delta to what is
-// held would leave out rows, so nothing is taken and the whole is asked for.
-test('a delta that does not join is a gap and changes nothing', () => {
+// A push is lost, or a store installs a snapshot and skips revisions. Applying the next delta would
+// lose rows.
+test('a delta that does not start at the current revision is a gap and changes nothing', () => {
   const follower = new ConfigurationFollower();
   assert.equal(follower.applyConfigurationDelta({ fromRevision: 0, toRevision: 1 }), 'gap');
   follower.applyConfiguration(makeConfiguration(5));
--- a/packages/transport/src/ConfigurationFollower.ts
+++ b/packages/transport/src/ConfigurationFollower.ts
@@ -1,10 +1,12 @@
 /**
- * Builds the newest configuration from what stores send: whole ones and deltas. It is the only
- * judge of what is newer, so whoever listens sees revisions grow, whichever store sends them.
+ * Maintains the newest configuration from the complete configurations and deltas that stores send.
+ * Its revision never decreases, whichever store sends an update.
  */
 import { applyDelta, type Configuration, type ConfigurationDelta } from '@hornbeampond/schema';
 
-/** `gap`: changes were missed, and a whole configuration has to be asked for. */
+/**
+ * Effect of an update. `gap`: changes are missing, so a complete configuration must be requested.
+ */
 export type ConfigurationUpdateResult = 'newer' | 'old' | 'gap';
 
 export class ConfigurationFollower {
@@ -15,10 +17,9 @@
   }
 
   /**
-   * A store that has just come back may be behind; a client that moves to it would go back to
-   * tables that the operators have replaced. What is older is dropped, and the store sends what
-   * follows as soon as it has caught up. The same revision again is handed on: it says that
-   * stores can be reached.
+   * Drops an older configuration: a store that has just restarted may be behind, and sends newer
+   * changes once it has caught up. The same revision again counts as `newer`, because it shows that
+   * stores are reachable.
    */
   applyConfiguration(configuration: Configuration): ConfigurationUpdateResult {
     if (this.current !== undefined && configuration.revision < this.current.revision) return 'old';
--- a/packages/transport/src/FrameCodec.ts
+++ b/packages/transport/src/FrameCodec.ts
@@ -1,24 +1,24 @@
 /**
- * Frames between the processes of the system: four bytes of length, big-endian, then that many
- * bytes of CBOR. A frame above the bound is refused before it is read, so that a stranger or a
- * fault cannot make a process hold unbounded memory.
+ * Encodes and decodes the frames that processes of the system exchange: a length of four bytes,
+ * big-endian, followed by that many bytes of CBOR. A frame above the size limit is rejected as soon
+ * as its length is known, so that a peer cannot make a process buffer unlimited data.
  */
 import { Encoder } from 'cbor-x';
 
 const LENGTH_PREFIX_BYTES = 4;
 
-/** Largest frame in bytes; a whole configuration of the target's size fits. */
+/** Large enough for a complete configuration of the largest supported size. */
 export const MAX_FRAME_BYTES = 64 * 1024 * 1024;
 
 const codec = new Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false });
 
 export class FrameTooLargeError extends Error {
   constructor(readonly frameBytes: number) {
-    super(`a frame of ${frameBytes} bytes is above the bound of ${MAX_FRAME_BYTES}`);
+    super(`a frame of ${frameBytes} bytes exceeds the limit of ${MAX_FRAME_BYTES} bytes`);
   }
 }
 
-/** Makes the bytes of one frame. */
+/** Encodes one frame. */
 export function encodeFrame(body: unknown): Buffer {
   const content = codec.encode(body);
   if (content.length > MAX_FRAME_BYTES) throw new FrameTooLargeError(content.length);
@@ -28,7 +28,7 @@
   return frame;
 }
 
-/** Cuts a byte stream into frames. */
+/** Splits a byte stream into frames and decodes their bodies. */
 export class FrameDecoder {
   private chunks: Buffer[] = [];
 
@@ -36,14 +36,14 @@
 
   constructor(private maxFrameBytes = MAX_FRAME_BYTES) {}
 
-  /** Bounds the frames from here on. */
+  /** Sets the size limit of the frames that follow. */
   setMaxFrameBytes(maxFrameBytes: number): void {
     this.maxFrameBytes = maxFrameBytes;
   }
 
   /**
-   * Takes in bytes and gives the bodies of all frames that are whole now, one at a time: what one
-   * frame means may change the bound for the next.
+   * Adds bytes and yields the bodies of the frames that they complete. It yields one at a time,
+   * because the handling of one frame may change the size limit of the next.
    */
   *decode(chunk: Buffer): Generator {
     this.chunks.push(chunk);
--- a/packages/transport/src/InstanceListFollower.test.ts
+++ b/packages/transport/src/InstanceListFollower.test.ts
@@ -14,15 +14,15 @@
   port: 1,
 };
 
-test('the list is put together from what a store has and what changes', () => {
+test('the list is built from the initial list and deltas', () => {
   const follower = new InstanceListFollower();
   follower.reset([engine, { ...engine, instance: 'engine-2' }]);
   const leaving = { ...engine, state: 'leaving' as const };
   assert.deepEqual(follower.applyDelta({ changed: [leaving], gone: ['engine-2'] }), [leaving]);
 });
 
-// The store has just started and knows no list yet; its first reading is told as a whole.
-test('a list begins anew with another store', () => {
+// A store that has just started has no list; its first delta then contains the complete list.
+test('the list is reset on a switch to another store', () => {
   const follower = new InstanceListFollower();
   follower.reset([engine]);
   follower.reset(undefined);
@@ -30,9 +30,9 @@
   assert.deepEqual(follower.applyDelta({ changed: [other], gone: [] }), [other]);
 });
 
-// The wall clocks of reader and entry are two seconds apart. An end told as a time would be taken for
-// past, or for far off.
-test('the end of an instance is told as a span', () => {
+// The wall clocks of two processes differ by two seconds. An end sent as a time would be in error
+// by that difference.
+test('the end of an instance is sent as a remaining duration', () => {
   const read: PlatformInstance = { ...engine, goneAt: 10_000 };
   const [shared] = toSharedInstances([read], 8000);
   assert.equal(shared?.goneIn, 2000);
--- a/packages/transport/src/InstanceListFollower.ts
+++ b/packages/transport/src/InstanceListFollower.ts
@@ -1,10 +1,10 @@
-/** Puts together the list of instances that a store tells its subscribers by what changes. */
+/** Maintains the instance list of a store, which is sent complete first and then as deltas. */
 import type { SharedInstance, InstanceListDelta } from '@hornbeampond/schema';
 
 export class InstanceListFollower {
   private instancesByName = new Map<string, SharedInstance>();
 
-  /** Begins anew with what a store has when it is subscribed to. */
+  /** Replaces the list by that of a newly subscribed store; empty if the store has none yet. */
   reset(instances: readonly SharedInstance[] = []): readonly SharedInstance[] {
     this.instancesByName = new Map(instances.map((instance) => [instance.instance, instance]));
     return instances;
--- a/packages/transport/src/OperatorServer.test.ts
+++ b/packages/transport/src/OperatorServer.test.ts
@@ -5,7 +5,7 @@
 import { request } from 'undici';
 import { OperatorServer } from './OperatorServer.js';
 
-test('the operators port answers, and counts what it refuses by kind', async (context) => {
+test('the operators port serves its paths and counts refusals by kind', async (context) => {
   const metrics = new Metrics();
   let ready = false;
   const server = new OperatorServer({
--- a/packages/transport/src/OperatorServer.ts
+++ b/packages/transport/src/OperatorServer.ts
@@ -1,6 +1,7 @@
 /**
- * The operators' port, the same on every process: `/livez`, `/readyz`, `/metrics` and `/status`,
- * and what else the process adds.
+ * HTTP server on the operators' port of a process. It serves `/livez`, `/readyz`, `/metrics` and
+ * `/status`, and further paths that the process handles itself. Errors are counted by kind and
+ * answered as problem documents.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -11,9 +12,9 @@
 export interface OperatorServerOptions {
   readonly metrics: Metrics;
   isReady(): boolean;
-  /** What `/status` answers, as JSON. */
+  /** Returns the body of `/status`, which is sent as JSON. */
   readStatus(): Promise<unknown>;
-  /** Serves further paths; says whether the path was one of them. */
+  /** Serves further paths; resolves with false if it does not serve the path. */
   handle?(request: IncomingMessage, response: ServerResponse, url: URL): Promise<boolean>;
 }
 
--- a/packages/transport/src/PeerClient.ts
+++ b/packages/transport/src/PeerClient.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps one framed connection to another process and opens a new one, after a growing and
- * jittered pause, whenever it is lost.
+ * Keeps one framed connection to another process, and reconnects with jitter and backoff whenever
+ * the connection is lost.
  */
 import { createConnection } from 'node:net';
 import type { Milliseconds } from '@hornbeampond/schema';
@@ -8,7 +8,7 @@
 import type { PeerIdentity } from './peerMessages.js';
 import { PeerConnection, type PeerContext } from './PeerConnection.js';
 
-/** Thrown by requests; `sent` tells whether the peer can have seen the request. */
+/** Failure of a request; `sent` states whether the peer may have received it. */
 export class PeerRequestError extends Error {
   constructor(
     message: string,
@@ -32,8 +32,8 @@
 const INITIAL_RECONNECT_DELAY_MILLISECONDS = 50;
 
 /**
- * For so long after a connection was lost the pauses do not grow: processes that lose power together are
- * back within a second of each other, and callers wait for those that find the others late.
+ * The delay does not grow during this time after a connection is lost: processes that lose power
+ * together restart within about a second of each other, and callers wait until they reconnect.
  */
 const FAST_RECONNECT_PERIOD_MILLISECONDS = 2000;
 const MAX_RECONNECT_DELAY_MILLISECONDS = 2000;
@@ -51,7 +51,7 @@
 
   private isClosed = false;
 
-  /** True between a lost connection and the next try. */
+  /** True from the loss of a connection, or a failed attempt, to the next attempt. */
   private isWaitingToReconnect = false;
 
   private readonly connectionLostCallbacks = new Set<() => void>();
@@ -95,14 +95,14 @@
     });
   }
 
-  /** Sends a one-way message if connected; says whether it was handed to the connection. */
+  /** Sends a one-way message; returns false if not connected. */
   push(body: unknown): boolean {
     if (!this.isOpen) return false;
     this.connection?.push(body);
     return true;
   }
 
-  /** Connects at once if it waits to; for when the peer has shown in another way that it is back. */
+  /** Reconnects immediately instead of waiting; for use when the peer is known to be reachable. */
   connectNow(): void {
     if (!this.isWaitingToReconnect || this.isClosed) return;
     this.cancelReconnect();
@@ -142,7 +142,7 @@
     if (this.isClosed) return;
     if (!this.isRetrying) this.retryingSince = this.context.timers.monotonicNow();
     this.isRetrying = true;
-    // Full jitter keeps the clients of a restarted process from coming back all at once.
+    // Full jitter keeps the clients of a restarted process from reconnecting simultaneously.
     const delay = Math.random() * this.reconnectDelayLimit;
     const retryingFor = this.context.timers.monotonicNow() - this.retryingSince;
     if (retryingFor > FAST_RECONNECT_PERIOD_MILLISECONDS) {
--- a/packages/transport/src/PeerConnection.test.ts
+++ b/packages/transport/src/PeerConnection.test.ts
@@ -10,11 +10,11 @@
 import { PeerServer, type PeerServerHandlers } from './PeerServer.js';
 
 const HOST = '127.0.0.1';
-/** A failure that leaves a test waiting ends it here; nothing that is tested takes real time. */
+/** Ends a test that waits in vain; time in the tests is simulated. */
 const testOptions = { timeout: 10_000 } as const;
 const SECRET = 'a secret of the cluster';
 
-/** The events that one process has logged; a test can wait for one. */
+/** Records the events that one process logs. */
 class LogRecord {
   readonly events: string[] = [];
 
@@ -39,7 +39,7 @@
   readonly secret?: string;
 }
 
-/** What one process brings to its connections, with time that moves only when told to. */
+/** Makes the context of one process, with simulated time. */
 function makeContext(instance: string, overrides: ContextOverrides = {}) {
   const timers = new ManualTimerService();
   const log = new LogRecord();
@@ -57,7 +57,7 @@
   return { ...process, port };
 }
 
-/** A client, with promises of its opening and closing. */
+/** Starts a client, with promises that resolve when its connection opens and closes. */
 function startClient(context: TestContext, port: number, overrides: ContextOverrides = {}) {
   const process = makeContext('client', overrides);
   const handlers: PeerClientHandlers = {};
@@ -72,7 +72,7 @@
   return { ...process, client, opened, closed };
 }
 
-/** Asserts that a request fails, and returns what is known of it. */
+/** Asserts that a request fails, and returns its error. */
 async function expectFailure(request: Promise<unknown>): Promise<PeerRequestError> {
   const failure = await request.then(
     () => undefined,
@@ -94,8 +94,8 @@
   });
 });
 
-// An operator mixes up two clusters, or a secret. Were the stranger let in, it could push tables and
-// drains of another deployment. It is refused before any message of a user is taken.
+// A process is configured with the wrong cluster or secret. If it were accepted, it could push the
+// tables and drains of another deployment.
 [{ cluster: 'other' }, { secret: 'some other secret' }].forEach((overrides) => {
   test(
     `a peer with another ${Object.keys(overrides)[0]} is refused`,
@@ -117,13 +117,13 @@
   );
 });
 
-// Something between the two ends forgets the connection: it stays open and nothing comes any more.
-// Without heartbeats its user would wait for ever. It is dropped after five without a byte.
-test('a connection that goes silent is dropped', testOptions, async (context) => {
+// A network device drops the state of a connection without closing it. Without heartbeats both ends
+// would wait forever; the connection is closed after five intervals without data.
+test('a stalled connection is closed', testOptions, async (context) => {
   const server = await startServer(context);
   const { client, opened, closed, timers, log } = startClient(context, server.port);
   await opened;
-  // The server's time stands still, so it sends no heartbeat.
+  // The simulated time of the server does not advance, so it sends no heartbeat.
   timers.advance(4000);
   assert.equal(client.isOpen, true);
   timers.advance(1000);
@@ -132,7 +132,7 @@
   assert.ok(log.events.includes('peerSilent'));
 });
 
-test('a connection that answers heartbeats is kept', testOptions, async (context) => {
+test('a connection on which data arrives is kept', testOptions, async (context) => {
   const pushed: (() => void)[] = [];
   const server = await startServer(context, {
     onOpen: (session) => pushed.push(() => session.push('alive')),
@@ -159,10 +159,11 @@
   assert.equal(process.log.events.includes('peerSilent'), false);
 });
 
-// The answer to a request is lost with its connection. Its sender must not think that nothing was
-// done: a change or claim may be in the log. After that, without a connection, nothing is sent.
+// The response to a request is lost with the connection. The sender must not assume that the
+// request was not executed: a change or claim may be in the log. A request without a connection is
+// not sent.
 test(
-  'a request whose connection is lost may have been seen; the next was not sent',
+  'a request is reported as possibly received if its connection is lost, and as not sent without one',
   testOptions,
   async (context) => {
     const server = await startServer(context, { onRequest: (session) => session.close() });
@@ -176,7 +177,7 @@
   },
 );
 
-test('a request without an answer in time may have been seen', testOptions, async (context) => {
+test('a request that times out may have been received', testOptions, async (context) => {
   let asked = () => {};
   const arrival = new Promise<void>((resolve) => {
     asked = resolve;
@@ -190,7 +191,7 @@
   assert.equal((await failure).sent, 'maybe');
 });
 
-test('a lost connection is opened anew', testOptions, async (context) => {
+test('a client reconnects after its connection is lost', testOptions, async (context) => {
   let sessions = 0;
   const server = await startServer(context, {
     onOpen: (session) => {
@@ -206,9 +207,8 @@
   assert.equal(client.isOpen, true);
 });
 
-// A stranger, or a fault, announces a frame of four gigabytes. If the length were believed the
-// process would hold the bytes until it has no memory left. It is refused at its first four bytes.
-test('a frame above the bound is refused before it is read', testOptions, async (context) => {
+// A faulty or hostile peer announces a frame of four gigabytes. Buffering it would exhaust memory.
+test('a frame above the size limit is rejected before it is read', testOptions, async (context) => {
   const server = await startServer(context);
   const socket = createConnection({ host: HOST, port: server.port });
   context.after(() => socket.destroy());
@@ -222,7 +222,7 @@
   assert.throws(() => [...decoder.decode(encodeFrame('x'.repeat(65)))], FrameTooLargeError);
 });
 
-test('a first message that is no greeting is refused', testOptions, async (context) => {
+test('a first message other than hello is refused', testOptions, async (context) => {
   const seen: unknown[] = [];
   const server = await startServer(context, { onPush: (_session, body) => seen.push(body) });
   const socket = createConnection({ host: HOST, port: server.port });
@@ -234,8 +234,9 @@
   assert.deepEqual(seen, []);
 });
 
-// The network cuts the bytes where it likes. Each frame must come out whole, once and in order.
-test('frames come out whole however their bytes are cut', testOptions, () => {
+// The network may split the bytes anywhere. Each frame must be decoded completely, once and in
+// order.
+test('frames are decoded however their bytes are split', testOptions, () => {
   const bodies = ['a', { list: [1, 2, 3] }, 'x'.repeat(1000)];
   const bytes = Buffer.concat(bodies.map((body) => encodeFrame(body)));
   [1, 3, 7, 500, bytes.length].forEach((step) => {
@@ -244,40 +245,35 @@
     for (let at = 0; at < bytes.length; at += step) {
       out.push(...decoder.decode(bytes.subarray(at, at + step)));
     }
-    assert.deepEqual(out, bodies, `cut every ${step} bytes`);
+    assert.deepEqual(out, bodies, `split every ${step} bytes`);
   });
 });
 
-// A server that answers the greeting with a wrong proof is another than it says it is. The client
-// must give it no request.
-test(
-  'a server that cannot prove the secret is refused by the client',
-  testOptions,
-  async (context) => {
-    const sockets = new Set<Socket>();
-    const impostor = createServer((socket) => {
-      sockets.add(socket);
-      const identity = { cluster: 'test', instance: 'server', dataCentre: 'a', role: 'store' };
-      const [nonce, proof] = [new Uint8Array(32), new Uint8Array(32)];
-      socket.on('error', () => {});
-      socket.once('data', () => {
-        socket.write(encodeFrame({ type: 'challenge', identity, nonce, proof }));
-      });
-    });
-    impostor.listen(0, HOST);
-    await once(impostor, 'listening');
-    context.after(() => {
-      sockets.forEach((socket) => socket.destroy());
-      impostor.close();
+// A server answers the hello with a wrong proof. The client must not send requests to it.
+test('a client refuses a server that cannot prove the secret', testOptions, async (context) => {
+  const sockets = new Set<Socket>();
+  const impostor = createServer((socket) => {
+    sockets.add(socket);
+    const identity = { cluster: 'test', instance: 'server', dataCentre: 'a', role: 'store' };
+    const [nonce, proof] = [new Uint8Array(32), new Uint8Array(32)];
+    socket.on('error', () => {});
+    socket.once('data', () => {
+      socket.write(encodeFrame({ type: 'challenge', identity, nonce, proof }));
     });
-    const { client, closed, log } = startClient(context, (impostor.address() as AddressInfo).port);
-    await closed;
-    assert.equal(client.isOpen, false);
-    assert.ok(log.events.includes('peerRefused'));
-  },
-);
+  });
+  impostor.listen(0, HOST);
+  await once(impostor, 'listening');
+  context.after(() => {
+    sockets.forEach((socket) => socket.destroy());
+    impostor.close();
+  });
+  const { client, closed, log } = startClient(context, (impostor.address() as AddressInfo).port);
+  await closed;
+  assert.equal(client.isOpen, false);
+  assert.ok(log.events.includes('peerRefused'));
+});
 
-/** Opens a connection that never proves the secret, and resolves when the server has dropped it. */
+/** Opens a connection that never proves the secret, and resolves when the server has closed it. */
 async function expectDisconnect(
   port: number,
   sendBytes: (socket: Socket) => Promise<void>,
@@ -291,29 +287,37 @@
   await closed;
 }
 
-// A stranger connects and announces a large frame. Were it allowed what peers are, a few such
-// connections would fill the store's memory; it is dropped before the frame is there.
-test('a stranger may not announce a large frame', testOptions, async (context) => {
-  const server = await startServer(context);
-  await expectDisconnect(server.port, async (socket) => {
-    const length = Buffer.alloc(4);
-    length.writeUInt32BE(1024 * 1024);
-    socket.write(length);
-  });
-  assert.ok(server.log.events.includes('frameRejected'));
-});
+// An unauthenticated client announces a large frame. With the size limit of authenticated peers, a
+// few such connections would fill the memory of a store.
+test(
+  'an unauthenticated client that announces a large frame is disconnected',
+  testOptions,
+  async (context) => {
+    const server = await startServer(context);
+    await expectDisconnect(server.port, async (socket) => {
+      const length = Buffer.alloc(4);
+      length.writeUInt32BE(1024 * 1024);
+      socket.write(length);
+    });
+    assert.ok(server.log.events.includes('frameRejected'));
+  },
+);
 
-// A stranger sends a byte now and then, so it never looks silent. A handshake takes milliseconds; a
-// connection that is not open after a few heartbeats is dropped, or such callers would pile up.
-test('a stranger that trickles bytes is dropped', testOptions, async (context) => {
-  const server = await startServer(context);
-  await expectDisconnect(server.port, async (socket) => {
-    for (let heartbeats = 0; heartbeats < 6; heartbeats += 1) {
-      socket.write(Buffer.from([0]).subarray(0, heartbeats < 3 ? 1 : 0));
-      await new Promise((resolve) => {
-        setImmediate(resolve);
-      });
-      server.timers.advance(1000);
-    }
-  });
-});
+// An unauthenticated client sends a byte now and then, so its connection never looks stalled.
+// Without a limit on the handshake such connections would accumulate.
+test(
+  'an unauthenticated client that sends bytes slowly is disconnected',
+  testOptions,
+  async (context) => {
+    const server = await startServer(context);
+    await expectDisconnect(server.port, async (socket) => {
+      for (let heartbeats = 0; heartbeats < 6; heartbeats += 1) {
+        socket.write(Buffer.from([0]).subarray(0, heartbeats < 3 ? 1 : 0));
+        await new Promise((resolve) => {
+          setImmediate(resolve);
+        });
+        server.timers.advance(1000);
+      }
+    });
+  },
+);
--- a/packages/transport/src/PeerConnection.ts
+++ b/packages/transport/src/PeerConnection.ts
@@ -1,9 +1,9 @@
 /**
  * One authenticated, framed connection between two processes of the system.
  *
- * A connection is trusted only while it answers. Both ends send heartbeats; one that has been
- * silent for several of them is dropped, and its user connects anew from a fresh port. Without
- * this a connection that something in between has forgotten would hold its users for ever.
+ * Both ends prove the shared secret before requests, pushes and responses are accepted. Both send
+ * heartbeats, and a connection on which nothing arrives for several intervals is closed; otherwise
+ * one that a network device has dropped silently would never fail.
  */
 import type { Socket } from 'node:net';
 import type { Logger, Metrics, TimerService, Unsubscribe } from '@hornbeampond/runtime';
@@ -16,29 +16,29 @@
 } from './peerMessages.js';
 import { makeNonce, makeProof, areProofsEqual, type Handshake } from './makeProof.js';
 
-/** What every connection of a process shares. */
+/** Identity and services shared by all connections of a process. */
 export interface PeerContext {
   readonly identity: PeerIdentity;
   readonly secret: string;
   readonly timers: TimerService;
   readonly logger: Logger;
   readonly metrics?: Metrics;
-  /** Interval of heartbeats in milliseconds. */
+  /** Interval between heartbeats. */
   readonly heartbeatMilliseconds?: number;
 }
 
 const DEFAULT_HEARTBEAT_MILLISECONDS = 1000;
 
-/** A connection is dropped after so many heartbeats without a byte from the other end. */
+/** A connection is closed when more heartbeat intervals than this pass without a byte received. */
 const MAX_HEARTBEATS_WITHOUT_DATA = 4;
 
-/** Frames of the handshake are small; a stranger must not make a process hold more. */
+/** Keeps an unauthenticated peer from filling memory; handshake frames are smaller. */
 const MAX_HANDSHAKE_FRAME_BYTES = 4096;
 
-/** A connection that is not open after so many heartbeats is dropped, whatever trickles in. */
+/** A handshake that takes more heartbeat intervals fails, even if bytes keep arriving. */
 const MAX_HANDSHAKE_HEARTBEATS = 5;
 
-/** Bytes that may wait for a slow peer before the connection is given up. */
+/** A connection is closed when more bytes than this wait for a slow peer. */
 const MAX_SEND_BUFFER_BYTES = 128 * 1024 * 1024;
 
 export interface PeerConnectionHandlers {
@@ -99,12 +99,12 @@
     return this.peerIdentity;
   }
 
-  /** Begins the handshake; for the client side, once its socket is connected. */
+  /** Starts the handshake; called by the client once its socket is connected. */
   startHandshake(): void {
     this.write({ type: 'hello', identity: this.context.identity, nonce: this.nonce });
   }
 
-  /** Sends a request; `onResponse` is not called if the connection closes before. */
+  /** Sends a request; `onResponse` is not called if the connection closes first. Returns the id. */
   request(body: unknown, onResponse: (response: unknown) => void): number {
     const id = this.nextRequestId;
     this.nextRequestId += 1;
@@ -113,7 +113,7 @@
     return id;
   }
 
-  /** Forgets a request: its response will be dropped. */
+  /** Drops the response to a request, if it still arrives. */
   discardResponse(id: number): void {
     this.responseHandlers.delete(id);
   }
@@ -122,7 +122,7 @@
     this.write({ type: 'push', body });
   }
 
-  /** Sends bytes that were made by `encodeFrame` already, to spare encoding them for each peer. */
+  /** Sends a frame encoded by `encodeFrame`, so that a push to many peers is encoded only once. */
   pushEncoded(frame: Buffer): void {
     this.writeFrame(frame);
   }
@@ -144,7 +144,7 @@
       return;
     }
     if (this.isOpen) {
-      // Any frame shows that this end is alive; at rest heartbeats were most of the control traffic.
+      // Any other frame serves as a heartbeat, which saves traffic.
       if (!this.wroteSinceHeartbeat) this.write({ type: 'heartbeat' });
       this.wroteSinceHeartbeat = false;
       return;
--- a/packages/transport/src/PeerServer.ts
+++ b/packages/transport/src/PeerServer.ts
@@ -1,16 +1,14 @@
-/**
- * Accepts framed connections from other processes of the system.
- */
+/** Accepts framed connections from other processes of the system. */
 import { createServer, type AddressInfo, type Server } from 'node:net';
 import { HornbeampondError, type ListenAddress } from '@hornbeampond/schema';
 import type { PeerIdentity } from './peerMessages.js';
 import { PeerConnection, type PeerContext } from './PeerConnection.js';
 
-/** One connected peer, as the server's owner sees it. */
+/** One authenticated connection of a peer. */
 export interface PeerSession {
   readonly peer: PeerIdentity;
   push(body: unknown): void;
-  /** Sends a frame made by `encodeFrame` of `{ type: 'push', body }`. */
+  /** Sends a frame encoded by `encodeFrame` from `{ type: 'push', body }`. */
   pushEncoded(frame: Buffer): void;
   close(): void;
 }
@@ -58,7 +56,7 @@
     });
   }
 
-  /** Starts to listen and returns the port. */
+  /** Starts listening and returns the port. */
   async listen({ host, port }: ListenAddress): Promise<number> {
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', (error) => {
--- a/packages/transport/src/StoreClient.ts
+++ b/packages/transport/src/StoreClient.ts
@@ -1,6 +1,7 @@
 /**
- * How entries, controllers and the operators' port reach the stores: it finds the leader, sends
- * commands again under the same intent when an answer is lost, and keeps a subscription open.
+ * Client of the stores for all processes that use them. It finds the leader, resends requests until
+ * they are answered or time out, sends reports to all reachable stores, keeps a subscription to one
+ * store, and keeps connections to the configured stores or to all members of the log.
  */
 import { HornbeampondError } from '@hornbeampond/schema';
 import type {
@@ -28,15 +29,15 @@
   type StorePeer,
 } from './StoreSubscription.js';
 
-/** How a proposal ended. */
+/** Outcome of a proposal. */
 export type ProposalOutcome =
   | { readonly type: 'result'; readonly result: CommandResult }
-  /** The command is provably in no log and will not get into one. */
+  /** The command is provably in no log and will not be added to one. */
   | { readonly type: 'unavailable' }
-  /** The command may be in the log; resend it under the same intent to learn. */
+  /** The command may be in the log; resend it with the same intent to find out. */
   | { readonly type: 'unsure' };
 
-/** A store that does not answer within this span is passed over for another. */
+/** After this time without an answer another store is tried. */
 const ATTEMPT_TIMEOUT_MILLISECONDS = 1500;
 const RETRY_DELAY_MILLISECONDS = 40;
 const BROADCAST_TIMEOUT_MILLISECONDS = 1000;
@@ -46,7 +47,7 @@
 
   private seeds: readonly StoreAddress[];
 
-  /** The members of the log, as last told; none until then. */
+  /** Members of the log as last received from a store; empty before that. */
   private members: readonly VoterAddress[] = [];
 
   private leaderInstance: string | undefined;
@@ -63,8 +64,8 @@
     handlers: StoreClientHandlers = {},
     report?: InstanceReport,
     /**
-     * True to connect to all members of the log. Else the given addresses hold, whatever the log
-     * says: how a store is reached from here is for this instance's operator to know.
+     * True to connect to all members of the log. Otherwise only the given addresses are used: the
+     * operator of this instance configures how stores are reached from here.
      */
     private readonly connectsToAllMembers = false,
   ) {
@@ -82,7 +83,7 @@
     this.stores = addresses.map((address) => ({ address, client: this.connect(address) }));
   }
 
-  /** Runs a command through the log, resending it until `timeout` milliseconds have passed. */
+  /** Runs a command through the log; resends it until it is answered or `timeout` has passed. */
   async propose(command: StoreCommand, timeout: Milliseconds): Promise<ProposalOutcome> {
     const outcome = await this.requestWithRetries({ type: 'propose', command }, timeout);
     if (outcome.type !== 'answered') return outcome;
@@ -92,7 +93,7 @@
     return { type: 'unsure' };
   }
 
-  /** Linearizable read of the tables. */
+  /** Reads the tables, linearizably. */
   async readConfiguration(timeout: Milliseconds): Promise<Configuration> {
     const outcome = await this.requestWithRetries({ type: 'readConfiguration' }, timeout);
     if (outcome.type === 'answered' && outcome.response.type === 'configuration') {
@@ -101,14 +102,14 @@
     throw new HornbeampondError('storeUnavailable', 'No quorum of stores can be reached');
   }
 
-  /** Sends a request that only the leader carries out. */
+  /** Sends a request that only the leader executes. */
   async requestFromLeader(request: StoreRequest, timeout: Milliseconds): Promise<StoreResponse> {
     const outcome = await this.requestWithRetries(request, timeout);
     if (outcome.type === 'answered') return outcome.response;
     return { type: outcome.type, reason: 'no quorum of stores can be reached' };
   }
 
-  /** What each store that answers says of itself. */
+  /** Reads the status of all stores; those that do not answer are left out. */
   async readStatus(): Promise<StoreStatus[]> {
     const answers = await Promise.all(
       this.stores.map(async ({ client }) => {
@@ -127,7 +128,7 @@
     return answers.flat();
   }
 
-  /** Linearizable read of what the operator sent who replaced all tables last. */
+  /** Reads the document with which an operator last replaced all tables, linearizably. */
   async readDocument(timeout: Milliseconds): Promise<string> {
     const outcome = await this.requestWithRetries({ type: 'readDocument' }, timeout);
     if (outcome.type === 'answered' && outcome.response.type === 'document') {
@@ -136,33 +137,33 @@
     throw new HornbeampondError('storeUnavailable', 'No quorum of stores can be reached');
   }
 
-  /** Hands a report to all other entries, by way of every store that is within reach. */
+  /** Sends the report of an entry to all other entries, through every reachable store. */
   shareReport(report: EntryReport): void {
     this.sendToAll({ type: 'shareReport', report });
   }
 
-  /** Hands the platform's list, as it was just read, to all that subscribe to a store. */
+  /** Sends the instance list, as just read from the platform, to all subscribers of the stores. */
   shareInstances(instances: readonly SharedInstance[]): void {
     this.sendToAll({ type: 'shareInstances', instances });
   }
 
-  /** The same for what is told between two reports. */
+  /** Sends the spending of this entry, between two reports, to all other entries. */
   shareSpending(spending: SpendingReport): void {
     this.sendToAll({ type: 'shareSpending', spending });
   }
 
-  /** Hands on what has changed of this entry's work. */
+  /** Sends the changes in the work of this entry to all other entries. */
   shareWork(work: WorkReport): void {
     this.sendToAll({ type: 'shareWork', work });
   }
 
-  /** Tells the stores what this instance has in force. */
+  /** Sends the report of this instance to the stores, and with later subscriptions. */
   updateReport(report: InstanceReport): void {
     this.subscription.report = report;
     this.sendToAll({ type: 'report', report });
   }
 
-  /** Takes over the stores that changed settings name. */
+  /** Replaces the configured store addresses after a change of settings. */
   setSeeds(addresses: readonly StoreAddress[]): void {
     this.seeds = addresses;
     this.updateConnections();
@@ -174,7 +175,7 @@
     this.stores.forEach(({ client }) => client.close());
   }
 
-  /** Tells what the next telling repeats, so that a lost one does no harm. */
+  /** Sends a request to all connected stores, without retries: later reports repeat lost ones. */
   private sendToAll(request: StoreRequest): void {
     this.stores.forEach((store) => {
       if (!store.client.isOpen) return;
@@ -186,8 +187,8 @@
   }
 
   /**
-   * The stores to be connected to beside the seeds. Until members are told, those that are connected
-   * are all there is.
+   * The stores to connect to in addition to the seeds. Until the members of the log are received,
+   * the stores that are connected now are kept.
    */
   private get membersToConnect(): readonly VoterAddress[] {
     if (!this.connectsToAllMembers) return [];
@@ -195,7 +196,7 @@
     return this.stores.filter(({ client }) => client.isOpen).map(({ address }) => address);
   }
 
-  /** Connects to stores that have joined, and leaves those that are gone and are no seeds. */
+  /** Connects to new members and seeds, and disconnects from stores that are neither any more. */
   private updateConnections(): void {
     if (this.isClosed) return;
     const members = this.membersToConnect;
--- a/packages/transport/src/StoreSubscription.test.ts
+++ b/packages/transport/src/StoreSubscription.test.ts
@@ -12,7 +12,7 @@
   cutOff: false,
 } as const;
 
-/** A store that answers at once with the revision that it holds. */
+/** A store that answers every subscription with a configuration of its revision. */
 class FakeStore implements StorePeer {
   revision = 3;
 
@@ -43,7 +43,7 @@
   }
 }
 
-/** An entry that follows the store of its own data centre, with another one within reach. */
+/** Subscribes an entry to the store of its own data centre, with another store reachable. */
 async function subscribeEntry() {
   const timers = new ManualTimerService();
   const own = new FakeStore('store-1', 'wien-a');
@@ -61,17 +61,16 @@
   return { timers, own, other, revisions, subscription };
 }
 
-/** Lets answers that have been given reach whoever waits for them. */
+/** Waits until answered requests have been handled. */
 async function flushPendingCallbacks(): Promise<void> {
   await new Promise((resolve) => {
     setImmediate(resolve);
   });
 }
 
-// The store that an entry follows is cut off from the other stores, and hears of no change. It does
-// not know so itself for seconds. Meanwhile a route is added and acknowledged: callers of this entry
-// would get 404 for it. The other store's answer to the entry's next report gives it away.
-test('an entry leaves a store that is behind what another store holds', async () => {
+// The store of an entry is partitioned from the other stores and takes seconds to notice. Without
+// the switch, callers of this entry get 404 for a route that has been added meanwhile.
+test('an entry switches from a store that stays behind another one', async () => {
   const { timers, own, other, revisions, subscription } = await subscribeEntry();
   other.revision = 4;
   subscription.handleReportResponse(own, own.accepted);
@@ -85,9 +84,9 @@
   assert.equal(other.subscriptions, 1);
 });
 
-// All stores apply a change within milliseconds of each other, but answers overtake pushes. Moving
-// at once would have every entry ask for all tables again at each change.
-test('an entry stays with its store if the change comes from there a moment later', async () => {
+// Stores apply a change within milliseconds of each other, but answers may overtake pushes. If
+// entries switched immediately, each change would make all of them request all tables again.
+test('an entry stays with its store if that store sends the change shortly after', async () => {
   const { timers, own, other, revisions, subscription } = await subscribeEntry();
   other.revision = 4;
   subscription.handleReportResponse(other, other.accepted);
@@ -102,8 +101,8 @@
   assert.deepEqual([own.subscriptions, other.subscriptions], [1, 0]);
 });
 
-// A store that is behind says so in its answers; nothing is gained by a move to it.
-test('an older store draws nobody', async () => {
+// Switching to a store that is behind would only delay changes.
+test('an entry does not switch to a store with an older revision', async () => {
   const { timers, other, subscription } = await subscribeEntry();
   other.revision = 2;
   subscription.handleReportResponse(other, other.accepted);
--- a/packages/transport/src/StoreSubscription.ts
+++ b/packages/transport/src/StoreSubscription.ts
@@ -1,12 +1,10 @@
 /**
- * Which store tells a process of new configurations, and when the process moves to another one.
+ * Subscribes a process to one store at a time, and applies what that store sends.
  *
- * One store at a time is subscribed to. It may have been cut off from the others without knowing
- * it yet, or have come back and be behind: its subscribers would serve by tables that operators
- * have replaced, and refuse routes and keys that have long been in force elsewhere. So each store
- * that answers a report says which revision it holds, and a process that stays behind what any of
- * them holds moves there. One answer of one store that is up to date is enough, since revisions
- * only grow and are told only once a quorum has them.
+ * The store may be partitioned without having noticed, or may have restarted and be behind. Its
+ * subscribers would then serve outdated tables. So each store states its revision when it answers a
+ * report, and a process that stays behind that revision switches to that store. One such answer is
+ * enough, since revisions only grow and are reported only after a quorum has them.
  */
 import type {
   Configuration,
@@ -36,9 +34,9 @@
   onUsage?(usage: readonly EntryUsage[]): void;
   onWorkReport?(work: WorkReport): void;
   onSpendingReport?(spending: SpendingReport): void;
-  /** A reading of the platform's list that another process has made, and its age. */
+  /** The instance list of the platform, as read by another process, and its age. */
   onInstanceList?(instances: readonly SharedInstance[], age: Milliseconds): void;
-  /** What starting entries may learn from a store. */
+  /** State of earlier entries that a store has kept for entries that start. */
   onPersistedState?(remembered: PersistedEntryData): void;
 }
 
@@ -49,22 +47,22 @@
 
 export interface StoreSubscriptionOptions {
   readonly timers: TimerService;
-  /** What the process says of itself; one that says nothing subscribes to nothing. */
+  /** The initial report of the process; without a report it does not subscribe. */
   readonly report: InstanceReport | undefined;
   readonly handlers: StoreClientHandlers;
   readStores(): readonly StorePeer[];
-  /** Told the members of the log. */
+  /** Called with the members of the log. */
   onMembers(members: readonly VoterAddress[]): void;
 }
 
-/** What one store is asked to send. */
+/** The subscription to one store. */
 interface Subscription {
   readonly store: StorePeer;
-  /** True once the store has answered with what it holds. */
+  /** True once the store has answered with its current state. */
   isAnswered: boolean;
   /**
-   * Pushes that came with the answer in one read of the socket and are seen before it. Taken at
-   * once they would not join to what is held.
+   * Pushes received before the answer was handled. They are applied after the answer, because
+   * their deltas start from the state in it.
    */
   readonly earlyPushes: StorePush[];
 }
@@ -73,9 +71,9 @@
 const RETRY_DELAY_MILLISECONDS: Milliseconds = 40;
 
 /**
- * Stores apply a change within a few milliseconds of each other; after this long the one that is
- * subscribed to is behind for another reason. With the second between two reports it leaves more
- * than half of the two seconds within which a change has to be in force.
+ * Connected stores apply a change within milliseconds of each other; one that lags longer may be
+ * partitioned. The limit and the second between two reports leave enough of the two seconds within
+ * which a change must be in force.
  */
 const MAX_LAG_MILLISECONDS: Milliseconds = 250;
 
@@ -90,7 +88,7 @@
 
   private cancelSwitch: Unsubscribe | undefined;
 
-  /** Stores that did not answer a subscription, until all have been tried. */
+  /** Stores whose subscription failed; cleared once all connected stores have failed. */
   private readonly failedStores = new Set<StorePeer>();
 
   private roundRobinCounter = 0;
@@ -106,7 +104,7 @@
     this.cancelSwitch?.();
   }
 
-  /** A store of the own data centre is preferred: it stays reachable when others are cut off. */
+  /** Prefers a store of the own data centre, which stays reachable if others are partitioned. */
   subscribeIfNeeded(): void {
     const { report } = this;
     if (report === undefined || this.isStopped || this.subscription !== undefined) return;
@@ -117,7 +115,7 @@
     if (store !== undefined) this.subscribe(store, report);
   }
 
-  /** Takes in a push of the store at this address. */
+  /** Handles a push of the store at this address, if it is subscribed to. */
   receivePush(address: StoreAddress, push: StorePush): void {
     const { subscription } = this;
     if (subscription?.store.address !== address) return;
@@ -125,14 +123,17 @@
     else subscription.earlyPushes.push(push);
   }
 
-  /** The connection to the store at this address is lost. */
+  /** Subscribes elsewhere if the lost connection was that of the subscription. */
   handleDisconnect(address: StoreAddress): void {
     if (this.subscription?.store.address !== address) return;
     this.subscription = undefined;
     this.subscribeIfNeeded();
   }
 
-  /** Compares what a store says it holds with what is held here. */
+  /**
+   * Switches to the answering store if this process still lacks the reported revision after
+   * `MAX_LAG_MILLISECONDS`.
+   */
   handleReportResponse(store: StorePeer, response: StoreResponse): void {
     if (response.type !== 'accepted' || response.revision === undefined) return;
     const { revision } = response;
@@ -176,7 +177,7 @@
     subscription.isAnswered = true;
     this.failedStores.clear();
     this.resetInstanceList(response);
-    // Ahead of the configuration: with that the requests that have waited for it are admitted.
+    // Precedes the configuration, because that admits the requests that wait for it.
     this.options.handlers.onPersistedState?.(response.remembered);
     this.handleUpdateResult(this.configurationFollower.applyConfiguration(response.configuration));
     this.options.handlers.onQuarantine?.(response.quarantine);
@@ -227,7 +228,7 @@
     }
   }
 
-  /** Moves to another store, if one is within reach; it may be out of touch as well, and say so. */
+  /** Switches to another connected store; that store may report that it is out of touch too. */
   private switchStore(): void {
     const { report, subscription } = this;
     if (report === undefined || subscription === undefined) return;
@@ -237,7 +238,7 @@
     if (store !== undefined) this.subscribe(store, report);
   }
 
-  /** Hands on what is newer; after a gap it asks the same store for all of it. */
+  /** Reports a newer configuration; after a gap, subscribes again to get a complete one. */
   private handleUpdateResult(result: ConfigurationUpdateResult): void {
     const { newest } = this.configurationFollower;
     if (result === 'newer' && newest !== undefined) {
@@ -245,7 +246,7 @@
     }
     const { report, subscription } = this;
     if (result !== 'gap' || report === undefined || subscription === undefined) return;
-    // Pushes behind the gap wait for the answer.
+    // Later pushes wait for the answer.
     if (subscription.isAnswered) this.subscribe(subscription.store, report);
   }
 }
--- a/packages/transport/src/digestKey.ts
+++ b/packages/transport/src/digestKey.ts
@@ -1,4 +1,4 @@
-/** The digest that settings and tables keep of a key, so that the key itself is kept nowhere. */
+/** Computes the digest of a key that settings and tables store in place of the key. */
 import { createHash } from 'node:crypto';
 
 export function digestKey(key: string): string {
--- a/packages/transport/src/makeProof.ts
+++ b/packages/transport/src/makeProof.ts
@@ -1,6 +1,7 @@
 /**
- * Proof of the shared secret without sending it: each side signs both nonces and both
- * identities, so that a proof is worth nothing on another connection or for another name.
+ * Proves knowledge of the shared secret without sending it. A proof covers both nonces, both
+ * identities and the side that makes it, so it is invalid on another connection, for another
+ * identity or for the other side.
  */
 import { createHmac, randomBytes, timingSafeEqual } from 'node:crypto';
 import type { PeerIdentity } from './peerMessages.js';
@@ -11,7 +12,7 @@
   return randomBytes(NONCE_BYTES);
 }
 
-/** Both ends of one connection. */
+/** Identities and nonces of both ends of one connection. */
 export interface Handshake {
   readonly client: PeerIdentity;
   readonly server: PeerIdentity;
--- a/packages/transport/src/peerMessages.ts
+++ b/packages/transport/src/peerMessages.ts
@@ -1,8 +1,6 @@
-/**
- * The messages of the framed protocol itself; what they carry is the business of its users.
- */
+/** Messages of the framed protocol. It does not interpret the bodies of session messages. */
 
-/** Who a process says it is. */
+/** Identity that a process states in the handshake. */
 export interface PeerIdentity {
   readonly cluster: string;
   readonly instance: string;
--- a/packages/transport/src/readBody.ts
+++ b/packages/transport/src/readBody.ts
@@ -1,8 +1,8 @@
-/** Reads a request body up to a bound. */
+/** Reads a request body up to a size limit. */
 import type { IncomingMessage } from 'node:http';
 import { HornbeampondError } from '@hornbeampond/schema';
 
-/** Resolves with the whole body; rejects with `bodyTooLarge` past `mostBytes`. */
+/** Resolves with the complete body; rejects with `bodyTooLarge` above `maxBytes`. */
 export async function readBody(request: IncomingMessage, maxBytes: number): Promise<Buffer> {
   const chunks: Buffer[] = [];
   let receivedBytes = 0;
--- a/packages/transport/src/sharedInstances.ts
+++ b/packages/transport/src/sharedInstances.ts
@@ -1,4 +1,7 @@
-/** Instances as processes tell them to each other: times are told as spans, since clocks differ. */
+/**
+ * Converts instances to and from the form that processes exchange, in which end times are remaining
+ * durations, because the clocks of processes differ.
+ */
 import type { EpochMilliseconds, PlatformInstance, SharedInstance } from '@hornbeampond/schema';
 
 export function toSharedInstances(
--- a/packages/transport/src/writeProblem.ts
+++ b/packages/transport/src/writeProblem.ts
@@ -1,4 +1,4 @@
-/** Writes an error as an RFC 9457 problem document. */
+/** Writes an error as a problem document (RFC 9457). */
 import type { ServerResponse } from 'node:http';
 import { toProblemDocument } from '@hornbeampond/schema';
 
