--- a/packages/adapters/src/ProbeResponse.ts
+++ b/packages/adapters/src/ProbeResponse.ts
@@ -1,5 +1,5 @@
-/** What a backend server reports in its answer to a health probe. */
+/** What a backend server's answer to a probe tells. */
 export interface ProbeResponse {
-  /** Identifier that the process keeps from its start to its end; missing if it reports none. */
+  /** Identifies the process from start to end; missing if not reported. */
   readonly incarnation?: string;
 }
--- a/packages/adapters/src/http/HttpConnections.ts
+++ b/packages/adapters/src/http/HttpConnections.ts
@@ -1,11 +1,9 @@
 /**
- * Sends calls to one HTTP server and owns the connections to it: HTTP/1.1 over plain TCP to an IP
- * address, without pipelining, redirects or retries. Apart from a limit on connecting, the caller's
- * `AbortSignal` is the only timeout.
- *
- * A kept-alive connection may be dead without notice, so a failed call on it may have run.
- * `sendOnNewConnection` opens a connection for one call; if no byte was written to its socket, the
- * call cannot have run.
+ * Sends calls to one HTTP server over HTTP/1.1 and plain TCP, without pipelining, redirects or
+ * retries. Apart from a limit on connecting, the caller's `AbortSignal` is the only timeout. A
+ * kept-alive connection may be dead without notice, so a failed call on it may have run.
+ * `sendOnNewConnection` opens a connection for one call, which provably did not run if no byte was
+ * written to the socket.
  */
 import type { Socket } from 'node:net';
 import { buildConnector, Client, Pool, type Dispatcher } from 'undici';
