--- a/packages/transport/src/StoreSubscription.ts
+++ b/packages/transport/src/StoreSubscription.ts
@@ -104,7 +104,10 @@
     this.cancelSwitch?.();
   }
 
-  /** Prefers a store of the own data centre, which stays reachable if others are partitioned. */
+  /**
+   * Subscribes if there is no subscription. Prefers a store of the own data centre, which stays
+   * reachable if other data centres are partitioned.
+   */
   subscribeIfNeeded(): void {
     const { report } = this;
     if (report === undefined || this.isStopped || this.subscription !== undefined) return;
@@ -123,7 +126,7 @@
     else subscription.earlyPushes.push(push);
   }
 
-  /** Subscribes elsewhere if the lost connection was that of the subscription. */
+  /** Ends the subscription if it was to the store at this address, and subscribes again. */
   handleDisconnect(address: StoreAddress): void {
     if (this.subscription?.store.address !== address) return;
     this.subscription = undefined;
