--- a/packages/adapters/src/ProbeResponse.ts
+++ b/packages/adapters/src/ProbeResponse.ts
@@ -1,5 +1,5 @@
 /** What a backend server's answer to a probe tells. */
 export interface ProbeResponse {
-  /** What its process calls itself since its start; missing if it tells none. */
+  /** Identifies the process from start to end; missing if not reported. */
   readonly incarnation?: string;
 }
--- a/packages/adapters/src/http/readCompletion.ts
+++ b/packages/adapters/src/http/readCompletion.ts
@@ -1,8 +1,8 @@
 /**
- * Reads a streamed answer of an engine.
+ * Reads the streamed answer of an engine.
  *
- * Only `data: [DONE]` after a finish reason makes an answer whole. Usage can come with the last
- * chunk or in one of its own after it, so the end is held until `[DONE]`.
+ * An answer is complete only if `data: [DONE]` follows a finish reason. Usage may arrive with the
+ * last chunk or in a separate chunk after it, so the `end` chunk is emitted only at `[DONE]`.
  */
 import type { z } from 'zod';
 import { BackendServerFailure } from '../BackendServerFailure.js';
@@ -12,7 +12,7 @@
 import { parseJson } from './readAnswer.js';
 import { completionChunkSchema } from './wireSchemas.js';
 
-const DONE = '[DONE]';
+const DONE_MARKER = '[DONE]';
 
 type WireChunk = z.infer<typeof completionChunkSchema>;
 
@@ -21,14 +21,14 @@
   return { promptTokens: usage.prompt_tokens, completionTokens: usage.completion_tokens };
 }
 
-/** Turns the events of one stream into chunks and remembers what its end will need. */
+/** Converts the events of one stream to chunks; keeps finish reason and usage for the end. */
 class CompletionReader {
   private finishReason: string | undefined;
 
   private usage: CompletionUsage | undefined;
 
-  read(data: string): CompletionChunk | undefined {
-    if (data === DONE) return this.makeEnd();
+  readEventData(data: string): CompletionChunk | undefined {
+    if (data === DONE_MARKER) return this.makeEndChunk();
     const chunk = parseJson(completionChunkSchema, data);
     const choice = chunk.choices[0];
     this.finishReason = choice?.finish_reason ?? this.finishReason;
@@ -37,10 +37,10 @@
     return text === '' ? undefined : { type: 'token', text, tokens: chunk.tokens ?? 1 };
   }
 
-  private makeEnd(): CompletionChunk {
+  private makeEndChunk(): CompletionChunk {
     const { finishReason, usage } = this;
     if (finishReason === undefined) {
-      throw new BackendServerFailure('the stream ended with no finish reason', {
+      throw new BackendServerFailure('the stream ended without a finish reason', {
         failure: 'malformed',
         sent: 'maybe',
       });
@@ -49,17 +49,17 @@
   }
 }
 
-/** Reads chunks to the end of the answer, which is marked whole so that its connection is kept. */
+/** Reads the chunks of an answer and marks it complete at its end, to keep the connection. */
 export async function* readCompletion({
   body,
-  markWhole,
-}: Pick<HttpAnswer, 'body' | 'markWhole'>): AsyncGenerator<CompletionChunk> {
+  markComplete,
+}: Pick<HttpAnswer, 'body' | 'markComplete'>): AsyncGenerator<CompletionChunk> {
   const splitter = new EventDataSplitter();
   const reader = new CompletionReader();
-  for await (const part of body) {
-    for (const data of splitter.split(part)) {
-      const chunk = reader.read(data);
-      if (chunk?.type === 'end') markWhole();
+  for await (const bytes of body) {
+    for (const data of splitter.split(bytes)) {
+      const chunk = reader.readEventData(data);
+      if (chunk?.type === 'end') markComplete();
       if (chunk !== undefined) yield chunk;
       if (chunk?.type === 'end') return;
     }
--- a/packages/transport/src/FrameCodec.ts
+++ b/packages/transport/src/FrameCodec.ts
@@ -1,74 +1,78 @@
 /**
- * Frames between the processes of the system: four bytes of length, big-endian, then that many
- * bytes of CBOR. A frame above the bound is refused before it is read, so that a stranger or a
- * fault cannot make a process hold unbounded memory.
+ * Encodes and decodes the frames that processes of the system exchange: a length of four bytes,
+ * big-endian, followed by that many bytes of CBOR. A frame above the size limit is rejected as soon
+ * as its length is known, so that a peer cannot make a process buffer unlimited data.
  */
 import { Encoder } from 'cbor-x';
 
-const LENGTH_BYTES = 4;
+const LENGTH_PREFIX_BYTES = 4;
 
-/** Largest frame in bytes; a whole configuration of the target's size fits. */
+/** Large enough for a complete configuration of the largest supported size. */
 export const MAX_FRAME_BYTES = 64 * 1024 * 1024;
 
 const codec = new Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false });
 
 export class FrameTooLargeError extends Error {
   constructor(readonly frameBytes: number) {
-    super(`a frame of ${frameBytes} bytes is above the bound of ${MAX_FRAME_BYTES}`);
+    super(`a frame of ${frameBytes} bytes exceeds the limit of ${MAX_FRAME_BYTES} bytes`);
   }
 }
 
-/** Makes the bytes of one frame. */
+/** Encodes one frame. */
 export function encodeFrame(body: unknown): Buffer {
   const content = codec.encode(body);
   if (content.length > MAX_FRAME_BYTES) throw new FrameTooLargeError(content.length);
-  const frame = Buffer.allocUnsafe(LENGTH_BYTES + content.length);
+  const frame = Buffer.allocUnsafe(LENGTH_PREFIX_BYTES + content.length);
   frame.writeUInt32BE(content.length, 0);
-  content.copy(frame, LENGTH_BYTES);
+  content.copy(frame, LENGTH_PREFIX_BYTES);
   return frame;
 }
 
-/** Cuts a byte stream into frames. */
+/** Splits a byte stream into frames and decodes their bodies. */
 export class FrameDecoder {
   private chunks: Buffer[] = [];
 
-  private buffered = 0;
+  private bufferedBytes = 0;
 
-  constructor(private mostFrameBytes = MAX_FRAME_BYTES) {}
+  constructor(private maxFrameBytes = MAX_FRAME_BYTES) {}
 
-  /** Bounds the frames from here on. */
-  setMaxFrameBytes(mostFrameBytes: number): void {
-    this.mostFrameBytes = mostFrameBytes;
+  /** Sets the size limit of the frames that follow. */
+  setMaxFrameBytes(maxFrameBytes: number): void {
+    this.maxFrameBytes = maxFrameBytes;
   }
 
   /**
-   * Takes in bytes and gives the bodies of all frames that are whole now, one at a time: what one
-   * frame means may change the bound for the next.
+   * Adds bytes and yields the bodies of the frames that they complete. It yields one at a time,
+   * because the handling of one frame may change the size limit of the next.
    */
   *decode(chunk: Buffer): Generator {
     this.chunks.push(chunk);
-    this.buffered += chunk.length;
-    for (let length = this.wholeFrame(); length !== undefined; length = this.wholeFrame()) {
-      const joined = this.join();
-      const rest = joined.subarray(LENGTH_BYTES + length);
+    this.bufferedBytes += chunk.length;
+    for (
+      let length = this.readCompleteFrameLength();
+      length !== undefined;
+      length = this.readCompleteFrameLength()
+    ) {
+      const joined = this.joinChunks();
+      const rest = joined.subarray(LENGTH_PREFIX_BYTES + length);
       this.chunks = rest.length > 0 ? [rest] : [];
-      this.buffered = rest.length;
-      yield codec.decode(joined.subarray(LENGTH_BYTES, LENGTH_BYTES + length));
+      this.bufferedBytes = rest.length;
+      yield codec.decode(joined.subarray(LENGTH_PREFIX_BYTES, LENGTH_PREFIX_BYTES + length));
     }
   }
 
-  private wholeFrame(): number | undefined {
-    if (this.buffered < LENGTH_BYTES) return undefined;
-    if ((this.chunks[0]?.length ?? 0) < LENGTH_BYTES) this.join();
+  private readCompleteFrameLength(): number | undefined {
+    if (this.bufferedBytes < LENGTH_PREFIX_BYTES) return undefined;
+    if ((this.chunks[0]?.length ?? 0) < LENGTH_PREFIX_BYTES) this.joinChunks();
     const length = this.chunks[0]?.readUInt32BE(0) ?? 0;
-    if (length > this.mostFrameBytes) throw new FrameTooLargeError(length);
-    return this.buffered >= LENGTH_BYTES + length ? length : undefined;
+    if (length > this.maxFrameBytes) throw new FrameTooLargeError(length);
+    return this.bufferedBytes >= LENGTH_PREFIX_BYTES + length ? length : undefined;
   }
 
-  private join(): Buffer {
+  private joinChunks(): Buffer {
     const [first] = this.chunks;
     if (this.chunks.length === 1 && first !== undefined) return first;
-    const joined = Buffer.concat(this.chunks, this.buffered);
+    const joined = Buffer.concat(this.chunks, this.bufferedBytes);
     this.chunks = [joined];
     return joined;
   }
--- a/packages/transport/src/StoreClient.ts
+++ b/packages/transport/src/StoreClient.ts
@@ -1,6 +1,7 @@
 /**
- * How entries, controllers and the operators' port reach the stores: it finds the leader, sends
- * commands again under the same intent when an answer is lost, and keeps a subscription open.
+ * Client of the stores for all processes that use them. It finds the leader, resends requests until
+ * they are answered or time out, sends reports to all reachable stores, keeps a subscription to one
+ * store, and keeps connections to the configured stores or to all members of the log.
  */
 import { HornbeampondError } from '@hornbeampond/schema';
 import type {
@@ -28,34 +29,34 @@
   type StorePeer,
 } from './StoreSubscription.js';
 
-/** How a proposal ended. */
+/** Outcome of a proposal. */
 export type ProposalOutcome =
   | { readonly type: 'result'; readonly result: CommandResult }
-  /** The command is provably in no log and will not get into one. */
+  /** The command is provably in no log and will not be added to one. */
   | { readonly type: 'unavailable' }
-  /** The command may be in the log; resend it under the same intent to learn. */
+  /** The command may be in the log; resend it with the same intent to find out. */
   | { readonly type: 'unsure' };
 
-/** A store that does not answer within this span is passed over for another. */
-const ATTEMPT_MILLISECONDS = 1500;
-const PAUSE_MILLISECONDS = 40;
-const STATUS_MILLISECONDS = 1000;
+/** After this time without an answer another store is tried. */
+const ATTEMPT_TIMEOUT_MILLISECONDS = 1500;
+const RETRY_DELAY_MILLISECONDS = 40;
+const BROADCAST_TIMEOUT_MILLISECONDS = 1000;
 
 export class StoreClient {
   private stores: StorePeer[];
 
   private seeds: readonly StoreAddress[];
 
-  /** The members of the log, as last told; none until then. */
+  /** Members of the log as last received from a store; empty before that. */
   private members: readonly VoterAddress[] = [];
 
-  private leader: string | undefined;
+  private leaderInstance: string | undefined;
 
-  private next = 0;
+  private roundRobinCounter = 0;
 
   private readonly subscription: StoreSubscription;
 
-  private stopped = false;
+  private isClosed = false;
 
   constructor(
     addresses: readonly StoreAddress[],
@@ -63,10 +64,10 @@
     handlers: StoreClientHandlers = {},
     report?: InstanceReport,
     /**
-     * True to connect to all members of the log. Else the given addresses hold, whatever the log
-     * says: how a store is reached from here is for this instance's operator to know.
+     * True to connect to all members of the log. Otherwise only the given addresses are used: the
+     * operator of this instance configures how stores are reached from here.
      */
-    private readonly followsMembers = false,
+    private readonly connectsToAllMembers = false,
   ) {
     this.seeds = addresses;
     this.subscription = new StoreSubscription({
@@ -76,15 +77,15 @@
       readStores: () => this.stores,
       onMembers: (members) => {
         this.members = members;
-        this.connectToAll();
+        this.updateConnections();
       },
     });
     this.stores = addresses.map((address) => ({ address, client: this.connect(address) }));
   }
 
-  /** Runs a command through the log, resending it until `timeout` milliseconds have passed. */
+  /** Runs a command through the log; resends it until it is answered or `timeout` has passed. */
   async propose(command: StoreCommand, timeout: Milliseconds): Promise<ProposalOutcome> {
-    const outcome = await this.ask({ type: 'propose', command }, timeout);
+    const outcome = await this.requestWithRetries({ type: 'propose', command }, timeout);
     if (outcome.type !== 'answered') return outcome;
     if (outcome.response.type === 'result') {
       return { type: 'result', result: outcome.response.result };
@@ -92,29 +93,32 @@
     return { type: 'unsure' };
   }
 
-  /** Linearizable read of the tables. */
+  /** Reads the tables, linearizably. */
   async readConfiguration(timeout: Milliseconds): Promise<Configuration> {
-    const outcome = await this.ask({ type: 'readConfiguration' }, timeout);
+    const outcome = await this.requestWithRetries({ type: 'readConfiguration' }, timeout);
     if (outcome.type === 'answered' && outcome.response.type === 'configuration') {
       return outcome.response.configuration;
     }
     throw new HornbeampondError('storeUnavailable', 'No quorum of stores can be reached');
   }
 
-  /** Sends a request that only the leader carries out. */
+  /** Sends a request that only the leader executes. */
   async requestFromLeader(request: StoreRequest, timeout: Milliseconds): Promise<StoreResponse> {
-    const outcome = await this.ask(request, timeout);
+    const outcome = await this.requestWithRetries(request, timeout);
     if (outcome.type === 'answered') return outcome.response;
     return { type: outcome.type, reason: 'no quorum of stores can be reached' };
   }
 
-  /** What each store that answers says of itself. */
+  /** Reads the status of all stores; those that do not answer are left out. */
   async readStatus(): Promise<StoreStatus[]> {
     const answers = await Promise.all(
       this.stores.map(async ({ client }) => {
         try {
           const request: StoreRequest = { type: 'readStatus' };
-          const response = (await client.request(request, STATUS_MILLISECONDS)) as StoreResponse;
+          const response = (await client.request(
+            request,
+            BROADCAST_TIMEOUT_MILLISECONDS,
+          )) as StoreResponse;
           return response.type === 'status' ? [response.status] : [];
         } catch {
           return [];
@@ -124,58 +128,58 @@
     return answers.flat();
   }
 
-  /** Linearizable read of what the operator sent who replaced all tables last. */
+  /** Reads the document with which an operator last replaced all tables, linearizably. */
   async readDocument(timeout: Milliseconds): Promise<string> {
-    const outcome = await this.ask({ type: 'readDocument' }, timeout);
+    const outcome = await this.requestWithRetries({ type: 'readDocument' }, timeout);
     if (outcome.type === 'answered' && outcome.response.type === 'document') {
       return outcome.response.document;
     }
     throw new HornbeampondError('storeUnavailable', 'No quorum of stores can be reached');
   }
 
-  /** Hands a report to all other entries, by way of every store that is within reach. */
+  /** Sends the report of an entry to all other entries, through every reachable store. */
   shareReport(report: EntryReport): void {
-    this.tellAll({ type: 'shareReport', report });
+    this.sendToAll({ type: 'shareReport', report });
   }
 
-  /** Hands the platform's list, as it was just read, to all that subscribe to a store. */
+  /** Sends the instance list, as just read from the platform, to all subscribers of the stores. */
   shareInstances(instances: readonly SharedInstance[]): void {
-    this.tellAll({ type: 'shareInstances', instances });
+    this.sendToAll({ type: 'shareInstances', instances });
   }
 
-  /** The same for what is told between two reports. */
+  /** Sends the spending of this entry, between two reports, to all other entries. */
   shareSpending(spending: SpendingReport): void {
-    this.tellAll({ type: 'shareSpending', spending });
+    this.sendToAll({ type: 'shareSpending', spending });
   }
 
-  /** Hands on what has changed of this entry's work. */
+  /** Sends the changes in the work of this entry to all other entries. */
   shareWork(work: WorkReport): void {
-    this.tellAll({ type: 'shareWork', work });
+    this.sendToAll({ type: 'shareWork', work });
   }
 
-  /** Tells the stores what this instance has in force. */
+  /** Sends the report of this instance to the stores, and with later subscriptions. */
   updateReport(report: InstanceReport): void {
     this.subscription.report = report;
-    this.tellAll({ type: 'report', report });
+    this.sendToAll({ type: 'report', report });
   }
 
-  /** Takes over the stores that changed settings name. */
+  /** Replaces the configured store addresses after a change of settings. */
   setSeeds(addresses: readonly StoreAddress[]): void {
     this.seeds = addresses;
-    this.connectToAll();
+    this.updateConnections();
   }
 
   close(): void {
-    this.stopped = true;
+    this.isClosed = true;
     this.subscription.stop();
     this.stores.forEach(({ client }) => client.close());
   }
 
-  /** Tells what the next telling repeats, so that a lost one does no harm. */
-  private tellAll(request: StoreRequest): void {
+  /** Sends a request to all connected stores, without retries: later reports repeat lost ones. */
+  private sendToAll(request: StoreRequest): void {
     this.stores.forEach((store) => {
       if (!store.client.isOpen) return;
-      store.client.request(request, STATUS_MILLISECONDS).then(
+      store.client.request(request, BROADCAST_TIMEOUT_MILLISECONDS).then(
         (response) => this.subscription.handleReportResponse(store, response as StoreResponse),
         () => {},
       );
@@ -183,27 +187,33 @@
   }
 
   /**
-   * The stores to be connected to beside the seeds. Until members are told, those that are connected
-   * are all there is.
+   * The stores to connect to in addition to the seeds. Until the members of the log are received,
+   * the stores that are connected now are kept.
    */
-  private get wantedMembers(): readonly VoterAddress[] {
-    if (!this.followsMembers) return [];
+  private get membersToConnect(): readonly VoterAddress[] {
+    if (!this.connectsToAllMembers) return [];
     if (this.members.length > 0) return this.members;
     return this.stores.filter(({ client }) => client.isOpen).map(({ address }) => address);
   }
 
-  /** Connects to stores that have joined, and leaves those that are gone and are no seeds. */
-  private connectToAll(): void {
-    if (this.stopped) return;
-    const members = this.wantedMembers;
-    const isAt = (a: VoterAddress) => (b: VoterAddress) => a.host === b.host && a.port === b.port;
-    const wanted = [...members, ...this.seeds.filter((seed) => !members.some(isAt(seed)))];
-    const before = this.stores;
-    this.stores = wanted.map((address) => {
-      const known = before.find((store) => isAt(address)(store.address));
-      return known ?? { address, client: this.connect(address) };
+  /** Connects to new members and seeds, and disconnects from stores that are neither any more. */
+  private updateConnections(): void {
+    if (this.isClosed) return;
+    const members = this.membersToConnect;
+    const isSameAddress = (a: VoterAddress) => (b: VoterAddress) =>
+      a.host === b.host && a.port === b.port;
+    const addressesToConnect = [
+      ...members,
+      ...this.seeds.filter((seed) => !members.some(isSameAddress(seed))),
+    ];
+    const previousStores = this.stores;
+    this.stores = addressesToConnect.map((address) => {
+      const existing = previousStores.find((store) => isSameAddress(address)(store.address));
+      return existing ?? { address, client: this.connect(address) };
     });
-    before.filter((store) => !this.stores.includes(store)).forEach(({ client }) => client.close());
+    previousStores
+      .filter((store) => !this.stores.includes(store))
+      .forEach(({ client }) => client.close());
   }
 
   private connect(address: StoreAddress): PeerClient {
@@ -214,7 +224,7 @@
     });
   }
 
-  private async ask(
+  private async requestWithRetries(
     request: StoreRequest,
     timeout: Milliseconds,
   ): Promise<
@@ -223,24 +233,32 @@
     | { readonly type: 'unsure' }
   > {
     const { timers } = this.context;
-    const endsAt = timers.monotonicNow() + timeout;
-    let everSent = false;
-    for (let left = timeout; left > 0 && !this.stopped; left = endsAt - timers.monotonicNow()) {
+    const deadline = timers.monotonicNow() + timeout;
+    let mayHaveBeenSent = false;
+    for (
+      let remaining = timeout;
+      remaining > 0 && !this.isClosed;
+      remaining = deadline - timers.monotonicNow()
+    ) {
       const store = this.chooseStore();
-      const tried = await this.tryStore(store, request, Math.min(left, ATTEMPT_MILLISECONDS));
-      if (tried.type === 'answered') return tried;
-      everSent ||= tried.type === 'unsure';
-      await timers.wait(Math.min(PAUSE_MILLISECONDS, Math.max(1, left)));
+      const attempt = await this.tryStore(
+        store,
+        request,
+        Math.min(remaining, ATTEMPT_TIMEOUT_MILLISECONDS),
+      );
+      if (attempt.type === 'answered') return attempt;
+      mayHaveBeenSent ||= attempt.type === 'unsure';
+      await timers.wait(Math.min(RETRY_DELAY_MILLISECONDS, Math.max(1, remaining)));
     }
-    return { type: everSent ? 'unsure' : 'unavailable' };
+    return { type: mayHaveBeenSent ? 'unsure' : 'unavailable' };
   }
 
   private chooseStore(): StorePeer | undefined {
     const open = this.stores.filter(({ client }) => client.isOpen);
-    const leader = open.find(({ address }) => address.instance === this.leader);
+    const leader = open.find(({ address }) => address.instance === this.leaderInstance);
     if (leader !== undefined) return leader;
-    this.next += 1;
-    return open[this.next % Math.max(1, open.length)];
+    this.roundRobinCounter += 1;
+    return open[this.roundRobinCounter % Math.max(1, open.length)];
   }
 
   private async tryStore(
@@ -257,20 +275,21 @@
       const response = (await store.client.request(request, timeout)) as StoreResponse;
       switch (response.type) {
         case 'notLeader':
-          this.leader = response.leader === store.address.instance ? undefined : response.leader;
+          this.leaderInstance =
+            response.leader === store.address.instance ? undefined : response.leader;
           return { type: 'notSent' };
         case 'unavailable':
-          this.leader = undefined;
+          this.leaderInstance = undefined;
           return { type: 'notSent' };
         case 'unsure':
-          this.leader = undefined;
+          this.leaderInstance = undefined;
           return { type: 'unsure' };
         default:
-          this.leader = store.address.instance;
+          this.leaderInstance = store.address.instance;
           return { type: 'answered', response };
       }
     } catch (error) {
-      this.leader = undefined;
+      this.leaderInstance = undefined;
       const sent = error instanceof PeerRequestError ? error.sent : 'maybe';
       return { type: sent === 'nothing' ? 'notSent' : 'unsure' };
     }
--- a/packages/transport/src/StoreSubscription.test.ts
+++ b/packages/transport/src/StoreSubscription.test.ts
@@ -12,8 +12,8 @@
   cutOff: false,
 } as const;
 
-/** A store that answers at once with the revision that it holds. */
-class AnsweringStore implements StorePeer {
+/** A store that answers every subscription with a configuration of its revision. */
+class FakeStore implements StorePeer {
   revision = 3;
 
   subscriptions = 0;
@@ -43,11 +43,11 @@
   }
 }
 
-/** An entry that follows the store of its own data centre, with another one within reach. */
-async function follow() {
+/** Subscribes an entry to the store of its own data centre, with another store reachable. */
+async function subscribeEntry() {
   const timers = new ManualTimerService();
-  const own = new AnsweringStore('store-1', 'wien-a');
-  const other = new AnsweringStore('store-2', 'wien-b');
+  const own = new FakeStore('store-1', 'wien-a');
+  const other = new FakeStore('store-2', 'wien-b');
   const revisions: number[] = [];
   const subscription = new StoreSubscription({
     timers,
@@ -57,38 +57,37 @@
     onMembers: () => {},
   });
   subscription.subscribeIfNeeded();
-  await settle();
+  await flushPendingCallbacks();
   return { timers, own, other, revisions, subscription };
 }
 
-/** Lets answers that have been given reach whoever waits for them. */
-async function settle(): Promise<void> {
+/** Waits until answered requests have been handled. */
+async function flushPendingCallbacks(): Promise<void> {
   await new Promise((resolve) => {
     setImmediate(resolve);
   });
 }
 
-// The store that an entry follows is cut off from the other stores, and hears of no change. It does
-// not know so itself for seconds. Meanwhile a route is added and acknowledged: callers of this entry
-// would get 404 for it. The other store's answer to the entry's next report gives it away.
-test('an entry leaves a store that is behind what another store holds', async () => {
-  const { timers, own, other, revisions, subscription } = await follow();
+// The store of an entry is partitioned from the other stores and takes seconds to notice. Without
+// the switch, callers of this entry get 404 for a route that has been added meanwhile.
+test('an entry switches from a store that stays behind another one', async () => {
+  const { timers, own, other, revisions, subscription } = await subscribeEntry();
   other.revision = 4;
   subscription.handleReportResponse(own, own.accepted);
   subscription.handleReportResponse(other, other.accepted);
   timers.advance(249);
-  await settle();
+  await flushPendingCallbacks();
   assert.deepEqual(revisions, [3]);
   timers.advance(1);
-  await settle();
+  await flushPendingCallbacks();
   assert.deepEqual(revisions, [3, 4]);
   assert.equal(other.subscriptions, 1);
 });
 
-// All stores apply a change within milliseconds of each other, but answers overtake pushes. Moving
-// at once would have every entry ask for all tables again at each change.
-test('an entry stays with its store if the change comes from there a moment later', async () => {
-  const { timers, own, other, revisions, subscription } = await follow();
+// Stores apply a change within milliseconds of each other, but answers may overtake pushes. If
+// entries switched immediately, each change would make all of them request all tables again.
+test('an entry stays with its store if that store sends the change shortly after', async () => {
+  const { timers, own, other, revisions, subscription } = await subscribeEntry();
   other.revision = 4;
   subscription.handleReportResponse(other, other.accepted);
   timers.advance(20);
@@ -97,17 +96,17 @@
     delta: { fromRevision: 3, toRevision: 4 },
   });
   timers.advance(1000);
-  await settle();
+  await flushPendingCallbacks();
   assert.deepEqual(revisions, [3, 4]);
   assert.deepEqual([own.subscriptions, other.subscriptions], [1, 0]);
 });
 
-// A store that is behind says so in its answers; nothing is gained by a move to it.
-test('an older store draws nobody', async () => {
-  const { timers, other, subscription } = await follow();
+// Switching to a store that is behind would only delay changes.
+test('an entry does not switch to a store with an older revision', async () => {
+  const { timers, other, subscription } = await subscribeEntry();
   other.revision = 2;
   subscription.handleReportResponse(other, other.accepted);
   timers.advance(1000);
-  await settle();
+  await flushPendingCallbacks();
   assert.equal(other.subscriptions, 0);
 });
--- a/packages/transport/src/StoreSubscription.ts
+++ b/packages/transport/src/StoreSubscription.ts
@@ -1,12 +1,10 @@
 /**
- * Which store tells a process of new configurations, and when the process moves to another one.
+ * Subscribes a process to one store at a time, and applies what that store sends.
  *
- * One store at a time is subscribed to. It may have been cut off from the others without knowing
- * it yet, or have come back and be behind: its subscribers would serve by tables that operators
- * have replaced, and refuse routes and keys that have long been in force elsewhere. So each store
- * that answers a report says which revision it holds, and a process that stays behind what any of
- * them holds moves there. One answer of one store that is up to date is enough, since revisions
- * only grow and are told only once a quorum has them.
+ * The store may be partitioned without having noticed, or may have restarted and be behind. Its
+ * subscribers would then serve outdated tables. So each store states its revision when it answers a
+ * report, and a process that stays behind that revision switches to that store. One such answer is
+ * enough, since revisions only grow and are reported only after a quorum has them.
  */
 import type {
   Configuration,
@@ -36,9 +34,9 @@
   onUsage?(usage: readonly EntryUsage[]): void;
   onWorkReport?(work: WorkReport): void;
   onSpendingReport?(spending: SpendingReport): void;
-  /** A reading of the platform's list that another process has made, and its age. */
+  /** The instance list of the platform, as read by another process, and its age. */
   onInstanceList?(instances: readonly SharedInstance[], age: Milliseconds): void;
-  /** What starting entries may learn from a store. */
+  /** State of earlier entries that a store has kept for entries that start. */
   onPersistedState?(remembered: PersistedEntryData): void;
 }
 
@@ -49,97 +47,104 @@
 
 export interface StoreSubscriptionOptions {
   readonly timers: TimerService;
-  /** What the process says of itself; one that says nothing subscribes to nothing. */
+  /** The initial report of the process; without a report it does not subscribe. */
   readonly report: InstanceReport | undefined;
   readonly handlers: StoreClientHandlers;
   readStores(): readonly StorePeer[];
-  /** Told the members of the log. */
+  /** Called with the members of the log. */
   onMembers(members: readonly VoterAddress[]): void;
 }
 
-/** What one store is asked to send. */
+/** The subscription to one store. */
 interface Subscription {
   readonly store: StorePeer;
-  /** True once the store has answered with what it holds. */
+  /** True once the store has answered with its current state. */
   isAnswered: boolean;
   /**
-   * Pushes that came with the answer in one read of the socket and are seen before it. Taken at
-   * once they would not join to what is held.
+   * Pushes received before the answer was handled. They are applied after the answer, because
+   * their deltas start from the state in it.
    */
-  readonly early: StorePush[];
+  readonly earlyPushes: StorePush[];
 }
 
-const SUBSCRIBE_MILLISECONDS: Milliseconds = 1500;
-const PAUSE_MILLISECONDS: Milliseconds = 40;
+const SUBSCRIBE_TIMEOUT_MILLISECONDS: Milliseconds = 1500;
+const RETRY_DELAY_MILLISECONDS: Milliseconds = 40;
 
 /**
- * Stores apply a change within a few milliseconds of each other; after this long the one that is
- * subscribed to is behind for another reason. With the second between two reports it leaves more
- * than half of the two seconds within which a change has to be in force.
+ * Connected stores apply a change within milliseconds of each other; one that lags longer may be
+ * partitioned. The limit and the second between two reports leave enough of the two seconds within
+ * which a change must be in force.
  */
-const BEHIND_MILLISECONDS: Milliseconds = 250;
+const MAX_LAG_MILLISECONDS: Milliseconds = 250;
 
 export class StoreSubscription {
   report: InstanceReport | undefined;
 
-  private readonly follower = new ConfigurationFollower();
+  private readonly configurationFollower = new ConfigurationFollower();
 
-  private readonly instances = new InstanceListFollower();
+  private readonly instanceListFollower = new InstanceListFollower();
 
   private subscription: Subscription | undefined;
 
-  private cancelMove: Unsubscribe | undefined;
+  private cancelSwitch: Unsubscribe | undefined;
 
-  /** Stores that did not answer a subscription, until all have been tried. */
-  private readonly passedOver = new Set<StorePeer>();
+  /** Stores whose subscription failed; cleared once all connected stores have failed. */
+  private readonly failedStores = new Set<StorePeer>();
 
-  private next = 0;
+  private roundRobinCounter = 0;
 
-  private stopped = false;
+  private isStopped = false;
 
   constructor(private readonly options: StoreSubscriptionOptions) {
     this.report = options.report;
   }
 
   stop(): void {
-    this.stopped = true;
-    this.cancelMove?.();
+    this.isStopped = true;
+    this.cancelSwitch?.();
   }
 
-  /** A store of the own data centre is preferred: it stays reachable when others are cut off. */
+  /**
+   * Subscribes if there is no subscription. Prefers a store of the own data centre, which stays
+   * reachable if other data centres are partitioned.
+   */
   subscribeIfNeeded(): void {
     const { report } = this;
-    if (report === undefined || this.stopped || this.subscription !== undefined) return;
-    if (this.openStores.every((store) => this.passedOver.has(store))) this.passedOver.clear();
-    const open = this.openStores.filter((store) => !this.passedOver.has(store));
-    const store = open.find(({ address }) => address.dataCentre === report.dataCentre) ?? open[0];
+    if (report === undefined || this.isStopped || this.subscription !== undefined) return;
+    if (this.openStores.every((store) => this.failedStores.has(store))) this.failedStores.clear();
+    const candidates = this.openStores.filter((store) => !this.failedStores.has(store));
+    const store =
+      candidates.find(({ address }) => address.dataCentre === report.dataCentre) ?? candidates[0];
     if (store !== undefined) this.subscribe(store, report);
   }
 
-  /** Takes in a push of the store at this address. */
+  /** Handles a push of the store at this address, if it is subscribed to. */
   receivePush(address: StoreAddress, push: StorePush): void {
     const { subscription } = this;
     if (subscription?.store.address !== address) return;
-    if (subscription.isAnswered) this.take(push);
-    else subscription.early.push(push);
+    if (subscription.isAnswered) this.handlePush(push);
+    else subscription.earlyPushes.push(push);
   }
 
-  /** The connection to the store at this address is lost. */
+  /** Ends the subscription if it was to the store at this address, and subscribes again. */
   handleDisconnect(address: StoreAddress): void {
     if (this.subscription?.store.address !== address) return;
     this.subscription = undefined;
     this.subscribeIfNeeded();
   }
 
-  /** Compares what a store says it holds with what is held here. */
+  /**
+   * Switches to the answering store if this process still lacks the reported revision after
+   * `MAX_LAG_MILLISECONDS`.
+   */
   handleReportResponse(store: StorePeer, response: StoreResponse): void {
     if (response.type !== 'accepted' || response.revision === undefined) return;
     const { revision } = response;
-    if (this.cancelMove !== undefined || this.holds(revision)) return;
-    this.cancelMove = this.options.timers.after(BEHIND_MILLISECONDS, () => {
-      this.cancelMove = undefined;
+    if (this.cancelSwitch !== undefined || this.hasRevision(revision)) return;
+    this.cancelSwitch = this.options.timers.after(MAX_LAG_MILLISECONDS, () => {
+      this.cancelSwitch = undefined;
       const { report } = this;
-      if (this.stopped || report === undefined || this.holds(revision)) return;
+      if (this.isStopped || report === undefined || this.hasRevision(revision)) return;
       if (store.client.isOpen) this.subscribe(store, report);
     });
   }
@@ -148,69 +153,69 @@
     return this.options.readStores().filter(({ client }) => client.isOpen);
   }
 
-  private holds(revision: number): boolean {
-    return (this.follower.newest?.revision ?? 0) >= revision;
+  private hasRevision(revision: number): boolean {
+    return (this.configurationFollower.newest?.revision ?? 0) >= revision;
   }
 
   private subscribe(store: StorePeer, report: InstanceReport): void {
-    const subscription: Subscription = { store, isAnswered: false, early: [] };
+    const subscription: Subscription = { store, isAnswered: false, earlyPushes: [] };
     this.subscription = subscription;
-    store.client.request({ type: 'subscribe', report }, SUBSCRIBE_MILLISECONDS).then(
+    store.client.request({ type: 'subscribe', report }, SUBSCRIBE_TIMEOUT_MILLISECONDS).then(
       (response) => {
         if (this.subscription === subscription) {
-          this.acceptSubscription(subscription, response as StoreResponse);
+          this.handleSubscribeResponse(subscription, response as StoreResponse);
         }
       },
       () => {
         if (this.subscription !== subscription) return;
         this.subscription = undefined;
-        this.passedOver.add(store);
-        this.options.timers.after(PAUSE_MILLISECONDS, () => this.subscribeIfNeeded());
+        this.failedStores.add(store);
+        this.options.timers.after(RETRY_DELAY_MILLISECONDS, () => this.subscribeIfNeeded());
       },
     );
   }
 
-  private acceptSubscription(subscription: Subscription, response: StoreResponse): void {
+  private handleSubscribeResponse(subscription: Subscription, response: StoreResponse): void {
     if (response.type !== 'subscribed') return;
     subscription.isAnswered = true;
-    this.passedOver.clear();
-    this.takeInstances(response);
-    // Ahead of the configuration: with that the requests that have waited for it are admitted.
+    this.failedStores.clear();
+    this.resetInstanceList(response);
+    // Precedes the configuration, because that admits the requests that wait for it.
     this.options.handlers.onPersistedState?.(response.remembered);
-    this.note(this.follower.applyConfiguration(response.configuration));
+    this.handleUpdateResult(this.configurationFollower.applyConfiguration(response.configuration));
     this.options.handlers.onQuarantine?.(response.quarantine);
     this.options.onMembers(response.stores);
-    subscription.early.forEach((push) => this.take(push));
+    subscription.earlyPushes.forEach((push) => this.handlePush(push));
   }
 
-  private takeInstances({
+  private resetInstanceList({
     instances,
     instancesAge = 0,
   }: Extract<StoreResponse, { type: 'subscribed' }>): void {
-    this.instances.reset(instances);
+    this.instanceListFollower.reset(instances);
     if (instances !== undefined) this.options.handlers.onInstanceList?.(instances, instancesAge);
   }
 
-  private take(push: StorePush): void {
-    const { handlers, onMembers: onStores } = this.options;
+  private handlePush(push: StorePush): void {
+    const { handlers, onMembers } = this.options;
     switch (push.type) {
       case 'configuration':
-        this.note(this.follower.applyConfiguration(push.configuration));
+        this.handleUpdateResult(this.configurationFollower.applyConfiguration(push.configuration));
         return;
       case 'configurationDelta':
-        this.note(this.follower.applyConfigurationDelta(push.delta));
+        this.handleUpdateResult(this.configurationFollower.applyConfigurationDelta(push.delta));
         return;
       case 'quarantine':
         handlers.onQuarantine?.(push.quarantine);
         return;
       case 'stores':
-        onStores(push.stores);
+        onMembers(push.stores);
         return;
       case 'entryReport':
         handlers.onEntryReport?.(push.report);
         return;
       case 'instances':
-        handlers.onInstanceList?.(this.instances.applyDelta(push), 0);
+        handlers.onInstanceList?.(this.instanceListFollower.applyDelta(push), 0);
         return;
       case 'work':
         push.reports.forEach((report) => handlers.onWorkReport?.(report));
@@ -222,29 +227,29 @@
         handlers.onSpendingReport?.(push.spending);
         return;
       default:
-        this.leaveOutOfTouch();
+        this.switchStore();
     }
   }
 
-  /** Moves to another store, if one is within reach; it may be out of touch as well, and say so. */
-  private leaveOutOfTouch(): void {
+  /** Switches to another connected store; that store may report that it is out of touch too. */
+  private switchStore(): void {
     const { report, subscription } = this;
     if (report === undefined || subscription === undefined) return;
-    const others = this.openStores.filter((store) => store !== subscription.store);
-    this.next += 1;
-    const store = others[this.next % Math.max(1, others.length)];
+    const otherStores = this.openStores.filter((store) => store !== subscription.store);
+    this.roundRobinCounter += 1;
+    const store = otherStores[this.roundRobinCounter % Math.max(1, otherStores.length)];
     if (store !== undefined) this.subscribe(store, report);
   }
 
-  /** Hands on what is newer; after a gap it asks the same store for all of it. */
-  private note(result: ConfigurationUpdateResult): void {
-    const { newest } = this.follower;
+  /** Reports a newer configuration; after a gap, subscribes again to get a complete one. */
+  private handleUpdateResult(result: ConfigurationUpdateResult): void {
+    const { newest } = this.configurationFollower;
     if (result === 'newer' && newest !== undefined) {
       this.options.handlers.onConfiguration?.(newest);
     }
     const { report, subscription } = this;
     if (result !== 'gap' || report === undefined || subscription === undefined) return;
-    // Pushes behind the gap wait for the answer.
+    // Later pushes wait for the answer.
     if (subscription.isAnswered) this.subscribe(subscription.store, report);
   }
 }
