--- a/packages/runtime/src/EventLoop.ts
+++ b/packages/runtime/src/EventLoop.ts
@@ -4,43 +4,43 @@
 import type { Reducer } from '@hornbeampond/schema';
 
 export class EventLoop<State, Event, Effect> {
-  private readonly waiting: Event[] = [];
+  private readonly queue: Event[] = [];
 
-  private running = false;
+  private isDispatching = false;
 
   constructor(
     readonly state: State,
     private readonly reduce: Reducer<State, Event, Effect>,
-    private readonly carryOut: (effect: Effect) => void,
+    private readonly applyEffect: (effect: Effect) => void,
     private readonly onError: (error: unknown, event: Event) => void,
   ) {}
 
   /** Takes in an event; one that an effect raises waits until the present one is done. */
   dispatch(event: Event): void {
-    this.waiting.push(event);
-    if (this.running) return;
-    this.running = true;
+    this.queue.push(event);
+    if (this.isDispatching) return;
+    this.isDispatching = true;
     try {
-      for (let next = this.waiting.shift(); next !== undefined; next = this.waiting.shift()) {
-        this.take(next);
+      for (let next = this.queue.shift(); next !== undefined; next = this.queue.shift()) {
+        this.handle(next);
       }
     } finally {
-      this.running = false;
+      this.isDispatching = false;
     }
   }
 
-  private take(event: Event): void {
-    const attempt = (work: () => void) => {
+  private handle(event: Event): void {
+    const runGuarded = (action: () => void) => {
       try {
-        work();
+        action();
       } catch (error) {
         this.onError(error, event);
       }
     };
-    attempt(() => {
+    runGuarded(() => {
       const effects = this.reduce(this.state, event);
       // One effect that fails must not keep the others of the event from being carried out.
-      effects.forEach((effect) => attempt(() => this.carryOut(effect)));
+      effects.forEach((effect) => runGuarded(() => this.applyEffect(effect)));
     });
   }
 }
--- a/packages/runtime/src/LineWriter.ts
+++ b/packages/runtime/src/LineWriter.ts
@@ -7,35 +7,35 @@
 import { write } from 'node:fs';
 
 /** Lines a second that are written; a busy entry writes a few hundred. */
-const MOST_LINES_PER_SECOND = 2000;
+const MAX_LINES_PER_SECOND = 2000;
 
 /** Bytes that may wait for a slow reader. */
-const MOST_WAITING_BYTES = 1024 * 1024;
+const MAX_BUFFERED_CHARACTERS = 1024 * 1024;
 
-const SECOND_MILLISECONDS = 1000;
+const MILLISECONDS_PER_SECOND = 1000;
 
 /** Hands text on and calls back when it has been taken. */
-export type WriteText = (text: string, onTaken: (error: Error | null) => void) => void;
+export type WriteText = (text: string, onWritten: (error: Error | null) => void) => void;
 
 /** Writes to a file descriptor, such as 1 for standard output. */
 export function writeToDescriptor(descriptor: number): WriteText {
-  return (text, onTaken) => {
-    write(descriptor, text, (error) => onTaken(error));
+  return (text, onWritten) => {
+    write(descriptor, text, (error) => onWritten(error));
   };
 }
 
 export class LineWriter {
-  private waiting: string[] = [];
+  private bufferedLines: string[] = [];
 
-  private waitingBytes = 0;
+  private bufferedCharacters = 0;
 
   private isWriting = false;
 
-  private readonly onTaken: (() => void)[] = [];
+  private readonly idleListeners: (() => void)[] = [];
 
-  private dropped = 0;
+  private droppedLines = 0;
 
-  private second = Number.NaN;
+  private currentSecond = Number.NaN;
 
   private linesInSecond = 0;
 
@@ -43,20 +43,20 @@
     private readonly writeText: WriteText,
     private readonly now: () => number = () => performance.now(),
     /** Makes the line that tells how many were dropped. */
-    private readonly describeDropped: (count: number) => string = (count) =>
+    private readonly formatDroppedLine: (count: number) => string = (count) =>
       JSON.stringify({ event: 'linesDropped', count }),
   ) {}
 
   /** Writes one line, or drops it. */
   readonly write = (line: string): void => {
-    if (!this.mayWrite(line)) {
-      this.dropped += 1;
+    if (!this.canAccept(line)) {
+      this.droppedLines += 1;
       return;
     }
-    if (this.dropped > 0) {
-      const { dropped } = this;
-      this.dropped = 0;
-      this.enqueue(this.describeDropped(dropped));
+    if (this.droppedLines > 0) {
+      const { droppedLines } = this;
+      this.droppedLines = 0;
+      this.enqueue(this.formatDroppedLine(droppedLines));
     }
     this.enqueue(line);
     this.flush();
@@ -66,39 +66,39 @@
   async waitUntilIdle(): Promise<void> {
     if (!this.isWriting) return;
     await new Promise<void>((resolve) => {
-      this.onTaken.push(resolve);
+      this.idleListeners.push(resolve);
     });
   }
 
-  private mayWrite(line: string): boolean {
-    const second = Math.floor(this.now() / SECOND_MILLISECONDS);
-    if (second !== this.second) {
-      this.second = second;
+  private canAccept(line: string): boolean {
+    const second = Math.floor(this.now() / MILLISECONDS_PER_SECOND);
+    if (second !== this.currentSecond) {
+      this.currentSecond = second;
       this.linesInSecond = 0;
     }
     this.linesInSecond += 1;
-    const fits = this.waitingBytes + line.length <= MOST_WAITING_BYTES;
-    return fits && this.linesInSecond <= MOST_LINES_PER_SECOND;
+    const fits = this.bufferedCharacters + line.length <= MAX_BUFFERED_CHARACTERS;
+    return fits && this.linesInSecond <= MAX_LINES_PER_SECOND;
   }
 
   private enqueue(line: string): void {
-    this.waiting.push(line);
-    this.waitingBytes += line.length + 1;
+    this.bufferedLines.push(line);
+    this.bufferedCharacters += line.length + 1;
   }
 
   private flush(): void {
-    if (this.isWriting || this.waiting.length === 0) return;
-    const text = `${this.waiting.join('\n')}\n`;
-    const bytes = this.waitingBytes;
-    this.waiting = [];
+    if (this.isWriting || this.bufferedLines.length === 0) return;
+    const text = `${this.bufferedLines.join('\n')}\n`;
+    const characters = this.bufferedCharacters;
+    this.bufferedLines = [];
     this.isWriting = true;
     this.writeText(text, (error) => {
       this.isWriting = false;
-      this.waitingBytes -= bytes;
+      this.bufferedCharacters -= characters;
       // A closed or full output is nothing to end for; what it did not take is counted as dropped.
-      if (error !== null) this.dropped += text.split('\n').length - 1;
+      if (error !== null) this.droppedLines += text.split('\n').length - 1;
       else this.flush();
-      if (!this.isWriting) this.onTaken.splice(0).forEach((resolve) => resolve());
+      if (!this.isWriting) this.idleListeners.splice(0).forEach((resolve) => resolve());
     });
   }
 }
--- a/packages/runtime/src/Logger.ts
+++ b/packages/runtime/src/Logger.ts
@@ -18,33 +18,34 @@
 const STANDARD_OUTPUT = 1;
 
 /** One for the process, since its bounds are those of the one output. */
-const standardOutput = new LineWriter(writeToDescriptor(STANDARD_OUTPUT));
+const standardOutputWriter = new LineWriter(writeToDescriptor(STANDARD_OUTPUT));
 
 /** A reader that stands still must not keep a process from ending. */
-const FLUSH_MILLISECONDS = 500;
+const MAX_FLUSH_MILLISECONDS = 500;
 
 /** Resolves once all lines have been written, or soon after; for the end of a process. */
 export async function flushLogs(): Promise<void> {
-  await Promise.race([standardOutput.waitUntilIdle(), setTimeout(FLUSH_MILLISECONDS)]);
+  await Promise.race([standardOutputWriter.waitUntilIdle(), setTimeout(MAX_FLUSH_MILLISECONDS)]);
 }
 
 export class Logger {
-  private readonly backing: loglevel.Logger;
+  private readonly levelLogger: loglevel.Logger;
 
   constructor(
     private readonly context: LogContext,
     level: LogLevel,
-    private readonly writeLine: WriteLine = standardOutput.write,
+    private readonly writeLine: WriteLine = standardOutputWriter.write,
   ) {
-    this.backing = loglevel.getLogger(Symbol(context.instance));
-    this.backing.methodFactory = () => (line: unknown) => this.writeLine(String(line));
-    this.backing.setLevel(level, false);
+    this.levelLogger = loglevel.getLogger(Symbol(context.instance));
+    this.levelLogger.methodFactory = () => (line: unknown) => this.writeLine(String(line));
+    this.levelLogger.setLevel(level, false);
   }
 
   /** Writes a numbered event. */
   write(event: LogEventName, fields: LogFields = {}): void {
     const { number, level, text } = logEvents[event];
-    if (this.backing.levels[level.toUpperCase() as 'INFO'] < this.backing.getLevel()) return;
+    if (this.levelLogger.levels[level.toUpperCase() as 'INFO'] < this.levelLogger.getLevel())
+      return;
     const line = JSON.stringify({
       time: new Date().toISOString(),
       number,
@@ -54,6 +55,6 @@
       ...this.context,
       ...fields,
     });
-    this.backing[level](line);
+    this.levelLogger[level](line);
   }
 }
--- a/packages/runtime/src/Metrics.ts
+++ b/packages/runtime/src/Metrics.ts
@@ -13,7 +13,7 @@
 
 function makeInstrument(definition: MetricDefinition, registry: Registry): Instrument {
   const { name, help, label } = definition;
-  const shared = {
+  const commonOptions = {
     name,
     help,
     registers: [registry],
@@ -21,14 +21,14 @@
   };
   switch (definition.kind) {
     case 'counter': {
-      const counter = new Counter(shared);
+      const counter = new Counter(commonOptions);
       label?.values?.forEach((value) => counter.inc({ [label.name]: value }, 0));
       return counter;
     }
     case 'gauge':
-      return new Gauge(shared);
+      return new Gauge(commonOptions);
     case 'histogram':
-      return new Histogram({ ...shared, buckets: [...(definition.buckets ?? [])] });
+      return new Histogram({ ...commonOptions, buckets: [...(definition.buckets ?? [])] });
     default:
       throw new TypeError(`no such kind of metric: ${String(definition.kind)}`);
   }
@@ -50,19 +50,19 @@
   count(effect: Omit<CountEffect, 'type'>): void {
     const instrument = this.instruments.get(effect.metric);
     if (!(instrument instanceof Counter)) throw new TypeError(`${effect.metric} is no counter`);
-    instrument.inc(this.labels(effect.metric, effect.label), effect.amount ?? 1);
+    instrument.inc(this.makeLabels(effect.metric, effect.label), effect.amount ?? 1);
   }
 
   setGauge(metric: MetricName, value: number, label?: string): void {
     const instrument = this.instruments.get(metric);
     if (!(instrument instanceof Gauge)) throw new TypeError(`${metric} is no gauge`);
-    instrument.set(this.labels(metric, label), value);
+    instrument.set(this.makeLabels(metric, label), value);
   }
 
   observe(metric: MetricName, value: number, label?: string): void {
     const instrument = this.instruments.get(metric);
     if (!(instrument instanceof Histogram)) throw new TypeError(`${metric} is no histogram`);
-    instrument.observe(this.labels(metric, label), value);
+    instrument.observe(this.makeLabels(metric, label), value);
   }
 
   /** What a counter has come to, by the value of its label; values at zero are left out. */
@@ -70,9 +70,9 @@
     const instrument = this.instruments.get(metric);
     if (!(instrument instanceof Counter)) throw new TypeError(`${metric} is no counter`);
     const { values } = await instrument.get();
-    const counted = values.filter(({ value }) => value > 0);
+    const nonZeroValues = values.filter(({ value }) => value > 0);
     return Object.fromEntries(
-      counted.map(({ labels, value }) => [String(Object.values(labels)[0] ?? ''), value]),
+      nonZeroValues.map(({ labels, value }) => [String(Object.values(labels)[0] ?? ''), value]),
     );
   }
 
@@ -81,7 +81,7 @@
     return this.registry.metrics();
   }
 
-  private labels(metric: MetricName, value: string | undefined): Record<string, string> {
+  private makeLabels(metric: MetricName, value: string | undefined): Record<string, string> {
     const { label }: MetricDefinition = metricDefinitions[metric];
     return label === undefined || value === undefined ? {} : { [label.name]: value };
   }
--- a/packages/runtime/src/TimerService.ts
+++ b/packages/runtime/src/TimerService.ts
@@ -19,18 +19,18 @@
 
   /** Calls `listener` every `interval` milliseconds until unsubscribed. */
   every(interval: Milliseconds, listener: () => void): Unsubscribe {
-    let stopped = false;
+    let isStopped = false;
     let cancel: Unsubscribe = () => {};
-    const arm = () => {
+    const schedule = () => {
       cancel = this.after(interval, () => {
-        if (stopped) return;
-        arm();
+        if (isStopped) return;
+        schedule();
         listener();
       });
     };
-    arm();
+    schedule();
     return () => {
-      stopped = true;
+      isStopped = true;
       cancel();
     };
   }
--- a/packages/runtime/src/readSettings.test.ts
+++ b/packages/runtime/src/readSettings.test.ts
@@ -6,7 +6,7 @@
 import { storeSettingsSchema } from '@hornbeampond/schema';
 import { readSettings } from './readSettings.js';
 
-const good = `
+const validSettings = `
 instance = "store-1"
 dataCentre = "a"
 cluster = "test"
@@ -26,7 +26,7 @@
 }
 
 test('good settings are read, with defaults for what is left out', (context) => {
-  const settings = read(context, good);
+  const settings = read(context, validSettings);
   assert.ok(settings.ok);
   assert.equal(settings.settings.heartbeatMilliseconds, 150);
   assert.deepEqual(settings.settings.operatorKeys, []);
@@ -35,7 +35,7 @@
 // The operator of a new instance has made four mistakes. All show at once with their keys; if only
 // the first did, each start would show one more.
 test('every fault is told, with its key', (context) => {
-  const text = good
+  const text = validSettings
     .replace('"0123456789abcdef"', '"short"')
     .replace('"127.0.0.1", port = 7071', '"store.example", port = 7071')
     .replace('instance = "store-1"\ndata', 'instance = "Store 1"\ndata')
--- a/packages/runtime/src/readSettings.ts
+++ b/packages/runtime/src/readSettings.ts
@@ -11,7 +11,7 @@
   | { readonly ok: true; readonly settings: Settings }
   | { readonly ok: false; readonly faults: readonly Fault[] };
 
-function describeKey(path: readonly PropertyKey[]): string {
+function formatKeyPath(path: readonly PropertyKey[]): string {
   return path.length === 0
     ? '(file)'
     : path
@@ -30,7 +30,7 @@
   const parsed = schema.safeParse(values);
   if (parsed.success) return { ok: true, settings: parsed.data };
   const faults = parsed.error.issues.map((issue) => ({
-    where: describeKey(issue.path),
+    where: formatKeyPath(issue.path),
     reason: describeIssue(issue),
   }));
   return { ok: false, faults };
--- a/packages/runtime/src/runBinary.test.ts
+++ b/packages/runtime/src/runBinary.test.ts
@@ -9,7 +9,7 @@
 const root = fileURLToPath(new URL('../../../', import.meta.url));
 
 /** Settings of each long-running binary among the examples. */
-const binaries = {
+const exampleSettings = {
   entry: [
     'examples/kartenwerk/entry-wien-a-1.toml',
     'examples/rails-du-sahel/entry-dakar-a-1.toml',
@@ -21,9 +21,9 @@
   ],
 } as const;
 
-async function run(binary: string, words: readonly string[]) {
+async function runCommand(binary: string, commandArguments: readonly string[]) {
   const file = `apps/${binary}/bin/hornbeampond-${binary}.js`;
-  const child = spawn(process.execPath, [file, ...words], { cwd: root, stdio: 'pipe' });
+  const child = spawn(process.execPath, [file, ...commandArguments], { cwd: root, stdio: 'pipe' });
   const [output, errors, [exitCode]] = await Promise.all([
     text(child.stdout),
     text(child.stderr),
@@ -32,28 +32,28 @@
   return { output, errors, exitCode };
 }
 
-Object.entries(binaries).forEach(([binary, examples]) => {
+Object.entries(exampleSettings).forEach(([binary, examples]) => {
   const name = `hornbeampond-${binary}`;
 
   test(`${name} prints help and version and exits 0`, async () => {
-    const help = await run(binary, ['--help']);
+    const help = await runCommand(binary, ['--help']);
     assert.equal(help.exitCode, exitCodes.done);
     assert.match(help.output, new RegExp(`^${name}: .+\n\nUsage: ${name} --settings FILE`));
-    const printed = await run(binary, ['--version']);
+    const printed = await runCommand(binary, ['--version']);
     assert.deepEqual(printed, { output: `${name} ${version}\n`, errors: '', exitCode: 0 });
   });
 
   test(`${name} --check takes the examples and exits 0 without starting`, async () => {
     for (const file of examples) {
-      const checked = await run(binary, ['--check', '--settings', file]);
+      const checked = await runCommand(binary, ['--check', '--settings', file]);
       assert.deepEqual(checked, { output: `${file}: good\n`, errors: '', exitCode: 0 });
     }
   });
 });
 
 test('settings of another binary exit 2 with every fault and its key', async () => {
-  const file = binaries.entry[0];
-  const { output, errors, exitCode } = await run('store', ['--check', '--settings', file]);
+  const file = exampleSettings.entry[0];
+  const { output, errors, exitCode } = await runCommand('store', ['--check', '--settings', file]);
   assert.equal(exitCode, exitCodes.badInput);
   assert.equal(output, '');
   const lines = errors.trimEnd().split('\n');
@@ -64,7 +64,7 @@
 
 test('an unknown option and missing settings exit 2 and point to the help', async () => {
   for (const words of [['--loud'], []]) {
-    const { errors, exitCode } = await run('store', words);
+    const { errors, exitCode } = await runCommand('store', words);
     assert.equal(exitCode, exitCodes.badInput);
     assert.match(errors, /see "hornbeampond-store --help"/);
   }
--- a/packages/runtime/src/runBinary.ts
+++ b/packages/runtime/src/runBinary.ts
@@ -48,7 +48,7 @@
   process.exitCode = exitCodes.badInput;
 }
 
-function readArguments(name: string) {
+function parseCommandLine(name: string) {
   try {
     return parseArgs({
       options: {
@@ -67,7 +67,7 @@
 
 /** Runs a binary from its command line until a signal ends it. */
 export async function runBinary<Schema extends z.ZodType>(binary: Binary<Schema>): Promise<void> {
-  const options = readArguments(binary.name);
+  const options = parseCommandLine(binary.name);
   if (options === undefined) return;
   if (options.help) {
     printHelp(binary);
@@ -81,10 +81,10 @@
     failWithBadInput([`${binary.name}: --settings FILE is missing`, `see "${binary.name} --help"`]);
     return;
   }
-  const read = readSettings(binary.schema, options.settings);
-  if (!read.ok) {
+  const result = readSettings(binary.schema, options.settings);
+  if (!result.ok) {
     failWithBadInput(
-      read.faults.map((fault) => `${options.settings}: ${fault.where}: ${fault.reason}`),
+      result.faults.map((fault) => `${options.settings}: ${fault.where}: ${fault.reason}`),
     );
     return;
   }
@@ -92,7 +92,7 @@
     process.stdout.write(`${options.settings}: good\n`);
     return;
   }
-  await serveUntilSignal(binary, read.settings);
+  await serveUntilSignal(binary, result.settings);
 }
 
 async function serveUntilSignal<Schema extends z.ZodType>(
@@ -106,10 +106,10 @@
     process.stderr.write(`${binary.name}: ${error instanceof Error ? error.message : error}\n`);
     process.exit(exitCodes.failed);
   }
-  let stopping = false;
+  let isStopping = false;
   const stop = () => {
-    if (stopping) return;
-    stopping = true;
+    if (isStopping) return;
+    isStopping = true;
     void running
       .shutDown()
       .then(
--- a/packages/runtime/src/runCommonEffect.ts
+++ b/packages/runtime/src/runCommonEffect.ts
@@ -20,19 +20,19 @@
   logger: Logger,
   metrics: Metrics,
 ): effect is CommonEffect {
-  const common = effect as CommonEffect;
-  switch (common.type) {
+  const commonEffect = effect as CommonEffect;
+  switch (commonEffect.type) {
     case 'log':
-      logger.write(common.event, common.fields);
+      logger.write(commonEffect.event, commonEffect.fields);
       return true;
     case 'count':
-      metrics.count(common);
+      metrics.count(commonEffect);
       return true;
     case 'setGauge':
-      metrics.setGauge(common.metric, common.value);
+      metrics.setGauge(commonEffect.metric, commonEffect.value);
       return true;
     case 'observe':
-      metrics.observe(common.metric, common.value, common.label);
+      metrics.observe(commonEffect.metric, commonEffect.value, commonEffect.label);
       return true;
     default:
       return false;
--- a/packages/schema/src/errors/HornbeampondError.ts
+++ b/packages/schema/src/errors/HornbeampondError.ts
@@ -70,22 +70,23 @@
 
 /** Makes the problem document of an error; an error of no known kind becomes `internalError`. */
 export function toProblemDocument(error: unknown, requestId?: string): ProblemDocument {
-  const known =
+  const hornbeampondError =
     error instanceof HornbeampondError
       ? error
       : new HornbeampondError('internalError', 'An unexpected error occurred', {}, error);
-  const answer = errorAnswers[known.kind];
-  const { retryAfterMilliseconds, ran, faults, currentRevision, tokensGiven } = known.details;
+  const answer = errorAnswers[hornbeampondError.kind];
+  const { retryAfterMilliseconds, ran, faults, currentRevision, tokensGiven } =
+    hornbeampondError.details;
   const retryAfterSeconds =
     retryAfterMilliseconds === undefined
       ? DEFAULT_RETRY_AFTER_SECONDS
       : Math.max(1, Math.ceil(retryAfterMilliseconds / 1000));
   return {
-    type: `urn:hornbeampond:problem:${known.kind}`,
+    type: `urn:hornbeampond:problem:${hornbeampondError.kind}`,
     title: answer.title,
     status: answer.status,
-    detail: known.message,
-    kind: known.kind,
+    detail: hornbeampondError.message,
+    kind: hornbeampondError.kind,
     ran: ran ?? answer.ran,
     ...(answer.retryHelps ? { retryAfterSeconds } : {}),
     ...(requestId === undefined ? {} : { requestId }),
--- a/packages/schema/src/reference/describeLogEvents.ts
+++ b/packages/schema/src/reference/describeLogEvents.ts
@@ -4,7 +4,7 @@
 import { describeUnraisedNames } from './unraisedNames.js';
 
 /** Hundreds of numbers, by the process that writes them. */
-const ranges = {
+const numberRanges = {
   'events of every process': [1000, 1999],
   'events of entries': [2000, 2999],
   'events of stores': [3000, 3999],
@@ -12,10 +12,10 @@
 } as const;
 
 export function describeLogEvents(): Record<string, string> {
-  const all = Object.entries(logEvents).sort(([, a], [, b]) => a.number - b.number);
+  const sortedEvents = Object.entries(logEvents).sort(([, a], [, b]) => a.number - b.number);
   const tables = Object.fromEntries(
-    Object.entries(ranges).map(([name, [first, last]]) => {
-      const rows = all
+    Object.entries(numberRanges).map(([name, [first, last]]) => {
+      const rows = sortedEvents
         .filter(([, { number }]) => number >= first && number <= last)
         .map(([event, { number, level, text }]) => [`${number}`, `\`${event}\``, level, text]);
       return [name, formatMarkdownTable(['number', 'event', 'level', 'what happened'], rows)];
--- a/packages/schema/src/reference/describeSettings.ts
+++ b/packages/schema/src/reference/describeSettings.ts
@@ -36,17 +36,17 @@
   readonly listBounds: string;
 }
 
-function describeRange(least: number | undefined, most: number | undefined, what: string): string {
-  if (least === undefined && most === undefined) return '';
-  if (most === undefined) return `at least ${least} ${what}`.trim();
-  return `${least ?? 0} to ${most} ${what}`.trim();
+function describeRange(min: number | undefined, max: number | undefined, unit: string): string {
+  if (min === undefined && max === undefined) return '';
+  if (max === undefined) return `at least ${min} ${unit}`.trim();
+  return `${min ?? 0} to ${max} ${unit}`.trim();
 }
 
 function listKeys(node: SchemaNode, path = '', required = true, listBounds = ''): SettingKey[] {
   if (node.properties !== undefined) {
     return Object.entries(node.properties).flatMap(([name, child]) => {
-      const needed = required && (node.required ?? []).includes(name);
-      return listKeys(child, path === '' ? name : `${path}.${name}`, needed, listBounds);
+      const isRequired = required && (node.required ?? []).includes(name);
+      return listKeys(child, path === '' ? name : `${path}.${name}`, isRequired, listBounds);
     });
   }
   if (node.items !== undefined) {
@@ -68,7 +68,7 @@
 }
 
 function describeBounds({ node, listBounds }: SettingKey): string {
-  const own = [
+  const valueBounds = [
     node.enum?.map((value) => `\`${value}\``).join(', ') ?? '',
     describeRange(node.minimum, node.maximum, ''),
     describeRange(node.minLength, node.maxLength, 'characters'),
@@ -76,15 +76,15 @@
     node.format === 'uri' ? 'uri' : '',
     node.pattern === undefined || node.anyOf !== undefined ? '' : `\`${node.pattern}\``,
   ].filter((part) => part !== '');
-  return [...own, ...(listBounds === '' ? [] : [`(${listBounds})`])].join(' ');
+  return [...valueBounds, ...(listBounds === '' ? [] : [`(${listBounds})`])].join(' ');
 }
 
 function checkMeanings(keys: readonly SettingKey[], meanings: Readonly<Record<string, string>>) {
   const paths = new Set(keys.map(({ path }) => path));
-  const unexplained = [...paths].filter((path) => meanings[path] === undefined);
-  const unknown = Object.keys(meanings).filter((path) => !paths.has(path));
-  if (unexplained.length > 0) throw new Error(`no meaning is given for ${unexplained.join(', ')}`);
-  if (unknown.length > 0) throw new Error(`no schema has ${unknown.join(', ')}`);
+  const missing = [...paths].filter((path) => meanings[path] === undefined);
+  const obsolete = Object.keys(meanings).filter((path) => !paths.has(path));
+  if (missing.length > 0) throw new Error(`no meaning is given for ${missing.join(', ')}`);
+  if (obsolete.length > 0) throw new Error(`no schema has ${obsolete.join(', ')}`);
 }
 
 /** The table of one schema; throws if the meanings do not match its keys. */
--- a/packages/schema/src/reference/formatMarkdownTable.ts
+++ b/packages/schema/src/reference/formatMarkdownTable.ts
@@ -9,13 +9,13 @@
   titles: readonly string[],
   rows: readonly (readonly string[])[],
 ): string {
-  const lines = [titles, ...rows].map((line) => line.map(escapeCell));
+  const escapedRows = [titles, ...rows].map((row) => row.map(escapeCell));
   const widths = titles.map((_, column) =>
-    Math.max(3, ...lines.map((line) => line[column]?.length ?? 0)),
+    Math.max(3, ...escapedRows.map((line) => line[column]?.length ?? 0)),
   );
-  const print = (cells: readonly string[]) =>
+  const formatRow = (cells: readonly string[]) =>
     `| ${cells.map((cell, column) => cell.padEnd(widths[column] ?? 0)).join(' | ')} |`;
-  const [head = [], ...body] = lines;
-  const rule = widths.map((width) => '-'.repeat(width));
-  return [head, rule, ...body].map(print).join('\n');
+  const [head = [], ...body] = escapedRows;
+  const separator = widths.map((width) => '-'.repeat(width));
+  return [head, separator, ...body].map(formatRow).join('\n');
 }
--- a/packages/schema/src/reference/generatedBlocks.ts
+++ b/packages/schema/src/reference/generatedBlocks.ts
@@ -3,21 +3,21 @@
  * page is written by hand and left as it is.
  */
 
-function beginMarker(name: string): string {
+function makeBeginMarker(name: string): string {
   return `<!-- generated: ${name}; "npm run reference" writes it -->`;
 }
 
-function endMarker(name: string): string {
+function makeEndMarker(name: string): string {
   return `<!-- end of ${name} -->`;
 }
 
 /** Puts the blocks between their markers; a page that lacks a marker is an error. */
 export function fillBlocks(page: string, blocks: Readonly<Record<string, string>>): string {
   return Object.entries(blocks).reduce((text, [name, content]) => {
-    const begin = text.indexOf(beginMarker(name));
-    const end = text.indexOf(endMarker(name));
+    const begin = text.indexOf(makeBeginMarker(name));
+    const end = text.indexOf(makeEndMarker(name));
     if (begin < 0 || end < begin) throw new Error(`the page has no markers of "${name}"`);
-    const head = text.slice(0, begin + beginMarker(name).length);
+    const head = text.slice(0, begin + makeBeginMarker(name).length);
     return `${head}\n\n${content}\n\n${text.slice(end)}`;
   }, page);
 }
--- a/packages/schema/src/reference/reference.test.ts
+++ b/packages/schema/src/reference/reference.test.ts
@@ -81,8 +81,8 @@
   const table = describeSchema(schema, { pauseMilliseconds: 'a pause' });
   assert.match(table, /\| `pauseMilliseconds` \| ms +\| `3` +\| 1 to 9 \| a pause \|/);
   assert.throws(() => describeSchema(schema, {}), /no meaning is given for pauseMilliseconds/);
-  const tooMany = { pauseMilliseconds: 'a pause', gone: 'a key of yesterday' };
-  assert.throws(() => describeSchema(schema, tooMany), /no schema has gone/);
+  const obsoleteMeanings = { pauseMilliseconds: 'a pause', gone: 'a key of yesterday' };
+  assert.throws(() => describeSchema(schema, obsoleteMeanings), /no schema has gone/);
 });
 
 // An operator sets an alert on a counter that no code counts, and is never told. Names that are not
@@ -96,36 +96,36 @@
     ...Object.keys(metricDefinitions),
     ...metrics.flatMap(({ label }) => label?.values ?? []),
   ];
-  const silent = [...new Set(names)].filter((name) => !sources.includes(`'${name}'`)).sort();
-  assert.deepEqual(silent, [...unraisedNames], 'bring notRaisedYet.ts in line');
+  const unraised = [...new Set(names)].filter((name) => !sources.includes(`'${name}'`)).sort();
+  assert.deepEqual(unraised, [...unraisedNames], 'bring notRaisedYet.ts in line');
 });
 
 // An alert on a metric that was renamed never fires. Pages written by hand may name only what is.
 test('the pages for operators name metrics, kinds and log numbers that there are', () => {
   const page = readFileSync(join(root, 'docs/OPERATING.md'), 'utf8');
   const metrics = new Set<string>(Object.values(metricDefinitions).map(({ name }) => name));
-  const named = [...page.matchAll(/hornbeampond_[a-z_]+/g)].map(([name]) => name);
-  const unknown = named.filter((name) => !metrics.has(name.replace(/_bucket$/, '')));
-  assert.deepEqual(unknown, []);
-  assert.ok(named.length > 10);
+  const metricNames = [...page.matchAll(/hornbeampond_[a-z_]+/g)].map(([name]) => name);
+  const unknownMetrics = metricNames.filter((name) => !metrics.has(name.replace(/_bucket$/, '')));
+  assert.deepEqual(unknownMetrics, []);
+  assert.ok(metricNames.length > 10);
 
   const kinds = [...page.matchAll(/kind=~?"([^"]+)"/g)].flatMap(([, list]) =>
     (list ?? '').replaceAll('\\', '').split('|'),
   );
-  const known: readonly string[] = errorKinds;
+  const knownKinds: readonly string[] = errorKinds;
   assert.deepEqual(
-    kinds.filter((kind) => !known.includes(kind)),
+    kinds.filter((kind) => !knownKinds.includes(kind)),
     [],
   );
   assert.ok(kinds.length > 5);
 
   const numbers = new Set<number>(Object.values(logEvents).map(({ number }) => number));
-  const logged = [...page.matchAll(/\blogs? ((?:\d{4}(?:, | and )?)+)/g)].flatMap(([, list]) =>
-    (list ?? '').match(/\d{4}/g),
+  const loggedNumbers = [...page.matchAll(/\blogs? ((?:\d{4}(?:, | and )?)+)/g)].flatMap(
+    ([, list]) => (list ?? '').match(/\d{4}/g),
   );
   assert.deepEqual(
-    logged.filter((number) => !numbers.has(Number(number))),
+    loggedNumbers.filter((number) => !numbers.has(Number(number))),
     [],
   );
-  assert.ok(logged.length > 10);
+  assert.ok(loggedNumbers.length > 10);
 });
--- a/packages/schema/src/reference/settingMeanings.ts
+++ b/packages/schema/src/reference/settingMeanings.ts
@@ -3,21 +3,22 @@
  * and a line that has no key, so that the list cannot drift from the schemas.
  */
 
-const sha256 = 'SHA-256 of the key, in lower-case hexadecimal digits; the key is kept nowhere';
+const keySha256Meaning =
+  'SHA-256 of the key, in lower-case hexadecimal digits; the key is kept nowhere';
 
-function addressMeanings(key: string, what: string): Record<string, string> {
+function describeAddressKeys(key: string, owner: string): Record<string, string> {
   return {
-    [`${key}[].instance`]: `name of ${what}`,
+    [`${key}[].instance`]: `name of ${owner}`,
     [`${key}[].dataCentre`]: 'its data centre',
     [`${key}[].host`]: 'its IP number',
     [`${key}[].port`]: 'its port for processes of the cluster',
   };
 }
 
-function listenMeanings(key: string, who: string): Record<string, string> {
+function describeListenKeys(key: string, clients: string): Record<string, string> {
   return {
-    [`${key}.host`]: `IP number on which ${who} connect`,
-    [`${key}.port`]: `port on which ${who} connect; 0 takes any free one`,
+    [`${key}.host`]: `IP number on which ${clients} connect`,
+    [`${key}.port`]: `port on which ${clients} connect; 0 takes any free one`,
   };
 }
 
@@ -27,10 +28,10 @@
   cluster: 'name of the cluster; a peer of another is refused',
   clusterSecret: 'secret that all processes of the cluster share',
   logLevel: 'least level of the lines that are logged',
-  ...listenMeanings('operatorListen', 'operators'),
+  ...describeListenKeys('operatorListen', 'operators'),
   'operatorKeys[].name': 'name of an operator',
-  'operatorKeys[].keySha256': sha256,
-  ...addressMeanings('stores', 'a store that is known from the start'),
+  'operatorKeys[].keySha256': keySha256Meaning,
+  ...describeAddressKeys('stores', 'a store that is known from the start'),
   peerHeartbeatMilliseconds:
     'pause between two heartbeats to another process; after four without an answer it is lost',
 };
@@ -42,7 +43,7 @@
 
 export const storeMeanings: Readonly<Record<string, string>> = {
   ...commonMeanings,
-  ...listenMeanings('listen', 'stores, entries and controllers'),
+  ...describeListenKeys('listen', 'stores, entries and controllers'),
   dataFolder: 'the one folder that holds all files of this store',
   electionTimeoutMilliseconds: 'a store that hears no leader for so long stands for election',
   heartbeatMilliseconds: 'pause between two messages of an idle leader',
@@ -54,11 +55,11 @@
 
 export const entryMeanings: Readonly<Record<string, string>> = {
   ...commonMeanings,
-  ...listenMeanings('listen', 'callers'),
-  ...listenMeanings('peerListen', 'other entries'),
-  ...addressMeanings('entries', 'another entry'),
+  ...describeListenKeys('listen', 'callers'),
+  ...describeListenKeys('peerListen', 'other entries'),
+  ...describeAddressKeys('entries', 'another entry'),
   'workspaces[].name': 'name of a workspace, as the routes table has it',
-  'workspaces[].keySha256': sha256,
+  'workspaces[].keySha256': keySha256Meaning,
   ...platformMeanings,
   'limits.bodyBytes': 'largest body of a request',
   'limits.headerBytes': 'largest head of a request',
@@ -70,9 +71,9 @@
 
 export const controllerMeanings: Readonly<Record<string, string>> = {
   ...commonMeanings,
-  ...listenMeanings('peerListen', 'other controllers'),
-  ...addressMeanings('controllers', 'another controller'),
-  ...addressMeanings('entries', 'an entry, which tells of demand and is told of drains'),
+  ...describeListenKeys('peerListen', 'other controllers'),
+  ...describeAddressKeys('controllers', 'another controller'),
+  ...describeAddressKeys('entries', 'an entry, which tells of demand and is told of drains'),
   'weightStore.url': 'base address of the weight store’s API',
   ...platformMeanings,
   leaseMilliseconds: 'how long the lease of a data centre lasts if it is not renewed',
--- a/packages/schema/src/reference/unraisedNames.ts
+++ b/packages/schema/src/reference/unraisedNames.ts
@@ -10,7 +10,7 @@
   'streamStalled',
 ];
 
-const whatRaises: Readonly<Record<string, string>> = {
+const explanations: Readonly<Record<string, string>> = {
   duplicate: 'a late answer that is a duplicate is counted as `attemptGivenUp`',
   logDamaged: 'a store that finds its log damaged prints the fault to standard error and exits 1',
   prefixMiss: 'tokens that are computed again because a prefix was evicted are not known here',
@@ -22,6 +22,6 @@
 export function describeUnraisedNames(names: readonly string[]): string {
   return unraisedNames
     .filter((name) => names.includes(name))
-    .map((name) => `- \`${name}\`: ${whatRaises[name] ?? 'not raised'}.`)
+    .map((name) => `- \`${name}\`: ${explanations[name] ?? 'not raised'}.`)
     .join('\n');
 }
--- a/packages/schema/src/settings/settings.ts
+++ b/packages/schema/src/settings/settings.ts
@@ -8,7 +8,7 @@
 
 const hostSchema = z.union([z.ipv4(), z.ipv6()], 'must be an IP number');
 const portSchema = z.number().int().min(0).max(65_535);
-const milliseconds = (least: number, most: number) => z.number().int().min(least).max(most);
+const millisecondsSchema = (min: number, max: number) => z.number().int().min(min).max(max);
 
 /** An address to listen on; port 0 takes any free one. */
 export const listenSchema = z.strictObject({ host: hostSchema, port: portSchema });
@@ -42,13 +42,13 @@
   /** The stores that are known from the start. */
   stores: z.array(storeAddressSchema).min(1).max(16),
   /** Interval of heartbeats between processes; a connection silent for four of them is dropped. */
-  peerHeartbeatMilliseconds: milliseconds(50, 60_000).default(1000),
+  peerHeartbeatMilliseconds: millisecondsSchema(50, 60_000).default(1000),
 };
 
 const platformSchema = z.strictObject({
   /** Base address of the platform's API. */
   url: z.url({ protocol: /^https?$/ }),
-  pollMilliseconds: milliseconds(50, 60_000).default(1000),
+  pollMilliseconds: millisecondsSchema(50, 60_000).default(1000),
 });
 
 export const workspaceSchema = z.strictObject({
@@ -63,13 +63,13 @@
   listen: listenSchema,
   /** The one folder that holds all files of this store. */
   dataFolder: z.string().min(1),
-  electionTimeoutMilliseconds: milliseconds(50, 60_000).default(1000),
-  heartbeatMilliseconds: milliseconds(10, 10_000).default(150),
+  electionTimeoutMilliseconds: millisecondsSchema(50, 60_000).default(1000),
+  heartbeatMilliseconds: millisecondsSchema(10, 10_000).default(150),
   /**
    * A store that the leader has not heard of for so long is taken out; 0: never. It is let in again
    * when it comes back.
    */
-  silentStoreMilliseconds: milliseconds(0, 86_400_000).default(10_000),
+  silentStoreMilliseconds: millisecondsSchema(0, 86_400_000).default(10_000),
   /** Changes of tables are taken only while so many stores vote; no silent one is taken out below. */
   leastVoters: z.number().int().min(1).max(16).default(1),
 });
@@ -108,9 +108,9 @@
     })
     .prefault({}),
   /** How long the balancer may still send callers after `/readyz` has turned. */
-  balancerDelayMilliseconds: milliseconds(0, 60_000).default(2000),
+  balancerDelayMilliseconds: millisecondsSchema(0, 60_000).default(2000),
   /** The platform ends an instance this long after `SIGTERM`. */
-  shutdownMilliseconds: milliseconds(100, 600_000).default(30_000),
+  shutdownMilliseconds: millisecondsSchema(100, 600_000).default(30_000),
 });
 
 export const controllerSettingsSchema = z.strictObject({
@@ -123,7 +123,7 @@
   entries: z.array(storeAddressSchema).max(1000).default([]),
   weightStore: z.strictObject({ url: z.url({ protocol: /^https?$/ }) }).optional(),
   platform: platformSchema,
-  leaseMilliseconds: milliseconds(500, 600_000).default(5000),
+  leaseMilliseconds: millisecondsSchema(500, 600_000).default(5000),
 });
 
 export type OperatorKey = z.infer<typeof operatorKeysSchema>[number];
--- a/packages/schema/src/tables/ConfigurationDelta.ts
+++ b/packages/schema/src/tables/ConfigurationDelta.ts
@@ -29,12 +29,12 @@
 ): Table<Row> {
   if (delta === undefined) return table;
   const removed = new Set(delta.removed);
-  const changed = new Map(delta.changed.map((row) => [row.name, row]));
-  const kept = table.rows.filter((row) => !removed.has(row.name));
-  const known = new Set(kept.map((row) => row.name));
-  const added = delta.changed.filter((row) => !known.has(row.name));
-  const replaced = kept.map((row) => changed.get(row.name) ?? row);
-  return { revision: delta.revision, rows: [...replaced, ...added] };
+  const changedByName = new Map(delta.changed.map((row) => [row.name, row]));
+  const remaining = table.rows.filter((row) => !removed.has(row.name));
+  const remainingNames = new Set(remaining.map((row) => row.name));
+  const added = delta.changed.filter((row) => !remainingNames.has(row.name));
+  const updated = remaining.map((row) => changedByName.get(row.name) ?? row);
+  return { revision: delta.revision, rows: [...updated, ...added] };
 }
 
 /**
--- a/packages/schema/src/tables/checkTables.ts
+++ b/packages/schema/src/tables/checkTables.ts
@@ -28,10 +28,10 @@
     typeof row === 'object' && row !== null && 'name' in row && typeof row.name === 'string'
       ? `"${row.name}"`
       : String(index + 1);
-  const rest = keys
+  const suffix = keys
     .map((key) => (typeof key === 'number' ? `[${key + 1}]` : `.${String(key)}`))
     .join('');
-  return `${table}[${name}]${rest}`;
+  return `${table}[${name}]${suffix}`;
 }
 
 function toFaults(table: TableName, rows: unknown, error: z.ZodError): Fault[] {
@@ -41,12 +41,12 @@
   }));
 }
 
-function findRepeated(table: TableName, names: readonly string[]): Fault[] {
-  const seen = new Set<string>();
+function findDuplicateNames(table: TableName, names: readonly string[]): Fault[] {
+  const seenNames = new Set<string>();
   return names.flatMap((name) => {
-    const repeated = seen.has(name);
-    seen.add(name);
-    return repeated
+    const isDuplicate = seenNames.has(name);
+    seenNames.add(name);
+    return isDuplicate
       ? [{ where: `${table}["${name}"].name`, reason: 'another row has this name' }]
       : [];
   });
@@ -56,7 +56,7 @@
 export function checkRoutes(rows: unknown): TableCheckResult<Route[]> {
   const parsed = routeRowsSchema.safeParse(rows);
   if (!parsed.success) return { ok: false, faults: toFaults('routes', rows, parsed.error) };
-  const faults = findRepeated(
+  const faults = findDuplicateNames(
     'routes',
     parsed.data.map((route) => route.name),
   );
@@ -77,7 +77,7 @@
 export function checkPools(rows: unknown): TableCheckResult<Pool[]> {
   const parsed = poolRowsSchema.safeParse(rows);
   if (!parsed.success) return { ok: false, faults: toFaults('pools', rows, parsed.error) };
-  const faults = findRepeated(
+  const faults = findDuplicateNames(
     'pools',
     parsed.data.map((pool) => pool.name),
   );
@@ -99,9 +99,9 @@
 
 /** Checks that the two tables join: each route names a pool that is there and fits it. */
 export function checkPoolReferences(routes: readonly Route[], pools: readonly Pool[]): Fault[] {
-  const byName = new Map(pools.map((pool) => [pool.name, pool]));
+  const poolByName = new Map(pools.map((pool) => [pool.name, pool]));
   return routes.flatMap((route) => {
-    const pool = byName.get(route.pool);
+    const pool = poolByName.get(route.pool);
     const where = `routes["${route.name}"]`;
     if (pool === undefined) {
       return [{ where: `${where}.pool`, reason: `the pools table has no "${route.pool}"` }];
@@ -109,20 +109,20 @@
     if (pool.kind === 'modelEngine' && requiresClaim(route)) {
       return [{ where: `${where}.idempotent`, reason: 'must be true before model engines' }];
     }
-    return checkSplit(route, where, byName);
+    return checkSplit(route, where, poolByName);
   });
 }
 
-function checkSplit(route: Route, where: string, byName: ReadonlyMap<string, Pool>): Fault[] {
+function checkSplit(route: Route, where: string, poolByName: ReadonlyMap<string, Pool>): Fault[] {
   const { split } = route;
   if (split === undefined) return [];
-  const unknown = split.filter(({ pool }) => !byName.has(pool));
-  if (unknown.length > 0) {
-    const reason = `the pools table has no "${unknown[0]?.pool}"`;
+  const unknownPools = split.filter(({ pool }) => !poolByName.has(pool));
+  if (unknownPools.length > 0) {
+    const reason = `the pools table has no "${unknownPools[0]?.pool}"`;
     return [{ where: `${where}.split`, reason }];
   }
-  const total = split.reduce((sum, { weight }) => sum + weight, 0);
-  return total > 0 ? [] : [{ where: `${where}.split`, reason: 'the weights add up to 0' }];
+  const totalWeight = split.reduce((sum, { weight }) => sum + weight, 0);
+  return totalWeight > 0 ? [] : [{ where: `${where}.split`, reason: 'the weights add up to 0' }];
 }
 
 /** Checks workspaces by themselves: a key must name one of them only. */
@@ -135,14 +135,14 @@
     }));
     return { ok: false, faults };
   }
-  const holders = new Map<string, string>();
+  const workspaceByKey = new Map<string, string>();
   const faults: Fault[] = [];
   parsed.data.forEach(({ name, keySha256 }) => {
     const where = `workspaces["${name}"]`;
     keySha256.forEach((key) => {
-      const holder = holders.get(key);
-      if (holder === undefined) holders.set(key, name);
-      else if (holder !== name) faults.push({ where, reason: `shares a key with "${holder}"` });
+      const owner = workspaceByKey.get(key);
+      if (owner === undefined) workspaceByKey.set(key, name);
+      else if (owner !== name) faults.push({ where, reason: `shares a key with "${owner}"` });
     });
   });
   const names = parsed.data.map(({ name }) => name);
--- a/packages/schema/src/tables/pools.ts
+++ b/packages/schema/src/tables/pools.ts
@@ -4,7 +4,7 @@
 import * as z from 'zod';
 import { nameSchema } from './routes.js';
 
-const MOST_POOLS = 2000;
+const MAX_POOLS = 2000;
 
 export const poolKinds = ['modelEngine', 'plainService'] as const;
 export type PoolKind = (typeof poolKinds)[number];
@@ -61,7 +61,7 @@
   sizing: sizingSchema.optional(),
 });
 
-export const poolRowsSchema = z.array(poolSchema).max(MOST_POOLS);
+export const poolRowsSchema = z.array(poolSchema).max(MAX_POOLS);
 
 export type InstanceClass = z.infer<typeof instanceClassSchema>;
 export type PoolSizing = z.infer<typeof sizingSchema>;
--- a/packages/schema/src/tables/routes.ts
+++ b/packages/schema/src/tables/routes.ts
@@ -3,8 +3,8 @@
  */
 import * as z from 'zod';
 
-const MOST_MILLISECONDS = 24 * 60 * 60 * 1000;
-const MOST_ROUTES = 10_000;
+const MAX_DURATION_MILLISECONDS = 24 * 60 * 60 * 1000;
+const MAX_ROUTES = 10_000;
 
 /** Names of rows, pools, workspaces and data centres. */
 export const nameSchema = z
@@ -15,19 +15,19 @@
   .string()
   .regex(/^([01]\d|2[0-3]):[0-5]\d$/, 'must be a time of day such as "07:30"');
 
-const durationSchema = z.number().int().min(1).max(MOST_MILLISECONDS);
+const durationSchema = z.number().int().min(1).max(MAX_DURATION_MILLISECONDS);
 
 /**
  * Zones that were found to exist. Asking costs a tenth of a millisecond, so that a table of 10,000
  * routes held every store up for a second; the zones that exist are a few hundred.
  */
-const knownZones = new Set<string>();
+const validTimeZones = new Set<string>();
 
-function isTimeZone(zone: string): boolean {
-  if (knownZones.has(zone)) return true;
+function isValidTimeZone(zone: string): boolean {
+  if (validTimeZones.has(zone)) return true;
   try {
     const resolved = new Intl.DateTimeFormat('en', { timeZone: zone }).resolvedOptions().timeZone;
-    if (resolved !== '') knownZones.add(zone);
+    if (resolved !== '') validTimeZones.add(zone);
     return resolved !== '';
   } catch {
     return false;
@@ -94,14 +94,14 @@
       workspaces: z.record(nameSchema, z.number().int().min(0).max(1_000_000)).default({}),
     })
     .default({ inProgressPerWorkspace: 1000, workspaces: {} }),
-  timeZone: z.string().refine(isTimeZone, 'must be an IANA time zone such as "Europe/Vienna"'),
+  timeZone: z.string().refine(isValidTimeZone, 'must be an IANA time zone such as "Europe/Vienna"'),
   /** In force where no span matches. */
   deadline: deadlineSchema,
   /** The first span that holds the local time of the request's arrival is in force. */
   deadlinesByHour: z.array(deadlineSpanSchema).max(48).default([]),
 });
 
-export const routeRowsSchema = z.array(routeSchema).max(MOST_ROUTES);
+export const routeRowsSchema = z.array(routeSchema).max(MAX_ROUTES);
 
 export type Deadline = z.infer<typeof deadlineSchema>;
 export type DeadlineSpan = z.infer<typeof deadlineSpanSchema>;
--- a/packages/schema/src/tables/workspaces.ts
+++ b/packages/schema/src/tables/workspaces.ts
@@ -5,7 +5,7 @@
 import * as z from 'zod';
 import { nameSchema } from './routes.js';
 
-const MOST_WORKSPACES = 10_000;
+const MAX_WORKSPACES = 10_000;
 
 /** What one workspace may spend, over all entries together. */
 export const allowanceSchema = z.strictObject({
@@ -33,7 +33,7 @@
   allowance: allowanceSchema.optional(),
 });
 
-export const workspaceRowsSchema = z.array(workspaceRowSchema).max(MOST_WORKSPACES);
+export const workspaceRowsSchema = z.array(workspaceRowSchema).max(MAX_WORKSPACES);
 
 /** What callers may send, and how long they may take. */
 export const callerBoundsSchema = z.strictObject({
