--- a/packages/runtime/src/Metrics.ts
+++ b/packages/runtime/src/Metrics.ts
@@ -1,5 +1,6 @@
 /**
- * Metrics of one process, made from the catalogue in `@hornbeampond/schema`.
+ * Metrics of one process. All metrics of the catalogue in `@hornbeampond/schema` are registered from
+ * the start.
  */
 import { Counter, Gauge, Histogram, Registry, collectDefaultMetrics } from 'prom-client';
 import {
@@ -30,7 +31,7 @@
     case 'histogram':
       return new Histogram({ ...commonOptions, buckets: [...(definition.buckets ?? [])] });
     default:
-      throw new TypeError(`no such kind of metric: ${String(definition.kind)}`);
+      throw new TypeError(`unknown kind of metric: ${String(definition.kind)}`);
   }
 }
 
@@ -46,7 +47,7 @@
     if (options.withProcessMetrics === true) collectDefaultMetrics({ register: this.registry });
   }
 
-  /** Adds to a counter, as a reducer's effect asks. */
+  /** Adds to a counter. */
   count(effect: Omit<CountEffect, 'type'>): void {
     const instrument = this.instruments.get(effect.metric);
     if (!(instrument instanceof Counter)) throw new TypeError(`${effect.metric} is no counter`);
@@ -65,7 +66,7 @@
     instrument.observe(this.makeLabels(metric, label), value);
   }
 
-  /** What a counter has come to, by the value of its label; values at zero are left out. */
+  /** Values of a counter by label value, without zeros. */
   async readCounter(metric: MetricName): Promise<Record<string, number>> {
     const instrument = this.instruments.get(metric);
     if (!(instrument instanceof Counter)) throw new TypeError(`${metric} is no counter`);
@@ -76,7 +77,7 @@
     );
   }
 
-  /** The text that Prometheus reads. */
+  /** Returns all metrics in the text format of Prometheus. */
   async toPrometheusText(): Promise<string> {
     return this.registry.metrics();
   }
--- a/packages/schema/src/logEvents/LogEventDefinition.ts
+++ b/packages/schema/src/logEvents/LogEventDefinition.ts
@@ -1,4 +1,4 @@
-/** What the catalogue says of one event. */
+/** The definition of one log event, and the log levels. */
 
 export const logLevels = ['debug', 'info', 'warn', 'error'] as const;
 export type LogLevel = (typeof logLevels)[number];
@@ -6,7 +6,7 @@
 export interface LogEventDefinition {
   readonly number: number;
   readonly level: LogLevel;
-  /** What happened, as an operator reads it. */
+  /** What happened, for operators. */
   readonly text: string;
 }
 
--- a/packages/schema/src/logEvents/commonLogEvents.ts
+++ b/packages/schema/src/logEvents/commonLogEvents.ts
@@ -3,38 +3,42 @@
 
 export const commonLogEvents = {
   processStarted: defineLogEvent(1000, 'info', 'The process has started'),
-  processReady: defineLogEvent(1001, 'info', 'The process serves'),
+  processReady: defineLogEvent(1001, 'info', 'The process is ready to serve'),
   shutdownStarted: defineLogEvent(1002, 'info', 'A graceful shutdown has begun'),
   shutdownFinished: defineLogEvent(1003, 'info', 'The graceful shutdown has ended'),
-  peerConnected: defineLogEvent(1010, 'info', 'A connection to another process is open'),
-  peerDisconnected: defineLogEvent(1011, 'info', 'A connection to another process is gone'),
+  peerConnected: defineLogEvent(1010, 'info', 'A connection to another process was opened'),
+  peerDisconnected: defineLogEvent(1011, 'info', 'A connection to another process was closed'),
   peerRefused: defineLogEvent(
     1012,
     'warn',
-    'A connection was refused: wrong cluster or wrong secret',
+    'The handshake of a connection failed; the connection was closed',
   ),
-  peerSilent: defineLogEvent(1013, 'warn', 'A connection went silent and was dropped'),
-  frameRejected: defineLogEvent(1014, 'warn', 'A frame was too large or could not be read'),
-  configurationApplied: defineLogEvent(1020, 'info', 'A newer configuration is in force here'),
+  peerSilent: defineLogEvent(1013, 'warn', 'An unresponsive connection was closed'),
+  frameRejected: defineLogEvent(
+    1014,
+    'warn',
+    'A frame was too large or invalid; its connection was closed',
+  ),
+  configurationApplied: defineLogEvent(1020, 'info', 'A configuration was applied'),
   configurationIgnored: defineLogEvent(
     1021,
     'warn',
-    'A configuration older than the one in force came in',
+    'A configuration older than the one in force was ignored',
   ),
   reclaimNoticed: defineLogEvent(
     1030,
     'warn',
-    'The platform reclaims an instance; it gets no new work',
+    'The platform will reclaim an instance; the instance gets no new work',
   ),
   storesRenamed: defineLogEvent(
     1040,
     'info',
-    'The settings name other stores; they are sought there too',
+    'The store addresses in the settings changed; the new ones are tried too',
   ),
   settingsUnusable: defineLogEvent(
     1041,
     'warn',
-    'Changed settings have faults; those in force stay',
+    'The changed settings are invalid; the previous ones stay in force',
   ),
   unexpectedError: defineLogEvent(1099, 'error', 'An unexpected error was caught'),
 } as const;
--- a/packages/schema/src/logEvents/entryLogEvents.ts
+++ b/packages/schema/src/logEvents/entryLogEvents.ts
@@ -4,21 +4,21 @@
 export const entryLogEvents = {
   requestAccepted: defineLogEvent(2000, 'debug', 'A request was accepted'),
   requestRefused: defineLogEvent(2001, 'info', 'A request was refused before it ran'),
-  requestFinished: defineLogEvent(2002, 'debug', 'A request got its whole answer'),
-  requestFailed: defineLogEvent(2003, 'warn', 'A request got a final answer other than its own'),
+  requestFinished: defineLogEvent(2002, 'debug', 'A request was answered completely'),
+  requestFailed: defineLogEvent(2003, 'warn', 'An accepted request was ended with an error'),
   attemptStarted: defineLogEvent(2010, 'debug', 'A request was sent to a backend server'),
   attemptFailed: defineLogEvent(2011, 'info', 'An attempt at a backend server failed'),
   callerGone: defineLogEvent(2020, 'debug', 'The caller closed its connection'),
   answerReplayed: defineLogEvent(
     2021,
     'debug',
-    'A call sent again got the answer of its first run',
+    'A resent call got the stored answer of its first run',
   ),
   platformUnreachable: defineLogEvent(2030, 'warn', 'The list of instances could not be read'),
   instancesUnreadable: defineLogEvent(
     2031,
     'warn',
-    'Entries of the list of instances make no sense',
+    'Invalid rows of the list of instances were skipped',
   ),
   requestAwaitsConfiguration: defineLogEvent(
     2004,
@@ -29,17 +29,17 @@
   requestLate: defineLogEvent(
     2102,
     'info',
-    'A request cannot be in time and goes behind those that can',
+    'A request cannot meet its deadline and is served after those that can',
   ),
   backendServerEjected: defineLogEvent(
     2101,
     'warn',
-    'A backend server gets no new work for a while',
+    'A backend server was ejected and gets no new work for a while',
   ),
   connectionOnlyLost: defineLogEvent(
     2200,
     'info',
-    'A connection was lost; its backend server answers',
+    'A connection was lost, but its backend server still responds',
   ),
   backendServerCrashed: defineLogEvent(
     2201,
@@ -49,12 +49,12 @@
   requestQuarantined: defineLogEvent(
     2202,
     'warn',
-    'A request that crashed backend servers is kept out',
+    'A request that crashed backend servers was quarantined',
   ),
-  streamHandedOn: defineLogEvent(2211, 'info', 'A stream goes on at another backend server'),
+  streamHandedOn: defineLogEvent(2211, 'info', 'A stream is migrated to another backend server'),
   shutdownLimitReached: defineLogEvent(
     2220,
     'warn',
-    'Requests were ended by the limit of the shutdown',
+    'Requests still in progress at the shutdown limit were ended',
   ),
 } as const;
--- a/packages/schema/src/logEvents/logEvents.ts
+++ b/packages/schema/src/logEvents/logEvents.ts
@@ -1,6 +1,6 @@
 /**
- * The numbered catalogue of log events. A number is never given to another event. Each log line
- * is one JSON object with the number, the name and the fields that the event names.
+ * The catalogue of log events of all processes. Each event has a unique number, which is not reused
+ * after the event is removed.
  */
 import { commonLogEvents } from './commonLogEvents.js';
 import { controllerLogEvents } from './controllerLogEvents.js';
@@ -16,10 +16,10 @@
 
 export type LogEventName = keyof typeof logEvents;
 
-/** Values that a log field may have. */
+/** Fields of a log line beside those that every line has. */
 export type LogFields = Readonly<Record<string, unknown>>;
 
-/** The effect by which reducers log. */
+/** The effect that a reducer returns to write a log line. */
 export interface LogEffect {
   readonly type: 'log';
   readonly event: LogEventName;
--- a/packages/schema/src/metrics.ts
+++ b/packages/schema/src/metrics.ts
@@ -1,6 +1,6 @@
 /**
- * The catalogue of metrics. Each counter of refusals or retries has one label whose values are a
- * closed list, so that every reason shows from the start, at zero.
+ * The catalogue of metrics, and the effect by which reducers count. A metric has at most one label.
+ * If the values of a counter's label are listed, each is exported from the start, at zero.
  */
 import { errorKinds } from './errors/errorKinds.js';
 import {
@@ -15,13 +15,13 @@
 } from './reasons.js';
 
 export interface MetricDefinition {
-  /** Name as Prometheus sees it, with its unit. */
+  /** Name in Prometheus. */
   readonly name: string;
   readonly kind: 'counter' | 'gauge' | 'histogram';
   readonly help: string;
-  /** The one label, and its closed list of values where it has one. */
+  /** The label and, if they are known in advance, all its values. */
   readonly label?: { readonly name: string; readonly values?: readonly string[] };
-  /** Upper bounds of a histogram's buckets. */
+  /** Upper bounds of the buckets of a histogram. */
   readonly buckets?: readonly number[];
 }
 
@@ -43,37 +43,37 @@
   retries: {
     name: 'hornbeampond_retries_total',
     kind: 'counter',
-    help: 'Attempts that were followed by another, by reason',
+    help: 'Attempts that were followed by another attempt, by reason',
     label: { name: 'reason', values: retryReasons },
   },
   retriesRefused: {
     name: 'hornbeampond_retries_refused_total',
     kind: 'counter',
-    help: 'Failed attempts that were not followed by another, by reason',
+    help: 'Failed attempts that were not retried, by reason',
     label: { name: 'reason', values: retryRefusalReasons },
   },
   recomputedTokens: {
     name: 'hornbeampond_recomputed_tokens_total',
     kind: 'counter',
-    help: 'Tokens that engines computed again, by reason',
+    help: 'Tokens that engines recomputed, by reason',
     label: { name: 'reason', values: recomputeReasons },
   },
   recomputedTokensByWorkspace: {
     name: 'hornbeampond_recomputed_tokens_by_workspace_total',
     kind: 'counter',
-    help: 'Tokens that engines computed again, by workspace',
+    help: 'Tokens that engines recomputed, by workspace',
     label: { name: 'workspace' },
   },
   cacheMoves: {
     name: 'hornbeampond_cache_moves_total',
     kind: 'counter',
-    help: 'Moves of KV cache off backend servers on notice, by outcome',
+    help: 'Moves of KV cache from backend servers under a reclaim notice, by outcome',
     label: { name: 'outcome', values: cacheMoveOutcomes },
   },
   lateAnswers: {
     name: 'hornbeampond_late_answers_total',
     kind: 'counter',
-    help: 'Late answers or parts that were dropped, by reason',
+    help: 'Late answers, or late parts of answers, that were dropped, by reason',
     label: { name: 'reason', values: lateAnswerReasons },
   },
   firstTokenSeconds: {
@@ -108,7 +108,7 @@
   startsAsked: {
     name: 'hornbeampond_starts_asked_total',
     kind: 'counter',
-    help: 'Purchases of instances that were begun',
+    help: 'Instance starts that were requested',
   },
   instancesBought: {
     name: 'hornbeampond_instances_bought_total',
@@ -140,7 +140,7 @@
   fleetRetries: {
     name: 'hornbeampond_fleet_retries_total',
     kind: 'counter',
-    help: 'Purchases, ends and orders that were sent again, by reason',
+    help: 'Starts and ends of instances and orders that are resent, by reason',
     label: { name: 'reason', values: fleetRetryReasons },
   },
   queuedRequests: {
@@ -151,14 +151,14 @@
   ejections: {
     name: 'hornbeampond_ejections_total',
     kind: 'counter',
-    help: 'Backend servers kept from new work as outliers, by the failure that tipped it',
+    help: 'Backend servers ejected as outliers, by the last failure before the ejection',
     label: { name: 'failure', values: ejectionReasons },
   },
 } as const satisfies Record<string, MetricDefinition>;
 
 export type MetricName = keyof typeof metricDefinitions;
 
-/** The effect by which reducers add to a counter; `label` is the value of its one label. */
+/** The effect that a reducer returns to add to a counter; `label` is the value of its label. */
 export interface CountEffect {
   readonly type: 'count';
   readonly metric: MetricName;
--- a/packages/schema/src/reference/describeSettings.ts
+++ b/packages/schema/src/reference/describeSettings.ts
@@ -1,4 +1,7 @@
-/** The tables of docs/SETTINGS.md: each key with unit, default and bounds, read off the schemas. */
+/**
+ * Generates the tables of docs/SETTINGS.md from the settings schemas and the meanings of their keys:
+ * one row for each key, with its unit, default, bounds and meaning.
+ */
 import * as z from 'zod';
 import {
   controllerSettingsSchema,
@@ -8,7 +11,7 @@
 import { formatMarkdownTable } from './formatMarkdownTable.js';
 import { controllerMeanings, entryMeanings, storeMeanings } from './settingMeanings.js';
 
-/** What is read of a JSON schema, as zod writes it. */
+/** The parts of a JSON schema made by zod that are used here. */
 interface SchemaNode {
   readonly type?: string;
   readonly properties?: Readonly<Record<string, SchemaNode>>;
@@ -27,12 +30,12 @@
   readonly format?: string;
 }
 
-/** A key that holds a value of its own, and its place in the schema. */
+/** A key with a single value, and its path in the settings. */
 interface SettingKey {
   readonly path: string;
   readonly node: SchemaNode;
   readonly required: boolean;
-  /** Bounds on the lists that the key stands in. */
+  /** Bounds on the length of the innermost list that contains the key. */
   readonly listBounds: string;
 }
 
@@ -83,11 +86,11 @@
   const paths = new Set(keys.map(({ path }) => path));
   const missing = [...paths].filter((path) => meanings[path] === undefined);
   const obsolete = Object.keys(meanings).filter((path) => !paths.has(path));
-  if (missing.length > 0) throw new Error(`no meaning is given for ${missing.join(', ')}`);
-  if (obsolete.length > 0) throw new Error(`no schema has ${obsolete.join(', ')}`);
+  if (missing.length > 0) throw new Error(`settings without a meaning: ${missing.join(', ')}`);
+  if (obsolete.length > 0) throw new Error(`meanings without a setting: ${obsolete.join(', ')}`);
 }
 
-/** The table of one schema; throws if the meanings do not match its keys. */
+/** Returns the table of one schema; throws if a key has no meaning or a meaning has no key. */
 export function describeSchema(
   schema: z.ZodType,
   meanings: Readonly<Record<string, string>>,
--- a/packages/schema/src/reference/settingMeanings.ts
+++ b/packages/schema/src/reference/settingMeanings.ts
@@ -1,80 +1,82 @@
 /**
- * What each settings key is for, by its path. The generator refuses a key that has no line here
- * and a line that has no key, so that the list cannot drift from the schemas.
+ * The meaning of each settings key, by its path. `describeSchema` throws if a key has no meaning or a
+ * meaning has no key.
  */
 
 const keySha256Meaning =
-  'SHA-256 of the key, in lower-case hexadecimal digits; the key is kept nowhere';
+  'SHA-256 of the key, in lower-case hexadecimal digits; the key itself is not stored';
 
 function describeAddressKeys(key: string, owner: string): Record<string, string> {
   return {
     [`${key}[].instance`]: `name of ${owner}`,
     [`${key}[].dataCentre`]: 'its data centre',
-    [`${key}[].host`]: 'its IP number',
-    [`${key}[].port`]: 'its port for processes of the cluster',
+    [`${key}[].host`]: 'its IP address',
+    [`${key}[].port`]: 'its port for other processes of the cluster',
   };
 }
 
 function describeListenKeys(key: string, clients: string): Record<string, string> {
   return {
-    [`${key}.host`]: `IP number on which ${clients} connect`,
-    [`${key}.port`]: `port on which ${clients} connect; 0 takes any free one`,
+    [`${key}.host`]: `IP address to which ${clients} connect`,
+    [`${key}.port`]: `port to which ${clients} connect; 0 selects any free one`,
   };
 }
 
 const commonMeanings = {
   instance: 'name of this instance, unique in the cluster',
   dataCentre: 'data centre of this instance',
-  cluster: 'name of the cluster; a peer of another is refused',
+  cluster: 'name of the cluster; peers of other clusters are refused',
   clusterSecret: 'secret that all processes of the cluster share',
-  logLevel: 'least level of the lines that are logged',
+  logLevel: 'minimum level of the lines that are logged',
   ...describeListenKeys('operatorListen', 'operators'),
   'operatorKeys[].name': 'name of an operator',
   'operatorKeys[].keySha256': keySha256Meaning,
-  ...describeAddressKeys('stores', 'a store that is known from the start'),
+  ...describeAddressKeys('stores', 'a store that is known initially'),
   peerHeartbeatMilliseconds:
-    'pause between two heartbeats to another process; after four without an answer it is lost',
+    'interval of heartbeats to another process; a connection without data for more than four is closed',
 };
 
 const platformMeanings = {
   'platform.url': 'base address of the platform’s API',
-  'platform.pollMilliseconds': 'pause between two readings of the list of instances',
+  'platform.pollMilliseconds': 'pause between two requests for the list of instances',
 };
 
 export const storeMeanings: Readonly<Record<string, string>> = {
   ...commonMeanings,
   ...describeListenKeys('listen', 'stores, entries and controllers'),
-  dataFolder: 'the one folder that holds all files of this store',
-  electionTimeoutMilliseconds: 'a store that hears no leader for so long stands for election',
-  heartbeatMilliseconds: 'pause between two messages of an idle leader',
+  dataFolder: 'folder of all files of this store',
+  electionTimeoutMilliseconds:
+    'a store that receives nothing from a leader for this long campaigns for election',
+  heartbeatMilliseconds: 'interval of messages from an idle leader',
   leastVoters:
-    'changes of tables are taken only while so many stores vote; while fewer are heard of, no silent one is taken out',
+    'changes of tables are accepted only if at least this many stores are voters; while fewer voters are reachable, no unreachable one is removed',
   silentStoreMilliseconds:
-    'a store that the leader has not heard of for so long is taken out; 0: never; it is let in again when it comes back',
+    'a store from which the leader receives no response for this long is removed; 0: never; a removed store can join again',
 };
 
 export const entryMeanings: Readonly<Record<string, string>> = {
   ...commonMeanings,
   ...describeListenKeys('listen', 'callers'),
-  ...describeListenKeys('peerListen', 'other entries'),
+  ...describeListenKeys('peerListen', 'other entries and controllers'),
   ...describeAddressKeys('entries', 'another entry'),
-  'workspaces[].name': 'name of a workspace, as the routes table has it',
+  'workspaces[].name': 'name of a workspace, as used in the routes table',
   'workspaces[].keySha256': keySha256Meaning,
   ...platformMeanings,
-  'limits.bodyBytes': 'largest body of a request',
-  'limits.headerBytes': 'largest head of a request',
-  'limits.answerBytes': 'largest answer that is held: generated text, or a claimed call’s answer',
-  'limits.queuedRequests': 'most accepted requests that wait for a backend server',
-  balancerDelayMilliseconds: 'how long new requests are still taken after `/readyz` has turned',
-  shutdownMilliseconds: 'the platform ends an instance this long after `SIGTERM`',
+  'limits.bodyBytes': 'maximum size of the body of a request',
+  'limits.headerBytes': 'maximum size of the headers of a request',
+  'limits.answerBytes':
+    'maximum size of a buffered answer: generated text, or the answer of a claimed call',
+  'limits.queuedRequests': 'maximum number of accepted requests that wait for a backend server',
+  balancerDelayMilliseconds: 'how long new requests are accepted after `/readyz` reports not ready',
+  shutdownMilliseconds: 'time after `SIGTERM` at which the platform ends the instance',
 };
 
 export const controllerMeanings: Readonly<Record<string, string>> = {
   ...commonMeanings,
   ...describeListenKeys('peerListen', 'other controllers'),
   ...describeAddressKeys('controllers', 'another controller'),
-  ...describeAddressKeys('entries', 'an entry, which tells of demand and is told of drains'),
+  ...describeAddressKeys('entries', 'an entry, which reports demand and receives drains'),
   'weightStore.url': 'base address of the weight store’s API',
   ...platformMeanings,
-  leaseMilliseconds: 'how long the lease of a data centre lasts if it is not renewed',
+  leaseMilliseconds: 'duration of the lease of a data centre if it is not renewed',
 };
--- a/packages/schema/src/reference/unraisedNames.ts
+++ b/packages/schema/src/reference/unraisedNames.ts
@@ -1,6 +1,7 @@
 /**
- * Names of the catalogues that no code raises yet. The pages say so, and a test compares the list
- * with the sources, so that an operator does not wait for an event that cannot come.
+ * Names in the catalogues of errors, log events and metrics that no code uses yet. The reference
+ * pages list them, so that operators do not wait for an event that cannot occur. A test compares the
+ * list with the sources.
  */
 export const unraisedNames: readonly string[] = [
   'duplicate',
@@ -11,14 +12,15 @@
 ];
 
 const explanations: Readonly<Record<string, string>> = {
-  duplicate: 'a late answer that is a duplicate is counted as `attemptGivenUp`',
-  logDamaged: 'a store that finds its log damaged prints the fault to standard error and exits 1',
-  prefixMiss: 'tokens that are computed again because a prefix was evicted are not known here',
-  sourceLost: 'a move whose source is lost is dropped and its stream resumed; it is not counted',
+  duplicate: 'a duplicate late answer is counted as `attemptGivenUp`',
+  logDamaged: 'a store with a damaged log prints the error to standard error and exits with code 1',
+  prefixMiss: 'the system cannot tell which tokens are recomputed because a prefix was evicted',
+  sourceLost:
+    'a move whose source is lost is dropped without being counted, and its stream is resumed',
   streamStalled: 'a stalled stream is counted as `connectionSilent`',
 };
 
-/** The part of the list that concerns one catalogue, as Markdown. */
+/** Returns a Markdown list of those of the given names that are not raised. */
 export function describeUnraisedNames(names: readonly string[]): string {
   return unraisedNames
     .filter((name) => names.includes(name))
--- a/packages/schema/src/settings/settings.ts
+++ b/packages/schema/src/settings/settings.ts
@@ -1,19 +1,19 @@
 /**
- * Settings of the binaries, one TOML file each, checked whole at start. Every key has its unit
- * in its name or in its comment, a bound, and a default where one is safe.
+ * Schemas of the settings files of entries, stores and controllers. Names of keys contain the unit
+ * where there is one, and numbers have a minimum and a maximum.
  */
 import * as z from 'zod';
 import { logLevels } from '../logEvents/LogEventDefinition.js';
 import { nameSchema } from '../tables/routes.js';
 
-const hostSchema = z.union([z.ipv4(), z.ipv6()], 'must be an IP number');
+const hostSchema = z.union([z.ipv4(), z.ipv6()], 'must be an IP address');
 const portSchema = z.number().int().min(0).max(65_535);
 const millisecondsSchema = (min: number, max: number) => z.number().int().min(min).max(max);
 
-/** An address to listen on; port 0 takes any free one. */
+/** An address to listen on; port 0 selects any free port. */
 export const listenSchema = z.strictObject({ host: hostSchema, port: portSchema });
 
-/** A store as clients and peers reach it. */
+/** Address of a store, entry or controller for its peers and clients. */
 export const storeAddressSchema = z.strictObject({
   instance: nameSchema,
   dataCentre: nameSchema,
@@ -21,7 +21,7 @@
   port: portSchema.min(1),
 });
 
-/** Keys by which operators may read and change tables. */
+/** Keys with which operators may read and change tables. */
 const operatorKeysSchema = z
   .array(z.strictObject({ name: nameSchema, keySha256: z.string().regex(/^[0-9a-f]{64}$/) }))
   .max(1000)
@@ -31,17 +31,17 @@
   /** Name of this instance, unique in the cluster. */
   instance: nameSchema,
   dataCentre: nameSchema,
-  /** Name of the cluster; a peer of another is refused. */
+  /** Name of the cluster; peers of other clusters are refused. */
   cluster: nameSchema,
   /** Secret that all processes of the cluster share, at least 16 characters. */
   clusterSecret: z.string().min(16).max(512),
   logLevel: z.enum(logLevels).default('info'),
-  /** Where operators reach `/status`, `/metrics`, `/livez`, `/readyz`. */
+  /** Address for operators: `/status`, `/metrics`, `/livez`, `/readyz`. */
   operatorListen: listenSchema,
   operatorKeys: operatorKeysSchema,
-  /** The stores that are known from the start. */
+  /** Initially known stores. */
   stores: z.array(storeAddressSchema).min(1).max(16),
-  /** Interval of heartbeats between processes; a connection silent for four of them is dropped. */
+  /** Interval of heartbeats; a connection without data for more than four of them is closed. */
   peerHeartbeatMilliseconds: millisecondsSchema(50, 60_000).default(1000),
 };
 
@@ -53,34 +53,36 @@
 
 export const workspaceSchema = z.strictObject({
   name: nameSchema,
-  /** SHA-256 of the key, in lower-case hexadecimal digits; the key itself is kept nowhere. */
+  /** SHA-256 of the key, in lower-case hexadecimal digits; the key itself is not stored. */
   keySha256: z.string().regex(/^[0-9a-f]{64}$/, 'must be 64 hexadecimal digits'),
 });
 
 export const storeSettingsSchema = z.strictObject({
   ...commonShape,
-  /** Where peers, entries and controllers connect. */
+  /** Address for other stores, entries and controllers. */
   listen: listenSchema,
-  /** The one folder that holds all files of this store. */
+  /** Folder of all files of this store. */
   dataFolder: z.string().min(1),
   electionTimeoutMilliseconds: millisecondsSchema(50, 60_000).default(1000),
   heartbeatMilliseconds: millisecondsSchema(10, 10_000).default(150),
   /**
-   * A store that the leader has not heard of for so long is taken out; 0: never. It is let in again
-   * when it comes back.
+   * A store from which the leader has received no response for this long is removed from the
+   * cluster; 0 disables removal. A removed store can join again.
    */
   silentStoreMilliseconds: millisecondsSchema(0, 86_400_000).default(10_000),
-  /** Changes of tables are taken only while so many stores vote; no silent one is taken out below. */
+  /**
+   * Changes of tables are accepted only if at least this many stores are voters. No unreachable
+   * voter is removed while fewer voters are reachable.
+   */
   leastVoters: z.number().int().min(1).max(16).default(1),
 });
 
 export const entrySettingsSchema = z.strictObject({
   ...commonShape,
-  /** Where callers connect. */
+  /** Address for callers. */
   listen: listenSchema,
-  /** Where other entries connect. */
+  /** Address for other entries and controllers. */
   peerListen: listenSchema,
-  /** The other entries. */
   entries: z.array(storeAddressSchema).max(1000).default([]),
   workspaces: z.array(workspaceSchema).min(1).max(10_000),
   platform: platformSchema,
@@ -107,19 +109,18 @@
       queuedRequests: z.number().int().min(1).max(1_000_000).default(2000),
     })
     .prefault({}),
-  /** How long the balancer may still send callers after `/readyz` has turned. */
+  /** How long the load balancer may send requests after `/readyz` reports not ready. */
   balancerDelayMilliseconds: millisecondsSchema(0, 60_000).default(2000),
-  /** The platform ends an instance this long after `SIGTERM`. */
+  /** Time after `SIGTERM` at which the platform ends the instance. */
   shutdownMilliseconds: millisecondsSchema(100, 600_000).default(30_000),
 });
 
 export const controllerSettingsSchema = z.strictObject({
   ...commonShape,
-  /** Where the other controllers connect. */
+  /** Address for other controllers. */
   peerListen: listenSchema,
-  /** The other controllers. */
   controllers: z.array(storeAddressSchema).max(1000).default([]),
-  /** All entries, which tell of demand and are told of drains. */
+  /** All entries; the controller exchanges demand reports and drains with them. */
   entries: z.array(storeAddressSchema).max(1000).default([]),
   weightStore: z.strictObject({ url: z.url({ protocol: /^https?$/ }) }).optional(),
   platform: platformSchema,
