--- a/packages/runtime/src/EventLoop.ts
+++ b/packages/runtime/src/EventLoop.ts
@@ -1,5 +1,6 @@
 /**
- * Runs a reducer: one event at a time, its effects in order, each event whole before the next.
+ * Runs a reducer on events one at a time. All effects of an event are applied in order before the
+ * next event is handled.
  */
 import type { Reducer } from '@hornbeampond/schema';
 
@@ -15,7 +16,7 @@
     private readonly onError: (error: unknown, event: Event) => void,
   ) {}
 
-  /** Takes in an event; one that an effect raises waits until the present one is done. */
+  /** Handles an event; one that is dispatched while another is handled is queued. */
   dispatch(event: Event): void {
     this.queue.push(event);
     if (this.isDispatching) return;
@@ -39,7 +40,7 @@
     };
     runGuarded(() => {
       const effects = this.reduce(this.state, event);
-      // One effect that fails must not keep the others of the event from being carried out.
+      // A failed effect must not prevent the other effects of the event.
       effects.forEach((effect) => runGuarded(() => this.applyEffect(effect)));
     });
   }
--- a/packages/runtime/src/LineWriter.test.ts
+++ b/packages/runtime/src/LineWriter.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { LineWriter } from './LineWriter.js';
 
-/** A reader that takes a batch only when the test lets it. */
+/** A writer whose output completes a batch only when the test calls `completeWrite`. */
 function makeManualOutput() {
   const batches: string[] = [];
   let completeWrite: (error: Error | null) => void = () => {};
@@ -24,7 +24,7 @@
   };
 }
 
-test('lines that come while a batch is being taken follow together', () => {
+test('lines that arrive during a write are written together afterwards', () => {
   const { writer, batches, completeWrite } = makeManualOutput();
   ['a', 'b', 'c'].forEach(writer.write);
   assert.deepEqual(batches, ['a\n']);
@@ -32,9 +32,8 @@
   assert.deepEqual(batches, ['a\n', 'b\nc\n']);
 });
 
-// A reader has stopped. The process goes on serving: it neither waits nor keeps lines without end,
-// and an operator who reads on later is told how many are missing.
-test('a reader that stands still holds nothing up, and is told what it missed', () => {
+// A stalled reader must neither block the process nor let the buffer grow without limit.
+test('lines beyond the buffer are dropped while the output stalls, and their number is reported', () => {
   const { writer, batches, completeWrite, advanceClock } = makeManualOutput();
   const line = 'x'.repeat(1000);
   for (let number = 0; number < 3000; number += 1) {
@@ -53,7 +52,7 @@
   assert.ok(writtenCount > 1000 && writtenCount < 1100, String(writtenCount));
 });
 
-test('more lines than a reader can follow are dropped within their second', () => {
+test('lines above the limit per second are dropped and counted', () => {
   const { writer, batches, completeWrite, advanceClock } = makeManualOutput();
   for (let number = 0; number < 5000; number += 1) {
     writer.write(String(number));
@@ -67,7 +66,7 @@
   assert.equal(lines.at(-2), '{"event":"linesDropped","count":3000}');
 });
 
-test('an output that fails does not end the process', () => {
+test('lines of a failed write are counted as dropped and later lines are written', () => {
   const { writer, batches, completeWrite } = makeManualOutput();
   writer.write('a');
   completeWrite(new Error('closed'));
--- a/packages/runtime/src/LineWriter.ts
+++ b/packages/runtime/src/LineWriter.ts
@@ -1,23 +1,21 @@
 /**
- * Writes log lines without ever holding the process up. Lines are handed to the system in
- * batches; while the reader is slow they wait up to a bound, and past it, or above a rate that a
- * disk and a reader can follow, they are dropped and counted. The count is written as soon as lines
- * pass again: a log that silently lacks lines would be read as nothing having happened.
+ * Writes log lines in batches without blocking the process. Lines are buffered while the output is
+ * slow, and dropped when the buffer is full or too many lines are written in one second. The number
+ * of dropped lines is written before the next line that is accepted, so that the gap is visible.
  */
 import { write } from 'node:fs';
 
-/** Lines a second that are written; a busy entry writes a few hundred. */
+/** A busy process writes a few hundred lines per second. */
 const MAX_LINES_PER_SECOND = 2000;
 
-/** Bytes that may wait for a slow reader. */
 const MAX_BUFFERED_CHARACTERS = 1024 * 1024;
 
 const MILLISECONDS_PER_SECOND = 1000;
 
-/** Hands text on and calls back when it has been taken. */
+/** Writes text and calls back when it was written or has failed. */
 export type WriteText = (text: string, onWritten: (error: Error | null) => void) => void;
 
-/** Writes to a file descriptor, such as 1 for standard output. */
+/** Returns a writer to a file descriptor, such as 1 for standard output. */
 export function writeToDescriptor(descriptor: number): WriteText {
   return (text, onWritten) => {
     write(descriptor, text, (error) => onWritten(error));
@@ -42,7 +40,7 @@
   constructor(
     private readonly writeText: WriteText,
     private readonly now: () => number = () => performance.now(),
-    /** Makes the line that tells how many were dropped. */
+    /** Makes the line that reports the number of dropped lines. */
     private readonly formatDroppedLine: (count: number) => string = (count) =>
       JSON.stringify({ event: 'linesDropped', count }),
   ) {}
@@ -62,7 +60,7 @@
     this.flush();
   };
 
-  /** Resolves once everything has been taken; for the end of a process. */
+  /** Resolves once no write is in progress; for the end of a process. */
   async waitUntilIdle(): Promise<void> {
     if (!this.isWriting) return;
     await new Promise<void>((resolve) => {
@@ -95,7 +93,7 @@
     this.writeText(text, (error) => {
       this.isWriting = false;
       this.bufferedCharacters -= characters;
-      // A closed or full output is nothing to end for; what it did not take is counted as dropped.
+      // An output error must not end the process; the lines of the batch are counted as dropped.
       if (error !== null) this.droppedLines += text.split('\n').length - 1;
       else this.flush();
       if (!this.isWriting) this.idleListeners.splice(0).forEach((resolve) => resolve());
--- a/packages/runtime/src/Logger.ts
+++ b/packages/runtime/src/Logger.ts
@@ -1,29 +1,30 @@
 /**
- * Structured logs: one JSON object a line, with the event's number and name from the catalogue.
+ * Writes structured logs to standard output: one JSON object per line, with the number, name, level
+ * and text of an event of the catalogue.
  */
 import { setTimeout } from 'node:timers/promises';
 import loglevel from 'loglevel';
 import { logEvents, type LogEventName, type LogFields, type LogLevel } from '@hornbeampond/schema';
 import { LineWriter, writeToDescriptor } from './LineWriter.js';
 
-/** Fields that every line of a process carries. */
+/** Fields of every line of a process. */
 export interface LogContext {
   readonly process: string;
   readonly instance: string;
 }
 
-/** Writes one line; the line has no end-of-line character. */
+/** Writes one line, which is passed without a line terminator. */
 export type WriteLine = (line: string) => void;
 
 const STANDARD_OUTPUT = 1;
 
-/** One for the process, since its bounds are those of the one output. */
+/** Shared by all loggers of the process, since its limits apply to the output as a whole. */
 const standardOutputWriter = new LineWriter(writeToDescriptor(STANDARD_OUTPUT));
 
-/** A reader that stands still must not keep a process from ending. */
+/** A stalled reader must not keep the process from ending. */
 const MAX_FLUSH_MILLISECONDS = 500;
 
-/** Resolves once all lines have been written, or soon after; for the end of a process. */
+/** Resolves once pending writes are complete or a timeout has passed; for the end of a process. */
 export async function flushLogs(): Promise<void> {
   await Promise.race([standardOutputWriter.waitUntilIdle(), setTimeout(MAX_FLUSH_MILLISECONDS)]);
 }
@@ -41,7 +42,7 @@
     this.levelLogger.setLevel(level, false);
   }
 
-  /** Writes a numbered event. */
+  /** Writes a line for the event, unless its level is below the minimum. */
   write(event: LogEventName, fields: LogFields = {}): void {
     const { number, level, text } = logEvents[event];
     if (this.levelLogger.levels[level.toUpperCase() as 'INFO'] < this.levelLogger.getLevel())
--- a/packages/runtime/src/SystemTimerService.ts
+++ b/packages/runtime/src/SystemTimerService.ts
@@ -1,4 +1,4 @@
-/** Time of the machine, through Node's own timers. */
+/** The real clocks and timers of Node. */
 import type { EpochMilliseconds, Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import { TimerService, type Unsubscribe } from './TimerService.js';
 
--- a/packages/runtime/src/TimerService.ts
+++ b/packages/runtime/src/TimerService.ts
@@ -1,17 +1,17 @@
 /**
- * The one source of time in a process. Parts subscribe to it; reducers get its readings as
- * events. Tests put a virtual one in its place.
+ * Abstract clocks and timers. Code uses them instead of those of Node, so that tests can replace
+ * them by virtual time.
  */
 import type { EpochMilliseconds, Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 
-/** Ends a subscription; calling it twice does no harm. */
+/** Cancels a timer; further calls have no effect. */
 export type Unsubscribe = () => void;
 
 export abstract class TimerService {
-  /** A reading that never goes back, for spans. */
+  /** Time for measuring durations; never decreases. */
   abstract monotonicNow(): MonotonicMilliseconds;
 
-  /** The wall clock, for hours of the day and for stamps that other processes read. */
+  /** Wall clock time, for times of day and for timestamps that other processes read. */
   abstract wallNow(): EpochMilliseconds;
 
   /** Calls `listener` once, `delay` milliseconds from now. */
--- a/packages/runtime/src/readSettings.test.ts
+++ b/packages/runtime/src/readSettings.test.ts
@@ -25,16 +25,15 @@
   return readSettings(storeSettingsSchema, file);
 }
 
-test('good settings are read, with defaults for what is left out', (context) => {
+test('valid settings are read, with defaults for missing keys', (context) => {
   const settings = read(context, validSettings);
   assert.ok(settings.ok);
   assert.equal(settings.settings.heartbeatMilliseconds, 150);
   assert.deepEqual(settings.settings.operatorKeys, []);
 });
 
-// The operator of a new instance has made four mistakes. All show at once with their keys; if only
-// the first did, each start would show one more.
-test('every fault is told, with its key', (context) => {
+// An operator must not have to start the process again to see the next fault.
+test('all faults are reported at once with their keys', (context) => {
   const text = validSettings
     .replace('"0123456789abcdef"', '"short"')
     .replace('"127.0.0.1", port = 7071', '"store.example", port = 7071')
@@ -48,7 +47,7 @@
   assert.match(unknown?.reason ?? '', /heartbeatMillis/);
 });
 
-test('a file that is no TOML, or that there is not, is one fault with its name', (context) => {
+test('a file that is invalid TOML or missing is reported as one fault', (context) => {
   const broken = read(context, 'instance = ');
   assert.ok(!broken.ok);
   assert.equal(broken.faults.length, 1);
--- a/packages/runtime/src/readSettings.ts
+++ b/packages/runtime/src/readSettings.ts
@@ -1,12 +1,12 @@
 /**
- * Reads one TOML settings file and checks it whole, so that an operator sees every fault at once.
+ * Reads and validates a TOML settings file. All faults are returned together, each with its key.
  */
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import { describeIssue, type Fault } from '@hornbeampond/schema';
 import type { z } from 'zod';
 
-/** The settings, or every fault that was found. */
+/** The valid settings, or all faults that were found. */
 export type SettingsResult<Settings> =
   | { readonly ok: true; readonly settings: Settings }
   | { readonly ok: false; readonly faults: readonly Fault[] };
@@ -22,7 +22,7 @@
         .join('');
 }
 
-/** Checks settings that are read already. */
+/** Validates parsed settings. */
 export function checkSettings<Schema extends z.ZodType>(
   schema: Schema,
   values: unknown,
@@ -36,7 +36,7 @@
   return { ok: false, faults };
 }
 
-/** Reads and checks a settings file. */
+/** Reads and validates a settings file; a file that cannot be read or parsed is one fault. */
 export function readSettings<Schema extends z.ZodType>(
   schema: Schema,
   file: string,
--- a/packages/runtime/src/runBinary.test.ts
+++ b/packages/runtime/src/runBinary.test.ts
@@ -8,7 +8,7 @@
 
 const root = fileURLToPath(new URL('../../../', import.meta.url));
 
-/** Settings of each long-running binary among the examples. */
+/** Example settings files of each long-running binary. */
 const exampleSettings = {
   entry: [
     'examples/kartenwerk/entry-wien-a-1.toml',
@@ -43,7 +43,7 @@
     assert.deepEqual(printed, { output: `${name} ${version}\n`, errors: '', exitCode: 0 });
   });
 
-  test(`${name} --check takes the examples and exits 0 without starting`, async () => {
+  test(`${name} --check accepts the examples and exits 0 without starting`, async () => {
     for (const file of examples) {
       const checked = await runCommand(binary, ['--check', '--settings', file]);
       assert.deepEqual(checked, { output: `${file}: good\n`, errors: '', exitCode: 0 });
@@ -51,7 +51,7 @@
   });
 });
 
-test('settings of another binary exit 2 with every fault and its key', async () => {
+test('invalid settings exit 2 and print all faults with their keys', async () => {
   const file = exampleSettings.entry[0];
   const { output, errors, exitCode } = await runCommand('store', ['--check', '--settings', file]);
   assert.equal(exitCode, exitCodes.badInput);
@@ -63,8 +63,8 @@
 });
 
 test('an unknown option and missing settings exit 2 and point to the help', async () => {
-  for (const words of [['--loud'], []]) {
-    const { errors, exitCode } = await runCommand('store', words);
+  for (const commandArguments of [['--loud'], []]) {
+    const { errors, exitCode } = await runCommand('store', commandArguments);
     assert.equal(exitCode, exitCodes.badInput);
     assert.match(errors, /see "hornbeampond-store --help"/);
   }
--- a/packages/runtime/src/runBinary.ts
+++ b/packages/runtime/src/runBinary.ts
@@ -1,6 +1,6 @@
 /**
- * What all long-running binaries share: the command line, the settings file, the exit codes and
- * the way from a signal to a graceful shutdown.
+ * The common parts of all long-running binaries: command line, settings file, exit codes, and
+ * graceful shutdown on `SIGTERM` or `SIGINT`.
  */
 import { parseArgs } from 'node:util';
 import type { z } from 'zod';
@@ -12,9 +12,9 @@
 /** Exit codes of the binaries. */
 export const exitCodes = { done: 0, failed: 1, badInput: 2 } as const;
 
-/** A running process, as its `main.ts` sees it. */
+/** A started process that can be shut down. */
 export interface RunningProcess {
-  /** Ends the process's work without cutting anything off; resolves when all is settled. */
+  /** Shuts the process down gracefully; resolves when it has no more work. */
   shutDown(): Promise<void>;
 }
 
@@ -42,7 +42,7 @@
   );
 }
 
-/** Reports bad input on standard error and sets the exit code that goes with it. */
+/** Prints lines to standard error and sets the exit code for bad input. */
 export function failWithBadInput(lines: readonly string[]): void {
   process.stderr.write(`${lines.join('\n')}\n`);
   process.exitCode = exitCodes.badInput;
@@ -65,7 +65,7 @@
   }
 }
 
-/** Runs a binary from its command line until a signal ends it. */
+/** Runs a binary with the command line of the process until a signal ends it. */
 export async function runBinary<Schema extends z.ZodType>(binary: Binary<Schema>): Promise<void> {
   const options = parseCommandLine(binary.name);
   if (options === undefined) return;
--- a/packages/runtime/src/runCommonEffect.ts
+++ b/packages/runtime/src/runCommonEffect.ts
@@ -1,4 +1,4 @@
-/** Carries out the effects that the reducers of all processes share. */
+/** Applies the effects that are common to the reducers of all processes: logs and metrics. */
 import type { CountEffect, LogEffect, MetricName } from '@hornbeampond/schema';
 import type { Logger } from './Logger.js';
 import type { Metrics } from './Metrics.js';
@@ -14,7 +14,7 @@
       readonly label?: string;
     };
 
-/** Says whether the effect was one of those shared. */
+/** Applies the effect if it is a common one, and returns whether it is. */
 export function runCommonEffect(
   effect: { readonly type: string },
   logger: Logger,
--- a/packages/schema/src/Reducer.ts
+++ b/packages/schema/src/Reducer.ts
@@ -1,12 +1,11 @@
 /**
- * The shape that every process of the system shares: one pure function from state and event to
- * effects. Time arrives as an event, randomness as a seeded generator kept in the state, and
- * input and output happen only in the shell that carries out the effects. For this reason the
- * binaries, the snapshot tests, fast-check and the state explorer all run the very same code.
+ * The type of the state machine at the core of each process. A reducer takes the time from events
+ * and random numbers from a seeded generator in its state; the process applies the effects that it
+ * returns. Without input and output of its own, the same code runs in processes and in simulations.
  */
 
 /**
- * Decides what one event means. It may change `state` in place, and must not read a clock, a
- * socket, a file or a random source.
+ * Handles one event: changes `state` in place and returns the effects to apply. A reducer must not
+ * read a clock, a socket, a file or an unseeded random source.
  */
 export type Reducer<State, Event, Effect> = (state: State, event: Event) => Effect[];
--- a/packages/schema/src/describeIssue.ts
+++ b/packages/schema/src/describeIssue.ts
@@ -1,7 +1,7 @@
-/** Says in plain words what a check found wrong with one value. */
+/** Converts a validation issue of zod into the reason of a fault. */
 import type { z } from 'zod';
 
-/** The reason of one issue; a value that is not there is called missing. */
+/** Returns the issue's message, or `is missing` for a value that is absent. */
 export function describeIssue(issue: z.core.$ZodIssue): string {
   const isMissing = issue.code === 'invalid_type' && issue.message.endsWith('received undefined');
   return isMissing ? 'is missing' : issue.message;
--- a/packages/schema/src/errors/HornbeampondError.test.ts
+++ b/packages/schema/src/errors/HornbeampondError.test.ts
@@ -3,7 +3,7 @@
 import { errorAnswers, errorKinds } from './errorKinds.js';
 import { HornbeampondError, toProblemDocument } from './HornbeampondError.js';
 
-test('an error becomes the answer of its kind', () => {
+test('an error becomes the problem document of its kind', () => {
   const error = new HornbeampondError('overloaded', 'The queue has 2000 requests', {
     retryAfterMilliseconds: 1200,
   });
@@ -20,19 +20,19 @@
   });
 });
 
-test('an error that nobody foresaw promises nothing about whether the request ran', () => {
+test('an unexpected error does not claim that the request was not run', () => {
   const problem = toProblemDocument(new TypeError('x is undefined'));
   assert.equal(problem.kind, 'internalError');
   assert.equal(problem.ran, 'unknown');
 });
 
-test('the raiser of an error may know more of whether the request ran', () => {
+test('an error can override whether the request ran', () => {
   const error = new HornbeampondError('backendServerFailed', 'refused', { ran: 'no' });
   assert.equal(toProblemDocument(error).ran, 'no');
 });
 
-// A caller told to come back without being told when would come back at once, all of them at once.
-test('every kind that a retry helps says when to come back', () => {
+// Without a retry time all refused callers would retry immediately.
+test('every kind that a retry helps has a retry time', () => {
   errorKinds.forEach((kind) => {
     const problem = toProblemDocument(new HornbeampondError(kind, 'x'));
     assert.equal(problem.retryAfterSeconds !== undefined, errorAnswers[kind].retryHelps, kind);
--- a/packages/schema/src/errors/HornbeampondError.ts
+++ b/packages/schema/src/errors/HornbeampondError.ts
@@ -1,21 +1,22 @@
 /**
- * The base of all errors that the system raises on purpose. Each carries one kind of the closed
- * list, from which the answer to the caller is made.
+ * The error class for failures that are reported to callers and operators, and its conversion to an
+ * RFC 9457 problem document. Each error has one kind of `errorKinds`, which determines the status
+ * and the title of the answer.
  */
 import ModernError from 'modern-errors';
 import { errorAnswers, type ErrorKind, type RanStatus } from './errorKinds.js';
 
-/** What a problem document adds to its kind. */
+/** Optional fields of a problem document beside those of its kind. */
 export interface ErrorDetails {
-  /** When to come back, in milliseconds. */
+  /** Delay after which the caller should retry. */
   readonly retryAfterMilliseconds?: number;
-  /** Overrides the table's `ran` where the raiser knows more. */
+  /** Overrides the `ran` of the kind. */
   readonly ran?: RanStatus;
-  /** Faults found in a table or in settings. */
+  /** Faults found in tables or settings. */
   readonly faults?: readonly { readonly where: string; readonly reason: string }[];
-  /** The revision in force, with `revisionStale`. */
+  /** The revision in force; set with `revisionStale`. */
   readonly currentRevision?: number;
-  /** Tokens of the answer that the caller has already been given. */
+  /** Number of answer tokens that were already sent to the caller. */
   readonly tokensGiven?: number;
 }
 
@@ -31,7 +32,7 @@
   }
 }
 
-/** Constructor of the class, typed without the library's generics. */
+/** Type of the constructor, without the generics of modern-errors. */
 type HornbeampondErrorConstructor = new (
   kind: ErrorKind,
   message: string,
@@ -39,18 +40,18 @@
   cause?: unknown,
 ) => HornbeampondError;
 
-/** An error of a known kind. Its message says what happened in this one case. */
+/** An error of one kind. Its message describes this occurrence. */
 export interface HornbeampondError extends Error {
   readonly kind: ErrorKind;
   readonly details: ErrorDetails;
 }
 
 export const HornbeampondError = ModernError.subclass('HornbeampondError', {
-  // The library's types want the message first; at run time it takes any arguments.
+  // The types of modern-errors require the message as first argument; the code accepts any.
   custom: HornbeampondErrorBase as never,
 }) as unknown as HornbeampondErrorConstructor;
 
-/** An RFC 9457 problem document, as sent in `application/problem+json`. */
+/** An RFC 9457 problem document, the body of an `application/problem+json` response. */
 export interface ProblemDocument {
   readonly type: string;
   readonly title: string;
@@ -65,10 +66,10 @@
   readonly faults?: readonly { readonly where: string; readonly reason: string }[];
 }
 
-/** Used where a retry helps but the raiser has no better estimate. */
+/** Used if a retry helps and the error sets no delay. */
 const DEFAULT_RETRY_AFTER_SECONDS = 1;
 
-/** Makes the problem document of an error; an error of no known kind becomes `internalError`. */
+/** Makes the problem document of an error; any other value becomes an `internalError`. */
 export function toProblemDocument(error: unknown, requestId?: string): ProblemDocument {
   const hornbeampondError =
     error instanceof HornbeampondError
--- a/packages/schema/src/errors/errorKinds.ts
+++ b/packages/schema/src/errors/errorKinds.ts
@@ -1,22 +1,20 @@
 /**
- * The closed list of error kinds and the table from kind to answer.
- *
- * Callers and operators see every failure as an RFC 9457 problem document made from this table.
- * `ran: 'no'` is a promise: the request was not run and will not be. Where that cannot be
- * promised, the table says `unknown`.
+ * The list of error kinds and how each is answered. The problem documents for callers and operators
+ * are made from this table. `ran: 'no'` guarantees that the request was not run and will not be;
+ * `unknown` is used wherever this cannot be guaranteed.
  */
 
-/** Whether the request that failed can have been run by a backend server. */
+/** Whether a backend server may have run the failed request. */
 export type RanStatus = 'no' | 'unknown';
 
 /** How one error kind is answered. */
 export interface ErrorAnswer {
   /** HTTP status code. */
   readonly status: number;
-  /** Short human-readable summary; the same for each occurrence of the kind. */
+  /** Short summary, the same for each occurrence of the kind. */
   readonly title: string;
   readonly ran: RanStatus;
-  /** True if the same request can succeed later, so that the answer carries `Retry-After`. */
+  /** True if the same request can succeed later; the answer then has a `Retry-After` header. */
   readonly retryHelps: boolean;
 }
 
@@ -29,7 +27,7 @@
   return { status, title, ran, retryHelps };
 }
 
-/** Every error kind with its answer. */
+/** The answer of each error kind. */
 export const errorAnswers = {
   badRequest: defineKind(400, 'The request is malformed', 'no'),
   idempotencyKeyMissing: defineKind(400, 'This call needs an Idempotency-Key', 'no'),
@@ -82,8 +80,6 @@
   internalError: defineKind(500, 'An unexpected error occurred', 'unknown'),
 } as const satisfies Record<string, ErrorAnswer>;
 
-/** One of the closed list of error kinds. */
 export type ErrorKind = keyof typeof errorAnswers;
 
-/** All error kinds, for counters that start at zero and for documentation checks. */
 export const errorKinds = Object.keys(errorAnswers) as ErrorKind[];
--- a/packages/schema/src/messages/backendServers.ts
+++ b/packages/schema/src/messages/backendServers.ts
@@ -1,60 +1,61 @@
 /**
- * What the platform and the backend servers say of themselves. All of it lags; nothing here is
- * believed without a bound on its age.
+ * Messages about backend servers: the platform's list of instances, load reports, cache events and
+ * orders. Lists and reports describe a past state, so their readers must limit the age that they
+ * accept.
  */
 import type { EpochMilliseconds, Milliseconds } from '../units.js';
 
 export const instanceStates = ['starting', 'live', 'leaving'] as const;
 export type InstanceState = (typeof instanceStates)[number];
 
-/** One row of the platform's lagging list of instances. */
+/** One row of the platform's list of instances, which lags behind the real state. */
 export interface PlatformInstance {
   readonly instance: string;
   readonly dataCentre: string;
   readonly instanceClass: string;
   readonly pool: string;
   readonly state: InstanceState;
-  /** Where the backend server listens. */
+  /** Address on which the backend server listens. */
   readonly host: string;
   readonly port: number;
-  /** When a reclaimed instance will be gone, if the platform has given notice. */
+  /** When the platform will reclaim the instance, if it has given notice. */
   readonly goneAt?: EpochMilliseconds;
-  /** Name that the buyer gave the purchase, so that a lost answer never buys twice. */
+  /** Idempotency token of the start request, so that a resent request starts no second instance. */
   readonly startToken?: string;
-  /** Requests that it runs at a time, where the list tells; goes before that of its class. */
+  /** Requests that it runs at a time; overrides the `concurrency` of its instance class. */
   readonly concurrency?: number;
 }
 
-/** An instance as one process that has read the platform's list tells it to the others. */
+/** A row of the platform's list, as the process that has read it sends it to the others. */
 export type SharedInstance = Omit<PlatformInstance, 'goneAt'> & {
-  /** Time until a reclaimed instance is gone; the clocks of two processes may differ. */
+  /** Time until the platform reclaims the instance; relative, since clocks may differ. */
   readonly goneIn?: Milliseconds;
 };
 
-/** What one reading of the list has changed. */
+/** Differences between two successive readings of the platform's list. */
 export interface InstanceListDelta {
   readonly changed: readonly SharedInstance[];
-  /** Names of instances that are listed no longer. */
+  /** Names of instances that are no longer listed. */
   readonly gone: readonly string[];
 }
 
-/** A load report of a backend server, as old as `measuredAt` says. */
+/** The load of a backend server at `measuredAt`. */
 export interface LoadReport {
   readonly instance: string;
   readonly measuredAt: EpochMilliseconds;
   readonly running: number;
   readonly queued: number;
-  /** Tokens a second that the engine generates over all its streams. */
+  /** Tokens per second that the engine generates, summed over all streams. */
   readonly tokensPerSecond?: number;
-  /** Predicted wait before a new request's first token. */
+  /** Predicted time to the first token of a new request. */
   readonly firstTokenDelay?: Milliseconds;
-  /** What a model engine has loaded. */
+  /** Model that a model engine has loaded. */
   readonly model?: string;
   readonly adapter?: string;
   readonly version?: string;
 }
 
-/** A model engine's late and gappy word on its prefix cache. */
+/** A change of a model engine's prefix cache. Events may be late or missing. */
 export interface CacheEvent {
   readonly instance: string;
   readonly sequence: number;
@@ -62,7 +63,7 @@
   readonly prefixDigests: readonly string[];
 }
 
-/** An order to a backend server. It carries the fencing number of the controller's lease. */
+/** An order to a backend server. The epoch of the controller's lease serves as fencing token. */
 export interface Order {
   readonly epoch: number;
   readonly sequence: number;
@@ -78,11 +79,11 @@
 
 export type OrderResult = 'done' | 'refusedAsOld' | 'failed';
 
-/** An order for one kind of instances of a pool in one data centre. */
+/** An order to the platform for instances of a pool in one data centre. */
 export interface SizeOrder {
   readonly pool: string;
   readonly dataCentre: string;
   readonly reclaimable: boolean;
-  /** How many there are to be; the platform starts or ends the difference. */
+  /** Target number; the platform starts or ends instances to reach it. */
   readonly count: number;
 }
--- a/packages/schema/src/messages/entryMessages.ts
+++ b/packages/schema/src/messages/entryMessages.ts
@@ -1,52 +1,56 @@
 /**
- * What entries tell each other. Each entry sends its whole own state, numbered, on every
- * heartbeat; the newest number wins, so loss, repeats and reordering are harmless.
+ * Messages between entries, their requests and responses, and the state of entries that stores
+ * persist. Each entry regularly sends a numbered report of its state, and changes of its work and
+ * spending between reports. Receivers keep the entry report with the highest number, so that lost,
+ * repeated and reordered reports do no harm.
  */
 import type { Configuration } from '../tables/Configuration.js';
 import type { EpochMilliseconds, Milliseconds } from '../units.js';
 
-/** A request that was in progress at crashes of backend servers, as one entry saw it. */
+/** A request that may have crashed backend servers, as one entry reports it. */
 export interface PeerSuspect {
   readonly digest: string;
+  /** Number of crashes at which the request was in progress. */
   readonly crashes: number;
-  /** Names of these crashes. */
+  /** Identifiers of these crashes. */
   readonly crashIds?: readonly string[];
-  /** Backend server on which it runs again now, so that no other suspect is put there. */
+  /** Backend server on which the request runs now; other suspects are not sent there. */
   readonly runningAt?: string;
   /** True if a request of this digest is in progress at the reporting entry. */
   readonly pending?: boolean;
-  /** True while it is not known yet whether its last loss was a crash. */
+  /** True while a probe decides whether its last connection loss was a crash. */
   readonly judging?: boolean;
-  /** How long it ran before the crash, and how many tokens it had given: its probation's measure. */
+  /** Running time of the request until the loss was recorded. */
   readonly exposure?: Milliseconds;
+  /** Number of answer tokens until the loss was recorded. */
   readonly tokens?: number;
-  /** Set if the digest is quarantined; entries honour it also where no store can be reached. */
+  /** Set if the digest is quarantined; peers apply it even if they cannot reach a store. */
   readonly quarantinedUntil?: EpochMilliseconds;
 }
 
-/** Amounts spent by workspace, each for one second: the first is the last second, and so back. */
+/** Amounts that each workspace has spent in the last seconds, one for each second, newest first. */
 export type SpendingBySecond = Readonly<Record<string, readonly number[]>>;
 
-/** What a store remembers of spending when entries cannot. */
+/** Spending of all entries as a store has persisted it, for entries that start after an outage. */
 export interface PersistedSpending {
-  /** When it was told. */
+  /** When it was reported. */
   readonly at: EpochMilliseconds;
   readonly windowSpent: SpendingBySecond;
-  /** How far back it was known then. */
+  /** For how long up to `at` the spending of all entries was known. */
   readonly windowReach: Milliseconds;
-  /** What each entry had told by then, by name: what it tells later counts from there. */
+  /** Totals that each entry had reported by then, by name; later totals are compared with these. */
   readonly entries: Readonly<Record<string, EntrySpending>>;
 }
 
-/** What one life of an entry has spent since its start. */
+/** Total spending of an entry since it started, by workspace. */
 export interface EntrySpending {
   readonly incarnation: EpochMilliseconds;
   readonly spent: Readonly<Record<string, number>>;
 }
 
-/** How a delay grows with work, as an entry has learnt it: the means that the line is fitted to. */
+/** The means that determine a linear regression of a delay on an amount of work. */
 export interface DelayRegressionState {
-  /** How many samples it was learnt from; a newer one counts no more than so many. */
+  /** Number of samples behind the means; may be fractional. */
   readonly samples: number;
   readonly meanX: number;
   readonly meanY: number;
@@ -54,28 +58,28 @@
   readonly meanXY: number;
 }
 
-/** What stores keep of entries' knowledge and tell to those that start. */
+/** State of entries that stores persist and send to entries that start. */
 export interface PersistedEntryData {
   readonly spending?: PersistedSpending;
-  /** What was told of the newest usage windows; entries themselves have no use for it. */
+  /** Requests that began to run in the last usage windows; entries do not use it. */
   readonly usage: readonly EntryUsage[];
-  /** Time to the first token by prompt tokens, by pool. */
+  /** Regression of the time to the first token on the prompt tokens to prefill, by pool. */
   readonly delays: Readonly<Record<string, DelayRegressionState>>;
-  /** Prompt prefixes that were computed, by backend server. */
+  /** Digests of prompt prefixes that were computed, by backend server. */
   readonly computed: Readonly<Record<string, readonly string[]>>;
 }
 
-/** Requests that began to run, by number of the usage window and then by workspace. */
+/** Number of requests that began to run, by number of the usage window and then by workspace. */
 export type UsageCountsByWindow = Readonly<Record<string, Readonly<Record<string, number>>>>;
 
-/** What one life of an entry has told of the requests that began to run there. */
+/** Requests that began to run at an entry in its last usage windows. */
 export interface EntryUsage {
   readonly instance: string;
   readonly incarnation: EpochMilliseconds;
   readonly begun: UsageCountsByWindow;
 }
 
-/** One entry's word on itself and on what it has seen first. */
+/** The state of one entry, for other entries, stores and controllers. */
 export interface EntryReport {
   readonly type: 'entryReport';
   readonly instance: string;
@@ -87,90 +91,90 @@
   readonly revision: number;
   /** Requests in progress by route and workspace, keyed `route/workspace`. */
   readonly inProgress: Readonly<Record<string, number>>;
-  /** Backend servers on notice, with the time they will be gone. */
+  /** When each backend server under a reclaim notice will be reclaimed. */
   readonly leavingBackendServers: Readonly<Record<string, EpochMilliseconds>>;
-  /** What each workspace has spent of its allowance here since the process started. */
+  /** What each workspace has spent of its allowance at this entry since the process started. */
   readonly spent?: Readonly<Record<string, number>>;
   /**
-   * What each workspace has spent of its allowance at all entries in the last window, as this one
-   * knows it: an entry that has just started knows nothing of the window it starts in.
+   * Known spending of each workspace at all entries in its last window. An entry that has just
+   * started takes it from its peers' reports.
    */
   readonly windowSpent?: SpendingBySecond;
-  /** How far back `windowSpent` is known there; less than a window after all have started anew. */
+  /** For how long up to the report the spending of all entries is known; may be less than a window. */
   readonly windowReach?: Milliseconds;
-  /** What this entry has learnt of the time to the first token, by pool. */
+  /** Regression of the time to the first token on the prompt tokens to prefill, by pool. */
   readonly delays?: Readonly<Record<string, DelayRegressionState>>;
-  /** How many entries this one counts, itself and those that have fallen silent included. */
+  /** Number of entries that this one counts, including itself and unreachable ones. */
   readonly entries?: number;
-  /** Requests of each workspace that began to run here, by number of the usage window. */
+  /** Requests that began to run at this entry. */
   readonly begun?: UsageCountsByWindow;
-  /** What the planner of the fleet goes by. */
+  /** Demand by route, from which controllers size the fleet. */
   readonly demand?: readonly RouteDemandReport[];
-  /** Crashes seen, so that a resend through another entry is not run beside others. */
+  /** Suspects and quarantined digests, so that a resend through another entry runs isolated. */
   readonly suspects: readonly PeerSuspect[];
 }
 
-/** What one entry has in progress at one backend server. */
+/** Work of one entry at one backend server. */
 export interface ServerWork {
   readonly inProgress: number;
-  /** Tokens of prompts that are to be computed there and have no first token yet. */
+  /** Prompt tokens that the backend server still has to compute before the first token. */
   readonly promptTokens: number;
 }
 
-/** What has changed of one entry's work, told soon after so that others don't send into it. */
+/** Changes of one entry's work, sent soon so that other entries avoid busy backend servers. */
 export interface WorkReport {
   readonly type: 'workReport';
   readonly instance: string;
   readonly incarnation: EpochMilliseconds;
-  /** By backend server, of those where it has changed. */
+  /** New values of all backend servers whose values have changed, by instance. */
   readonly work: Readonly<Record<string, ServerWork>>;
-  /** Prompt prefixes that were computed since it was told last, by backend server. */
+  /** Digests of prompt prefixes that were computed since the last such report, by instance. */
   readonly computed: Readonly<Record<string, readonly string[]>>;
-  /** Requests that began to run here, in windows whose counts have changed. */
+  /** Requests that began to run at this entry, in the windows whose counts have changed. */
   readonly begun?: UsageCountsByWindow;
 }
 
-/** What one entry has spent of allowances, told between two reports where it matters at once. */
+/** Spending of one entry, sent between two reports if much of it is unreported. */
 export interface SpendingReport {
   readonly type: 'spendingReport';
   readonly instance: string;
   readonly incarnation: EpochMilliseconds;
-  /** Since the process started, of the workspaces whose spending has changed most. */
+  /** Totals since the process started, of some of the workspaces. */
   readonly spent: Readonly<Record<string, number>>;
   /** True if the entry is shutting down. */
   readonly leaving: boolean;
 }
 
-/** Requests of one route that one entry, or one whole data centre, has seen lately. */
+/** Recent demand on one route at one entry or in one data centre. */
 export interface RouteDemandReport {
   readonly route: string;
   /**
-   * All that arrived within their allowances over the last ten seconds, refused ones too: they are
-   * demand that the fleet was too small for.
+   * Rate of arrivals over the last ten seconds. Refused requests count, since the fleet may have been
+   * too small for them; those over their workspace's allowance do not.
    */
   readonly requestsPerSecond: number;
-  /** The same over the last few seconds, which shows a rush sooner. */
+  /** The same rate over the last few seconds, which reacts faster to an increase. */
   readonly recentPerSecond?: number;
-  /** Mean time that one request keeps one place of a backend server busy. */
+  /** Mean time that one request occupies a concurrency slot of a busy backend server. */
   readonly serviceMilliseconds: number;
   /** The pool that the route's requests go to. */
   readonly pool?: string;
-  /** Mean time that a model engine computes the prompt of one request, its cache considered. */
+  /** Mean prefill time of one request on a model engine, excluding cached prefixes. */
   readonly promptMilliseconds?: number;
 }
 
-/** The backend servers of one data centre that its controller has taken out of service. */
+/** The backend servers of one data centre that its controller has drained. */
 export interface DrainedInstances {
   readonly dataCentre: string;
-  /** Of the controller's lease. */
+  /** Epoch of the controller's lease. */
   readonly epoch: number;
   readonly instances: readonly string[];
 }
 
-/** What an entry tells others unasked. */
+/** Reports that an entry sends to other entries without a request. */
 export type PeerReport = EntryReport | SpendingReport | WorkReport;
 
-/** What entries and controllers ask an entry. */
+/** Requests that entries and controllers send to an entry. */
 export type EntryRequest =
   | { readonly type: 'peekConfiguration' }
   | { readonly type: 'exchangeFleet'; readonly drains?: DrainedInstances };
--- a/packages/schema/src/messages/storeCommands.ts
+++ b/packages/schema/src/messages/storeCommands.ts
@@ -1,26 +1,27 @@
 /**
- * Commands of the replicated log and their results. The log's order decides every race. Each
- * command is safe to resend: it names its intent, and a known intent gets its first result again.
+ * Commands of the replicated log and their results. Concurrent commands are decided by their order
+ * in the log. Each command can be resent safely: either its fields identify a resend, or applying it
+ * again does no harm.
  */
 import type { EpochMilliseconds, Milliseconds } from '../units.js';
 import type { Fault } from '../tables/checkTables.js';
 import type { TableName } from '../tables/Configuration.js';
 import type { CallerBounds } from '../tables/workspaces.js';
 
-/** Replaces all rows of one table, if it is still at the revision that the change was made from. */
+/** Replaces all rows of one table if the table is still at `baseRevision`. */
 export interface PutTableCommand {
   readonly type: 'putTable';
   readonly table: TableName;
   readonly baseRevision: number;
-  /** The operator's name for this change; a resend under it gets the first result. */
+  /** Identifier that the operator chose; a resend with the same one gets the first result. */
   readonly changeId: string;
   readonly rows: readonly unknown[];
 }
 
 /**
- * Replaces all tables at once under the operators' own version. The highest version is in force:
- * one that is not higher changes nothing and is no fault, so that a resend, or the slower of two
- * racing operators, is told what is in force.
+ * Replaces all tables together. `version` is assigned by the operators, and the highest one is in
+ * force. A lower or equal version changes nothing and is no error, so that a resend, or the slower
+ * of two concurrent operators, gets the version in force.
  */
 export interface ReplaceTablesCommand {
   readonly type: 'replaceTables';
@@ -29,27 +30,27 @@
   readonly pools: readonly unknown[];
   readonly workspaces: readonly unknown[];
   readonly callerBounds?: CallerBounds;
-  /** What the operator sent, kept as it was for those who read it back. */
+  /** The document that the operator sent, stored unchanged for operators who read it. */
   readonly document: string;
 }
 
 /**
- * Largest answer that is stored, headers and body together: an offer or a reservation is a few
- * KiB. Proposers leave a larger body out, since the log would carry it for nothing.
+ * Largest size of headers and body together for which the body is stored. Proposers omit a larger
+ * body, which would only take space in the log.
  */
 export const MAX_STORED_ANSWER_BYTES = 64 * 1024;
 
-/** An answer kept for callers who send a call that may not be repeated again. */
+/** The answer of a call that may not be repeated, stored for callers who resend the call. */
 export interface StoredAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
-  /** Missing if the body was above the bound on stored answers. */
+  /** Missing if the answer was larger than `MAX_STORED_ANSWER_BYTES`. */
   readonly body?: Uint8Array;
 }
 
 /**
- * Claims a call that may not be repeated. Only the attempt whose `attemptId` the log has
- * accepted may send it, once.
+ * Claims a call that may not be repeated. Only the attempt whose claim the log has accepted may send
+ * the call, and only once.
  */
 export interface OpenClaimCommand {
   readonly type: 'openClaim';
@@ -57,16 +58,17 @@
   readonly key: string;
   /** Digest of method, path and body. */
   readonly digest: string;
-  /** The entry's instance, and a name for this one attempt, unique for all time. */
+  /** Instance of the entry. */
   readonly holder: string;
+  /** Globally unique identifier of the attempt. */
   readonly attemptId: string;
-  /** After this span without a settlement the claim reads `unknown`; it never opens again. */
+  /** Time without a settlement after which the outcome is `unknown`; the claim is not reopened. */
   readonly expiresAfter: Milliseconds;
 }
 
 /**
- * Gives an attempt up for good: its call was not sent and never will be. It also bars an
- * `openClaim` of the same attempt that is still on its way.
+ * Gives up an attempt whose call was not sent and will not be. Also refuses an `openClaim` of the
+ * same attempt that arrives later.
  */
 export interface ReleaseClaimCommand {
   readonly type: 'releaseClaim';
@@ -75,6 +77,7 @@
   readonly attemptId: string;
 }
 
+/** Records the outcome of a claimed call. */
 export interface SettleClaimCommand {
   readonly type: 'settleClaim';
   readonly workspace: string;
@@ -84,7 +87,7 @@
   readonly answer?: StoredAnswer;
 }
 
-/** Takes or renews a lease. The epoch grows whenever the holder changes. */
+/** Acquires or renews a lease. */
 export interface TakeLeaseCommand {
   readonly type: 'takeLease';
   readonly lease: string;
@@ -99,27 +102,26 @@
   readonly epoch: number;
 }
 
-/** Requests that began to run in one usage window, by workspace. */
+/** Number of requests that began to run in one usage window, by workspace. */
 export type UsageCounts = Readonly<Record<string, number>>;
 
-/** Keeps the counts of one usage window, unless some are kept for it already. */
+/** Stores the counts of one usage window, unless counts are already stored for it. */
 export interface SettleUsageCommand {
   readonly type: 'settleUsage';
-  /** Number of the window. */
   readonly window: number;
   readonly counts: UsageCounts;
 }
 
-/** Reports that a backend server crashed while these requests ran on it. */
+/** Reports that a backend server crashed while requests with these digests ran on it. */
 export interface ReportCrashCommand {
   readonly type: 'reportCrash';
   readonly backendServer: string;
-  /** Unique name of this crash, so that the entries that all saw it count it once. */
+  /** Identifier of the crash, so that it is counted once if several entries report it. */
   readonly crashId: string;
   readonly digests: readonly string[];
 }
 
-/** What a proposer sends. */
+/** A command as it is proposed to the log. */
 export type StoreCommand =
   | PutTableCommand
   | ReplaceTablesCommand
@@ -131,7 +133,7 @@
   | ReportCrashCommand
   | SettleUsageCommand;
 
-/** A command as the log keeps it: the leader stamps its wall clock, never backwards. */
+/** A command in the log, with a timestamp of the leader that never decreases along the log. */
 export interface StampedCommand {
   readonly at: EpochMilliseconds;
   readonly command: StoreCommand;
@@ -144,7 +146,7 @@
   | { readonly type: 'changeIdReused' };
 
 export type ReplaceTablesResult =
-  /** `version` is the one in force, which may be a higher one. */
+  /** `version` is the one in force, which may be higher than the proposed one. */
   | { readonly type: 'tablesReplaced'; readonly version: number }
   | { readonly type: 'tablesInvalid'; readonly faults: readonly Fault[] };
 
@@ -154,11 +156,11 @@
   | { readonly type: 'claimDone'; readonly answer?: StoredAnswer }
   | { readonly type: 'claimUnknown' }
   | { readonly type: 'claimKeyReused' }
-  /** The attempt was released before; it may not send. */
+  /** The attempt was released before its claim arrived; it may not send the call. */
   | { readonly type: 'claimBarred' }
-  /** The attempt holds the claim no longer, or never did. */
+  /** The attempt does not hold the claim. */
   | { readonly type: 'claimNotHeld' }
-  /** The bound on claims is reached; nothing was opened. */
+  /** The maximum number of claims is reached. */
   | { readonly type: 'claimsFull' }
   | { readonly type: 'claimReleased' }
   | { readonly type: 'claimSettled' };
@@ -168,7 +170,7 @@
       readonly type: 'leaseHeld';
       readonly epoch: number;
       readonly duration: Milliseconds;
-      /** Longest duration granted under any earlier epoch; it may still be running out. */
+      /** Longest duration granted in any earlier epoch; a former holder may act for that long. */
       readonly previousDuration: Milliseconds;
     }
   | { readonly type: 'leaseRefused'; readonly holder: string; readonly remaining: Milliseconds }
@@ -181,7 +183,7 @@
 
 export interface SettleUsageResult {
   readonly type: 'usageSettled';
-  /** The counts that are kept, whoever proposed them. */
+  /** The stored counts, which may be those of an earlier command. */
   readonly counts: UsageCounts;
 }
 
--- a/packages/schema/src/messages/storeMessages.ts
+++ b/packages/schema/src/messages/storeMessages.ts
@@ -1,6 +1,6 @@
 /**
- * Requests that entries, controllers and operators' tools send to a store, and its responses.
- * They travel as bodies of the framed request-response protocol of `packages/transport`.
+ * Requests that are sent to a store, its responses, and the messages that it pushes to subscribers.
+ * They are the bodies of the framed request-response protocol of `packages/transport`.
  */
 import type { Configuration } from '../tables/Configuration.js';
 import type { ConfigurationDelta } from '../tables/ConfigurationDelta.js';
@@ -15,48 +15,48 @@
 } from './entryMessages.js';
 import type { CommandResult, StoreCommand } from './storeCommands.js';
 
-/** One digest that backend servers must be kept from for a while. */
+/** A digest whose requests may not be sent to backend servers until a given time. */
 export interface QuarantineRecord {
   readonly digest: string;
   readonly until: EpochMilliseconds;
 }
 
-/** What one instance last said of itself. */
+/** State that an instance last reported about itself. */
 export interface InstanceReport {
   readonly instance: string;
   readonly dataCentre: string;
   readonly role: 'entry' | 'controller' | 'store';
-  /** Revision of the configuration that the instance applies. */
+  /** Revision of the configuration in force at the instance. */
   readonly revision: number;
-  /** True if it started cut off from a quorum and runs on what its peers knew. */
+  /** True while an instance that started without a quorum uses its peers' configuration. */
   readonly cutOff: boolean;
 }
 
 export type StoreRequest =
-  /** Runs a command through the log. */
+  /** Proposes a command to the log. */
   | { readonly type: 'propose'; readonly command: StoreCommand }
-  /** Linearizable read of the tables; an isolated leader answers none. */
+  /** Linearizable read of the configuration; a leader without a quorum cannot answer it. */
   | { readonly type: 'readConfiguration' }
-  /** Linearizable read of what the operator sent who replaced all tables last. */
+  /** Linearizable read of the document of the last `replaceTables` command in force. */
   | { readonly type: 'readDocument' }
-  /** The newest configuration this store knows, which may be old; for instances, not operators. */
+  /** Reads the configuration that this store has, which may be stale; not for operators. */
   | { readonly type: 'peekConfiguration' }
-  /** Asks for pushes of every later configuration and quarantine entry. */
+  /** Subscribes to pushes: changes of the configuration, the quarantine and other state. */
   | { readonly type: 'subscribe'; readonly report: InstanceReport }
   | { readonly type: 'report'; readonly report: InstanceReport }
-  /** An entry's report, which the store hands to its subscribers. */
+  /** A report of an entry, for the subscribers of the store. */
   | { readonly type: 'shareReport'; readonly report: EntryReport }
-  /** The platform's list as a process has just read it, so that others need not read it. */
+  /** The platform's list as a process has just read it, for the subscribers of the store. */
   | { readonly type: 'shareInstances'; readonly instances: readonly SharedInstance[] }
-  /** The same for what an entry tells between two reports. */
+  /** What an entry sends between two reports, for the subscribers of the store. */
   | { readonly type: 'shareSpending'; readonly spending: SpendingReport }
   | { readonly type: 'shareWork'; readonly work: WorkReport }
   | { readonly type: 'readStatus' }
-  /** Membership of the log. */
+  /** Changes of the membership of the log. */
   | { readonly type: 'addVoter'; readonly voter: JoiningVoter }
   | { readonly type: 'removeVoter'; readonly instance: string };
 
-/** How a store is reached by its peers and clients. */
+/** Address of a store for its peers and clients. */
 export interface VoterAddress {
   readonly instance: string;
   readonly dataCentre: string;
@@ -64,12 +64,12 @@
   readonly port: number;
 }
 
-/** A store that asks to be let in, with the random identity of its disk. */
+/** A store that asks to join, with the random identity of its disk. */
 export interface JoiningVoter extends VoterAddress {
   readonly identity: string;
 }
 
-/** A store's own view of the log, for operators. */
+/** State of one store and its view of the cluster, for operators. */
 export interface StoreStatus {
   readonly instance: string;
   readonly role: 'leader' | 'follower' | 'candidate' | 'learner';
@@ -98,11 +98,11 @@
       readonly type: 'subscribed';
       readonly configuration: Configuration;
       readonly quarantine: readonly QuarantineRecord[];
-      /** The members of the log, so that a subscriber finds stores that its settings do not name. */
+      /** The members of the log, so that the subscriber finds stores that its settings lack. */
       readonly stores: readonly VoterAddress[];
-      /** What is known here that a starting entry knows nothing of. */
+      /** Persisted state that an entry restores when it starts. */
       readonly remembered: PersistedEntryData;
-      /** The platform's list as it was read last, and how long ago; missing before the first. */
+      /** The last reading of the platform's list and its age; missing before the first one. */
       readonly instances?: readonly SharedInstance[];
       readonly instancesAge?: Milliseconds;
     }
@@ -110,33 +110,33 @@
   | { readonly type: 'status'; readonly status: StoreStatus }
   | {
       readonly type: 'accepted';
-      /** Answers a report: the revision of the configuration that this store holds. */
+      /** In answers to a report: the revision of the configuration that this store has. */
       readonly revision?: number;
     }
-  /** This store does not lead; nothing was done. */
+  /** This store is not the leader; nothing was done. */
   | { readonly type: 'notLeader'; readonly leader?: string }
-  /** Nothing was done and nothing will be. */
+  /** The request was not carried out and will not be. */
   | { readonly type: 'unavailable'; readonly reason: string }
-  /** The command may or may not be run yet; resend it under the same intent. */
+  /** The command may have been committed or may still be; it should be resent unchanged. */
   | { readonly type: 'unsure'; readonly reason: string };
 
-/** What a store pushes to subscribers. */
+/** Messages that a store pushes to its subscribers. */
 export type StorePush =
-  /** What one change altered; a subscriber that it does not join to subscribes anew. */
+  /** A change of the configuration; a subscriber at another revision has to subscribe again. */
   | { readonly type: 'configurationDelta'; readonly delta: ConfigurationDelta }
-  /** All rows, where no delta can be made. */
+  /** The whole configuration, sent if the change cannot be expressed as a delta. */
   | { readonly type: 'configuration'; readonly configuration: Configuration }
   | { readonly type: 'quarantine'; readonly quarantine: readonly QuarantineRecord[] }
   /** The members of the log have changed. */
   | { readonly type: 'stores'; readonly stores: readonly VoterAddress[] }
-  /** What other entries said of themselves. */
+  /** A report of an entry. */
   | { readonly type: 'entryReport'; readonly report: EntryReport }
   | { readonly type: 'spending'; readonly spending: SpendingReport }
-  /** What entries have told of their work since the push before. */
+  /** Work reports that have arrived since the previous push. */
   | { readonly type: 'work'; readonly reports: readonly WorkReport[] }
-  /** What entries have told of the requests that began to run; for those that report usage. */
+  /** Requests that began to run at entries, for the processes that report usage. */
   | { readonly type: 'usage'; readonly usage: readonly EntryUsage[] }
-  /** A reading of the platform's list, against the one before. */
+  /** Changes of the platform's list since the previous reading. */
   | ({ readonly type: 'instances' } & InstanceListDelta)
-  /** This store has known no leader for a while: what it holds may be old, and grows no newer. */
+  /** This store has had no leader for some time, so that its state may be stale. */
   | { readonly type: 'outOfTouch' };
--- a/packages/schema/src/reasons.ts
+++ b/packages/schema/src/reasons.ts
@@ -1,9 +1,9 @@
 /**
- * The closed lists of reasons that counters are labelled with, besides the error kinds. Each
- * refusal is counted by its error kind; what is not a refusal has its list here.
+ * The lists of label values of counters. Refusals are labelled with their error kind, which is
+ * defined in `errorKinds`; all other lists are here.
  */
 
-/** Why an attempt at a backend server was followed by another. */
+/** Why an attempt at a backend server was followed by another attempt. */
 export const retryReasons = [
   'connectFailed',
   'connectionSilent',
@@ -15,7 +15,7 @@
 ] as const;
 export type RetryReason = (typeof retryReasons)[number];
 
-/** Why a request that could have been tried again was not. */
+/** Why a failed attempt was not retried. */
 export const retryRefusalReasons = [
   'budgetSpent',
   'deadlineTooNear',
@@ -27,7 +27,7 @@
 ] as const;
 export type RetryRefusalReason = (typeof retryRefusalReasons)[number];
 
-/** Why tokens that an engine had computed already were computed again. */
+/** Why tokens that an engine had already computed were recomputed. */
 export const recomputeReasons = [
   'reclaimResume',
   'lossResume',
@@ -36,11 +36,11 @@
 ] as const;
 export type RecomputeReason = (typeof recomputeReasons)[number];
 
-/** Why a late answer or part of one was dropped. */
+/** Why a late answer, or a late part of an answer, was dropped. */
 export const lateAnswerReasons = ['attemptGivenUp', 'callerGone', 'duplicate'] as const;
 export type LateAnswerReason = (typeof lateAnswerReasons)[number];
 
-/** Why a controller did something to the fleet again. */
+/** Why a controller resends the start or the end of an instance, or an order. */
 export const fleetRetryReasons = [
   'startAnswerLost',
   'endAnswerLost',
@@ -50,11 +50,11 @@
 ] as const;
 export type FleetRetryReason = (typeof fleetRetryReasons)[number];
 
-/** Why an instance was taken out of service by a controller. */
+/** Why a controller drained an instance. */
 export const drainReasons = ['scaleIn', 'reload', 'stray', 'neverServed'] as const;
 export type DrainReason = (typeof drainReasons)[number];
 
-/** Failures for which a backend server is kept from new work for a while. */
+/** Failures for which a backend server is ejected. */
 export const ejectionReasons = [
   'connectFailed',
   'serverError',
@@ -63,6 +63,7 @@
   'malformed',
 ] as const;
 export type EjectionReason = (typeof ejectionReasons)[number];
+
 /** How a move of a stream's KV cache ended. */
 export const cacheMoveOutcomes = ['moved', 'failed', 'sourceLost', 'targetLost'] as const;
 export type CacheMoveOutcome = (typeof cacheMoveOutcomes)[number];
--- a/packages/schema/src/reference/describeErrors.ts
+++ b/packages/schema/src/reference/describeErrors.ts
@@ -1,4 +1,4 @@
-/** The error table of docs/CALLERS.md. */
+/** Generates the error table of docs/CALLERS.md. */
 import { errorAnswers, errorKinds } from '../errors/errorKinds.js';
 import { formatMarkdownTable } from './formatMarkdownTable.js';
 
--- a/packages/schema/src/reference/describeLogEvents.ts
+++ b/packages/schema/src/reference/describeLogEvents.ts
@@ -1,9 +1,9 @@
-/** The tables of docs/LOGS.md. */
+/** Generates the tables of docs/LOGS.md. */
 import { logEvents } from '../logEvents/logEvents.js';
 import { formatMarkdownTable } from './formatMarkdownTable.js';
 import { describeUnraisedNames } from './unraisedNames.js';
 
-/** Hundreds of numbers, by the process that writes them. */
+/** First and last number of the events, by heading. */
 const numberRanges = {
   'events of every process': [1000, 1999],
   'events of entries': [2000, 2999],
--- a/packages/schema/src/reference/describeMetrics.ts
+++ b/packages/schema/src/reference/describeMetrics.ts
@@ -1,4 +1,4 @@
-/** The tables of docs/METRICS.md. */
+/** Generates the tables of docs/METRICS.md. */
 import { metricDefinitions, type MetricDefinition } from '../metrics.js';
 import { formatMarkdownTable } from './formatMarkdownTable.js';
 import { describeUnraisedNames } from './unraisedNames.js';
--- a/packages/schema/src/reference/formatMarkdownTable.ts
+++ b/packages/schema/src/reference/formatMarkdownTable.ts
@@ -1,10 +1,10 @@
-/** Lays out Markdown tables the way the formatter of this repository does. */
+/** Formats Markdown tables with aligned columns, as Prettier does. */
 
 function escapeCell(cell: string): string {
   return cell.replaceAll('|', '\\|');
 }
 
-/** Column titles and rows of equal length. */
+/** All rows must have as many cells as there are titles. */
 export function formatMarkdownTable(
   titles: readonly string[],
   rows: readonly (readonly string[])[],
--- a/packages/schema/src/reference/generatedBlocks.ts
+++ b/packages/schema/src/reference/generatedBlocks.ts
@@ -1,6 +1,6 @@
 /**
- * Blocks of a Markdown page that are made from the code, between marker comments. The rest of the
- * page is written by hand and left as it is.
+ * Replaces the generated blocks of a Markdown page, which are enclosed by marker comments. The rest
+ * of the page is written by hand and stays unchanged.
  */
 
 function makeBeginMarker(name: string): string {
@@ -11,7 +11,7 @@
   return `<!-- end of ${name} -->`;
 }
 
-/** Puts the blocks between their markers; a page that lacks a marker is an error. */
+/** Inserts each block between its markers; throws if the page lacks a marker. */
 export function fillBlocks(page: string, blocks: Readonly<Record<string, string>>): string {
   return Object.entries(blocks).reduce((text, [name, content]) => {
     const begin = text.indexOf(makeBeginMarker(name));
--- a/packages/schema/src/reference/referencePages.ts
+++ b/packages/schema/src/reference/referencePages.ts
@@ -1,4 +1,4 @@
-/** The pages of `docs/` that hold generated blocks, with the blocks of each. */
+/** Generates all blocks of the reference pages in `docs/`, by page and block name. */
 import { describeErrors } from './describeErrors.js';
 import { describeLogEvents } from './describeLogEvents.js';
 import { describeMetrics } from './describeMetrics.js';
--- a/packages/schema/src/tables/Configuration.ts
+++ b/packages/schema/src/tables/Configuration.ts
@@ -1,5 +1,6 @@
 /**
- * Both tables as they are in force together, with the revisions that order them.
+ * The configuration: the routes and pools tables that are in force together, with their revisions,
+ * and what operators set with them if they replace all tables together.
  */
 import type { Pool } from './pools.js';
 import type { Route } from './routes.js';
@@ -8,30 +9,30 @@
 export const tableNames = ['routes', 'pools'] as const;
 export type TableName = (typeof tableNames)[number];
 
-/** One table: its rows and the configuration revision of its last change. */
+/** A table with the configuration revision of its last change. */
 export interface Table<Row> {
   readonly revision: number;
   readonly rows: readonly Row[];
 }
 
-/** The whole configuration. `revision` grows by one with each accepted change of either table. */
+/** Each accepted change of the configuration increases `revision` by one. */
 export interface Configuration {
   readonly revision: number;
   readonly routes: Table<Route>;
   readonly pools: Table<Pool>;
-  /** Set where operators replace all tables at once. */
+  /** Set if operators replace all tables together. */
   readonly whole?: ConfigurationReplacement;
 }
 
-/** What comes with a configuration that replaced all tables at once. */
+/** The additional contents of a configuration that replaced all tables together. */
 export interface ConfigurationReplacement {
-  /** The operators' own number; the highest is in force. */
+  /** Assigned by the operators; the highest version is in force. */
   readonly version: number;
   readonly workspaces: readonly WorkspaceRow[];
   readonly callerBounds?: CallerBounds;
 }
 
-/** What is in force before an operator has put anything. */
+/** The configuration in force before the first change by an operator. */
 export const emptyConfiguration: Configuration = {
   revision: 0,
   routes: { revision: 0, rows: [] },
--- a/packages/schema/src/tables/ConfigurationDelta.ts
+++ b/packages/schema/src/tables/ConfigurationDelta.ts
@@ -1,6 +1,6 @@
 /**
- * What changed between two revisions of the configuration, by row name. Stores make deltas and
- * entries, controllers and relays apply them, so that a change of one row does not send them all.
+ * The changes of the tables between two revisions, by row name. Stores send deltas so that a change
+ * of one row does not require sending all rows. A delta applies to its `fromRevision` only.
  */
 import type { Configuration, Table } from './Configuration.js';
 import type { Pool } from './pools.js';
@@ -11,7 +11,7 @@
   readonly revision: number;
   /** Rows that were added or replaced, in the order of the table. */
   readonly changed: readonly Row[];
-  /** Names of rows that are gone. */
+  /** Names of rows that were removed. */
   readonly removed: readonly string[];
 }
 
@@ -38,8 +38,8 @@
 }
 
 /**
- * Applies a delta; undefined if it starts from another revision, so that the whole configuration
- * has to be asked for.
+ * Returns the configuration after the delta, or undefined if the delta starts from another revision
+ * and the whole configuration has to be requested.
  */
 export function applyDelta(
   configuration: Configuration,
--- a/packages/schema/src/tables/checkTables.ts
+++ b/packages/schema/src/tables/checkTables.ts
@@ -1,7 +1,7 @@
 /**
- * Checks of the two tables, by themselves and joined by pool name. The command line, the
- * operators' port and the replicated log all use these, so that a table which one accepts is
- * valid everywhere.
+ * Validates the routes, pools and workspaces tables, and the references from routes to pools. The
+ * command line and the state machine of the log use the same checks, so that they agree on which
+ * tables are valid.
  */
 import type { z } from 'zod';
 import { describeIssue } from '../describeIssue.js';
@@ -10,13 +10,13 @@
 import { workspaceRowsSchema, type WorkspaceRow } from './workspaces.js';
 import type { TableName } from './Configuration.js';
 
-/** One thing wrong: `where` names table, row and key, such as `routes["offers"].pool`. */
+/** A fault in a table; `where` names table, row and key, such as `routes["offers"].pool`. */
 export interface Fault {
   readonly where: string;
   readonly reason: string;
 }
 
-/** Rows that passed the check, or every fault that was found. */
+/** The valid rows, or all faults that were found. */
 export type TableCheckResult<Rows> =
   { readonly ok: true; readonly rows: Rows } | { readonly ok: false; readonly faults: Fault[] };
 
@@ -52,7 +52,7 @@
   });
 }
 
-/** Checks rows of the routes table by themselves. */
+/** Checks the routes table without its references to pools. */
 export function checkRoutes(rows: unknown): TableCheckResult<Route[]> {
   const parsed = routeRowsSchema.safeParse(rows);
   if (!parsed.success) return { ok: false, faults: toFaults('routes', rows, parsed.error) };
@@ -73,7 +73,7 @@
   return faults.length > 0 ? { ok: false, faults } : { ok: true, rows: parsed.data };
 }
 
-/** Checks rows of the pools table by themselves. */
+/** Checks the pools table. */
 export function checkPools(rows: unknown): TableCheckResult<Pool[]> {
   const parsed = poolRowsSchema.safeParse(rows);
   if (!parsed.success) return { ok: false, faults: toFaults('pools', rows, parsed.error) };
@@ -97,7 +97,10 @@
   return faults.length > 0 ? { ok: false, faults } : { ok: true, rows: parsed.data };
 }
 
-/** Checks that the two tables join: each route names a pool that is there and fits it. */
+/**
+ * Checks that the pools of each route exist, and that a route which requires claims does not go to
+ * model engines.
+ */
 export function checkPoolReferences(routes: readonly Route[], pools: readonly Pool[]): Fault[] {
   const poolByName = new Map(pools.map((pool) => [pool.name, pool]));
   return routes.flatMap((route) => {
@@ -125,7 +128,7 @@
   return totalWeight > 0 ? [] : [{ where: `${where}.split`, reason: 'the weights add up to 0' }];
 }
 
-/** Checks workspaces by themselves: a key must name one of them only. */
+/** Checks the workspaces table; no two workspaces may share a key. */
 export function checkWorkspaces(rows: unknown): TableCheckResult<WorkspaceRow[]> {
   const parsed = workspaceRowsSchema.safeParse(rows);
   if (!parsed.success) {
--- a/packages/schema/src/tables/pools.ts
+++ b/packages/schema/src/tables/pools.ts
@@ -1,5 +1,6 @@
 /**
- * The pools table: the instances that carry the services.
+ * The pools table. A pool is a set of interchangeable backend servers, with the classes and numbers
+ * of the instances that run them.
  */
 import * as z from 'zod';
 import { nameSchema } from './routes.js';
@@ -11,29 +12,32 @@
 
 export const instanceClassSchema = z.strictObject({
   name: nameSchema,
-  /** Price of one instance for an hour, in euros. */
+  /** Price of one instance per hour, in euros. */
   eurosPerHour: z.number().min(0).max(10_000),
   reclaimable: z.boolean(),
-  /** Requests that one backend server of this class runs at a time at full speed. */
+  /** Requests that one backend server of this class can run at a time without slowing down. */
   concurrency: z.number().int().min(1).max(100_000),
 });
 
-/** Bounds on the instances of one data centre, and what they cost. */
+/** Minimum and maximum number of instances in one data centre, and their prices. */
 export const sizingSchema = z.strictObject({
   least: z.number().int().min(0).max(100_000),
   most: z.number().int().min(0).max(100_000),
-  /** From an order until a new instance serves. */
+  /** Time from the order of an instance until it serves. */
   startMilliseconds: z.number().min(0).max(86_400_000),
-  /** Price of one on-demand instance by data centre, in the platform's unit for each second. */
+  /** Price of one on-demand instance by data centre, in the platform's unit per second. */
   prices: z.record(nameSchema, z.number().min(0)),
-  /** Price of a reclaimable instance as a share of it; without it there are none. */
+  /**
+   * Price of a reclaimable instance as a fraction of that of an on-demand one. Without it the pool
+   * has no reclaimable instances.
+   */
   reclaimableShare: z.number().min(0).max(1).optional(),
 });
 
-/** What an operator knows of the streams that model engines give, and of moving them. */
+/** Properties of the streams of model engines and of moving their KV caches. */
 export const streamParametersSchema = z.strictObject({
   tokensPerEvent: z.number().min(1).default(1),
-  /** Tokens of KV cache that an engine's link carries in a millisecond; 0 if caches don't move. */
+  /** Speed at which an engine transfers KV cache; 0 if caches cannot be moved. */
   movedTokensPerMillisecond: z.number().min(0),
 });
 
@@ -42,22 +46,21 @@
   kind: z.enum(poolKinds),
   dataCentres: z.array(nameSchema).min(1).max(64),
   instanceClasses: z.array(instanceClassSchema).min(1).max(32),
-  /** Fewest and most backend servers over all data centres. */
+  /** Minimum and maximum number of backend servers over all data centres. */
   least: z.number().int().min(0).max(100_000),
   most: z.number().int().min(0).max(100_000),
-  /** What model engines have to have loaded. */
+  /** Model that the engines must have loaded. */
   model: z.string().min(1).max(200).optional(),
   adapter: z.string().min(1).max(200).optional(),
   version: z.string().min(1).max(200).optional(),
-  /** True if the backend servers refuse orders with an old fencing number. */
+  /** True if the backend servers refuse orders with an outdated fencing token. */
   checksFencing: z.boolean().default(false),
-  /** Path of the health check, where backend servers have one. */
+  /** Path of the backend servers' health check, if they have one. */
   healthPath: z.string().startsWith('/').max(512).optional(),
-  /** Connections that one backend server takes from all entries together. */
+  /** Maximum number of connections of all entries together to one backend server. */
   connections: z.number().int().min(1).max(1_000_000).optional(),
-  /** What is known of the streams of its model engines. */
   streams: streamParametersSchema.optional(),
-  /** Sizes and prices by data centre, where the platform is told a number of instances for each. */
+  /** Set if the platform takes orders for a number of instances per data centre. */
   sizing: sizingSchema.optional(),
 });
 
--- a/packages/schema/src/tables/routes.ts
+++ b/packages/schema/src/tables/routes.ts
@@ -1,5 +1,6 @@
 /**
- * The routes table: which callers go to which pool, and how long they may wait at which hour.
+ * The routes table. A route maps matching requests to a pool and sets their priority, limits and
+ * deadlines, which may depend on the time of day.
  */
 import * as z from 'zod';
 
@@ -17,10 +18,7 @@
 
 const durationSchema = z.number().int().min(1).max(MAX_DURATION_MILLISECONDS);
 
-/**
- * Zones that were found to exist. Asking costs a tenth of a millisecond, so that a table of 10,000
- * routes held every store up for a second; the zones that exist are a few hundred.
- */
+/** Cache of valid zones: checking a zone is slow, and a large table repeats a few of them. */
 const validTimeZones = new Set<string>();
 
 function isValidTimeZone(zone: string): boolean {
@@ -35,69 +33,70 @@
 }
 
 export const deadlineSchema = z.strictObject({
-  /** From the request's arrival to the first token, or first byte of a plain service. */
+  /** Maximum time from a request's arrival to the first token, or first byte of a plain service. */
   firstTokenMilliseconds: durationSchema,
-  /** From the request's arrival to the end of the answer. */
+  /** Maximum time from a request's arrival to the end of its answer. */
   wholeAnswerMilliseconds: durationSchema,
   /**
-   * Until when a first token that missed its deadline is still of use, from the request's arrival. Such
-   * requests are served behind those that can be in time; without it they are refused.
+   * Maximum time from a request's arrival to a first token that misses its deadline but is still
+   * useful. Such requests are served after those that can meet their deadline; without a value they
+   * are refused.
    */
   lateFirstTokenMilliseconds: durationSchema.optional(),
-  /** The longest pause between two tokens that callers take for none. */
+  /** The longest acceptable pause between two tokens. */
   pauseMilliseconds: durationSchema.optional(),
 });
 
 export const deadlineSpanSchema = deadlineSchema.extend({
   /** First minute of the span, in the route's time zone. */
   from: timeOfDaySchema,
-  /** First minute after the span; not later than `from` means that it runs over midnight. */
+  /** First minute after the span; the span crosses midnight if this is not later than `from`. */
   to: timeOfDaySchema,
 });
 
 export const routeSchema = z.strictObject({
   name: nameSchema,
   match: z.strictObject({
-    /** The host that callers name, in lower case; without it any. */
+    /** Host of the request, in lower case; any host if missing. */
     host: z.string().min(1).max(255).optional(),
-    /** The longest matching prefix wins. */
+    /** Routes that name the host take precedence, then those with the longest prefix. */
     pathPrefix: z.string().startsWith('/', 'must start with "/"').max(512),
     /** Workspaces that may use the route; empty means all. */
     workspaces: z.array(nameSchema).default([]),
-    /** The `model` named in the request; without it any. */
+    /** `model` of the request; any model if missing. */
     model: z.string().min(1).max(200).optional(),
   }),
   pool: nameSchema,
-  /** Shares of the calls by pool, where they are split among several; `pool` is one of these. */
+  /** Weights by which requests are distributed randomly over several pools instead of `pool`. */
   split: z
     .array(z.strictObject({ pool: nameSchema, weight: z.number().min(0).max(1_000_000) }))
     .max(64)
     .optional(),
-  /** False: a call may run at most once, needs an `Idempotency-Key` and is claimed first. */
+  /** False if a request may run at most once; see `requiresClaim`. */
   idempotent: z.boolean(),
   /**
-   * False for calls that may not be repeated at backend servers that tell whether they ran one:
-   * each is sent once for each time its caller asks, without a key and a claim in the log.
+   * False to send requests that are not idempotent without an `Idempotency-Key` and a claim, because
+   * the backend servers report whether they ran a request. A resend by the caller is a new request.
    */
   claimed: z.boolean().optional(),
-  /** True: callers need no key. */
+  /** True if callers need no key. */
   public: z.boolean().optional(),
-  /** Most backend servers that one call may be sent to; without it any number. */
+  /** Maximum number of attempts for one request; unlimited if missing. */
   mostAttempts: z.number().int().min(1).max(100).optional(),
   /** 0 is served first, 9 last. */
   priority: z.number().int().min(0).max(9).default(5),
   limits: z
     .strictObject({
-      /** Most requests in progress for one workspace in one data centre. */
+      /** Maximum number of requests in progress for one workspace in one data centre. */
       inProgressPerWorkspace: z.number().int().min(1).max(1_000_000).default(1000),
-      /** Exceptions to it by workspace. */
+      /** Overrides of `inProgressPerWorkspace` by workspace. */
       workspaces: z.record(nameSchema, z.number().int().min(0).max(1_000_000)).default({}),
     })
     .default({ inProgressPerWorkspace: 1000, workspaces: {} }),
   timeZone: z.string().refine(isValidTimeZone, 'must be an IANA time zone such as "Europe/Vienna"'),
-  /** In force where no span matches. */
+  /** In force if no span of `deadlinesByHour` matches. */
   deadline: deadlineSchema,
-  /** The first span that holds the local time of the request's arrival is in force. */
+  /** The first span that contains the local time of the request's arrival is in force. */
   deadlinesByHour: z.array(deadlineSpanSchema).max(48).default([]),
 });
 
@@ -108,8 +107,8 @@
 export type Route = z.infer<typeof routeSchema>;
 
 /**
- * True if a call of the route is claimed in the log before it is sent, so that its outcome is kept
- * for its resends and must be learnt even when its caller is gone.
+ * True if requests of the route need an `Idempotency-Key` and are claimed in the log before they are
+ * sent. The outcome is stored for resends, even if the caller has disconnected.
  */
 export function requiresClaim({
   idempotent,
--- a/packages/schema/src/tables/workspaces.ts
+++ b/packages/schema/src/tables/workspaces.ts
@@ -1,26 +1,26 @@
 /**
- * Workspaces and bounds on callers, where operators replace the whole configuration at once instead
- * of naming workspaces in the settings of each entry.
+ * The workspaces table and the limits on callers' requests, for operators who replace all tables
+ * together instead of listing workspaces in the settings of each entry.
  */
 import * as z from 'zod';
 import { nameSchema } from './routes.js';
 
 const MAX_WORKSPACES = 10_000;
 
-/** What one workspace may spend, over all entries together. */
+/** What one workspace may spend at all entries together. */
 export const allowanceSchema = z.strictObject({
   unit: z.enum(['requests', 'tokens']),
   perSecond: z.number().min(0),
-  /** In any span of this length, no more than `perSecond` times the span and `burst` are spent. */
+  /** In any window of this length, at most `perSecond` times its length plus `burst` is spent. */
   windowMilliseconds: z.number().min(100).max(3_600_000).default(1000),
-  /** What may be spent at once on top, after a quiet time. */
+  /** Amount that may be spent in a window in addition to `perSecond` times its length. */
   burst: z.number().min(0),
   /**
-   * What may be spent above the limit in a window where entries learn too late of each other's
-   * spending. Without any, little may be spent between two reports.
+   * Amount by which a window may exceed the limit because entries receive each other's reports late.
+   * If 0, entries may spend little between two reports.
    */
   tolerated: z.number().min(0).default(0),
-  /** What a request counts that does not say its tokens. */
+  /** Amount of a request whose number of tokens is not known, if the unit is tokens. */
   plainTokens: z.number().min(0).default(0),
 });
 
@@ -28,14 +28,14 @@
   name: nameSchema,
   /** SHA-256 of each of its keys, in lower-case hexadecimal digits. */
   keySha256: z.array(z.string().regex(/^[0-9a-f]{64}$/)).max(1000),
-  /** Goes before the priority of a route; 0 is served first, 9 last. */
+  /** Overrides the priority of routes; 0 is served first, 9 last. */
   priority: z.number().int().min(0).max(9).optional(),
   allowance: allowanceSchema.optional(),
 });
 
 export const workspaceRowsSchema = z.array(workspaceRowSchema).max(MAX_WORKSPACES);
 
-/** What callers may send, and how long they may take. */
+/** Limits on the sizes and durations of callers' requests. */
 export const callerBoundsSchema = z.strictObject({
   headerBytes: z
     .number()
@@ -47,9 +47,9 @@
     .int()
     .min(0)
     .max(1024 * 1024 * 1024),
-  /** From the first byte of a request until its headers are there. */
+  /** Maximum time from the first byte of a request until its headers are complete. */
   headerMilliseconds: z.number().min(1),
-  /** How long a connection may stay without a request. */
+  /** Maximum time that a connection may be idle between requests. */
   idleMilliseconds: z.number().min(1),
 });
 
--- a/packages/schema/src/units.ts
+++ b/packages/schema/src/units.ts
@@ -1,15 +1,14 @@
 /**
- * Units used in signatures. The aliases carry no check; they say what a number means.
+ * Aliases of `number` that name the unit of a value. The compiler does not check them.
  */
 
-/** A span of time in milliseconds. */
+/** A duration. */
 export type Milliseconds = number;
 
-/** A point in time: milliseconds since 1970-01-01T00:00:00Z by some instance's wall clock. */
+/** A time by the wall clock of one instance, in milliseconds since 1970-01-01T00:00:00Z. */
 export type EpochMilliseconds = number;
 
-/** A reading of one process's monotonic clock in milliseconds; it means nothing elsewhere. */
+/** A time by the monotonic clock of one process; not comparable with other processes. */
 export type MonotonicMilliseconds = number;
 
-/** An amount of money in euros. */
 export type Euros = number;
