--- a/packages/schema/src/reference/describeSettings.ts
+++ b/packages/schema/src/reference/describeSettings.ts
@@ -86,8 +86,8 @@
   const paths = new Set(keys.map(({ path }) => path));
   const missing = [...paths].filter((path) => meanings[path] === undefined);
   const obsolete = Object.keys(meanings).filter((path) => !paths.has(path));
-  if (missing.length > 0) throw new Error(`settings without a meaning: ${missing.join(', ')}`);
-  if (obsolete.length > 0) throw new Error(`meanings without a setting: ${obsolete.join(', ')}`);
+  if (missing.length > 0) throw new Error(`no meaning is given for ${missing.join(', ')}`);
+  if (obsolete.length > 0) throw new Error(`no schema has ${obsolete.join(', ')}`);
 }
 
 /** Returns the table of one schema; throws if a key has no meaning or a meaning has no key. */
--- a/packages/schema/src/reference/reference.test.ts
+++ b/packages/schema/src/reference/reference.test.ts
@@ -78,9 +78,9 @@
   const schema = z.strictObject({ pauseMilliseconds: z.number().int().min(1).max(9).default(3) });
   const table = describeSchema(schema, { pauseMilliseconds: 'a pause' });
   assert.match(table, /\| `pauseMilliseconds` \| ms +\| `3` +\| 1 to 9 \| a pause \|/);
-  assert.throws(() => describeSchema(schema, {}), /settings without a meaning: pauseMilliseconds/);
+  assert.throws(() => describeSchema(schema, {}), /no meaning is given for pauseMilliseconds/);
   const obsoleteMeanings = { pauseMilliseconds: 'a pause', gone: 'a removed key' };
-  assert.throws(() => describeSchema(schema, obsoleteMeanings), /meanings without a setting: gone/);
+  assert.throws(() => describeSchema(schema, obsoleteMeanings), /no schema has gone/);
 });
 
 // An alert on an event or counter that no code raises would never fire.
