--- a/packages/schema/src/logEvents/controllerLogEvents.ts
+++ b/packages/schema/src/logEvents/controllerLogEvents.ts
@@ -70,10 +70,14 @@
   fleetTakenOver: defineLogEvent(
     4060,
     'info',
-    'The controller manages the pools of its data centre',
+    'The controller now manages the pools of its data centre',
   ),
   sizeOrdered: defineLogEvent(4070, 'info', 'A number of instances was ordered from the platform'),
-  sizeRefused: defineLogEvent(4071, 'warn', 'The platform has no more such instances for now'),
+  sizeRefused: defineLogEvent(
+    4071,
+    'warn',
+    'The platform refused an order for instances: none are available for now',
+  ),
   usageReported: defineLogEvent(
     4080,
     'info',
