--- a/packages/runtime/src/runBinary.ts
+++ b/packages/runtime/src/runBinary.ts
@@ -1,6 +1,6 @@
 /**
- * What all long-running binaries share: the command line, the settings file, the exit codes and
- * the way from a signal to a graceful shutdown.
+ * The common parts of all long-running binaries: command line, settings file, exit codes, and
+ * graceful shutdown on `SIGTERM` or `SIGINT`.
  */
 import { parseArgs } from 'node:util';
 import type { z } from 'zod';
@@ -12,9 +12,9 @@
 /** Exit codes of the binaries. */
 export const exitCodes = { done: 0, failed: 1, badInput: 2 } as const;
 
-/** A running process, as its `main.ts` sees it. */
+/** A started process that can be shut down. */
 export interface RunningProcess {
-  /** Ends the process's work without cutting anything off; resolves when all is settled. */
+  /** Shuts the process down gracefully; resolves when it has no more work. */
   shutDown(): Promise<void>;
 }
 
@@ -42,13 +42,13 @@
   );
 }
 
-/** Reports bad input on standard error and sets the exit code that goes with it. */
+/** Prints lines to standard error and sets the exit code for bad input. */
 export function failWithBadInput(lines: readonly string[]): void {
   process.stderr.write(`${lines.join('\n')}\n`);
   process.exitCode = exitCodes.badInput;
 }
 
-function readArguments(name: string) {
+function parseCommandLine(name: string) {
   try {
     return parseArgs({
       options: {
@@ -65,9 +65,9 @@
   }
 }
 
-/** Runs a binary from its command line until a signal ends it. */
+/** Runs a binary with the command line of the process until a signal ends it. */
 export async function runBinary<Schema extends z.ZodType>(binary: Binary<Schema>): Promise<void> {
-  const options = readArguments(binary.name);
+  const options = parseCommandLine(binary.name);
   if (options === undefined) return;
   if (options.help) {
     printHelp(binary);
@@ -81,10 +81,10 @@
     failWithBadInput([`${binary.name}: --settings FILE is missing`, `see "${binary.name} --help"`]);
     return;
   }
-  const read = readSettings(binary.schema, options.settings);
-  if (!read.ok) {
+  const result = readSettings(binary.schema, options.settings);
+  if (!result.ok) {
     failWithBadInput(
-      read.faults.map((fault) => `${options.settings}: ${fault.where}: ${fault.reason}`),
+      result.faults.map((fault) => `${options.settings}: ${fault.where}: ${fault.reason}`),
     );
     return;
   }
@@ -92,7 +92,7 @@
     process.stdout.write(`${options.settings}: good\n`);
     return;
   }
-  await serveUntilSignal(binary, read.settings);
+  await serveUntilSignal(binary, result.settings);
 }
 
 async function serveUntilSignal<Schema extends z.ZodType>(
@@ -106,10 +106,10 @@
     process.stderr.write(`${binary.name}: ${error instanceof Error ? error.message : error}\n`);
     process.exit(exitCodes.failed);
   }
-  let stopping = false;
+  let isStopping = false;
   const stop = () => {
-    if (stopping) return;
-    stopping = true;
+    if (isStopping) return;
+    isStopping = true;
     void running
       .shutDown()
       .then(
--- a/packages/schema/src/reference/describeSettings.ts
+++ b/packages/schema/src/reference/describeSettings.ts
@@ -1,4 +1,7 @@
-/** The tables of docs/SETTINGS.md: each key with unit, default and bounds, read off the schemas. */
+/**
+ * Generates the tables of docs/SETTINGS.md from the settings schemas and the meanings of their keys:
+ * one row for each key, with its unit, default, bounds and meaning.
+ */
 import * as z from 'zod';
 import {
   controllerSettingsSchema,
@@ -8,7 +11,7 @@
 import { formatMarkdownTable } from './formatMarkdownTable.js';
 import { controllerMeanings, entryMeanings, storeMeanings } from './settingMeanings.js';
 
-/** What is read of a JSON schema, as zod writes it. */
+/** The parts of a JSON schema made by zod that are used here. */
 interface SchemaNode {
   readonly type?: string;
   readonly properties?: Readonly<Record<string, SchemaNode>>;
@@ -27,26 +30,26 @@
   readonly format?: string;
 }
 
-/** A key that holds a value of its own, and its place in the schema. */
+/** A key with a single value, and its path in the settings. */
 interface SettingKey {
   readonly path: string;
   readonly node: SchemaNode;
   readonly required: boolean;
-  /** Bounds on the lists that the key stands in. */
+  /** Bounds on the length of the innermost list that contains the key. */
   readonly listBounds: string;
 }
 
-function describeRange(least: number | undefined, most: number | undefined, what: string): string {
-  if (least === undefined && most === undefined) return '';
-  if (most === undefined) return `at least ${least} ${what}`.trim();
-  return `${least ?? 0} to ${most} ${what}`.trim();
+function describeRange(min: number | undefined, max: number | undefined, unit: string): string {
+  if (min === undefined && max === undefined) return '';
+  if (max === undefined) return `at least ${min} ${unit}`.trim();
+  return `${min ?? 0} to ${max} ${unit}`.trim();
 }
 
 function listKeys(node: SchemaNode, path = '', required = true, listBounds = ''): SettingKey[] {
   if (node.properties !== undefined) {
     return Object.entries(node.properties).flatMap(([name, child]) => {
-      const needed = required && (node.required ?? []).includes(name);
-      return listKeys(child, path === '' ? name : `${path}.${name}`, needed, listBounds);
+      const isRequired = required && (node.required ?? []).includes(name);
+      return listKeys(child, path === '' ? name : `${path}.${name}`, isRequired, listBounds);
     });
   }
   if (node.items !== undefined) {
@@ -68,7 +71,7 @@
 }
 
 function describeBounds({ node, listBounds }: SettingKey): string {
-  const own = [
+  const valueBounds = [
     node.enum?.map((value) => `\`${value}\``).join(', ') ?? '',
     describeRange(node.minimum, node.maximum, ''),
     describeRange(node.minLength, node.maxLength, 'characters'),
@@ -76,18 +79,18 @@
     node.format === 'uri' ? 'uri' : '',
     node.pattern === undefined || node.anyOf !== undefined ? '' : `\`${node.pattern}\``,
   ].filter((part) => part !== '');
-  return [...own, ...(listBounds === '' ? [] : [`(${listBounds})`])].join(' ');
+  return [...valueBounds, ...(listBounds === '' ? [] : [`(${listBounds})`])].join(' ');
 }
 
 function checkMeanings(keys: readonly SettingKey[], meanings: Readonly<Record<string, string>>) {
   const paths = new Set(keys.map(({ path }) => path));
-  const unexplained = [...paths].filter((path) => meanings[path] === undefined);
-  const unknown = Object.keys(meanings).filter((path) => !paths.has(path));
-  if (unexplained.length > 0) throw new Error(`no meaning is given for ${unexplained.join(', ')}`);
-  if (unknown.length > 0) throw new Error(`no schema has ${unknown.join(', ')}`);
+  const missing = [...paths].filter((path) => meanings[path] === undefined);
+  const obsolete = Object.keys(meanings).filter((path) => !paths.has(path));
+  if (missing.length > 0) throw new Error(`no meaning is given for ${missing.join(', ')}`);
+  if (obsolete.length > 0) throw new Error(`no schema has ${obsolete.join(', ')}`);
 }
 
-/** The table of one schema; throws if the meanings do not match its keys. */
+/** Returns the table of one schema; throws if a key has no meaning or a meaning has no key. */
 export function describeSchema(
   schema: z.ZodType,
   meanings: Readonly<Record<string, string>>,
--- a/packages/schema/src/tables/checkTables.ts
+++ b/packages/schema/src/tables/checkTables.ts
@@ -1,7 +1,7 @@
 /**
- * Checks of the two tables, by themselves and joined by pool name. The command line, the
- * operators' port and the replicated log all use these, so that a table which one accepts is
- * valid everywhere.
+ * Validates the routes, pools and workspaces tables, and the references from routes to pools. The
+ * command line and the state machine of the log use the same checks, so that they agree on which
+ * tables are valid.
  */
 import type { z } from 'zod';
 import { describeIssue } from '../describeIssue.js';
@@ -10,13 +10,13 @@
 import { workspaceRowsSchema, type WorkspaceRow } from './workspaces.js';
 import type { TableName } from './Configuration.js';
 
-/** One thing wrong: `where` names table, row and key, such as `routes["offers"].pool`. */
+/** A fault in a table; `where` names table, row and key, such as `routes["offers"].pool`. */
 export interface Fault {
   readonly where: string;
   readonly reason: string;
 }
 
-/** Rows that passed the check, or every fault that was found. */
+/** The valid rows, or all faults that were found. */
 export type TableCheckResult<Rows> =
   { readonly ok: true; readonly rows: Rows } | { readonly ok: false; readonly faults: Fault[] };
 
@@ -28,10 +28,10 @@
     typeof row === 'object' && row !== null && 'name' in row && typeof row.name === 'string'
       ? `"${row.name}"`
       : String(index + 1);
-  const rest = keys
+  const suffix = keys
     .map((key) => (typeof key === 'number' ? `[${key + 1}]` : `.${String(key)}`))
     .join('');
-  return `${table}[${name}]${rest}`;
+  return `${table}[${name}]${suffix}`;
 }
 
 function toFaults(table: TableName, rows: unknown, error: z.ZodError): Fault[] {
@@ -41,22 +41,22 @@
   }));
 }
 
-function findRepeated(table: TableName, names: readonly string[]): Fault[] {
-  const seen = new Set<string>();
+function findDuplicateNames(table: TableName, names: readonly string[]): Fault[] {
+  const seenNames = new Set<string>();
   return names.flatMap((name) => {
-    const repeated = seen.has(name);
-    seen.add(name);
-    return repeated
+    const isDuplicate = seenNames.has(name);
+    seenNames.add(name);
+    return isDuplicate
       ? [{ where: `${table}["${name}"].name`, reason: 'another row has this name' }]
       : [];
   });
 }
 
-/** Checks rows of the routes table by themselves. */
+/** Checks the routes table without its references to pools. */
 export function checkRoutes(rows: unknown): TableCheckResult<Route[]> {
   const parsed = routeRowsSchema.safeParse(rows);
   if (!parsed.success) return { ok: false, faults: toFaults('routes', rows, parsed.error) };
-  const faults = findRepeated(
+  const faults = findDuplicateNames(
     'routes',
     parsed.data.map((route) => route.name),
   );
@@ -73,11 +73,11 @@
   return faults.length > 0 ? { ok: false, faults } : { ok: true, rows: parsed.data };
 }
 
-/** Checks rows of the pools table by themselves. */
+/** Checks the pools table. */
 export function checkPools(rows: unknown): TableCheckResult<Pool[]> {
   const parsed = poolRowsSchema.safeParse(rows);
   if (!parsed.success) return { ok: false, faults: toFaults('pools', rows, parsed.error) };
-  const faults = findRepeated(
+  const faults = findDuplicateNames(
     'pools',
     parsed.data.map((pool) => pool.name),
   );
@@ -97,11 +97,14 @@
   return faults.length > 0 ? { ok: false, faults } : { ok: true, rows: parsed.data };
 }
 
-/** Checks that the two tables join: each route names a pool that is there and fits it. */
+/**
+ * Checks that the pools of each route exist, and that a route which requires claims does not go to
+ * model engines.
+ */
 export function checkPoolReferences(routes: readonly Route[], pools: readonly Pool[]): Fault[] {
-  const byName = new Map(pools.map((pool) => [pool.name, pool]));
+  const poolByName = new Map(pools.map((pool) => [pool.name, pool]));
   return routes.flatMap((route) => {
-    const pool = byName.get(route.pool);
+    const pool = poolByName.get(route.pool);
     const where = `routes["${route.name}"]`;
     if (pool === undefined) {
       return [{ where: `${where}.pool`, reason: `the pools table has no "${route.pool}"` }];
@@ -109,23 +112,23 @@
     if (pool.kind === 'modelEngine' && requiresClaim(route)) {
       return [{ where: `${where}.idempotent`, reason: 'must be true before model engines' }];
     }
-    return checkSplit(route, where, byName);
+    return checkSplit(route, where, poolByName);
   });
 }
 
-function checkSplit(route: Route, where: string, byName: ReadonlyMap<string, Pool>): Fault[] {
+function checkSplit(route: Route, where: string, poolByName: ReadonlyMap<string, Pool>): Fault[] {
   const { split } = route;
   if (split === undefined) return [];
-  const unknown = split.filter(({ pool }) => !byName.has(pool));
-  if (unknown.length > 0) {
-    const reason = `the pools table has no "${unknown[0]?.pool}"`;
+  const unknownPools = split.filter(({ pool }) => !poolByName.has(pool));
+  if (unknownPools.length > 0) {
+    const reason = `the pools table has no "${unknownPools[0]?.pool}"`;
     return [{ where: `${where}.split`, reason }];
   }
-  const total = split.reduce((sum, { weight }) => sum + weight, 0);
-  return total > 0 ? [] : [{ where: `${where}.split`, reason: 'the weights add up to 0' }];
+  const totalWeight = split.reduce((sum, { weight }) => sum + weight, 0);
+  return totalWeight > 0 ? [] : [{ where: `${where}.split`, reason: 'the weights add up to 0' }];
 }
 
-/** Checks workspaces by themselves: a key must name one of them only. */
+/** Checks the workspaces table; no two workspaces may share a key. */
 export function checkWorkspaces(rows: unknown): TableCheckResult<WorkspaceRow[]> {
   const parsed = workspaceRowsSchema.safeParse(rows);
   if (!parsed.success) {
@@ -135,14 +138,14 @@
     }));
     return { ok: false, faults };
   }
-  const holders = new Map<string, string>();
+  const workspaceByKey = new Map<string, string>();
   const faults: Fault[] = [];
   parsed.data.forEach(({ name, keySha256 }) => {
     const where = `workspaces["${name}"]`;
     keySha256.forEach((key) => {
-      const holder = holders.get(key);
-      if (holder === undefined) holders.set(key, name);
-      else if (holder !== name) faults.push({ where, reason: `shares a key with "${holder}"` });
+      const owner = workspaceByKey.get(key);
+      if (owner === undefined) workspaceByKey.set(key, name);
+      else if (owner !== name) faults.push({ where, reason: `shares a key with "${owner}"` });
     });
   });
   const names = parsed.data.map(({ name }) => name);
