--- a/apps/entry/src/AdapterDirectory.ts
+++ b/apps/entry/src/AdapterDirectory.ts
@@ -16,16 +16,16 @@
 export class AdapterDirectory {
   private readonly adapters = new Map<string, BackendServerAdapter>();
 
-  constructor(private readonly make: MakeAdapter) {}
+  constructor(private readonly makeAdapter: MakeAdapter) {}
 
   /** The adapter to a backend server; the same one while its address stays the same. */
   getOrCreate(target: AttemptTarget): BackendServerAdapter {
-    const key = this.keyOf(target);
-    const known = this.adapters.get(key);
-    if (known !== undefined) return known;
-    const made = this.make(target);
-    this.adapters.set(key, made);
-    return made;
+    const key = this.makeKey(target);
+    const existing = this.adapters.get(key);
+    if (existing !== undefined) return existing;
+    const created = this.makeAdapter(target);
+    this.adapters.set(key, created);
+    return created;
   }
 
   getEngineAdapter(target: AttemptTarget): EngineAdapter {
@@ -51,9 +51,9 @@
    * one for a moment, so streams that still run there are left to end by themselves.
    */
   retainOnly(targets: readonly AttemptTarget[]): void {
-    const kept = new Set(targets.map((target) => this.keyOf(target)));
+    const listedKeys = new Set(targets.map((target) => this.makeKey(target)));
     [...this.adapters].forEach(([key, { adapter }]) => {
-      if (kept.has(key)) return;
+      if (listedKeys.has(key)) return;
       this.adapters.delete(key);
       adapter.renewConnections();
     });
@@ -65,7 +65,7 @@
     await Promise.all(adapters.map(async ({ adapter }) => adapter.close()));
   }
 
-  private keyOf({ instance, kind, host, port }: AttemptTarget): string {
+  private makeKey({ instance, kind, host, port }: AttemptTarget): string {
     return `${instance} ${kind} ${host} ${port}`;
   }
 }
--- a/apps/entry/src/AttemptRunner.test.ts
+++ b/apps/entry/src/AttemptRunner.test.ts
@@ -12,8 +12,8 @@
 import { RelayAnswer } from './RelayAnswer.js';
 
 /** Timers that fire when the test says so. */
-class HeldTimers extends TimerService {
-  readonly due: (() => void)[] = [];
+class ManuallyFiredTimers extends TimerService {
+  readonly listeners: (() => void)[] = [];
 
   monotonicNow(): number {
     return 0;
@@ -24,20 +24,20 @@
   }
 
   after(_delay: number, listener: () => void): () => void {
-    this.due.push(listener);
+    this.listeners.push(listener);
     return () => {
-      this.due.splice(this.due.indexOf(listener), 1);
+      this.listeners.splice(this.listeners.indexOf(listener), 1);
     };
   }
 }
 
 /** A backend server whose answer comes when the test gives it. */
-class HeldAdapter extends RelayAdapter {
-  give: (response: RelayResponse) => void = () => {};
+class ManuallyAnsweredAdapter extends RelayAdapter {
+  respond: (response: RelayResponse) => void = () => {};
 
   override async send({ signal }: { signal: AbortSignal }): Promise<RelayResponse> {
     return new Promise((resolve, reject) => {
-      this.give = resolve;
+      this.respond = resolve;
       signal.addEventListener('abort', () => reject(new Error('aborted')));
     });
   }
@@ -53,11 +53,11 @@
   override renewConnections(): void {}
 
   override async close(): Promise<void> {
-    this.give = () => {};
+    this.respond = () => {};
   }
 }
 
-class NoProtocol extends CallProtocol {
+class UnusedProtocol extends CallProtocol {
   override parseCall(): ParsedCall {
     throw new TypeError('no call is read here');
   }
@@ -65,7 +65,7 @@
   override writeProblem(): void {}
 }
 
-const start: StartAttemptEffect = {
+const startEffect: StartAttemptEffect = {
   type: 'startAttempt',
   requestId: 'one',
   attemptId: 'one.1',
@@ -80,11 +80,11 @@
 };
 
 function makeRunner() {
-  const timers = new HeldTimers();
-  const adapter = new HeldAdapter();
-  const seen: EntryEventPayload[] = [];
+  const timers = new ManuallyFiredTimers();
+  const adapter = new ManuallyAnsweredAdapter();
+  const events: EntryEventPayload[] = [];
   const response = new ServerResponse(new IncomingMessage(new Socket()));
-  const answer = new RelayAnswer('one', response, new NoProtocol(), undefined);
+  const answer = new RelayAnswer('one', response, new UnusedProtocol(), undefined);
   const runner = new AttemptRunner({
     timers,
     adapters: new AdapterDirectory(() => ({ kind: 'relay', adapter })),
@@ -105,38 +105,40 @@
       completion: undefined,
       answer,
     }),
-    dispatch: (occurrence) => seen.push(occurrence),
+    dispatch: (payload) => events.push(payload),
   });
-  runner.start(start);
-  return { timers, adapter, seen };
+  runner.start(startEffect);
+  return { timers, adapter, events };
 }
 
-async function* bytes(): AsyncGenerator<Uint8Array> {
+async function* makeBody(): AsyncGenerator<Uint8Array> {
   yield Buffer.from('bought');
 }
 
-async function turns(count: number): Promise<void> {
+async function runEventLoopTurns(count: number): Promise<void> {
   for (let turn = 0; turn < count; turn += 1) await nextTurn();
 }
 
 // A busy process is late for its timers. The answer has come in time and waits to be read; Node runs
 // the due timer first. The caller gets that answer, and the backend server is asked once.
 test('an answer that waits to be read as its limit passes is taken', async () => {
-  const { timers, adapter, seen } = makeRunner();
-  timers.due.forEach((fire) => fire());
-  setImmediate(() => adapter.give({ status: 200, headers: [], isStream: false, body: bytes() }));
-  await turns(20);
-  const types = seen.map(({ type }) => type);
+  const { timers, adapter, events } = makeRunner();
+  timers.listeners.forEach((fire) => fire());
+  setImmediate(() =>
+    adapter.respond({ status: 200, headers: [], isStream: false, body: makeBody() }),
+  );
+  await runEventLoopTurns(20);
+  const types = events.map(({ type }) => type);
   assert.ok(types.includes('attemptFinished'), types.join());
   assert.equal(types.includes('attemptFailed'), false);
 });
 
 test('an attempt of which nothing is there as its limit passes is silent', async () => {
-  const { timers, seen } = makeRunner();
-  timers.due.forEach((fire) => fire());
-  await turns(20);
+  const { timers, events } = makeRunner();
+  timers.listeners.forEach((fire) => fire());
+  await runEventLoopTurns(20);
   assert.deepEqual(
-    seen.map((occurrence) => occurrence.type === 'attemptFailed' && occurrence.failure),
+    events.map((event) => event.type === 'attemptFailed' && event.failure),
     ['silent'],
   );
 });
--- a/apps/entry/src/AttemptRunner.ts
+++ b/apps/entry/src/AttemptRunner.ts
@@ -16,49 +16,52 @@
 import { relayBody } from './relayBody.js';
 
 export type StartAttemptEffect = Extract<EntryEffect, { type: 'startAttempt' }>;
-type MoveCache = Extract<EntryEffect, { type: 'moveCache' }>;
+type MoveCacheEffect = Extract<EntryEffect, { type: 'moveCache' }>;
 
 /** Edges of a long stream are reported no more often than this. */
-const PROGRESS_MILLISECONDS = 100;
+const MIN_PROGRESS_INTERVAL_MILLISECONDS = 100;
 
 /** Time for a cancellation to reach an engine. */
-const CANCEL_MILLISECONDS = 2000;
+const CANCEL_TIMEOUT_MILLISECONDS = 2000;
 
 /** A move of a relayed stream that takes longer has paused it for too long. */
-const RELAY_MOVE_MILLISECONDS = 2000;
+const RELAY_CACHE_MOVE_TIMEOUT_MILLISECONDS = 2000;
 
 /** Time for a KV cache to be exported and imported. */
-const MOVE_MILLISECONDS = 30_000;
+const CACHE_MOVE_TIMEOUT_MILLISECONDS = 30_000;
 
 interface RunningAttempt {
-  readonly start: StartAttemptEffect;
-  readonly controller: AbortController;
-  cancelled: boolean;
-  silent: boolean;
+  readonly effect: StartAttemptEffect;
+  readonly abortController: AbortController;
+  isCancelled: boolean;
+  hasTimedOut: boolean;
   /** True while its KV cache is being moved: its stream then ends without its end. */
-  isMoving: boolean;
+  isMovingCache: boolean;
   /** What it failed with while its KV cache was being moved. */
-  endedBy?: unknown;
-  stopWatch: Unsubscribe;
+  errorDuringMove?: unknown;
+  stopTimeout: Unsubscribe;
 }
 
 export interface AttemptRunnerOptions {
   readonly timers: TimerService;
   readonly adapters: AdapterDirectory;
   findExchange(requestId: string): CallerExchange | undefined;
-  dispatch(occurrence: EntryEventPayload): void;
+  dispatch(payload: EntryEventPayload): void;
 }
 
 /** Turns of the event loop in which bytes that are there reach the attempt: head, then body. */
-const INPUT_TURNS = 6;
+const PENDING_INPUT_LOOP_TURNS = 6;
 
 /** Calls `then` once the input that is waiting now has been read. */
-function afterInput(then: () => void, turns = INPUT_TURNS): void {
-  if (turns === 0) then();
-  else setImmediate(() => afterInput(then, turns - 1));
+function runAfterPendingInput(
+  callback: () => void,
+  remainingTurns = PENDING_INPUT_LOOP_TURNS,
+): void {
+  if (remainingTurns === 0) callback();
+  else setImmediate(() => runAfterPendingInput(callback, remainingTurns - 1));
 }
 
-function tokensOf(
+function countAnswerTokens(
   answer: CallerAnswer | undefined,
   { tokensPerEvent = 1 }: StartAttemptEffect['target'],
 ): number {
@@ -66,65 +69,67 @@
   return answer instanceof RelayAnswer ? answer.eventsSent * tokensPerEvent : 0;
 }
 
-function isPastRetry(answer: CallerAnswer | undefined): boolean {
+function hasUnresumableStart(answer: CallerAnswer | undefined): boolean {
   if (answer instanceof RelayAnswer) return answer.started && answer.lastEventId === undefined;
   return answer instanceof PlainAnswer && answer.started;
 }
 
 export class AttemptRunner {
-  private readonly running = new Map<string, RunningAttempt>();
+  private readonly attempts = new Map<string, RunningAttempt>();
 
   /** Names of moved KV caches, by the attempt that goes on from each. */
-  private readonly movedCaches = new Map<string, string>();
+  private readonly movedCacheHandles = new Map<string, string>();
 
   constructor(private readonly options: AttemptRunnerOptions) {}
 
   get runningCount(): number {
-    return this.running.size;
+    return this.attempts.size;
   }
 
-  start(start: StartAttemptEffect): void {
+  start(effect: StartAttemptEffect): void {
     const attempt: RunningAttempt = {
-      start,
-      controller: new AbortController(),
-      cancelled: false,
-      silent: false,
-      isMoving: false,
-      stopWatch: () => {},
+      effect,
+      abortController: new AbortController(),
+      isCancelled: false,
+      hasTimedOut: false,
+      isMovingCache: false,
+      stopTimeout: () => {},
     };
-    this.running.set(start.attemptId, attempt);
+    this.attempts.set(effect.attemptId, attempt);
     this.run(attempt).then(
-      () => this.end(attempt),
+      () => this.removeAttempt(attempt),
       (error: unknown) => {
-        this.end(attempt);
-        if (attempt.isMoving) attempt.endedBy = error;
-        else if (!attempt.cancelled) this.reportFailure(attempt, error);
+        this.removeAttempt(attempt);
+        if (attempt.isMovingCache) attempt.errorDuringMove = error;
+        else if (!attempt.isCancelled) this.reportFailure(attempt, error);
       },
     );
   }
 
   /** Gives an attempt up at once and tells its engine. */
   cancel(attemptId: string): void {
-    const attempt = this.running.get(attemptId);
-    if (attempt === undefined || attempt.cancelled) return;
-    attempt.cancelled = true;
-    attempt.stopWatch();
-    attempt.controller.abort();
-    const found = this.options.adapters.getOrCreate(attempt.start.target);
+    const attempt = this.attempts.get(attemptId);
+    if (attempt === undefined || attempt.isCancelled) return;
+    attempt.isCancelled = true;
+    attempt.stopTimeout();
+    attempt.abortController.abort();
+    const found = this.options.adapters.getOrCreate(attempt.effect.target);
     // Closing the connection, as the abort does, is all that other backend servers understand.
     if (found.kind !== 'modelEngine') return;
-    found.adapter.cancel(attemptId, AbortSignal.timeout(CANCEL_MILLISECONDS)).catch(() => {});
+    found.adapter
+      .cancel(attemptId, AbortSignal.timeout(CANCEL_TIMEOUT_MILLISECONDS))
+      .catch(() => {});
   }
 
   /** Moves the KV cache of an attempt from one engine to another. */
-  async moveCache(move: MoveCache): Promise<void> {
+  async moveCache(move: MoveCacheEffect): Promise<void> {
     const { adapters, dispatch } = this.options;
     const { requestId, attemptId, nextAttemptId, from, to } = move;
     if (adapters.getOrCreate(from).kind === 'relay') {
-      await this.moveRelayed(move);
+      await this.moveRelayCache(move);
       return;
     }
-    const signal = AbortSignal.timeout(MOVE_MILLISECONDS);
+    const signal = AbortSignal.timeout(CACHE_MOVE_TIMEOUT_MILLISECONDS);
     try {
       const cache = await adapters.getEngineAdapter(from).exportCache(attemptId, signal);
       await adapters
@@ -140,35 +145,35 @@
    * Moves the cache of an opaque call. Its stream is cut by the move, which is no failure as long
    * as the call can go on at its new place.
    */
-  private async moveRelayed({ requestId, attemptId, nextAttemptId, from, to }: MoveCache) {
+  private async moveRelayCache({ requestId, attemptId, nextAttemptId, from, to }: MoveCacheEffect) {
     const { adapters, dispatch, findExchange } = this.options;
-    const attempt = this.running.get(attemptId);
+    const attempt = this.attempts.get(attemptId);
     const headers = findExchange(requestId)?.forwardedHeaders;
     if (attempt === undefined || headers === undefined) {
       dispatch({ type: 'cacheMoved', requestId, attemptId, moved: false });
       return;
     }
-    attempt.isMoving = true;
+    attempt.isMovingCache = true;
     try {
-      const signal = AbortSignal.timeout(RELAY_MOVE_MILLISECONDS);
-      const handle = await adapters.getRelayAdapter(from).moveCache({ headers, to, signal });
+      const signal = AbortSignal.timeout(RELAY_CACHE_MOVE_TIMEOUT_MILLISECONDS);
+      const cacheHandle = await adapters.getRelayAdapter(from).moveCache({ headers, to, signal });
       // The dispatch starts the next attempt, which reads this, before it returns.
-      this.movedCaches.set(nextAttemptId, handle);
+      this.movedCacheHandles.set(nextAttemptId, cacheHandle);
       dispatch({ type: 'cacheMoved', requestId, attemptId, moved: true });
     } catch {
       // Counted by the reducer; if the stream has been cut by it, that is told as its failure.
       dispatch({ type: 'cacheMoved', requestId, attemptId, moved: false });
     }
-    attempt.isMoving = false;
-    this.movedCaches.delete(nextAttemptId);
-    if (attempt.endedBy !== undefined && !attempt.cancelled) {
-      this.reportFailure(attempt, attempt.endedBy);
+    attempt.isMovingCache = false;
+    this.movedCacheHandles.delete(nextAttemptId);
+    if (attempt.errorDuringMove !== undefined && !attempt.isCancelled) {
+      this.reportFailure(attempt, attempt.errorDuringMove);
     }
   }
 
-  private end(attempt: RunningAttempt): void {
-    attempt.stopWatch();
-    this.running.delete(attempt.start.attemptId);
+  private removeAttempt(attempt: RunningAttempt): void {
+    attempt.stopTimeout();
+    this.attempts.delete(attempt.effect.attemptId);
   }
 
   /**
@@ -176,30 +181,30 @@
    * process comes to its due timers before the input that is waiting: an answer that came in time
    * would be thrown away and computed again. So the input is read first.
    */
-  private watch(attempt: RunningAttempt, limit: Milliseconds): void {
-    attempt.stopWatch();
+  private startTimeout(attempt: RunningAttempt, timeout: Milliseconds): void {
+    attempt.stopTimeout();
     let isStopped = false;
-    const cancel = this.options.timers.after(limit, () => {
-      afterInput(() => {
+    const cancel = this.options.timers.after(timeout, () => {
+      runAfterPendingInput(() => {
         if (isStopped) return;
-        attempt.silent = true;
-        attempt.controller.abort();
+        attempt.hasTimedOut = true;
+        attempt.abortController.abort();
       });
     });
-    attempt.stopWatch = () => {
+    attempt.stopTimeout = () => {
       isStopped = true;
       cancel();
     };
   }
 
   private async run(attempt: RunningAttempt): Promise<void> {
-    const { start } = attempt;
-    const exchange = this.options.findExchange(start.requestId);
+    const { effect } = attempt;
+    const exchange = this.options.findExchange(effect.requestId);
     if (exchange === undefined) return;
-    this.watch(attempt, start.firstByteTimeout);
+    this.startTimeout(attempt, effect.firstByteTimeout);
     exchange.answer.onBackpressureChange = (held) => {
-      const { attemptId } = start;
-      if (!attempt.cancelled) this.options.dispatch({ type: 'attemptHeld', attemptId, held });
+      const { attemptId } = effect;
+      if (!attempt.isCancelled) this.options.dispatch({ type: 'attemptHeld', attemptId, held });
     };
     if (exchange.answer instanceof CompletionAnswer) {
       await this.runCompletion(attempt, exchange, exchange.answer);
@@ -215,21 +220,21 @@
     exchange: CallerExchange,
     answer: CompletionAnswer,
   ): Promise<void> {
-    const { attemptId, target, priority, streamIdleTimeout: silenceTimeout } = attempt.start;
+    const { attemptId, target, priority, streamIdleTimeout } = attempt.effect;
     const { dispatch, timers, adapters } = this.options;
     const { generatedText, generatedTokens } = answer;
     const stream = await adapters.getEngineAdapter(target).startCompletion({
       attemptId,
       body: exchange.completion ?? { messages: [] },
       priority,
-      signal: attempt.controller.signal,
+      signal: attempt.abortController.signal,
       ...(generatedTokens > 0 ? { resume: { generatedText, generatedTokens } } : {}),
     });
     let reportedAt = 0;
     for await (const chunk of stream) {
-      if (attempt.cancelled) return;
+      if (attempt.isCancelled) return;
       // A caller that reads slowly must not make its engine look silent.
-      attempt.stopWatch();
+      attempt.stopTimeout();
       if (chunk.type === 'end') {
         answer.recordEnd(chunk.finishReason, chunk.usage);
         dispatch({ type: 'attemptFinished', attemptId, tokens: answer.generatedTokens });
@@ -238,11 +243,11 @@
       if (reportedAt === 0) dispatch({ type: 'firstTokenReceived', attemptId });
       await answer.writeToken(chunk.text, chunk.tokens);
       const now = timers.monotonicNow();
-      if (now - reportedAt > PROGRESS_MILLISECONDS) {
+      if (now - reportedAt > MIN_PROGRESS_INTERVAL_MILLISECONDS) {
         reportedAt = now;
         dispatch({ type: 'attemptProgressed', attemptId, tokens: answer.generatedTokens });
       }
-      if (!attempt.cancelled) this.watch(attempt, silenceTimeout);
+      if (!attempt.isCancelled) this.startTimeout(attempt, streamIdleTimeout);
     }
   }
 
@@ -251,25 +256,25 @@
     exchange: CallerExchange,
     answer: PlainAnswer,
   ): Promise<void> {
-    const { attemptId, target, sendOnce, streamIdleTimeout: silenceTimeout } = attempt.start;
+    const { attemptId, target, sendOnce, streamIdleTimeout } = attempt.effect;
     const { dispatch, adapters } = this.options;
     const { method, path } = exchange.request;
-    const received = await adapters.getPlainServiceAdapter(target).send({
+    const response = await adapters.getPlainServiceAdapter(target).send({
       method,
       path,
-      headers: this.forwardedHeaders(exchange),
+      headers: this.buildForwardedHeaders(exchange),
       body: exchange.body,
       fresh: sendOnce,
-      signal: attempt.controller.signal,
+      signal: attempt.abortController.signal,
     });
-    if (attempt.cancelled) return;
-    answer.receiveHead(received.status, received.headers);
+    if (attempt.isCancelled) return;
+    answer.receiveHead(response.status, response.headers);
     dispatch({ type: 'firstTokenReceived', attemptId });
-    for await (const bytes of received.body) {
-      if (attempt.cancelled) return;
-      attempt.stopWatch();
+    for await (const bytes of response.body) {
+      if (attempt.isCancelled) return;
+      attempt.stopTimeout();
       await answer.writeBytes(bytes);
-      if (!attempt.cancelled) this.watch(attempt, silenceTimeout);
+      if (!attempt.isCancelled) this.startTimeout(attempt, streamIdleTimeout);
     }
     const { storedAnswer } = answer;
     dispatch({
@@ -285,17 +290,10 @@
     exchange: CallerExchange,
     answer: RelayAnswer,
   ): Promise<void> {
-    const {
-      attemptId,
-      target,
-      workspace,
-      timeLeft,
-      priority,
-      streamIdleTimeout: silenceTimeout,
-    } = attempt.start;
+    const { attemptId, target, workspace, timeLeft, priority, streamIdleTimeout } = attempt.effect;
     const { dispatch, adapters, timers } = this.options;
     const { method, path } = exchange.request;
-    const continueFrom = this.movedCaches.get(attemptId);
+    const continueFrom = this.movedCacheHandles.get(attemptId);
     const response = await adapters.getRelayAdapter(target).send({
       method,
       path,
@@ -306,70 +304,76 @@
       urgency: priority,
       ...(continueFrom === undefined ? {} : { continueFrom }),
       ...(answer.lastEventId === undefined ? {} : { resumeAfter: answer.lastEventId }),
-      signal: attempt.controller.signal,
+      signal: attempt.abortController.signal,
     });
-    if (attempt.cancelled) return;
-    this.noteLoad(target.instance, response);
+    if (attempt.isCancelled) return;
+    this.reportLoad(target.instance, response);
     let reportedAt = 0;
     await relayBody(response, answer, {
-      isCancelled: () => attempt.cancelled,
+      isCancelled: () => attempt.isCancelled,
       onBytesReceived: () => {
-        attempt.stopWatch();
+        attempt.stopTimeout();
         const now = timers.monotonicNow();
         answer.recordBytesReceived(now);
         if (reportedAt === 0) dispatch({ type: 'firstTokenReceived', attemptId });
-        if (now - reportedAt <= PROGRESS_MILLISECONDS) return;
+        if (now - reportedAt <= MIN_PROGRESS_INTERVAL_MILLISECONDS) return;
         reportedAt = now;
-        dispatch({ type: 'attemptProgressed', attemptId, tokens: tokensOf(answer, target) });
+        dispatch({
+          type: 'attemptProgressed',
+          attemptId,
+          tokens: countAnswerTokens(answer, target),
+        });
       },
       onBytesWritten: () => {
-        if (!attempt.cancelled) this.watch(attempt, silenceTimeout);
+        if (!attempt.isCancelled) this.startTimeout(attempt, streamIdleTimeout);
       },
     });
-    if (attempt.cancelled) return;
+    if (attempt.isCancelled) return;
     if (reportedAt === 0) dispatch({ type: 'firstTokenReceived', attemptId });
     const { longestPause } = answer;
-    const tokens = tokensOf(answer, target);
+    const tokens = countAnswerTokens(answer, target);
     dispatch({ type: 'attemptFinished', attemptId, tokens, longestPause });
   }
 
   /** An answer tells of the load at the moment it was begun, which is fresher than any poll. */
-  private noteLoad(instance: string, { load }: RelayResponse): void {
+  private reportLoad(instance: string, { load }: RelayResponse): void {
     if (load === undefined) return;
     const measuredAt = this.options.timers.wallNow();
     this.options.dispatch({ type: 'loadReported', report: { instance, measuredAt, ...load } });
   }
 
   /** The caller's headers, without its key: a backend server has no business with it. */
-  private forwardedHeaders({
+  private buildForwardedHeaders({
     headers,
     request,
   }: CallerExchange): Record<string, string | string[]> {
     const { authorization, host, ...rest } = headers;
-    const kept = Object.entries(rest).filter(
+    const definedHeaders = Object.entries(rest).filter(
       (entry): entry is [string, string | string[]] => entry[1] !== undefined,
     );
     return {
-      ...Object.fromEntries(kept),
+      ...Object.fromEntries(definedHeaders),
       'x-request-id': request.requestId,
       'x-workspace': request.workspace,
     };
   }
 
   private reportFailure(attempt: RunningAttempt, error: unknown): void {
-    const { attemptId, requestId } = attempt.start;
+    const { attemptId, requestId } = attempt.effect;
     const answer = this.options.findExchange(requestId)?.answer;
-    const failed = error instanceof BackendServerFailure ? error : undefined;
-    const failure: AttemptFailure = attempt.silent ? 'silent' : (failed?.failure ?? 'malformed');
+    const serverFailure = error instanceof BackendServerFailure ? error : undefined;
+    const failure: AttemptFailure = attempt.hasTimedOut
+      ? 'silent'
+      : (serverFailure?.failure ?? 'malformed');
     this.options.dispatch({
       type: 'attemptFailed',
       attemptId,
       failure,
-      sent: failed?.sent ?? 'maybe',
-      tokens: tokensOf(answer, attempt.start.target),
+      sent: serverFailure?.sent ?? 'maybe',
+      tokens: countAnswerTokens(answer, attempt.effect.target),
       // A completion and a stream of events can be resumed; what else has begun cannot.
-      answerStarted: isPastRetry(answer),
-      ...(failed?.retryAfter === undefined ? {} : { retryAfter: failed.retryAfter }),
+      answerStarted: hasUnresumableStart(answer),
+      ...(serverFailure?.retryAfter === undefined ? {} : { retryAfter: serverFailure.retryAfter }),
     });
   }
 }
--- a/apps/entry/src/BackendServerWatcher.test.ts
+++ b/apps/entry/src/BackendServerWatcher.test.ts
@@ -17,13 +17,13 @@
   port: 1,
 };
 
-class CountedPlatform extends PlatformAdapter {
-  readings = 0;
+class CountingPlatform extends PlatformAdapter {
+  readCount = 0;
 
   isDown = false;
 
   override async listInstances(): Promise<readonly PlatformInstance[]> {
-    this.readings += 1;
+    this.readCount += 1;
     if (this.isDown) throw new Error('the platform does not answer');
     return [instance];
   }
@@ -46,12 +46,12 @@
 }
 
 /** Entries that are told the list, all by each other's word. */
-class Entries {
+class SimulatedEntries {
   readonly timers = new ManualTimerService();
 
-  readonly platform = new CountedPlatform();
+  readonly platform = new CountingPlatform();
 
-  listed = 0;
+  listedCount = 0;
 
   private readonly watchers: BackendServerWatcher[];
 
@@ -68,9 +68,9 @@
         pollMilliseconds: 1000,
         readConfiguration: () => emptyConfiguration,
         dispatch: ({ type }) => {
-          if (type === 'instancesListed') this.listed += 1;
+          if (type === 'instancesListed') this.listedCount += 1;
         },
-        shareInstances: (instances) => this.tell(instances),
+        shareInstances: (instances) => this.sendList(instances),
         countEntries: () => count,
       });
       return watcher;
@@ -81,13 +81,13 @@
     await Promise.all(this.watchers.map(async (watcher) => watcher.start()));
   }
 
-  tell(instances: readonly PlatformInstance[], age = 0): void {
+  sendList(instances: readonly PlatformInstance[], age = 0): void {
     this.watchers.forEach((watcher) => watcher.receiveInstances(instances, age));
   }
 
   /** Lets time pass in steps, each of which gives readings time to come back. */
-  async advance(span: number): Promise<void> {
-    for (let passed = 0; passed < span; passed += 50) {
+  async advance(duration: number): Promise<void> {
+    for (let elapsed = 0; elapsed < duration; elapsed += 50) {
       this.timers.advance(50);
       await new Promise((resolve) => {
         setImmediate(resolve);
@@ -99,47 +99,47 @@
 // The lease holder reads the list each second and all entries are told. Fifty entries that each read it
 // as well would spend more calls than the platform takes from the whole cluster.
 test('entries that are told the list do not read it', async () => {
-  const entries = new Entries(50);
+  const entries = new SimulatedEntries(50);
   await entries.start();
-  entries.tell([instance]);
+  entries.sendList([instance]);
   for (let second = 0; second < 10; second += 1) {
     await entries.advance(1000);
-    entries.tell([instance]);
+    entries.sendList([instance]);
   }
-  assert.equal(entries.platform.readings, 0);
+  assert.equal(entries.platform.readCount, 0);
 });
 
 // The lease holder is lost, or the data centre is cut off from it. Callers must not be sent to instances
 // that have left meanwhile, so one of the entries reads the list, soon, and tells the others.
 test('one of the entries reads the list when nobody tells it any more', async () => {
-  const entries = new Entries(8);
+  const entries = new SimulatedEntries(8);
   await entries.start();
-  entries.tell([instance]);
-  const before = entries.listed;
+  entries.sendList([instance]);
+  const countBefore = entries.listedCount;
   await entries.advance(2000);
-  assert.ok(entries.listed > before);
+  assert.ok(entries.listedCount > countBefore);
   await entries.advance(8000);
-  const { readings } = entries.platform;
-  assert.ok(readings >= 5 && readings <= 12, String(readings));
+  const { readCount } = entries.platform;
+  assert.ok(readCount >= 5 && readCount <= 12, String(readCount));
 });
 
 // All entries start together, and their platform does not answer. Each goes on asking once a second.
 test('entries that start read the list for themselves until one has', async () => {
-  const entries = new Entries(8);
+  const entries = new SimulatedEntries(8);
   entries.platform.isDown = true;
   await entries.start();
   await entries.advance(3000);
-  const { readings } = entries.platform;
-  assert.ok(readings >= 16 && readings <= 32, String(readings));
+  const { readCount } = entries.platform;
+  assert.ok(readCount >= 16 && readCount <= 32, String(readCount));
   entries.platform.isDown = false;
   await entries.advance(2000);
-  assert.ok(entries.listed >= 8);
+  assert.ok(entries.listedCount >= 8);
 });
 
 test('a list that a store has kept for long is read anew', async () => {
-  const entries = new Entries(1);
+  const entries = new SimulatedEntries(1);
   await entries.start();
-  entries.tell([instance], 60_000);
+  entries.sendList([instance], 60_000);
   await entries.advance(200);
-  assert.equal(entries.platform.readings, 1);
+  assert.equal(entries.platform.readCount, 1);
 });
--- a/apps/entry/src/CacheEventReader.test.ts
+++ b/apps/entry/src/CacheEventReader.test.ts
@@ -4,7 +4,7 @@
 import { FakeEngine } from '@hornbeampond/testing';
 import { CacheEventReader } from './CacheEventReader.js';
 
-const content = Array.from({ length: 64 }, (_, number) => `word${number}`).join(' ');
+const longPrompt = Array.from({ length: 64 }, (_, number) => `word${number}`).join(' ');
 
 async function complete(adapter: HttpEngineAdapter, attemptId: string, text: string) {
   const signal = AbortSignal.timeout(5000);
@@ -21,7 +21,7 @@
   context.after(async () => Promise.all([adapter.close(), engine.close()]));
   const reader = new CacheEventReader();
   const read = async () => reader.read('engine-1', adapter, AbortSignal.timeout(5000));
-  await complete(adapter, 'one', content);
+  await complete(adapter, 'one', longPrompt);
   const first = await read();
   assert.ok(first.length > 0);
   assert.ok(first.every((event) => event.instance === 'engine-1' && event.change === 'stored'));
--- a/apps/entry/src/CacheEventReader.ts
+++ b/apps/entry/src/CacheEventReader.ts
@@ -7,7 +7,7 @@
 
 export class CacheEventReader {
   /** By instance, the newest sequence that was given out. */
-  private readonly newest = new Map<string, number>();
+  private readonly lastSequences = new Map<string, number>();
 
   /** The events since the last reading, named after the instance as the platform knows it. */
   async read(
@@ -15,22 +15,22 @@
     engine: EngineAdapter,
     signal: AbortSignal,
   ): Promise<readonly CacheEvent[]> {
-    const after = this.newest.get(instance) ?? 0;
-    const batch = await engine.readCacheEvents(after, signal);
-    this.newest.set(instance, batch.newestSequence);
+    const lastSequence = this.lastSequences.get(instance) ?? 0;
+    const batch = await engine.readCacheEvents(lastSequence, signal);
+    this.lastSequences.set(instance, batch.newestSequence);
     const events = batch.events.map((event) => ({ ...event, instance }));
-    if (batch.newestSequence >= after) return events;
+    if (batch.newestSequence >= lastSequence) return events;
     // Sequences begin anew with an engine's process, whose cache is then empty.
-    this.newest.set(instance, 0);
+    this.lastSequences.set(instance, 0);
     const sequence = batch.newestSequence;
     return [{ instance, sequence, change: 'cleared', prefixDigests: [] }];
   }
 
   /** Forgets engines that are no longer listed. */
   retainOnly(instances: readonly string[]): void {
-    const kept = new Set(instances);
-    [...this.newest.keys()].forEach((instance) => {
-      if (!kept.has(instance)) this.newest.delete(instance);
+    const listed = new Set(instances);
+    [...this.lastSequences.keys()].forEach((instance) => {
+      if (!listed.has(instance)) this.lastSequences.delete(instance);
     });
   }
 }
--- a/apps/entry/src/CallerAnswer.test.ts
+++ b/apps/entry/src/CallerAnswer.test.ts
@@ -26,17 +26,17 @@
   return response;
 }
 
-const shape = { model: 'm', streamed: true, created: 1, maxCharacters: 1000 };
-const lost = new HornbeampondError('answerCut', 'The backend server was lost');
+const options = { model: 'm', streamed: true, created: 1, maxCharacters: 1000 };
+const serverLost = new HornbeampondError('answerCut', 'The backend server was lost');
 
 // The engine is lost after two tokens and no other can go on. The caller reads text that ends in the
 // middle; it must be able to tell that from an end, so an error event comes and [DONE] does not.
 test('a stream that is cut ends with an error event and without [DONE]', async (context) => {
   const response = await receive(context, async (written) => {
-    const answer = new CompletionAnswer('request-1', written, shape);
+    const answer = new CompletionAnswer('request-1', written, options);
     await answer.writeToken('near ', 1);
     await answer.writeToken('mint', 1);
-    answer.fail(lost);
+    answer.fail(serverLost);
   });
   const body = await text(response);
   assert.equal(body.includes('[DONE]'), false);
@@ -45,7 +45,7 @@
 
 test('a stream that is whole ends with a finish reason and [DONE]', async (context) => {
   const response = await receive(context, async (written) => {
-    const answer = new CompletionAnswer('request-1', written, shape);
+    const answer = new CompletionAnswer('request-1', written, options);
     await answer.writeToken('mint', 1);
     answer.recordEnd('stop', undefined);
     answer.finish();
@@ -56,7 +56,7 @@
 
 test('before the first byte a failure is a problem document', async (context) => {
   const response = await receive(context, async (written) => {
-    new CompletionAnswer('request-1', written, shape).fail(lost);
+    new CompletionAnswer('request-1', written, options).fail(serverLost);
   });
   const { statusCode, headers } = response;
   assert.equal(statusCode, 502);
@@ -68,14 +68,14 @@
 // A plain service dies in the middle of a body without a length. Were the connection ended as usual,
 // half a ticket would look like a whole one; it is destroyed instead, and the read fails.
 test('a plain answer that is cut never looks whole', async (context) => {
-  let cut = () => {};
+  let fail = () => {};
   const response = await receive(context, async (written) => {
     const answer = new PlainAnswer('request-1', written, { isBuffered: false, maxBytes: 100 });
-    cut = () => answer.fail(lost);
+    fail = () => answer.fail(serverLost);
     answer.receiveHead(200, { 'content-type': 'text/plain' });
     await answer.writeBytes(Buffer.from('half a tick'));
   });
-  cut();
+  fail();
   await assert.rejects(text(response), /aborted/);
 });
 
--- a/apps/entry/src/CallerAnswer.ts
+++ b/apps/entry/src/CallerAnswer.ts
@@ -54,8 +54,8 @@
   /** Writes bytes and waits while the caller is slower than the backend server. */
   protected async write(bytes: string | Uint8Array): Promise<void> {
     if (this.isClosed || this.response.write(bytes)) return;
-    const controller = new AbortController();
-    const { signal } = controller;
+    const abortController = new AbortController();
+    const { signal } = abortController;
     this.onBackpressureChange(true);
     try {
       await Promise.race([
@@ -63,7 +63,7 @@
         once(this.response, 'close', { signal }),
       ]);
     } finally {
-      controller.abort();
+      abortController.abort();
       this.onBackpressureChange(false);
     }
   }
--- a/apps/entry/src/CallerListener.ts
+++ b/apps/entry/src/CallerListener.ts
@@ -15,5 +15,5 @@
   stopListening(): void;
 
   /** Waits until the last answers are written, and no longer than `patience`. */
-  close(patience: Milliseconds): Promise<void>;
+  close(timeout: Milliseconds): Promise<void>;
 }
--- a/apps/entry/src/CallerServer.ts
+++ b/apps/entry/src/CallerServer.ts
@@ -58,13 +58,13 @@
 export const COMPLETIONS_PATH = '/v1/chat/completions';
 
 /** Used where a completion does not say how many tokens it wants. */
-const DEFAULT_MOST_TOKENS = 1024;
+const DEFAULT_MAX_TOKENS = 1024;
 
 /** Longest `Idempotency-Key` in characters. */
-const MOST_KEY_CHARACTERS = 256;
+const MAX_IDEMPOTENCY_KEY_CHARACTERS = 256;
 
 /** An answer for a request that Node could not read, so that there is no response to write to. */
-function formatRawProblem(error: HornbeampondError): string {
+function formatRawProblemResponse(error: HornbeampondError): string {
   const problem = toProblemDocument(error);
   const body = JSON.stringify(problem);
   const lines = [
@@ -79,7 +79,7 @@
 export class CallerServer implements CallerListener {
   private readonly server: Server;
 
-  private readonly life: HttpServerLifecycle;
+  private readonly lifecycle: HttpServerLifecycle;
 
   private readonly workspaceByKeyDigest: ReadonlyMap<string, string>;
 
@@ -90,33 +90,35 @@
     );
     const { headerBytes } = settings.limits;
     this.server = createServer({ maxHeaderSize: headerBytes }, (request, response) => {
-      this.take(request, response).catch((error: unknown) => this.refuse(response, error));
+      this.handleRequest(request, response).catch((error: unknown) =>
+        this.refuseRequest(response, error),
+      );
     });
-    this.life = new HttpServerLifecycle(this.server, options.timers);
+    this.lifecycle = new HttpServerLifecycle(this.server, options.timers);
     this.server.on('clientError', (error: NodeJS.ErrnoException, socket) => {
       const tooLarge = error.code === 'HPE_HEADER_OVERFLOW';
       const kind = tooLarge ? 'headersTooLarge' : 'badRequest';
       const problem = new HornbeampondError(kind, 'The request could not be read');
       options.onRefused(problem);
-      if (socket.writable) socket.end(formatRawProblem(problem));
+      if (socket.writable) socket.end(formatRawProblemResponse(problem));
     });
   }
 
   async listen(): Promise<number> {
-    return this.life.listen(this.options.settings.listen);
+    return this.lifecycle.listen(this.options.settings.listen);
   }
 
   /** Takes no new connections; those in use go on until their answers are given. */
   stopListening(): void {
-    this.life.stopListening();
+    this.lifecycle.stopListening();
   }
 
   /** Waits until the last answers are written, and no longer than `patience`. */
-  async close(patience: Milliseconds): Promise<void> {
-    await this.life.close(patience);
+  async close(timeout: Milliseconds): Promise<void> {
+    await this.lifecycle.close(timeout);
   }
 
-  private refuse(response: ServerResponse, error: unknown): void {
+  private refuseRequest(response: ServerResponse, error: unknown): void {
     this.options.onRefused(error);
     if (response.headersSent) {
       response.destroy();
@@ -127,7 +129,7 @@
     writeProblem(response, error);
   }
 
-  private async take(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  private async handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const { settings } = this.options;
     const workspace = this.authenticate(request);
     const body = await readBody(request, settings.limits.bodyBytes);
@@ -163,7 +165,7 @@
     const requestId = this.options.makeRequestId();
     const idempotencyKey = this.readIdempotencyKey(message);
     const digest = createHash('sha256').update(`${method}\n${path}\n`).update(body).digest('hex');
-    const shared = {
+    const commonFields = {
       requestId,
       workspace,
       method,
@@ -174,9 +176,9 @@
     const { answerBytes } = this.options.settings.limits;
     const { headers } = message;
     if (url.pathname !== COMPLETIONS_PATH) {
-      const request = { ...shared, prefixDigests: [], promptTokens: 0, maxTokens: 0 };
-      const shape = { isBuffered: idempotencyKey !== undefined, maxBytes: answerBytes };
-      const answer = new PlainAnswer(requestId, response, shape);
+      const request = { ...commonFields, prefixDigests: [], promptTokens: 0, maxTokens: 0 };
+      const options = { isBuffered: idempotencyKey !== undefined, maxBytes: answerBytes };
+      const answer = new PlainAnswer(requestId, response, options);
       return { request, headers, body, completion: undefined, answer };
     }
     if (method !== 'POST') {
@@ -184,11 +186,11 @@
     }
     const completion = parseCompletion(body);
     const request = {
-      ...shared,
+      ...commonFields,
       ...(completion.model === undefined ? {} : { model: completion.model }),
       prefixDigests: digestPrefixes(completion.messages),
       promptTokens: splitPrompt(completion.messages).length,
-      maxTokens: completion.max_tokens ?? DEFAULT_MOST_TOKENS,
+      maxTokens: completion.max_tokens ?? DEFAULT_MAX_TOKENS,
     };
     const answer = new CompletionAnswer(requestId, response, {
       model: completion.model ?? '',
@@ -202,8 +204,8 @@
   private readIdempotencyKey(message: IncomingMessage): string | undefined {
     const key = message.headers['idempotency-key'];
     if (key === undefined) return undefined;
-    if (typeof key !== 'string' || key === '' || key.length > MOST_KEY_CHARACTERS) {
-      const detail = `Idempotency-Key must have 1 to ${MOST_KEY_CHARACTERS} characters`;
+    if (typeof key !== 'string' || key === '' || key.length > MAX_IDEMPOTENCY_KEY_CHARACTERS) {
+      const detail = `Idempotency-Key must have 1 to ${MAX_IDEMPOTENCY_KEY_CHARACTERS} characters`;
       throw new HornbeampondError('badRequest', detail);
     }
     return key;
--- a/apps/entry/src/CompletionAnswer.ts
+++ b/apps/entry/src/CompletionAnswer.ts
@@ -19,7 +19,7 @@
 export class CompletionAnswer extends CallerAnswer {
   private text = '';
 
-  private tokens = 0;
+  private tokenCount = 0;
 
   private finishReason = 'stop';
 
@@ -28,7 +28,7 @@
   constructor(
     requestId: string,
     response: ServerResponse,
-    private readonly shape: CompletionAnswerOptions,
+    private readonly options: CompletionAnswerOptions,
   ) {
     super(requestId, response);
   }
@@ -38,23 +38,23 @@
   }
 
   get generatedTokens(): number {
-    return this.tokens;
+    return this.tokenCount;
   }
 
   /** Of an answer that is asked for whole the caller has nothing before its end. */
   override get tokensGiven(): number | undefined {
-    return this.shape.streamed && this.tokens > 0 ? this.tokens : undefined;
+    return this.options.streamed && this.tokenCount > 0 ? this.tokenCount : undefined;
   }
 
-  async writeToken(text: string, tokens: number): Promise<void> {
-    if (this.text.length + text.length > this.shape.maxCharacters) {
+  async writeToken(text: string, tokenCount: number): Promise<void> {
+    if (this.text.length + text.length > this.options.maxCharacters) {
       throw new HornbeampondError('answerCut', 'The answer is above the bound on its size');
     }
     this.text += text;
-    this.tokens += tokens;
-    if (!this.shape.streamed) return;
-    this.begin();
-    await this.write(this.event({ content: text }, null));
+    this.tokenCount += tokenCount;
+    if (!this.options.streamed) return;
+    this.startStream();
+    await this.write(this.formatChunk({ content: text }, null));
   }
 
   /** Notes how the engine ended; `finish` then ends the caller's answer. */
@@ -65,39 +65,42 @@
 
   override finish(): void {
     if (this.isClosed) return;
-    if (!this.shape.streamed) {
-      this.finishWhole();
+    if (!this.options.streamed) {
+      this.sendWholeAnswer();
       return;
     }
-    this.begin();
-    this.response.end(`${this.event({}, this.finishReason)}data: [DONE]\n\n`);
+    this.startStream();
+    this.response.end(`${this.formatChunk({}, this.finishReason)}data: [DONE]\n\n`);
   }
 
   protected override abort(error: unknown): void {
     this.response.end(`event: error\ndata: ${this.formatError(error)}\n\n`);
   }
 
-  private begin(): void {
+  private startStream(): void {
     if (this.started) return;
     this.response.writeHead(200, {
       'content-type': 'text/event-stream',
       'cache-control': 'no-store',
       'x-request-id': this.requestId,
     });
-    this.response.write(this.event({ role: 'assistant' }, null));
+    this.response.write(this.formatChunk({ role: 'assistant' }, null));
   }
 
-  private event(delta: Readonly<Record<string, string>>, finishReason: string | null): string {
-    const { model, created } = this.shape;
+  private formatChunk(
+    delta: Readonly<Record<string, string>>,
+    finishReason: string | null,
+  ): string {
+    const { model, created } = this.options;
     const choices = [{ index: 0, delta, finish_reason: finishReason }];
     const chunk = { id: this.requestId, object: 'chat.completion.chunk', created, model, choices };
     return `data: ${JSON.stringify(chunk)}\n\n`;
   }
 
-  private finishWhole(): void {
-    const { model, created } = this.shape;
+  private sendWholeAnswer(): void {
+    const { model, created } = this.options;
     const message = { role: 'assistant', content: this.text };
-    const completionTokens = this.tokens;
+    const completionTokens = this.tokenCount;
     const promptTokens = this.usage?.promptTokens ?? 0;
     const body = JSON.stringify({
       id: this.requestId,
--- a/apps/entry/src/EntryPeers.ts
+++ b/apps/entry/src/EntryPeers.ts
@@ -27,7 +27,7 @@
   onDrains(drains: DrainedInstances): void;
 }
 
-const PEEK_MILLISECONDS = 500;
+const PEEK_TIMEOUT_MILLISECONDS = 500;
 
 export class EntryPeers {
   private readonly server: PeerServer;
@@ -40,14 +40,15 @@
       onPush: ({ peer }, body) => {
         if (peer.role === 'entry') options.onReport(body as PeerReport);
       },
-      onRequest: ({ peer }, body, respond) => respond(this.answer(body as EntryRequest, peer.role)),
+      onRequest: ({ peer }, body, respond) =>
+        respond(this.handleRequest(body as EntryRequest, peer.role)),
     });
     this.clients = settings.entries
       .filter((entry) => entry.instance !== settings.instance)
       .map((entry) => new PeerClient(entry, context));
   }
 
-  private answer(request: EntryRequest, role: PeerIdentity['role']): EntryResponse {
+  private handleRequest(request: EntryRequest, role: PeerIdentity['role']): EntryResponse {
     if (request.type === 'peekConfiguration') {
       return { type: 'configuration', configuration: this.options.readConfiguration() };
     }
@@ -67,18 +68,21 @@
 
   /** The configurations that the reachable entries have in force. */
   async peekConfigurations(): Promise<Configuration[]> {
-    const answers = await Promise.all(
+    const configurations = await Promise.all(
       this.clients.map(async (client) => {
         try {
           const request: EntryRequest = { type: 'peekConfiguration' };
-          const response = (await client.request(request, PEEK_MILLISECONDS)) as EntryResponse;
+          const response = (await client.request(
+            request,
+            PEEK_TIMEOUT_MILLISECONDS,
+          )) as EntryResponse;
           return response.type === 'configuration' ? [response.configuration] : [];
         } catch {
           return [];
         }
       }),
     );
-    return answers.flat();
+    return configurations.flat();
   }
 
   async close(): Promise<void> {
--- a/apps/entry/src/EntryProcess.ts
+++ b/apps/entry/src/EntryProcess.ts
@@ -49,23 +49,23 @@
 import { TableApi } from './TableApi.js';
 
 /** How often the reducer looks at what waits for time to pass. */
-const TICK_MILLISECONDS = 50;
+const TICK_INTERVAL_MILLISECONDS = 50;
 
 /** A claim command is given so long before it counts as unavailable or unsure. */
-const CLAIM_MILLISECONDS = 2000;
+const CLAIM_TIMEOUT_MILLISECONDS = 2000;
 
 /** Commands that nobody waits for are resent for so long. */
-const COMMAND_MILLISECONDS = 60_000;
+const COMMAND_TIMEOUT_MILLISECONDS = 60_000;
 
-const PROBE_MILLISECONDS = 1000;
+const PROBE_TIMEOUT_MILLISECONDS = 1000;
 
 /** The last answers need this long to reach their callers before the platform's limit. */
 const SHUTDOWN_MARGIN_MILLISECONDS = 500;
 
 /** A starting entry that no store tells a configuration within this span asks its peers. */
-const CUT_OFF_MILLISECONDS = 2000;
+const STORE_CONFIGURATION_TIMEOUT_MILLISECONDS = 2000;
 
-type ProposeClaim = Extract<EntryEffect, { type: 'proposeClaim' }>;
+type ProposeClaimEffect = Extract<EntryEffect, { type: 'proposeClaim' }>;
 
 /** Ports that the process listens on, which matter where settings gave port 0. */
 export interface EntryPorts {
@@ -98,15 +98,15 @@
 
   private readonly exchanges = new Map<string, CallerExchange>();
 
-  private readonly loop: EventLoop<EntryState, EntryEvent, EntryEffect>;
+  private readonly eventLoop: EventLoop<EntryState, EntryEvent, EntryEffect>;
 
-  private readonly attempts: AttemptRunner;
+  private readonly attemptRunner: AttemptRunner;
 
-  private readonly store: StoreClient;
+  private readonly storeClient: StoreClient;
 
-  private readonly callers: CallerListener;
+  private readonly callerListener: CallerListener;
 
-  private readonly operators: OperatorServer;
+  private readonly operatorServer: OperatorServer;
 
   private readonly peers: EntryPeers;
 
@@ -118,49 +118,49 @@
 
   private requestCount = 0;
 
-  private ready = false;
+  private isServing = false;
 
-  private cutOff = false;
+  private isPartitionedFromStores = false;
 
   private onShutdownReady: () => void = () => {};
 
   constructor(
     private readonly settings: EntrySettings,
     private readonly timers: TimerService,
-    private readonly boundary: EntryDependencies,
+    private readonly dependencies: EntryDependencies,
   ) {
     const { instance, dataCentre } = settings;
     this.incarnation = timers.wallNow();
     this.logger = new Logger({ process: 'hornbeampond-entry', instance }, settings.logLevel);
     const { queuedRequests } = settings.limits;
-    this.loop = new EventLoop(
+    this.eventLoop = new EventLoop(
       makeEntryState({
         instance,
         dataCentre,
         incarnation: this.incarnation,
         maxQueuedRequests: queuedRequests,
-        usageWindow: boundary.opaqueCalls?.usageWindow,
+        usageWindow: dependencies.opaqueCalls?.usageWindow,
       }),
       reduceEntry,
-      (effect) => this.carryOut(effect),
-      (error, event) => this.reportError(error, event.type),
+      (effect) => this.runEffect(effect),
+      (error, event) => this.logUnexpectedError(error, event.type),
     );
-    this.adapters = new AdapterDirectory(boundary.makeAdapter);
-    const dispatch = (occurrence: EntryEventPayload) => this.dispatch(occurrence);
-    const readConfiguration = () => this.loop.state.configuration;
-    this.attempts = new AttemptRunner({
+    this.adapters = new AdapterDirectory(dependencies.makeAdapter);
+    const dispatch = (payload: EntryEventPayload) => this.dispatch(payload);
+    const readConfiguration = () => this.eventLoop.state.configuration;
+    this.attemptRunner = new AttemptRunner({
       timers,
       adapters: this.adapters,
       findExchange: (requestId) => this.exchanges.get(requestId),
       dispatch,
     });
     const context = this.makePeerContext();
-    this.store = new StoreClient(
+    this.storeClient = new StoreClient(
       settings.stores,
       context,
       {
         onConfiguration: (configuration) => {
-          this.cutOff = false;
+          this.isPartitionedFromStores = false;
           dispatch({ type: 'configurationReceived', configuration });
         },
         onQuarantine: (quarantine) => dispatch({ type: 'quarantineReceived', quarantine }),
@@ -171,37 +171,37 @@
         onWork: (work) => dispatch({ type: 'workReported', work }),
         onSpending: (spending) => dispatch({ type: 'spendingReported', spending }),
       },
-      this.makeReport(0),
-      this.findsPeersByStores,
+      this.makeInstanceReport(0),
+      this.exchangesReportsThroughStores,
     );
     this.peers = new EntryPeers({
       settings,
       context,
       readConfiguration,
-      readDemand: () => buildDemandReports(this.loop.state, timers.monotonicNow()),
+      readDemand: () => buildDemandReports(this.eventLoop.state, timers.monotonicNow()),
       onReport: (report) => this.receiveReport(report),
       onDrains: (drains) => dispatch({ type: 'drainsReceived', drains }),
     });
     this.watcher = new BackendServerWatcher({
-      platform: boundary.platform,
+      platform: dependencies.platform,
       adapters: this.adapters,
       timers,
       logger: this.logger,
       pollMilliseconds: settings.platform.pollMilliseconds,
       readConfiguration,
       dispatch,
-      countEntries: () => this.loop.state.membership.peers.size + 1,
-      ...(this.findsPeersByStores
+      countEntries: () => this.eventLoop.state.membership.peers.size + 1,
+      ...(this.exchangesReportsThroughStores
         ? { shareInstances: (instances) => this.shareInstances(instances) }
         : {}),
     });
-    this.callers = this.makeCallers();
-    const tables = new TableApi(settings, this.store);
-    this.operators = new OperatorServer({
+    this.callerListener = this.makeCallerListener();
+    const tableApi = new TableApi(settings, this.storeClient);
+    this.operatorServer = new OperatorServer({
       metrics: this.metrics,
       isReady: () => this.isReady,
       readStatus: async () => this.readStatus(),
-      handle: async (request, response, url) => tables.handle(request, response, url),
+      handle: async (request, response, url) => tableApi.handle(request, response, url),
     });
   }
 
@@ -211,29 +211,29 @@
    * through the stores has nothing to serve by before they have told it.
    */
   private get isReady(): boolean {
-    return this.ready && (this.revision > 0 || !this.findsPeersByStores);
+    return this.isServing && (this.revision > 0 || !this.exchangesReportsThroughStores);
   }
 
-  private get findsPeersByStores(): boolean {
+  private get exchangesReportsThroughStores(): boolean {
     return this.settings.entries.length === 0;
   }
 
-  private makeCallers(): CallerListener {
+  private makeCallerListener(): CallerListener {
     const { settings, timers } = this;
-    const { opaqueCalls } = this.boundary;
-    const shared = {
+    const { opaqueCalls } = this.dependencies;
+    const commonOptions = {
       timers,
-      makeRequestId: () => this.nameRequest(),
-      onRequest: (exchange: CallerExchange) => this.takeRequest(exchange),
+      makeRequestId: () => this.makeRequestId(),
+      onRequest: (exchange: CallerExchange) => this.receiveRequest(exchange),
       onCallerDisconnect: (requestId: string) => this.dispatch({ type: 'callerGone', requestId }),
       onRefused: (error: unknown) => this.countRefusal(error),
     };
-    if (opaqueCalls === undefined) return new CallerServer({ ...shared, settings });
+    if (opaqueCalls === undefined) return new CallerServer({ ...commonOptions, settings });
     return new RelayServer({
-      ...shared,
+      ...commonOptions,
       listen: settings.listen,
       protocol: opaqueCalls.protocol,
-      readBounds: () => this.loop.state.configuration.whole?.callerBounds,
+      readBounds: () => this.eventLoop.state.configuration.whole?.callerBounds,
       isInProgress: (requestId) => this.exchanges.has(requestId),
     });
   }
@@ -242,21 +242,23 @@
   async start(): Promise<EntryPorts> {
     this.logger.write('processStarted', { dataCentre: this.settings.dataCentre });
     this.subscriptions.push(
-      this.timers.every(TICK_MILLISECONDS, () => this.dispatch({ type: 'tick' })),
-      this.timers.after(CUT_OFF_MILLISECONDS, () => this.askPeersIfCutOff()),
+      this.timers.every(TICK_INTERVAL_MILLISECONDS, () => this.dispatch({ type: 'tick' })),
+      this.timers.after(STORE_CONFIGURATION_TIMEOUT_MILLISECONDS, () =>
+        this.readPeerConfigurationsIfUnconfigured(),
+      ),
     );
     const peers = await this.peers.listen();
-    const operators = await this.operators.listen(this.settings.operatorListen);
+    const operators = await this.operatorServer.listen(this.settings.operatorListen);
     await this.watcher.start();
-    const callers = await this.callers.listen();
-    this.ready = true;
+    const callers = await this.callerListener.listen();
+    this.isServing = true;
     this.logger.write('processReady', { callers, operators, peers });
     return { callers, operators, peers };
   }
 
   /** The revision of the configuration in force here. */
   get revision(): number {
-    return this.loop.state.configuration.revision;
+    return this.eventLoop.state.configuration.revision;
   }
 
   /**
@@ -265,46 +267,46 @@
    */
   /** Seeks the stores that changed settings name, beside those it was told of. */
   useStores(addresses: readonly StoreAddress[]): void {
-    this.store.useSeeds(addresses);
+    this.storeClient.useSeeds(addresses);
   }
 
   async shutDown(): Promise<void> {
     const { balancerDelayMilliseconds, shutdownMilliseconds } = this.settings;
-    this.ready = false;
-    this.callers.disableKeepAlive?.();
+    this.isServing = false;
+    this.callerListener.disableKeepAlive?.();
     this.logger.write('shutdownStarted', {});
     let cancelLimit: Unsubscribe = () => {};
-    const settled = new Promise<void>((resolve) => {
+    const drainedOrTimedOut = new Promise<void>((resolve) => {
       this.onShutdownReady = resolve;
       cancelLimit = this.timers.after(shutdownMilliseconds, resolve);
     });
     const now = this.timers.monotonicNow();
-    const left = Math.max(0, shutdownMilliseconds - SHUTDOWN_MARGIN_MILLISECONDS);
-    const acceptUntil = now + Math.min(balancerDelayMilliseconds, left);
-    this.dispatch({ type: 'shutdownStarted', acceptUntil, endAt: now + left });
-    this.timers.after(acceptUntil - now, () => this.callers.stopListening());
-    await settled;
+    const drainMilliseconds = Math.max(0, shutdownMilliseconds - SHUTDOWN_MARGIN_MILLISECONDS);
+    const acceptUntil = now + Math.min(balancerDelayMilliseconds, drainMilliseconds);
+    this.dispatch({ type: 'shutdownStarted', acceptUntil, endAt: now + drainMilliseconds });
+    this.timers.after(acceptUntil - now, () => this.callerListener.stopListening());
+    await drainedOrTimedOut;
     cancelLimit();
     await this.close(SHUTDOWN_MARGIN_MILLISECONDS);
     this.logger.write('shutdownFinished', { requestsCut: this.exchanges.size });
   }
 
   /** Stops; answers that are being written get `patience` to reach their callers. */
-  async close(patience: Milliseconds = 0): Promise<void> {
+  async close(timeout: Milliseconds = 0): Promise<void> {
     this.subscriptions.forEach((unsubscribe) => unsubscribe());
-    this.store.close();
+    this.storeClient.close();
     await Promise.all([
       this.watcher.close(),
       this.peers.close(),
-      this.callers.close(patience),
-      this.operators.close(),
+      this.callerListener.close(timeout),
+      this.operatorServer.close(),
     ]);
     await this.adapters.close();
   }
 
-  private dispatch(occurrence: EntryEventPayload): void {
+  private dispatch(payload: EntryEventPayload): void {
     const now = this.timers.monotonicNow();
-    this.loop.dispatch({ ...occurrence, now, wallNow: this.timers.wallNow() });
+    this.eventLoop.dispatch({ ...payload, now, wallNow: this.timers.wallNow() });
   }
 
   private makePeerContext(): PeerContext {
@@ -319,9 +321,15 @@
     };
   }
 
-  private makeReport(revision: number) {
+  private makeInstanceReport(revision: number) {
     const { instance, dataCentre } = this.settings;
-    return { instance, dataCentre, role: 'entry' as const, revision, cutOff: this.cutOff };
+    return {
+      instance,
+      dataCentre,
+      role: 'entry' as const,
+      revision,
+      cutOff: this.isPartitionedFromStores,
+    };
   }
 
   private receiveReport(report: PeerReport): void {
@@ -341,39 +349,39 @@
   }
 
   private shareInstances(instances: readonly PlatformInstance[]): void {
-    this.store.shareInstances(toShared(instances, this.timers.wallNow()));
+    this.storeClient.shareInstances(toShared(instances, this.timers.wallNow()));
   }
 
-  private nameRequest(): string {
+  private makeRequestId(): string {
     this.requestCount += 1;
     return `${this.settings.instance}-${this.incarnation.toString(36)}-${this.requestCount}`;
   }
 
-  private takeRequest(exchange: CallerExchange): void {
+  private receiveRequest(exchange: CallerExchange): void {
     this.exchanges.set(exchange.request.requestId, exchange);
     this.metrics.setGauge('openStreams', this.exchanges.size);
     this.dispatch({ type: 'requestArrived', request: exchange.request });
   }
 
-  private endExchange(requestId: string, end: (exchange: CallerExchange) => void): void {
+  private endExchange(requestId: string, writeEnd: (exchange: CallerExchange) => void): void {
     const exchange = this.exchanges.get(requestId);
     if (exchange === undefined) return;
     this.exchanges.delete(requestId);
     this.metrics.setGauge('openStreams', this.exchanges.size);
-    end(exchange);
+    writeEnd(exchange);
   }
 
-  private carryOut(effect: EntryEffect): void {
+  private runEffect(effect: EntryEffect): void {
     if (runCommonEffect(effect, this.logger, this.metrics)) return;
     switch (effect.type) {
       case 'startAttempt':
-        this.attempts.start(effect);
+        this.attemptRunner.start(effect);
         return;
       case 'cancelAttempt':
-        this.attempts.cancel(effect.attemptId);
+        this.attemptRunner.cancel(effect.attemptId);
         return;
       case 'moveCache':
-        void this.attempts.moveCache(effect);
+        void this.attemptRunner.moveCache(effect);
         return;
       case 'finishAnswer':
         this.endExchange(effect.requestId, ({ answer }) => answer.finish());
@@ -395,26 +403,26 @@
         void this.proposeClaim(effect);
         return;
       case 'proposeCommand':
-        void this.store.propose(effect.command, COMMAND_MILLISECONDS);
+        void this.storeClient.propose(effect.command, COMMAND_TIMEOUT_MILLISECONDS);
         return;
       case 'probe':
         void this.probe(effect.target);
         return;
       case 'reportToEntries':
-        if (this.findsPeersByStores) this.store.shareReport(effect.report);
+        if (this.exchangesReportsThroughStores) this.storeClient.shareReport(effect.report);
         else this.peers.sendReport(effect.report);
         return;
       case 'tellWork':
-        if (this.findsPeersByStores) this.store.shareWork(effect.work);
+        if (this.exchangesReportsThroughStores) this.storeClient.shareWork(effect.work);
         else this.peers.sendReport(effect.work);
         return;
       case 'tellSpending':
-        if (this.findsPeersByStores) this.store.shareSpending(effect.spending);
+        if (this.exchangesReportsThroughStores) this.storeClient.shareSpending(effect.spending);
         else this.peers.sendReport(effect.spending);
         return;
       case 'configurationApplied':
-        this.callers.applyBounds?.();
-        this.store.updateReport(this.makeReport(effect.revision));
+        this.callerListener.applyBounds?.();
+        this.storeClient.updateReport(this.makeInstanceReport(effect.revision));
         return;
       case 'shutdownReady':
         this.onShutdownReady();
@@ -424,8 +432,8 @@
     }
   }
 
-  private async proposeClaim({ requestId, command }: ProposeClaim): Promise<void> {
-    const outcome = await this.store.propose(command, CLAIM_MILLISECONDS);
+  private async proposeClaim({ requestId, command }: ProposeClaimEffect): Promise<void> {
+    const outcome = await this.storeClient.propose(command, CLAIM_TIMEOUT_MILLISECONDS);
     const answer: ClaimAnswer =
       outcome.type === 'result'
         ? { type: 'result', result: outcome.result as ClaimResult }
@@ -436,26 +444,28 @@
   private async probe(target: Extract<EntryEffect, { type: 'probe' }>['target']): Promise<void> {
     const { instance } = target;
     try {
-      const signal = AbortSignal.timeout(PROBE_MILLISECONDS);
-      const signOfLife = await this.adapters.getOrCreate(target).adapter.probe(signal);
-      this.dispatch({ type: 'probeAnswered', instance, answered: true, ...signOfLife });
+      const signal = AbortSignal.timeout(PROBE_TIMEOUT_MILLISECONDS);
+      const probeResult = await this.adapters.getOrCreate(target).adapter.probe(signal);
+      this.dispatch({ type: 'probeAnswered', instance, answered: true, ...probeResult });
     } catch {
       this.dispatch({ type: 'probeAnswered', instance, answered: false });
     }
   }
 
   /** A cut-off data centre still has to serve: its starting entry takes what its peers know. */
-  private askPeersIfCutOff(): void {
+  private readPeerConfigurationsIfUnconfigured(): void {
     if (this.revision > 0) return;
     void this.peers.peekConfigurations().then((configurations) => {
       if (this.revision > 0) return;
       configurations.forEach((configuration) => {
         if (configuration.revision === 0) return;
-        this.cutOff = true;
+        this.isPartitionedFromStores = true;
         this.dispatch({ type: 'configurationReceived', configuration });
       });
       this.subscriptions.push(
-        this.timers.after(CUT_OFF_MILLISECONDS, () => this.askPeersIfCutOff()),
+        this.timers.after(STORE_CONFIGURATION_TIMEOUT_MILLISECONDS, () =>
+          this.readPeerConfigurationsIfUnconfigured(),
+        ),
       );
     });
   }
@@ -463,28 +473,28 @@
   private countRefusal(error: unknown): void {
     const kind = error instanceof HornbeampondError ? error.kind : 'internalError';
     this.metrics.count({ metric: 'refusals', label: kind });
-    if (kind === 'internalError') this.reportError(error, 'request');
+    if (kind === 'internalError') this.logUnexpectedError(error, 'request');
   }
 
-  private reportError(error: unknown, at: string): void {
+  private logUnexpectedError(error: unknown, at: string): void {
     const reason = error instanceof Error ? (error.stack ?? error.message) : String(error);
     this.logger.write('unexpectedError', { at, reason });
   }
 
   /** Price of an instance; undefined if its pool or class is in no table. */
   private findPrice({ pool, instanceClass }: PlatformInstance): number | undefined {
-    const rows = this.loop.state.configuration.pools.rows.filter(({ name }) => name === pool);
+    const rows = this.eventLoop.state.configuration.pools.rows.filter(({ name }) => name === pool);
     const classes = rows.flatMap(({ instanceClasses }) => instanceClasses);
     return classes.find(({ name }) => name === instanceClass)?.eurosPerHour;
   }
 
   private async readStatus(): Promise<unknown> {
-    const { state } = this.loop;
+    const { state } = this.eventLoop;
     return {
       instance: this.settings.instance,
       dataCentre: this.settings.dataCentre,
       ready: this.isReady,
-      cutOff: this.cutOff,
+      cutOff: this.isPartitionedFromStores,
       configurationRevision: this.revision,
       openStreams: this.exchanges.size,
       backendServers: [...state.backendServers.values()].map(
@@ -500,7 +510,7 @@
       refusals: await this.metrics.readCounter('refusals'),
       retries: await this.metrics.readCounter('retries'),
       recomputedTokens: await this.metrics.readCounter('recomputedTokens'),
-      stores: await this.store.readStatus(),
+      stores: await this.storeClient.readStatus(),
     };
   }
 }
--- a/apps/entry/src/EventStreamSplitter.test.ts
+++ b/apps/entry/src/EventStreamSplitter.test.ts
@@ -6,19 +6,19 @@
 const stream = 'id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\r\ndata: c\r\n\r\nid: 4\ndata: half';
 
 /** Cuts a text at the given places and pushes its parts. */
-function pushIn(parts: readonly string[]) {
-  const cutter = new EventStreamSplitter();
-  const cut = parts.map((part) => cutter.push(Buffer.from(part)));
+function pushAll(parts: readonly string[]) {
+  const splitter = new EventStreamSplitter();
+  const results = parts.map((part) => splitter.push(Buffer.from(part)));
   return {
-    text: cut.map(({ bytes }) => bytes.toString()).join(''),
-    count: cut.reduce((sum, { count }) => sum + count, 0),
-    lastId: cut.map(({ lastId }) => lastId).findLast((id) => id !== undefined),
-    pending: cutter.pendingBytes.toString(),
+    text: results.map(({ bytes }) => bytes.toString()).join(''),
+    count: results.reduce((sum, { count }) => sum + count, 0),
+    lastId: results.map(({ lastId }) => lastId).findLast((id) => id !== undefined),
+    pending: splitter.pendingBytes.toString(),
   };
 }
 
 test('whole events pass, and what follows the last one is kept back', () => {
-  assert.deepEqual(pushIn([stream]), {
+  assert.deepEqual(pushAll([stream]), {
     text: 'id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\r\ndata: c\r\n\r\n',
     count: 3,
     lastId: '3',
@@ -30,10 +30,10 @@
   fc.assert(
     fc.property(
       fc.array(fc.integer({ min: 0, max: stream.length }), { maxLength: 12 }),
-      (places) => {
-        const cuts = [0, ...places.sort((a, b) => a - b), stream.length];
-        const parts = cuts.slice(1).map((end, index) => stream.slice(cuts[index], end));
-        assert.deepEqual(pushIn(parts), pushIn([stream]));
+      (offsets) => {
+        const boundaries = [0, ...offsets.sort((a, b) => a - b), stream.length];
+        const parts = boundaries.slice(1).map((end, index) => stream.slice(boundaries[index], end));
+        assert.deepEqual(pushAll(parts), pushAll([stream]));
       },
     ),
     { seed: 11, numRuns: 500 },
--- a/apps/entry/src/EventStreamSplitter.ts
+++ b/apps/entry/src/EventStreamSplitter.ts
@@ -15,7 +15,7 @@
 }
 
 /** Where the event that begins at `from` ends, after its empty line; -1 if it is not whole. */
-function endOfEvent(bytes: Buffer, from: number): number {
+function findEventEnd(bytes: Buffer, from: number): number {
   for (let at = bytes.indexOf(LINE_FEED, from); at >= 0; at = bytes.indexOf(LINE_FEED, at + 1)) {
     const next = bytes[at + 1];
     if (next === LINE_FEED) return at + 2;
@@ -24,29 +24,30 @@
   return -1;
 }
 
-function idOf(event: string): string | undefined {
+function findEventId(event: string): string | undefined {
   return /^id:[ ]?(.*?)\r?$/m.exec(event)?.[1];
 }
 
 export class EventStreamSplitter {
-  private rest: Buffer = Buffer.alloc(0);
+  private remainder: Buffer = Buffer.alloc(0);
 
   /** Bytes of an event that is not whole yet. */
   get pendingBytes(): Buffer {
-    return this.rest;
+    return this.remainder;
   }
 
   push(bytes: Uint8Array): CompleteEvents {
-    const all = this.rest.length === 0 ? Buffer.from(bytes) : Buffer.concat([this.rest, bytes]);
+    const all =
+      this.remainder.length === 0 ? Buffer.from(bytes) : Buffer.concat([this.remainder, bytes]);
     let end = 0;
     let count = 0;
     let lastId: string | undefined;
-    for (let next = endOfEvent(all, 0); next >= 0; next = endOfEvent(all, end)) {
-      lastId = idOf(all.toString('latin1', end, next)) ?? lastId;
+    for (let next = findEventEnd(all, 0); next >= 0; next = findEventEnd(all, end)) {
+      lastId = findEventId(all.toString('latin1', end, next)) ?? lastId;
       end = next;
       count += 1;
     }
-    this.rest = all.subarray(end);
+    this.remainder = all.subarray(end);
     return { bytes: all.subarray(0, end), lastId, count };
   }
 }
--- a/apps/entry/src/HttpServerLifecycle.ts
+++ b/apps/entry/src/HttpServerLifecycle.ts
@@ -5,7 +5,7 @@
 import type { ListenAddress, Milliseconds } from '@hornbeampond/schema';
 
 /** How often connections that have become idle are looked for while closing. */
-const SWEEP_MILLISECONDS = 10;
+const IDLE_CHECK_INTERVAL_MILLISECONDS = 10;
 
 export class HttpServerLifecycle {
   constructor(
@@ -29,16 +29,19 @@
   }
 
   /** Waits until the last answers are written, and no longer than `patience`. */
-  async close(patience: Milliseconds): Promise<void> {
-    const sweep = () => this.server.closeIdleConnections();
-    const stopSweep = this.timers.every(SWEEP_MILLISECONDS, sweep);
+  async close(timeout: Milliseconds): Promise<void> {
+    const closeIdleConnections = () => this.server.closeIdleConnections();
+    const stopIdleChecks = this.timers.every(
+      IDLE_CHECK_INTERVAL_MILLISECONDS,
+      closeIdleConnections,
+    );
     const closed = new Promise<void>((resolve) => {
       this.server.close(() => resolve());
     });
-    sweep();
-    const cancel = this.timers.after(patience, () => this.server.closeAllConnections());
+    closeIdleConnections();
+    const cancelTimeout = this.timers.after(timeout, () => this.server.closeAllConnections());
     await closed;
-    cancel();
-    stopSweep();
+    cancelTimeout();
+    stopIdleChecks();
   }
 }
--- a/apps/entry/src/PlainAnswer.ts
+++ b/apps/entry/src/PlainAnswer.ts
@@ -15,21 +15,21 @@
 }
 
 /** Headers of a backend server's answer that speak of its connection, not of the answer. */
-const droppedHeaders = new Set(['connection', 'keep-alive', 'transfer-encoding']);
+const hopByHopHeaders = new Set(['connection', 'keep-alive', 'transfer-encoding']);
 
 export class PlainAnswer extends CallerAnswer {
   private status = 200;
 
   private headers: Record<string, string | string[]> = {};
 
-  private held: Uint8Array[] = [];
+  private bufferedChunks: Uint8Array[] = [];
 
-  private heldBytes = 0;
+  private bufferedBytes = 0;
 
   constructor(
     requestId: string,
     response: ServerResponse,
-    private readonly shape: PlainAnswerOptions,
+    private readonly options: PlainAnswerOptions,
   ) {
     super(requestId, response);
   }
@@ -37,44 +37,47 @@
   /** Takes in the head of the backend server's answer. */
   receiveHead(status: number, headers: HeaderFields): void {
     this.status = status;
-    this.held = [];
-    this.heldBytes = 0;
+    this.bufferedChunks = [];
+    this.bufferedBytes = 0;
     this.headers = Object.fromEntries(
       Object.entries(headers)
-        .filter(([name]) => !droppedHeaders.has(name))
+        .filter(([name]) => !hopByHopHeaders.has(name))
         .map(([name, value]) => [name, typeof value === 'string' ? value : [...value]]),
     );
   }
 
   async writeBytes(bytes: Uint8Array): Promise<void> {
-    if (!this.shape.isBuffered) {
+    if (!this.options.isBuffered) {
       this.writeHead();
       await this.write(bytes);
       return;
     }
-    this.heldBytes += bytes.length;
-    if (this.heldBytes > this.shape.maxBytes) {
-      throw new HornbeampondError('answerCut', `The answer is above ${this.shape.maxBytes} bytes`);
+    this.bufferedBytes += bytes.length;
+    if (this.bufferedBytes > this.options.maxBytes) {
+      throw new HornbeampondError(
+        'answerCut',
+        `The answer is above ${this.options.maxBytes} bytes`,
+      );
     }
-    this.held.push(bytes);
+    this.bufferedChunks.push(bytes);
   }
 
   /** The whole answer, if it was held. */
   get storedAnswer(): StoredAnswer | undefined {
-    if (!this.shape.isBuffered) return undefined;
+    if (!this.options.isBuffered) return undefined;
     // A stored answer names each header once; only cookies cannot be joined, and are left out.
     const headers = Object.fromEntries(
       Object.entries(this.headers)
         .filter(([name]) => name !== 'set-cookie')
         .map(([name, value]) => [name, typeof value === 'string' ? value : value.join(', ')]),
     );
-    return { status: this.status, headers, body: Buffer.concat(this.held) };
+    return { status: this.status, headers, body: Buffer.concat(this.bufferedChunks) };
   }
 
   override finish(): void {
     if (this.isClosed) return;
     this.writeHead();
-    this.response.end(this.shape.isBuffered ? Buffer.concat(this.held) : undefined);
+    this.response.end(this.options.isBuffered ? Buffer.concat(this.bufferedChunks) : undefined);
   }
 
   protected override abort(): void {
--- a/apps/entry/src/RelayAnswer.ts
+++ b/apps/entry/src/RelayAnswer.ts
@@ -15,9 +15,9 @@
 import { EventStreamSplitter } from './EventStreamSplitter.js';
 
 /** Larger answers are passed on as they come; holding many of them would cost too much memory. */
-const MOST_HELD_BYTES = 256 * 1024;
+const MAX_BUFFERED_BYTES = 256 * 1024;
 
-interface KeptAnswer {
+interface CompleteAnswer {
   readonly status: number;
   readonly headers: readonly HeaderLine[];
   readonly body: Buffer;
@@ -30,20 +30,20 @@
   /** The longest time between two pieces of the answer, over all attempts. */
   longestPause: Milliseconds = 0;
 
-  private pieceAt: MonotonicMilliseconds | undefined;
+  private lastBytesAt: MonotonicMilliseconds | undefined;
 
   /** Whole events that have gone to the caller. */
   eventsSent = 0;
 
   private head: Pick<RelayResponse, 'status' | 'headers' | 'isStream'> | undefined;
 
-  private cutter = new EventStreamSplitter();
+  private splitter = new EventStreamSplitter();
 
-  private held: Uint8Array[] = [];
+  private bufferedChunks: Uint8Array[] = [];
 
-  private heldBytes = 0;
+  private bufferedBytes = 0;
 
-  private kept: KeptAnswer | undefined;
+  private lastFailureAnswer: CompleteAnswer | undefined;
 
   constructor(
     requestId: string,
@@ -61,30 +61,30 @@
 
   /** True while the backend server is in the middle of an event. */
   get hasPartialEvent(): boolean {
-    return this.head?.isStream === true && this.cutter.pendingBytes.length > 0;
+    return this.head?.isStream === true && this.splitter.pendingBytes.length > 0;
   }
 
   /** Takes note that a piece of the answer has come. */
   recordBytesReceived(now: MonotonicMilliseconds): void {
-    this.longestPause = Math.max(this.longestPause, now - (this.pieceAt ?? now));
-    this.pieceAt = now;
+    this.longestPause = Math.max(this.longestPause, now - (this.lastBytesAt ?? now));
+    this.lastBytesAt = now;
   }
 
   /** Takes in the head of a backend server's answer; a stream that goes on keeps its first head. */
   receiveHead({ status, headers, isStream }: RelayResponse): void {
-    this.cutter = new EventStreamSplitter();
-    this.held = [];
-    this.heldBytes = 0;
+    this.splitter = new EventStreamSplitter();
+    this.bufferedChunks = [];
+    this.bufferedBytes = 0;
     if (!this.started) this.head = { status, headers, isStream };
   }
 
   /** Passes on what is whole; resolves once the caller can take more. */
   async writeBytes(bytes: Uint8Array): Promise<void> {
     if (this.head?.isStream !== true) {
-      await this.hold(bytes);
+      await this.bufferOrWrite(bytes);
       return;
     }
-    const events = this.cutter.push(bytes);
+    const events = this.splitter.push(bytes);
     if (events.count === 0) return;
     this.writeHead();
     this.lastEventId = events.lastId ?? this.lastEventId;
@@ -95,14 +95,14 @@
   /** Keeps an answer that tells of a failure, for the case that no attempt does better. */
   saveFailureAnswer(body: Buffer): void {
     if (this.head === undefined || this.started) return;
-    this.kept = { ...this.head, body };
+    this.lastFailureAnswer = { ...this.head, body };
   }
 
   override finish(): void {
     if (this.isClosed) return;
-    const body = Buffer.concat(this.held);
+    const body = Buffer.concat(this.bufferedChunks);
     if (!this.started && this.head?.isStream === false) {
-      this.writeWhole({ ...this.head, body });
+      this.writeCompleteAnswer({ ...this.head, body });
       return;
     }
     this.writeHead();
@@ -112,7 +112,7 @@
   override fail(error: unknown): void {
     if (this.isClosed) return;
     if (this.started) this.abort();
-    else if (this.kept !== undefined) this.writeWhole(this.kept);
+    else if (this.lastFailureAnswer !== undefined) this.writeCompleteAnswer(this.lastFailureAnswer);
     else this.protocol.writeProblem(this.response, error, this.requestId);
   }
 
@@ -120,21 +120,21 @@
     this.response.destroy();
   }
 
-  private async hold(bytes: Uint8Array): Promise<void> {
+  private async bufferOrWrite(bytes: Uint8Array): Promise<void> {
     if (this.started) {
       await this.write(bytes);
       return;
     }
-    this.held.push(bytes);
-    this.heldBytes += bytes.length;
-    if (this.heldBytes <= MOST_HELD_BYTES) return;
+    this.bufferedChunks.push(bytes);
+    this.bufferedBytes += bytes.length;
+    if (this.bufferedBytes <= MAX_BUFFERED_BYTES) return;
     this.writeHead();
-    const held = Buffer.concat(this.held);
-    this.held = [];
-    await this.write(held);
+    const buffered = Buffer.concat(this.bufferedChunks);
+    this.bufferedChunks = [];
+    await this.write(buffered);
   }
 
-  private writeWhole({ status, headers, body }: KeptAnswer): void {
+  private writeCompleteAnswer({ status, headers, body }: CompleteAnswer): void {
     const lines = headers.filter(([name]) => name.toLowerCase() !== 'content-length');
     this.response.writeHead(status, [...lines, ['content-length', String(body.length)]].flat());
     this.response.end(body);
--- a/apps/entry/src/RelayServer.ts
+++ b/apps/entry/src/RelayServer.ts
@@ -37,7 +37,7 @@
 }
 
 /** Largest head that is read at all; the configuration's bound, checked after, is lower. */
-const MOST_HEAD_BYTES = 256 * 1024;
+const MAX_HEAD_BYTES = 256 * 1024;
 
 /** In force until a configuration says more. */
 const DEFAULT_BOUNDS: CallerBounds = {
@@ -48,17 +48,17 @@
 };
 
 /** A caller may use an idle connection until its bound; closing it then would cross a request. */
-const IDLE_MARGIN_MILLISECONDS = 1000;
+const KEEP_ALIVE_MARGIN_MILLISECONDS = 1000;
 
 /** How often Node looks for heads that take too long. */
-const HEAD_CHECK_MILLISECONDS = 1000;
+const HEAD_TIMEOUT_CHECK_INTERVAL_MILLISECONDS = 1000;
 
 const statusLines = {
   badRequest: '400 Bad Request',
   headersTooLarge: '431 Request Header Fields Too Large',
 } as const;
 
-function headBytes({ rawHeaders, url = '' }: IncomingMessage): number {
+function countHeadBytes({ rawHeaders, url = '' }: IncomingMessage): number {
   // Each line has a colon, a space and an end of two bytes.
   return rawHeaders.reduce((sum, text) => sum + text.length + 2, url.length);
 }
@@ -66,21 +66,26 @@
 export class RelayServer implements CallerListener {
   private readonly server: Server;
 
-  private readonly life: HttpServerLifecycle;
+  private readonly lifecycle: HttpServerLifecycle;
 
-  private isClosing = false;
+  private isKeepAliveDisabled = false;
 
   constructor(private readonly options: RelayServerOptions) {
     this.server = createServer(
-      { maxHeaderSize: MOST_HEAD_BYTES, connectionsCheckingInterval: HEAD_CHECK_MILLISECONDS },
+      {
+        maxHeaderSize: MAX_HEAD_BYTES,
+        connectionsCheckingInterval: HEAD_TIMEOUT_CHECK_INTERVAL_MILLISECONDS,
+      },
       (request, response) => {
-        this.take(request, response).catch((error: unknown) => this.refuse(response, error));
+        this.handleRequest(request, response).catch((error: unknown) =>
+          this.refuseRequest(response, error),
+        );
       },
     );
-    this.life = new HttpServerLifecycle(this.server, options.timers);
+    this.lifecycle = new HttpServerLifecycle(this.server, options.timers);
     this.server.requestTimeout = 0;
     this.server.on('clientError', (error: NodeJS.ErrnoException, socket: Socket) =>
-      this.refuseUnread(error, socket),
+      this.refuseUnparsedRequest(error, socket),
     );
     this.applyBounds();
   }
@@ -89,32 +94,32 @@
   applyBounds(): void {
     const { headerMilliseconds, idleMilliseconds } = this.bounds;
     this.server.headersTimeout = headerMilliseconds;
-    this.server.keepAliveTimeout = idleMilliseconds + IDLE_MARGIN_MILLISECONDS;
+    this.server.keepAliveTimeout = idleMilliseconds + KEEP_ALIVE_MARGIN_MILLISECONDS;
   }
 
   async listen(): Promise<number> {
-    return this.life.listen(this.options.listen);
+    return this.lifecycle.listen(this.options.listen);
   }
 
   /** Asks callers to connect elsewhere next time, with each answer from now on. */
   disableKeepAlive(): void {
-    this.isClosing = true;
+    this.isKeepAliveDisabled = true;
   }
 
   stopListening(): void {
-    this.isClosing = true;
-    this.life.stopListening();
+    this.isKeepAliveDisabled = true;
+    this.lifecycle.stopListening();
   }
 
-  async close(patience: Milliseconds): Promise<void> {
-    await this.life.close(patience);
+  async close(timeout: Milliseconds): Promise<void> {
+    await this.lifecycle.close(timeout);
   }
 
   private get bounds(): CallerBounds {
     return this.options.readBounds() ?? DEFAULT_BOUNDS;
   }
 
-  private refuse(response: ServerResponse, error: unknown): void {
+  private refuseRequest(response: ServerResponse, error: unknown): void {
     this.options.onRefused(error);
     if (response.headersSent) {
       response.destroy();
@@ -126,7 +131,7 @@
   }
 
   /** Answers bytes that Node could not read as a request, so that there is no response object. */
-  private refuseUnread(error: NodeJS.ErrnoException, socket: Socket): void {
+  private refuseUnparsedRequest(error: NodeJS.ErrnoException, socket: Socket): void {
     const kind = error.code === 'HPE_HEADER_OVERFLOW' ? 'headersTooLarge' : 'badRequest';
     const problem = new HornbeampondError(kind, 'The request could not be read');
     this.options.onRefused(problem);
@@ -137,18 +142,18 @@
     socket.end(`${head}\r\n\r\n${body}`);
   }
 
-  private async take(message: IncomingMessage, response: ServerResponse): Promise<void> {
-    const { protocol, onRequest, onCallerDisconnect: onGone } = this.options;
-    if (this.isClosing) response.setHeader('connection', 'close');
+  private async handleRequest(message: IncomingMessage, response: ServerResponse): Promise<void> {
+    const { protocol, onRequest, onCallerDisconnect } = this.options;
+    if (this.isKeepAliveDisabled) response.setHeader('connection', 'close');
     const { headerBytes, bodyBytes } = this.bounds;
-    if (headBytes(message) > headerBytes) {
+    if (countHeadBytes(message) > headerBytes) {
       throw new HornbeampondError('headersTooLarge', `The head is above ${headerBytes} bytes`);
     }
     const call = protocol.parseCall(message);
     const body = await readBody(message, bodyBytes);
     // The caller may have left while its body was read.
     if (response.destroyed) return;
-    const requestId = this.nameOf(call.name);
+    const requestId = this.chooseRequestId(call.name);
     const answer = new RelayAnswer(requestId, response, protocol, call.resumeAfter);
     const { method = 'GET', url: path = '/' } = message;
     const digest = createHash('sha256')
@@ -157,7 +162,7 @@
       .digest('hex');
     const request = { requestId, workspace: '', method, path, digest, ...call.requestFields };
     response.on('close', () => {
-      if (!response.writableEnded) onGone(requestId);
+      if (!response.writableEnded) onCallerDisconnect(requestId);
     });
     const { headers } = message;
     onRequest({
@@ -170,8 +175,8 @@
     });
   }
 
-  private nameOf(name: string | undefined): string {
-    const { isInProgress: isKnown, makeRequestId: nameRequest } = this.options;
-    return name === undefined || isKnown(name) ? nameRequest() : name;
+  private chooseRequestId(name: string | undefined): string {
+    const { isInProgress, makeRequestId } = this.options;
+    return name === undefined || isInProgress(name) ? makeRequestId() : name;
   }
 }
--- a/apps/entry/src/TableApi.ts
+++ b/apps/entry/src/TableApi.ts
@@ -15,10 +15,10 @@
 import { authorizeOperator, readBody, writeJson, type StoreClient } from '@hornbeampond/transport';
 
 /** A change that has not come back from the log within this span is told as unsure. */
-const CHANGE_MILLISECONDS = 5000;
-const READ_MILLISECONDS = 3000;
-const MOST_TABLE_BYTES = 32 * 1024 * 1024;
-const MOST_CHANGE_ID_CHARACTERS = 200;
+const CHANGE_TIMEOUT_MILLISECONDS = 5000;
+const READ_TIMEOUT_MILLISECONDS = 3000;
+const MAX_TABLE_BYTES = 32 * 1024 * 1024;
+const MAX_CHANGE_ID_CHARACTERS = 200;
 
 function toETag(revision: number): string {
   return `"${revision}"`;
@@ -34,7 +34,7 @@
 }
 
 function readChangeId(header: string | string[] | undefined): string {
-  if (typeof header === 'string' && header !== '' && header.length <= MOST_CHANGE_ID_CHARACTERS) {
+  if (typeof header === 'string' && header !== '' && header.length <= MAX_CHANGE_ID_CHARACTERS) {
     return header;
   }
   throw new HornbeampondError('idempotencyKeyMissing', 'Name the change in "Idempotency-Key"');
@@ -75,7 +75,7 @@
   }
 
   private async get(table: TableName, response: ServerResponse): Promise<void> {
-    const configuration = await this.store.readConfiguration(READ_MILLISECONDS);
+    const configuration = await this.store.readConfiguration(READ_TIMEOUT_MILLISECONDS);
     const { revision, rows } = configuration[table];
     response.setHeader('etag', toETag(revision));
     writeJson(response, 200, { revision, rows, configurationRevision: configuration.revision });
@@ -88,10 +88,10 @@
   ): Promise<void> {
     const baseRevision = readRevision(request.headers['if-match']);
     const changeId = readChangeId(request.headers['idempotency-key']);
-    const rows = readRows(await readBody(request, MOST_TABLE_BYTES));
+    const rows = readRows(await readBody(request, MAX_TABLE_BYTES));
     const outcome = await this.store.propose(
       { type: 'putTable', table, baseRevision, changeId, rows },
-      CHANGE_MILLISECONDS,
+      CHANGE_TIMEOUT_MILLISECONDS,
     );
     if (outcome.type === 'unavailable') {
       throw new HornbeampondError('storeUnavailable', 'The change was not made');
@@ -99,10 +99,10 @@
     if (outcome.type === 'unsure') {
       throw new HornbeampondError('changeUnsure', 'The change may have been made');
     }
-    this.answerResult(outcome.result as PutTableResult, response);
+    this.sendResult(outcome.result as PutTableResult, response);
   }
 
-  private answerResult(result: PutTableResult, response: ServerResponse): void {
+  private sendResult(result: PutTableResult, response: ServerResponse): void {
     switch (result.type) {
       case 'tableAccepted':
         response.setHeader('etag', toETag(result.revision));
--- a/apps/entry/src/parseCompletion.ts
+++ b/apps/entry/src/parseCompletion.ts
@@ -7,15 +7,15 @@
  * The relay carries one text answer. Of a call of a tool nothing would reach the caller: it would
  * get an empty answer that looks whole, and so it is told at once instead.
  */
-const noTools = z.array(z.unknown()).max(0, 'calls of tools are not carried').optional();
+const unsupportedTools = z.array(z.unknown()).max(0, 'calls of tools are not carried').optional();
 
 const completionSchema = z.looseObject({
   model: z.string().min(1).max(200).optional(),
   messages: z.array(z.looseObject({ role: z.string(), content: z.unknown() })).min(1),
   max_tokens: z.number().int().min(1).optional(),
   stream: z.boolean().optional(),
-  tools: noTools,
-  functions: noTools,
+  tools: unsupportedTools,
+  functions: unsupportedTools,
   n: z.literal(1, 'only one choice can be asked for').optional(),
 });
 
--- a/apps/entry/src/relayBody.ts
+++ b/apps/entry/src/relayBody.ts
@@ -6,11 +6,11 @@
 import { BackendServerFailure, type RelayResponse } from '@hornbeampond/adapters';
 import type { RelayAnswer } from './RelayAnswer.js';
 
-const STATUS_OK = 200;
-const FIRST_SERVER_ERROR = 500;
+const OK_STATUS = 200;
+const MIN_SERVER_ERROR_STATUS = 500;
 
 /** Larger answers that tell of a failure are cut short. */
-const MOST_FAILURE_BYTES = 64 * 1024;
+const MAX_SAVED_FAILURE_BYTES = 64 * 1024;
 
 export interface RelayCallbacks {
   isCancelled(): boolean;
@@ -20,14 +20,17 @@
   onBytesWritten(): void;
 }
 
-async function readFailure({ status, body }: RelayResponse, answer: RelayAnswer): Promise<never> {
+async function saveFailureAndThrow(
+  { status, body }: RelayResponse,
+  answer: RelayAnswer,
+): Promise<never> {
   const chunks: Uint8Array[] = [];
   let bytes = 0;
   for await (const chunk of body) {
     bytes += chunk.length;
-    if (bytes <= MOST_FAILURE_BYTES) chunks.push(chunk);
+    if (bytes <= MAX_SAVED_FAILURE_BYTES) chunks.push(chunk);
   }
-  if (bytes <= MOST_FAILURE_BYTES) answer.saveFailureAnswer(Buffer.concat(chunks));
+  if (bytes <= MAX_SAVED_FAILURE_BYTES) answer.saveFailureAnswer(Buffer.concat(chunks));
   throw new BackendServerFailure(`the answer has status ${status}`, {
     failure: 'serverError',
     status,
@@ -37,21 +40,21 @@
 export async function relayBody(
   response: RelayResponse,
   answer: RelayAnswer,
-  edges: RelayCallbacks,
+  callbacks: RelayCallbacks,
 ): Promise<void> {
-  if (answer.started && !(response.isStream && response.status === STATUS_OK)) {
+  if (answer.started && !(response.isStream && response.status === OK_STATUS)) {
     throw new BackendServerFailure('a stream cannot go on with this', {
       failure: 'malformed',
       status: response.status,
     });
   }
   answer.receiveHead(response);
-  if (response.status >= FIRST_SERVER_ERROR) await readFailure(response, answer);
+  if (response.status >= MIN_SERVER_ERROR_STATUS) await saveFailureAndThrow(response, answer);
   for await (const bytes of response.body) {
-    if (edges.isCancelled()) return;
-    edges.onBytesReceived();
+    if (callbacks.isCancelled()) return;
+    callbacks.onBytesReceived();
     await answer.writeBytes(bytes);
-    edges.onBytesWritten();
+    callbacks.onBytesWritten();
   }
   // The connection ended cleanly, yet in the middle of an event: the stream was cut.
   if (answer.hasPartialEvent) throw new BackendServerFailure('the stream ended inside an event');
