--- a/apps/entry/src/AdapterDirectory.ts
+++ b/apps/entry/src/AdapterDirectory.ts
@@ -1,6 +1,6 @@
 /**
- * The adapters to backend servers, one for each that the platform lists. The rest of the shell
- * meets backend servers only through them.
+ * Creates and holds one adapter per backend server address. The entry app communicates with backend
+ * servers only through these adapters. Adapters of servers that are no longer listed are dropped.
  */
 import type { EngineAdapter, PlainServiceAdapter, RelayAdapter } from '@hornbeampond/adapters';
 import type { AttemptTarget } from '@hornbeampond/entry-core';
@@ -10,7 +10,7 @@
   | { readonly kind: 'plainService'; readonly adapter: PlainServiceAdapter }
   | { readonly kind: 'relay'; readonly adapter: RelayAdapter };
 
-/** Makes the adapter to a backend server. */
+/** Creates the adapter for a backend server. */
 export type MakeAdapter = (target: AttemptTarget) => BackendServerAdapter;
 
 export class AdapterDirectory {
@@ -18,7 +18,10 @@
 
   constructor(private readonly makeAdapter: MakeAdapter) {}
 
-  /** The adapter to a backend server; the same one while its address stays the same. */
+  /**
+   * Returns the adapter for a backend server; creates one if none exists for its instance, kind,
+   * host and port.
+   */
   getOrCreate(target: AttemptTarget): BackendServerAdapter {
     const key = this.makeKey(target);
     const existing = this.adapters.get(key);
@@ -30,25 +33,28 @@
 
   getEngineAdapter(target: AttemptTarget): EngineAdapter {
     const found = this.getOrCreate(target);
-    if (found.kind !== 'modelEngine') throw new TypeError(`${target.instance} is no model engine`);
+    if (found.kind !== 'modelEngine')
+      throw new TypeError(`${target.instance} is not a model engine`);
     return found.adapter;
   }
 
   getPlainServiceAdapter(target: AttemptTarget): PlainServiceAdapter {
     const found = this.getOrCreate(target);
-    if (found.kind !== 'plainService') throw new TypeError(`${target.instance} is a model engine`);
+    if (found.kind !== 'plainService')
+      throw new TypeError(`${target.instance} is not a plain service`);
     return found.adapter;
   }
 
   getRelayAdapter(target: AttemptTarget): RelayAdapter {
     const found = this.getOrCreate(target);
-    if (found.kind !== 'relay') throw new TypeError(`${target.instance} takes no opaque calls`);
+    if (found.kind !== 'relay')
+      throw new TypeError(`${target.instance} does not accept opaque calls`);
     return found.adapter;
   }
 
   /**
-   * Drops the adapters of backend servers that are no longer listed. The list lags and can miss
-   * one for a moment, so streams that still run there are left to end by themselves.
+   * Drops the adapters of backend servers that are not listed. The list lags and can briefly omit a
+   * running server, so streams that are still open are not interrupted.
    */
   retainOnly(targets: readonly AttemptTarget[]): void {
     const listedKeys = new Set(targets.map((target) => this.makeKey(target)));
--- a/apps/entry/src/AttemptRunner.test.ts
+++ b/apps/entry/src/AttemptRunner.test.ts
@@ -11,7 +11,7 @@
 import { CallProtocol, type ParsedCall } from './CallProtocol.js';
 import { RelayAnswer } from './RelayAnswer.js';
 
-/** Timers that fire when the test says so. */
+/** Timers that the test fires itself. */
 class ManuallyFiredTimers extends TimerService {
   readonly listeners: (() => void)[] = [];
 
@@ -31,7 +31,7 @@
   }
 }
 
-/** A backend server whose answer comes when the test gives it. */
+/** A backend server that answers when the test calls `respond`. */
 class ManuallyAnsweredAdapter extends RelayAdapter {
   respond: (response: RelayResponse) => void = () => {};
 
@@ -59,7 +59,7 @@
 
 class UnusedProtocol extends CallProtocol {
   override parseCall(): ParsedCall {
-    throw new TypeError('no call is read here');
+    throw new TypeError('this test parses no calls');
   }
 
   override writeProblem(): void {}
@@ -119,9 +119,9 @@
   for (let turn = 0; turn < count; turn += 1) await nextTurn();
 }
 
-// A busy process is late for its timers. The answer has come in time and waits to be read; Node runs
-// the due timer first. The caller gets that answer, and the backend server is asked once.
-test('an answer that waits to be read as its limit passes is taken', async () => {
+// In a busy process, the timeout fires before an answer that arrived in time has been read. Discarding
+// the answer would make the backend server compute it again.
+test('an answer that is pending when the timeout fires is relayed', async () => {
   const { timers, adapter, events } = makeRunner();
   timers.listeners.forEach((fire) => fire());
   setImmediate(() =>
@@ -133,7 +133,7 @@
   assert.equal(types.includes('attemptFailed'), false);
 });
 
-test('an attempt of which nothing is there as its limit passes is silent', async () => {
+test('an attempt without an answer fails as silent when the timeout fires', async () => {
   const { timers, events } = makeRunner();
   timers.listeners.forEach((fire) => fire());
   await runEventLoopTurns(20);
--- a/apps/entry/src/AttemptRunner.ts
+++ b/apps/entry/src/AttemptRunner.ts
@@ -1,7 +1,8 @@
 /**
- * Runs attempts: moves the bytes of streams from backend servers to callers, and tells the
- * reducer of their edges. Whatever comes from an attempt that was cancelled is dropped here, so
- * that no caller is ever given bytes of two attempts at once.
+ * Runs attempts: sends calls to backend servers, relays the answers to callers and dispatches events
+ * to the reducer (first token, progress, end, failure). It also cancels attempts and moves their KV
+ * caches. Output of a cancelled attempt is discarded, so a caller never receives interleaved bytes
+ * of two attempts.
  */
 import { BackendServerFailure, type RelayResponse } from '@hornbeampond/adapters';
 import type { AttemptFailure, EntryEffect, EntryEventPayload } from '@hornbeampond/entry-core';
@@ -18,16 +19,15 @@
 export type StartAttemptEffect = Extract<EntryEffect, { type: 'startAttempt' }>;
 type MoveCacheEffect = Extract<EntryEffect, { type: 'moveCache' }>;
 
-/** Edges of a long stream are reported no more often than this. */
+/** Shortest time between two progress events of an attempt. */
 const MIN_PROGRESS_INTERVAL_MILLISECONDS = 100;
 
-/** Time for a cancellation to reach an engine. */
 const CANCEL_TIMEOUT_MILLISECONDS = 2000;
 
-/** A move of a relayed stream that takes longer has paused it for too long. */
+/** Shorter than for engines, because an opaque call's stream is paused during the move. */
 const RELAY_CACHE_MOVE_TIMEOUT_MILLISECONDS = 2000;
 
-/** Time for a KV cache to be exported and imported. */
+/** Limits exporting and importing together. */
 const CACHE_MOVE_TIMEOUT_MILLISECONDS = 30_000;
 
 interface RunningAttempt {
@@ -35,9 +35,9 @@
   readonly abortController: AbortController;
   isCancelled: boolean;
   hasTimedOut: boolean;
-  /** True while its KV cache is being moved: its stream then ends without its end. */
+  /** True while the KV cache of an opaque call is being moved, which ends its stream early. */
   isMovingCache: boolean;
-  /** What it failed with while its KV cache was being moved. */
+  /** The error of a stream that failed during the move. */
   errorDuringMove?: unknown;
   stopTimeout: Unsubscribe;
 }
@@ -49,10 +49,10 @@
   dispatch(payload: EntryEventPayload): void;
 }
 
-/** Turns of the event loop in which bytes that are there reach the attempt: head, then body. */
+/** Event loop turns until bytes that are ready to be read, head then body, reach the attempt. */
 const PENDING_INPUT_LOOP_TURNS = 6;
 
-/** Calls `then` once the input that is waiting now has been read. */
+/** Calls `callback` after the input that is already pending has been read. */
 function runAfterPendingInput(
   callback: () => void,
   remainingTurns = PENDING_INPUT_LOOP_TURNS,
@@ -69,6 +69,7 @@
   return answer instanceof RelayAnswer ? answer.eventsSent * tokensPerEvent : 0;
 }
 
+/** True if the caller has received bytes of an answer that cannot be resumed. */
 function hasUnresumableStart(answer: CallerAnswer | undefined): boolean {
   if (answer instanceof RelayAnswer) return answer.started && answer.lastEventId === undefined;
   return answer instanceof PlainAnswer && answer.started;
@@ -77,7 +78,7 @@
 export class AttemptRunner {
   private readonly attempts = new Map<string, RunningAttempt>();
 
-  /** Names of moved KV caches, by the attempt that goes on from each. */
+  /** Handles of moved KV caches, by the id of the attempt that continues with the cache. */
   private readonly movedCacheHandles = new Map<string, string>();
 
   constructor(private readonly options: AttemptRunnerOptions) {}
@@ -106,7 +107,7 @@
     );
   }
 
-  /** Gives an attempt up at once and tells its engine. */
+  /** Cancels an attempt immediately. */
   cancel(attemptId: string): void {
     const attempt = this.attempts.get(attemptId);
     if (attempt === undefined || attempt.isCancelled) return;
@@ -114,14 +115,14 @@
     attempt.stopTimeout();
     attempt.abortController.abort();
     const found = this.options.adapters.getOrCreate(attempt.effect.target);
-    // Closing the connection, as the abort does, is all that other backend servers understand.
+    // Other backend servers have no cancel request; the abort closes their connection.
     if (found.kind !== 'modelEngine') return;
     found.adapter
       .cancel(attemptId, AbortSignal.timeout(CANCEL_TIMEOUT_MILLISECONDS))
       .catch(() => {});
   }
 
-  /** Moves the KV cache of an attempt from one engine to another. */
+  /** Moves the KV cache of an attempt to another backend server and dispatches the result. */
   async moveCache(move: MoveCacheEffect): Promise<void> {
     const { adapters, dispatch } = this.options;
     const { requestId, attemptId, nextAttemptId, from, to } = move;
@@ -142,8 +143,8 @@
   }
 
   /**
-   * Moves the cache of an opaque call. Its stream is cut by the move, which is no failure as long
-   * as the call can go on at its new place.
+   * Moves the KV cache of an opaque call. The move ends the call's stream; this counts as a failure
+   * of the attempt only if the move itself fails.
    */
   private async moveRelayCache({ requestId, attemptId, nextAttemptId, from, to }: MoveCacheEffect) {
     const { adapters, dispatch, findExchange } = this.options;
@@ -157,11 +158,11 @@
     try {
       const signal = AbortSignal.timeout(RELAY_CACHE_MOVE_TIMEOUT_MILLISECONDS);
       const cacheHandle = await adapters.getRelayAdapter(from).moveCache({ headers, to, signal });
-      // The dispatch starts the next attempt, which reads this, before it returns.
+      // The dispatch starts the next attempt synchronously, and that attempt reads the handle.
       this.movedCacheHandles.set(nextAttemptId, cacheHandle);
       dispatch({ type: 'cacheMoved', requestId, attemptId, moved: true });
     } catch {
-      // Counted by the reducer; if the stream has been cut by it, that is told as its failure.
+      // If the failed move has ended the stream, the attempt's failure is reported below.
       dispatch({ type: 'cacheMoved', requestId, attemptId, moved: false });
     }
     attempt.isMovingCache = false;
@@ -177,9 +178,9 @@
   }
 
   /**
-   * Aborts the attempt as silent unless this is called again, or stopped, within `limit`. A busy
-   * process comes to its due timers before the input that is waiting: an answer that came in time
-   * would be thrown away and computed again. So the input is read first.
+   * Aborts the attempt after `timeout` unless the timeout is restarted or stopped before. A busy
+   * process runs due timers before it reads pending input, and would discard an answer that arrived
+   * in time; so the pending input is read first.
    */
   private startTimeout(attempt: RunningAttempt, timeout: Milliseconds): void {
     attempt.stopTimeout();
@@ -233,7 +234,7 @@
     let reportedAt = 0;
     for await (const chunk of stream) {
       if (attempt.isCancelled) return;
-      // A caller that reads slowly must not make its engine look silent.
+      // Time spent waiting for a slow caller does not count against the engine.
       attempt.stopTimeout();
       if (chunk.type === 'end') {
         answer.recordEnd(chunk.finishReason, chunk.usage);
@@ -335,14 +336,17 @@
     dispatch({ type: 'attemptFinished', attemptId, tokens, longestPause });
   }
 
-  /** An answer tells of the load at the moment it was begun, which is fresher than any poll. */
+  /** Dispatches the load that a backend server reports with its answer. */
   private reportLoad(instance: string, { load }: RelayResponse): void {
     if (load === undefined) return;
     const measuredAt = this.options.timers.wallNow();
     this.options.dispatch({ type: 'loadReported', report: { instance, measuredAt, ...load } });
   }
 
-  /** The caller's headers, without its key: a backend server has no business with it. */
+  /**
+   * Returns the caller's headers without `host` and the caller's key, which backend servers must
+   * not see, and adds the request id and the workspace.
+   */
   private buildForwardedHeaders({
     headers,
     request,
@@ -371,7 +375,6 @@
       failure,
       sent: serverFailure?.sent ?? 'maybe',
       tokens: countAnswerTokens(answer, attempt.effect.target),
-      // A completion and a stream of events can be resumed; what else has begun cannot.
       answerStarted: hasUnresumableStart(answer),
       ...(serverFailure?.retryAfter === undefined ? {} : { retryAfter: serverFailure.retryAfter }),
     });
--- a/apps/entry/src/BackendServerWatcher.test.ts
+++ b/apps/entry/src/BackendServerWatcher.test.ts
@@ -24,7 +24,7 @@
 
   override async listInstances(): Promise<readonly PlatformInstance[]> {
     this.readCount += 1;
-    if (this.isDown) throw new Error('the platform does not answer');
+    if (this.isDown) throw new Error('the platform does not respond');
     return [instance];
   }
 
@@ -41,11 +41,11 @@
   }
 
   override async close(): Promise<void> {
-    // It holds nothing.
+    // Nothing to close.
   }
 }
 
-/** Entries that are told the list, all by each other's word. */
+/** Entries that share one platform and receive the lists that any of them reads. */
 class SimulatedEntries {
   readonly timers = new ManualTimerService();
 
@@ -85,7 +85,7 @@
     this.watchers.forEach((watcher) => watcher.receiveInstances(instances, age));
   }
 
-  /** Lets time pass in steps, each of which gives readings time to come back. */
+  /** Advances the clock in steps; each step lets started reads complete. */
   async advance(duration: number): Promise<void> {
     for (let elapsed = 0; elapsed < duration; elapsed += 50) {
       this.timers.advance(50);
@@ -96,9 +96,9 @@
   }
 }
 
-// The lease holder reads the list each second and all entries are told. Fifty entries that each read it
-// as well would spend more calls than the platform takes from the whole cluster.
-test('entries that are told the list do not read it', async () => {
+// The lease holder reads the list each second and sends it to all entries. If each of many entries read
+// it too, the cluster would exceed the platform's limit on calls.
+test('entries that receive the list do not read it', async () => {
   const entries = new SimulatedEntries(50);
   await entries.start();
   entries.sendList([instance]);
@@ -109,9 +109,9 @@
   assert.equal(entries.platform.readCount, 0);
 });
 
-// The lease holder is lost, or the data centre is cut off from it. Callers must not be sent to instances
-// that have left meanwhile, so one of the entries reads the list, soon, and tells the others.
-test('one of the entries reads the list when nobody tells it any more', async () => {
+// Without the lease holder's lists, entries would go on sending calls to instances that have been
+// removed. So one entry at a time reads the list and sends it to all.
+test('about one entry per interval reads the list when it is overdue', async () => {
   const entries = new SimulatedEntries(8);
   await entries.start();
   entries.sendList([instance]);
@@ -123,8 +123,8 @@
   assert.ok(readCount >= 5 && readCount <= 12, String(readCount));
 });
 
-// All entries start together, and their platform does not answer. Each goes on asking once a second.
-test('entries that start read the list for themselves until one has', async () => {
+// All entries start together and the platform does not respond.
+test('starting entries retry once a second until one has read the list', async () => {
   const entries = new SimulatedEntries(8);
   entries.platform.isDown = true;
   await entries.start();
@@ -136,7 +136,7 @@
   assert.ok(entries.listedCount >= 8);
 });
 
-test('a list that a store has kept for long is read anew', async () => {
+test('an entry that receives an outdated list reads it immediately', async () => {
   const entries = new SimulatedEntries(1);
   await entries.start();
   entries.sendList([instance], 60_000);
--- a/apps/entry/src/BackendServerWatcher.ts
+++ b/apps/entry/src/BackendServerWatcher.ts
@@ -1,10 +1,9 @@
 /**
- * Keeps the list of instances and their reclaim notices up to date, and reads the load of each backend
- * server and the cache events of each engine, at steady intervals.
- *
- * Where entries find each other by the stores, one process reads the platform's list for all and
- * tells it. An entry reads it only once nobody has told it for a while, as in a data centre that is cut
- * off, and tells what it has read; entries wait by lot, so that mostly one of them reads.
+ * Keeps the list of instances up to date. Each poll reads the list and the reclaim notices from the
+ * platform, then load reports and cache events from the backend servers. With `shareInstances`, the
+ * entry receives the list from another process and polls only when it is overdue, for example in a
+ * partitioned data centre; it then shares the list it has read. Entries wait for random times, so
+ * that usually only one of them polls.
  */
 import type { PlatformAdapter } from '@hornbeampond/adapters';
 import type { AttemptTarget, EntryEventPayload } from '@hornbeampond/entry-core';
@@ -26,26 +25,25 @@
   readonly pollMilliseconds: Milliseconds;
   readConfiguration(): Configuration;
   dispatch(payload: EntryEventPayload): void;
-  /** Tells the others what was read; without it this entry reads at every interval. */
+  /** Sends the list to the other entries. If undefined, this entry polls at every interval. */
   readonly shareInstances?: (instances: readonly PlatformInstance[]) => void;
-  /** Entries that may read in place of one that does no longer. */
+  /** The number of entries that may poll when the list is overdue, including this one. */
   countEntries(): number;
 }
 
-/** How often an entry that is told the list looks whether it still is. */
 const OVERDUE_CHECK_INTERVAL_MILLISECONDS: Milliseconds = 50;
 
-/** A list that is told at every interval has failed to come once it is so many intervals old. */
+/** The list is overdue when it is older than this many poll intervals. */
 const OVERDUE_POLL_INTERVALS = 1.5;
 
-/** Apart by so much in the mean, entries that read in place of another see each other's reading. */
-const MEAN_READ_SPACING_MILLISECONDS: Milliseconds = 100;
+/** Mean time between the polls of two entries; long enough to receive the list of the first. */
+const MEAN_POLL_SPACING_MILLISECONDS: Milliseconds = 100;
 
-/** Of many entries some read at once; the first of them is to come soon. */
-const MAX_READ_SPREAD_MILLISECONDS: Milliseconds = 1000;
+/** Limits the delay of the first poll when there are many entries. */
+const MAX_POLL_SPREAD_MILLISECONDS: Milliseconds = 1000;
 
-/** Spread of the first readings of entries that start together. */
-const INITIAL_READ_SPREAD_MILLISECONDS: Milliseconds = 400;
+/** Spreads the first polls of entries that start together. */
+const INITIAL_POLL_SPREAD_MILLISECONDS: Milliseconds = 400;
 
 export class BackendServerWatcher {
   private instances: readonly PlatformInstance[] = [];
@@ -54,18 +52,18 @@
 
   private isPolling = false;
 
-  /** When this entry reads the list itself unless it is told before. */
-  private nextReadAt: MonotonicMilliseconds = 0;
+  /** When this entry polls, unless it receives a list before. */
+  private nextPollAt: MonotonicMilliseconds = 0;
 
   private readonly cacheEventReader = new CacheEventReader();
 
   constructor(private readonly options: BackendServerWatcherOptions) {}
 
-  /** Starts to poll; resolves after the first poll, where this entry reads for itself. */
+  /** Starts the timer. Without `shareInstances`, also polls once and resolves after that. */
   async start(): Promise<void> {
     const { timers, pollMilliseconds, shareInstances } = this.options;
     if (shareInstances !== undefined) {
-      this.nextReadAt = timers.monotonicNow() + Math.random() * INITIAL_READ_SPREAD_MILLISECONDS;
+      this.nextPollAt = timers.monotonicNow() + Math.random() * INITIAL_POLL_SPREAD_MILLISECONDS;
       this.stopTimer = timers.every(OVERDUE_CHECK_INTERVAL_MILLISECONDS, () =>
         this.pollIfOverdue(),
       );
@@ -75,16 +73,16 @@
     await this.poll();
   }
 
-  /** Takes in the list as another process has read it. */
+  /** Handles a list that another process read `age` milliseconds ago. */
   receiveInstances(instances: readonly PlatformInstance[], age: Milliseconds): void {
     const { pollMilliseconds, timers } = this.options;
-    const uncappedSpread = this.options.countEntries() * MEAN_READ_SPACING_MILLISECONDS;
-    const spread = Math.min(MAX_READ_SPREAD_MILLISECONDS, uncappedSpread);
+    const uncappedSpread = this.options.countEntries() * MEAN_POLL_SPACING_MILLISECONDS;
+    const spread = Math.min(MAX_POLL_SPREAD_MILLISECONDS, uncappedSpread);
     const isFresh = age <= pollMilliseconds * OVERDUE_POLL_INTERVALS;
-    // An old one is better than none, at a start behind a partition.
+    // When starting in a partition, an old list is better than none.
     if (!isFresh && this.instances.length > 0) return;
     const timeUntilOverdue = pollMilliseconds * OVERDUE_POLL_INTERVALS - age;
-    this.nextReadAt =
+    this.nextPollAt =
       timers.monotonicNow() + Math.max(0, timeUntilOverdue) + Math.random() * spread;
     this.applyInstances(instances);
   }
@@ -97,8 +95,8 @@
   private pollIfOverdue(): void {
     const { timers, pollMilliseconds } = this.options;
     const now = timers.monotonicNow();
-    if (this.isPolling || now < this.nextReadAt) return;
-    this.nextReadAt = now + pollMilliseconds;
+    if (this.isPolling || now < this.nextPollAt) return;
+    this.nextPollAt = now + pollMilliseconds;
     this.startPoll();
   }
 
@@ -150,7 +148,7 @@
     try {
       const signal = AbortSignal.timeout(pollMilliseconds);
       const found = adapters.getOrCreate(target);
-      // Its load comes with its answers.
+      // Relayed answers carry the load report.
       if (found.kind === 'relay') return;
       const report = await found.adapter.readLoad(signal);
       dispatch({ type: 'loadReported', report: { ...report, instance: instance.instance } });
@@ -158,7 +156,7 @@
       const events = await this.cacheEventReader.read(instance.instance, found.adapter, signal);
       if (events.length > 0) dispatch({ type: 'cacheEventsReceived', events });
     } catch {
-      // A missing report is told by its age; what reaches callers is told by their attempts.
+      // The reducer sees the age of the last report, and attempts report failures themselves.
     }
   }
 
--- a/apps/entry/src/CacheEventReader.test.ts
+++ b/apps/entry/src/CacheEventReader.test.ts
@@ -13,9 +13,8 @@
   for await (const chunk of stream) if (chunk.type === 'end') break;
 }
 
-// A guide asks again with the same long prompt. The entry must learn which engine has it cached, and
-// learn of each block once; when the engine's process is new, it must stop believing in its cache.
-test('cache events are read once, and a new process of the engine clears what was known', async (context) => {
+// If a restart of the engine were missed, the entry would route requests to a cache that is empty.
+test('cache events are read once, and a restart of the engine yields a cleared event', async (context) => {
   const engine = await FakeEngine.start({ instance: 'own-name' });
   const adapter = new HttpEngineAdapter(engine);
   context.after(async () => Promise.all([adapter.close(), engine.close()]));
--- a/apps/entry/src/CacheEventReader.ts
+++ b/apps/entry/src/CacheEventReader.ts
@@ -1,15 +1,15 @@
 /**
- * Reads the cache events of model engines, each engine's from where the last reading ended. The
- * events are late and have gaps; what they are worth is for the reducer to judge.
+ * Reads the cache events of model engines incrementally: each call returns the events since the
+ * previous call for the same engine. Events may be late or missing; the reducer allows for that.
  */
 import type { EngineAdapter } from '@hornbeampond/adapters';
 import type { CacheEvent } from '@hornbeampond/schema';
 
 export class CacheEventReader {
-  /** By instance, the newest sequence that was given out. */
+  /** The sequence number of the newest event read, by instance. */
   private readonly lastSequences = new Map<string, number>();
 
-  /** The events since the last reading, named after the instance as the platform knows it. */
+  /** Reads the events since the last call. Their `instance` is set to the platform's name for it. */
   async read(
     instance: string,
     engine: EngineAdapter,
@@ -20,13 +20,13 @@
     this.lastSequences.set(instance, batch.newestSequence);
     const events = batch.events.map((event) => ({ ...event, instance }));
     if (batch.newestSequence >= lastSequence) return events;
-    // Sequences begin anew with an engine's process, whose cache is then empty.
+    // Sequence numbers restart with the engine's process, and its cache is then empty.
     this.lastSequences.set(instance, 0);
     const sequence = batch.newestSequence;
     return [{ instance, sequence, change: 'cleared', prefixDigests: [] }];
   }
 
-  /** Forgets engines that are no longer listed. */
+  /** Removes the state of engines that are not listed. */
   retainOnly(instances: readonly string[]): void {
     const listed = new Set(instances);
     [...this.lastSequences.keys()].forEach((instance) => {
--- a/apps/entry/src/CallProtocol.ts
+++ b/apps/entry/src/CallProtocol.ts
@@ -1,13 +1,13 @@
 /**
- * How callers of opaque calls are spoken to: where a request says who calls, how long the caller
- * waits and what its prompt holds, and how a refusal is written. The relay server reads bytes and
- * keeps bounds; what headers mean is known here alone.
+ * Base class for the protocol of opaque calls: implementations interpret the head of a request and
+ * write error answers. `RelayServer` reads the bytes and enforces the bounds, but does not interpret
+ * headers.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { HeaderLine } from '@hornbeampond/adapters';
 import type { CallerRequest } from '@hornbeampond/entry-core';
 
-/** What the head of a request says, as far as decisions need it. */
+/** The fields of a `CallerRequest` that are read from the head of the request. */
 export type CallRequestFields = Pick<
   CallerRequest,
   | 'keySha256'
@@ -21,21 +21,20 @@
   | 'countedTokens'
 >;
 
-/** The head of a request, read. */
 export interface ParsedCall {
-  /** The caller's name for this request, unique for all time; it names the request in logs. */
+  /** Request id chosen by the caller, which has to make it globally unique. */
   readonly name?: string;
   readonly requestFields: CallRequestFields;
-  /** What is passed on to the backend server. */
+  /** Headers that are sent to the backend server. */
   readonly forwardedHeaders: readonly HeaderLine[];
-  /** The last event that the caller has, where it asks for the rest of a stream. */
+  /** Id of the last event that the caller has received, if it asks for the rest of a stream. */
   readonly resumeAfter?: string;
 }
 
 export abstract class CallProtocol {
-  /** Reads the head; throws a `HornbeampondError` if it is malformed. */
+  /** Parses the head of a request; throws a `HornbeampondError` if it is malformed. */
   abstract parseCall(message: IncomingMessage): ParsedCall;
 
-  /** Writes a final answer that tells the error. */
+  /** Ends the response with a description of the error. */
   abstract writeProblem(response: ServerResponse, error: unknown, requestId?: string): void;
 }
--- a/apps/entry/src/CallerAnswer.test.ts
+++ b/apps/entry/src/CallerAnswer.test.ts
@@ -9,7 +9,7 @@
 import { CompletionAnswer } from './CompletionAnswer.js';
 import { PlainAnswer } from './PlainAnswer.js';
 
-/** Answers one request as `answer` does, and returns what its caller receives. */
+/** Serves one request with `answer` and returns the response that the caller receives. */
 async function receive(
   context: TestContext,
   answer: (response: ServerResponse) => Promise<void>,
@@ -29,9 +29,8 @@
 const options = { model: 'm', streamed: true, created: 1, maxCharacters: 1000 };
 const serverLost = new HornbeampondError('answerCut', 'The backend server was lost');
 
-// The engine is lost after two tokens and no other can go on. The caller reads text that ends in the
-// middle; it must be able to tell that from an end, so an error event comes and [DONE] does not.
-test('a stream that is cut ends with an error event and without [DONE]', async (context) => {
+// A caller must be able to distinguish an interrupted stream from a complete one.
+test('an interrupted stream ends with an error event and without [DONE]', async (context) => {
   const response = await receive(context, async (written) => {
     const answer = new CompletionAnswer('request-1', written, options);
     await answer.writeToken('near ', 1);
@@ -43,7 +42,7 @@
   await matchSnapshot(import.meta.url, 'cut stream', body);
 });
 
-test('a stream that is whole ends with a finish reason and [DONE]', async (context) => {
+test('a complete stream ends with a finish reason and [DONE]', async (context) => {
   const response = await receive(context, async (written) => {
     const answer = new CompletionAnswer('request-1', written, options);
     await answer.writeToken('mint', 1);
@@ -54,7 +53,7 @@
   await matchSnapshot(import.meta.url, 'whole stream', await text(response));
 });
 
-test('before the first byte a failure is a problem document', async (context) => {
+test('a failure before the first byte is sent as a problem document', async (context) => {
   const response = await receive(context, async (written) => {
     new CompletionAnswer('request-1', written, options).fail(serverLost);
   });
@@ -65,9 +64,8 @@
   await matchSnapshot(import.meta.url, 'problem document', await text(response));
 });
 
-// A plain service dies in the middle of a body without a length. Were the connection ended as usual,
-// half a ticket would look like a whole one; it is destroyed instead, and the read fails.
-test('a plain answer that is cut never looks whole', async (context) => {
+// If the connection ended normally, an interrupted body without a length would look complete.
+test('an interrupted plain answer fails at the caller', async (context) => {
   let fail = () => {};
   const response = await receive(context, async (written) => {
     const answer = new PlainAnswer('request-1', written, { isBuffered: false, maxBytes: 100 });
@@ -79,7 +77,7 @@
   await assert.rejects(text(response), /aborted/);
 });
 
-test('an answer that was kept is marked as a replay', async (context) => {
+test('a stored answer is marked as a replay', async (context) => {
   const response = await receive(context, async (written) => {
     const answer = new PlainAnswer('request-2', written, { isBuffered: true, maxBytes: 100 });
     answer.replay({ status: 201, headers: { 'x-seat': '12' }, body: Buffer.from('seat 12') });
--- a/apps/entry/src/CallerAnswer.ts
+++ b/apps/entry/src/CallerAnswer.ts
@@ -1,6 +1,6 @@
 /**
- * The answer to one caller, as the relay writes it. Its subclasses know the shapes; all of them
- * hold to one rule: an answer that could not be finished never looks complete.
+ * Base class for the answer to one caller, written to its HTTP response; each subclass implements
+ * one answer format. An answer that could not be finished must not look complete to the caller.
  */
 import type { ServerResponse } from 'node:http';
 import { once } from 'node:events';
@@ -13,37 +13,38 @@
     protected readonly response: ServerResponse,
   ) {}
 
-  /** Told when the caller begins to hold the answer up, and when it has caught up. */
+  /** Called with true when writing pauses for a slow caller, and with false when the wait ends. */
   onBackpressureChange: (held: boolean) => void = () => {};
 
-  /** True once a byte of the answer has gone to the caller. */
+  /** True once the head of the answer has been sent. */
   get started(): boolean {
     return this.response.headersSent;
   }
 
+  /** True once the answer has ended or the connection is closed. */
   get isClosed(): boolean {
     return this.response.destroyed || this.response.writableEnded;
   }
 
-  /** Tokens of a streamed answer that have been written to the caller, if there are any. */
+  /** Number of tokens already sent to the caller; undefined if none or not streamed. */
   get tokensGiven(): number | undefined {
     return undefined;
   }
 
-  /** Ends the answer as whole. */
+  /** Ends the answer as complete. */
   abstract finish(): void;
 
-  /** Ends a started answer with an error that a caller cannot take for its end. */
+  /** Ends a started answer in a way that the caller recognises as incomplete. */
   protected abstract abort(error: unknown): void;
 
-  /** Ends the answer with a problem. */
+  /** Ends the answer with an error: a problem document if nothing has been sent yet. */
   fail(error: unknown): void {
     if (this.isClosed) return;
     if (this.started) this.abort(error);
     else writeProblem(this.response, error, this.requestId);
   }
 
-  /** Gives an answer that was kept from the first run of the same call. */
+  /** Sends the stored answer of an earlier run of the same call. */
   replay({ status, headers, body }: StoredAnswer): void {
     if (this.isClosed) return;
     const replayed = { ...headers, 'x-request-id': this.requestId, 'idempotent-replay': 'true' };
@@ -51,7 +52,7 @@
     this.response.end(body);
   }
 
-  /** Writes bytes and waits while the caller is slower than the backend server. */
+  /** Writes bytes; if the response's buffer is full, waits until it drains or the caller closes. */
   protected async write(bytes: string | Uint8Array): Promise<void> {
     if (this.isClosed || this.response.write(bytes)) return;
     const abortController = new AbortController();
--- a/apps/entry/src/CallerListener.ts
+++ b/apps/entry/src/CallerListener.ts
@@ -1,19 +1,19 @@
-/** What an entry asks of the server that its callers connect to, whatever they speak. */
+/** The interface of the HTTP servers that callers connect to. */
 import type { Milliseconds } from '@hornbeampond/schema';
 
 export interface CallerListener {
-  /** Starts to listen and returns the port. */
+  /** Starts to listen; returns the port. */
   listen(): Promise<number>;
 
-  /** Takes the bounds of the configuration that has just come into force. */
+  /** Applies the bounds of a configuration that has just taken effect. */
   applyBounds?(): void;
 
-  /** Asks callers to connect elsewhere next time, with each answer from now on. */
+  /** Sends `connection: close` with the answers to new requests, so that callers reconnect. */
   disableKeepAlive?(): void;
 
-  /** Takes no new connections; those in use go on until their answers are given. */
+  /** Stops accepting connections; open answers continue. */
   stopListening(): void;
 
-  /** Waits until the last answers are written, and no longer than `patience`. */
+  /** Waits until all connections are closed; closes the remaining ones after `timeout`. */
   close(timeout: Milliseconds): Promise<void>;
 }
--- a/apps/entry/src/CallerServer.ts
+++ b/apps/entry/src/CallerServer.ts
@@ -1,6 +1,7 @@
 /**
- * Where callers connect. It checks who calls and whether the call is well formed, within bounds
- * on sizes, and hands it to the reducer; everything after that is decided there.
+ * The HTTP server for callers that use this project's own API. It authenticates each request,
+ * enforces size limits, parses chat completions and passes the request to `onRequest`. Requests that
+ * fail these checks are refused here; all further decisions are the reducer's.
  */
 import { createHash } from 'node:crypto';
 import {
@@ -32,14 +33,15 @@
 import { PlainAnswer } from './PlainAnswer.js';
 import { parseCompletion } from './parseCompletion.js';
 
-/** A request in the shell: what the reducer knows of it, its bytes, and its way back. */
+/** A caller's request with its headers, body and answer. */
 export interface CallerExchange {
+  /** The part that is passed to the reducer. */
   readonly request: CallerRequest;
   readonly headers: IncomingMessage['headers'];
   readonly body: Buffer;
-  /** Set if the call is opaque: what of its head is passed on. */
+  /** Headers that are sent to the backend server; set only for opaque calls. */
   readonly forwardedHeaders?: readonly HeaderLine[];
-  /** Set if the call is a chat completion. */
+  /** Set only for chat completions. */
   readonly completion: CompletionBody | undefined;
   readonly answer: CallerAnswer;
 }
@@ -47,23 +49,22 @@
 export interface CallerServerOptions {
   readonly settings: EntrySettings;
   readonly timers: TimerService;
-  /** Names requests; unique for all time. */
+  /** Returns a globally unique id. */
   makeRequestId(): string;
   onRequest(exchange: CallerExchange): void;
   onCallerDisconnect(requestId: string): void;
-  /** Counts a refusal that the reducer does not see. */
+  /** Called for requests that are refused before they reach the reducer. */
   onRefused(error: unknown): void;
 }
 
 export const COMPLETIONS_PATH = '/v1/chat/completions';
 
-/** Used where a completion does not say how many tokens it wants. */
+/** Used if a chat completion does not set `max_tokens`. */
 const DEFAULT_MAX_TOKENS = 1024;
 
-/** Longest `Idempotency-Key` in characters. */
 const MAX_IDEMPOTENCY_KEY_CHARACTERS = 256;
 
-/** An answer for a request that Node could not read, so that there is no response to write to. */
+/** Formats the answer to a request that Node could not parse, which has no response object. */
 function formatRawProblemResponse(error: HornbeampondError): string {
   const problem = toProblemDocument(error);
   const body = JSON.stringify(problem);
@@ -108,12 +109,10 @@
     return this.lifecycle.listen(this.options.settings.listen);
   }
 
-  /** Takes no new connections; those in use go on until their answers are given. */
   stopListening(): void {
     this.lifecycle.stopListening();
   }
 
-  /** Waits until the last answers are written, and no longer than `patience`. */
   async close(timeout: Milliseconds): Promise<void> {
     await this.lifecycle.close(timeout);
   }
@@ -124,7 +123,7 @@
       response.destroy();
       return;
     }
-    // A body that was not read to its end would be taken for the next request.
+    // The unread rest of a body would be parsed as the next request on the connection.
     response.setHeader('connection', 'close');
     writeProblem(response, error);
   }
--- a/apps/entry/src/CompletionAnswer.ts
+++ b/apps/entry/src/CompletionAnswer.ts
@@ -1,6 +1,6 @@
 /**
- * A model engine's answer in the OpenAI shape, streamed as server-sent events or whole. It keeps
- * the text so far, for that is what another engine resumes from.
+ * The answer to a chat completion in the OpenAI format, streamed as server-sent events or sent as one
+ * JSON document. It holds the text generated so far, so that another engine can resume from it.
  */
 import type { ServerResponse } from 'node:http';
 import { HornbeampondError } from '@hornbeampond/schema';
@@ -10,9 +10,9 @@
 export interface CompletionAnswerOptions {
   readonly model: string;
   readonly streamed: boolean;
-  /** Epoch seconds. */
+  /** Seconds since the epoch. */
   readonly created: number;
-  /** Most characters of generated text. */
+  /** Limit of the generated text. */
   readonly maxCharacters: number;
 }
 
@@ -41,14 +41,14 @@
     return this.tokenCount;
   }
 
-  /** Of an answer that is asked for whole the caller has nothing before its end. */
+  /** Undefined for an answer that is not streamed: the caller receives nothing before its end. */
   override get tokensGiven(): number | undefined {
     return this.options.streamed && this.tokenCount > 0 ? this.tokenCount : undefined;
   }
 
   async writeToken(text: string, tokenCount: number): Promise<void> {
     if (this.text.length + text.length > this.options.maxCharacters) {
-      throw new HornbeampondError('answerCut', 'The answer is above the bound on its size');
+      throw new HornbeampondError('answerCut', 'The answer exceeds the size limit');
     }
     this.text += text;
     this.tokenCount += tokenCount;
@@ -57,7 +57,7 @@
     await this.write(this.formatChunk({ content: text }, null));
   }
 
-  /** Notes how the engine ended; `finish` then ends the caller's answer. */
+  /** Records how the engine ended the answer, for use by `finish`. */
   recordEnd(finishReason: string, usage: CompletionUsage | undefined): void {
     this.finishReason = finishReason;
     this.usage = usage;
--- a/apps/entry/src/EntryPeers.ts
+++ b/apps/entry/src/EntryPeers.ts
@@ -1,6 +1,7 @@
 /**
- * The connections between entries: each sends its whole report to all others, and tells a
- * starting one which configuration it knows.
+ * The connections from other entries and controllers to this entry, and from it to other entries. It
+ * sends reports to all entries, receives theirs, reads their configurations and answers requests for
+ * this entry's configuration and demand. Drains are accepted only from controllers.
  */
 import {
   PeerClient,
@@ -66,7 +67,7 @@
     this.clients.forEach((client) => client.push(report));
   }
 
-  /** The configurations that the reachable entries have in force. */
+  /** Reads the current configurations of the entries that respond in time. */
   async peekConfigurations(): Promise<Configuration[]> {
     const configurations = await Promise.all(
       this.clients.map(async (client) => {
--- a/apps/entry/src/EntryProcess.ts
+++ b/apps/entry/src/EntryProcess.ts
@@ -1,5 +1,6 @@
 /**
- * One running entry: it feeds the reducer with events and carries out its effects.
+ * A running entry: it connects the servers, clients and adapters to the reducer, dispatches events to
+ * the reducer and carries out the effects it returns. It also starts and shuts down the process.
  */
 import type { PlatformAdapter } from '@hornbeampond/adapters';
 import {
@@ -48,44 +49,43 @@
 import { RelayServer } from './RelayServer.js';
 import { TableApi } from './TableApi.js';
 
-/** How often the reducer looks at what waits for time to pass. */
 const TICK_INTERVAL_MILLISECONDS = 50;
 
-/** A claim command is given so long before it counts as unavailable or unsure. */
+/** A claim command without a result by then counts as unavailable or unsure. */
 const CLAIM_TIMEOUT_MILLISECONDS = 2000;
 
-/** Commands that nobody waits for are resent for so long. */
+/** How long commands are resent whose result nothing waits for. */
 const COMMAND_TIMEOUT_MILLISECONDS = 60_000;
 
 const PROBE_TIMEOUT_MILLISECONDS = 1000;
 
-/** The last answers need this long to reach their callers before the platform's limit. */
+/** Reserved for writing the last answers before the shutdown time limit. */
 const SHUTDOWN_MARGIN_MILLISECONDS = 500;
 
-/** A starting entry that no store tells a configuration within this span asks its peers. */
+/** After this time without a configuration from the stores, an entry asks its peers. */
 const STORE_CONFIGURATION_TIMEOUT_MILLISECONDS = 2000;
 
 type ProposeClaimEffect = Extract<EntryEffect, { type: 'proposeClaim' }>;
 
-/** Ports that the process listens on, which matter where settings gave port 0. */
+/** The ports that the process listens on; chosen by the system where the settings have port 0. */
 export interface EntryPorts {
   readonly callers: number;
   readonly operators: number;
   readonly peers: number;
 }
 
-/** How callers are spoken to whose calls are passed on as they are. */
+/** Options for callers whose calls are relayed without being interpreted. */
 export interface OpaqueCallOptions {
   readonly protocol: CallProtocol;
-  /** Windows in which requests are counted for the usage report. */
+  /** Length of the windows in which requests are counted for the usage report. */
   readonly usageWindow: Milliseconds;
 }
 
-/** What is outside an entry, and how it is spoken to. */
+/** The platform, backend server and caller interfaces that an entry uses. */
 export interface EntryDependencies {
   readonly platform: PlatformAdapter;
   readonly makeAdapter: MakeAdapter;
-  /** Without it callers speak the interface of this project. */
+  /** If undefined, callers use this project's own API. */
   readonly opaqueCalls?: OpaqueCallOptions;
 }
 
@@ -206,14 +206,14 @@
   }
 
   /**
-   * True while the balancer may send callers here. An entry that names its peers takes their
-   * configuration if no store is there, and then serves an empty one too; one that finds all
-   * through the stores has nothing to serve by before they have told it.
+   * True while the load balancer may send requests here. An entry that exchanges reports through the
+   * stores is ready only once it has a configuration; other entries are ready without one.
    */
   private get isReady(): boolean {
     return this.isServing && (this.revision > 0 || !this.exchangesReportsThroughStores);
   }
 
+  /** True if the settings list no other entries to connect to. */
   private get exchangesReportsThroughStores(): boolean {
     return this.settings.entries.length === 0;
   }
@@ -238,7 +238,7 @@
     });
   }
 
-  /** Starts to serve; resolves once callers can connect. */
+  /** Starts the servers; resolves once callers can connect. */
   async start(): Promise<EntryPorts> {
     this.logger.write('processStarted', { dataCentre: this.settings.dataCentre });
     this.subscriptions.push(
@@ -256,20 +256,20 @@
     return { callers, operators, peers };
   }
 
-  /** The revision of the configuration in force here. */
+  /** Revision of the configuration in effect; 0 before there is one. */
   get revision(): number {
     return this.eventLoop.state.configuration.revision;
   }
 
-  /**
-   * Ends without cutting off a request: the balancer is told first and served for its delay, then
-   * no new connection is taken, and the reducer says when nothing is in progress any more.
-   */
-  /** Seeks the stores that changed settings name, beside those it was told of. */
+  /** Replaces the store addresses from the settings. */
   useStores(addresses: readonly StoreAddress[]): void {
     this.storeClient.useSeeds(addresses);
   }
 
+  /**
+   * Shuts down gracefully: becomes unready, accepts requests for the load balancer's delay, then
+   * stops listening. Closes when nothing is in progress any more or at the time limit.
+   */
   async shutDown(): Promise<void> {
     const { balancerDelayMilliseconds, shutdownMilliseconds } = this.settings;
     this.isServing = false;
@@ -291,7 +291,7 @@
     this.logger.write('shutdownFinished', { requestsCut: this.exchanges.size });
   }
 
-  /** Stops; answers that are being written get `patience` to reach their callers. */
+  /** Closes all servers, clients and adapters; open answers may take until `timeout`. */
   async close(timeout: Milliseconds = 0): Promise<void> {
     this.subscriptions.forEach((unsubscribe) => unsubscribe());
     this.storeClient.close();
@@ -389,7 +389,7 @@
       case 'answerProblem': {
         const { kind, detail, requestId, retryAfterMilliseconds, ran } = effect;
         this.endExchange(requestId, ({ answer }) => {
-          // The reducer's count is that of the last edge; the relay knows what the caller has.
+          // The reducer's count is as of its last event; the answer knows what has been sent.
           const { tokensGiven } = answer;
           const details = { retryAfterMilliseconds, ran, tokensGiven };
           answer.fail(new HornbeampondError(kind, detail, details));
@@ -452,7 +452,7 @@
     }
   }
 
-  /** A cut-off data centre still has to serve: its starting entry takes what its peers know. */
+  /** Lets an entry start in a data centre that is partitioned from the stores. */
   private readPeerConfigurationsIfUnconfigured(): void {
     if (this.revision > 0) return;
     void this.peers.peekConfigurations().then((configurations) => {
@@ -481,7 +481,7 @@
     this.logger.write('unexpectedError', { at, reason });
   }
 
-  /** Price of an instance; undefined if its pool or class is in no table. */
+  /** Price of an instance; undefined if its pool or class is not configured. */
   private findPrice({ pool, instanceClass }: PlatformInstance): number | undefined {
     const rows = this.eventLoop.state.configuration.pools.rows.filter(({ name }) => name === pool);
     const classes = rows.flatMap(({ instanceClasses }) => instanceClasses);
--- a/apps/entry/src/EventStreamSplitter.test.ts
+++ b/apps/entry/src/EventStreamSplitter.test.ts
@@ -5,7 +5,7 @@
 
 const stream = 'id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\r\ndata: c\r\n\r\nid: 4\ndata: half';
 
-/** Cuts a text at the given places and pushes its parts. */
+/** Pushes the parts of a stream one by one and joins the results. */
 function pushAll(parts: readonly string[]) {
   const splitter = new EventStreamSplitter();
   const results = parts.map((part) => splitter.push(Buffer.from(part)));
@@ -17,7 +17,7 @@
   };
 }
 
-test('whole events pass, and what follows the last one is kept back', () => {
+test('complete events are returned and the bytes after them are retained', () => {
   assert.deepEqual(pushAll([stream]), {
     text: 'id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\r\ndata: c\r\n\r\n',
     count: 3,
@@ -26,7 +26,7 @@
   });
 });
 
-test('it makes no difference where the bytes were parted on their way', () => {
+test('the result does not depend on how the stream is divided into chunks', () => {
   fc.assert(
     fc.property(
       fc.array(fc.integer({ min: 0, max: stream.length }), { maxLength: 12 }),
--- a/apps/entry/src/EventStreamSplitter.ts
+++ b/apps/entry/src/EventStreamSplitter.ts
@@ -1,20 +1,20 @@
 /**
- * Cuts a stream of server-sent events into whole events. Bytes after the last whole event are kept
- * back: a backend server may break off in the middle of an event, and its successor sends that
- * event from its beginning.
+ * Splits a stream of server-sent events into complete events. Bytes after the last complete event are
+ * retained: if a backend server fails in the middle of an event, the server that resumes the stream
+ * sends that event from its beginning.
  */
 
 const LINE_FEED = 0x0a;
 
-/** One or more whole events. */
+/** The events, possibly none, that a call of `push` completes. */
 export interface CompleteEvents {
   readonly bytes: Buffer;
-  /** The id of the last of them, if it has one. */
+  /** The last id among the events; undefined if none has an id. */
   readonly lastId: string | undefined;
   readonly count: number;
 }
 
-/** Where the event that begins at `from` ends, after its empty line; -1 if it is not whole. */
+/** Offset just after the empty line that ends the event at `from`; -1 if it is incomplete. */
 function findEventEnd(bytes: Buffer, from: number): number {
   for (let at = bytes.indexOf(LINE_FEED, from); at >= 0; at = bytes.indexOf(LINE_FEED, at + 1)) {
     const next = bytes[at + 1];
@@ -31,7 +31,7 @@
 export class EventStreamSplitter {
   private remainder: Buffer = Buffer.alloc(0);
 
-  /** Bytes of an event that is not whole yet. */
+  /** Bytes of the event that is still incomplete. */
   get pendingBytes(): Buffer {
     return this.remainder;
   }
--- a/apps/entry/src/HttpServerLifecycle.ts
+++ b/apps/entry/src/HttpServerLifecycle.ts
@@ -1,10 +1,13 @@
-/** The life of an HTTP server that callers connect to: it ends without cutting an answer off. */
+/**
+ * Starts and closes an HTTP server for callers. Closing lets open answers finish within a time
+ * limit.
+ */
 import type { Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import type { TimerService } from '@hornbeampond/runtime';
 import type { ListenAddress, Milliseconds } from '@hornbeampond/schema';
 
-/** How often connections that have become idle are looked for while closing. */
+/** While closing, connections that have become idle are closed at this interval. */
 const IDLE_CHECK_INTERVAL_MILLISECONDS = 10;
 
 export class HttpServerLifecycle {
@@ -13,7 +16,7 @@
     private readonly timers: TimerService,
   ) {}
 
-  /** Starts to listen and returns the port. */
+  /** Starts to listen; returns the port. */
   async listen({ host, port }: ListenAddress): Promise<number> {
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
@@ -22,13 +25,13 @@
     return (this.server.address() as AddressInfo).port;
   }
 
-  /** Takes no new connections; those in use go on until their answers are given. */
+  /** Stops accepting connections and closes idle ones; open answers continue. */
   stopListening(): void {
     this.server.close();
     this.server.closeIdleConnections();
   }
 
-  /** Waits until the last answers are written, and no longer than `patience`. */
+  /** Waits until all connections are closed; closes the remaining ones after `timeout`. */
   async close(timeout: Milliseconds): Promise<void> {
     const closeIdleConnections = () => this.server.closeIdleConnections();
     const stopIdleChecks = this.timers.every(
--- a/apps/entry/src/PlainAnswer.ts
+++ b/apps/entry/src/PlainAnswer.ts
@@ -1,6 +1,7 @@
 /**
- * A plain service's answer, passed on as it is. The answer to a call that may not be repeated is
- * held until it is whole, so that it can be stored for callers who send the call again.
+ * The answer of a plain service, relayed with its status and without its hop-by-hop headers. The
+ * answer to a call that must not be repeated is buffered until it is complete, so that it can be
+ * stored for callers that resend the call.
  */
 import type { ServerResponse } from 'node:http';
 import { HornbeampondError, type StoredAnswer } from '@hornbeampond/schema';
@@ -8,13 +9,13 @@
 import { CallerAnswer } from './CallerAnswer.js';
 
 export interface PlainAnswerOptions {
-  /** True if the answer is held until it is whole. */
+  /** True if nothing is sent before the answer is complete. */
   readonly isBuffered: boolean;
-  /** Most bytes of an answer that is held. */
+  /** Size limit of a buffered answer. */
   readonly maxBytes: number;
 }
 
-/** Headers of a backend server's answer that speak of its connection, not of the answer. */
+/** Headers that apply to the connection to the backend server, not to the answer. */
 const hopByHopHeaders = new Set(['connection', 'keep-alive', 'transfer-encoding']);
 
 export class PlainAnswer extends CallerAnswer {
@@ -34,7 +35,7 @@
     super(requestId, response);
   }
 
-  /** Takes in the head of the backend server's answer. */
+  /** Handles the head of an attempt's answer; discards what an earlier attempt has buffered. */
   receiveHead(status: number, headers: HeaderFields): void {
     this.status = status;
     this.bufferedChunks = [];
@@ -56,16 +57,16 @@
     if (this.bufferedBytes > this.options.maxBytes) {
       throw new HornbeampondError(
         'answerCut',
-        `The answer is above ${this.options.maxBytes} bytes`,
+        `The answer is larger than ${this.options.maxBytes} bytes`,
       );
     }
     this.bufferedChunks.push(bytes);
   }
 
-  /** The whole answer, if it was held. */
+  /** The complete answer, if it was buffered. */
   get storedAnswer(): StoredAnswer | undefined {
     if (!this.options.isBuffered) return undefined;
-    // A stored answer names each header once; only cookies cannot be joined, and are left out.
+    // A stored answer has one value per header. Cookies cannot be joined, so they are omitted.
     const headers = Object.fromEntries(
       Object.entries(this.headers)
         .filter(([name]) => name !== 'set-cookie')
@@ -81,7 +82,7 @@
   }
 
   protected override abort(): void {
-    // Without its last chunk a chunked body is known to be cut, whatever the caller reads it with.
+    // Closing the connection before the last chunk marks a chunked body as incomplete.
     this.response.destroy();
   }
 
--- a/apps/entry/src/RelayAnswer.ts
+++ b/apps/entry/src/RelayAnswer.ts
@@ -1,11 +1,9 @@
 /**
- * The answer to an opaque call, passed on as the backend server gave it.
- *
- * A whole answer is held until its last byte has come, up to a bound: one that is cut on the way
- * has then not begun for the caller, and the call can be tried elsewhere. A stream of events goes
- * out event by event and remembers the last one, so that another backend server can go on with it.
- * The last failure that a backend server answered is kept: if nothing better comes, the caller is
- * told in the backend server's own words.
+ * The answer to an opaque call, relayed with the backend server's status and headers. An answer that
+ * is not an event stream is buffered up to a size limit; until the limit is exceeded, the call can be
+ * retried on another server. An event stream is sent event by event, and another server can resume it
+ * after the last event id. If all attempts fail before anything is sent, the caller receives the last
+ * failure answer of a backend server, if one was saved.
  */
 import type { ServerResponse } from 'node:http';
 import type { HeaderLine, RelayResponse } from '@hornbeampond/adapters';
@@ -14,7 +12,7 @@
 import type { CallProtocol } from './CallProtocol.js';
 import { EventStreamSplitter } from './EventStreamSplitter.js';
 
-/** Larger answers are passed on as they come; holding many of them would cost too much memory. */
+/** Larger answers are sent as they arrive, to limit the memory that buffers use. */
 const MAX_BUFFERED_BYTES = 256 * 1024;
 
 interface CompleteAnswer {
@@ -24,15 +22,15 @@
 }
 
 export class RelayAnswer extends CallerAnswer {
-  /** The last event that the caller has. */
+  /** Id of the last event that the caller has received. */
   lastEventId: string | undefined;
 
-  /** The longest time between two pieces of the answer, over all attempts. */
+  /** The longest time between two chunks received, over all attempts. */
   longestPause: Milliseconds = 0;
 
   private lastBytesAt: MonotonicMilliseconds | undefined;
 
-  /** Whole events that have gone to the caller. */
+  /** Number of complete events sent to the caller. */
   eventsSent = 0;
 
   private head: Pick<RelayResponse, 'status' | 'headers' | 'isStream'> | undefined;
@@ -59,18 +57,21 @@
     return this.eventsSent > 0 ? this.eventsSent : undefined;
   }
 
-  /** True while the backend server is in the middle of an event. */
+  /** True if the bytes received end in the middle of an event. */
   get hasPartialEvent(): boolean {
     return this.head?.isStream === true && this.splitter.pendingBytes.length > 0;
   }
 
-  /** Takes note that a piece of the answer has come. */
+  /** Records that a chunk was received at `now`, for `longestPause`. */
   recordBytesReceived(now: MonotonicMilliseconds): void {
     this.longestPause = Math.max(this.longestPause, now - (this.lastBytesAt ?? now));
     this.lastBytesAt = now;
   }
 
-  /** Takes in the head of a backend server's answer; a stream that goes on keeps its first head. */
+  /**
+   * Handles the head of an attempt's answer and discards what earlier attempts have buffered. A
+   * started answer keeps its first head.
+   */
   receiveHead({ status, headers, isStream }: RelayResponse): void {
     this.splitter = new EventStreamSplitter();
     this.bufferedChunks = [];
@@ -78,7 +79,7 @@
     if (!this.started) this.head = { status, headers, isStream };
   }
 
-  /** Passes on what is whole; resolves once the caller can take more. */
+  /** Sends or buffers received bytes; resolves once the caller can receive more. */
   async writeBytes(bytes: Uint8Array): Promise<void> {
     if (this.head?.isStream !== true) {
       await this.bufferOrWrite(bytes);
@@ -92,7 +93,7 @@
     await this.write(events.bytes);
   }
 
-  /** Keeps an answer that tells of a failure, for the case that no attempt does better. */
+  /** Saves a failure answer, which is sent if all attempts fail. */
   saveFailureAnswer(body: Buffer): void {
     if (this.head === undefined || this.started) return;
     this.lastFailureAnswer = { ...this.head, body };
--- a/apps/entry/src/RelayServer.ts
+++ b/apps/entry/src/RelayServer.ts
@@ -1,6 +1,7 @@
 /**
- * Where callers of opaque calls connect. It reads requests within the bounds of the configuration
- * in force and hands them to the reducer; everything after that is decided there.
+ * The HTTP server for opaque calls. It reads requests within the bounds of the current configuration
+ * and passes them to `onRequest`. Requests that exceed the bounds or are malformed are refused here;
+ * all further decisions are the reducer's.
  */
 import { createHash } from 'node:crypto';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
@@ -24,22 +25,22 @@
   readonly listen: ListenAddress;
   readonly protocol: CallProtocol;
   readonly timers: TimerService;
-  /** The bounds in force; undefined before a configuration names any. */
+  /** The configured bounds; undefined if the configuration has none. */
   readBounds(): CallerBounds | undefined;
-  /** Names requests whose caller gave no name; unique for all time. */
+  /** Returns a globally unique id, for requests without an id that can be used. */
   makeRequestId(): string;
-  /** True if a request of this name is in progress. */
+  /** True if a request with this id is in progress. */
   isInProgress(requestId: string): boolean;
   onRequest(exchange: CallerExchange): void;
   onCallerDisconnect(requestId: string): void;
-  /** Counts a refusal that the reducer does not see. */
+  /** Called for requests that are refused before they reach the reducer. */
   onRefused(error: unknown): void;
 }
 
-/** Largest head that is read at all; the configuration's bound, checked after, is lower. */
+/** Limit for Node's parser. The configured bound is checked after the head has been parsed. */
 const MAX_HEAD_BYTES = 256 * 1024;
 
-/** In force until a configuration says more. */
+/** Used if the configuration has no bounds. */
 const DEFAULT_BOUNDS: CallerBounds = {
   headerBytes: 16 * 1024,
   bodyBytes: 4 * 1024 * 1024,
@@ -47,10 +48,9 @@
   idleMilliseconds: 15_000,
 };
 
-/** A caller may use an idle connection until its bound; closing it then would cross a request. */
+/** Added to the idle bound, so that the server does not close a connection just as it is reused. */
 const KEEP_ALIVE_MARGIN_MILLISECONDS = 1000;
 
-/** How often Node looks for heads that take too long. */
 const HEAD_TIMEOUT_CHECK_INTERVAL_MILLISECONDS = 1000;
 
 const statusLines = {
@@ -58,8 +58,9 @@
   headersTooLarge: '431 Request Header Fields Too Large',
 } as const;
 
+/** Size of the request line and headers, without the method and the HTTP version. */
 function countHeadBytes({ rawHeaders, url = '' }: IncomingMessage): number {
-  // Each line has a colon, a space and an end of two bytes.
+  // Each name is followed by a colon and a space, each value by CRLF.
   return rawHeaders.reduce((sum, text) => sum + text.length + 2, url.length);
 }
 
@@ -90,7 +91,6 @@
     this.applyBounds();
   }
 
-  /** Takes the bounds of the configuration in force. */
   applyBounds(): void {
     const { headerMilliseconds, idleMilliseconds } = this.bounds;
     this.server.headersTimeout = headerMilliseconds;
@@ -101,7 +101,6 @@
     return this.lifecycle.listen(this.options.listen);
   }
 
-  /** Asks callers to connect elsewhere next time, with each answer from now on. */
   disableKeepAlive(): void {
     this.isKeepAliveDisabled = true;
   }
@@ -125,12 +124,12 @@
       response.destroy();
       return;
     }
-    // A body that was not read to its end would be taken for the next request.
+    // The unread rest of a body would be parsed as the next request on the connection.
     response.setHeader('connection', 'close');
     this.options.protocol.writeProblem(response, error);
   }
 
-  /** Answers bytes that Node could not read as a request, so that there is no response object. */
+  /** Refuses a request that Node could not parse, which has no response object. */
   private refuseUnparsedRequest(error: NodeJS.ErrnoException, socket: Socket): void {
     const kind = error.code === 'HPE_HEADER_OVERFLOW' ? 'headersTooLarge' : 'badRequest';
     const problem = new HornbeampondError(kind, 'The request could not be read');
@@ -147,11 +146,14 @@
     if (this.isKeepAliveDisabled) response.setHeader('connection', 'close');
     const { headerBytes, bodyBytes } = this.bounds;
     if (countHeadBytes(message) > headerBytes) {
-      throw new HornbeampondError('headersTooLarge', `The head is above ${headerBytes} bytes`);
+      throw new HornbeampondError(
+        'headersTooLarge',
+        `The request head is larger than ${headerBytes} bytes`,
+      );
     }
     const call = protocol.parseCall(message);
     const body = await readBody(message, bodyBytes);
-    // The caller may have left while its body was read.
+    // The caller may have disconnected while its body was read.
     if (response.destroyed) return;
     const requestId = this.chooseRequestId(call.name);
     const answer = new RelayAnswer(requestId, response, protocol, call.resumeAfter);
@@ -175,6 +177,7 @@
     });
   }
 
+  /** Returns the caller's id for the request, or a new id if that is missing or in use. */
   private chooseRequestId(name: string | undefined): string {
     const { isInProgress, makeRequestId } = this.options;
     return name === undefined || isInProgress(name) ? makeRequestId() : name;
--- a/apps/entry/src/TableApi.ts
+++ b/apps/entry/src/TableApi.ts
@@ -1,6 +1,6 @@
 /**
- * Reading and changing the two tables on the operators' port: `GET` and `PUT` on
- * `/tables/routes` and `/tables/pools`, with `ETag`, `If-Match` and a change id in
+ * Serves the routes and pools tables on the operators' port: `GET` and `PUT` on `/tables/routes` and
+ * `/tables/pools`. A `PUT` needs the table's `ETag` in `If-Match` and a change id in
  * `Idempotency-Key`.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -14,7 +14,7 @@
 } from '@hornbeampond/schema';
 import { authorizeOperator, readBody, writeJson, type StoreClient } from '@hornbeampond/transport';
 
-/** A change that has not come back from the log within this span is told as unsure. */
+/** A change without a result by then is reported as not made or as unsure. */
 const CHANGE_TIMEOUT_MILLISECONDS = 5000;
 const READ_TIMEOUT_MILLISECONDS = 3000;
 const MAX_TABLE_BYTES = 32 * 1024 * 1024;
@@ -37,7 +37,7 @@
   if (typeof header === 'string' && header !== '' && header.length <= MAX_CHANGE_ID_CHARACTERS) {
     return header;
   }
-  throw new HornbeampondError('idempotencyKeyMissing', 'Name the change in "Idempotency-Key"');
+  throw new HornbeampondError('idempotencyKeyMissing', 'Send a change id in "Idempotency-Key"');
 }
 
 function readRows(body: Buffer): readonly unknown[] {
@@ -59,7 +59,7 @@
     private readonly store: StoreClient,
   ) {}
 
-  /** Serves `/tables/…`; says whether the path was one of these. */
+  /** Handles requests to `/tables/…`; returns false for other paths. */
   async handle(request: IncomingMessage, response: ServerResponse, url: URL): Promise<boolean> {
     const [, folder, name] = url.pathname.split('/');
     if (folder !== 'tables') return false;
--- a/apps/entry/src/main.ts
+++ b/apps/entry/src/main.ts
@@ -1,4 +1,4 @@
-/** The binary `hornbeampond-entry`. */
+/** Entry point of the binary `hornbeampond-entry`. */
 import { SystemTimerService, runBinary } from '@hornbeampond/runtime';
 import { entrySettingsSchema } from '@hornbeampond/schema';
 import { EntryProcess } from './EntryProcess.js';
@@ -6,7 +6,7 @@
 
 await runBinary({
   name: 'hornbeampond-entry',
-  purpose: 'takes callers’ requests and gives each its whole answer once',
+  purpose: 'accepts callers’ requests and relays them to backend servers',
   schema: entrySettingsSchema,
   start: async (settings) => {
     const entry = new EntryProcess(
--- a/apps/entry/src/makeHttpDependencies.ts
+++ b/apps/entry/src/makeHttpDependencies.ts
@@ -1,4 +1,7 @@
-/** What is outside an entry where it is spoken to by this project's own interface, over HTTP. */
+/**
+ * Creates the dependencies of an entry whose platform and backend servers use this project's own
+ * HTTP APIs.
+ */
 import {
   HttpEngineAdapter,
   HttpPlainServiceAdapter,
@@ -15,7 +18,6 @@
     : { kind: 'plainService', adapter: new HttpPlainServiceAdapter(target) };
 }
 
-/** The platform at the address of the settings, and backend servers at theirs. */
 export function makeHttpDependencies(settings: EntrySettings): EntryDependencies {
   return {
     platform: new HttpPlatformAdapter(settings.platform.url),
--- a/apps/entry/src/parseCompletion.ts
+++ b/apps/entry/src/parseCompletion.ts
@@ -1,13 +1,13 @@
-/** Checks the body of a chat completion as far as the system itself depends on it. */
+/** Parses the body of a chat completion and checks the fields that the entry depends on. */
 import { describeIssue, HornbeampondError } from '@hornbeampond/schema';
 import type { CompletionBody } from '@hornbeampond/adapters';
 import * as z from 'zod';
 
 /**
- * The relay carries one text answer. Of a call of a tool nothing would reach the caller: it would
- * get an empty answer that looks whole, and so it is told at once instead.
+ * Only text answers are relayed. A tool call would be lost and its caller would receive an empty
+ * answer that looks complete, so requests with tools are refused.
  */
-const unsupportedTools = z.array(z.unknown()).max(0, 'calls of tools are not carried').optional();
+const unsupportedTools = z.array(z.unknown()).max(0, 'tool calls are not supported').optional();
 
 const completionSchema = z.looseObject({
   model: z.string().min(1).max(200).optional(),
@@ -16,10 +16,10 @@
   stream: z.boolean().optional(),
   tools: unsupportedTools,
   functions: unsupportedTools,
-  n: z.literal(1, 'only one choice can be asked for').optional(),
+  n: z.literal(1, 'only one choice is supported').optional(),
 });
 
-/** Throws `badRequest` with every fault. */
+/** Throws `badRequest`, with a list of all faults if the body is JSON. */
 export function parseCompletion(body: Buffer): CompletionBody {
   let value: unknown;
   try {
--- a/apps/entry/src/relayBody.ts
+++ b/apps/entry/src/relayBody.ts
@@ -1,7 +1,7 @@
 /**
- * Moves the body of an opaque answer to its caller. An answer of 5xx is a failure of the backend
- * server: it is read whole, kept for the caller, and told as a failure, so that the reducer can
- * try elsewhere first.
+ * Relays the body of an opaque answer to its caller. An answer with a 5xx status is a failure of the
+ * backend server: it is saved for the caller and thrown as a `BackendServerFailure`, so that the
+ * reducer can retry the call first.
  */
 import { BackendServerFailure, type RelayResponse } from '@hornbeampond/adapters';
 import type { RelayAnswer } from './RelayAnswer.js';
@@ -9,14 +9,13 @@
 const OK_STATUS = 200;
 const MIN_SERVER_ERROR_STATUS = 500;
 
-/** Larger answers that tell of a failure are cut short. */
+/** Larger failure answers are not saved. */
 const MAX_SAVED_FAILURE_BYTES = 64 * 1024;
 
 export interface RelayCallbacks {
   isCancelled(): boolean;
-  /** Bytes have come. */
   onBytesReceived(): void;
-  /** The caller has taken them. */
+  /** Called once the caller can receive more. */
   onBytesWritten(): void;
 }
 
@@ -43,7 +42,7 @@
   callbacks: RelayCallbacks,
 ): Promise<void> {
   if (answer.started && !(response.isStream && response.status === OK_STATUS)) {
-    throw new BackendServerFailure('a stream cannot go on with this', {
+    throw new BackendServerFailure('the answer cannot continue the one already started', {
       failure: 'malformed',
       status: response.status,
     });
@@ -56,6 +55,6 @@
     await answer.writeBytes(bytes);
     callbacks.onBytesWritten();
   }
-  // The connection ended cleanly, yet in the middle of an event: the stream was cut.
+  // The connection can end cleanly in the middle of an event.
   if (answer.hasPartialEvent) throw new BackendServerFailure('the stream ended inside an event');
 }
