--- a/apps/entry/src/AttemptRunner.ts
+++ b/apps/entry/src/AttemptRunner.ts
@@ -37,7 +37,7 @@
   hasTimedOut: boolean;
   /** True while the KV cache of an opaque call is being moved, which ends its stream early. */
   isMovingCache: boolean;
-  /** The error of a stream that failed during the move. */
+  /** The error with which the stream ended during the move. */
   errorDuringMove?: unknown;
   stopTimeout: Unsubscribe;
 }
@@ -143,8 +143,8 @@
   }
 
   /**
-   * Moves the KV cache of an opaque call. The move ends the call's stream; this counts as a failure
-   * of the attempt only if the move itself fails.
+   * Moves the KV cache of an opaque call. The move ends the call's stream, so an error of the stream
+   * is held back until the move has succeeded or failed.
    */
   private async moveRelayCache({ requestId, attemptId, nextAttemptId, from, to }: MoveCacheEffect) {
     const { adapters, dispatch, findExchange } = this.options;
@@ -162,7 +162,7 @@
       this.movedCacheHandles.set(nextAttemptId, cacheHandle);
       dispatch({ type: 'cacheMoved', requestId, attemptId, moved: true });
     } catch {
-      // If the failed move has ended the stream, the attempt's failure is reported below.
+      // If the failed move has ended the stream, the stream's error is reported below.
       dispatch({ type: 'cacheMoved', requestId, attemptId, moved: false });
     }
     attempt.isMovingCache = false;
--- a/apps/entry/src/BackendServerWatcher.test.ts
+++ b/apps/entry/src/BackendServerWatcher.test.ts
@@ -109,9 +109,9 @@
   assert.equal(entries.platform.readCount, 0);
 });
 
-// Without the lease holder's lists, entries would go on sending calls to instances that have been
-// removed. So one entry at a time reads the list and sends it to all.
-test('about one entry per interval reads the list when it is overdue', async () => {
+// Without lists from the lease holder, entries would keep sending calls to instances that have been
+// removed.
+test('when the list is overdue, about one entry per interval reads it', async () => {
   const entries = new SimulatedEntries(8);
   await entries.start();
   entries.sendList([instance]);
@@ -136,7 +136,7 @@
   assert.ok(entries.listedCount >= 8);
 });
 
-test('an entry that receives an outdated list reads it immediately', async () => {
+test('an entry that receives an outdated list soon reads a new one', async () => {
   const entries = new SimulatedEntries(1);
   await entries.start();
   entries.sendList([instance], 60_000);
--- a/apps/entry/src/BackendServerWatcher.ts
+++ b/apps/entry/src/BackendServerWatcher.ts
@@ -1,9 +1,9 @@
 /**
  * Keeps the list of instances up to date. Each poll reads the list and the reclaim notices from the
  * platform, then load reports and cache events from the backend servers. With `shareInstances`, the
- * entry receives the list from another process and polls only when it is overdue, for example in a
- * partitioned data centre; it then shares the list it has read. Entries wait for random times, so
- * that usually only one of them polls.
+ * entry receives the list from another process and polls only when the list is overdue, for example
+ * in a partitioned data centre. It then shares the list that it has read. Each entry adds a random
+ * delay, so that usually only one of them polls.
  */
 import type { PlatformAdapter } from '@hornbeampond/adapters';
 import type { AttemptTarget, EntryEventPayload } from '@hornbeampond/entry-core';
@@ -36,10 +36,10 @@
 /** The list is overdue when it is older than this many poll intervals. */
 const OVERDUE_POLL_INTERVALS = 1.5;
 
-/** Mean time between the polls of two entries; long enough to receive the list of the first. */
+/** Mean time between polls of different entries; allows the list of one to reach the others. */
 const MEAN_POLL_SPACING_MILLISECONDS: Milliseconds = 100;
 
-/** Limits the delay of the first poll when there are many entries. */
+/** Upper limit of the random delay, however many entries there are. */
 const MAX_POLL_SPREAD_MILLISECONDS: Milliseconds = 1000;
 
 /** Spreads the first polls of entries that start together. */
@@ -52,7 +52,7 @@
 
   private isPolling = false;
 
-  /** When this entry polls, unless it receives a list before. */
+  /** With `shareInstances`: when this entry polls, unless it receives a list before. */
   private nextPollAt: MonotonicMilliseconds = 0;
 
   private readonly cacheEventReader = new CacheEventReader();
@@ -79,7 +79,7 @@
     const uncappedSpread = this.options.countEntries() * MEAN_POLL_SPACING_MILLISECONDS;
     const spread = Math.min(MAX_POLL_SPREAD_MILLISECONDS, uncappedSpread);
     const isFresh = age <= pollMilliseconds * OVERDUE_POLL_INTERVALS;
-    // When starting in a partition, an old list is better than none.
+    // Without any list, as after a start in a partition, an overdue one is better than none.
     if (!isFresh && this.instances.length > 0) return;
     const timeUntilOverdue = pollMilliseconds * OVERDUE_POLL_INTERVALS - age;
     this.nextPollAt =
--- a/apps/entry/src/CacheEventReader.ts
+++ b/apps/entry/src/CacheEventReader.ts
@@ -9,7 +9,10 @@
   /** The sequence number of the newest event read, by instance. */
   private readonly lastSequences = new Map<string, number>();
 
-  /** Reads the events since the last call. Their `instance` is set to the platform's name for it. */
+  /**
+   * Reads the events since the last call and sets their `instance` to the platform's name. If the
+   * engine has restarted, returns only a `cleared` event.
+   */
   async read(
     instance: string,
     engine: EngineAdapter,
--- a/apps/entry/src/CallerAnswer.test.ts
+++ b/apps/entry/src/CallerAnswer.test.ts
@@ -9,7 +9,7 @@
 import { CompletionAnswer } from './CompletionAnswer.js';
 import { PlainAnswer } from './PlainAnswer.js';
 
-/** Serves one request with `answer` and returns the response that the caller receives. */
+/** Serves one request, answered by `answer`, and returns the response that the caller receives. */
 async function receive(
   context: TestContext,
   answer: (response: ServerResponse) => Promise<void>,
@@ -31,8 +31,8 @@
 
 // A caller must be able to distinguish an interrupted stream from a complete one.
 test('an interrupted stream ends with an error event and without [DONE]', async (context) => {
-  const response = await receive(context, async (written) => {
-    const answer = new CompletionAnswer('request-1', written, options);
+  const response = await receive(context, async (serverResponse) => {
+    const answer = new CompletionAnswer('request-1', serverResponse, options);
     await answer.writeToken('near ', 1);
     await answer.writeToken('mint', 1);
     answer.fail(serverLost);
@@ -43,8 +43,8 @@
 });
 
 test('a complete stream ends with a finish reason and [DONE]', async (context) => {
-  const response = await receive(context, async (written) => {
-    const answer = new CompletionAnswer('request-1', written, options);
+  const response = await receive(context, async (serverResponse) => {
+    const answer = new CompletionAnswer('request-1', serverResponse, options);
     await answer.writeToken('mint', 1);
     answer.recordEnd('stop', undefined);
     answer.finish();
@@ -54,8 +54,8 @@
 });
 
 test('a failure before the first byte is sent as a problem document', async (context) => {
-  const response = await receive(context, async (written) => {
-    new CompletionAnswer('request-1', written, options).fail(serverLost);
+  const response = await receive(context, async (serverResponse) => {
+    new CompletionAnswer('request-1', serverResponse, options).fail(serverLost);
   });
   const { statusCode, headers } = response;
   assert.equal(statusCode, 502);
@@ -67,8 +67,11 @@
 // If the connection ended normally, an interrupted body without a length would look complete.
 test('an interrupted plain answer fails at the caller', async (context) => {
   let fail = () => {};
-  const response = await receive(context, async (written) => {
-    const answer = new PlainAnswer('request-1', written, { isBuffered: false, maxBytes: 100 });
+  const response = await receive(context, async (serverResponse) => {
+    const answer = new PlainAnswer('request-1', serverResponse, {
+      isBuffered: false,
+      maxBytes: 100,
+    });
     fail = () => answer.fail(serverLost);
     answer.receiveHead(200, { 'content-type': 'text/plain' });
     await answer.writeBytes(Buffer.from('half a tick'));
@@ -78,8 +81,11 @@
 });
 
 test('a stored answer is marked as a replay', async (context) => {
-  const response = await receive(context, async (written) => {
-    const answer = new PlainAnswer('request-2', written, { isBuffered: true, maxBytes: 100 });
+  const response = await receive(context, async (serverResponse) => {
+    const answer = new PlainAnswer('request-2', serverResponse, {
+      isBuffered: true,
+      maxBytes: 100,
+    });
     answer.replay({ status: 201, headers: { 'x-seat': '12' }, body: Buffer.from('seat 12') });
   });
   assert.equal(response.statusCode, 201);
--- a/apps/entry/src/CallerAnswer.ts
+++ b/apps/entry/src/CallerAnswer.ts
@@ -14,7 +14,7 @@
   ) {}
 
   /** Called with true when writing pauses for a slow caller, and with false when the wait ends. */
-  onBackpressureChange: (held: boolean) => void = () => {};
+  onBackpressureChange: (isPaused: boolean) => void = () => {};
 
   /** True once the head of the answer has been sent. */
   get started(): boolean {
@@ -52,7 +52,7 @@
     this.response.end(body);
   }
 
-  /** Writes bytes; if the response's buffer is full, waits until it drains or the caller closes. */
+  /** Writes bytes; if the response's buffer is full, waits until it has drained or closed. */
   protected async write(bytes: string | Uint8Array): Promise<void> {
     if (this.isClosed || this.response.write(bytes)) return;
     const abortController = new AbortController();
--- a/apps/entry/src/CallerListener.ts
+++ b/apps/entry/src/CallerListener.ts
@@ -14,6 +14,6 @@
   /** Stops accepting connections; open answers continue. */
   stopListening(): void;
 
-  /** Waits until all connections are closed; closes the remaining ones after `timeout`. */
+  /** Stops listening and waits for open answers; closes all connections after `timeout`. */
   close(timeout: Milliseconds): Promise<void>;
 }
--- a/apps/entry/src/EntryPeers.ts
+++ b/apps/entry/src/EntryPeers.ts
@@ -1,7 +1,8 @@
 /**
  * The connections from other entries and controllers to this entry, and from it to other entries. It
  * sends reports to all entries, receives theirs, reads their configurations and answers requests for
- * this entry's configuration and demand. Drains are accepted only from controllers.
+ * this entry's configuration and demand. It accepts reports only from entries and drains only from
+ * controllers.
  */
 import {
   PeerClient,
--- a/apps/entry/src/EntryProcess.ts
+++ b/apps/entry/src/EntryProcess.ts
@@ -51,10 +51,10 @@
 
 const TICK_INTERVAL_MILLISECONDS = 50;
 
-/** A claim command without a result by then counts as unavailable or unsure. */
+/** A claim command without a result within this time counts as unavailable or unsure. */
 const CLAIM_TIMEOUT_MILLISECONDS = 2000;
 
-/** How long commands are resent whose result nothing waits for. */
+/** How long a command is resent if no request waits for its result. */
 const COMMAND_TIMEOUT_MILLISECONDS = 60_000;
 
 const PROBE_TIMEOUT_MILLISECONDS = 1000;
@@ -120,6 +120,7 @@
 
   private isServing = false;
 
+  /** True after a peer's configuration was applied, until the stores send one. */
   private isPartitionedFromStores = false;
 
   private onShutdownReady: () => void = () => {};
@@ -213,7 +214,7 @@
     return this.isServing && (this.revision > 0 || !this.exchangesReportsThroughStores);
   }
 
-  /** True if the settings list no other entries to connect to. */
+  /** True if the settings list no entries; this entry then does not connect to its peers. */
   private get exchangesReportsThroughStores(): boolean {
     return this.settings.entries.length === 0;
   }
@@ -452,7 +453,10 @@
     }
   }
 
-  /** Lets an entry start in a data centre that is partitioned from the stores. */
+  /**
+   * Asks the peers for their configurations, repeatedly until this entry has one, so that an entry
+   * can start in a data centre that is partitioned from the stores.
+   */
   private readPeerConfigurationsIfUnconfigured(): void {
     if (this.revision > 0) return;
     void this.peers.peekConfigurations().then((configurations) => {
--- a/apps/entry/src/HttpServerLifecycle.ts
+++ b/apps/entry/src/HttpServerLifecycle.ts
@@ -31,7 +31,7 @@
     this.server.closeIdleConnections();
   }
 
-  /** Waits until all connections are closed; closes the remaining ones after `timeout`. */
+  /** Stops listening and waits for open answers; closes all connections after `timeout`. */
   async close(timeout: Milliseconds): Promise<void> {
     const closeIdleConnections = () => this.server.closeIdleConnections();
     const stopIdleChecks = this.timers.every(
--- a/apps/entry/src/RelayAnswer.ts
+++ b/apps/entry/src/RelayAnswer.ts
@@ -2,7 +2,7 @@
  * The answer to an opaque call, relayed with the backend server's status and headers. An answer that
  * is not an event stream is buffered up to a size limit; until the limit is exceeded, the call can be
  * retried on another server. An event stream is sent event by event, and another server can resume it
- * after the last event id. If all attempts fail before anything is sent, the caller receives the last
+ * after the last event id. If the call fails before anything is sent, the caller receives the last
  * failure answer of a backend server, if one was saved.
  */
 import type { ServerResponse } from 'node:http';
@@ -22,7 +22,7 @@
 }
 
 export class RelayAnswer extends CallerAnswer {
-  /** Id of the last event that the caller has received. */
+  /** Id of the last event sent, at first of the event that the caller asks to resume after. */
   lastEventId: string | undefined;
 
   /** The longest time between two chunks received, over all attempts. */
@@ -53,6 +53,7 @@
     this.lastEventId = resumeAfter;
   }
 
+  /** Counts events, not tokens. */
   override get tokensGiven(): number | undefined {
     return this.eventsSent > 0 ? this.eventsSent : undefined;
   }
@@ -93,7 +94,7 @@
     await this.write(events.bytes);
   }
 
-  /** Saves a failure answer, which is sent if all attempts fail. */
+  /** Saves a failure answer, which is sent if the call fails before anything else is sent. */
   saveFailureAnswer(body: Buffer): void {
     if (this.head === undefined || this.started) return;
     this.lastFailureAnswer = { ...this.head, body };
--- a/apps/entry/src/RelayServer.ts
+++ b/apps/entry/src/RelayServer.ts
@@ -58,7 +58,7 @@
   headersTooLarge: '431 Request Header Fields Too Large',
 } as const;
 
-/** Size of the request line and headers, without the method and the HTTP version. */
+/** Size of the URL and the header lines. */
 function countHeadBytes({ rawHeaders, url = '' }: IncomingMessage): number {
   // Each name is followed by a colon and a space, each value by CRLF.
   return rawHeaders.reduce((sum, text) => sum + text.length + 2, url.length);
--- a/apps/entry/src/relayBody.ts
+++ b/apps/entry/src/relayBody.ts
@@ -1,7 +1,7 @@
 /**
- * Relays the body of an opaque answer to its caller. An answer with a 5xx status is a failure of the
- * backend server: it is saved for the caller and thrown as a `BackendServerFailure`, so that the
- * reducer can retry the call first.
+ * Relays the body of an opaque answer to its caller. An answer with a 5xx status is not relayed but
+ * saved, unless it is too large, and a `BackendServerFailure` is thrown, so that the reducer can
+ * retry the call before the caller receives the answer.
  */
 import { BackendServerFailure, type RelayResponse } from '@hornbeampond/adapters';
 import type { RelayAnswer } from './RelayAnswer.js';
@@ -55,6 +55,6 @@
     await answer.writeBytes(bytes);
     callbacks.onBytesWritten();
   }
-  // The connection can end cleanly in the middle of an event.
+  // A connection that ends cleanly can still end in the middle of an event.
   if (answer.hasPartialEvent) throw new BackendServerFailure('the stream ended inside an event');
 }
