--- a/apps/entry/src/EventStreamSplitter.test.ts
+++ b/apps/entry/src/EventStreamSplitter.test.ts
@@ -31,8 +31,8 @@
     fc.property(
       fc.array(fc.integer({ min: 0, max: stream.length }), { maxLength: 12 }),
       (offsets) => {
-        const boundaries = [0, ...offsets.sort((a, b) => a - b), stream.length];
-        const parts = boundaries.slice(1).map((end, index) => stream.slice(boundaries[index], end));
+        const cuts = [0, ...offsets.sort((a, b) => a - b), stream.length];
+        const parts = cuts.slice(1).map((end, index) => stream.slice(cuts[index], end));
         assert.deepEqual(pushAll(parts), pushAll([stream]));
       },
     ),
--- a/apps/entry/src/EventStreamSplitter.ts
+++ b/apps/entry/src/EventStreamSplitter.ts
@@ -29,16 +29,15 @@
 }
 
 export class EventStreamSplitter {
-  private remainder: Buffer = Buffer.alloc(0);
+  private rest: Buffer = Buffer.alloc(0);
 
   /** Bytes of the event that is still incomplete. */
   get pendingBytes(): Buffer {
-    return this.remainder;
+    return this.rest;
   }
 
   push(bytes: Uint8Array): CompleteEvents {
-    const all =
-      this.remainder.length === 0 ? Buffer.from(bytes) : Buffer.concat([this.remainder, bytes]);
+    const all = this.rest.length === 0 ? Buffer.from(bytes) : Buffer.concat([this.rest, bytes]);
     let end = 0;
     let count = 0;
     let lastId: string | undefined;
@@ -47,7 +46,7 @@
       end = next;
       count += 1;
     }
-    this.remainder = all.subarray(end);
+    this.rest = all.subarray(end);
     return { bytes: all.subarray(0, end), lastId, count };
   }
 }
