--- a/apps/entry/src/CacheEventReader.ts
+++ b/apps/entry/src/CacheEventReader.ts
@@ -1,36 +1,39 @@
 /**
- * Reads the cache events of model engines, each engine's from where the last reading ended. The
- * events are late and have gaps; what they are worth is for the reducer to judge.
+ * Reads the cache events of model engines incrementally: each call returns the events since the
+ * previous call for the same engine. Events may be late or missing; the reducer allows for that.
  */
 import type { EngineAdapter } from '@hornbeampond/adapters';
 import type { CacheEvent } from '@hornbeampond/schema';
 
 export class CacheEventReader {
-  /** By instance, the newest sequence that was given out. */
-  private readonly newest = new Map<string, number>();
+  /** The sequence number of the newest event read, by instance. */
+  private readonly lastSequences = new Map<string, number>();
 
-  /** The events since the last reading, named after the instance as the platform knows it. */
+  /**
+   * Reads the events since the last call and sets their `instance` to the platform's name. If the
+   * engine has restarted, returns only a `cleared` event.
+   */
   async read(
     instance: string,
     engine: EngineAdapter,
     signal: AbortSignal,
   ): Promise<readonly CacheEvent[]> {
-    const after = this.newest.get(instance) ?? 0;
-    const batch = await engine.readCacheEvents(after, signal);
-    this.newest.set(instance, batch.newestSequence);
+    const lastSequence = this.lastSequences.get(instance) ?? 0;
+    const batch = await engine.readCacheEvents(lastSequence, signal);
+    this.lastSequences.set(instance, batch.newestSequence);
     const events = batch.events.map((event) => ({ ...event, instance }));
-    if (batch.newestSequence >= after) return events;
-    // Sequences begin anew with an engine's process, whose cache is then empty.
-    this.newest.set(instance, 0);
+    if (batch.newestSequence >= lastSequence) return events;
+    // Sequence numbers restart with the engine's process, and its cache is then empty.
+    this.lastSequences.set(instance, 0);
     const sequence = batch.newestSequence;
     return [{ instance, sequence, change: 'cleared', prefixDigests: [] }];
   }
 
-  /** Forgets engines that are no longer listed. */
+  /** Removes the state of engines that are not listed. */
   retainOnly(instances: readonly string[]): void {
-    const kept = new Set(instances);
-    [...this.newest.keys()].forEach((instance) => {
-      if (!kept.has(instance)) this.newest.delete(instance);
+    const listed = new Set(instances);
+    [...this.lastSequences.keys()].forEach((instance) => {
+      if (!listed.has(instance)) this.lastSequences.delete(instance);
     });
   }
 }
--- a/apps/entry/src/CallerAnswer.test.ts
+++ b/apps/entry/src/CallerAnswer.test.ts
@@ -9,7 +9,7 @@
 import { CompletionAnswer } from './CompletionAnswer.js';
 import { PlainAnswer } from './PlainAnswer.js';
 
-/** Answers one request as `answer` does, and returns what its caller receives. */
+/** Serves one request, answered by `answer`, and returns the response that the caller receives. */
 async function receive(
   context: TestContext,
   answer: (response: ServerResponse) => Promise<void>,
@@ -26,26 +26,25 @@
   return response;
 }
 
-const shape = { model: 'm', streamed: true, created: 1, maxCharacters: 1000 };
-const lost = new HornbeampondError('answerCut', 'The backend server was lost');
+const options = { model: 'm', streamed: true, created: 1, maxCharacters: 1000 };
+const serverLost = new HornbeampondError('answerCut', 'The backend server was lost');
 
-// The engine is lost after two tokens and no other can go on. The caller reads text that ends in the
-// middle; it must be able to tell that from an end, so an error event comes and [DONE] does not.
-test('a stream that is cut ends with an error event and without [DONE]', async (context) => {
-  const response = await receive(context, async (written) => {
-    const answer = new CompletionAnswer('request-1', written, shape);
+// A caller must be able to distinguish an interrupted stream from a complete one.
+test('an interrupted stream ends with an error event and without [DONE]', async (context) => {
+  const response = await receive(context, async (serverResponse) => {
+    const answer = new CompletionAnswer('request-1', serverResponse, options);
     await answer.writeToken('near ', 1);
     await answer.writeToken('mint', 1);
-    answer.fail(lost);
+    answer.fail(serverLost);
   });
   const body = await text(response);
   assert.equal(body.includes('[DONE]'), false);
   await matchSnapshot(import.meta.url, 'cut stream', body);
 });
 
-test('a stream that is whole ends with a finish reason and [DONE]', async (context) => {
-  const response = await receive(context, async (written) => {
-    const answer = new CompletionAnswer('request-1', written, shape);
+test('a complete stream ends with a finish reason and [DONE]', async (context) => {
+  const response = await receive(context, async (serverResponse) => {
+    const answer = new CompletionAnswer('request-1', serverResponse, options);
     await answer.writeToken('mint', 1);
     answer.recordEnd('stop', undefined);
     answer.finish();
@@ -54,9 +53,9 @@
   await matchSnapshot(import.meta.url, 'whole stream', await text(response));
 });
 
-test('before the first byte a failure is a problem document', async (context) => {
-  const response = await receive(context, async (written) => {
-    new CompletionAnswer('request-1', written, shape).fail(lost);
+test('a failure before the first byte is sent as a problem document', async (context) => {
+  const response = await receive(context, async (serverResponse) => {
+    new CompletionAnswer('request-1', serverResponse, options).fail(serverLost);
   });
   const { statusCode, headers } = response;
   assert.equal(statusCode, 502);
@@ -65,23 +64,28 @@
   await matchSnapshot(import.meta.url, 'problem document', await text(response));
 });
 
-// A plain service dies in the middle of a body without a length. Were the connection ended as usual,
-// half a ticket would look like a whole one; it is destroyed instead, and the read fails.
-test('a plain answer that is cut never looks whole', async (context) => {
-  let cut = () => {};
-  const response = await receive(context, async (written) => {
-    const answer = new PlainAnswer('request-1', written, { isBuffered: false, maxBytes: 100 });
-    cut = () => answer.fail(lost);
+// If the connection ended normally, an interrupted body without a length would look complete.
+test('an interrupted plain answer fails at the caller', async (context) => {
+  let fail = () => {};
+  const response = await receive(context, async (serverResponse) => {
+    const answer = new PlainAnswer('request-1', serverResponse, {
+      isBuffered: false,
+      maxBytes: 100,
+    });
+    fail = () => answer.fail(serverLost);
     answer.receiveHead(200, { 'content-type': 'text/plain' });
     await answer.writeBytes(Buffer.from('half a tick'));
   });
-  cut();
+  fail();
   await assert.rejects(text(response), /aborted/);
 });
 
-test('an answer that was kept is marked as a replay', async (context) => {
-  const response = await receive(context, async (written) => {
-    const answer = new PlainAnswer('request-2', written, { isBuffered: true, maxBytes: 100 });
+test('a stored answer is marked as a replay', async (context) => {
+  const response = await receive(context, async (serverResponse) => {
+    const answer = new PlainAnswer('request-2', serverResponse, {
+      isBuffered: true,
+      maxBytes: 100,
+    });
     answer.replay({ status: 201, headers: { 'x-seat': '12' }, body: Buffer.from('seat 12') });
   });
   assert.equal(response.statusCode, 201);
--- a/apps/entry/src/CallerServer.ts
+++ b/apps/entry/src/CallerServer.ts
@@ -1,6 +1,7 @@
 /**
- * Where callers connect. It checks who calls and whether the call is well formed, within bounds
- * on sizes, and hands it to the reducer; everything after that is decided there.
+ * The HTTP server for callers that use this project's own API. It authenticates each request,
+ * enforces size limits, parses chat completions and passes the request to `onRequest`. Requests that
+ * fail these checks are refused here; all further decisions are the reducer's.
  */
 import { createHash } from 'node:crypto';
 import {
@@ -32,14 +33,15 @@
 import { PlainAnswer } from './PlainAnswer.js';
 import { parseCompletion } from './parseCompletion.js';
 
-/** A request in the shell: what the reducer knows of it, its bytes, and its way back. */
+/** A caller's request with its headers, body and answer. */
 export interface CallerExchange {
+  /** The part that is passed to the reducer. */
   readonly request: CallerRequest;
   readonly headers: IncomingMessage['headers'];
   readonly body: Buffer;
-  /** Set if the call is opaque: what of its head is passed on. */
+  /** Headers that are sent to the backend server; set only for opaque calls. */
   readonly forwardedHeaders?: readonly HeaderLine[];
-  /** Set if the call is a chat completion. */
+  /** Set only for chat completions. */
   readonly completion: CompletionBody | undefined;
   readonly answer: CallerAnswer;
 }
@@ -47,24 +49,23 @@
 export interface CallerServerOptions {
   readonly settings: EntrySettings;
   readonly timers: TimerService;
-  /** Names requests; unique for all time. */
+  /** Returns a globally unique id. */
   makeRequestId(): string;
   onRequest(exchange: CallerExchange): void;
   onCallerDisconnect(requestId: string): void;
-  /** Counts a refusal that the reducer does not see. */
+  /** Called for requests that are refused before they reach the reducer. */
   onRefused(error: unknown): void;
 }
 
 export const COMPLETIONS_PATH = '/v1/chat/completions';
 
-/** Used where a completion does not say how many tokens it wants. */
-const DEFAULT_MOST_TOKENS = 1024;
+/** Used if a chat completion does not set `max_tokens`. */
+const DEFAULT_MAX_TOKENS = 1024;
 
-/** Longest `Idempotency-Key` in characters. */
-const MOST_KEY_CHARACTERS = 256;
+const MAX_IDEMPOTENCY_KEY_CHARACTERS = 256;
 
-/** An answer for a request that Node could not read, so that there is no response to write to. */
-function formatRawProblem(error: HornbeampondError): string {
+/** Formats the answer to a request that Node could not parse, which has no response object. */
+function formatRawProblemResponse(error: HornbeampondError): string {
   const problem = toProblemDocument(error);
   const body = JSON.stringify(problem);
   const lines = [
@@ -79,7 +80,7 @@
 export class CallerServer implements CallerListener {
   private readonly server: Server;
 
-  private readonly life: HttpServerLifecycle;
+  private readonly lifecycle: HttpServerLifecycle;
 
   private readonly workspaceByKeyDigest: ReadonlyMap<string, string>;
 
@@ -90,44 +91,44 @@
     );
     const { headerBytes } = settings.limits;
     this.server = createServer({ maxHeaderSize: headerBytes }, (request, response) => {
-      this.take(request, response).catch((error: unknown) => this.refuse(response, error));
+      this.handleRequest(request, response).catch((error: unknown) =>
+        this.refuseRequest(response, error),
+      );
     });
-    this.life = new HttpServerLifecycle(this.server, options.timers);
+    this.lifecycle = new HttpServerLifecycle(this.server, options.timers);
     this.server.on('clientError', (error: NodeJS.ErrnoException, socket) => {
       const tooLarge = error.code === 'HPE_HEADER_OVERFLOW';
       const kind = tooLarge ? 'headersTooLarge' : 'badRequest';
       const problem = new HornbeampondError(kind, 'The request could not be read');
       options.onRefused(problem);
-      if (socket.writable) socket.end(formatRawProblem(problem));
+      if (socket.writable) socket.end(formatRawProblemResponse(problem));
     });
   }
 
   async listen(): Promise<number> {
-    return this.life.listen(this.options.settings.listen);
+    return this.lifecycle.listen(this.options.settings.listen);
   }
 
-  /** Takes no new connections; those in use go on until their answers are given. */
   stopListening(): void {
-    this.life.stopListening();
+    this.lifecycle.stopListening();
   }
 
-  /** Waits until the last answers are written, and no longer than `patience`. */
-  async close(patience: Milliseconds): Promise<void> {
-    await this.life.close(patience);
+  async close(timeout: Milliseconds): Promise<void> {
+    await this.lifecycle.close(timeout);
   }
 
-  private refuse(response: ServerResponse, error: unknown): void {
+  private refuseRequest(response: ServerResponse, error: unknown): void {
     this.options.onRefused(error);
     if (response.headersSent) {
       response.destroy();
       return;
     }
-    // A body that was not read to its end would be taken for the next request.
+    // The unread rest of a body would be parsed as the next request on the connection.
     response.setHeader('connection', 'close');
     writeProblem(response, error);
   }
 
-  private async take(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  private async handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const { settings } = this.options;
     const workspace = this.authenticate(request);
     const body = await readBody(request, settings.limits.bodyBytes);
@@ -163,7 +164,7 @@
     const requestId = this.options.makeRequestId();
     const idempotencyKey = this.readIdempotencyKey(message);
     const digest = createHash('sha256').update(`${method}\n${path}\n`).update(body).digest('hex');
-    const shared = {
+    const commonFields = {
       requestId,
       workspace,
       method,
@@ -174,9 +175,9 @@
     const { answerBytes } = this.options.settings.limits;
     const { headers } = message;
     if (url.pathname !== COMPLETIONS_PATH) {
-      const request = { ...shared, prefixDigests: [], promptTokens: 0, maxTokens: 0 };
-      const shape = { isBuffered: idempotencyKey !== undefined, maxBytes: answerBytes };
-      const answer = new PlainAnswer(requestId, response, shape);
+      const request = { ...commonFields, prefixDigests: [], promptTokens: 0, maxTokens: 0 };
+      const options = { isBuffered: idempotencyKey !== undefined, maxBytes: answerBytes };
+      const answer = new PlainAnswer(requestId, response, options);
       return { request, headers, body, completion: undefined, answer };
     }
     if (method !== 'POST') {
@@ -184,11 +185,11 @@
     }
     const completion = parseCompletion(body);
     const request = {
-      ...shared,
+      ...commonFields,
       ...(completion.model === undefined ? {} : { model: completion.model }),
       prefixDigests: digestPrefixes(completion.messages),
       promptTokens: splitPrompt(completion.messages).length,
-      maxTokens: completion.max_tokens ?? DEFAULT_MOST_TOKENS,
+      maxTokens: completion.max_tokens ?? DEFAULT_MAX_TOKENS,
     };
     const answer = new CompletionAnswer(requestId, response, {
       model: completion.model ?? '',
@@ -202,8 +203,8 @@
   private readIdempotencyKey(message: IncomingMessage): string | undefined {
     const key = message.headers['idempotency-key'];
     if (key === undefined) return undefined;
-    if (typeof key !== 'string' || key === '' || key.length > MOST_KEY_CHARACTERS) {
-      const detail = `Idempotency-Key must have 1 to ${MOST_KEY_CHARACTERS} characters`;
+    if (typeof key !== 'string' || key === '' || key.length > MAX_IDEMPOTENCY_KEY_CHARACTERS) {
+      const detail = `Idempotency-Key must have 1 to ${MAX_IDEMPOTENCY_KEY_CHARACTERS} characters`;
       throw new HornbeampondError('badRequest', detail);
     }
     return key;
--- a/apps/entry/src/CompletionAnswer.ts
+++ b/apps/entry/src/CompletionAnswer.ts
@@ -1,6 +1,6 @@
 /**
- * A model engine's answer in the OpenAI shape, streamed as server-sent events or whole. It keeps
- * the text so far, for that is what another engine resumes from.
+ * The answer to a chat completion in the OpenAI format, streamed as server-sent events or sent as one
+ * JSON document. It holds the text generated so far, so that another engine can resume from it.
  */
 import type { ServerResponse } from 'node:http';
 import { HornbeampondError } from '@hornbeampond/schema';
@@ -10,16 +10,16 @@
 export interface CompletionAnswerOptions {
   readonly model: string;
   readonly streamed: boolean;
-  /** Epoch seconds. */
+  /** Seconds since the epoch. */
   readonly created: number;
-  /** Most characters of generated text. */
+  /** Limit of the generated text. */
   readonly maxCharacters: number;
 }
 
 export class CompletionAnswer extends CallerAnswer {
   private text = '';
 
-  private tokens = 0;
+  private tokenCount = 0;
 
   private finishReason = 'stop';
 
@@ -28,7 +28,7 @@
   constructor(
     requestId: string,
     response: ServerResponse,
-    private readonly shape: CompletionAnswerOptions,
+    private readonly options: CompletionAnswerOptions,
   ) {
     super(requestId, response);
   }
@@ -38,26 +38,26 @@
   }
 
   get generatedTokens(): number {
-    return this.tokens;
+    return this.tokenCount;
   }
 
-  /** Of an answer that is asked for whole the caller has nothing before its end. */
+  /** Undefined for an answer that is not streamed: the caller receives nothing before its end. */
   override get tokensGiven(): number | undefined {
-    return this.shape.streamed && this.tokens > 0 ? this.tokens : undefined;
+    return this.options.streamed && this.tokenCount > 0 ? this.tokenCount : undefined;
   }
 
-  async writeToken(text: string, tokens: number): Promise<void> {
-    if (this.text.length + text.length > this.shape.maxCharacters) {
-      throw new HornbeampondError('answerCut', 'The answer is above the bound on its size');
+  async writeToken(text: string, tokenCount: number): Promise<void> {
+    if (this.text.length + text.length > this.options.maxCharacters) {
+      throw new HornbeampondError('answerCut', 'The answer exceeds the size limit');
     }
     this.text += text;
-    this.tokens += tokens;
-    if (!this.shape.streamed) return;
-    this.begin();
-    await this.write(this.event({ content: text }, null));
+    this.tokenCount += tokenCount;
+    if (!this.options.streamed) return;
+    this.startStream();
+    await this.write(this.formatChunk({ content: text }, null));
   }
 
-  /** Notes how the engine ended; `finish` then ends the caller's answer. */
+  /** Records how the engine ended the answer, for use by `finish`. */
   recordEnd(finishReason: string, usage: CompletionUsage | undefined): void {
     this.finishReason = finishReason;
     this.usage = usage;
@@ -65,39 +65,42 @@
 
   override finish(): void {
     if (this.isClosed) return;
-    if (!this.shape.streamed) {
-      this.finishWhole();
+    if (!this.options.streamed) {
+      this.sendWholeAnswer();
       return;
     }
-    this.begin();
-    this.response.end(`${this.event({}, this.finishReason)}data: [DONE]\n\n`);
+    this.startStream();
+    this.response.end(`${this.formatChunk({}, this.finishReason)}data: [DONE]\n\n`);
   }
 
   protected override abort(error: unknown): void {
     this.response.end(`event: error\ndata: ${this.formatError(error)}\n\n`);
   }
 
-  private begin(): void {
+  private startStream(): void {
     if (this.started) return;
     this.response.writeHead(200, {
       'content-type': 'text/event-stream',
       'cache-control': 'no-store',
       'x-request-id': this.requestId,
     });
-    this.response.write(this.event({ role: 'assistant' }, null));
+    this.response.write(this.formatChunk({ role: 'assistant' }, null));
   }
 
-  private event(delta: Readonly<Record<string, string>>, finishReason: string | null): string {
-    const { model, created } = this.shape;
+  private formatChunk(
+    delta: Readonly<Record<string, string>>,
+    finishReason: string | null,
+  ): string {
+    const { model, created } = this.options;
     const choices = [{ index: 0, delta, finish_reason: finishReason }];
     const chunk = { id: this.requestId, object: 'chat.completion.chunk', created, model, choices };
     return `data: ${JSON.stringify(chunk)}\n\n`;
   }
 
-  private finishWhole(): void {
-    const { model, created } = this.shape;
+  private sendWholeAnswer(): void {
+    const { model, created } = this.options;
     const message = { role: 'assistant', content: this.text };
-    const completionTokens = this.tokens;
+    const completionTokens = this.tokenCount;
     const promptTokens = this.usage?.promptTokens ?? 0;
     const body = JSON.stringify({
       id: this.requestId,
--- a/apps/entry/src/EventStreamSplitter.ts
+++ b/apps/entry/src/EventStreamSplitter.ts
@@ -1,21 +1,21 @@
 /**
- * Cuts a stream of server-sent events into whole events. Bytes after the last whole event are kept
- * back: a backend server may break off in the middle of an event, and its successor sends that
- * event from its beginning.
+ * Splits a stream of server-sent events into complete events. Bytes after the last complete event are
+ * retained: if a backend server fails in the middle of an event, the server that resumes the stream
+ * sends that event from its beginning.
  */
 
 const LINE_FEED = 0x0a;
 
-/** One or more whole events. */
+/** The events, possibly none, that a call of `push` completes. */
 export interface CompleteEvents {
   readonly bytes: Buffer;
-  /** The id of the last of them, if it has one. */
+  /** The last id among the events; undefined if none has an id. */
   readonly lastId: string | undefined;
   readonly count: number;
 }
 
-/** Where the event that begins at `from` ends, after its empty line; -1 if it is not whole. */
-function endOfEvent(bytes: Buffer, from: number): number {
+/** Offset just after the empty line that ends the event at `from`; -1 if it is incomplete. */
+function findEventEnd(bytes: Buffer, from: number): number {
   for (let at = bytes.indexOf(LINE_FEED, from); at >= 0; at = bytes.indexOf(LINE_FEED, at + 1)) {
     const next = bytes[at + 1];
     if (next === LINE_FEED) return at + 2;
@@ -24,14 +24,14 @@
   return -1;
 }
 
-function idOf(event: string): string | undefined {
+function findEventId(event: string): string | undefined {
   return /^id:[ ]?(.*?)\r?$/m.exec(event)?.[1];
 }
 
 export class EventStreamSplitter {
   private rest: Buffer = Buffer.alloc(0);
 
-  /** Bytes of an event that is not whole yet. */
+  /** Bytes of the event that is still incomplete. */
   get pendingBytes(): Buffer {
     return this.rest;
   }
@@ -41,8 +41,8 @@
     let end = 0;
     let count = 0;
     let lastId: string | undefined;
-    for (let next = endOfEvent(all, 0); next >= 0; next = endOfEvent(all, end)) {
-      lastId = idOf(all.toString('latin1', end, next)) ?? lastId;
+    for (let next = findEventEnd(all, 0); next >= 0; next = findEventEnd(all, end)) {
+      lastId = findEventId(all.toString('latin1', end, next)) ?? lastId;
       end = next;
       count += 1;
     }
--- a/apps/entry/src/HttpServerLifecycle.ts
+++ b/apps/entry/src/HttpServerLifecycle.ts
@@ -1,11 +1,14 @@
-/** The life of an HTTP server that callers connect to: it ends without cutting an answer off. */
+/**
+ * Starts and closes an HTTP server for callers. Closing lets open answers finish within a time
+ * limit.
+ */
 import type { Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import type { TimerService } from '@hornbeampond/runtime';
 import type { ListenAddress, Milliseconds } from '@hornbeampond/schema';
 
-/** How often connections that have become idle are looked for while closing. */
-const SWEEP_MILLISECONDS = 10;
+/** While closing, connections that have become idle are closed at this interval. */
+const IDLE_CHECK_INTERVAL_MILLISECONDS = 10;
 
 export class HttpServerLifecycle {
   constructor(
@@ -13,7 +16,7 @@
     private readonly timers: TimerService,
   ) {}
 
-  /** Starts to listen and returns the port. */
+  /** Starts to listen; returns the port. */
   async listen({ host, port }: ListenAddress): Promise<number> {
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
@@ -22,23 +25,26 @@
     return (this.server.address() as AddressInfo).port;
   }
 
-  /** Takes no new connections; those in use go on until their answers are given. */
+  /** Stops accepting connections and closes idle ones; open answers continue. */
   stopListening(): void {
     this.server.close();
     this.server.closeIdleConnections();
   }
 
-  /** Waits until the last answers are written, and no longer than `patience`. */
-  async close(patience: Milliseconds): Promise<void> {
-    const sweep = () => this.server.closeIdleConnections();
-    const stopSweep = this.timers.every(SWEEP_MILLISECONDS, sweep);
+  /** Stops listening and waits for open answers; closes all connections after `timeout`. */
+  async close(timeout: Milliseconds): Promise<void> {
+    const closeIdleConnections = () => this.server.closeIdleConnections();
+    const stopIdleChecks = this.timers.every(
+      IDLE_CHECK_INTERVAL_MILLISECONDS,
+      closeIdleConnections,
+    );
     const closed = new Promise<void>((resolve) => {
       this.server.close(() => resolve());
     });
-    sweep();
-    const cancel = this.timers.after(patience, () => this.server.closeAllConnections());
+    closeIdleConnections();
+    const cancelTimeout = this.timers.after(timeout, () => this.server.closeAllConnections());
     await closed;
-    cancel();
-    stopSweep();
+    cancelTimeout();
+    stopIdleChecks();
   }
 }
--- a/apps/entry/src/TableApi.ts
+++ b/apps/entry/src/TableApi.ts
@@ -1,6 +1,6 @@
 /**
- * Reading and changing the two tables on the operators' port: `GET` and `PUT` on
- * `/tables/routes` and `/tables/pools`, with `ETag`, `If-Match` and a change id in
+ * Serves the routes and pools tables on the operators' port: `GET` and `PUT` on `/tables/routes` and
+ * `/tables/pools`. A `PUT` needs the table's `ETag` in `If-Match` and a change id in
  * `Idempotency-Key`.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -14,11 +14,11 @@
 } from '@hornbeampond/schema';
 import { authorizeOperator, readBody, writeJson, type StoreClient } from '@hornbeampond/transport';
 
-/** A change that has not come back from the log within this span is told as unsure. */
-const CHANGE_MILLISECONDS = 5000;
-const READ_MILLISECONDS = 3000;
-const MOST_TABLE_BYTES = 32 * 1024 * 1024;
-const MOST_CHANGE_ID_CHARACTERS = 200;
+/** A change without a result within this time is reported as not made or as unsure. */
+const CHANGE_TIMEOUT_MILLISECONDS = 5000;
+const READ_TIMEOUT_MILLISECONDS = 3000;
+const MAX_TABLE_BYTES = 32 * 1024 * 1024;
+const MAX_CHANGE_ID_CHARACTERS = 200;
 
 function toETag(revision: number): string {
   return `"${revision}"`;
@@ -34,10 +34,10 @@
 }
 
 function readChangeId(header: string | string[] | undefined): string {
-  if (typeof header === 'string' && header !== '' && header.length <= MOST_CHANGE_ID_CHARACTERS) {
+  if (typeof header === 'string' && header !== '' && header.length <= MAX_CHANGE_ID_CHARACTERS) {
     return header;
   }
-  throw new HornbeampondError('idempotencyKeyMissing', 'Name the change in "Idempotency-Key"');
+  throw new HornbeampondError('idempotencyKeyMissing', 'Send a change id in "Idempotency-Key"');
 }
 
 function readRows(body: Buffer): readonly unknown[] {
@@ -59,7 +59,7 @@
     private readonly store: StoreClient,
   ) {}
 
-  /** Serves `/tables/…`; says whether the path was one of these. */
+  /** Handles requests to `/tables/…`; returns false for other paths. */
   async handle(request: IncomingMessage, response: ServerResponse, url: URL): Promise<boolean> {
     const [, folder, name] = url.pathname.split('/');
     if (folder !== 'tables') return false;
@@ -75,7 +75,7 @@
   }
 
   private async get(table: TableName, response: ServerResponse): Promise<void> {
-    const configuration = await this.store.readConfiguration(READ_MILLISECONDS);
+    const configuration = await this.store.readConfiguration(READ_TIMEOUT_MILLISECONDS);
     const { revision, rows } = configuration[table];
     response.setHeader('etag', toETag(revision));
     writeJson(response, 200, { revision, rows, configurationRevision: configuration.revision });
@@ -88,10 +88,10 @@
   ): Promise<void> {
     const baseRevision = readRevision(request.headers['if-match']);
     const changeId = readChangeId(request.headers['idempotency-key']);
-    const rows = readRows(await readBody(request, MOST_TABLE_BYTES));
+    const rows = readRows(await readBody(request, MAX_TABLE_BYTES));
     const outcome = await this.store.propose(
       { type: 'putTable', table, baseRevision, changeId, rows },
-      CHANGE_MILLISECONDS,
+      CHANGE_TIMEOUT_MILLISECONDS,
     );
     if (outcome.type === 'unavailable') {
       throw new HornbeampondError('storeUnavailable', 'The change was not made');
@@ -99,10 +99,10 @@
     if (outcome.type === 'unsure') {
       throw new HornbeampondError('changeUnsure', 'The change may have been made');
     }
-    this.answerResult(outcome.result as PutTableResult, response);
+    this.sendResult(outcome.result as PutTableResult, response);
   }
 
-  private answerResult(result: PutTableResult, response: ServerResponse): void {
+  private sendResult(result: PutTableResult, response: ServerResponse): void {
     switch (result.type) {
       case 'tableAccepted':
         response.setHeader('etag', toETag(result.revision));
