--- a/apps/controller/src/FleetWatcher.test.ts
+++ b/apps/controller/src/FleetWatcher.test.ts
@@ -63,7 +63,7 @@
 test('an instance that answers new connections is not lost', async (context) => {
   const { engine, lost, nextPoll } = await startWatcher(context);
   await nextPoll();
-  engine.goSilent();
+  engine.stallOpenConnections();
   for (let polls = 0; polls < 12; polls += 1) await nextPoll();
   assert.equal(lost.size, 0);
 });
--- a/apps/dev/src/dataPlane.test.ts
+++ b/apps/dev/src/dataPlane.test.ts
@@ -134,7 +134,7 @@
   const response = await ask(callers, 'Who can hear me?', 60);
   const busy = findBusy(cluster);
   await until('tokens', () => busy.counts.generatedTokens > 5);
-  busy.goSilent();
+  busy.stallOpenConnections();
   await assertWhole(response, 'Who can hear me?', 60);
   assert.equal(sumOf(cluster, 'wrongResumes'), 0);
   assert.equal(sumOf(cluster, 'runs'), 2);
--- a/measure/src/admission/BaselineRun.ts
+++ b/measure/src/admission/BaselineRun.ts
@@ -112,10 +112,10 @@
         promptTokens,
         prefixDigests,
         answerTokens,
-        firstToken: () => {
+        onFirstToken: () => {
           outcome.firstTokenAt = timeline.now;
         },
-        finished: () => {
+        onFinished: () => {
           outcome.finishedAt = timeline.now;
           entry?.end(target);
         },
--- a/measure/src/machineModels/expectModel.ts
+++ b/measure/src/machineModels/expectModel.ts
@@ -12,7 +12,7 @@
 
 /** Passes if no state within the model's own bounds breaks an invariant. */
 export function expectHolds<State>(test: TestContext, model: Model<State>): void {
-  const found = exploreStates(model, { mostStates: MOST_STATES, mostSteps: MOST_STEPS });
+  const found = exploreStates(model, { maxStates: MOST_STATES, maxDepth: MOST_STEPS });
   test.diagnostic(`${found.states} states, longest path ${found.depth} steps`);
   assert.deepEqual(found.violation, undefined);
   assert.ok(found.exhaustive, 'the model is too large for its bounds');
@@ -20,7 +20,7 @@
 
 /** Passes if the check finds this violation, so that the mutation is known to be caught. */
 export function expectCaught<State>(test: TestContext, model: Model<State>, reason: string): void {
-  const found = exploreStates(model, { mostStates: MOST_STATES, mostSteps: MOST_STEPS });
+  const found = exploreStates(model, { maxStates: MOST_STATES, maxDepth: MOST_STEPS });
   test.diagnostic(`${found.states} states; ${found.violation?.trace.join(' > ') ?? 'none bad'}`);
   assert.equal(found.violation?.reason, reason);
 }
--- a/packages/entry-core/src/testing/EntryHarness.ts
+++ b/packages/entry-core/src/testing/EntryHarness.ts
@@ -265,11 +265,11 @@
         promptTokens: outcome.request.promptTokens,
         prefixDigests: outcome.request.prefixDigests,
         answerTokens: tokens,
-        firstToken: () => {
+        onFirstToken: () => {
           outcome.firstTokenAt ??= this.timeline.now;
           send({ type: 'firstTokenReceived', attemptId });
         },
-        finished: () => send({ type: 'attemptFinished', attemptId, tokens }),
+        onFinished: () => send({ type: 'attemptFinished', attemptId, tokens }),
       });
     };
     this.timeline.after(NETWORK_MILLISECONDS, submit);
--- a/packages/testing/src/EngineModel.ts
+++ b/packages/testing/src/EngineModel.ts
@@ -20,8 +20,8 @@
   readonly answerTokens: number;
   readonly prefixDigests: readonly string[];
   /** Called once the prompt is computed. */
-  firstToken(): void;
-  finished(): void;
+  onFirstToken(): void;
+  onFinished(): void;
 }
 
 const FULL_BATCH_SLOWDOWN = 2;
@@ -74,14 +74,14 @@
     const decode = job.answerTokens * speed.decodeMillisecondsPerToken * crowding;
     timeline.after(this.prefillFreeAt - timeline.now, () => {
       this.store(job.prefixDigests);
-      job.firstToken();
+      job.onFirstToken();
       timeline.after(decode, () => this.finish(job));
     });
   }
 
   private finish(job: EngineJob): void {
     this.running -= 1;
-    job.finished();
+    job.onFinished();
     const next = this.queue.shift();
     if (next !== undefined) this.start(next);
   }
--- a/packages/testing/src/adapters/HttpEngineAdapter.test.ts
+++ b/packages/testing/src/adapters/HttpEngineAdapter.test.ts
@@ -171,7 +171,7 @@
     const reading = readAll(await adapter.startCompletion(start));
     await engine.waitFor(() => engine.counts.generatedTokens === 3);
     await adapter.readLoad(signal);
-    engine.goSilent();
+    engine.stallOpenConnections();
     engine.stallStreamsAfter(undefined);
     await adapter.probe(signal);
     giveUp.abort();
@@ -248,7 +248,7 @@
 });
 
 test('a caller that leaves frees its place in the batch for the next by priority', async (t) => {
-  const { engine, adapter } = await meet(t, { concurrency: 1, mostQueued: 2 });
+  const { engine, adapter } = await meet(t, { concurrency: 1, maxQueued: 2 });
   engine.stallStreamsAfter(2);
   const leave = new AbortController();
   const first = { attemptId: 'first', body, priority: 5, signal: leave.signal };
@@ -291,7 +291,7 @@
   const timers = new ManualTimerService();
   const { engine, adapter } = await meet(t, { timers, loadLag: 3000, cacheBlocks: 2 });
   engine.prefixCache.eventLag = 1000;
-  engine.prefixCache.loseEvery = 2;
+  engine.prefixCache.eventLossInterval = 2;
   engine.stallStreamsAfter(1);
   const content = Array.from({ length: 60 }, (_, word) => `word${word}`).join(' ');
   const long = { messages: [{ role: 'user', content }] };
--- a/packages/testing/src/adapters/HttpPlainServiceAdapter.test.ts
+++ b/packages/testing/src/adapters/HttpPlainServiceAdapter.test.ts
@@ -48,7 +48,7 @@
 
 test('a call and its answer pass through, without the headers of one connection', async (t) => {
   const { service, adapter } = await meet(t);
-  service.answerWith((run) => ({
+  service.setResponder((run) => ({
     status: 201,
     headers: { 'x-lot': '17', connection: 'x-hop', 'x-hop': 'not passed on' },
     body: run.body,
@@ -75,7 +75,7 @@
     const lookup = { ...offer, method: 'GET', body: undefined, requiresNewConnection: false };
     const lookups = await Promise.all([1, 2, 3].map(() => adapter.send(lookup)));
     for (const answer of lookups) await readText(answer);
-    service.goSilent();
+    service.stallOpenConnections();
     const giveUp = new AbortController();
     const swallowed = adapter.send({ ...lookup, signal: giveUp.signal });
     assert.equal((await adapter.send(offer)).status, 200);
@@ -145,7 +145,7 @@
 
 test('an answer above the bound is malformed, and its connection dropped', async (t) => {
   const { service, adapter } = await meet(t, 64);
-  service.answerWith(() => ({ status: 200, body: 'x'.repeat(65) }));
+  service.setResponder(() => ({ status: 200, body: 'x'.repeat(65) }));
   const answer = await adapter.send({ ...offer, requiresNewConnection: false });
   await assert.rejects(readText(answer), hasFailure('malformed', 'maybe'));
 });
--- a/packages/testing/src/adapters/HttpPlatformAdapter.test.ts
+++ b/packages/testing/src/adapters/HttpPlatformAdapter.test.ts
@@ -84,7 +84,7 @@
   await adapter.startInstance(start, signal);
   const [engine] = engines;
   assert.ok(engine?.alive);
-  platform.setNoticeReads(1);
+  platform.limitNoticeReads(1);
   platform.giveNotice('appraisers-wien-a-1', 1000);
   assert.equal((await adapter.readNotices(signal)).length, 1);
   assert.equal((await adapter.readNotices(signal)).length, 0);
@@ -116,5 +116,5 @@
   timers.advance(10_000);
   assert.deepEqual(await adapter.readRate(signal), { loadsPerMinute: 6, available: 1 });
   assert.deepEqual(await adapter.requestLoad(load, signal), { type: 'granted' });
-  assert.equal(store.granted.length, 2);
+  assert.equal(store.grantedLoads.length, 2);
 });
--- a/packages/testing/src/exploreStates.ts
+++ b/packages/testing/src/exploreStates.ts
@@ -21,8 +21,8 @@
 }
 
 export interface ExploreBounds {
-  readonly mostStates: number;
-  readonly mostSteps: number;
+  readonly maxStates: number;
+  readonly maxDepth: number;
 }
 
 export interface Violation {
@@ -64,7 +64,7 @@
     const violation = { reason: firstReason, trace: [] };
     return { states: 1, depth, exhaustive: false, violation };
   }
-  while (frontier.length > 0 && depth < bounds.mostSteps) {
+  while (frontier.length > 0 && depth < bounds.maxDepth) {
     const next: Visited<State>[] = [];
     for (const visited of frontier) {
       for (const step of model.steps(visited.state)) {
@@ -78,7 +78,7 @@
           const violation = { reason, trace: traceOf(reached) };
           return { states: seen.size, depth: reached.depth, exhaustive: false, violation };
         }
-        if (seen.size >= bounds.mostStates) {
+        if (seen.size >= bounds.maxStates) {
           return { states: seen.size, depth, exhaustive: false };
         }
         next.push(reached);
--- a/packages/testing/src/fakes/FakeBackendServer.ts
+++ b/packages/testing/src/fakes/FakeBackendServer.ts
@@ -74,10 +74,10 @@
   }
 
   /** Notes the load as it is now; subclasses call it after each change. */
-  protected noteLoad(running: number, queued: number): void {
+  protected recordLoad(running: number, queued: number): void {
     this.loadStates.push({ since: this.timers.wallNow(), running, queued });
     if (this.loadStates.length > MOST_LOAD_STATES) this.loadStates.shift();
-    this.changed();
+    this.notifyWaiters();
   }
 
   protected reportLoad(): LoadReport {
@@ -87,7 +87,7 @@
     return { instance: this.instance, measuredAt, running, queued };
   }
 
-  protected override forget(): void {
+  protected override resetState(): void {
     this.loadStates = [];
   }
 
--- a/packages/testing/src/fakes/FakeBatch.ts
+++ b/packages/testing/src/fakes/FakeBatch.ts
@@ -31,7 +31,7 @@
   }
 
   /** Resolves with a slot, or with nothing if `signal` fires first. */
-  async takeSlot(priority: number, signal: AbortSignal): Promise<ReleaseSlot | undefined> {
+  async acquireSlot(priority: number, signal: AbortSignal): Promise<ReleaseSlot | undefined> {
     if (signal.aborted) return undefined;
     if (this.running >= this.concurrency) {
       const given = await this.waitForSlot(priority, signal);
--- a/packages/testing/src/fakes/FakeControl.ts
+++ b/packages/testing/src/fakes/FakeControl.ts
@@ -52,7 +52,7 @@
   return {
     die: () => server.die(),
     restart: () => server.restart(),
-    goSilent: () => server.goSilent(),
+    goSilent: () => server.stallOpenConnections(),
     setBusy: () => server.setBusy(settings.busy),
     setAnswerDelay: () => server.setAnswerDelay(settings.milliseconds),
     setPoison: () => server.setPoison(settings.marker),
@@ -100,7 +100,7 @@
     super(options);
   }
 
-  protected override forget(): void {}
+  protected override resetState(): void {}
 
   protected override async handle(
     request: IncomingMessage,
--- a/packages/testing/src/fakes/FakeEngine.ts
+++ b/packages/testing/src/fakes/FakeEngine.ts
@@ -14,7 +14,7 @@
 import { FakeBackendServer, type FakeBackendServerOptions } from './FakeBackendServer.js';
 import { FakeBatch } from './FakeBatch.js';
 import { FakeKvCaches } from './FakeKvCaches.js';
-import { FakeOrderDesk, type EngineRole } from './FakeOrderDesk.js';
+import { FakeOrderHandler, type EngineRole } from './FakeOrderHandler.js';
 import { FakePrefixCache } from './FakePrefixCache.js';
 import { answerJson, readRequestBody } from './FakeServer.js';
 import { FakeStream, type FakeStreamLimits } from './FakeStream.js';
@@ -32,11 +32,11 @@
   /** Streams in the batch at a time. */
   readonly concurrency?: number;
   /** Calls that wait for the batch; more are refused as busy. */
-  readonly mostQueued?: number;
+  readonly maxQueued?: number;
   /** Time from one token to the next; 0, the default, needs no timer to move. */
   readonly tokenDelay?: Milliseconds;
   /** Share by which each other stream in the batch makes a token take longer. */
-  readonly slowdown?: number;
+  readonly slowdownPerStream?: number;
   /** Time to compute one token of a prompt that is not cached. */
   readonly prefillDelay?: Milliseconds;
   /** Length of an answer whose request names no `max_tokens`. */
@@ -109,7 +109,7 @@
 
   private limits: FakeStreamLimits = {};
 
-  private readonly orderDesk: FakeOrderDesk;
+  private readonly orderDesk: FakeOrderHandler;
 
   private unnamedAttempts = 0;
 
@@ -119,12 +119,12 @@
     this.prefixCache = new FakePrefixCache(this.instance, cacheBlocks, this.timers);
     this.kvCaches = new FakeKvCaches(options.cacheBytesPerToken ?? DEFAULT_CACHE_BYTES_PER_TOKEN);
     this.batch = this.makeBatch();
-    this.orderDesk = new FakeOrderDesk({
+    this.orderDesk = new FakeOrderHandler({
       timers: this.timers,
       model: options.model,
       checksFencing: options.checksFencing ?? true,
       orderDelay: options.orderDelay ?? 0,
-      onChange: () => this.changed(),
+      onChange: () => this.notifyWaiters(),
     });
   }
 
@@ -153,13 +153,13 @@
 
   /** Streams stop for good after this many tokens of their own; `undefined` lets them go on. */
   stallStreamsAfter(tokens: number | undefined): void {
-    this.limits = { ...this.limits, stallAfter: tokens };
+    this.limits = { ...this.limits, stallAfterTokens: tokens };
     this.streams.forEach((stream) => stream.setLimits(this.limits));
   }
 
   /** Streams lose their connection after this many tokens of their own. */
   cutStreamsAfter(tokens: number | undefined): void {
-    this.limits = { ...this.limits, cutAfter: tokens };
+    this.limits = { ...this.limits, cutAfterTokens: tokens };
     this.streams.forEach((stream) => stream.setLimits(this.limits));
   }
 
@@ -171,14 +171,14 @@
     this.orderDesk.ordersFail = fail;
   }
 
-  protected override forget(): void {
-    super.forget();
+  protected override resetState(): void {
+    super.resetState();
     this.streams.forEach((stream) => stream.stop());
     this.streams.clear();
     this.kvCaches.clear();
     this.prefixCache.clear();
     this.batch = this.makeBatch();
-    this.orderDesk.forget();
+    this.orderDesk.resetFencing();
   }
 
   protected override async handle(
@@ -219,9 +219,9 @@
   }
 
   private makeBatch(): FakeBatch {
-    const { concurrency = DEFAULT_CONCURRENCY, mostQueued = DEFAULT_QUEUE } = this.options;
+    const { concurrency = DEFAULT_CONCURRENCY, maxQueued: mostQueued = DEFAULT_QUEUE } = this.options;
     const batch: FakeBatch = new FakeBatch(concurrency, mostQueued, () => {
-      if (batch === this.batch) this.noteLoad(batch.running, batch.queued);
+      if (batch === this.batch) this.recordLoad(batch.running, batch.queued);
     });
     return batch;
   }
@@ -269,14 +269,14 @@
       attemptId,
       promptDigest,
       promptTokens: splitPrompt(body.messages).length,
-      firstToken: body.resume?.generated_tokens ?? 0,
-      lastToken: body.max_tokens ?? this.options.answerTokens ?? DEFAULT_ANSWER_TOKENS,
+      startPosition: body.resume?.generated_tokens ?? 0,
+      endPosition: body.max_tokens ?? this.options.answerTokens ?? DEFAULT_ANSWER_TOKENS,
       model: body.model ?? this.orderDesk.loaded.model ?? '',
       readTokenDelay: () => this.readTokenDelay(),
       timers: this.timers,
       onToken: () => {
         this.counts.generatedTokens += 1;
-        this.changed();
+        this.notifyWaiters();
       },
     });
     stream.setLimits(this.limits);
@@ -284,7 +284,7 @@
     response.once('close', () => stream.stop());
     stream.open(response);
     const priority = Number(request.headers['x-request-priority'] ?? 0);
-    const release = await this.batch.takeSlot(priority, stream.signal);
+    const release = await this.batch.acquireSlot(priority, stream.signal);
     try {
       if (release === undefined) return;
       this.countRun(promptDigest);
@@ -298,14 +298,14 @@
   }
 
   private readTokenDelay(): Milliseconds {
-    const { tokenDelay = 0, slowdown = 0 } = this.options;
+    const { tokenDelay = 0, slowdownPerStream: slowdown = 0 } = this.options;
     return tokenDelay * (1 + slowdown * (this.batch.running - 1));
   }
 
   private countRun(promptDigest: string): void {
     this.counts.runs += 1;
     this.runsByPrompt.set(promptDigest, (this.runsByPrompt.get(promptDigest) ?? 0) + 1);
-    this.changed();
+    this.notifyWaiters();
   }
 
   /** Computes the prompt and the resumed text; returns the number of tokens that took. */
@@ -324,8 +324,8 @@
   private endStream(attemptId: string, stream: FakeStream): void {
     if (this.streams.get(attemptId) !== stream) return;
     this.streams.delete(attemptId);
-    this.kvCaches.keep(attemptId, stream.promptDigest, stream.computedTokens);
-    this.changed();
+    this.kvCaches.store(attemptId, stream.promptDigest, stream.computedTokens);
+    this.notifyWaiters();
   }
 
   private cancel(response: ServerResponse, body: Buffer): void {
@@ -343,7 +343,7 @@
   private exportCache(response: ServerResponse, attemptId: string): void {
     const stream = this.streams.get(attemptId);
     if (stream !== undefined) {
-      this.kvCaches.keep(attemptId, stream.promptDigest, stream.computedTokens);
+      this.kvCaches.store(attemptId, stream.promptDigest, stream.computedTokens);
     }
     const cache = this.kvCaches.export(attemptId);
     if (cache === undefined) {
@@ -371,7 +371,7 @@
   }
 
   private async answerOrder(response: ServerResponse, order: Order): Promise<void> {
-    const result = await this.orderDesk.take(order, () => response.destroyed);
+    const result = await this.orderDesk.handleOrder(order, () => response.destroyed);
     if (!response.destroyed) answerJson(response, 200, { result });
   }
 }
--- a/packages/testing/src/fakes/FakeKvCaches.ts
+++ b/packages/testing/src/fakes/FakeKvCaches.ts
@@ -24,7 +24,7 @@
 
   constructor(private readonly bytesPerToken: number) {}
 
-  keep(attemptId: string, promptDigest: string, tokens: number): void {
+  store(attemptId: string, promptDigest: string, tokens: number): void {
     setNewest(this.caches, attemptId, { promptDigest, tokens });
   }
 
--- a/packages/testing/src/fakes/FakeOrderDesk.ts
+++ b/packages/testing/src/fakes/FakeOrderHandler.ts
@@ -12,7 +12,7 @@
   readonly version?: string;
 }
 
-export interface FakeOrderDeskOptions {
+export interface FakeOrderHandlerOptions {
   readonly timers: TimerService;
   readonly model?: string;
   readonly checksFencing: boolean;
@@ -23,7 +23,7 @@
 
 const noOrder = { epoch: -1, sequence: -1 } as const;
 
-export class FakeOrderDesk {
+export class FakeOrderHandler {
   /** Orders that were carried out, in that order. */
   readonly orders: Order[] = [];
 
@@ -37,13 +37,13 @@
 
   private newest: { readonly epoch: number; readonly sequence: number } = noOrder;
 
-  constructor(private readonly options: FakeOrderDeskOptions) {
+  constructor(private readonly options: FakeOrderHandlerOptions) {
     this.loaded = { model: options.model };
     this.checksFencing = options.checksFencing;
   }
 
   /** Carries an order out, unless `isGone` says in the end that the engine died meanwhile. */
-  async take(order: Order, isGone: () => boolean): Promise<OrderResult> {
+  async handleOrder(order: Order, isGone: () => boolean): Promise<OrderResult> {
     const result = this.admit(order);
     if (result !== 'done') return result;
     const { orderDelay, timers } = this.options;
@@ -54,7 +54,7 @@
   }
 
   /** A restarted engine knows no fencing number. */
-  forget(): void {
+  resetFencing(): void {
     this.newest = noOrder;
   }
 
--- a/packages/testing/src/fakes/FakePlainService.ts
+++ b/packages/testing/src/fakes/FakePlainService.ts
@@ -60,7 +60,7 @@
   }
 
   /** Makes the answers from now on. */
-  answerWith(respond: FakeServiceResponder): void {
+  setResponder(respond: FakeServiceResponder): void {
     this.respond = respond;
   }
 
@@ -73,8 +73,8 @@
     return this.runs.filter((run) => run.idempotencyKey === idempotencyKey).length;
   }
 
-  protected override forget(): void {
-    super.forget();
+  protected override resetState(): void {
+    super.resetState();
     this.running = 0;
   }
 
@@ -106,13 +106,13 @@
       body: body.toString(),
     };
     this.runs.push(run);
-    this.changed();
+    this.notifyWaiters();
     this.send(response, this.respond(run, this.runs.length));
   }
 
   private changeRunning(change: number): void {
     this.running = Math.max(0, this.running + change);
-    this.noteLoad(this.running, 0);
+    this.recordLoad(this.running, 0);
   }
 
   private send(response: ServerResponse, { status, headers = {}, body }: FakeServiceAnswer): void {
--- a/packages/testing/src/fakes/FakePlatform.ts
+++ b/packages/testing/src/fakes/FakePlatform.ts
@@ -18,7 +18,7 @@
   close(): Promise<void>;
 }
 
-export type Launch = (start: InstanceStart, instance: string) => Promise<LaunchedServer>;
+export type LaunchServer = (start: InstanceStart, instance: string) => Promise<LaunchedServer>;
 
 export interface FakePlatformOptions extends FakeServerOptions {
   readonly timers?: TimerService;
@@ -27,7 +27,7 @@
   /** How long a bought instance is `starting`. */
   readonly startDelay?: Milliseconds;
   /** Starts the backend server of a bought instance; without it nothing listens there. */
-  readonly launch?: Launch;
+  readonly launch?: LaunchServer;
 }
 
 /** Which starts to refuse: all that match each key given. */
@@ -95,7 +95,7 @@
   }
 
   /** Tells only the next so many askers of notices; the instances go all the same. */
-  setNoticeReads(count: number): void {
+  limitNoticeReads(count: number): void {
     this.noticeReads = count;
   }
 
@@ -130,7 +130,7 @@
   }
 
   /** The platform's own records outlive its API servers. */
-  protected override forget(): void {}
+  protected override resetState(): void {}
 
   protected override async handle(
     request: IncomingMessage,
@@ -148,7 +148,7 @@
   private noteList(): void {
     this.lists.push({ since: this.timers.wallNow(), instances: this.listNow() });
     if (this.lists.length > MOST_LISTS) this.lists.shift();
-    this.changed();
+    this.notifyWaiters();
   }
 
   private listLagging(): readonly PlatformInstance[] {
--- a/packages/testing/src/fakes/FakePrefixCache.ts
+++ b/packages/testing/src/fakes/FakePrefixCache.ts
@@ -16,7 +16,7 @@
 
 export class FakePrefixCache {
   /** Every so many events one is lost; 0 means none. */
-  loseEvery = 0;
+  eventLossInterval = 0;
 
   /** How late events are published. */
   eventLag: Milliseconds = 0;
@@ -70,7 +70,7 @@
   private note(change: CacheEvent['change'], prefixDigests: readonly string[]): void {
     this.sequence += 1;
     const { instance, sequence } = this;
-    const lost = this.loseEvery > 0 && sequence % this.loseEvery === 0;
+    const lost = this.eventLossInterval > 0 && sequence % this.eventLossInterval === 0;
     const event = { instance, sequence, change, prefixDigests };
     this.events.push({ at: this.timers.wallNow(), event, lost });
     if (this.events.length > MOST_EVENTS) this.events.shift();
--- a/packages/testing/src/fakes/FakeServer.ts
+++ b/packages/testing/src/fakes/FakeServer.ts
@@ -60,7 +60,7 @@
   protected abstract handle(request: IncomingMessage, response: ServerResponse): Promise<void>;
 
   /** Drops what a process loses when it dies. */
-  protected abstract forget(): void;
+  protected abstract resetState(): void;
 
   /** What it calls itself since its start; another name after each `restart`. */
   get incarnation(): string {
@@ -90,10 +90,10 @@
     const closed = new Promise<void>((resolve) => {
       server.close(() => resolve());
     });
-    this.forget();
+    this.resetState();
     this.sockets.forEach((socket) => socket.destroy());
     await closed;
-    this.changed();
+    this.notifyWaiters();
   }
 
   async close(): Promise<void> {
@@ -104,7 +104,7 @@
    * All open connections stay open but carry nothing more, in either direction; new ones work.
    * So it looks when something between the two ends has lost track of them.
    */
-  goSilent(): void {
+  stallOpenConnections(): void {
     this.sockets.forEach((socket) => {
       this.silentSockets.add(socket);
       swallowWrites(socket);
@@ -119,7 +119,7 @@
     });
   }
 
-  protected changed(): void {
+  protected notifyWaiters(): void {
     this.waiters.forEach((waiter) => {
       if (!waiter.predicate()) return;
       this.waiters.delete(waiter);
@@ -133,9 +133,9 @@
     socket.on('error', () => {});
     socket.once('close', () => {
       this.sockets.delete(socket);
-      this.changed();
+      this.notifyWaiters();
     });
-    this.changed();
+    this.notifyWaiters();
   }
 
   private take(request: IncomingMessage, response: ServerResponse): void {
@@ -144,7 +144,7 @@
     const path = (request.url ?? '/').split('?')[0];
     const name = `${request.method} ${path}`;
     this.requestCounts.set(name, (this.requestCounts.get(name) ?? 0) + 1);
-    this.changed();
+    this.notifyWaiters();
     this.handle(request, response).catch((error: unknown) => {
       if (response.headersSent) response.destroy();
       else answerJson(response, 500, { error: String(error) });
--- a/packages/testing/src/fakes/FakeStream.ts
+++ b/packages/testing/src/fakes/FakeStream.ts
@@ -7,8 +7,8 @@
 
 /** Both count the tokens that this stream itself has sent. */
 export interface FakeStreamLimits {
-  readonly stallAfter?: number;
-  readonly cutAfter?: number;
+  readonly stallAfterTokens?: number;
+  readonly cutAfterTokens?: number;
 }
 
 export interface FakeStreamOptions {
@@ -16,9 +16,9 @@
   readonly promptDigest: string;
   readonly promptTokens: number;
   /** Position of the first token to generate; above 0 in a resumed run. */
-  readonly firstToken: number;
+  readonly startPosition: number;
   /** Position after the last token. */
-  readonly lastToken: number;
+  readonly endPosition: number;
   readonly model: string;
   readonly readTokenDelay: () => Milliseconds;
   readonly timers: TimerService;
@@ -35,7 +35,7 @@
   private position: number;
 
   constructor(private readonly options: FakeStreamOptions) {
-    this.position = options.firstToken;
+    this.position = options.startPosition;
   }
 
   get attemptId(): string {
@@ -87,13 +87,13 @@
 
   /** Sends the tokens; true if the answer came to its end. */
   async generate(response: ServerResponse): Promise<boolean> {
-    while (this.position < this.options.lastToken) {
+    while (this.position < this.options.endPosition) {
       await this.wait(this.options.readTokenDelay());
       await this.stall();
       if (this.cut(response) || this.signal.aborted) break;
       await this.sendToken(response);
     }
-    if (this.signal.aborted || this.position < this.options.lastToken) {
+    if (this.signal.aborted || this.position < this.options.endPosition) {
       response.end();
       return false;
     }
@@ -102,11 +102,11 @@
   }
 
   private get sentTokens(): number {
-    return this.position - this.options.firstToken;
+    return this.position - this.options.startPosition;
   }
 
   private async stall(): Promise<void> {
-    while (!this.signal.aborted && this.sentTokens >= (this.limits.stallAfter ?? Infinity)) {
+    while (!this.signal.aborted && this.sentTokens >= (this.limits.stallAfterTokens ?? Infinity)) {
       await this.untilStopped((resolve) => {
         this.limitsChanged = resolve;
       });
@@ -125,7 +125,7 @@
   }
 
   private cut(response: ServerResponse): boolean {
-    if (this.sentTokens < (this.limits.cutAfter ?? Infinity)) return false;
+    if (this.sentTokens < (this.limits.cutAfterTokens ?? Infinity)) return false;
     // What was written before still arrives, so the cut is exactly after that many tokens.
     response.socket?.destroySoon();
     return true;
--- a/packages/testing/src/fakes/FakeWeightStore.ts
+++ b/packages/testing/src/fakes/FakeWeightStore.ts
@@ -16,7 +16,7 @@
 }
 
 export class FakeWeightStore extends FakeServer {
-  readonly granted: LoadRequest[] = [];
+  readonly grantedLoads: LoadRequest[] = [];
 
   refusedCount = 0;
 
@@ -45,7 +45,7 @@
     return store;
   }
 
-  protected override forget(): void {}
+  protected override resetState(): void {}
 
   protected override async handle(
     request: IncomingMessage,
@@ -78,7 +78,7 @@
   private takeLoad(load: LoadRequest): object {
     if (this.available >= 1) {
       this.available -= 1;
-      this.granted.push(load);
+      this.grantedLoads.push(load);
       return { granted: true };
     }
     this.refusedCount += 1;
--- a/packages/testing/src/index.ts
+++ b/packages/testing/src/index.ts
@@ -4,7 +4,7 @@
 export * from './fakes/fakeClusterSettings.js';
 export * from './fakes/FakeControl.js';
 export * from './fakes/FakeEngine.js';
-export type { EngineRole, LoadedModel } from './fakes/FakeOrderDesk.js';
+export type { EngineRole, LoadedModel } from './fakes/FakeOrderHandler.js';
 export * from './fakes/FakePlainService.js';
 export * from './fakes/FakePlatform.js';
 export { FakeServer, type FakeServerOptions } from './fakes/FakeServer.js';
