--- a/packages/testing/src/fakes/FakeEngine.ts
+++ b/packages/testing/src/fakes/FakeEngine.ts
@@ -219,7 +219,8 @@
   }
 
   private makeBatch(): FakeBatch {
-    const { concurrency = DEFAULT_CONCURRENCY, maxQueued: mostQueued = DEFAULT_QUEUE } = this.options;
+    const { concurrency = DEFAULT_CONCURRENCY, maxQueued: mostQueued = DEFAULT_QUEUE } =
+      this.options;
     const batch: FakeBatch = new FakeBatch(concurrency, mostQueued, () => {
       if (batch === this.batch) this.recordLoad(batch.running, batch.queued);
     });
