--- a/packages/controller-core/src/planning/chooseMix.test.ts
+++ b/packages/controller-core/src/planning/chooseMix.test.ts
@@ -5,7 +5,8 @@
 import { chooseMix, countMixSlots, type MixRequest, type Offer } from './chooseMix.js';
 
 /**
- * Returns a request with three reclaimable offers, one per data centre, and one on-demand offer.
+ * Returns a request with a reclaimable offer in each of a, b and c, and an on-demand offer in a
+ * (from 'd' in the list below).
  */
 function randomRequest(seed: number): MixRequest {
   const generator = xoroshiro128plus(seed);
@@ -46,7 +47,10 @@
   return Math.max(0, request.need.normal - totalSlots) + missingAfterLoss;
 }
 
-/** Returns the lowest comparison price among all mixes with the fewest missing slots. */
+/**
+ * Returns the lowest comparison price among the mixes with the fewest missing slots, of all mixes
+ * with at most 8 instances of each open offer.
+ */
 function findCheapestByExhaustiveSearch(request: MixRequest): {
   readonly comparisonEurosPerHour: number;
   readonly missingSlots: number;
--- a/packages/controller-core/src/planning/deadlines.ts
+++ b/packages/controller-core/src/planning/deadlines.ts
@@ -15,7 +15,10 @@
   return from < to ? minute >= from && minute < to : minute >= from || minute < to;
 }
 
-/** Returns the first span that contains the local time, or else the route's default deadline. */
+/**
+ * Returns the deadline of the first span that contains the local time, or else the route's default.
+ * A span is a deadline with the hours in which it applies.
+ */
 export function deadlineAt(route: Route, at: EpochMilliseconds): Deadline {
   const minute = minuteOfDay(route.timeZone, at);
   const span = route.deadlinesByHour.find(({ from, to }) =>
--- a/packages/controller-core/src/planning/planPools.ts
+++ b/packages/controller-core/src/planning/planPools.ts
@@ -27,15 +27,17 @@
   need: SlotNeed,
 ): RecentNeeds {
   const at = Math.floor(state.now / MINUTE_MILLISECONDS) * MINUTE_MILLISECONDS;
-  const last = recentNeeds.at(-1);
-  const kept = recentNeeds.filter((past) => past.at > state.now - state.policy.scaleInDelay);
-  if (last?.at !== at) return [...kept, { ...need, at }];
+  const lastNeed = recentNeeds.at(-1);
+  const retainedNeeds = recentNeeds.filter(
+    (past) => past.at > state.now - state.policy.scaleInDelay,
+  );
+  if (lastNeed?.at !== at) return [...retainedNeeds, { ...need, at }];
   const merged = {
     at,
-    normal: Math.max(last.normal, need.normal),
-    afterLoss: Math.max(last.afterLoss, need.afterLoss),
+    normal: Math.max(lastNeed.normal, need.normal),
+    afterLoss: Math.max(lastNeed.afterLoss, need.afterLoss),
   };
-  return [...kept.filter((past) => past.at !== at), merged];
+  return [...retainedNeeds.filter((past) => past.at !== at), merged];
 }
 
 function findHighestNeed(needs: readonly SlotNeed[]): SlotNeed {
--- a/packages/controller-core/src/planning/scaleIn.ts
+++ b/packages/controller-core/src/planning/scaleIn.ts
@@ -1,8 +1,8 @@
 /**
  * Takes instances of the controller's data centre out of service: those that the plan no longer
- * wants, those that no row of the pools table covers, and those that never served. An instance is
- * drained first and ended only when no call can be running at it. The planned need is the highest
- * of the last minutes, so a short decrease drains nothing.
+ * wants, those that no row of the pools table covers, and those whose start never led to service.
+ * An instance is drained first and ended only when no call can be running at it. The planned need
+ * is the highest of the last minutes, so a short decrease drains nothing.
  */
 import type { DrainReason, Pool } from '@hornbeampond/schema';
 import type { ControllerEffect } from '../effects.js';
@@ -67,29 +67,30 @@
   return plan.places
     .filter((place) => place.dataCentre === state.dataCentre)
     .flatMap((place) => {
-      const kept = instancesOf(state, pool).filter(
+      const activeInstances = instancesOf(state, pool).filter(
         (instance) =>
           isKept(instance) &&
           placeKey(instance.dataCentre, instance.instanceClass) ===
             placeKey(place.dataCentre, place.instanceClass),
       );
-      return kept
+      return activeInstances
         .sort((a, b) => compareForRemoval(pool, a, b))
-        .slice(0, Math.max(0, kept.length - place.wanted));
+        .slice(0, Math.max(0, activeInstances.length - place.wanted));
     });
 }
 
 /** Drains a surplus instance, at most one of the pool in each turn of the data centre. */
 function scaleInPool(state: ControllerState, pool: Pool): ControllerEffect[] {
   if (!isOwnTurn(state, pool)) return [];
+  // Turns follow the wall clock; this is the start of the turn on the monotonic clock.
   const turnStartedAt = state.now - (state.wallNow % state.policy.turnDuration);
   const drainedThisTurn = instancesOf(state, pool).some(
     (instance) => instance.phase === 'draining' && instance.phaseSince >= turnStartedAt,
   );
   if (drainedThisTurn) return [];
-  // Instances that are still starting are also kept while the pool is short of capacity. The plan
-  // may have moved to a place that refuses again; draining here would alternate between buying
-  // and draining.
+  // Instances that do not serve yet must pass `canDrainInstance` as well. Otherwise, while the
+  // pool is short of capacity, a plan that moves to a place where starts are refused would cause
+  // alternating purchases and drains.
   const candidate = findSurplusInstances(state, pool).find((instance) =>
     canDrainInstance(state, pool, instance),
   );
@@ -102,8 +103,9 @@
 }
 
 /**
- * True if no call can be running at the instance. If load reports stop, that is certain only after
- * the longest whole-answer deadline plus the maximum list lag.
+ * True if no call can be running at the instance. Without load reports, this is assumed once the
+ * longest whole-answer deadline, plus `maxListLag` as a margin, has passed since the last report or
+ * the drain, whichever is later.
  */
 function canEndInstance(state: ControllerState, instance: FleetInstance): boolean {
   if (isIdle(state, instance)) return true;
@@ -133,13 +135,13 @@
     const resent = instance.endSentAt !== undefined;
     instance.endSentAt = state.now;
     const { instance: name, pool } = instance;
-    const retry: ControllerEffect[] = resent
+    const retryMetricEffects: ControllerEffect[] = resent
       ? [{ type: 'count', metric: 'fleetRetries', label: 'endAnswerLost' }]
       : [];
     return [
       { type: 'endInstance', instance: name },
       { type: 'log', event: 'instanceEnded', fields: { instance: name, pool, resent } },
-      ...retry,
+      ...retryMetricEffects,
     ];
   });
 }
@@ -156,8 +158,8 @@
 /**
  * Drains instances that no row of the pools table covers. Before the first table arrives none is
  * drained: a restarted controller would otherwise drain the whole fleet. If only a class or a data
- * centre was removed from a row, each of its instances is kept until the rest of the pool covers
- * the need.
+ * centre was removed from a row, an instance there is drained only if the pool without that one
+ * instance covers the need. Each is checked singly, so several may be drained together.
  */
 function drainStrayInstances(state: ControllerState): ControllerEffect[] {
   if (state.configuration.pools.revision === 0) return [];
@@ -173,8 +175,8 @@
 }
 
 /**
- * Drains instances that have not served within the startup timeout; they would count as upcoming
- * capacity for ever.
+ * Drains instances whose start was observed but that have not served within the startup timeout;
+ * they would count as upcoming capacity for ever.
  */
 function drainInstancesThatNeverServed(state: ControllerState): ControllerEffect[] {
   return [...state.fleet.values()]
--- a/packages/controller-core/src/planning/servingCapacity.ts
+++ b/packages/controller-core/src/planning/servingCapacity.ts
@@ -73,9 +73,10 @@
 }
 
 /**
- * True if the remaining capacity covers the planned need, also after the loss of any one data
- * centre's reclaimable instances. Larger waves are covered by the plan, which wants more instances
- * for them; if they counted here, a pool without on-demand instances could never scale in.
+ * True if the pool without the instance covers its normal need and, after the loss of any one data
+ * centre's reclaimable instances, its need after a loss. Only the plan accounts for larger waves. A
+ * recent wave that took all reclaimable slots would leave nothing here, so a pool without on-demand
+ * instances could not scale in.
  */
 export function meetsNeedWithout(
   state: ControllerState,
@@ -89,8 +90,8 @@
 }
 
 /**
- * True if without the instance the pool has its minimum number of serving instances and covers its
- * need.
+ * True if the pool without the instance has its minimum number of serving instances and covers its
+ * need, also after the planned loss.
  */
 export function canDrainInstance(
   state: ControllerState,
--- a/packages/controller-core/src/singleton/reduceSingleton.test.ts
+++ b/packages/controller-core/src/singleton/reduceSingleton.test.ts
@@ -53,10 +53,10 @@
 }
 
 /**
- * Returns a function that passes an event at the given time to a new process and returns the
- * effects without log lines.
+ * Makes the state of one process, and returns a function that passes it an event at a given time
+ * and returns the effects without log lines.
  */
-function makeProcess() {
+function makeEventFeed() {
   const state = makeSingletonState({ usageWindow: WINDOW_MILLISECONDS, ordersInstances: true });
   return (at: number, payload: SingletonEventPayload): SingletonEffect[] =>
     reduceSingleton(state, { ...payload, now: at, wallNow: at }).filter(
@@ -64,8 +64,8 @@
     );
 }
 
-test('a window is settled in the replicated log after its last reports, then reported with the settled counts', () => {
-  const feed = makeProcess();
+test('the usage counts of a window are settled after a delay, and the settled counts are reported to the platform', () => {
+  const feed = makeEventFeed();
   feed(0, { type: 'configurationReceived', configuration });
   feed(0, { type: 'leaseHeld', epoch: 3 });
   feed(4900, { type: 'entryReported', report: makeReport({ workspaceA: 4 }) });
@@ -73,6 +73,7 @@
     feed(6000, { type: 'tick' }).filter(({ type }) => type === 'reportUsage'),
     [],
   );
+  // The window has ended at 5000; the settle delay is 3200.
   const effects = feed(8300, { type: 'tick' });
   assert.ok(
     effects.some(
@@ -93,7 +94,7 @@
 });
 
 test('an unanswered usage report is repeated with the same counts', () => {
-  const feed = makeProcess();
+  const feed = makeEventFeed();
   feed(0, { type: 'configurationReceived', configuration });
   feed(0, { type: 'leaseHeld', epoch: 3 });
   feed(8300, { type: 'usageSettled', window: 0, counts: { workspaceA: 5 } });
@@ -105,7 +106,7 @@
 
 // Guards against orders and reports from two holders at the same time.
 test('nothing is ordered or reported without the lease', () => {
-  const feed = makeProcess();
+  const feed = makeEventFeed();
   const instances = [
     {
       instance: 'i-1',
@@ -129,8 +130,8 @@
   assert.ok(orders.length > 0);
 });
 
-test('a refused order is repeated after a while, an accepted one is not', () => {
-  const feed = makeProcess();
+test('reclaimable instances are ordered again some time after a refusal, but not before', () => {
+  const feed = makeEventFeed();
   const instances = [0, 1].map((number) => ({
     instance: `i-${number}`,
     dataCentre: 'a',
@@ -143,31 +144,40 @@
   feed(0, { type: 'configurationReceived', configuration });
   feed(0, { type: 'leaseHeld', epoch: 1 });
   feed(0, { type: 'instancesListed', instances });
-  const firstOrders = feed(3000, { type: 'instancesListed', instances });
-  firstOrders.forEach((effect) => {
+  const ordersFromStableList = feed(3000, { type: 'instancesListed', instances });
+  ordersFromStableList.forEach((effect) => {
     if (effect.type !== 'orderSize') return;
     const outcome = effect.order.reclaimable ? 'refused' : 'done';
     feed(3010, { type: 'sizeOrdered', order: effect.order, outcome });
   });
-  const ordersDuringClosure = feed(4000, { type: 'instancesListed', instances });
+  const ordersSoonAfterRefusal = feed(4000, { type: 'instancesListed', instances });
   assert.ok(
-    ordersDuringClosure.every((effect) => effect.type === 'orderSize' && !effect.order.reclaimable),
+    ordersSoonAfterRefusal.every(
+      (effect) => effect.type === 'orderSize' && !effect.order.reclaimable,
+    ),
   );
-  const ordersAfterClosure = feed(7000, { type: 'instancesListed', instances });
+  const ordersLongAfterRefusal = feed(7000, { type: 'instancesListed', instances });
   assert.ok(
-    ordersAfterClosure.some((effect) => effect.type === 'orderSize' && effect.order.reclaimable),
+    ordersLongAfterRefusal.some(
+      (effect) => effect.type === 'orderSize' && effect.order.reclaimable,
+    ),
   );
 });
 
 /**
- * Returns a process that holds the lease and whose orders are all accepted; `list` passes it a list
- * and returns its new orders.
+ * Returns functions that pass events to a process that holds the lease and whose orders are all
+ * accepted. `feedInstanceList` takes the counts of listed instances, reclaimable and on-demand, by
+ * data centre and returns the new orders.
  */
 function makeLeaseHolder() {
-  const feed = makeProcess();
+  const feed = makeEventFeed();
   feed(0, { type: 'configurationReceived', configuration });
   feed(0, { type: 'leaseHeld', epoch: 1 });
-  const list = (at: number, reclaimable: Record<string, number>, onDemand = {}): string[] => {
+  const feedInstanceList = (
+    at: number,
+    reclaimable: Record<string, number>,
+    onDemand = {},
+  ): string[] => {
     const instances = [
       ...makeInstances('reclaimable', reclaimable),
       ...makeInstances('on-demand', onDemand),
@@ -181,7 +191,7 @@
       ];
     });
   };
-  return { feed, list };
+  return { feed, feedInstanceList };
 }
 
 function makeInstances(instanceClass: string, counts: Record<string, number>): PlatformInstance[] {
@@ -198,44 +208,46 @@
   );
 }
 
-// Guards against a lasting shortage: the platform does not replace instances that a wave has
-// taken, so the order must be repeated once their start is overdue.
+// Guards against a lasting shortage: the platform does not replace instances lost to a wave, so
+// an unfulfilled order is sent again unless it was accepted so recently that its instances may
+// still be starting.
 test('instances lost to a wave are ordered again', () => {
-  const { list } = makeLeaseHolder();
-  const firstOrders = list(0, {}, { a: 1, b: 1 });
-  list(1000, {}, { a: 1, b: 1 });
+  const { feedInstanceList } = makeLeaseHolder();
+  const firstOrders = feedInstanceList(0, {}, { a: 1, b: 1 });
+  feedInstanceList(1000, {}, { a: 1, b: 1 });
   assert.ok(firstOrders.includes('a reclaimable 1') && firstOrders.includes('b reclaimable 1'));
-  list(6000, { a: 1, b: 1 });
-  assert.deepEqual(list(20_000, { a: 1, b: 1 }), []);
+  feedInstanceList(6000, { a: 1, b: 1 });
+  assert.deepEqual(feedInstanceList(20_000, { a: 1, b: 1 }), []);
   assert.deepEqual(
-    list(21_000, { a: 1 }).filter((order) => order.startsWith('b reclaimable')),
+    feedInstanceList(21_000, { a: 1 }).filter((order) => order.startsWith('b reclaimable')),
     ['b reclaimable 1'],
   );
   assert.deepEqual(
-    list(24_000, { a: 1 }).filter((order) => order.startsWith('b reclaimable')),
+    feedInstanceList(24_000, { a: 1 }).filter((order) => order.startsWith('b reclaimable')),
     [],
   );
 });
 
-// Guards against ordering twice the need: until demand is known, the listed instances stand for
-// it, and both kinds are listed while reclaimable instances replace on-demand ones.
-test('reclaimable and on-demand instances are not added up while one kind replaces the other', () => {
-  const { list } = makeLeaseHolder();
-  list(0, {}, { a: 2, b: 2 });
-  list(1000, {}, { a: 2, b: 2 });
-  const orders = list(7000, { a: 2, b: 2 }, { a: 1, b: 1 });
+// Guards against ordering too much: until demand is measured, the need is estimated from the
+// first stable list. Later lists include instances that were ordered as replacements.
+test('instances ordered as replacements do not raise the estimated need', () => {
+  const { feedInstanceList } = makeLeaseHolder();
+  feedInstanceList(0, {}, { a: 2, b: 2 });
+  feedInstanceList(1000, {}, { a: 2, b: 2 });
+  const orders = feedInstanceList(7000, { a: 2, b: 2 }, { a: 1, b: 1 });
   assert.deepEqual(
     orders.filter((order) => order.includes('reclaimable')),
     [],
   );
 });
 
-// Guards against ending on-demand instances that are not listed yet while a cluster starts.
-test('no on-demand instance is ended while the list still grows', () => {
-  const { list } = makeLeaseHolder();
-  const firstOrders = list(0, {}, { a: 1 });
+// Guards against ending instances that are not listed yet, by an on-demand order that is based on
+// an incomplete list.
+test('no on-demand count is ordered while the list still grows', () => {
+  const { feedInstanceList } = makeLeaseHolder();
+  const firstOrders = feedInstanceList(0, {}, { a: 1 });
   assert.ok(firstOrders.length > 0 && firstOrders.every((order) => order.includes('reclaimable')));
-  assert.ok(list(1000, {}, { a: 2 }).every((order) => order.includes('reclaimable')));
-  list(2000, {}, { a: 2, b: 1 });
-  assert.ok(list(3000, {}, { a: 2, b: 1 }).some((order) => order.includes('onDemand')));
+  assert.ok(feedInstanceList(1000, {}, { a: 2 }).every((order) => order.includes('reclaimable')));
+  feedInstanceList(2000, {}, { a: 2, b: 1 });
+  assert.ok(feedInstanceList(3000, {}, { a: 2, b: 1 }).some((order) => order.includes('onDemand')));
 });
