--- a/apps/store/src/ConfigurationPublisher.ts
+++ b/apps/store/src/ConfigurationPublisher.ts
@@ -24,7 +24,10 @@
 
   constructor(private readonly options: ConfigurationPublisherOptions) {}
 
-  /** Schedules a push of the changes since `previousRevision`, the last revision that was pushed. */
+  /**
+   * Schedules a push of the changes since `previousRevision`, the revision before the change. Has no
+   * effect while a push is scheduled, which starts from an earlier revision.
+   */
   publishSince(previousRevision: number): void {
     if (this.isDue) return;
     this.isDue = true;
--- a/apps/store/src/FolderDisk.ts
+++ b/apps/store/src/FolderDisk.ts
@@ -34,8 +34,8 @@
     return { restored, isNew, snapshot: await this.log.readSnapshot() };
   }
 
-  override async write(batch: PersistEffect): Promise<void> {
-    await this.openedLog.write(batch);
+  override async write(effect: PersistEffect): Promise<void> {
+    await this.openedLog.write(effect);
   }
 
   override async saveSnapshot(snapshot: SavedSnapshot): Promise<void> {
--- a/apps/store/src/PersistedEntryState.test.ts
+++ b/apps/store/src/PersistedEntryState.test.ts
@@ -6,7 +6,8 @@
 import { PersistedEntryState } from './PersistedEntryState.js';
 import { MemoryDisk } from './testing/MemoryDisk.js';
 
-function report(spent: number, windowReach: Milliseconds): EntryReport {
+/** A report of an entry that had spent 1000 before the window. */
+function report(spentInWindow: number, windowReach: Milliseconds): EntryReport {
   return {
     type: 'entryReport',
     instance: 'entry-1',
@@ -18,8 +19,8 @@
     inProgress: {},
     leavingBackendServers: {},
     suspects: [],
-    spent: { laden: spent + 1000 },
-    windowSpent: { laden: [spent] },
+    spent: { workspace1: spentInWindow + 1000 },
+    windowSpent: { workspace1: [spentInWindow] },
     windowReach,
   };
 }
@@ -51,21 +52,21 @@
   await flushPromises();
   const after = makeState(disk);
   await after.state.open();
-  assert.deepEqual(after.state.contents.spending?.windowSpent, { laden: [500] });
+  assert.deepEqual(after.state.contents.spending?.windowSpent, { workspace1: [500] });
   assert.deepEqual(after.state.contents.spending?.entries, {
-    'entry-1': { incarnation: 1, spent: { laden: 1500 } },
+    'entry-1': { incarnation: 1, spent: { workspace1: 1500 } },
   });
 });
 
-test('spending totals that reach back less far replace only old ones', async () => {
+test('spending totals with a shorter reach replace stored totals only once those are 2 seconds old', async () => {
   const { timers, state } = makeState(new MemoryDisk());
   await state.open();
   state.recordReport(report(500, 8000));
   state.recordReport(report(20, 100));
-  assert.deepEqual(state.contents.spending?.windowSpent, { laden: [500] });
+  assert.deepEqual(state.contents.spending?.windowSpent, { workspace1: [500] });
   timers.advance(2000);
   state.recordReport(report(30, 2100));
-  assert.deepEqual(state.contents.spending?.windowSpent, { laden: [30] });
+  assert.deepEqual(state.contents.spending?.windowSpent, { workspace1: [30] });
 });
 
 class FailingDisk extends MemoryDisk {
@@ -89,5 +90,5 @@
   await flushPromises();
   const events = lines.map((line) => (JSON.parse(line) as { event: string }).event);
   assert.deepEqual(events, ['memoryUnreadable', 'memoryNotKept']);
-  assert.deepEqual(state.contents.spending?.windowSpent, { laden: [500] });
+  assert.deepEqual(state.contents.spending?.windowSpent, { workspace1: [500] });
 });
--- a/apps/store/src/StoreDisk.ts
+++ b/apps/store/src/StoreDisk.ts
@@ -20,7 +20,7 @@
   abstract open(instance: string): Promise<DiskContents>;
 
   /** Makes one batch durable. Batches are written in the order of the calls. */
-  abstract write(batch: PersistEffect): Promise<void>;
+  abstract write(effect: PersistEffect): Promise<void>;
 
   abstract saveSnapshot(snapshot: SavedSnapshot): Promise<void>;
 
--- a/apps/store/src/StoreProcess.test.ts
+++ b/apps/store/src/StoreProcess.test.ts
@@ -47,8 +47,8 @@
 
 /** Throws from `write` synchronously, as a programming error would. */
 class ThrowingDisk extends MemoryDisk {
-  override write(batch: PersistEffect): Promise<void> {
-    throw new TypeError(`no batch ${batch.batch}`);
+  override write(effect: PersistEffect): Promise<void> {
+    throw new TypeError(`cannot write batch ${effect.batch}`);
   }
 }
 
--- a/apps/store/src/WorkReportBatcher.test.ts
+++ b/apps/store/src/WorkReportBatcher.test.ts
@@ -45,7 +45,7 @@
   const timers = new ManualTimerService();
   const subscribers = new RecordingSubscribers();
   const batcher = new WorkReportBatcher(timers, subscribers);
-  const begun = { 7: { laden: 20 } };
+  const begun = { 7: { workspace1: 20 } };
   batcher.add({ ...report('entry-1'), begun });
   timers.advance(20);
   assert.deepEqual(subscribers.pushesToEntries, [{ type: 'work', reports: [report('entry-1')] }]);
--- a/apps/store/src/main.ts
+++ b/apps/store/src/main.ts
@@ -12,9 +12,14 @@
     const { instance, logLevel } = settings;
     const logger = new Logger({ process: 'hornbeampond-store', instance }, logLevel);
     const disk = openFolderDisk(settings, logger);
-    const store = new StoreProcess(settings, new SystemTimerService(), disk, (failed, failure) => {
-      stopFailedStore(failed, disk, failure).catch(() => {});
-    });
+    const store = new StoreProcess(
+      settings,
+      new SystemTimerService(),
+      disk,
+      (failedStore, failure) => {
+        stopFailedStore(failedStore, disk, failure).catch(() => {});
+      },
+    );
     await store.start();
     return store;
   },
--- a/apps/store/src/testing/StoreCluster.ts
+++ b/apps/store/src/testing/StoreCluster.ts
@@ -181,6 +181,7 @@
       const statuses = (await this.readStatus()).filter(
         ({ instance }) => observer === undefined || instance === observer,
       );
+      // The weight of a learner makes the sum too large.
       const all = statuses.every(
         ({ voters, learners }) => voters.length + learners.length * 100 === count,
       );
--- a/packages/store-core/src/machine/machineProperties.test.ts
+++ b/packages/store-core/src/machine/machineProperties.test.ts
@@ -118,6 +118,7 @@
     fc.property(logArbitrary, (commands) => {
       const state = new MachineState();
       commands.forEach((stamped) => applyCommand(state, stamped));
+      // An answer with headers has 2 bytes of headers and 2 bytes of body.
       const storedBytes = [...state.answers.values()].map(({ headers, body }) =>
         JSON.stringify(headers) === '{}' ? (body?.byteLength ?? 0) : 4,
       );
--- a/packages/store-core/src/machine/replaceTables.test.ts
+++ b/packages/store-core/src/machine/replaceTables.test.ts
@@ -34,7 +34,7 @@
     version,
     routes: [route],
     pools: [desk],
-    workspaces: [{ name: 'laden', keySha256: [key] }],
+    workspaces: [{ name: 'workspace1', keySha256: [key] }],
     document: `document ${version}`,
     ...fields,
   };
@@ -89,7 +89,7 @@
     'a key that two workspaces share',
     {
       workspaces: [
-        { name: 'laden', keySha256: [key] },
+        { name: 'workspace1', keySha256: [key] },
         { name: 'kunde', keySha256: [key] },
       ],
     },
@@ -113,14 +113,17 @@
 test('a snapshot keeps the document, the version and the settled usage', () => {
   const state = new MachineState();
   apply(state, makeCommand(7));
-  applyCommand(state, { at: 0, command: { type: 'settleUsage', window: 4, counts: { laden: 2 } } });
+  applyCommand(state, {
+    at: 0,
+    command: { type: 'settleUsage', window: 4, counts: { workspace1: 2 } },
+  });
   const restored = restoreSnapshot(takeSnapshot(state));
   assert.equal(restored.document, 'document 7');
   assert.equal(restored.configuration.whole?.version, 7);
-  const again = { type: 'settleUsage', window: 4, counts: { laden: 3 } } as const;
+  const again = { type: 'settleUsage', window: 4, counts: { workspace1: 3 } } as const;
   assert.deepEqual(applyCommand(restored, { at: 0, command: again }), {
     type: 'usageSettled',
-    counts: { laden: 2 },
+    counts: { workspace1: 2 },
   });
 });
 
