--- a/apps/store/src/PersistedEntryState.ts
+++ b/apps/store/src/PersistedEntryState.ts
@@ -21,7 +21,7 @@
 /** What entries reported within this time before a power loss may be lost. */
 const WRITE_INTERVAL_MILLISECONDS: Milliseconds = 250;
 
-/** Totals with a shorter reach than the stored totals replace these only once they are this old. */
+/** Age that stored totals must have before totals with a shorter reach replace them. */
 const SPENDING_REPLACEMENT_AGE_MILLISECONDS: Milliseconds = 2000;
 
 export interface PersistedEntryStateOptions {
