--- a/packages/store-core/src/consensus/testing/scenario.ts
+++ b/packages/store-core/src/consensus/testing/scenario.ts
@@ -135,7 +135,7 @@
     reached.reads = Math.max(reached.reads, answeredReads);
     return model.check(bounded);
   };
-  const bounds = { mostStates: 400_000, mostSteps: scenario.maxSteps };
+  const bounds = { maxStates: 400_000, maxDepth: scenario.maxSteps };
   const exploration = exploreStates({ ...model, check }, bounds);
   const { states, depth, exhaustive } = exploration;
   context.diagnostic(`${states} states, ${depth} steps deep, exhaustive: ${exhaustive}`);
