--- a/packages/testing/src/EngineModel.ts
+++ b/packages/testing/src/EngineModel.ts
@@ -24,7 +24,7 @@
   onFinished(): void;
 }
 
-const FULL_BATCH_SLOWDOWN = 2;
+const FULL_BATCH_ADDED_SLOWDOWN = 2;
 
 export class EngineModel {
   running = 0;
@@ -64,18 +64,18 @@
 
   private start(job: EngineJob): void {
     this.running += 1;
-    const cached = this.cachedShare(job);
+    const cached = this.getCachedFraction(job);
     const uncachedTokens = job.promptTokens * (1 - cached);
     this.recomputedTokens += this.countRecomputed(job, cached);
     const { timeline, speed } = this;
     const startedAt = Math.max(timeline.now, this.prefillFreeAt);
     this.prefillFreeAt = startedAt + uncachedTokens * speed.prefillMillisecondsPerToken;
-    const crowding = 1 + (FULL_BATCH_SLOWDOWN * this.running) / speed.concurrency;
-    const decode = job.answerTokens * speed.decodeMillisecondsPerToken * crowding;
+    const slowdown = 1 + (FULL_BATCH_ADDED_SLOWDOWN * this.running) / speed.concurrency;
+    const decodeMilliseconds = job.answerTokens * speed.decodeMillisecondsPerToken * slowdown;
     timeline.after(this.prefillFreeAt - timeline.now, () => {
       this.store(job.prefixDigests);
       job.onFirstToken();
-      timeline.after(decode, () => this.finish(job));
+      timeline.after(decodeMilliseconds, () => this.finish(job));
     });
   }
 
@@ -86,17 +86,18 @@
     if (next !== undefined) this.start(next);
   }
 
-  private cachedShare({ prefixDigests }: EngineJob): number {
+  private getCachedFraction({ prefixDigests }: EngineJob): number {
     let { length } = prefixDigests;
     while (length > 0 && !this.cache.has(prefixDigests[length - 1] ?? '')) length -= 1;
     return length === 0 ? 0 : length / prefixDigests.length;
   }
 
   private countRecomputed({ prefixDigests, promptTokens }: EngineJob, cached: number): number {
-    let known = prefixDigests.length;
-    while (known > 0 && !this.everComputed.has(prefixDigests[known - 1] ?? '')) known -= 1;
-    if (known === 0) return 0;
-    return Math.max(0, known / prefixDigests.length - cached) * promptTokens;
+    let computedLength = prefixDigests.length;
+    while (computedLength > 0 && !this.everComputed.has(prefixDigests[computedLength - 1] ?? ''))
+      computedLength -= 1;
+    if (computedLength === 0) return 0;
+    return Math.max(0, computedLength / prefixDigests.length - cached) * promptTokens;
   }
 
   private store(digests: readonly string[]): void {
--- a/packages/testing/src/ManualTimerService.ts
+++ b/packages/testing/src/ManualTimerService.ts
@@ -41,7 +41,7 @@
   /** Moves time on by `span`, firing everything that falls due on the way. */
   advance(span: Milliseconds): void {
     const end = this.now + span;
-    for (let next = this.next(end); next !== undefined; next = this.next(end)) {
+    for (let next = this.findNextDue(end); next !== undefined; next = this.findNextDue(end)) {
       this.now = next.dueAt;
       this.subscriptions.delete(next);
       next.listener();
@@ -49,7 +49,7 @@
     this.now = end;
   }
 
-  private next(end: MonotonicMilliseconds): Subscription | undefined {
+  private findNextDue(end: MonotonicMilliseconds): Subscription | undefined {
     return [...this.subscriptions]
       .filter((subscription) => subscription.dueAt <= end)
       .sort((a, b) => a.dueAt - b.dueAt || a.order - b.order)[0];
--- a/packages/testing/src/VirtualTimeline.ts
+++ b/packages/testing/src/VirtualTimeline.ts
@@ -4,13 +4,13 @@
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 
-interface Due {
+interface ScheduledEvent {
   readonly dueAt: MonotonicMilliseconds;
   readonly order: number;
   readonly run: () => void;
 }
 
-function isBefore(a: Due, b: Due): boolean {
+function isBefore(a: ScheduledEvent, b: ScheduledEvent): boolean {
   return a.dueAt < b.dueAt || (a.dueAt === b.dueAt && a.order < b.order);
 }
 
@@ -19,7 +19,7 @@
 
   private order = 0;
 
-  private readonly heap: Due[] = [];
+  private readonly heap: ScheduledEvent[] = [];
 
   after(delay: Milliseconds, run: () => void): void {
     this.order += 1;
@@ -62,22 +62,22 @@
   }
 
   private siftUp(start: number): void {
-    let place = start;
-    while (place > 0) {
-      const parent = Math.floor((place - 1) / 2);
-      if (!this.swapIfBefore(place, parent)) return;
-      place = parent;
+    let index = start;
+    while (index > 0) {
+      const parent = Math.floor((index - 1) / 2);
+      if (!this.swapIfBefore(index, parent)) return;
+      index = parent;
     }
   }
 
   private siftDown(): void {
-    let place = 0;
+    let index = 0;
     for (;;) {
-      const left = 2 * place + 1;
+      const left = 2 * index + 1;
       const [a, b] = [this.heap[left], this.heap[left + 1]];
       const child = a !== undefined && b !== undefined && isBefore(b, a) ? left + 1 : left;
-      if (!this.swapIfBefore(child, place)) return;
-      place = child;
+      if (!this.swapIfBefore(child, index)) return;
+      index = child;
     }
   }
 }
--- a/packages/testing/src/adapters/HttpEngineAdapter.test.ts
+++ b/packages/testing/src/adapters/HttpEngineAdapter.test.ts
@@ -23,9 +23,9 @@
 const { signal } = new AbortController();
 
 /** Makes a test fail, and not hang, where a call is swallowed that should not be. */
-const bounded = { timeout: 20_000 };
+const withTimeout = { timeout: 20_000 };
 
-async function meet(t: TestContext, options: FakeEngineOptions = {}) {
+async function startEngine(t: TestContext, options: FakeEngineOptions = {}) {
   const engine = await FakeEngine.start({ model: 'appraiser', ...options });
   const adapter = new HttpEngineAdapter(engine);
   t.after(async () => {
@@ -61,7 +61,7 @@
 }
 
 test('a whole answer is streamed in order and ends once', async (t) => {
-  const { engine, adapter } = await meet(t);
+  const { engine, adapter } = await startEngine(t);
   const start = { attemptId: 'a-1', body, priority: 5, signal };
   const answer = await readAll(await adapter.startCompletion(start));
   assert.deepEqual(answer, {
@@ -107,19 +107,19 @@
   // The caller is to see one answer. The first engine loses its connection after five tokens;
   // the second is given the text so far and generates the rest. Joined, the two parts are the
   // uninterrupted answer, because the second starts at the first one's last whole token.
-  const first = await meet(t);
-  const second = await meet(t);
+  const first = await startEngine(t);
+  const second = await startEngine(t);
   first.engine.cutStreamsAfter(5);
-  const begun = await readAll(
+  const interrupted = await readAll(
     await first.adapter.startCompletion({ attemptId: 'a-1', body, priority: 5, signal }),
   );
-  assertFailure(begun.failure, 'connectionLost', 'maybe');
-  assert.equal(begun.tokens, 5);
-  const resume = { generatedText: begun.text, generatedTokens: begun.tokens };
+  assertFailure(interrupted.failure, 'connectionLost', 'maybe');
+  assert.equal(interrupted.tokens, 5);
+  const resume = { generatedText: interrupted.text, generatedTokens: interrupted.tokens };
   const rest = await readAll(
     await second.adapter.startCompletion({ attemptId: 'a-2', body, resume, priority: 5, signal }),
   );
-  assert.equal(begun.text + rest.text, wholeText);
+  assert.equal(interrupted.text + rest.text, wholeText);
   assert.equal(second.engine.counts.wrongResumes, 0);
 });
 
@@ -127,7 +127,7 @@
   // The caller must not take a part for the whole. The engine's connection ends after 0, 6 and 11
   // of 12 tokens; each time the reader gets exactly
   // those tokens and then a failure, because only `[DONE]` makes an answer whole.
-  const { engine, adapter } = await meet(t);
+  const { engine, adapter } = await startEngine(t);
   for (const tokens of [0, 6, 11]) {
     engine.cutStreamsAfter(tokens);
     const start = { attemptId: `a-${tokens}`, body, priority: 5, signal };
@@ -142,7 +142,7 @@
   // The engine process is killed after four tokens. The reader gets the tokens that came and a
   // lost connection; the next call proves that nothing was sent, since no connection came about.
   // The restarted engine remembers nothing and serves again.
-  const { engine, adapter } = await meet(t);
+  const { engine, adapter } = await startEngine(t);
   engine.stallStreamsAfter(4);
   const start = { attemptId: 'a-1', body, priority: 5, signal };
   const reading = readAll(await adapter.startCompletion(start));
@@ -159,35 +159,35 @@
 
 test(
   'a silent connection ends by the caller, a probe over a new one tells that the engine lives',
-  bounded,
+  withTimeout,
   async (t) => {
     // Something between the two ends loses track of the open connection in the middle of a stream.
     // The reader sees neither token nor end. The probe answers, because it opens a connection of its
     // own; so the caller aborts, which drops the old one, and resumes with what it has.
-    const { engine, adapter } = await meet(t);
+    const { engine, adapter } = await startEngine(t);
     engine.stallStreamsAfter(3);
-    const giveUp = new AbortController();
-    const start = { attemptId: 'a-1', body, priority: 5, signal: giveUp.signal };
+    const callerAbort = new AbortController();
+    const start = { attemptId: 'a-1', body, priority: 5, signal: callerAbort.signal };
     const reading = readAll(await adapter.startCompletion(start));
     await engine.waitFor(() => engine.counts.generatedTokens === 3);
     await adapter.readLoad(signal);
     engine.stallOpenConnections();
     engine.stallStreamsAfter(undefined);
     await adapter.probe(signal);
-    giveUp.abort();
-    const begun = await reading;
-    assertFailure(begun.failure, 'silent', 'maybe');
+    callerAbort.abort();
+    const interrupted = await reading;
+    assertFailure(interrupted.failure, 'silent', 'maybe');
     adapter.renewConnections();
-    const resume = { generatedText: begun.text, generatedTokens: begun.tokens };
+    const resume = { generatedText: interrupted.text, generatedTokens: interrupted.tokens };
     const rest = await readAll(
       await adapter.startCompletion({ attemptId: 'a-2', body, resume, priority: 5, signal }),
     );
-    assert.equal(begun.text + rest.text, wholeText);
+    assert.equal(interrupted.text + rest.text, wholeText);
   },
 );
 
 test('busy, wrong and broken answers are told apart', async (t) => {
-  const { engine, adapter } = await meet(t);
+  const { engine, adapter } = await startEngine(t);
   const start = { attemptId: 'a-1', body, priority: 5, signal };
   engine.setBusy(true);
   await assert.rejects(adapter.startCompletion(start), (error) => {
@@ -208,8 +208,8 @@
 });
 
 test('a poison request kills the engine that runs it, and no other', async (t) => {
-  const first = await meet(t);
-  const second = await meet(t);
+  const first = await startEngine(t);
+  const second = await startEngine(t);
   first.engine.setPoison('MARKER');
   const poison = { messages: [{ role: 'user', content: 'a MARKER b' }] };
   const start = { attemptId: 'a-1', body: poison, priority: 5, signal };
@@ -225,7 +225,7 @@
   // The first engine is on notice. After six tokens its cache of the attempt goes to the second,
   // which resumes the answer and computes neither prompt nor generated tokens again. Without the
   // import the same resume computes them all, so the difference is the cache's.
-  const first = await meet(t);
+  const first = await startEngine(t);
   first.engine.stallStreamsAfter(6);
   const reading = readAll(
     await first.adapter.startCompletion({ attemptId: 'a-1', body, priority: 5, signal }),
@@ -233,25 +233,25 @@
   await first.engine.waitFor(() => first.engine.counts.generatedTokens === 6);
   const cache = await first.adapter.exportCache('a-1', signal);
   await first.adapter.cancel('a-1', signal);
-  const begun = await reading;
-  const resume = { generatedText: begun.text, generatedTokens: begun.tokens };
+  const interrupted = await reading;
+  const resume = { generatedText: interrupted.text, generatedTokens: interrupted.tokens };
   const recomputed: number[] = [];
   for (const moved of [true, false]) {
-    const { engine, adapter } = await meet(t);
+    const { engine, adapter } = await startEngine(t);
     if (moved) await adapter.importCache(cache, signal);
     const start = { attemptId: 'a-2', body, resume, priority: 5, signal };
     const rest = await readAll(await adapter.startCompletion(start));
-    assert.equal(begun.text + rest.text, wholeText);
+    assert.equal(interrupted.text + rest.text, wholeText);
     recomputed.push(engine.counts.recomputedTokens);
   }
   assert.deepEqual(recomputed, [0, cache.tokens]);
 });
 
 test('a caller that leaves frees its place in the batch for the next by priority', async (t) => {
-  const { engine, adapter } = await meet(t, { concurrency: 1, maxQueued: 2 });
+  const { engine, adapter } = await startEngine(t, { concurrency: 1, maxQueued: 2 });
   engine.stallStreamsAfter(2);
-  const leave = new AbortController();
-  const first = { attemptId: 'first', body, priority: 5, signal: leave.signal };
+  const callerAbort = new AbortController();
+  const first = { attemptId: 'first', body, priority: 5, signal: callerAbort.signal };
   const reading = readAll(await adapter.startCompletion(first));
   await engine.waitFor(() => engine.counts.generatedTokens === 2);
   const low = await adapter.startCompletion({ attemptId: 'low', body, priority: 9, signal });
@@ -262,7 +262,7 @@
   );
   const order: string[] = [];
   engine.stallStreamsAfter(undefined);
-  leave.abort();
+  callerAbort.abort();
   await reading;
   await Promise.all([
     readAll(low).then(() => order.push('low')),
@@ -272,7 +272,7 @@
 });
 
 test('an order with an old fencing number is refused, unless the engine ignores fencing', async (t) => {
-  const { engine, adapter } = await meet(t);
+  const { engine, adapter } = await startEngine(t);
   const load = (epoch: number, sequence: number, model: string) =>
     adapter.sendOrder({ epoch, sequence, action: { type: 'load', model } }, signal);
   assert.equal(await load(2, 1, 'new'), 'done');
@@ -289,7 +289,7 @@
 
 test('load reports lag, and cache events are late and have gaps', async (t) => {
   const timers = new ManualTimerService();
-  const { engine, adapter } = await meet(t, { timers, loadLag: 3000, cacheBlocks: 2 });
+  const { engine, adapter } = await startEngine(t, { timers, loadLag: 3000, cacheBlocks: 2 });
   engine.prefixCache.eventLag = 1000;
   engine.prefixCache.eventLossInterval = 2;
   engine.stallStreamsAfter(1);
@@ -316,7 +316,7 @@
   // The controller's order has arrived when the engine dies. The answer is lost, and the restarted
   // engine is as it was: an order that takes time must not reach into a later life of the engine.
   const timers = new ManualTimerService();
-  const { engine, adapter } = await meet(t, { timers, orderDelay: 1000 });
+  const { engine, adapter } = await startEngine(t, { timers, orderDelay: 1000 });
   const order: Order = { epoch: 1, sequence: 1, action: { type: 'changeRole', role: 'decode' } };
   const lost = adapter.sendOrder(order, signal);
   const refused = assert.rejects(lost, (error) => assertFailure(error, 'connectionLost', 'maybe'));
@@ -330,7 +330,7 @@
 
 // An engine that answers can have crashed and be back already; only its name of itself tells.
 test('a probe tells the incarnation, which changes with a restart', async (t) => {
-  const { engine, adapter } = await meet(t);
+  const { engine, adapter } = await startEngine(t);
   const { incarnation } = await adapter.probe(signal);
   assert.equal(incarnation, engine.incarnation);
   assert.equal((await adapter.probe(signal)).incarnation, incarnation);
--- a/packages/testing/src/adapters/HttpPlatformAdapter.test.ts
+++ b/packages/testing/src/adapters/HttpPlatformAdapter.test.ts
@@ -15,7 +15,7 @@
   startToken: 'token-1',
 };
 
-async function meet(t: TestContext, options: FakePlatformOptions = {}) {
+async function startPlatform(t: TestContext, options: FakePlatformOptions = {}) {
   const timers = new ManualTimerService();
   const platform = await FakePlatform.start({ timers, ...options });
   const adapter = new HttpPlatformAdapter(platform.url);
@@ -27,9 +27,9 @@
 }
 
 test('an instance is bought, listed with a lag, given notice and gone', async (t) => {
-  const { timers, platform, adapter } = await meet(t, { listLag: 2000, startDelay: 5000 });
+  const { timers, platform, adapter } = await startPlatform(t, { listLag: 2000, startDelay: 5000 });
   const states: unknown[] = [];
-  const note = async (when: string) => {
+  const recordState = async (when: string) => {
     const instances = await adapter.listInstances(signal);
     const notices = await adapter.readNotices(signal);
     const listed = instances.map(({ instance, state, goneAt }) => ({ instance, state, goneAt }));
@@ -37,22 +37,22 @@
   };
   const bought = await adapter.startInstance(start, signal);
   assert.equal(bought.type, 'started');
-  await note('just bought');
+  await recordState('just bought');
   timers.advance(2000);
-  await note('listed');
+  await recordState('listed');
   timers.advance(5000);
-  await note('started');
+  await recordState('started');
   platform.giveNotice('appraisers-wien-a-1', 3000);
-  await note('on notice, not yet in the list');
+  await recordState('on notice, not yet in the list');
   timers.advance(2000);
-  await note('leaving');
+  await recordState('leaving');
   timers.advance(3000);
-  await note('gone');
+  await recordState('gone');
   await matchSnapshot(import.meta.url, 'life of an instance', states);
 });
 
 test('a start whose answer was lost buys one instance, however often it is resent', async (t) => {
-  const { platform, adapter } = await meet(t);
+  const { platform, adapter } = await startPlatform(t);
   const answers = await Promise.all([1, 2, 3].map(() => adapter.startInstance(start, signal)));
   assert.deepEqual(answers[1], answers[0]);
   assert.deepEqual(answers[2], answers[0]);
@@ -60,7 +60,7 @@
 });
 
 test('a refused start buys nothing, and the same token may succeed later', async (t) => {
-  const { platform, adapter } = await meet(t);
+  const { platform, adapter } = await startPlatform(t);
   platform.refuseStarts([{ dataCentre: 'wien-a', reason: 'no capacity' }]);
   const refused = { type: 'refused', reason: 'no capacity' };
   assert.deepEqual(await adapter.startInstance(start, signal), refused);
@@ -80,7 +80,7 @@
     engines.push(engine);
     return engine;
   };
-  const { timers, platform, adapter } = await meet(t, { launch });
+  const { timers, platform, adapter } = await startPlatform(t, { launch });
   await adapter.startInstance(start, signal);
   const [engine] = engines;
   assert.ok(engine?.alive);
@@ -94,7 +94,7 @@
 });
 
 test('an instance is ended, and ending it again is no fault', async (t) => {
-  const { adapter } = await meet(t);
+  const { adapter } = await startPlatform(t);
   await adapter.startInstance(start, signal);
   await adapter.endInstance('appraisers-wien-a-1', signal);
   await adapter.endInstance('appraisers-wien-a-1', signal);
--- a/packages/testing/src/examples.test.ts
+++ b/packages/testing/src/examples.test.ts
@@ -52,7 +52,7 @@
   return entrySettingsSchema.parse(parse(readText(deployment, file)));
 }
 
-function digest(key: string): string {
+function hashKey(key: string): string {
   return createHash('sha256').update(key).digest('hex');
 }
 
@@ -80,18 +80,18 @@
     assert.deepEqual(checkPoolReferences(routes, pools), []);
     pools.forEach((pool) => assert.deepEqual(pool.dataCentres, dataCentres));
     const workspaces = readEntry(deployment).workspaces.map(({ name }) => name);
-    const named = routes.flatMap((route) => [
+    const referencedWorkspaces = routes.flatMap((route) => [
       ...route.match.workspaces,
       ...Object.keys(route.limits.workspaces),
     ]);
     assert.deepEqual(
-      named.filter((name) => !workspaces.includes(name)),
+      referencedWorkspaces.filter((name) => !workspaces.includes(name)),
       [],
     );
   });
 
   test(`${deployment}: the settings of each kind are valid`, () => {
-    const seen = findFiles(deployment).flatMap((file) => {
+    const kinds = findFiles(deployment).flatMap((file) => {
       const kind = file.split('-')[0] ?? '';
       const schema = settingsSchemas[kind];
       if (schema === undefined || !file.endsWith('.toml')) return [];
@@ -99,7 +99,7 @@
       assert.ok(parsed.success, `${file}: ${parsed.error?.message}`);
       return [kind];
     });
-    assert.deepEqual(seen, ['controller', 'entry', 'store']);
+    assert.deepEqual(kinds, ['controller', 'entry', 'store']);
   });
 
   test(`${deployment}: the entry knows the documented keys and all peers`, () => {
@@ -109,15 +109,19 @@
     keys.forEach((key) => assert.ok(documented.includes(`\`${key}\``), key));
     assert.deepEqual(
       entry.workspaces.map(({ keySha256 }) => keySha256),
-      keys.map(digest),
+      keys.map(hashKey),
     );
-    const operatorKey = digest(`${deployment}-example-operator-key`);
+    const operatorKey = hashKey(`${deployment}-example-operator-key`);
     assert.equal(entry.operatorKeys[0]?.keySha256, operatorKey);
     assert.equal(entry.entries.length, 7);
     // Without an operator key nobody can found the cluster: every ask is answered 401.
     const { operatorKeys } = storeSettingsSchema.parse(parse(readText(deployment, 'store-1.toml')));
     assert.equal(operatorKeys[0]?.keySha256, operatorKey);
-    const homes = entry.stores.map((store) => store.dataCentre);
-    assert.equal(new Set(homes).size, homes.length, 'no data centre may hold a majority');
+    const storeDataCentres = entry.stores.map((store) => store.dataCentre);
+    assert.equal(
+      new Set(storeDataCentres).size,
+      storeDataCentres.length,
+      'no data centre may hold a majority',
+    );
   });
 });
--- a/packages/testing/src/exploreStates.ts
+++ b/packages/testing/src/exploreStates.ts
@@ -48,7 +48,7 @@
   readonly depth: number;
 }
 
-function traceOf<State>(visited: Visited<State>): string[] {
+function buildTrace<State>(visited: Visited<State>): string[] {
   const trace: string[] = [];
   for (let node = visited; node.from !== undefined; node = node.from) trace.push(node.label);
   return trace.reverse();
@@ -75,7 +75,7 @@
         const reached = { state, label: step.label, from: visited, depth: visited.depth + 1 };
         const reason = model.check(state);
         if (reason !== undefined) {
-          const violation = { reason, trace: traceOf(reached) };
+          const violation = { reason, trace: buildTrace(reached) };
           return { states: seen.size, depth: reached.depth, exhaustive: false, violation };
         }
         if (seen.size >= bounds.maxStates) {
--- a/packages/testing/src/fakes/FakeBackendServer.ts
+++ b/packages/testing/src/fakes/FakeBackendServer.ts
@@ -8,9 +8,9 @@
 import { answerJson, FakeServer, type FakeServerOptions } from './FakeServer.js';
 
 /** Load states kept for lagging reports. */
-const MOST_LOAD_STATES = 1000;
+const MAX_LOAD_STATES = 1000;
 
-const BUSY = 503;
+const BUSY_STATUS = 503;
 
 interface LoadState {
   readonly since: EpochMilliseconds;
@@ -76,7 +76,7 @@
   /** Notes the load as it is now; subclasses call it after each change. */
   protected recordLoad(running: number, queued: number): void {
     this.loadStates.push({ since: this.timers.wallNow(), running, queued });
-    if (this.loadStates.length > MOST_LOAD_STATES) this.loadStates.shift();
+    if (this.loadStates.length > MAX_LOAD_STATES) this.loadStates.shift();
     this.notifyWaiters();
   }
 
@@ -105,7 +105,7 @@
     if (this.busy) {
       this.busyCount += 1;
       response.setHeader('retry-after', '1');
-      answerJson(response, BUSY, { error: 'busy' });
+      answerJson(response, BUSY_STATUS, { error: 'busy' });
       return false;
     }
     if (this.answerDelay > 0) await this.timers.wait(this.answerDelay);
--- a/packages/testing/src/fakes/FakeBatch.ts
+++ b/packages/testing/src/fakes/FakeBatch.ts
@@ -6,7 +6,7 @@
 /** Gives a slot back; calling it twice does no harm. */
 export type ReleaseSlot = () => void;
 
-interface Waiting {
+interface WaitingRequest {
   readonly priority: number;
   readonly start: () => void;
 }
@@ -14,11 +14,11 @@
 export class FakeBatch {
   running = 0;
 
-  private queue: Waiting[] = [];
+  private queue: WaitingRequest[] = [];
 
   constructor(
     private readonly concurrency: number,
-    private readonly mostQueued: number,
+    private readonly maxQueued: number,
     private readonly onChange: () => void,
   ) {}
 
@@ -27,15 +27,15 @@
   }
 
   get full(): boolean {
-    return this.running >= this.concurrency && this.queued >= this.mostQueued;
+    return this.running >= this.concurrency && this.queued >= this.maxQueued;
   }
 
   /** Resolves with a slot, or with nothing if `signal` fires first. */
   async acquireSlot(priority: number, signal: AbortSignal): Promise<ReleaseSlot | undefined> {
     if (signal.aborted) return undefined;
     if (this.running >= this.concurrency) {
-      const given = await this.waitForSlot(priority, signal);
-      return given ? this.makeRelease() : undefined;
+      const acquired = await this.waitForSlot(priority, signal);
+      return acquired ? this.makeRelease() : undefined;
     }
     this.running += 1;
     this.onChange();
@@ -55,9 +55,9 @@
     });
   }
 
-  private enqueue(waiting: Waiting): void {
-    const behind = this.queue.findIndex(({ priority }) => priority > waiting.priority);
-    this.queue.splice(behind < 0 ? this.queue.length : behind, 0, waiting);
+  private enqueue(waiting: WaitingRequest): void {
+    const position = this.queue.findIndex(({ priority }) => priority > waiting.priority);
+    this.queue.splice(position < 0 ? this.queue.length : position, 0, waiting);
     this.onChange();
   }
 
--- a/packages/testing/src/fakes/FakeCluster.ts
+++ b/packages/testing/src/fakes/FakeCluster.ts
@@ -61,7 +61,7 @@
     });
     const weightStore = await FakeWeightStore.start({ host, timers, ...settings.weightStore });
     cluster = new FakeCluster(settings, platform, weightStore, timers);
-    await cluster.startListed();
+    await cluster.startConfiguredServers();
     return cluster;
   }
 
@@ -71,18 +71,21 @@
     await Promise.all([this.platform.close(), this.weightStore.close()]);
   }
 
-  private async startListed(): Promise<void> {
+  private async startConfiguredServers(): Promise<void> {
     for (const engine of this.settings.engines) {
       const { instance, port } = engine;
-      this.list(engine, await this.startEngine({ instance, port, ...toEngineOptions(engine) }));
+      this.addToPlatform(
+        engine,
+        await this.startEngine({ instance, port, ...toEngineOptions(engine) }),
+      );
     }
     for (const service of this.settings.services) {
       const { instance, port } = service;
-      this.list(service, await this.startService({ instance, port }));
+      this.addToPlatform(service, await this.startService({ instance, port }));
     }
   }
 
-  private list(
+  private addToPlatform(
     { instance, pool, dataCentre, instanceClass }: FakeServiceSettings,
     server: FakeEngine | FakePlainService,
   ): void {
--- a/packages/testing/src/fakes/FakeControl.ts
+++ b/packages/testing/src/fakes/FakeControl.ts
@@ -20,7 +20,7 @@
 import type { FakePlatform } from './FakePlatform.js';
 import { answerJson, FakeServer, readRequestBody, type FakeServerOptions } from './FakeServer.js';
 
-const nameOfPlatform = 'platform';
+const platformName = 'platform';
 
 /** The settings of all actions; each action takes those it needs. */
 const actionSchema = z.strictObject({
@@ -48,7 +48,7 @@
 /** Carries out an action by name; an unknown name gives `undefined`. */
 type Actions = Readonly<Record<string, () => void | Promise<void>>>;
 
-function commonActions(server: FakeBackendServer, settings: ActionSettings): Actions {
+function makeCommonActions(server: FakeBackendServer, settings: ActionSettings): Actions {
   return {
     die: () => server.die(),
     restart: () => server.restart(),
@@ -60,23 +60,23 @@
   };
 }
 
-function engineActions(engine: FakeEngine, settings: ActionSettings): Actions {
+function makeEngineActions(engine: FakeEngine, settings: ActionSettings): Actions {
   return {
-    ...commonActions(engine, settings),
+    ...makeCommonActions(engine, settings),
     stallStreamsAfter: () => engine.stallStreamsAfter(settings.tokens),
     cutStreamsAfter: () => engine.cutStreamsAfter(settings.tokens),
     setChecksFencing: () => engine.setChecksFencing(settings.checks),
   };
 }
 
-function serviceActions(service: FakePlainService, settings: ActionSettings): Actions {
+function makeServiceActions(service: FakePlainService, settings: ActionSettings): Actions {
   return {
-    ...commonActions(service, settings),
+    ...makeCommonActions(service, settings),
     setOutcome: () => service.setOutcome(settings.outcome),
   };
 }
 
-function platformActions(platform: FakePlatform, settings: ActionSettings): Actions {
+function makePlatformActions(platform: FakePlatform, settings: ActionSettings): Actions {
   return {
     giveNotice: () => platform.giveNotice(settings.instance, settings.milliseconds),
     remove: () => platform.remove(settings.instance),
@@ -117,18 +117,18 @@
       answerJson(response, 400, { error: parsed.error.message });
       return;
     }
-    const carryOut = this.findActions(name, parsed.data)?.[action];
-    if (carryOut === undefined) {
+    const runAction = this.findActions(name, parsed.data)?.[action];
+    if (runAction === undefined) {
       answerJson(response, 404, { error: `no ${name} or no action ${action}` });
       return;
     }
-    await carryOut();
+    await runAction();
     answerJson(response, 200, {});
   }
 
   private answerState(response: ServerResponse, name: string): void {
     const { engines, services, platform } = this.cluster;
-    if (name === nameOfPlatform) {
+    if (name === platformName) {
       const { purchases, refusedCount } = platform;
       answerJson(response, 200, { instances: platform.listNow(), purchases, refusedCount });
       return;
@@ -140,10 +140,10 @@
 
   private findActions(name: string, settings: ActionSettings): Actions | undefined {
     const { engines, services, platform } = this.cluster;
-    if (name === nameOfPlatform) return platformActions(platform, settings);
+    if (name === platformName) return makePlatformActions(platform, settings);
     const engine = engines.get(name);
-    if (engine !== undefined) return engineActions(engine, settings);
+    if (engine !== undefined) return makeEngineActions(engine, settings);
     const service = services.get(name);
-    return service === undefined ? undefined : serviceActions(service, settings);
+    return service === undefined ? undefined : makeServiceActions(service, settings);
   }
 }
--- a/packages/testing/src/fakes/FakeEngine.ts
+++ b/packages/testing/src/fakes/FakeEngine.ts
@@ -21,7 +21,7 @@
 import { digestPrompt, generateText } from './generateToken.js';
 
 const DEFAULT_CONCURRENCY = 8;
-const DEFAULT_QUEUE = 64;
+const DEFAULT_MAX_QUEUED = 64;
 const DEFAULT_ANSWER_TOKENS = 32;
 const DEFAULT_CACHE_BLOCKS = 1024;
 const DEFAULT_CACHE_BYTES_PER_TOKEN = 16;
@@ -109,7 +109,7 @@
 
   private limits: FakeStreamLimits = {};
 
-  private readonly orderDesk: FakeOrderHandler;
+  private readonly orderHandler: FakeOrderHandler;
 
   private unnamedAttempts = 0;
 
@@ -119,7 +119,7 @@
     this.prefixCache = new FakePrefixCache(this.instance, cacheBlocks, this.timers);
     this.kvCaches = new FakeKvCaches(options.cacheBytesPerToken ?? DEFAULT_CACHE_BYTES_PER_TOKEN);
     this.batch = this.makeBatch();
-    this.orderDesk = new FakeOrderHandler({
+    this.orderHandler = new FakeOrderHandler({
       timers: this.timers,
       model: options.model,
       checksFencing: options.checksFencing ?? true,
@@ -143,12 +143,12 @@
   }
 
   get role(): EngineRole {
-    return this.orderDesk.role;
+    return this.orderHandler.role;
   }
 
   /** Orders that were carried out, in that order. */
   get orders(): readonly Order[] {
-    return this.orderDesk.orders;
+    return this.orderHandler.orders;
   }
 
   /** Streams stop for good after this many tokens of their own; `undefined` lets them go on. */
@@ -164,11 +164,11 @@
   }
 
   setChecksFencing(checks: boolean): void {
-    this.orderDesk.checksFencing = checks;
+    this.orderHandler.checksFencing = checks;
   }
 
   setOrdersFail(fail: boolean): void {
-    this.orderDesk.ordersFail = fail;
+    this.orderHandler.ordersFail = fail;
   }
 
   protected override resetState(): void {
@@ -178,7 +178,7 @@
     this.kvCaches.clear();
     this.prefixCache.clear();
     this.batch = this.makeBatch();
-    this.orderDesk.resetFencing();
+    this.orderHandler.resetFencing();
   }
 
   protected override async handle(
@@ -189,7 +189,7 @@
     const body = await readRequestBody(request);
     switch (`${request.method} ${url.pathname}`) {
       case 'POST /v1/chat/completions':
-        await this.complete(request, response, body);
+        await this.handleCompletion(request, response, body);
         break;
       case 'POST /engine/cancel':
         this.cancel(response, body);
@@ -219,7 +219,7 @@
   }
 
   private makeBatch(): FakeBatch {
-    const { concurrency = DEFAULT_CONCURRENCY, maxQueued: mostQueued = DEFAULT_QUEUE } =
+    const { concurrency = DEFAULT_CONCURRENCY, maxQueued: mostQueued = DEFAULT_MAX_QUEUED } =
       this.options;
     const batch: FakeBatch = new FakeBatch(concurrency, mostQueued, () => {
       if (batch === this.batch) this.recordLoad(batch.running, batch.queued);
@@ -227,7 +227,7 @@
     return batch;
   }
 
-  private async complete(
+  private async handleCompletion(
     request: IncomingMessage,
     response: ServerResponse,
     bytes: Buffer,
@@ -272,7 +272,7 @@
       promptTokens: splitPrompt(body.messages).length,
       startPosition: body.resume?.generated_tokens ?? 0,
       endPosition: body.max_tokens ?? this.options.answerTokens ?? DEFAULT_ANSWER_TOKENS,
-      model: body.model ?? this.orderDesk.loaded.model ?? '',
+      model: body.model ?? this.orderHandler.loaded.model ?? '',
       readTokenDelay: () => this.readTokenDelay(),
       timers: this.timers,
       onToken: () => {
@@ -314,12 +314,12 @@
     const digests = digestPrefixes(messages);
     const cachedPrompt = this.prefixCache.countCached(digests) * TOKENS_PER_BLOCK;
     const imported = this.kvCaches.countImported(stream.promptDigest);
-    const wanted = stream.promptTokens + (resume?.generated_tokens ?? 0);
-    const computed = Math.max(0, wanted - Math.max(cachedPrompt, imported));
+    const neededTokens = stream.promptTokens + (resume?.generated_tokens ?? 0);
+    const computedTokens = Math.max(0, neededTokens - Math.max(cachedPrompt, imported));
     this.prefixCache.store(digests);
-    this.counts.prefilledTokens += computed;
-    if (resume !== undefined) this.counts.recomputedTokens += computed;
-    return computed;
+    this.counts.prefilledTokens += computedTokens;
+    if (resume !== undefined) this.counts.recomputedTokens += computedTokens;
+    return computedTokens;
   }
 
   private endStream(attemptId: string, stream: FakeStream): void {
@@ -364,7 +364,7 @@
     } = this.options;
     const tokensPerSecond = tokenDelay > 0 ? (report.running * 1000) / tokenDelay : undefined;
     const firstTokenDelay = (report.queued * answerTokens * tokenDelay) / concurrency;
-    return { ...report, ...this.orderDesk.loaded, tokensPerSecond, firstTokenDelay };
+    return { ...report, ...this.orderHandler.loaded, tokensPerSecond, firstTokenDelay };
   }
 
   private answerCacheEvents(response: ServerResponse, afterSequence: number): void {
@@ -372,7 +372,7 @@
   }
 
   private async answerOrder(response: ServerResponse, order: Order): Promise<void> {
-    const result = await this.orderDesk.handleOrder(order, () => response.destroyed);
+    const result = await this.orderHandler.handleOrder(order, () => response.destroyed);
     if (!response.destroyed) answerJson(response, 200, { result });
   }
 }
--- a/packages/testing/src/fakes/FakeKvCaches.ts
+++ b/packages/testing/src/fakes/FakeKvCaches.ts
@@ -1,7 +1,7 @@
 /** KV caches that a fake engine holds for attempts, its own and imported ones. */
 
 /** Caches kept; the oldest leave first. */
-const MOST_CACHES = 64;
+const MAX_CACHES = 64;
 
 interface KvCache {
   readonly promptDigest: string;
@@ -13,7 +13,7 @@
   map.delete(key);
   map.set(key, value);
   const oldest = map.keys().next().value;
-  if (map.size > MOST_CACHES && oldest !== undefined) map.delete(oldest);
+  if (map.size > MAX_CACHES && oldest !== undefined) map.delete(oldest);
 }
 
 export class FakeKvCaches {
@@ -38,8 +38,8 @@
     const cache = this.caches.get(attemptId);
     if (cache === undefined) return undefined;
     const head = Buffer.from(`${JSON.stringify(cache)}\n`);
-    const filling = Buffer.alloc(Math.max(0, cache.tokens * this.bytesPerToken - head.length));
-    return { tokens: cache.tokens, bytes: Buffer.concat([head, filling]) };
+    const padding = Buffer.alloc(Math.max(0, cache.tokens * this.bytesPerToken - head.length));
+    return { tokens: cache.tokens, bytes: Buffer.concat([head, padding]) };
   }
 
   import(bytes: Buffer): void {
--- a/packages/testing/src/fakes/FakeOrderHandler.ts
+++ b/packages/testing/src/fakes/FakeOrderHandler.ts
@@ -35,7 +35,7 @@
 
   ordersFail = false;
 
-  private newest: { readonly epoch: number; readonly sequence: number } = noOrder;
+  private newestFencing: { readonly epoch: number; readonly sequence: number } = noOrder;
 
   constructor(private readonly options: FakeOrderHandlerOptions) {
     this.loaded = { model: options.model };
@@ -43,27 +43,27 @@
   }
 
   /** Carries an order out, unless `isGone` says in the end that the engine died meanwhile. */
-  async handleOrder(order: Order, isGone: () => boolean): Promise<OrderResult> {
+  async handleOrder(order: Order, hasDied: () => boolean): Promise<OrderResult> {
     const result = this.admit(order);
     if (result !== 'done') return result;
     const { orderDelay, timers } = this.options;
     if (orderDelay > 0) await timers.wait(orderDelay);
-    if (isGone()) return 'failed';
+    if (hasDied()) return 'failed';
     this.carryOut(order);
     return 'done';
   }
 
   /** A restarted engine knows no fencing number. */
   resetFencing(): void {
-    this.newest = noOrder;
+    this.newestFencing = noOrder;
   }
 
   private admit({ epoch, sequence }: Order): OrderResult {
-    const { newest } = this;
+    const { newestFencing: newest } = this;
     const old = epoch < newest.epoch || (epoch === newest.epoch && sequence < newest.sequence);
     if (old && this.checksFencing) return 'refusedAsOld';
     if (this.ordersFail) return 'failed';
-    if (!old) this.newest = { epoch, sequence };
+    if (!old) this.newestFencing = { epoch, sequence };
     return 'done';
   }
 
--- a/packages/testing/src/fakes/FakePlainService.ts
+++ b/packages/testing/src/fakes/FakePlainService.ts
@@ -91,10 +91,10 @@
       answerJson(response, 200, this.reportLoad());
       return;
     }
-    await this.work(request, response);
+    await this.handleCall(request, response);
   }
 
-  private async work(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  private async handleCall(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = await readRequestBody(request);
     this.changeRunning(1);
     response.once('close', () => this.changeRunning(-1));
@@ -107,7 +107,7 @@
     };
     this.runs.push(run);
     this.notifyWaiters();
-    this.send(response, this.respond(run, this.runs.length));
+    this.sendAnswer(response, this.respond(run, this.runs.length));
   }
 
   private changeRunning(change: number): void {
@@ -115,7 +115,10 @@
     this.recordLoad(this.running, 0);
   }
 
-  private send(response: ServerResponse, { status, headers = {}, body }: FakeServiceAnswer): void {
+  private sendAnswer(
+    response: ServerResponse,
+    { status, headers = {}, body }: FakeServiceAnswer,
+  ): void {
     if (this.outcome === 'silence') return;
     if (this.outcome === 'lost') {
       response.socket?.destroy();
--- a/packages/testing/src/fakes/FakePlatform.ts
+++ b/packages/testing/src/fakes/FakePlatform.ts
@@ -9,7 +9,7 @@
 import { answerJson, FakeServer, readRequestBody, type FakeServerOptions } from './FakeServer.js';
 
 /** Lists kept for lagging answers. */
-const MOST_LISTS = 1000;
+const MAX_RECORDED_LISTS = 1000;
 
 /** What runs on a bought instance. */
 export interface LaunchedServer {
@@ -64,7 +64,7 @@
 
   private listLag: Milliseconds;
 
-  private noticeReads = Infinity;
+  private remainingNoticeReads = Infinity;
 
   constructor(private readonly options: FakePlatformOptions = {}) {
     super(options);
@@ -82,7 +82,7 @@
   add(instance: PlatformInstance, server?: LaunchedServer): void {
     this.instances.set(instance.instance, instance);
     if (server !== undefined) this.servers.set(instance.instance, server);
-    this.noteList();
+    this.recordList();
   }
 
   /** Refuses the starts that match one of these; an empty list refuses none. */
@@ -96,7 +96,7 @@
 
   /** Tells only the next so many askers of notices; the instances go all the same. */
   limitNoticeReads(count: number): void {
-    this.noticeReads = count;
+    this.remainingNoticeReads = count;
   }
 
   /** Says that an instance will be gone after `notice`; then it is. */
@@ -115,7 +115,7 @@
     this.instances.delete(instance);
     const server = this.servers.get(instance);
     this.servers.delete(instance);
-    this.noteList();
+    this.recordList();
     await server?.close();
   }
 
@@ -145,9 +145,9 @@
     else answerJson(response, 404, { error: 'not found' });
   }
 
-  private noteList(): void {
+  private recordList(): void {
     this.lists.push({ since: this.timers.wallNow(), instances: this.listNow() });
-    if (this.lists.length > MOST_LISTS) this.lists.shift();
+    if (this.lists.length > MAX_RECORDED_LISTS) this.lists.shift();
     this.notifyWaiters();
   }
 
@@ -157,8 +157,8 @@
   }
 
   private listNotices(): ReclaimNotice[] {
-    if (this.noticeReads <= 0) return [];
-    this.noticeReads -= 1;
+    if (this.remainingNoticeReads <= 0) return [];
+    this.remainingNoticeReads -= 1;
     return this.listNow().flatMap(({ instance, goneAt }) =>
       goneAt === undefined ? [] : [{ instance, goneAt }],
     );
@@ -175,14 +175,14 @@
 
   private async answerStart(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const start = JSON.parse(String(await readRequestBody(request))) as InstanceStart;
-    const known = this.startsByToken.get(start.startToken);
-    const refusal = known === undefined ? this.findRefusal(start) : undefined;
+    const existing = this.startsByToken.get(start.startToken);
+    const refusal = existing === undefined ? this.findRefusal(start) : undefined;
     if (refusal !== undefined) {
       this.refusedCount += 1;
       answerJson(response, 409, { refused: refusal.reason });
       return;
     }
-    const bought = known ?? this.buy(start);
+    const bought = existing ?? this.buy(start);
     this.startsByToken.set(start.startToken, bought);
     answerJson(response, 200, { instance: await bought });
   }
--- a/packages/testing/src/fakes/FakePrefixCache.ts
+++ b/packages/testing/src/fakes/FakePrefixCache.ts
@@ -6,10 +6,10 @@
 import type { CacheEvent, EpochMilliseconds, Milliseconds } from '@hornbeampond/schema';
 
 /** Events kept for readers; older ones are lost, which readers see as a gap. */
-const MOST_EVENTS = 1000;
+const MAX_EVENTS = 1000;
 
-interface PublishedEvent {
-  readonly at: EpochMilliseconds;
+interface RecordedEvent {
+  readonly recordedAt: EpochMilliseconds;
   readonly event: CacheEvent;
   readonly lost: boolean;
 }
@@ -25,11 +25,11 @@
 
   private readonly blocks = new Set<string>();
 
-  private events: PublishedEvent[] = [];
+  private events: RecordedEvent[] = [];
 
   constructor(
     private readonly instance: string,
-    private readonly mostBlocks: number,
+    private readonly maxBlocks: number,
     private readonly timers: TimerService,
   ) {}
 
@@ -46,33 +46,33 @@
       this.blocks.delete(digest);
       this.blocks.add(digest);
     });
-    if (added.length > 0) this.note('stored', added);
-    const evicted = [...this.blocks].slice(0, Math.max(0, this.blocks.size - this.mostBlocks));
+    if (added.length > 0) this.recordEvent('stored', added);
+    const evicted = [...this.blocks].slice(0, Math.max(0, this.blocks.size - this.maxBlocks));
     evicted.forEach((digest) => this.blocks.delete(digest));
-    if (evicted.length > 0) this.note('evicted', evicted);
+    if (evicted.length > 0) this.recordEvent('evicted', evicted);
   }
 
   clear(): void {
     this.blocks.clear();
-    this.note('cleared', []);
+    this.recordEvent('cleared', []);
   }
 
   /** Published events above a sequence, and the newest published sequence, lost or not. */
   readEvents(afterSequence: number): { events: CacheEvent[]; newestSequence: number } {
     const publishedUntil = this.timers.wallNow() - this.eventLag;
-    const published = this.events.filter(({ at }) => at <= publishedUntil);
+    const published = this.events.filter(({ recordedAt: at }) => at <= publishedUntil);
     const events = published
       .filter(({ event, lost }) => !lost && event.sequence > afterSequence)
       .map(({ event }) => event);
     return { events, newestSequence: published.at(-1)?.event.sequence ?? 0 };
   }
 
-  private note(change: CacheEvent['change'], prefixDigests: readonly string[]): void {
+  private recordEvent(change: CacheEvent['change'], prefixDigests: readonly string[]): void {
     this.sequence += 1;
     const { instance, sequence } = this;
     const lost = this.eventLossInterval > 0 && sequence % this.eventLossInterval === 0;
     const event = { instance, sequence, change, prefixDigests };
-    this.events.push({ at: this.timers.wallNow(), event, lost });
-    if (this.events.length > MOST_EVENTS) this.events.shift();
+    this.events.push({ recordedAt: this.timers.wallNow(), event, lost });
+    if (this.events.length > MAX_EVENTS) this.events.shift();
   }
 }
--- a/packages/testing/src/fakes/FakeServer.ts
+++ b/packages/testing/src/fakes/FakeServer.ts
@@ -31,11 +31,11 @@
 
   private server: Server | undefined;
 
-  private starts = 0;
+  private startCount = 0;
 
   private readonly sockets = new Set<Socket>();
 
-  private readonly silentSockets = new WeakSet<Socket>();
+  private readonly stalledSockets = new WeakSet<Socket>();
 
   private readonly waiters = new Set<Waiter>();
 
@@ -64,22 +64,22 @@
 
   /** What it calls itself since its start; another name after each `restart`. */
   get incarnation(): string {
-    return `${this.port}-${this.starts}`;
+    return `${this.port}-${this.startCount}`;
   }
 
   /** Begins to listen; after `die`, on the same port and with nothing remembered. */
   async restart(): Promise<void> {
     const server = createServer({ keepAliveTimeout: 0, requestTimeout: 0 }, (request, response) => {
-      this.take(request, response);
+      this.receiveRequest(request, response);
     });
-    server.on('connection', (socket) => this.track(socket));
+    server.on('connection', (socket) => this.trackConnection(socket));
     await new Promise<void>((resolve, reject) => {
       server.once('error', reject);
       server.listen(this.listeningPort, this.host, resolve);
     });
     this.listeningPort = (server.address() as AddressInfo).port;
     this.server = server;
-    this.starts += 1;
+    this.startCount += 1;
   }
 
   /** Ends at once, as a killed process does: connections break, later ones are refused. */
@@ -106,8 +106,8 @@
    */
   stallOpenConnections(): void {
     this.sockets.forEach((socket) => {
-      this.silentSockets.add(socket);
-      swallowWrites(socket);
+      this.stalledSockets.add(socket);
+      discardWrites(socket);
     });
   }
 
@@ -127,7 +127,7 @@
     });
   }
 
-  private track(socket: Socket): void {
+  private trackConnection(socket: Socket): void {
     this.connectionCount += 1;
     this.sockets.add(socket);
     socket.on('error', () => {});
@@ -138,9 +138,9 @@
     this.notifyWaiters();
   }
 
-  private take(request: IncomingMessage, response: ServerResponse): void {
+  private receiveRequest(request: IncomingMessage, response: ServerResponse): void {
     // What comes over a silent connection never reaches the server behind it.
-    if (this.silentSockets.has(request.socket)) return;
+    if (this.stalledSockets.has(request.socket)) return;
     const path = (request.url ?? '/').split('?')[0];
     const name = `${request.method} ${path}`;
     this.requestCounts.set(name, (this.requestCounts.get(name) ?? 0) + 1);
@@ -153,9 +153,9 @@
 }
 
 /** Makes a socket take what is written to it, and its end, without sending anything. */
-function swallowWrites(socket: Socket): void {
-  const swallow = () => {};
-  Object.assign(socket, { _write: swallow, _writev: swallow, _final: swallow });
+function discardWrites(socket: Socket): void {
+  const discard = () => {};
+  Object.assign(socket, { _write: discard, _writev: discard, _final: discard });
 }
 
 /** Reads a request's body whole. */
--- a/packages/testing/src/fakes/FakeStream.ts
+++ b/packages/testing/src/fakes/FakeStream.ts
@@ -30,7 +30,7 @@
 
   private limits: FakeStreamLimits = {};
 
-  private limitsChanged: () => void = () => {};
+  private onLimitsChanged: () => void = () => {};
 
   private position: number;
 
@@ -62,7 +62,7 @@
 
   setLimits(limits: FakeStreamLimits): void {
     this.limits = limits;
-    this.limitsChanged();
+    this.onLimitsChanged();
   }
 
   stop(): void {
@@ -79,7 +79,7 @@
   async wait(delay: Milliseconds): Promise<void> {
     if (delay <= 0 || this.signal.aborted) return;
     let cancel: Unsubscribe = () => {};
-    await this.untilStopped((resolve) => {
+    await this.waitUnlessStopped((resolve) => {
       cancel = this.options.timers.after(delay, resolve);
     });
     cancel();
@@ -89,8 +89,8 @@
   async generate(response: ServerResponse): Promise<boolean> {
     while (this.position < this.options.endPosition) {
       await this.wait(this.options.readTokenDelay());
-      await this.stall();
-      if (this.cut(response) || this.signal.aborted) break;
+      await this.waitWhileStalled();
+      if (this.cutIfDue(response) || this.signal.aborted) break;
       await this.sendToken(response);
     }
     if (this.signal.aborted || this.position < this.options.endPosition) {
@@ -105,16 +105,16 @@
     return this.position - this.options.startPosition;
   }
 
-  private async stall(): Promise<void> {
+  private async waitWhileStalled(): Promise<void> {
     while (!this.signal.aborted && this.sentTokens >= (this.limits.stallAfterTokens ?? Infinity)) {
-      await this.untilStopped((resolve) => {
-        this.limitsChanged = resolve;
+      await this.waitUnlessStopped((resolve) => {
+        this.onLimitsChanged = resolve;
       });
     }
   }
 
   /** Resolves when `begin` calls back or the stream is stopped, whichever is first. */
-  private async untilStopped(begin: (resolve: () => void) => void): Promise<void> {
+  private async waitUnlessStopped(begin: (resolve: () => void) => void): Promise<void> {
     let stopped: () => void = () => {};
     await new Promise<void>((resolve) => {
       stopped = resolve;
@@ -124,7 +124,7 @@
     this.signal.removeEventListener('abort', stopped);
   }
 
-  private cut(response: ServerResponse): boolean {
+  private cutIfDue(response: ServerResponse): boolean {
     if (this.sentTokens < (this.limits.cutAfterTokens ?? Infinity)) return false;
     // What was written before still arrives, so the cut is exactly after that many tokens.
     response.socket?.destroySoon();
--- a/packages/testing/src/fakes/FakeWeightStore.ts
+++ b/packages/testing/src/fakes/FakeWeightStore.ts
@@ -6,7 +6,7 @@
 
 const DEFAULT_LOADS_PER_MINUTE = 6;
 const DEFAULT_BURST = 2;
-const MINUTE = 60_000;
+const MINUTE_MILLISECONDS = 60_000;
 
 export interface FakeWeightStoreOptions extends FakeServerOptions {
   readonly timers?: TimerService;
@@ -28,7 +28,7 @@
 
   private available: number;
 
-  private filledAt: number;
+  private refilledAt: number;
 
   constructor(options: FakeWeightStoreOptions = {}) {
     super(options);
@@ -36,7 +36,7 @@
     this.loadsPerMinute = options.loadsPerMinute ?? DEFAULT_LOADS_PER_MINUTE;
     this.burst = options.burst ?? DEFAULT_BURST;
     this.available = this.burst;
-    this.filledAt = this.timers.monotonicNow();
+    this.refilledAt = this.timers.monotonicNow();
   }
 
   static async start(options: FakeWeightStoreOptions = {}): Promise<FakeWeightStore> {
@@ -51,7 +51,7 @@
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    this.fill();
+    this.refill();
     switch (`${request.method} ${request.url}`) {
       case 'GET /rate': {
         const { loadsPerMinute } = this;
@@ -60,7 +60,7 @@
       }
       case 'POST /loads': {
         const load = JSON.parse(String(await readRequestBody(request))) as LoadRequest;
-        answerJson(response, 200, this.takeLoad(load));
+        answerJson(response, 200, this.grantOrRefuseLoad(load));
         break;
       }
       default:
@@ -68,14 +68,14 @@
     }
   }
 
-  private fill(): void {
+  private refill(): void {
     const now = this.timers.monotonicNow();
-    const added = ((now - this.filledAt) * this.loadsPerMinute) / MINUTE;
+    const added = ((now - this.refilledAt) * this.loadsPerMinute) / MINUTE_MILLISECONDS;
     this.available = Math.min(this.burst, this.available + added);
-    this.filledAt = now;
+    this.refilledAt = now;
   }
 
-  private takeLoad(load: LoadRequest): object {
+  private grantOrRefuseLoad(load: LoadRequest): object {
     if (this.available >= 1) {
       this.available -= 1;
       this.grantedLoads.push(load);
@@ -85,7 +85,7 @@
     const missing = 1 - this.available;
     return {
       granted: false,
-      retryAfterMilliseconds: Math.ceil((missing * MINUTE) / this.loadsPerMinute),
+      retryAfterMilliseconds: Math.ceil((missing * MINUTE_MILLISECONDS) / this.loadsPerMinute),
     };
   }
 }
--- a/packages/testing/src/fakes/fakeClusterSettings.ts
+++ b/packages/testing/src/fakes/fakeClusterSettings.ts
@@ -15,7 +15,7 @@
   checksFencing: z.boolean().optional(),
 };
 
-const placeShape = {
+const serverShape = {
   instance: nameSchema,
   pool: nameSchema,
   dataCentre: nameSchema,
@@ -23,9 +23,9 @@
   port: portSchema,
 };
 
-export const fakeEngineSchema = z.strictObject({ ...placeShape, ...engineBehaviourShape });
+export const fakeEngineSchema = z.strictObject({ ...serverShape, ...engineBehaviourShape });
 
-export const fakeServiceSchema = z.strictObject(placeShape);
+export const fakeServiceSchema = z.strictObject(serverShape);
 
 /** What to launch on an instance that is bought for a pool. */
 export const fakeLaunchSchema = z.strictObject({
--- a/packages/testing/src/matchSnapshot.ts
+++ b/packages/testing/src/matchSnapshot.ts
@@ -11,9 +11,9 @@
   isEqual: (received: unknown, expected: unknown) => received === expected,
 });
 
-const prepared = new Map<string, Promise<void>>();
+const preparations = new Map<string, Promise<void>>();
 
-function sourceOf(testFileUrl: string): string {
+function toSourcePath(testFileUrl: string): string {
   return fileURLToPath(testFileUrl)
     .replace(/([\\/])dist([\\/])/, '$1src$2')
     .replace(/\.js$/, '.ts');
@@ -25,7 +25,7 @@
   }
 }
 
-function updateWanted(): boolean {
+function isUpdateRequested(): boolean {
   return process.env.UPDATE_SNAPSHOTS === '1' && process.env.CI === undefined;
 }
 
@@ -52,11 +52,11 @@
   testFileUrl: string,
   name: string,
   received: unknown,
-  update = updateWanted(),
+  update = isUpdateRequested(),
 ): Promise<void> {
-  const file = sourceOf(testFileUrl);
-  const ready = prepared.get(file) ?? prepare(file, update);
-  prepared.set(file, ready);
+  const file = toSourcePath(testFileUrl);
+  const ready = preparations.get(file) ?? prepare(file, update);
+  preparations.set(file, ready);
   await ready;
   client.assert({ received, filepath: file, name, testId: name, assertionName: 'matchSnapshot' });
 }
