--- a/packages/testing/src/EngineModel.ts
+++ b/packages/testing/src/EngineModel.ts
@@ -1,7 +1,7 @@
 /**
- * A small model of an engine that batches continuously: so many requests run at a time, the rest
- * wait in order of arrival; prompts are computed one after the other; each running answer makes
- * tokens, the slower the fuller the batch; prefixes are kept in a cache of limited size.
+ * A simulation of an engine with continuous batching, in virtual time. A bounded number of
+ * requests runs and the rest wait in order of arrival. Prefill is sequential, decoding slows down
+ * as the batch fills, and the prefix cache evicts the least recently stored prefixes.
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { VirtualTimeline } from './VirtualTimeline.js';
@@ -9,9 +9,9 @@
 export interface EngineSpeed {
   readonly concurrency: number;
   readonly prefillMillisecondsPerToken: Milliseconds;
-  /** For one token of one answer when nothing else runs; three times so with a full batch. */
+  /** Time per output token of an idle engine; three times as long with a full batch. */
   readonly decodeMillisecondsPerToken: Milliseconds;
-  /** Prefixes that fit in the cache. */
+  /** Maximum number of prefixes in the cache. */
   readonly cachedPrefixes: number;
 }
 
@@ -19,7 +19,7 @@
   readonly promptTokens: number;
   readonly answerTokens: number;
   readonly prefixDigests: readonly string[];
-  /** Called once the prompt is computed. */
+  /** Called when prefill ends. */
   onFirstToken(): void;
   onFinished(): void;
 }
@@ -29,10 +29,10 @@
 export class EngineModel {
   running = 0;
 
-  /** Prompt tokens that were computed although this or another engine had computed them before. */
+  /** Uncached prompt tokens that this or another engine has computed before. */
   recomputedTokens = 0;
 
-  /** Prefixes that were stored since this was last asked for. */
+  /** Prefixes stored since the caller last replaced this list. */
   newlyStored: string[] = [];
 
   private readonly queue: EngineJob[] = [];
@@ -45,7 +45,7 @@
     readonly instance: string,
     private readonly timeline: VirtualTimeline,
     public speed: EngineSpeed,
-    /** Prefixes that some engine has computed; shared by all engines of a run. */
+    /** Prefixes that any engine has computed; shared by all engines of a simulation. */
     private readonly everComputed: Set<string>,
   ) {}
 
--- a/packages/testing/src/ManualTimerService.ts
+++ b/packages/testing/src/ManualTimerService.ts
@@ -1,5 +1,6 @@
 /**
- * Virtual time for tests: it moves only when told to, and fires what is due in order.
+ * A timer service with virtual time for tests. Time moves only in `advance`, which fires due
+ * timers in order of time and, for equal times, of scheduling.
  */
 import type { EpochMilliseconds, Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import { TimerService, type Unsubscribe } from '@hornbeampond/runtime';
@@ -38,7 +39,7 @@
     };
   }
 
-  /** Moves time on by `span`, firing everything that falls due on the way. */
+  /** Advances time by `span` and fires each timer that becomes due, at its due time. */
   advance(span: Milliseconds): void {
     const end = this.now + span;
     for (let next = this.findNextDue(end); next !== undefined; next = this.findNextDue(end)) {
--- a/packages/testing/src/VirtualTimeline.ts
+++ b/packages/testing/src/VirtualTimeline.ts
@@ -1,6 +1,6 @@
 /**
- * Virtual time for runs of many thousands of events: a binary heap of what is due, in order of
- * time and, within one moment, of being scheduled.
+ * An event queue in virtual time for simulations with many thousands of events. A binary heap
+ * orders events by time and, for equal times, by scheduling.
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 
@@ -27,7 +27,7 @@
     this.siftUp(this.heap.length - 1);
   }
 
-  /** Runs `run` now and then after each span, without end. */
+  /** Calls `run` after each `span`, first one `span` from now, without end. */
   every(span: Milliseconds, run: () => void): void {
     this.after(span, () => {
       run();
@@ -35,7 +35,7 @@
     });
   }
 
-  /** Runs everything that is due up to `end`. */
+  /** Runs all events due at or before `end`, then sets the time to `end`. */
   runUntil(end: MonotonicMilliseconds): void {
     for (let [next] = this.heap; next !== undefined && next.dueAt <= end; [next] = this.heap) {
       this.removeFirst();
--- a/packages/testing/src/adapters/HttpEngineAdapter.test.ts
+++ b/packages/testing/src/adapters/HttpEngineAdapter.test.ts
@@ -22,7 +22,7 @@
 const wholeText = generateText(digestPrompt(body.messages), 0, 12);
 const { signal } = new AbortController();
 
-/** Makes a test fail, and not hang, where a call is swallowed that should not be. */
+/** Makes a test fail instead of hang if a call is unexpectedly left unanswered. */
 const withTimeout = { timeout: 20_000 };
 
 async function startEngine(t: TestContext, options: FakeEngineOptions = {}) {
@@ -60,7 +60,7 @@
   return true;
 }
 
-test('a whole answer is streamed in order and ends once', async (t) => {
+test('a complete answer is streamed in order and ends once', async (t) => {
   const { engine, adapter } = await startEngine(t);
   const start = { attemptId: 'a-1', body, priority: 5, signal };
   const answer = await readAll(await adapter.startCompletion(start));
@@ -73,10 +73,9 @@
   assert.equal(engine.counts.finished, 1);
 });
 
-test('a connection is kept for the next answer', async (t) => {
-  // The reader leaves a stream at its `[DONE]`, before the body's own end has come; here the engine
-  // sends that end only after the reader has left. Dropping the connection there, as for a stream
-  // that is given up, would cost each answer a new one.
+test('a connection is reused although the body ends after [DONE]', async (t) => {
+  // The server ends the body only after the reader has stopped at `[DONE]`. Closing the connection
+  // at `[DONE]` would make every answer open a new one.
   let connections = 0;
   let endBody = () => {};
   const stop = { choices: [{ finish_reason: 'stop' }] };
@@ -99,14 +98,13 @@
     await readAll(await adapter.startCompletion({ attemptId, body, priority: 5, signal }));
     endBody();
   }
-  // The next call can come before the last connection is free again, so there may be a few.
+  // A call can start before the previous connection is free again, so a few more are allowed.
   assert.ok(connections <= 3, `${connections} connections`);
 });
 
 test('a stream cut after 5 tokens is resumed on another engine byte for byte', async (t) => {
-  // The caller is to see one answer. The first engine loses its connection after five tokens;
-  // the second is given the text so far and generates the rest. Joined, the two parts are the
-  // uninterrupted answer, because the second starts at the first one's last whole token.
+  // The text of the interrupted stream and of its continuation on the second engine must join to
+  // the uninterrupted answer.
   const first = await startEngine(t);
   const second = await startEngine(t);
   first.engine.cutStreamsAfter(5);
@@ -123,10 +121,9 @@
   assert.equal(second.engine.counts.wrongResumes, 0);
 });
 
-test('a stream that ends early never looks complete, at first, middle and last token', async (t) => {
-  // The caller must not take a part for the whole. The engine's connection ends after 0, 6 and 11
-  // of 12 tokens; each time the reader gets exactly
-  // those tokens and then a failure, because only `[DONE]` makes an answer whole.
+test('a stream cut before its first, a middle or its last token is not reported as complete', async (t) => {
+  // The connection ends after 0, 6 and 11 of 12 tokens. The reader gets these tokens and then a
+  // failure, because only `[DONE]` completes an answer.
   const { engine, adapter } = await startEngine(t);
   for (const tokens of [0, 6, 11]) {
     engine.cutStreamsAfter(tokens);
@@ -138,10 +135,9 @@
   }
 });
 
-test('an engine that dies in the middle of a stream fails it, and refuses until it is back', async (t) => {
-  // The engine process is killed after four tokens. The reader gets the tokens that came and a
-  // lost connection; the next call proves that nothing was sent, since no connection came about.
-  // The restarted engine remembers nothing and serves again.
+test('an engine that dies during a stream fails it and refuses connections until its restart', async (t) => {
+  // The stream fails with a lost connection. The next call fails to connect, so nothing was sent.
+  // The restarted engine serves again.
   const { engine, adapter } = await startEngine(t);
   engine.stallStreamsAfter(4);
   const start = { attemptId: 'a-1', body, priority: 5, signal };
@@ -158,12 +154,11 @@
 });
 
 test(
-  'a silent connection ends by the caller, a probe over a new one tells that the engine lives',
+  'a stalled stream ends when its caller aborts, while a probe on a new connection succeeds',
   withTimeout,
   async (t) => {
-    // Something between the two ends loses track of the open connection in the middle of a stream.
-    // The reader sees neither token nor end. The probe answers, because it opens a connection of its
-    // own; so the caller aborts, which drops the old one, and resumes with what it has.
+    // The connection of a stream stalls and carries neither token nor end. The probe opens a new
+    // connection and succeeds. The caller aborts the stream and resumes it with the text so far.
     const { engine, adapter } = await startEngine(t);
     engine.stallStreamsAfter(3);
     const callerAbort = new AbortController();
@@ -186,7 +181,7 @@
   },
 );
 
-test('busy, wrong and broken answers are told apart', async (t) => {
+test('a busy engine, a wrong resume text and a malformed request get distinct failures', async (t) => {
   const { engine, adapter } = await startEngine(t);
   const start = { attemptId: 'a-1', body, priority: 5, signal };
   engine.setBusy(true);
@@ -207,7 +202,7 @@
   assert.equal(engine.counts.runs, 0);
 });
 
-test('a poison request kills the engine that runs it, and no other', async (t) => {
+test('a poison request kills only an engine with a poison marker set', async (t) => {
   const first = await startEngine(t);
   const second = await startEngine(t);
   first.engine.setPoison('MARKER');
@@ -221,10 +216,9 @@
   assert.equal(second.engine.alive, true);
 });
 
-test('an exported KV cache spares the resumed run all that was computed', async (t) => {
-  // The first engine is on notice. After six tokens its cache of the attempt goes to the second,
-  // which resumes the answer and computes neither prompt nor generated tokens again. Without the
-  // import the same resume computes them all, so the difference is the cache's.
+test('a resumed run with the imported KV cache recomputes no tokens', async (t) => {
+  // An attempt is resumed after six tokens, with and without its exported cache. With the cache,
+  // neither prompt nor generated tokens are computed again; without it, all of them are.
   const first = await startEngine(t);
   first.engine.stallStreamsAfter(6);
   const reading = readAll(
@@ -247,7 +241,7 @@
   assert.deepEqual(recomputed, [0, cache.tokens]);
 });
 
-test('a caller that leaves frees its place in the batch for the next by priority', async (t) => {
+test('an aborted call frees its slot for the waiting call of highest priority', async (t) => {
   const { engine, adapter } = await startEngine(t, { concurrency: 1, maxQueued: 2 });
   engine.stallStreamsAfter(2);
   const callerAbort = new AbortController();
@@ -287,7 +281,7 @@
   assert.equal((await adapter.readLoad(signal)).model, 'old');
 });
 
-test('load reports lag, and cache events are late and have gaps', async (t) => {
+test('load reports lag, and cache events are delayed and can be lost', async (t) => {
   const timers = new ManualTimerService();
   const { engine, adapter } = await startEngine(t, { timers, loadLag: 3000, cacheBlocks: 2 });
   engine.prefixCache.eventLag = 1000;
@@ -304,7 +298,7 @@
   assert.deepEqual([before.running, after.running], [0, 1]);
   assert.equal(after.measuredAt, timers.wallNow() - 3000);
   const { events, newestSequence } = await adapter.readCacheEvents(0, signal);
-  // The second event, an eviction, is lost; the sequence shows that it was there.
+  // The second event, an eviction, is lost; only the newest sequence reveals it.
   assert.deepEqual(
     events.map(({ change, sequence }) => [change, sequence]),
     [['stored', 1]],
@@ -312,9 +306,8 @@
   assert.equal(newestSequence, 2);
 });
 
-test('an order on its way when the engine dies has no effect', async (t) => {
-  // The controller's order has arrived when the engine dies. The answer is lost, and the restarted
-  // engine is as it was: an order that takes time must not reach into a later life of the engine.
+test('an order in progress when the engine dies has no effect after the restart', async (t) => {
+  // An order whose delay ends after the death of the engine must not change the restarted engine.
   const timers = new ManualTimerService();
   const { engine, adapter } = await startEngine(t, { timers, orderDelay: 1000 });
   const order: Order = { epoch: 1, sequence: 1, action: { type: 'changeRole', role: 'decode' } };
@@ -328,8 +321,8 @@
   assert.deepEqual([engine.role, engine.orders], ['both', []]);
 });
 
-// An engine that answers can have crashed and be back already; only its name of itself tells.
-test('a probe tells the incarnation, which changes with a restart', async (t) => {
+// An engine that answers may have crashed and restarted; only its incarnation reveals this.
+test('a probe returns the incarnation, which changes with a restart', async (t) => {
   const { engine, adapter } = await startEngine(t);
   const { incarnation } = await adapter.probe(signal);
   assert.equal(incarnation, engine.incarnation);
--- a/packages/testing/src/adapters/HttpPlainServiceAdapter.test.ts
+++ b/packages/testing/src/adapters/HttpPlainServiceAdapter.test.ts
@@ -10,7 +10,7 @@
 
 const { signal } = new AbortController();
 
-/** Makes a test fail, and not hang, where a call is swallowed that should not be. */
+/** Makes a test fail instead of hang if a call is unexpectedly left unanswered. */
 const withTimeout = { timeout: 20_000 };
 const offer: PlainServiceRequest = {
   method: 'POST',
@@ -46,7 +46,7 @@
   };
 }
 
-test('a call and its answer pass through, without the headers of one connection', async (t) => {
+test('a call and its answer pass through without hop-by-hop headers', async (t) => {
   const { service, adapter } = await startService(t);
   service.setResponder((run) => ({
     status: 201,
@@ -65,12 +65,11 @@
 });
 
 test(
-  'a fresh call never goes out on a kept connection, which may be dead unseen',
+  'a call that requires a new connection is not sent on an idle one, which may have stalled',
   withTimeout,
   async (t) => {
-    // Kept connections go silent while they are idle. A call on one is swallowed, and its caller can
-    // only give up without knowing the outcome. A call that may not be repeated must not get there:
-    // it opens a connection of its own and is answered, while the other still waits.
+    // Idle connections can stall undetected, and a call on one ends with an unknown outcome. A call
+    // that must not be repeated opens a new connection and is answered.
     const { service, adapter } = await startService(t);
     const lookup = { ...offer, method: 'GET', body: undefined, requiresNewConnection: false };
     const lookups = await Promise.all([1, 2, 3].map(() => adapter.send(lookup)));
@@ -85,7 +84,7 @@
   },
 );
 
-test('a fresh call that found no server has provably sent nothing', async (t) => {
+test('a call that cannot connect reports that nothing was sent', async (t) => {
   const { service, adapter } = await startService(t);
   await service.die();
   await assert.rejects(adapter.send(offer), hasFailure('connectFailed', 'nothing'));
@@ -94,17 +93,16 @@
   assert.equal(service.countRuns('offer-1'), 1);
 });
 
-test('a fresh call that its caller ends before it begins has sent nothing', async (t) => {
+test('a call aborted before it starts reports that nothing was sent', async (t) => {
   const { service, adapter } = await startService(t);
   const ended = { ...offer, signal: AbortSignal.abort() };
   await assert.rejects(adapter.send(ended), hasFailure('silent', 'nothing'));
   assert.equal(service.connectionCount, 0);
 });
 
-test('a fresh call that its caller ends while it connects is never sent', async (t) => {
-  // The caller gives up before the connection is there. The adapter says that nothing was sent,
-  // and that stays true: the client is destroyed, so the connection that still comes about is
-  // closed without a byte. Only the second call runs.
+test('a call aborted while it connects is never sent', async (t) => {
+  // The adapter reports that nothing was sent. This must stay true if the connection is still
+  // established afterwards, so only the second call may run.
   const { service, adapter } = await startService(t);
   const giveUp = new AbortController();
   const sending = adapter.send({ ...offer, signal: giveUp.signal });
@@ -114,17 +112,16 @@
   assert.equal(service.countRuns('offer-1'), 1);
 });
 
-test('a fresh call whose connection breaks after it ran is not sent again', async (t) => {
-  // The service commits the purchase and its connection ends before the answer. The adapter can't
-  // know whether it ran and says so. It neither retries nor opens a second connection, because the
-  // client of the call is allowed one; so the commitment stands once.
+test('a call on a new connection that breaks after the run is not sent again', async (t) => {
+  // The connection ends after the run but before the answer. The adapter reports an unknown outcome
+  // and neither retries nor opens a second connection.
   const { service, adapter } = await startService(t);
   service.setOutcome('lost');
   await assert.rejects(adapter.send(offer), hasFailure('connectionLost', 'maybe'));
   assert.deepEqual([service.countRuns('offer-1'), service.connectionCount], [1, 1]);
 });
 
-test('a service that takes a call and says nothing is ended by the caller, outcome unknown', async (t) => {
+test('a call that is run but not answered ends with an unknown outcome when its caller aborts', async (t) => {
   const { service, adapter } = await startService(t);
   service.setOutcome('silence');
   const giveUp = new AbortController();
@@ -135,7 +132,7 @@
   assert.equal(service.countRuns('offer-1'), 1);
 });
 
-test('an answer cut in its middle fails while it is read, and never looks whole', async (t) => {
+test('an answer cut in the middle fails while its body is read', async (t) => {
   const { service, adapter } = await startService(t);
   service.setOutcome('cut');
   const answer = await adapter.send(offer);
@@ -143,18 +140,18 @@
   assert.equal(service.runs.length, 1);
 });
 
-test('an answer above the bound is malformed, and its connection dropped', async (t) => {
+test('an answer above the size limit fails as malformed', async (t) => {
   const { service, adapter } = await startService(t, 64);
   service.setResponder(() => ({ status: 200, body: 'x'.repeat(65) }));
   const answer = await adapter.send({ ...offer, requiresNewConnection: false });
   await assert.rejects(readText(answer), hasFailure('malformed', 'maybe'));
 });
 
-test('refusals of the service are answers, and its load report is read', async (t) => {
+test('a refusal of the service is passed on as an answer, and its load report can be read', async (t) => {
   const { service, adapter } = await startService(t);
   service.setBusy(true);
   assert.equal((await adapter.send(offer)).status, 503);
-  // It tells no incarnation, and is alive all the same.
+  // A busy service still answers probes; a plain service has no incarnation.
   assert.deepEqual(await adapter.probe(signal), {});
   assert.equal((await adapter.readLoad(signal)).instance, 'service-1');
   assert.equal(service.runs.length, 0);
--- a/packages/testing/src/adapters/HttpPlatformAdapter.test.ts
+++ b/packages/testing/src/adapters/HttpPlatformAdapter.test.ts
@@ -26,7 +26,7 @@
   return { timers, platform, adapter };
 }
 
-test('an instance is bought, listed with a lag, given notice and gone', async (t) => {
+test('an instance is bought, listed with a lag, given notice and removed', async (t) => {
   const { timers, platform, adapter } = await startPlatform(t, { listLag: 2000, startDelay: 5000 });
   const states: unknown[] = [];
   const recordState = async (when: string) => {
@@ -51,7 +51,7 @@
   await matchSnapshot(import.meta.url, 'life of an instance', states);
 });
 
-test('a start whose answer was lost buys one instance, however often it is resent', async (t) => {
+test('concurrent starts with the same token buy one instance', async (t) => {
   const { platform, adapter } = await startPlatform(t);
   const answers = await Promise.all([1, 2, 3].map(() => adapter.startInstance(start, signal)));
   assert.deepEqual(answers[1], answers[0]);
@@ -71,9 +71,8 @@
   assert.deepEqual([platform.refusedCount, platform.purchases.length], [1, 2]);
 });
 
-test('a notice that reached one asker only is true all the same', async (t) => {
-  // The platform tells one of two entries of a reclaim, and the instance goes when it said. The
-  // other learns of it from the lagging list or from its peers, or meets a dead server.
+test('a notice that only one reader received is still carried out', async (t) => {
+  // Only the first of two reads returns the notice; the instance is removed all the same.
   const engines: FakeEngine[] = [];
   const launch = async () => {
     const engine = await FakeEngine.start();
@@ -93,7 +92,7 @@
   assert.deepEqual(await adapter.listInstances(signal), []);
 });
 
-test('an instance is ended, and ending it again is no fault', async (t) => {
+test('ending an instance twice is not an error', async (t) => {
   const { adapter } = await startPlatform(t);
   await adapter.startInstance(start, signal);
   await adapter.endInstance('appraisers-wien-a-1', signal);
@@ -101,7 +100,7 @@
   assert.deepEqual(await adapter.listInstances(signal), []);
 });
 
-test('the weight store grants a burst, then at its rate', async (t) => {
+test('the weight store grants a burst, then loads at its rate', async (t) => {
   const timers = new ManualTimerService();
   const store = await FakeWeightStore.start({ timers, loadsPerMinute: 6, burst: 1 });
   const adapter = new HttpWeightStoreAdapter(store.url);
--- a/packages/testing/src/examples.test.ts
+++ b/packages/testing/src/examples.test.ts
@@ -66,7 +66,7 @@
   };
 }
 
-test('the routes and deadlines of all deployments are the ones reviewed', async () => {
+test('the routes and deadlines of all deployments match the reviewed snapshot', async () => {
   const summaries = Object.keys(deployments).map((deployment) => [
     deployment,
     readTables(deployment).routes.map(summarize),
@@ -75,7 +75,7 @@
 });
 
 Object.entries(deployments).forEach(([deployment, dataCentres]) => {
-  test(`${deployment}: the tables are valid and join`, () => {
+  test(`${deployment}: the tables are valid and their references resolve`, () => {
     const { routes, pools } = readTables(deployment);
     assert.deepEqual(checkPoolReferences(routes, pools), []);
     pools.forEach((pool) => assert.deepEqual(pool.dataCentres, dataCentres));
@@ -102,7 +102,7 @@
     assert.deepEqual(kinds, ['controller', 'entry', 'store']);
   });
 
-  test(`${deployment}: the entry knows the documented keys and all peers`, () => {
+  test(`${deployment}: the keys are the documented ones and no data centre has a majority of stores`, () => {
     const entry = readEntry(deployment);
     const documented = readText(deployment, 'README.md');
     const keys = entry.workspaces.map((_, position) => `${deployment}-example-key-${position + 1}`);
@@ -114,7 +114,7 @@
     const operatorKey = hashKey(`${deployment}-example-operator-key`);
     assert.equal(entry.operatorKeys[0]?.keySha256, operatorKey);
     assert.equal(entry.entries.length, 7);
-    // Without an operator key nobody can found the cluster: every ask is answered 401.
+    // Without an operator key, every request to bootstrap the cluster is answered with 401.
     const { operatorKeys } = storeSettingsSchema.parse(parse(readText(deployment, 'store-1.toml')));
     assert.equal(operatorKeys[0]?.keySha256, operatorKey);
     const storeDataCentres = entry.stores.map((store) => store.dataCentre);
--- a/packages/testing/src/exploreStates.test.ts
+++ b/packages/testing/src/exploreStates.test.ts
@@ -13,17 +13,17 @@
   };
 }
 
-// The longest of the shortest paths is +2 +2 +2 +1.
+// The deepest state is 7, reached by +2 +2 +2 +1.
 test('an invariant that holds is checked in every reachable state', () => {
   const found = exploreStates(counter(100), { maxStates: 1000, maxDepth: 100 });
   assert.deepEqual(found, { states: 8, depth: 4, exhaustive: true });
 });
 
-test('a violation comes with the shortest steps that lead to it', () => {
+test('a violation is reported with the shortest steps that lead to it', () => {
   const found = exploreStates(counter(4), { maxStates: 1000, maxDepth: 100 });
   assert.deepEqual(found.violation, { reason: 'reached 4', trace: ['+2', '+2'] });
 });
 
-test('an exploration that was cut short does not call itself exhaustive', () => {
+test('an exploration that stops at the state limit is not reported as exhaustive', () => {
   assert.equal(exploreStates(counter(100), { maxStates: 3, maxDepth: 9 }).exhaustive, false);
 });
--- a/packages/testing/src/exploreStates.ts
+++ b/packages/testing/src/exploreStates.ts
@@ -1,10 +1,10 @@
 /**
- * A breadth-first explorer of everything that can happen within stated bounds. It runs the real
- * reducers: a model is a state, the steps that are possible from it, and the invariants that
- * must hold in each. The first violation found is the shortest one, with the steps that lead to it.
+ * A bounded breadth-first model checker. A model has an initial state, the steps possible from
+ * each state and an invariant that must hold in all of them. A violation is reported with a
+ * shortest sequence of steps that leads to it.
  */
 
-/** One step that can be taken from a state. `take` must return a new state, not change its own. */
+/** One step possible from a state. `take` returns a new state and does not modify the old one. */
 export interface Step<State> {
   readonly label: string;
   take(): State;
@@ -12,11 +12,11 @@
 
 export interface Model<State> {
   readonly initial: State;
-  /** Every step possible now; an empty list ends the path. */
+  /** Every step possible from `state`; an empty list ends the path. */
   steps(state: State): readonly Step<State>[];
-  /** Two states with the same key are the same state. */
+  /** Identifies a state: two states with the same key are explored once. */
   key(state: State): string;
-  /** Returns what is wrong in this state, or undefined. */
+  /** Returns a description of the violated invariant, or undefined. */
   check(state: State): string | undefined;
 }
 
@@ -27,16 +27,16 @@
 
 export interface Violation {
   readonly reason: string;
-  /** Labels of the steps that lead to it from the initial state. */
+  /** Labels of the steps from the initial state to the violation. */
   readonly trace: readonly string[];
 }
 
 export interface Exploration {
   /** Distinct states that were checked. */
   readonly states: number;
-  /** Length of the longest path that was followed. */
+  /** Number of steps from the initial state to the deepest states explored. */
   readonly depth: number;
-  /** True if every state within `mostSteps` was checked. */
+  /** True if every state within `maxDepth` steps was checked. */
   readonly exhaustive: boolean;
   readonly violation?: Violation;
 }
@@ -54,7 +54,7 @@
   return trace.reverse();
 }
 
-/** Explores a model breadth first until a violation is found or the bounds are reached. */
+/** Explores a model until a violation is found, no state is left or a bound is reached. */
 export function exploreStates<State>(model: Model<State>, bounds: ExploreBounds): Exploration {
   const seen = new Set([model.key(model.initial)]);
   let frontier: Visited<State>[] = [{ state: model.initial, label: '', from: undefined, depth: 0 }];
--- a/packages/testing/src/fakes/FakeBackendServer.ts
+++ b/packages/testing/src/fakes/FakeBackendServer.ts
@@ -1,13 +1,13 @@
 /**
- * What fake engines and fake plain services share: lagging load reports, and the misbehaviour
- * that both can be told to show.
+ * Base class of fake engines and fake plain services: delayed load reports, and the faults that
+ * tests can inject into either, such as refusals, delays and crashes on a marked request.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { SystemTimerService, type TimerService } from '@hornbeampond/runtime';
 import type { EpochMilliseconds, LoadReport, Milliseconds } from '@hornbeampond/schema';
 import { answerJson, FakeServer, type FakeServerOptions } from './FakeServer.js';
 
-/** Load states kept for lagging reports. */
+/** Load states kept for delayed reports. */
 const MAX_LOAD_STATES = 1000;
 
 const BUSY_STATUS = 503;
@@ -21,7 +21,7 @@
 export interface FakeBackendServerOptions extends FakeServerOptions {
   readonly instance?: string;
   readonly timers?: TimerService;
-  /** How old load reports are. */
+  /** Age of the state in a load report. */
   readonly loadLag?: Milliseconds;
 }
 
@@ -30,10 +30,10 @@
 
   readonly timers: TimerService;
 
-  /** Calls answered with "busy". */
+  /** Calls refused with status 503. */
   busyCount = 0;
 
-  /** Times that a poison request took the server down. */
+  /** Number of times that a poison request killed the server. */
   crashCount = 0;
 
   private busy = false;
@@ -53,27 +53,27 @@
     this.loadLag = options.loadLag ?? 0;
   }
 
-  /** Refuses new work with status 503 for as long as it is set. */
+  /** While set, refuses new work with status 503. */
   setBusy(busy: boolean): void {
     this.busy = busy;
   }
 
-  /** Takes each call in at once but begins to work on it this much later. */
+  /** Accepts each call immediately but starts work on it after `delay`. */
   setAnswerDelay(delay: Milliseconds): void {
     this.answerDelay = delay;
   }
 
-  /** A call whose body holds `marker` kills the server. */
+  /** A call whose body contains `marker` kills the server. */
   setPoison(marker: string | undefined): void {
     this.poison = marker;
   }
 
-  /** Load reports tell the state of this long ago. */
+  /** Load reports describe the state of `lag` ago. */
   setLoadLag(lag: Milliseconds): void {
     this.loadLag = lag;
   }
 
-  /** Notes the load as it is now; subclasses call it after each change. */
+  /** Records the current load; subclasses call it after each change. */
   protected recordLoad(running: number, queued: number): void {
     this.loadStates.push({ since: this.timers.wallNow(), running, queued });
     if (this.loadStates.length > MAX_LOAD_STATES) this.loadStates.shift();
@@ -91,7 +91,10 @@
     this.loadStates = [];
   }
 
-  /** Passes work that the server takes; refuses it, or dies of it, as it was told to. */
+  /**
+   * Resolves true if the call is to be run. A poison request kills the server and a busy server
+   * answers with a refusal; both resolve false, as does a connection closed meanwhile.
+   */
   protected async admitWork(
     request: IncomingMessage,
     response: ServerResponse,
--- a/packages/testing/src/fakes/FakeBatch.ts
+++ b/packages/testing/src/fakes/FakeBatch.ts
@@ -1,9 +1,9 @@
 /**
- * The slots of a fake engine's batch. Whoever finds none free waits, by priority and then by
- * arrival.
+ * The slots of a fake engine's batch. Requests that find no free slot wait in order of priority
+ * (lowest number first), then of arrival.
  */
 
-/** Gives a slot back; calling it twice does no harm. */
+/** Releases a slot; further calls have no effect. */
 export type ReleaseSlot = () => void;
 
 interface WaitingRequest {
@@ -30,7 +30,7 @@
     return this.running >= this.concurrency && this.queued >= this.maxQueued;
   }
 
-  /** Resolves with a slot, or with nothing if `signal` fires first. */
+  /** Resolves with the release function of a slot, or undefined if `signal` aborts first. */
   async acquireSlot(priority: number, signal: AbortSignal): Promise<ReleaseSlot | undefined> {
     if (signal.aborted) return undefined;
     if (this.running >= this.concurrency) {
@@ -42,7 +42,7 @@
     return this.makeRelease();
   }
 
-  /** Resolves true once a slot is handed over, false if `signal` fires first. */
+  /** Resolves true once a slot is assigned, false if `signal` aborts first. */
   private async waitForSlot(priority: number, signal: AbortSignal): Promise<boolean> {
     return new Promise<boolean>((resolve) => {
       const waiting = { priority, start: () => resolve(true) };
@@ -67,7 +67,7 @@
       if (released) return;
       released = true;
       const next = this.queue.shift();
-      // The slot passes straight on, so that nobody who arrives meanwhile takes it.
+      // The slot goes directly to the next request, so a new arrival cannot take it first.
       if (next === undefined) this.running -= 1;
       else next.start();
       this.onChange();
--- a/packages/testing/src/fakes/FakeCluster.ts
+++ b/packages/testing/src/fakes/FakeCluster.ts
@@ -1,6 +1,6 @@
 /**
- * A fake platform, weight store, engines and plain services, started together. The platform lists
- * the servers, and launches more on the instances that are bought from it.
+ * A cluster of a fake platform, a fake weight store, fake engines and fake plain services. The
+ * platform lists the servers and launches a new server on each instance bought from it.
  */
 import type { InstanceStart } from '@hornbeampond/adapters';
 import type { TimerService } from '@hornbeampond/runtime';
@@ -31,7 +31,7 @@
 }
 
 export class FakeCluster {
-  /** All engines ever started, by instance; ended ones stay, so that their counts can be read. */
+  /** All engines ever started, by instance; stopped ones stay, so their counts remain readable. */
   readonly engines = new Map<string, FakeEngine>();
 
   readonly services = new Map<string, FakePlainService>();
@@ -43,7 +43,7 @@
     private readonly timers: TimerService | undefined,
   ) {}
 
-  /** Starts all that the settings name. */
+  /** Starts the platform, the weight store and all servers listed in the settings. */
   static async start(input: FakeClusterInput, timers?: TimerService): Promise<FakeCluster> {
     const settings = fakeClusterSchema.parse(input);
     const { host } = settings;
--- a/packages/testing/src/fakes/FakeControl.test.ts
+++ b/packages/testing/src/fakes/FakeControl.test.ts
@@ -19,7 +19,7 @@
   });
   const control = new FakeControl(cluster, {});
   await control.restart();
-  // Any HTTP client will do; the adapter of plain services is at hand.
+  // Serves as a plain HTTP client.
   const client = new HttpPlainServiceAdapter(control);
   const send = async (method: string, path: string, body?: object) => {
     const answer = await client.send({
@@ -43,7 +43,7 @@
   return { cluster, send, post, close };
 }
 
-test('fakes are told to misbehave from another process', async (t) => {
+test('faults are injected over HTTP, and unknown names, actions and values are refused', async (t) => {
   const { cluster, send, post, close } = await startControlled();
   const platform = new HttpPlatformAdapter(cluster.platform.url);
   t.after(async () => {
@@ -66,7 +66,7 @@
   assert.deepEqual(refused, { type: 'refused', reason: 'full' });
 });
 
-test('a bought instance of a cluster serves the model of its pool', async (t) => {
+test('an instance bought for a pool serves the model of the pool and is listed', async (t) => {
   const { cluster, close } = await startControlled();
   const platform = new HttpPlatformAdapter(cluster.platform.url);
   t.after(async () => {
--- a/packages/testing/src/fakes/FakeControl.ts
+++ b/packages/testing/src/fakes/FakeControl.ts
@@ -1,15 +1,9 @@
 /**
- * Control of a cluster of fakes from another process:
+ * HTTP interface that controls a cluster of fakes from another process. NAME is an instance or
+ * `platform`.
  *
- * - `POST /control/NAME/ACTION` with the action's settings as JSON. NAME is an instance, or
- *   `platform`.
- * - `GET /control/NAME` tells what a server has done.
- *
- * Actions of all backend servers: `die`, `restart`, `goSilent`, `setBusy {busy}`,
- * `setAnswerDelay {milliseconds}`, `setPoison {marker}`, `setLoadLag {milliseconds}`; of engines
- * besides: `stallStreamsAfter {tokens}`, `cutStreamsAfter {tokens}` (none: no more),
- * `setChecksFencing {checks}`; of plain services: `setOutcome {outcome}`; of the platform:
- * `giveNotice {instance, milliseconds}`, `remove {instance}`, `refuseStarts {refusals}`.
+ * - `POST /control/NAME/ACTION`, with the action's settings as JSON, runs an action.
+ * - `GET /control/NAME` returns the state and the counts of a server or the platform.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import * as z from 'zod';
@@ -22,7 +16,7 @@
 
 const platformName = 'platform';
 
-/** The settings of all actions; each action takes those it needs. */
+/** The settings of all actions; each action reads only its own. */
 const actionSchema = z.strictObject({
   busy: z.boolean().default(true),
   milliseconds: z.number().min(0).default(0),
@@ -45,7 +39,7 @@
 
 type ActionSettings = z.infer<typeof actionSchema>;
 
-/** Carries out an action by name; an unknown name gives `undefined`. */
+/** Functions that run an action, by the name of the action. */
 type Actions = Readonly<Record<string, () => void | Promise<void>>>;
 
 function makeCommonActions(server: FakeBackendServer, settings: ActionSettings): Actions {
--- a/packages/testing/src/fakes/FakeEngine.ts
+++ b/packages/testing/src/fakes/FakeEngine.ts
@@ -1,7 +1,7 @@
 /**
- * A fake model engine, which speaks what `HttpEngineAdapter` speaks. It batches continuously with
- * bounded concurrency, keeps a limited prefix cache, resumes, cancels, exports and imports KV
- * cache, takes orders, and counts what it computes. Plain calls make it misbehave.
+ * A fake model engine that serves the HTTP interface of `HttpEngineAdapter`: completions in a
+ * bounded batch, resume, cancel, prefix cache events, KV cache export and import, load reports and
+ * orders. It counts what it computes, and its methods inject faults.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import {
@@ -27,46 +27,46 @@
 const DEFAULT_CACHE_BYTES_PER_TOKEN = 16;
 
 export interface FakeEngineOptions extends FakeBackendServerOptions {
-  /** What it has loaded at the start. */
+  /** Model that is loaded at the start. */
   readonly model?: string;
-  /** Streams in the batch at a time. */
+  /** Maximum number of streams in the batch. */
   readonly concurrency?: number;
-  /** Calls that wait for the batch; more are refused as busy. */
+  /** Maximum number of calls that wait for a slot; further calls are refused with status 429. */
   readonly maxQueued?: number;
-  /** Time from one token to the next; 0, the default, needs no timer to move. */
+  /** Time from one token to the next; with 0, the default, no timer is used. */
   readonly tokenDelay?: Milliseconds;
-  /** Share by which each other stream in the batch makes a token take longer. */
+  /** Fraction of `tokenDelay` that each other stream in the batch adds to it. */
   readonly slowdownPerStream?: number;
-  /** Time to compute one token of a prompt that is not cached. */
+  /** Prefill time for one uncached token. */
   readonly prefillDelay?: Milliseconds;
-  /** Length of an answer whose request names no `max_tokens`. */
+  /** Length of an answer whose request has no `max_tokens`. */
   readonly answerTokens?: number;
-  /** Size of the prefix cache. */
+  /** Maximum number of blocks in the prefix cache. */
   readonly cacheBlocks?: number;
-  /** Size of an exported KV cache. */
+  /** Size of an exported KV cache per token. */
   readonly cacheBytesPerToken?: number;
-  /** False: takes orders with old fencing numbers as well. */
+  /** If false, orders with old fencing numbers are accepted as well. */
   readonly checksFencing?: boolean;
-  /** How long an order takes. */
+  /** Time from the arrival of an order to its effect. */
   readonly orderDelay?: Milliseconds;
 }
 
-/** What the engine has done since it was made, deaths included. */
+/** Totals since the engine was constructed; a restart does not reset them. */
 export interface FakeEngineCounts {
   /** Completions that began to run. */
   runs: number;
-  /** Answers sent to their end. */
+  /** Answers sent completely. */
   finished: number;
-  /** Answers that ended before, by a cancel, a cut or a caller that left. */
+  /** Running answers that ended early: cancelled, cut or abandoned by the caller. */
   stopped: number;
-  /** Cancels of an attempt that was there. */
+  /** Cancels that found their attempt. */
   cancelled: number;
   generatedTokens: number;
-  /** Tokens of prompts and resumed texts that were computed, not found in a cache. */
+  /** Tokens of prompts and resumed texts that were computed because no cache had them. */
   prefilledTokens: number;
-  /** Those of them in resumed runs, which another run had computed before. */
+  /** The part of `prefilledTokens` that belongs to resumed runs. */
   recomputedTokens: number;
-  /** Resumed runs whose text is not what this prompt generates. */
+  /** Resumed requests refused because their text is not what the prompt generates. */
   wrongResumes: number;
 }
 
@@ -96,7 +96,7 @@
     wrongResumes: 0,
   };
 
-  /** Runs by prompt digest; `digestPrompt` names a prompt. */
+  /** Runs by prompt digest, see `digestPrompt`. */
   readonly runsByPrompt = new Map<string, number>();
 
   readonly prefixCache: FakePrefixCache;
@@ -146,18 +146,18 @@
     return this.orderHandler.role;
   }
 
-  /** Orders that were carried out, in that order. */
+  /** Executed orders, in order of execution. */
   get orders(): readonly Order[] {
     return this.orderHandler.orders;
   }
 
-  /** Streams stop for good after this many tokens of their own; `undefined` lets them go on. */
+  /** Stalls each stream once it has sent this many tokens itself; `undefined` resumes all. */
   stallStreamsAfter(tokens: number | undefined): void {
     this.limits = { ...this.limits, stallAfterTokens: tokens };
     this.streams.forEach((stream) => stream.setLimits(this.limits));
   }
 
-  /** Streams lose their connection after this many tokens of their own. */
+  /** Closes the connection of each stream once it has sent this many tokens itself. */
   cutStreamsAfter(tokens: number | undefined): void {
     this.limits = { ...this.limits, cutAfterTokens: tokens };
     this.streams.forEach((stream) => stream.setLimits(this.limits));
@@ -244,7 +244,7 @@
     }
     const promptDigest = digestPrompt(body.messages);
     if (!this.checkResume(promptDigest, body.resume)) {
-      answerJson(response, 400, { error: 'the resumed text is not of this prompt' });
+      answerJson(response, 400, { error: 'the resumed text does not match the prompt' });
       return;
     }
     await this.runStream(request, response, body, promptDigest);
@@ -309,7 +309,7 @@
     this.notifyWaiters();
   }
 
-  /** Computes the prompt and the resumed text; returns the number of tokens that took. */
+  /** Computes the prompt and the resumed text; returns the number of uncached tokens. */
   private prefill({ messages, resume }: WireCompletion, stream: FakeStream): number {
     const digests = digestPrefixes(messages);
     const cachedPrompt = this.prefixCache.countCached(digests) * TOKENS_PER_BLOCK;
--- a/packages/testing/src/fakes/FakeKvCaches.ts
+++ b/packages/testing/src/fakes/FakeKvCaches.ts
@@ -1,6 +1,6 @@
-/** KV caches that a fake engine holds for attempts, its own and imported ones. */
+/** The KV caches of a fake engine: its own by attempt, and imported ones by prompt. */
 
-/** Caches kept; the oldest leave first. */
+/** Limit for own and for imported caches each; the oldest is evicted first. */
 const MAX_CACHES = 64;
 
 interface KvCache {
@@ -8,7 +8,7 @@
   readonly tokens: number;
 }
 
-/** Sets an entry as the newest; the oldest leaves where there are too many. */
+/** Sets a key as the newest and evicts the oldest if the map exceeds `MAX_CACHES`. */
 function setNewest<Value>(map: Map<string, Value>, key: string, value: Value): void {
   map.delete(key);
   map.set(key, value);
@@ -28,12 +28,12 @@
     setNewest(this.caches, attemptId, { promptDigest, tokens });
   }
 
-  /** Tokens of a prompt and its answer that were imported and need not be computed. */
+  /** Number of tokens of a prompt and its answer in an imported cache. */
   countImported(promptDigest: string): number {
     return this.imported.get(promptDigest) ?? 0;
   }
 
-  /** A line of JSON, filled up to the size that the tokens take. */
+  /** Encodes a cache as a line of JSON, padded to `bytesPerToken` for each token. */
   export(attemptId: string): { readonly tokens: number; readonly bytes: Buffer } | undefined {
     const cache = this.caches.get(attemptId);
     if (cache === undefined) return undefined;
--- a/packages/testing/src/fakes/FakeOrderHandler.ts
+++ b/packages/testing/src/fakes/FakeOrderHandler.ts
@@ -1,11 +1,11 @@
-/** How a fake engine takes orders: it refuses old fencing numbers, unless it ignores fencing. */
+/** Executes the orders of a fake engine. Refuses old fencing numbers if `checksFencing` is set. */
 import type { TimerService } from '@hornbeampond/runtime';
 import type { Milliseconds, Order, OrderResult } from '@hornbeampond/schema';
 
-/** Which parts of a completion an engine takes. */
+/** Which phases of a completion an engine runs. */
 export type EngineRole = Extract<Order['action'], { type: 'changeRole' }>['role'];
 
-/** What an engine has loaded. */
+/** The model, adapter and version that an engine has loaded. */
 export interface LoadedModel {
   readonly model?: string;
   readonly adapter?: string;
@@ -16,7 +16,7 @@
   readonly timers: TimerService;
   readonly model?: string;
   readonly checksFencing: boolean;
-  /** How long an order takes. */
+  /** Time from the arrival of an order to its effect. */
   readonly orderDelay: Milliseconds;
   readonly onChange: () => void;
 }
@@ -24,7 +24,7 @@
 const noOrder = { epoch: -1, sequence: -1 } as const;
 
 export class FakeOrderHandler {
-  /** Orders that were carried out, in that order. */
+  /** Executed orders, in order of execution. */
   readonly orders: Order[] = [];
 
   loaded: LoadedModel;
@@ -42,7 +42,7 @@
     this.checksFencing = options.checksFencing;
   }
 
-  /** Carries an order out, unless `isGone` says in the end that the engine died meanwhile. */
+  /** Executes an order after `orderDelay`, unless the engine has died by then. */
   async handleOrder(order: Order, hasDied: () => boolean): Promise<OrderResult> {
     const result = this.admit(order);
     if (result !== 'done') return result;
@@ -53,7 +53,7 @@
     return 'done';
   }
 
-  /** A restarted engine knows no fencing number. */
+  /** Discards the newest fencing number, as a restarted engine does. */
   resetFencing(): void {
     this.newestFencing = noOrder;
   }
--- a/packages/testing/src/fakes/FakePlainService.ts
+++ b/packages/testing/src/fakes/FakePlainService.ts
@@ -1,12 +1,13 @@
 /**
- * A fake plain service, which speaks what `HttpPlainServiceAdapter` speaks. It records each run
- * with its `Idempotency-Key`, so that a doubled run shows, and echoes unless told otherwise.
+ * A fake plain service that serves the HTTP interface of `HttpPlainServiceAdapter`. It records each
+ * run with its `Idempotency-Key`, so that tests detect duplicate runs, and echoes the request
+ * unless another responder is set.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { FakeBackendServer, type FakeBackendServerOptions } from './FakeBackendServer.js';
 import { answerJson, readRequestBody } from './FakeServer.js';
 
-/** One call that the service has begun to run. */
+/** One call that the service has run. */
 export interface FakeServiceRun {
   readonly method: string;
   /** Path and query. */
@@ -22,8 +23,8 @@
 }
 
 /**
- * What becomes of a call after it has run: it is answered, nothing is ever sent, or the
- * connection ends before the answer or in its middle.
+ * What happens after a call has run: `answer` sends the answer, `silence` sends nothing, `lost`
+ * closes the connection before the answer, `cut` in the middle of it.
  */
 export const fakeServiceOutcomes = ['answer', 'silence', 'lost', 'cut'] as const;
 export type FakeServiceOutcome = (typeof fakeServiceOutcomes)[number];
@@ -39,7 +40,7 @@
 }
 
 export class FakePlainService extends FakeBackendServer {
-  /** All runs since the service was made, deaths included. */
+  /** All runs since the service was constructed; a restart does not clear them. */
   readonly runs: FakeServiceRun[] = [];
 
   private running = 0;
@@ -59,7 +60,7 @@
     return service;
   }
 
-  /** Makes the answers from now on. */
+  /** Sets the function that makes the answers. */
   setResponder(respond: FakeServiceResponder): void {
     this.respond = respond;
   }
@@ -68,7 +69,7 @@
     this.outcome = outcome;
   }
 
-  /** How often calls with this key have run. */
+  /** Number of runs with this idempotency key. */
   countRuns(idempotencyKey: string): number {
     return this.runs.filter((run) => run.idempotencyKey === idempotencyKey).length;
   }
--- a/packages/testing/src/fakes/FakePlatform.ts
+++ b/packages/testing/src/fakes/FakePlatform.ts
@@ -1,6 +1,7 @@
 /**
- * A fake platform, which speaks what `HttpPlatformAdapter` speaks. Its list of instances lags;
- * starts can be refused; a notice says when an instance will be gone, and then it is.
+ * A fake platform that serves the HTTP interface of `HttpPlatformAdapter`. It sells instances, one
+ * for each start token, lists them with a configurable lag, refuses starts on request, and removes
+ * an instance at the time stated in its reclaim notice.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { InstanceStart, ReclaimNotice } from '@hornbeampond/adapters';
@@ -8,10 +9,10 @@
 import type { EpochMilliseconds, Milliseconds, PlatformInstance } from '@hornbeampond/schema';
 import { answerJson, FakeServer, readRequestBody, type FakeServerOptions } from './FakeServer.js';
 
-/** Lists kept for lagging answers. */
+/** Instance lists kept for delayed answers. */
 const MAX_RECORDED_LISTS = 1000;
 
-/** What runs on a bought instance. */
+/** The server that runs on an instance. */
 export interface LaunchedServer {
   readonly host: string;
   readonly port: number;
@@ -22,15 +23,15 @@
 
 export interface FakePlatformOptions extends FakeServerOptions {
   readonly timers?: TimerService;
-  /** How old the list of instances is. */
+  /** Age of the list of instances in an answer. */
   readonly listLag?: Milliseconds;
-  /** How long a bought instance is `starting`. */
+  /** Time that a bought instance stays in state `starting`. */
   readonly startDelay?: Milliseconds;
   /** Starts the backend server of a bought instance; without it nothing listens there. */
   readonly launch?: LaunchServer;
 }
 
-/** Which starts to refuse: all that match each key given. */
+/** Refuses the starts that match all keys present here. */
 export interface StartRefusal {
   readonly pool?: string;
   readonly dataCentre?: string;
@@ -44,10 +45,10 @@
 }
 
 export class FakePlatform extends FakeServer {
-  /** Purchases made, one for each start token. */
+  /** Accepted starts, one for each start token. */
   readonly purchases: InstanceStart[] = [];
 
-  /** Starts that were refused. */
+  /** Number of refused starts. */
   refusedCount = 0;
 
   private readonly timers: TimerService;
@@ -78,14 +79,14 @@
     return platform;
   }
 
-  /** Adds an instance that nobody has to buy. */
+  /** Adds an instance without a purchase, or replaces its record. */
   add(instance: PlatformInstance, server?: LaunchedServer): void {
     this.instances.set(instance.instance, instance);
     if (server !== undefined) this.servers.set(instance.instance, server);
     this.recordList();
   }
 
-  /** Refuses the starts that match one of these; an empty list refuses none. */
+  /** Refuses starts that match any of `refusals`, which replace the previous ones. */
   refuseStarts(refusals: readonly StartRefusal[]): void {
     this.refusals = refusals;
   }
@@ -94,12 +95,12 @@
     this.listLag = lag;
   }
 
-  /** Tells only the next so many askers of notices; the instances go all the same. */
+  /** Answers only the next `count` reads with notices; instances are removed all the same. */
   limitNoticeReads(count: number): void {
     this.remainingNoticeReads = count;
   }
 
-  /** Says that an instance will be gone after `notice`; then it is. */
+  /** Announces that an instance is removed after `notice`, and removes it then. */
   giveNotice(instance: string, notice: Milliseconds): void {
     const found = this.instances.get(instance);
     if (found === undefined) return;
@@ -110,7 +111,7 @@
     });
   }
 
-  /** Takes an instance away at once. */
+  /** Removes an instance immediately and closes its server. */
   async remove(instance: string): Promise<void> {
     this.instances.delete(instance);
     const server = this.servers.get(instance);
@@ -119,7 +120,7 @@
     await server?.close();
   }
 
-  /** The list as it is now, without the lag. */
+  /** The current list, without the lag. */
   listNow(): readonly PlatformInstance[] {
     return [...this.instances.values()];
   }
@@ -129,7 +130,7 @@
     await super.close();
   }
 
-  /** The platform's own records outlive its API servers. */
+  /** The platform keeps its records when its API server dies. */
   protected override resetState(): void {}
 
   protected override async handle(
--- a/packages/testing/src/fakes/FakePrefixCache.ts
+++ b/packages/testing/src/fakes/FakePrefixCache.ts
@@ -1,11 +1,11 @@
 /**
- * A fake engine's prefix cache: blocks of prompts, the least recently used leave first. Its
- * changes become events, which are published late, and some of which get lost.
+ * The prefix cache of a fake engine, an LRU cache of prompt blocks. Its changes are published as
+ * numbered events, with a configurable delay and configurable losses.
  */
 import type { TimerService } from '@hornbeampond/runtime';
 import type { CacheEvent, EpochMilliseconds, Milliseconds } from '@hornbeampond/schema';
 
-/** Events kept for readers; older ones are lost, which readers see as a gap. */
+/** Events kept for readers; readers see older ones as a missing range of sequence numbers. */
 const MAX_EVENTS = 1000;
 
 interface RecordedEvent {
@@ -15,10 +15,10 @@
 }
 
 export class FakePrefixCache {
-  /** Every so many events one is lost; 0 means none. */
+  /** One of this many events is lost; 0 means none. */
   eventLossInterval = 0;
 
-  /** How late events are published. */
+  /** Time from a change to the publication of its event. */
   eventLag: Milliseconds = 0;
 
   private sequence = 0;
@@ -33,13 +33,13 @@
     private readonly timers: TimerService,
   ) {}
 
-  /** Number of leading blocks that are cached, of a prompt with these prefix digests. */
+  /** Number of leading cached blocks of a prompt with these prefix digests. */
   countCached(prefixDigests: readonly string[]): number {
     const missing = prefixDigests.findIndex((digest) => !this.blocks.has(digest));
     return missing < 0 ? prefixDigests.length : missing;
   }
 
-  /** Stores a prompt's blocks, or marks them as just used. */
+  /** Stores the blocks of a prompt, or marks them as most recently used. */
   store(prefixDigests: readonly string[]): void {
     const added = prefixDigests.filter((digest) => !this.blocks.has(digest));
     prefixDigests.forEach((digest) => {
@@ -57,7 +57,7 @@
     this.recordEvent('cleared', []);
   }
 
-  /** Published events above a sequence, and the newest published sequence, lost or not. */
+  /** Published events after a sequence, and the newest published sequence, lost events included. */
   readEvents(afterSequence: number): { events: CacheEvent[]; newestSequence: number } {
     const publishedUntil = this.timers.wallNow() - this.eventLag;
     const published = this.events.filter(({ recordedAt: at }) => at <= publishedUntil);
--- a/packages/testing/src/fakes/FakeServer.ts
+++ b/packages/testing/src/fakes/FakeServer.ts
@@ -1,6 +1,6 @@
 /**
- * What all fakes share: a real HTTP server on the loopback interface, and the ways in which any
- * server can fail its clients: it dies, comes back, or its open connections go silent.
+ * Base class of all fakes: a real HTTP server, by default on the loopback interface. Tests can kill
+ * it, restart it, stall its open connections and wait for a change of its state.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
@@ -14,17 +14,17 @@
 
 export interface FakeServerOptions {
   readonly host?: string;
-  /** 0, the default, takes any free port. */
+  /** 0, the default, selects any free port. */
   readonly port?: number;
 }
 
 export abstract class FakeServer {
   readonly host: string;
 
-  /** Requests taken in, by `METHOD /path` without the query. */
+  /** Received requests, by `METHOD /path` without the query. */
   readonly requestCounts = new Map<string, number>();
 
-  /** Connections accepted since the start. */
+  /** Connections accepted since construction. */
   connectionCount = 0;
 
   private listeningPort: number;
@@ -56,18 +56,18 @@
     return this.server !== undefined;
   }
 
-  /** Answers one request. A rejection becomes status 500. */
+  /** Answers one request. A rejection is answered with status 500 if the headers are not sent. */
   protected abstract handle(request: IncomingMessage, response: ServerResponse): Promise<void>;
 
-  /** Drops what a process loses when it dies. */
+  /** Resets the state that a process loses when it dies. */
   protected abstract resetState(): void;
 
-  /** What it calls itself since its start; another name after each `restart`. */
+  /** Identifies this run of the server; differs after each `restart`. */
   get incarnation(): string {
     return `${this.port}-${this.startCount}`;
   }
 
-  /** Begins to listen; after `die`, on the same port and with nothing remembered. */
+  /** Starts to listen; after `die`, on the same port. */
   async restart(): Promise<void> {
     const server = createServer({ keepAliveTimeout: 0, requestTimeout: 0 }, (request, response) => {
       this.receiveRequest(request, response);
@@ -82,7 +82,7 @@
     this.startCount += 1;
   }
 
-  /** Ends at once, as a killed process does: connections break, later ones are refused. */
+  /** Stops like a killed process: resets the state, breaks connections and refuses new ones. */
   async die(): Promise<void> {
     const { server } = this;
     if (server === undefined) return;
@@ -101,8 +101,8 @@
   }
 
   /**
-   * All open connections stay open but carry nothing more, in either direction; new ones work.
-   * So it looks when something between the two ends has lost track of them.
+   * Keeps all open connections open but carries nothing more over them; new connections work. This
+   * simulates a network device that has lost the state of the connections.
    */
   stallOpenConnections(): void {
     this.sockets.forEach((socket) => {
@@ -111,7 +111,7 @@
     });
   }
 
-  /** Resolves once `predicate` holds; it is asked again after each change of the fake's state. */
+  /** Resolves once `predicate` returns true; evaluates it now and after each change of state. */
   async waitFor(predicate: () => boolean): Promise<void> {
     if (predicate()) return;
     await new Promise<void>((resolve) => {
@@ -139,7 +139,7 @@
   }
 
   private receiveRequest(request: IncomingMessage, response: ServerResponse): void {
-    // What comes over a silent connection never reaches the server behind it.
+    // A request over a stalled connection never reaches the server.
     if (this.stalledSockets.has(request.socket)) return;
     const path = (request.url ?? '/').split('?')[0];
     const name = `${request.method} ${path}`;
@@ -152,13 +152,13 @@
   }
 }
 
-/** Makes a socket take what is written to it, and its end, without sending anything. */
+/** Makes a socket accept writes, and its end, but send nothing and never complete them. */
 function discardWrites(socket: Socket): void {
   const discard = () => {};
   Object.assign(socket, { _write: discard, _writev: discard, _final: discard });
 }
 
-/** Reads a request's body whole. */
+/** Reads the complete body of a request. */
 export async function readRequestBody(request: IncomingMessage): Promise<Buffer> {
   const parts: Buffer[] = [];
   for await (const part of request) parts.push(part as Buffer);
--- a/packages/testing/src/fakes/FakeStream.ts
+++ b/packages/testing/src/fakes/FakeStream.ts
@@ -1,11 +1,11 @@
-/** One answer of a fake engine on its way to whoever asked for it. */
+/** Streams one answer of a fake engine to its caller, and stalls or cuts it where limits say so. */
 import { once } from 'node:events';
 import type { ServerResponse } from 'node:http';
 import type { TimerService, Unsubscribe } from '@hornbeampond/runtime';
 import type { Milliseconds } from '@hornbeampond/schema';
 import { generateToken } from './generateToken.js';
 
-/** Both count the tokens that this stream itself has sent. */
+/** Both limits count only tokens sent by this stream, not those of a run that it resumes. */
 export interface FakeStreamLimits {
   readonly stallAfterTokens?: number;
   readonly cutAfterTokens?: number;
@@ -50,12 +50,12 @@
     return this.options.promptTokens;
   }
 
-  /** Tokens of prompt and answer in its KV cache. */
+  /** Tokens of the prompt and the answer in the KV cache of the stream. */
   get computedTokens(): number {
     return this.promptTokens + this.position;
   }
 
-  /** Fires when the stream is stopped. */
+  /** Aborts when the stream is stopped. */
   get signal(): AbortSignal {
     return this.controller.signal;
   }
@@ -69,13 +69,13 @@
     this.controller.abort();
   }
 
-  /** Sends the headers: the call is accepted. */
+  /** Sends the headers, which accept the call. */
   open(response: ServerResponse): void {
     response.writeHead(200, { 'content-type': 'text/event-stream' });
     response.flushHeaders();
   }
 
-  /** Resolves after `delay`, or at once when stopped. */
+  /** Resolves after `delay`, or as soon as the stream is stopped. */
   async wait(delay: Milliseconds): Promise<void> {
     if (delay <= 0 || this.signal.aborted) return;
     let cancel: Unsubscribe = () => {};
@@ -85,7 +85,7 @@
     cancel();
   }
 
-  /** Sends the tokens; true if the answer came to its end. */
+  /** Sends the remaining tokens; resolves true if the answer is complete. */
   async generate(response: ServerResponse): Promise<boolean> {
     while (this.position < this.options.endPosition) {
       await this.wait(this.options.readTokenDelay());
@@ -113,7 +113,7 @@
     }
   }
 
-  /** Resolves when `begin` calls back or the stream is stopped, whichever is first. */
+  /** Resolves when `begin` calls `resolve` or the stream is stopped, whichever is first. */
   private async waitUnlessStopped(begin: (resolve: () => void) => void): Promise<void> {
     let stopped: () => void = () => {};
     await new Promise<void>((resolve) => {
@@ -126,7 +126,7 @@
 
   private cutIfDue(response: ServerResponse): boolean {
     if (this.sentTokens < (this.limits.cutAfterTokens ?? Infinity)) return false;
-    // What was written before still arrives, so the cut is exactly after that many tokens.
+    // Pending writes are still sent, so the caller receives exactly `cutAfterTokens` tokens.
     response.socket?.destroySoon();
     return true;
   }
@@ -143,7 +143,7 @@
   private sendEnd(response: ServerResponse): void {
     const usage = { prompt_tokens: this.promptTokens, completion_tokens: this.position };
     this.sendChunk(response, [{ index: 0, delta: {}, finish_reason: 'stop' }], usage);
-    // As many servers do: the body's own end comes in a packet after the last event.
+    // Ends the body in a packet after the last event, as many servers do.
     response.write('data: [DONE]\n\n', () => response.end());
   }
 
--- a/packages/testing/src/fakes/FakeWeightStore.ts
+++ b/packages/testing/src/fakes/FakeWeightStore.ts
@@ -1,4 +1,7 @@
-/** A fake weight store, which speaks what `HttpWeightStoreAdapter` speaks: a token bucket. */
+/**
+ * A fake weight store that serves the HTTP interface of `HttpWeightStoreAdapter`. A token bucket
+ * limits the rate of granted loads.
+ */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { LoadRequest } from '@hornbeampond/adapters';
 import { SystemTimerService, type TimerService } from '@hornbeampond/runtime';
@@ -11,7 +14,7 @@
 export interface FakeWeightStoreOptions extends FakeServerOptions {
   readonly timers?: TimerService;
   readonly loadsPerMinute?: number;
-  /** Loads that may come at once. */
+  /** Capacity of the token bucket, in loads. */
   readonly burst?: number;
 }
 
--- a/packages/testing/src/fakes/fakeClusterSettings.ts
+++ b/packages/testing/src/fakes/fakeClusterSettings.ts
@@ -1,11 +1,14 @@
-/** Settings of a cluster of fakes: what runs at the start, and on which ports. */
+/**
+ * Settings of a cluster of fakes: its addresses, the servers that run at the start, and the servers
+ * to launch on bought instances.
+ */
 import { nameSchema, poolKinds } from '@hornbeampond/schema';
 import * as z from 'zod';
 
 const portSchema = z.number().int().min(0).max(65_535).default(0);
 const millisecondsSchema = z.number().int().min(0).max(3_600_000);
 
-/** How fake engines behave; the fakes' own defaults are in force where a key is left out. */
+/** Behaviour of a fake engine; omitted keys get the defaults of `FakeEngine`. */
 const engineBehaviourShape = {
   model: z.string().min(1).max(200).optional(),
   concurrency: z.number().int().min(1).max(100_000).optional(),
@@ -27,7 +30,7 @@
 
 export const fakeServiceSchema = z.strictObject(serverShape);
 
-/** What to launch on an instance that is bought for a pool. */
+/** The server to launch on an instance that is bought for a pool. */
 export const fakeLaunchSchema = z.strictObject({
   pool: nameSchema,
   kind: z.enum(poolKinds),
@@ -52,7 +55,7 @@
   launches: z.array(fakeLaunchSchema).max(1000).default([]),
 });
 
-/** Keys that are left out get their defaults. */
+/** Settings before validation, in which keys with a default may be omitted. */
 export type FakeClusterInput = z.input<typeof fakeClusterSchema>;
 export type FakeClusterSettings = z.infer<typeof fakeClusterSchema>;
 export type FakeEngineSettings = z.infer<typeof fakeEngineSchema>;
--- a/packages/testing/src/fakes/generateToken.ts
+++ b/packages/testing/src/fakes/generateToken.ts
@@ -1,14 +1,14 @@
 /**
- * The text that fake engines generate. Token `position` of an answer depends on the prompt and
- * the position alone, so every engine gives the same answer, from the start or resumed.
+ * Deterministic text of fake engines. A token depends only on the prompt and the position, so
+ * every engine generates the same answer to a prompt, whether from the start or resumed.
  */
 import { createHash } from 'node:crypto';
 import type { ChatMessage } from '@hornbeampond/adapters';
 
-/** Some longer than one byte a character, so that a cut within a character would show. */
+/** Some have multi-byte characters, so that tests detect a split within a character. */
 const words = ['card', 'Zug', 'mint', 'près', 'Straße', 'rail', 'näher', 'Kayes', 'lot', '車'];
 
-/** Names a prompt: equal messages have equal names. */
+/** Returns a digest that identifies a prompt: equal messages have equal digests. */
 export function digestPrompt(messages: readonly ChatMessage[]): string {
   return createHash('sha256').update(JSON.stringify(messages)).digest('hex');
 }
@@ -19,7 +19,7 @@
   return `${position === 0 ? '' : ' '}${words[hash.readUInt32BE() % words.length]}${position}`;
 }
 
-/** The answer's tokens from `start` (from 0) to before `end`, joined. */
+/** The text of the tokens at positions `start` (from 0) up to but excluding `end`. */
 export function generateText(promptDigest: string, start: number, end: number): string {
   return Array.from({ length: end - start }, (_, offset) =>
     generateToken(promptDigest, start + offset),
--- a/packages/testing/src/fakes/main.ts
+++ b/packages/testing/src/fakes/main.ts
@@ -1,6 +1,6 @@
 /**
- * A process of fakes for tests with separate processes. It prints one line of JSON with all its
- * addresses once everything listens.
+ * Main module of the process that runs a cluster of fakes and its control interface. It prints the
+ * addresses of all servers as one line of JSON once they listen.
  */
 import { runBinary, type RunningProcess } from '@hornbeampond/runtime';
 import { FakeCluster } from './FakeCluster.js';
--- a/packages/testing/src/matchSnapshot.test.ts
+++ b/packages/testing/src/matchSnapshot.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { matchSnapshot } from './matchSnapshot.js';
 
-/** Has a stored snapshot that is never updated, so that the failing cases stay failing. */
+/** Its snapshots are never updated, so `UPDATE_SNAPSHOTS=1` cannot make the failing cases pass. */
 const neverUpdated = new URL('neverUpdated.js', import.meta.url).href;
 
 test('a value equal to its snapshot passes', async () => {
--- a/packages/testing/src/matchSnapshot.ts
+++ b/packages/testing/src/matchSnapshot.ts
@@ -1,6 +1,7 @@
 /**
- * Snapshots under node:test. Each test file has one snapshot file beside its source; a missing or
- * different snapshot fails, unless `UPDATE_SNAPSHOTS=1` asks for it to be written.
+ * Snapshot assertions for node:test. Each test file has one snapshot file in `__snapshots__` beside
+ * its source. A missing or different snapshot fails, unless `UPDATE_SNAPSHOTS=1` is set outside CI,
+ * which writes it.
  */
 import { basename, dirname, join } from 'node:path';
 import { fileURLToPath } from 'node:url';
@@ -34,8 +35,8 @@
     updateSnapshot: update ? 'all' : 'none',
     snapshotEnvironment: new SourceSnapshotEnvironment(),
   });
-  // Not a hook of node:test: one that is registered while a test runs belongs to that test, and
-  // the file's snapshots would be closed after the first of its tests.
+  // A node:test hook registered while a test runs belongs to that test, so it would close the
+  // file's snapshots after its first test.
   process.once('beforeExit', () => {
     void client.finish(file);
   });
@@ -45,8 +46,8 @@
  * Compares `received` with the stored snapshot.
  *
  * @param testFileUrl - `import.meta.url` of the test file.
- * @param name - Name of the test; it keys the snapshot.
- * @param update - True to write the snapshot instead; settled by a file's first call.
+ * @param name - Key of the snapshot in its file.
+ * @param update - True to write the snapshot instead; only a file's first call determines this.
  */
 export async function matchSnapshot(
   testFileUrl: string,
