--- a/packages/testing/src/EngineModel.ts
+++ b/packages/testing/src/EngineModel.ts
@@ -64,9 +64,9 @@
 
   private start(job: EngineJob): void {
     this.running += 1;
-    const cached = this.getCachedFraction(job);
-    const uncachedTokens = job.promptTokens * (1 - cached);
-    this.recomputedTokens += this.countRecomputed(job, cached);
+    const cachedFraction = this.getCachedFraction(job);
+    const uncachedTokens = job.promptTokens * (1 - cachedFraction);
+    this.recomputedTokens += this.countRecomputed(job, cachedFraction);
     const { timeline, speed } = this;
     const startedAt = Math.max(timeline.now, this.prefillFreeAt);
     this.prefillFreeAt = startedAt + uncachedTokens * speed.prefillMillisecondsPerToken;
@@ -92,12 +92,15 @@
     return length === 0 ? 0 : length / prefixDigests.length;
   }
 
-  private countRecomputed({ prefixDigests, promptTokens }: EngineJob, cached: number): number {
+  private countRecomputed(
+    { prefixDigests, promptTokens }: EngineJob,
+    cachedFraction: number,
+  ): number {
     let computedLength = prefixDigests.length;
     while (computedLength > 0 && !this.everComputed.has(prefixDigests[computedLength - 1] ?? ''))
       computedLength -= 1;
     if (computedLength === 0) return 0;
-    return Math.max(0, computedLength / prefixDigests.length - cached) * promptTokens;
+    return Math.max(0, computedLength / prefixDigests.length - cachedFraction) * promptTokens;
   }
 
   private store(digests: readonly string[]): void {
--- a/packages/testing/src/adapters/HttpPlainServiceAdapter.test.ts
+++ b/packages/testing/src/adapters/HttpPlainServiceAdapter.test.ts
@@ -24,7 +24,7 @@
 async function startService(t: TestContext, maxAnswerBytes?: number) {
   const service = await FakePlainService.start();
   const { host, port } = service;
-  const adapter = new HttpPlainServiceAdapter({ host, port, maxAnswerBytes: maxAnswerBytes });
+  const adapter = new HttpPlainServiceAdapter({ host, port, maxAnswerBytes });
   t.after(async () => {
     await adapter.close();
     await service.close();
@@ -75,10 +75,10 @@
     const lookups = await Promise.all([1, 2, 3].map(() => adapter.send(lookup)));
     for (const answer of lookups) await readText(answer);
     service.stallOpenConnections();
-    const giveUp = new AbortController();
-    const unanswered = adapter.send({ ...lookup, signal: giveUp.signal });
+    const callerAbort = new AbortController();
+    const unanswered = adapter.send({ ...lookup, signal: callerAbort.signal });
     assert.equal((await adapter.send(offer)).status, 200);
-    giveUp.abort();
+    callerAbort.abort();
     await assert.rejects(unanswered, hasFailure('silent', 'maybe'));
     assert.deepEqual([service.connectionCount, service.runs.length], [4, 4]);
   },
@@ -104,9 +104,9 @@
   // The adapter reports that nothing was sent. This must stay true if the connection is still
   // established afterwards, so only the second call may run.
   const { service, adapter } = await startService(t);
-  const giveUp = new AbortController();
-  const sending = adapter.send({ ...offer, signal: giveUp.signal });
-  giveUp.abort();
+  const callerAbort = new AbortController();
+  const sending = adapter.send({ ...offer, signal: callerAbort.signal });
+  callerAbort.abort();
   await assert.rejects(sending, hasFailure('silent', 'nothing'));
   await readText(await adapter.send(offer));
   assert.equal(service.countRuns('offer-1'), 1);
@@ -124,10 +124,10 @@
 test('a call that is run but not answered ends with an unknown outcome when its caller aborts', async (t) => {
   const { service, adapter } = await startService(t);
   service.setOutcome('silence');
-  const giveUp = new AbortController();
-  const waiting = adapter.send({ ...offer, signal: giveUp.signal });
+  const callerAbort = new AbortController();
+  const waiting = adapter.send({ ...offer, signal: callerAbort.signal });
   await service.waitFor(() => service.runs.length === 1);
-  giveUp.abort();
+  callerAbort.abort();
   await assert.rejects(waiting, hasFailure('silent', 'maybe'));
   assert.equal(service.countRuns('offer-1'), 1);
 });
--- a/packages/testing/src/fakes/FakeEngine.ts
+++ b/packages/testing/src/fakes/FakeEngine.ts
@@ -219,9 +219,8 @@
   }
 
   private makeBatch(): FakeBatch {
-    const { concurrency = DEFAULT_CONCURRENCY, maxQueued: mostQueued = DEFAULT_MAX_QUEUED } =
-      this.options;
-    const batch: FakeBatch = new FakeBatch(concurrency, mostQueued, () => {
+    const { concurrency = DEFAULT_CONCURRENCY, maxQueued = DEFAULT_MAX_QUEUED } = this.options;
+    const batch: FakeBatch = new FakeBatch(concurrency, maxQueued, () => {
       if (batch === this.batch) this.recordLoad(batch.running, batch.queued);
     });
     return batch;
--- a/packages/testing/src/fakes/FakeKvCaches.ts
+++ b/packages/testing/src/fakes/FakeKvCaches.ts
@@ -37,14 +37,14 @@
   export(attemptId: string): { readonly tokens: number; readonly bytes: Buffer } | undefined {
     const cache = this.caches.get(attemptId);
     if (cache === undefined) return undefined;
-    const head = Buffer.from(`${JSON.stringify(cache)}\n`);
-    const padding = Buffer.alloc(Math.max(0, cache.tokens * this.bytesPerToken - head.length));
-    return { tokens: cache.tokens, bytes: Buffer.concat([head, padding]) };
+    const header = Buffer.from(`${JSON.stringify(cache)}\n`);
+    const padding = Buffer.alloc(Math.max(0, cache.tokens * this.bytesPerToken - header.length));
+    return { tokens: cache.tokens, bytes: Buffer.concat([header, padding]) };
   }
 
   import(bytes: Buffer): void {
-    const head = bytes.subarray(0, bytes.indexOf('\n')).toString();
-    const { promptDigest, tokens } = JSON.parse(head) as KvCache;
+    const header = bytes.subarray(0, bytes.indexOf('\n')).toString();
+    const { promptDigest, tokens } = JSON.parse(header) as KvCache;
     setNewest(this.imported, promptDigest, tokens);
   }
 
--- a/packages/testing/src/fakes/FakeOrderHandler.ts
+++ b/packages/testing/src/fakes/FakeOrderHandler.ts
@@ -21,7 +21,7 @@
   readonly onChange: () => void;
 }
 
-const noOrder = { epoch: -1, sequence: -1 } as const;
+const NO_FENCING = { epoch: -1, sequence: -1 } as const;
 
 export class FakeOrderHandler {
   /** Executed orders, in order of execution. */
@@ -35,7 +35,7 @@
 
   ordersFail = false;
 
-  private newestFencing: { readonly epoch: number; readonly sequence: number } = noOrder;
+  private newestFencing: { readonly epoch: number; readonly sequence: number } = NO_FENCING;
 
   constructor(private readonly options: FakeOrderHandlerOptions) {
     this.loaded = { model: options.model };
@@ -44,30 +44,32 @@
 
   /** Executes an order after `orderDelay`, unless the engine has died by then. */
   async handleOrder(order: Order, hasDied: () => boolean): Promise<OrderResult> {
-    const result = this.admit(order);
+    const result = this.admitOrder(order);
     if (result !== 'done') return result;
     const { orderDelay, timers } = this.options;
     if (orderDelay > 0) await timers.wait(orderDelay);
     if (hasDied()) return 'failed';
-    this.carryOut(order);
+    this.executeOrder(order);
     return 'done';
   }
 
   /** Discards the newest fencing number, as a restarted engine does. */
   resetFencing(): void {
-    this.newestFencing = noOrder;
+    this.newestFencing = NO_FENCING;
   }
 
-  private admit({ epoch, sequence }: Order): OrderResult {
-    const { newestFencing: newest } = this;
-    const old = epoch < newest.epoch || (epoch === newest.epoch && sequence < newest.sequence);
+  private admitOrder({ epoch, sequence }: Order): OrderResult {
+    const { newestFencing } = this;
+    const old =
+      epoch < newestFencing.epoch ||
+      (epoch === newestFencing.epoch && sequence < newestFencing.sequence);
     if (old && this.checksFencing) return 'refusedAsOld';
     if (this.ordersFail) return 'failed';
     if (!old) this.newestFencing = { epoch, sequence };
     return 'done';
   }
 
-  private carryOut(order: Order): void {
+  private executeOrder(order: Order): void {
     this.orders.push(order);
     if (order.action.type === 'load') {
       const { model, adapter, version } = order.action;
--- a/packages/testing/src/fakes/FakeStream.ts
+++ b/packages/testing/src/fakes/FakeStream.ts
@@ -115,13 +115,13 @@
 
   /** Resolves when `begin` calls `resolve` or the stream is stopped, whichever is first. */
   private async waitUnlessStopped(begin: (resolve: () => void) => void): Promise<void> {
-    let stopped: () => void = () => {};
+    let resolveOnStop: () => void = () => {};
     await new Promise<void>((resolve) => {
-      stopped = resolve;
-      this.signal.addEventListener('abort', stopped);
+      resolveOnStop = resolve;
+      this.signal.addEventListener('abort', resolveOnStop);
       begin(resolve);
     });
-    this.signal.removeEventListener('abort', stopped);
+    this.signal.removeEventListener('abort', resolveOnStop);
   }
 
   private cutIfDue(response: ServerResponse): boolean {
