--- a/packages/testing/src/VirtualTimeline.ts
+++ b/packages/testing/src/VirtualTimeline.ts
@@ -1,16 +1,16 @@
 /**
- * Virtual time for runs of many thousands of events: a binary heap of what is due, in order of
- * time and, within one moment, of being scheduled.
+ * An event queue in virtual time for simulations with many thousands of events. A binary heap
+ * orders events by time and, for equal times, by scheduling.
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 
-interface Due {
+interface ScheduledEvent {
   readonly dueAt: MonotonicMilliseconds;
   readonly order: number;
   readonly run: () => void;
 }
 
-function isBefore(a: Due, b: Due): boolean {
+function isBefore(a: ScheduledEvent, b: ScheduledEvent): boolean {
   return a.dueAt < b.dueAt || (a.dueAt === b.dueAt && a.order < b.order);
 }
 
@@ -19,7 +19,7 @@
 
   private order = 0;
 
-  private readonly heap: Due[] = [];
+  private readonly heap: ScheduledEvent[] = [];
 
   after(delay: Milliseconds, run: () => void): void {
     this.order += 1;
@@ -27,7 +27,7 @@
     this.siftUp(this.heap.length - 1);
   }
 
-  /** Runs `run` now and then after each span, without end. */
+  /** Calls `run` after each `span`, first one `span` from now, without end. */
   every(span: Milliseconds, run: () => void): void {
     this.after(span, () => {
       run();
@@ -35,7 +35,7 @@
     });
   }
 
-  /** Runs everything that is due up to `end`. */
+  /** Runs all events due at or before `end`, then sets the time to `end`. */
   runUntil(end: MonotonicMilliseconds): void {
     for (let [next] = this.heap; next !== undefined && next.dueAt <= end; [next] = this.heap) {
       this.removeFirst();
@@ -62,22 +62,22 @@
   }
 
   private siftUp(start: number): void {
-    let place = start;
-    while (place > 0) {
-      const parent = Math.floor((place - 1) / 2);
-      if (!this.swapIfBefore(place, parent)) return;
-      place = parent;
+    let index = start;
+    while (index > 0) {
+      const parent = Math.floor((index - 1) / 2);
+      if (!this.swapIfBefore(index, parent)) return;
+      index = parent;
     }
   }
 
   private siftDown(): void {
-    let place = 0;
+    let index = 0;
     for (;;) {
-      const left = 2 * place + 1;
+      const left = 2 * index + 1;
       const [a, b] = [this.heap[left], this.heap[left + 1]];
       const child = a !== undefined && b !== undefined && isBefore(b, a) ? left + 1 : left;
-      if (!this.swapIfBefore(child, place)) return;
-      place = child;
+      if (!this.swapIfBefore(child, index)) return;
+      index = child;
     }
   }
 }
--- a/packages/testing/src/fakes/FakeBatch.ts
+++ b/packages/testing/src/fakes/FakeBatch.ts
@@ -1,12 +1,12 @@
 /**
- * The slots of a fake engine's batch. Whoever finds none free waits, by priority and then by
- * arrival.
+ * The slots of a fake engine's batch. Requests that find no free slot wait in order of priority
+ * (lowest number first), then of arrival.
  */
 
-/** Gives a slot back; calling it twice does no harm. */
+/** Releases a slot; further calls have no effect. */
 export type ReleaseSlot = () => void;
 
-interface Waiting {
+interface WaitingRequest {
   readonly priority: number;
   readonly start: () => void;
 }
@@ -14,11 +14,11 @@
 export class FakeBatch {
   running = 0;
 
-  private queue: Waiting[] = [];
+  private queue: WaitingRequest[] = [];
 
   constructor(
     private readonly concurrency: number,
-    private readonly mostQueued: number,
+    private readonly maxQueued: number,
     private readonly onChange: () => void,
   ) {}
 
@@ -27,22 +27,22 @@
   }
 
   get full(): boolean {
-    return this.running >= this.concurrency && this.queued >= this.mostQueued;
+    return this.running >= this.concurrency && this.queued >= this.maxQueued;
   }
 
-  /** Resolves with a slot, or with nothing if `signal` fires first. */
+  /** Resolves with the release function of a slot, or undefined if `signal` aborts first. */
   async acquireSlot(priority: number, signal: AbortSignal): Promise<ReleaseSlot | undefined> {
     if (signal.aborted) return undefined;
     if (this.running >= this.concurrency) {
-      const given = await this.waitForSlot(priority, signal);
-      return given ? this.makeRelease() : undefined;
+      const acquired = await this.waitForSlot(priority, signal);
+      return acquired ? this.makeRelease() : undefined;
     }
     this.running += 1;
     this.onChange();
     return this.makeRelease();
   }
 
-  /** Resolves true once a slot is handed over, false if `signal` fires first. */
+  /** Resolves true once a slot is assigned, false if `signal` aborts first. */
   private async waitForSlot(priority: number, signal: AbortSignal): Promise<boolean> {
     return new Promise<boolean>((resolve) => {
       const waiting = { priority, start: () => resolve(true) };
@@ -55,9 +55,9 @@
     });
   }
 
-  private enqueue(waiting: Waiting): void {
-    const behind = this.queue.findIndex(({ priority }) => priority > waiting.priority);
-    this.queue.splice(behind < 0 ? this.queue.length : behind, 0, waiting);
+  private enqueue(waiting: WaitingRequest): void {
+    const position = this.queue.findIndex(({ priority }) => priority > waiting.priority);
+    this.queue.splice(position < 0 ? this.queue.length : position, 0, waiting);
     this.onChange();
   }
 
@@ -67,7 +67,7 @@
       if (released) return;
       released = true;
       const next = this.queue.shift();
-      // The slot passes straight on, so that nobody who arrives meanwhile takes it.
+      // The slot goes directly to the next request, so a new arrival cannot take it first.
       if (next === undefined) this.running -= 1;
       else next.start();
       this.onChange();
--- a/packages/testing/src/fakes/FakeOrderHandler.ts
+++ b/packages/testing/src/fakes/FakeOrderHandler.ts
@@ -1,11 +1,11 @@
-/** How a fake engine takes orders: it refuses old fencing numbers, unless it ignores fencing. */
+/** Executes the orders of a fake engine. Refuses old fencing numbers if `checksFencing` is set. */
 import type { TimerService } from '@hornbeampond/runtime';
 import type { Milliseconds, Order, OrderResult } from '@hornbeampond/schema';
 
-/** Which parts of a completion an engine takes. */
+/** Which phases of a completion an engine runs. */
 export type EngineRole = Extract<Order['action'], { type: 'changeRole' }>['role'];
 
-/** What an engine has loaded. */
+/** The model, adapter and version that an engine has loaded. */
 export interface LoadedModel {
   readonly model?: string;
   readonly adapter?: string;
@@ -16,15 +16,15 @@
   readonly timers: TimerService;
   readonly model?: string;
   readonly checksFencing: boolean;
-  /** How long an order takes. */
+  /** Time from the arrival of an order to its effect. */
   readonly orderDelay: Milliseconds;
   readonly onChange: () => void;
 }
 
-const noOrder = { epoch: -1, sequence: -1 } as const;
+const NO_FENCING = { epoch: -1, sequence: -1 } as const;
 
 export class FakeOrderHandler {
-  /** Orders that were carried out, in that order. */
+  /** Executed orders, in order of execution. */
   readonly orders: Order[] = [];
 
   loaded: LoadedModel;
@@ -35,39 +35,41 @@
 
   ordersFail = false;
 
-  private newest: { readonly epoch: number; readonly sequence: number } = noOrder;
+  private newestFencing: { readonly epoch: number; readonly sequence: number } = NO_FENCING;
 
   constructor(private readonly options: FakeOrderHandlerOptions) {
     this.loaded = { model: options.model };
     this.checksFencing = options.checksFencing;
   }
 
-  /** Carries an order out, unless `isGone` says in the end that the engine died meanwhile. */
-  async handleOrder(order: Order, isGone: () => boolean): Promise<OrderResult> {
-    const result = this.admit(order);
+  /** Executes an order after `orderDelay`, unless the engine has died by then. */
+  async handleOrder(order: Order, hasDied: () => boolean): Promise<OrderResult> {
+    const result = this.admitOrder(order);
     if (result !== 'done') return result;
     const { orderDelay, timers } = this.options;
     if (orderDelay > 0) await timers.wait(orderDelay);
-    if (isGone()) return 'failed';
-    this.carryOut(order);
+    if (hasDied()) return 'failed';
+    this.executeOrder(order);
     return 'done';
   }
 
-  /** A restarted engine knows no fencing number. */
+  /** Discards the newest fencing number, as a restarted engine does. */
   resetFencing(): void {
-    this.newest = noOrder;
+    this.newestFencing = NO_FENCING;
   }
 
-  private admit({ epoch, sequence }: Order): OrderResult {
-    const { newest } = this;
-    const old = epoch < newest.epoch || (epoch === newest.epoch && sequence < newest.sequence);
+  private admitOrder({ epoch, sequence }: Order): OrderResult {
+    const { newestFencing } = this;
+    const old =
+      epoch < newestFencing.epoch ||
+      (epoch === newestFencing.epoch && sequence < newestFencing.sequence);
     if (old && this.checksFencing) return 'refusedAsOld';
     if (this.ordersFail) return 'failed';
-    if (!old) this.newest = { epoch, sequence };
+    if (!old) this.newestFencing = { epoch, sequence };
     return 'done';
   }
 
-  private carryOut(order: Order): void {
+  private executeOrder(order: Order): void {
     this.orders.push(order);
     if (order.action.type === 'load') {
       const { model, adapter, version } = order.action;
