--- a/tools/bundle.js
+++ b/tools/bundle.js
@@ -1,10 +1,10 @@
 /**
- * Bundles the programs of `platform/` into one file each under `target/`. A program that is spread
- * over a few hundred modules spends most of its start on finding and reading them.
+ * Bundles each program of `platform/` into one file under `target/`, because resolving and reading
+ * several hundred modules would take most of the startup time.
  */
 import { build } from 'esbuild';
 
-/** CommonJS libraries in an ES module bundle ask for Node's own modules by `require`. */
+/** CommonJS libraries in an ES module bundle load built-in Node modules by `require`. */
 const banner = [
   "import { createRequire as hornbeampondCreateRequire } from 'node:module';",
   'const require = hornbeampondCreateRequire(import.meta.url);',
@@ -19,9 +19,9 @@
   target: 'node20',
   format: 'esm',
   banner: { js: banner },
-  // A native addon that its library can do without.
+  // An optional native addon.
   external: ['cbor-extract'],
-  // A shorter text is read sooner; names are kept for stack traces.
+  // Names are not minified, so that stack traces stay readable.
   minifySyntax: true,
   minifyWhitespace: true,
   legalComments: 'none',
--- a/tools/measureDissemination.js
+++ b/tools/measureDissemination.js
@@ -1,7 +1,7 @@
 /**
- * Measures how long one source needs to bring the same bytes to N receivers: directly, where all
- * share the source's outgoing link, and as a chain, where each receiver passes on what it has as it
- * comes. Links are real TCP connections on loopback; each sender's rate is bound by a token bucket.
+ * Measures how long one source takes to send the same bytes to N receivers: directly, where all
+ * share the source's outgoing link, and as a chain, where each receiver forwards data as it
+ * arrives. Links are TCP connections on loopback, and each sender has a limited rate.
  *
  *   node tools/measureDissemination.js
  */
@@ -15,7 +15,7 @@
 const RECEIVER_COUNTS = [1, 2, 4, 8, 16];
 const REPEATS = 3;
 
-/** A sender's outgoing link: everything that it sends waits for its turn here. */
+/** A sender's outgoing link, which delays data to limit the rate. */
 class Link {
   #freeAt = 0;
 
@@ -30,7 +30,7 @@
   }
 }
 
-/** Takes in all bytes and passes them on to `next`, if there is one, stripe by stripe. */
+/** Starts a receiver that forwards each chunk to `next`, if there is one. */
 async function startReceiver(next) {
   const link = new Link();
   let received = 0;
@@ -68,7 +68,7 @@
   sockets.forEach((socket) => socket.end());
 }
 
-/** Milliseconds until the last receiver has everything. */
+/** Returns the milliseconds until the last receiver has all bytes. */
 async function measure(shape, count) {
   const receivers = [];
   for (let made = 0; made < count; made += 1) {
--- a/tools/runTests.js
+++ b/tools/runTests.js
@@ -1,11 +1,10 @@
 /**
  * Runs every compiled test file with node:test and decides the verdict.
  *
- * A test named in `KNOWN-RED.txt` (first column, columns parted by ` | `) may fail without failing
- * the run; it is printed, and so is whether it failed this time: some fail only now and then, and the
- * verdict is to be the same either way. A name that no test bears fails the run, or a listed fault
- * would be forgotten once its test has another name. A line that begins with `played day: ` tells of a
- * fault that no test shows yet; it is printed and passes over nothing.
+ * A test named in the first column of `KNOWN-RED.txt` (columns are separated by ` | `) may fail
+ * without failing the run; its result is printed. An unfiltered run fails if a listed name matches
+ * no test, so that a renamed test does not hide its known fault. A line that begins with
+ * `played day: ` names a fault that no test shows; it is only printed.
  */
 import { existsSync, readFileSync, readdirSync } from 'node:fs';
 import { dirname, join, relative } from 'node:path';
@@ -33,7 +32,7 @@
     .map((line) => line.split(' | ')[0].trim());
 }
 
-/** A compiled test whose source is gone is stale output of an earlier build; it is passed over. */
+/** False for stale output of an earlier build, whose source no longer exists. */
 function hasSource(path) {
   return existsSync(path.replace(/\/dist\//, '/src/').replace(/\.js$/, '.ts'));
 }
