--- a/packages/transport/src/ConfigurationFollower.test.ts
+++ b/packages/transport/src/ConfigurationFollower.test.ts
@@ -21,7 +21,7 @@
 
 // A push is lost, or a store installs a snapshot and skips revisions. Applying the next delta would
 // lose rows.
-test('a delta that does not start at the current revision is a gap and changes nothing', () => {
+test('a newer delta is a gap unless it starts at the current revision, and changes nothing', () => {
   const follower = new ConfigurationFollower();
   assert.equal(follower.applyConfigurationDelta({ fromRevision: 0, toRevision: 1 }), 'gap');
   follower.applyConfiguration(makeConfiguration(5));
--- a/packages/transport/src/InstanceListFollower.test.ts
+++ b/packages/transport/src/InstanceListFollower.test.ts
@@ -30,8 +30,8 @@
   assert.deepEqual(follower.applyDelta({ changed: [other], gone: [] }), [other]);
 });
 
-// The wall clocks of two processes differ by two seconds. An end sent as a time would be in error
-// by that difference.
+// The wall clocks of two processes differ by two seconds. An end sent as a timestamp would be
+// off by that difference.
 test('the end of an instance is sent as a remaining duration', () => {
   const read: PlatformInstance = { ...engine, goneAt: 10_000 };
   const [shared] = toSharedInstances([read], 8000);
--- a/packages/transport/src/InstanceListFollower.ts
+++ b/packages/transport/src/InstanceListFollower.ts
@@ -4,7 +4,10 @@
 export class InstanceListFollower {
   private instancesByName = new Map<string, SharedInstance>();
 
-  /** Replaces the list by that of a newly subscribed store; empty if the store has none yet. */
+  /**
+   * Replaces the list with the one received on subscribing to a store; empty if the store has none
+   * yet.
+   */
   reset(instances: readonly SharedInstance[] = []): readonly SharedInstance[] {
     this.instancesByName = new Map(instances.map((instance) => [instance.instance, instance]));
     return instances;
--- a/packages/transport/src/PeerConnection.test.ts
+++ b/packages/transport/src/PeerConnection.test.ts
@@ -10,7 +10,7 @@
 import { PeerServer, type PeerServerHandlers } from './PeerServer.js';
 
 const HOST = '127.0.0.1';
-/** Ends a test that waits in vain; time in the tests is simulated. */
+/** Real-time limit of a test that hangs; the connections themselves use simulated time. */
 const testOptions = { timeout: 10_000 } as const;
 const SECRET = 'a secret of the cluster';
 
--- a/packages/transport/src/PeerConnection.ts
+++ b/packages/transport/src/PeerConnection.ts
@@ -1,9 +1,9 @@
 /**
  * One authenticated, framed connection between two processes of the system.
  *
- * Both ends prove the shared secret before requests, pushes and responses are accepted. Both send
- * heartbeats, and a connection on which nothing arrives for several intervals is closed; otherwise
- * one that a network device has dropped silently would never fail.
+ * Both ends prove knowledge of the shared secret before requests, pushes and responses are
+ * accepted. Both send heartbeats, and a connection on which nothing arrives for several intervals is
+ * closed; otherwise one that a network device has dropped without notice would never fail.
  */
 import type { Socket } from 'node:net';
 import type { Logger, Metrics, TimerService, Unsubscribe } from '@hornbeampond/runtime';
@@ -35,7 +35,7 @@
 /** Keeps an unauthenticated peer from filling memory; handshake frames are smaller. */
 const MAX_HANDSHAKE_FRAME_BYTES = 4096;
 
-/** A handshake that takes more heartbeat intervals fails, even if bytes keep arriving. */
+/** A handshake that takes more heartbeat intervals than this fails, even if bytes keep arriving. */
 const MAX_HANDSHAKE_HEARTBEATS = 5;
 
 /** A connection is closed when more bytes than this wait for a slow peer. */
--- a/packages/transport/src/StoreSubscription.ts
+++ b/packages/transport/src/StoreSubscription.ts
@@ -72,8 +72,8 @@
 
 /**
  * Connected stores apply a change within milliseconds of each other; one that lags longer may be
- * partitioned. The limit and the second between two reports leave enough of the two seconds within
- * which a change must be in force.
+ * partitioned. This limit and the second between two reports add up to less than the two seconds
+ * within which a change must be in force.
  */
 const MAX_LAG_MILLISECONDS: Milliseconds = 250;
 
@@ -180,7 +180,7 @@
     subscription.isAnswered = true;
     this.failedStores.clear();
     this.resetInstanceList(response);
-    // Precedes the configuration, because that admits the requests that wait for it.
+    // Called before the configuration is applied, since waiting requests are then admitted.
     this.options.handlers.onPersistedState?.(response.remembered);
     this.handleUpdateResult(this.configurationFollower.applyConfiguration(response.configuration));
     this.options.handlers.onQuarantine?.(response.quarantine);
@@ -231,7 +231,7 @@
     }
   }
 
-  /** Switches to another connected store; that store may report that it is out of touch too. */
+  /** Switches to another connected store; that store may report that it is partitioned too. */
   private switchStore(): void {
     const { report, subscription } = this;
     if (report === undefined || subscription === undefined) return;
--- a/packages/transport/src/peerMessages.ts
+++ b/packages/transport/src/peerMessages.ts
@@ -1,4 +1,4 @@
-/** Messages of the framed protocol. It does not interpret the bodies of session messages. */
+/** Messages of the framed protocol, which treats the bodies of session messages as opaque. */
 
 /** Identity that a process states in the handshake. */
 export interface PeerIdentity {
