--- a/packages/adapters/src/EngineAdapter.ts
+++ b/packages/adapters/src/EngineAdapter.ts
@@ -100,6 +100,9 @@
   /** Makes later calls open new connections; running calls finish on their current ones. */
   abstract renewConnections(): void;
 
-  /** Closes all connections immediately; calls in progress fail. */
+  /**
+   * Closes connections immediately, so that their calls fail; calls on connections replaced by
+   * `renewConnections` still finish.
+   */
   abstract close(): Promise<void>;
 }
--- a/packages/adapters/src/ProbeResponse.ts
+++ b/packages/adapters/src/ProbeResponse.ts
@@ -1,5 +1,8 @@
-/** What a backend server's answer to a probe tells. */
+/** Answer of a backend server to a health probe. */
 export interface ProbeResponse {
-  /** Identifies the process from start to end; missing if not reported. */
+  /**
+   * Identifies one run of the server process: constant while it runs, different after a restart.
+   * Missing if the server does not report it.
+   */
   readonly incarnation?: string;
 }
--- a/packages/adapters/src/RelayAdapter.ts
+++ b/packages/adapters/src/RelayAdapter.ts
@@ -19,7 +19,7 @@
   /** Headers of the caller that are forwarded. */
   readonly headers: readonly HeaderLine[];
   readonly body: Uint8Array;
-  /** Empty if the caller needs no key. */
+  /** Workspace of the caller; empty if the caller needs no key. */
   readonly workspace: string;
   /** Time until the whole answer is due; after it the backend server stops working on the call. */
   readonly timeLeft: Milliseconds;
--- a/packages/adapters/src/http/HttpConnections.ts
+++ b/packages/adapters/src/http/HttpConnections.ts
@@ -1,9 +1,9 @@
 /**
  * Sends calls to one HTTP server over HTTP/1.1 and plain TCP, without pipelining, redirects or
  * retries. Apart from a limit on connecting, the caller's `AbortSignal` is the only timeout. A
- * kept-alive connection may be dead without notice, so a failed call on it may have run.
- * `sendOnNewConnection` opens a connection for one call, which provably did not run if no byte was
- * written to the socket.
+ * kept-alive connection may be closed by the server just as a call is written to it, so a failure
+ * does not show whether the call ran. `sendOnNewConnection` opens a connection for one call, which
+ * provably did not run if no byte was written to the socket.
  */
 import type { Socket } from 'node:net';
 import { buildConnector, Client, Pool, type Dispatcher } from 'undici';
@@ -19,7 +19,10 @@
 /** Without this limit, each call to a partitioned data centre would hold a socket for minutes. */
 const CONNECT_TIMEOUT_MILLISECONDS = 10_000;
 
-/** Time for a body to end after its answer is complete; then the connection is dropped. */
+/**
+ * Limit on receiving the rest of a body whose reader stopped after `markComplete`; then the
+ * connection is dropped.
+ */
 const DRAIN_TIMEOUT_MILLISECONDS = 1000;
 
 const noTimeouts = { headersTimeout: 0, bodyTimeout: 0 } as const;
@@ -46,8 +49,9 @@
    */
   readonly body: AsyncIterable<Uint8Array>;
   /**
-   * Marks the answer as complete by its content, even if the body has not ended. If the reader
-   * then stops, the connection is kept once the rest of the body has been received.
+   * Call this when the content shows that the answer is complete (for example a final event),
+   * although the body has not ended. If the reader then stops, a pooled connection is reused once
+   * the rest of the body has been received.
    */
   markComplete(): void;
 }
@@ -167,7 +171,10 @@
     this.pool = this.openPool();
   }
 
-  /** Sends a call that may be repeated, on a kept-alive connection if one is free. */
+  /**
+   * Sends a call on a kept-alive connection if one is free. The call must be safe to repeat, since
+   * a failure does not show whether it ran.
+   */
   async send(call: HttpCall): Promise<HttpAnswer> {
     try {
       call.signal.throwIfAborted();
@@ -214,7 +221,10 @@
     void previousPool.close();
   }
 
-  /** Closes all connections immediately; calls in progress fail with `connectionLost`. */
+  /**
+   * Closes the connections of the current pool and of single calls immediately; their calls fail
+   * with `connectionLost`. Calls on a pool replaced by `renew` still finish.
+   */
   async close(): Promise<void> {
     const clients = [...this.singleCallClients];
     this.singleCallClients.clear();
--- a/packages/adapters/src/http/HttpEngineAdapter.ts
+++ b/packages/adapters/src/http/HttpEngineAdapter.ts
@@ -9,7 +9,7 @@
  * - Status 429 or 503 means busy: the request was not run.
  * - `POST /engine/cancel` `{attemptId}`; 404 if there is no such attempt.
  * - `GET /engine/cache?attempt=ID` returns the KV cache as bytes, with its number of tokens in
- *   `x-cache-tokens`; `PUT` of the same imports it.
+ *   `x-cache-tokens`; `PUT` on the same path imports it.
  * - `GET /engine/load`, `GET /engine/cache-events?after=SEQUENCE`, `POST /engine/orders`,
  *   `GET /health`.
  */
--- a/packages/adapters/src/http/probeHealth.ts
+++ b/packages/adapters/src/http/probeHealth.ts
@@ -1,6 +1,6 @@
 /**
- * Sends a health probe to a server over a new connection. A kept-alive connection would prove
- * nothing, since it may be the very connection that stalled.
+ * Sends a health probe to a server over a new connection. On a kept-alive connection, a probe
+ * could fail only because that connection has stalled, although the server is healthy.
  */
 import type { HttpConnections } from './HttpConnections.js';
 import type { ProbeResponse } from '../ProbeResponse.js';
@@ -9,7 +9,7 @@
 /** A longer incarnation is ignored. */
 const MAX_INCARNATION_CHARACTERS = 200;
 
-/** Returns undefined for any other answer: a server without an incarnation is healthy too. */
+/** Returns undefined if there is no valid incarnation; the server is healthy nevertheless. */
 function readIncarnation(text: string): string | undefined {
   try {
     const value = (JSON.parse(text) as { readonly incarnation?: unknown } | null)?.incarnation;
--- a/packages/adapters/src/http/readAnswer.ts
+++ b/packages/adapters/src/http/readAnswer.ts
@@ -4,7 +4,7 @@
 import { BackendServerFailure } from '../BackendServerFailure.js';
 import type { HttpAnswer } from './HttpConnections.js';
 
-/** Limit of a JSON, error or discarded answer. */
+/** Size limit of a JSON, error or discarded answer. */
 export const MAX_JSON_BYTES = 4 * 1024 * 1024;
 
 /** Length of the excerpt of an error answer in the message of the failure. */
--- a/packages/adapters/src/http/readCompletion.ts
+++ b/packages/adapters/src/http/readCompletion.ts
@@ -21,7 +21,7 @@
   return { promptTokens: usage.prompt_tokens, completionTokens: usage.completion_tokens };
 }
 
-/** Converts the events of one stream to chunks; keeps finish reason and usage for the end. */
+/** Converts the events of one stream to chunks; finish reason and usage go into the `end` chunk. */
 class CompletionReader {
   private finishReason: string | undefined;
 
@@ -49,7 +49,7 @@
   }
 }
 
-/** Reads the chunks of an answer and marks it complete at its end, to keep the connection. */
+/** Reads the chunks of an answer; marks it as complete at `[DONE]`, so its connection is reused. */
 export async function* readCompletion({
   body,
   markComplete,
