--- a/packages/store-core/src/consensus/testing/modelCluster.ts
+++ b/packages/store-core/src/consensus/testing/modelCluster.ts
@@ -372,7 +372,7 @@
 
 export function propose(cluster: ModelCluster, instance: string): ModelCluster {
   const requestId = `write-${cluster.requestCount}`;
-  const counted = { ...cluster, requests: cluster.requestCount + 1 };
+  const counted = { ...cluster, requestCount: cluster.requestCount + 1 };
   const proposals = [{ requestId, command: requestId }];
   return dispatchEvent(counted, instance, { type: 'propose', proposals });
 }
@@ -381,8 +381,8 @@
   const requestId = `read-${cluster.requestCount}`;
   const counted = {
     ...cluster,
-    requests: cluster.requestCount + 1,
-    reads: { ...cluster.minIndexByReadId, [requestId]: cluster.acknowledgedIndex },
+    requestCount: cluster.requestCount + 1,
+    minIndexByReadId: { ...cluster.minIndexByReadId, [requestId]: cluster.acknowledgedIndex },
   };
   return dispatchEvent(counted, instance, { type: 'read', requestId });
 }
