--- a/packages/store-core/src/consensus/testing/makeClusterModel.ts
+++ b/packages/store-core/src/consensus/testing/makeClusterModel.ts
@@ -38,69 +38,75 @@
   duplicates: 0,
 };
 
-type Count = Exclude<keyof Budget, 'timeouts'>;
+type BudgetItem = Exclude<keyof Budget, 'timeouts'>;
 
-function spend(budget: Budget, count: Count): Budget {
-  return { ...budget, [count]: budget[count] - 1 };
+function spend(budget: Budget, item: BudgetItem): Budget {
+  return { ...budget, [item]: budget[item] - 1 };
 }
 
-function messageSteps({ cluster, budget }: BoundedCluster): Step<BoundedCluster>[] {
-  const distinct = new Map(cluster.network.map((message) => [message.key, message]));
-  return [...distinct.values()]
+function listMessageSteps({ cluster, budget }: BoundedCluster): Step<BoundedCluster>[] {
+  const messageByKey = new Map(cluster.network.map((message) => [message.key, message]));
+  return [...messageByKey.values()]
     .filter((message) => cluster.voters[message.instance]?.state !== undefined)
     .flatMap((message) => {
       const label = `deliver ${message.instance} ${message.envelope.message.type}`;
-      const once = { label, take: () => ({ cluster: deliver(cluster, message), budget }) };
-      if (budget.duplicates === 0) return [once];
-      const left = spend(budget, 'duplicates');
-      const again = {
+      const deliverOnce = { label, take: () => ({ cluster: deliver(cluster, message), budget }) };
+      if (budget.duplicates === 0) return [deliverOnce];
+      const remainingBudget = spend(budget, 'duplicates');
+      const deliverAndKeepCopy = {
         label: `${label} and keep a copy`,
-        take: () => ({ cluster: deliver(cluster, message, true), budget: left }),
+        take: () => ({ cluster: deliver(cluster, message, true), budget: remainingBudget }),
       };
-      return [once, again];
+      return [deliverOnce, deliverAndKeepCopy];
     });
 }
 
-function runningSteps(
+function listStepsOfRunningVoter(
   { cluster, budget }: BoundedCluster,
-  { instance, pendingWrites: jobs, state }: ModelVoter,
+  { instance, pendingWrites, state }: ModelVoter,
 ): Step<BoundedCluster>[] {
   const steps: Step<BoundedCluster>[] = [];
-  const add = (label: string, left: Budget, take: () => ModelCluster) => {
-    steps.push({ label: `${label} ${instance}`, take: () => ({ cluster: take(), budget: left }) });
+  const addStep = (label: string, remainingBudget: Budget, take: () => ModelCluster) => {
+    steps.push({
+      label: `${label} ${instance}`,
+      take: () => ({ cluster: take(), budget: remainingBudget }),
+    });
   };
-  if (jobs.length > 0) add('sync', budget, () => syncDisk(cluster, instance, 1));
+  if (pendingWrites.length > 0) addStep('sync', budget, () => syncDisk(cluster, instance, 1));
   const timeouts = budget.timeouts[instance] ?? 0;
   if (timeouts > 0 && state?.role.type !== 'leader') {
-    const left = { ...budget, timeouts: { ...budget.timeouts, [instance]: timeouts - 1 } };
-    add('time out', left, () => fireTimer(cluster, instance));
+    const remainingBudget = {
+      ...budget,
+      timeouts: { ...budget.timeouts, [instance]: timeouts - 1 },
+    };
+    addStep('time out', remainingBudget, () => fireTimer(cluster, instance));
   }
   if (budget.crashes > 0) {
-    add('crash', spend(budget, 'crashes'), () => crash(cluster, instance));
+    addStep('crash', spend(budget, 'crashes'), () => crash(cluster, instance));
   }
   if (state?.role.type === 'leader' && budget.proposals > 0) {
-    add('propose at', spend(budget, 'proposals'), () => propose(cluster, instance));
+    addStep('propose at', spend(budget, 'proposals'), () => propose(cluster, instance));
   }
   if (state?.role.type === 'leader' && budget.reads > 0) {
-    add('read at', spend(budget, 'reads'), () => read(cluster, instance));
+    addStep('read at', spend(budget, 'reads'), () => read(cluster, instance));
   }
   return steps;
 }
 
-function stoppedSteps(
+function listStepsOfStoppedVoter(
   { cluster, budget }: BoundedCluster,
   { instance }: ModelVoter,
 ): Step<BoundedCluster>[] {
-  const start = {
+  const restartStep = {
     label: `restart ${instance}`,
     take: () => ({ cluster: restart(cluster, instance), budget }),
   };
-  if (budget.lostDisks === 0) return [start];
-  const lose = {
+  if (budget.lostDisks === 0) return [restartStep];
+  const loseDiskStep = {
     label: `lose the disk of ${instance}`,
     take: () => ({ cluster: loseDisk(cluster, instance), budget: spend(budget, 'lostDisks') }),
   };
-  return [start, lose];
+  return [restartStep, loseDiskStep];
 }
 
 export function makeClusterModel(
@@ -112,9 +118,11 @@
     key: (bounded) => `${JSON.stringify(bounded.budget)}\n${makeClusterKey(bounded.cluster)}`,
     check: (bounded) => bounded.cluster.violation,
     steps: (bounded) => [
-      ...messageSteps(bounded),
+      ...listMessageSteps(bounded),
       ...Object.values(bounded.cluster.voters).flatMap((voter) =>
-        voter.state === undefined ? stoppedSteps(bounded, voter) : runningSteps(bounded, voter),
+        voter.state === undefined
+          ? listStepsOfStoppedVoter(bounded, voter)
+          : listStepsOfRunningVoter(bounded, voter),
       ),
     ],
   };
--- a/packages/store-core/src/consensus/testing/modelCluster.ts
+++ b/packages/store-core/src/consensus/testing/modelCluster.ts
@@ -33,7 +33,7 @@
 /** Faults of the shell that a test puts in to see the checks notice. */
 export type ShellMutation = 'acknowledgeBeforeSync' | 'voteForgotten' | 'lostDiskKeepsIdentity';
 
-type DiskJob =
+type PendingWrite =
   | { readonly type: 'batch'; readonly effect: PersistEffect }
   | { readonly type: 'snapshot'; readonly snapshot: SavedSnapshot };
 
@@ -44,7 +44,7 @@
   /** Missing while the process is down. */
   state?: ConsensusState;
   disk: ModelDisk;
-  pendingWrites: DiskJob[];
+  pendingWrites: PendingWrite[];
   /** The state machine: what was applied, in order. */
   applied: string[];
   key: string;
@@ -76,7 +76,7 @@
   readonly violation?: string;
 }
 
-type Changes = { -readonly [Name in keyof ModelCluster]: ModelCluster[Name] };
+type MutableCluster = { -readonly [Name in keyof ModelCluster]: ModelCluster[Name] };
 
 export function makeAddress(instance: string) {
   return { instance, dataCentre: 'wien-a', host: '127.0.0.1', port: 1 };
@@ -92,86 +92,95 @@
   };
 }
 
-function nameVoter({ identity, state, disk, pendingWrites: jobs, applied }: ModelVoter): string {
-  const waiting = jobs.map((job) =>
-    job.type === 'batch' ? makeBatchKey(job.effect) : `snapshot ${job.snapshot.header.index}`,
+function makeVoterKey({ identity, state, disk, pendingWrites, applied }: ModelVoter): string {
+  const pendingKeys = pendingWrites.map((write) =>
+    write.type === 'batch' ? makeBatchKey(write.effect) : `snapshot ${write.snapshot.header.index}`,
   );
-  const stored = disk.entries.map((entry) => `${entry.index}=${makeEntryKey(entry)}`);
+  const entryKeys = disk.entries.map((entry) => `${entry.index}=${makeEntryKey(entry)}`);
   const { runs, term, votedFor, snapshot } = disk;
-  const onDisk = [runs, term, votedFor, snapshot?.header.index, stored.join('|')].join();
-  const live = state === undefined ? 'down' : makeStateKey(state);
-  return [identity, live, onDisk, waiting.join('|'), applied.length].join('#');
+  const diskKey = [runs, term, votedFor, snapshot?.header.index, entryKeys.join('|')].join();
+  const stateKey = state === undefined ? 'down' : makeStateKey(state);
+  return [identity, stateKey, diskKey, pendingKeys.join('|'), applied.length].join('#');
 }
 
-function changed(cluster: ModelCluster, instance: string): [Changes, ModelVoter] {
-  const found = cluster.voters[instance];
-  if (found === undefined) throw new Error(`No voter ${instance}`);
-  const voter = copyVoter(found);
+function copyForStep(cluster: ModelCluster, instance: string): [MutableCluster, ModelVoter] {
+  const original = cluster.voters[instance];
+  if (original === undefined) throw new Error(`No voter ${instance}`);
+  const voter = copyVoter(original);
   return [{ ...cluster, voters: { ...cluster.voters, [instance]: voter } }, voter];
 }
 
-function violate(cluster: Changes, reason: string): void {
+function recordViolation(cluster: MutableCluster, reason: string): void {
   cluster.violation ??= reason;
 }
 
-function noteCommitted(cluster: Changes, index: number, name: string): void {
-  const known = cluster.committed[index - 1];
-  if (known === name) return;
-  if (known !== undefined) {
-    violate(cluster, `index ${index} was committed as ${known} and as ${name}`);
+function recordCommitted(cluster: MutableCluster, index: number, entryKey: string): void {
+  const recordedKey = cluster.committed[index - 1];
+  if (recordedKey === entryKey) return;
+  if (recordedKey !== undefined) {
+    recordViolation(cluster, `index ${index} was committed as ${recordedKey} and as ${entryKey}`);
     return;
   }
-  if (index !== cluster.committed.length + 1) violate(cluster, `index ${index} leaves a gap`);
-  cluster.committed = [...cluster.committed, name];
+  if (index !== cluster.committed.length + 1)
+    recordViolation(cluster, `index ${index} leaves a gap`);
+  cluster.committed = [...cluster.committed, entryKey];
 }
 
 /** An entry counts as committed only if a quorum of the voters has had it on disk. */
-function checkCopies(cluster: Changes, voter: ModelVoter, index: number, name: string): void {
+function checkCommitQuorum(
+  cluster: MutableCluster,
+  voter: ModelVoter,
+  index: number,
+  entryKey: string,
+): void {
   if (voter.state?.role.type !== 'leader') return;
   const voters = votersOf(voter.state);
-  const copies = voters.filter(({ identity }) => cluster.everSynced[identity]?.[index] === name);
+  const copies = voters.filter(
+    ({ identity }) => cluster.everSynced[identity]?.[index] === entryKey,
+  );
   if (copies.length * 2 <= voters.length) {
-    violate(cluster, `index ${index} was committed with ${copies.length} copies on disk`);
+    recordViolation(cluster, `index ${index} was committed with ${copies.length} copies on disk`);
   }
 }
 
-function checkNewLeader(cluster: Changes, voter: ModelVoter, term: number): void {
-  const known = cluster.leaderByTerm[term];
-  if (known !== undefined && known !== voter.identity) violate(cluster, `two leaders in ${term}`);
+function checkNewLeader(cluster: MutableCluster, voter: ModelVoter, term: number): void {
+  const recordedLeader = cluster.leaderByTerm[term];
+  if (recordedLeader !== undefined && recordedLeader !== voter.identity)
+    recordViolation(cluster, `two leaders in ${term}`);
   cluster.leaderByTerm = { ...cluster.leaderByTerm, [term]: voter.identity };
   const { state } = voter;
   if (state === undefined) return;
-  cluster.committed.forEach((name, position) => {
+  cluster.committed.forEach((entryKey, position) => {
     const index = position + 1;
     if (index <= state.log.base.index) return;
     const entry = entryAt(state, index);
-    if (entry === undefined || makeEntryKey(entry) !== name) {
-      violate(cluster, `the leader of term ${term} lacks the committed index ${index}`);
+    if (entry === undefined || makeEntryKey(entry) !== entryKey) {
+      recordViolation(cluster, `the leader of term ${term} lacks the committed index ${index}`);
     }
   });
 }
 
-function noteSynced(cluster: Changes, voter: ModelVoter): void {
-  const names = [...(cluster.everSynced[voter.identity] ?? [])];
+function recordSynced(cluster: MutableCluster, voter: ModelVoter): void {
+  const syncedKeys = [...(cluster.everSynced[voter.identity] ?? [])];
   const { snapshot, entries } = voter.disk;
   if (snapshot !== undefined) {
-    const applied = JSON.parse(Buffer.from(snapshot.data).toString()) as string[];
-    applied.forEach((name, position) => {
-      names[position + 1] = name;
+    const appliedKeys = JSON.parse(Buffer.from(snapshot.data).toString()) as string[];
+    appliedKeys.forEach((entryKey, position) => {
+      syncedKeys[position + 1] = entryKey;
     });
   }
   entries.forEach((entry) => {
-    names[entry.index] = makeEntryKey(entry);
+    syncedKeys[entry.index] = makeEntryKey(entry);
   });
-  cluster.everSynced = { ...cluster.everSynced, [voter.identity]: names };
+  cluster.everSynced = { ...cluster.everSynced, [voter.identity]: syncedKeys };
 }
 
-function carryOut(cluster: Changes, voter: ModelVoter, effect: ConsensusEffect): void {
+function applyEffect(cluster: MutableCluster, voter: ModelVoter, effect: ConsensusEffect): void {
   switch (effect.type) {
     case 'persist':
       voter.pendingWrites.push({ type: 'batch', effect });
       if (cluster.mutation === 'acknowledgeBeforeSync') {
-        handle(cluster, voter, { type: 'persisted', batch: effect.batch });
+        handleEvent(cluster, voter, { type: 'persisted', batch: effect.batch });
       }
       break;
     case 'send':
@@ -184,19 +193,23 @@
       break;
     }
     case 'apply': {
-      const name = makeEntryKey(effect.entry);
-      if (effect.index !== voter.applied.length + 1) violate(cluster, 'applied out of order');
-      voter.applied.push(name);
-      const first = effect.index > cluster.committed.length;
-      noteCommitted(cluster, effect.index, name);
-      if (first) checkCopies(cluster, voter, effect.index, name);
+      const entryKey = makeEntryKey(effect.entry);
+      if (effect.index !== voter.applied.length + 1)
+        recordViolation(cluster, 'applied out of order');
+      voter.applied.push(entryKey);
+      const isFirstApplication = effect.index > cluster.committed.length;
+      recordCommitted(cluster, effect.index, entryKey);
+      if (isFirstApplication) checkCommitQuorum(cluster, voter, effect.index, entryKey);
       break;
     }
     case 'restore': {
       cluster.restoreCount += 1;
       voter.applied = JSON.parse(Buffer.from(effect.data).toString()) as string[];
-      if (voter.applied.length !== effect.header.index) violate(cluster, 'snapshot of other size');
-      voter.applied.forEach((name, position) => noteCommitted(cluster, position + 1, name));
+      if (voter.applied.length !== effect.header.index)
+        recordViolation(cluster, 'snapshot of other size');
+      voter.applied.forEach((entryKey, position) =>
+        recordCommitted(cluster, position + 1, entryKey),
+      );
       break;
     }
     case 'takeSnapshot': {
@@ -210,10 +223,10 @@
         cluster.acknowledgedIndex = Math.max(cluster.acknowledgedIndex, outcome.index);
       }
       if (outcome.type === 'readable') {
-        const floor = cluster.minIndexByReadId[requestId] ?? 0;
+        const minIndex = cluster.minIndexByReadId[requestId] ?? 0;
         cluster.answeredReadCount += 1;
-        if (voter.applied.length < floor) {
-          violate(cluster, `a read missed index ${floor}, acknowledged before it began`);
+        if (voter.applied.length < minIndex) {
+          recordViolation(cluster, `a read missed index ${minIndex}, acknowledged before it began`);
         }
       }
       break;
@@ -225,43 +238,49 @@
   }
 }
 
-function send(cluster: Changes, instance: string, envelope: Envelope): void {
+function send(cluster: MutableCluster, instance: string, envelope: Envelope): void {
   const message = { instance, envelope, key: makeEnvelopeKey(envelope) };
   cluster.network = [...cluster.network, message];
 }
 
-type Untimed<Event> = Event extends ConsensusEvent ? Omit<Event, 'now' | 'wallNow'> : never;
-export type ModelEvent = Untimed<ConsensusEvent>;
+type WithoutTimestamps<Event> = Event extends ConsensusEvent
+  ? Omit<Event, 'now' | 'wallNow'>
+  : never;
+export type ModelEvent = WithoutTimestamps<ConsensusEvent>;
 
-function handle(cluster: Changes, voter: ModelVoter, event: ModelEvent): void {
+function handleEvent(cluster: MutableCluster, voter: ModelVoter, event: ModelEvent): void {
   const { state, now } = voter;
   if (state === undefined) return;
   const votersBefore = votersOf(state).map((member) => member.identity);
   try {
     const effects = reduceConsensus(state, { ...event, now, wallNow: now });
-    effects.forEach((effect) => carryOut(cluster, voter, effect));
+    effects.forEach((effect) => applyEffect(cluster, voter, effect));
   } catch (error) {
-    violate(cluster, String(error));
+    recordViolation(cluster, String(error));
   }
   checkNewVoters(cluster, state, votersBefore);
 }
 
 /** A disk that is made a voter already holds everything that its leader knows to be committed. */
-function checkNewVoters(cluster: Changes, state: ConsensusState, before: readonly string[]): void {
-  if (state.role.type !== 'leader' || before.length === 0) return;
+function checkNewVoters(
+  cluster: MutableCluster,
+  state: ConsensusState,
+  previousVoters: readonly string[],
+): void {
+  if (state.role.type !== 'leader' || previousVoters.length === 0) return;
   votersOf(state)
-    .filter(({ identity }) => !before.includes(identity))
+    .filter(({ identity }) => !previousVoters.includes(identity))
     .forEach(({ identity }) => {
-      const synced = cluster.everSynced[identity] ?? [];
-      const missing = cluster.committed
+      const syncedKeys = cluster.everSynced[identity] ?? [];
+      const isBehind = cluster.committed
         .slice(0, state.commitIndex)
-        .some((name, position) => synced[position + 1] !== name);
-      if (missing) violate(cluster, `${identity} became a voter before it had caught up`);
+        .some((entryKey, position) => syncedKeys[position + 1] !== entryKey);
+      if (isBehind) recordViolation(cluster, `${identity} became a voter before it had caught up`);
     });
 }
 
-function finish(cluster: Changes, voter: ModelVoter): ModelCluster {
-  voter.key = nameVoter(voter);
+function finishStep(cluster: MutableCluster, voter: ModelVoter): ModelCluster {
+  voter.key = makeVoterKey(voter);
   return cluster;
 }
 
@@ -271,72 +290,76 @@
   instance: string,
   event: ModelEvent,
 ): ModelCluster {
-  const [next, voter] = changed(cluster, instance);
-  handle(next, voter, event);
-  return finish(next, voter);
+  const [next, voter] = copyForStep(cluster, instance);
+  handleEvent(next, voter, event);
+  return finishStep(next, voter);
 }
 
 /** Lets a message arrive, or a copy of it if `keep`. A voter's patience is taken to be over. */
 export function deliver(
   cluster: ModelCluster,
   message: ModelMessage,
-  keep = false,
-  patient = false,
+  keepCopy = false,
+  keepClock = false,
 ): ModelCluster {
-  const [next, voter] = changed(cluster, message.instance);
-  if (!keep) next.network = cluster.network.filter((other) => other !== message);
+  const [next, voter] = copyForStep(cluster, message.instance);
+  if (!keepCopy) next.network = cluster.network.filter((other) => other !== message);
   const { state } = voter;
-  if (!patient && state !== undefined && message.envelope.message.type === 'voteRequest') {
+  if (!keepClock && state !== undefined && message.envelope.message.type === 'voteRequest') {
     voter.now = Math.max(voter.now, state.voteAfter);
   }
-  handle(next, voter, { type: 'received', envelope: message.envelope });
-  return finish(next, voter);
+  handleEvent(next, voter, { type: 'received', envelope: message.envelope });
+  return finishStep(next, voter);
 }
 
 /** Lets a voter's timer fire, as soon as it is due. */
 export function fireTimer(cluster: ModelCluster, instance: string): ModelCluster {
-  const [next, voter] = changed(cluster, instance);
+  const [next, voter] = copyForStep(cluster, instance);
   voter.now = Math.max(voter.now, voter.state?.wakeAt ?? 0);
-  handle(next, voter, { type: 'timerFired' });
-  return finish(next, voter);
+  handleEvent(next, voter, { type: 'timerFired' });
+  return finishStep(next, voter);
 }
 
 /** Lets a voter's clock run, and fires its timer if it is due then. */
-export function advanceClock(cluster: ModelCluster, instance: string, span: number): ModelCluster {
-  const [next, voter] = changed(cluster, instance);
-  voter.now += span;
+export function advanceClock(
+  cluster: ModelCluster,
+  instance: string,
+  milliseconds: number,
+): ModelCluster {
+  const [next, voter] = copyForStep(cluster, instance);
+  voter.now += milliseconds;
   if (voter.state !== undefined && voter.now >= voter.state.wakeAt) {
-    handle(next, voter, { type: 'timerFired' });
+    handleEvent(next, voter, { type: 'timerFired' });
   }
-  return finish(next, voter);
+  return finishStep(next, voter);
 }
 
 /** Syncs the first `count` writes that wait. */
 export function syncDisk(cluster: ModelCluster, instance: string, count: number): ModelCluster {
-  const [next, voter] = changed(cluster, instance);
-  voter.pendingWrites.splice(0, count).forEach((job) => {
-    if (job.type === 'batch') writeBatch(voter.disk, job.effect);
-    else saveSnapshot(voter.disk, job.snapshot);
-    noteSynced(next, voter);
-    if (job.type === 'snapshot')
-      handle(next, voter, { type: 'compacted', header: job.snapshot.header });
+  const [next, voter] = copyForStep(cluster, instance);
+  voter.pendingWrites.splice(0, count).forEach((write) => {
+    if (write.type === 'batch') writeBatch(voter.disk, write.effect);
+    else saveSnapshot(voter.disk, write.snapshot);
+    recordSynced(next, voter);
+    if (write.type === 'snapshot')
+      handleEvent(next, voter, { type: 'compacted', header: write.snapshot.header });
     else if (next.mutation !== 'acknowledgeBeforeSync') {
-      handle(next, voter, { type: 'persisted', batch: job.effect.batch });
+      handleEvent(next, voter, { type: 'persisted', batch: write.effect.batch });
     }
   });
-  return finish(next, voter);
+  return finishStep(next, voter);
 }
 
 export function crash(cluster: ModelCluster, instance: string): ModelCluster {
-  const [next, voter] = changed(cluster, instance);
+  const [next, voter] = copyForStep(cluster, instance);
   voter.state = undefined;
   voter.pendingWrites = [];
   voter.applied = [];
-  return finish(next, voter);
+  return finishStep(next, voter);
 }
 
 export function restart(cluster: ModelCluster, instance: string): ModelCluster {
-  const [next, voter] = changed(cluster, instance);
+  const [next, voter] = copyForStep(cluster, instance);
   const { disk, identity } = voter;
   disk.runs += 1;
   const run = { count: disk.runs, token: `${identity}-${disk.runs}` };
@@ -355,36 +378,36 @@
     disk.snapshot === undefined
       ? []
       : (JSON.parse(Buffer.from(disk.snapshot.data).toString()) as string[]);
-  handle(next, voter, { type: 'started' });
-  return finish(next, voter);
+  handleEvent(next, voter, { type: 'started' });
+  return finishStep(next, voter);
 }
 
 /** A stopped voter's disk is replaced by an empty one, which has an identity of its own. */
 export function loseDisk(cluster: ModelCluster, instance: string): ModelCluster {
-  const [next, voter] = changed(cluster, instance);
+  const [next, voter] = copyForStep(cluster, instance);
   voter.disk = {
     ...makeEmptyDisk(),
     runs: cluster.mutation === 'lostDiskKeepsIdentity' ? voter.disk.runs : 0,
   };
   if (cluster.mutation !== 'lostDiskKeepsIdentity') voter.identity = `${voter.identity}'`;
-  return finish(next, voter);
+  return finishStep(next, voter);
 }
 
 export function propose(cluster: ModelCluster, instance: string): ModelCluster {
   const requestId = `write-${cluster.requestCount}`;
-  const counted = { ...cluster, requestCount: cluster.requestCount + 1 };
+  const withRequest = { ...cluster, requestCount: cluster.requestCount + 1 };
   const proposals = [{ requestId, command: requestId }];
-  return dispatchEvent(counted, instance, { type: 'propose', proposals });
+  return dispatchEvent(withRequest, instance, { type: 'propose', proposals });
 }
 
 export function read(cluster: ModelCluster, instance: string): ModelCluster {
   const requestId = `read-${cluster.requestCount}`;
-  const counted = {
+  const withRequest = {
     ...cluster,
     requestCount: cluster.requestCount + 1,
     minIndexByReadId: { ...cluster.minIndexByReadId, [requestId]: cluster.acknowledgedIndex },
   };
-  return dispatchEvent(counted, instance, { type: 'read', requestId });
+  return dispatchEvent(withRequest, instance, { type: 'read', requestId });
 }
 
 export interface ModelClusterOptions {
@@ -404,12 +427,12 @@
     address: makeAddress(instance),
   }));
   const header = { index: 0, term: 0, at: 0, membership: { members } };
-  const founded = { header, data: new Uint8Array(Buffer.from('[]')) };
+  const foundingSnapshot = { header, data: new Uint8Array(Buffer.from('[]')) };
   const makeVoter = (instance: string, isMember: boolean): ModelVoter => ({
     instance,
     identity: `${instance}1`,
     now: 0,
-    disk: isMember ? { ...makeEmptyDisk(), snapshot: founded } : makeEmptyDisk(),
+    disk: isMember ? { ...makeEmptyDisk(), snapshot: foundingSnapshot } : makeEmptyDisk(),
     pendingWrites: [],
     applied: [],
     key: '',
@@ -441,17 +464,11 @@
 export function makeClusterKey(cluster: ModelCluster): string {
   const messages = cluster.network.map((message) => message.key).sort();
   const voters = Object.values(cluster.voters).map((voter) => voter.key);
-  const {
-    leaderByTerm: leaders,
-    committed,
-    acknowledgedIndex,
-    minIndexByReadId: reads,
-    requestCount: requests,
-  } = cluster;
+  const { leaderByTerm, committed, acknowledgedIndex, minIndexByReadId, requestCount } = cluster;
   return [
     ...voters,
     ...messages,
-    JSON.stringify([leaders, committed, acknowledgedIndex, reads, requests]),
+    JSON.stringify([leaderByTerm, committed, acknowledgedIndex, minIndexByReadId, requestCount]),
   ].join('\n');
 }
 
@@ -462,14 +479,14 @@
 }
 
 /** Lets everything run without faults until nothing is left to do. */
-export function runUntilIdle(start: ModelCluster, mostSteps = 2000): ModelCluster {
+export function runUntilIdle(start: ModelCluster, maxSteps = 2000): ModelCluster {
   let cluster = start;
-  for (let step = 0; step < mostSteps; step += 1) {
-    const waiting = Object.values(cluster.voters).find(
+  for (let step = 0; step < maxSteps; step += 1) {
+    const voterWithWrites = Object.values(cluster.voters).find(
       (voter) => voter.state !== undefined && voter.pendingWrites.length > 0,
     );
     const [message] = cluster.network;
-    if (waiting !== undefined) cluster = syncDisk(cluster, waiting.instance, 1);
+    if (voterWithWrites !== undefined) cluster = syncDisk(cluster, voterWithWrites.instance, 1);
     else if (message !== undefined) cluster = deliver(cluster, message);
     else return cluster;
   }
--- a/packages/store-core/src/consensus/testing/modelDisk.ts
+++ b/packages/store-core/src/consensus/testing/modelDisk.ts
@@ -23,8 +23,8 @@
 export function saveSnapshot(disk: ModelDisk, snapshot: SavedSnapshot): void {
   const { index, term } = snapshot.header;
   if (index <= (disk.snapshot?.header.index ?? 0)) return;
-  const joins = disk.entries.some((entry) => entry.index === index && entry.term === term);
-  disk.entries = joins ? disk.entries.filter((entry) => entry.index > index) : [];
+  const matchesLog = disk.entries.some((entry) => entry.index === index && entry.term === term);
+  disk.entries = matchesLog ? disk.entries.filter((entry) => entry.index > index) : [];
   disk.snapshot = snapshot;
 }
 
--- a/packages/store-core/src/consensus/testing/modelKeys.ts
+++ b/packages/store-core/src/consensus/testing/modelKeys.ts
@@ -17,36 +17,36 @@
   return `${term}:${makeMembershipKey(body.membership)}`;
 }
 
-function nameEntries(entries: readonly LogEntry[]): string {
+function makeEntriesKey(entries: readonly LogEntry[]): string {
   return entries.map((entry) => `${entry.index}=${makeEntryKey(entry)}`).join('|');
 }
 
-function nameHeader(header: SnapshotHeader | undefined): string {
+function makeHeaderKey(header: SnapshotHeader | undefined): string {
   return header === undefined ? '-' : `${header.index}.${header.term}`;
 }
 
 /** The members of a message in fixed order, without the times in its entries. */
 export function makeEnvelopeKey({ from, to, message }: Envelope): string {
-  const who = `${from.identity}.${from.run.count}>${to}`;
+  const direction = `${from.identity}.${from.run.count}>${to}`;
   if (message.type === 'appendRequest') {
     const { term, previousIndex, previousTerm, entries, commitIndex, round } = message;
     const numbers = [term, previousIndex, previousTerm, commitIndex, round].join('.');
-    return `${who} append ${numbers} ${nameEntries(entries)}`;
+    return `${direction} append ${numbers} ${makeEntriesKey(entries)}`;
   }
   if (message.type === 'snapshotRequest') {
     const { term, round, offset, header } = message;
-    return `${who} snapshot ${term} ${round} ${offset} ${nameHeader(header)}`;
+    return `${direction} snapshot ${term} ${round} ${offset} ${makeHeaderKey(header)}`;
   }
-  return `${who} ${JSON.stringify(message)}`;
+  return `${direction} ${JSON.stringify(message)}`;
 }
 
 export function makeBatchKey(effect: PersistEffect): string {
   const { batch, vote, snapshot, truncateFrom, entries } = effect;
-  const head = [batch, vote?.term, vote?.votedFor, truncateFrom].join('.');
-  return `${head} ${nameHeader(snapshot?.header)} ${nameEntries(entries)}`;
+  const prefix = [batch, vote?.term, vote?.votedFor, truncateFrom].join('.');
+  return `${prefix} ${makeHeaderKey(snapshot?.header)} ${makeEntriesKey(entries)}`;
 }
 
-function nameRole(role: RoleState): string {
+function makeRoleKey(role: RoleState): string {
   if (role.type === 'follower') return `follower ${role.leader}`;
   if (role.type === 'candidate') return `candidate ${role.preVote} ${role.votes.join()}`;
   const peers = Object.entries(role.progress).map(([identity, progress]) => {
@@ -57,11 +57,11 @@
       inFlight,
       round,
       run,
-      diskRefused: refused,
-      acknowledgedSnapshotBytes: snapshotBytes,
+      diskRefused,
+      acknowledgedSnapshotBytes,
     } = progress;
-    const numbers = [matchIndex, nextIndex, round, run?.count, snapshotBytes];
-    return [identity, mode, inFlight.join(), refused, ...numbers];
+    const numbers = [matchIndex, nextIndex, round, run?.count, acknowledgedSnapshotBytes];
+    return [identity, mode, inFlight.join(), diskRefused, ...numbers];
   });
   return `leader ${role.round} ${role.termStartIndex} ${peers.join(';')} ${JSON.stringify(role.reads)}`;
 }
@@ -83,14 +83,20 @@
     state.incomingSnapshot?.index,
     state.incomingSnapshot?.receivedBytes,
   ];
-  const held = state.pendingMessages.map(
+  const pendingMessages = state.pendingMessages.map(
     ({ batch, envelope }) => `${batch} ${makeEnvelopeKey(envelope)}`,
   );
-  const unsynced = state.unsyncedBatches.map(({ batch, lastIndex }) => `${batch}.${lastIndex}`);
-  const requests = state.pendingRequests.map(({ index, requestId }) => `${index}.${requestId}`);
-  const log = nameEntries(state.log.entries);
-  const parts = [numbers.join(), nameRole(state.role), log, nameHeader(state.snapshot)];
-  return [...parts, held.join('|'), unsynced.join(), requests.join()].join('/');
+  const unsyncedBatches = state.unsyncedBatches.map(
+    ({ batch, lastIndex }) => `${batch}.${lastIndex}`,
+  );
+  const pendingRequests = state.pendingRequests.map(
+    ({ index, requestId }) => `${index}.${requestId}`,
+  );
+  const log = makeEntriesKey(state.log.entries);
+  const parts = [numbers.join(), makeRoleKey(state.role), log, makeHeaderKey(state.snapshot)];
+  return [...parts, pendingMessages.join('|'), unsyncedBatches.join(), pendingRequests.join()].join(
+    '/',
+  );
 }
 
 function copyRole(role: RoleState): RoleState {
--- a/packages/store-core/src/consensus/testing/runForDuration.ts
+++ b/packages/store-core/src/consensus/testing/runForDuration.ts
@@ -14,23 +14,27 @@
 const STEP_MILLISECONDS = 25;
 
 /** Carries out all that is under way; messages between the two sides of a cut are lost. */
-function finishWork(schedule: ClusterSimulation): void {
+function deliverAndSyncAll(simulation: ClusterSimulation): void {
   for (;;) {
-    syncAllDisks(schedule);
-    const { cluster } = schedule;
-    const [message, ...others] = cluster.network;
+    syncAllDisks(simulation);
+    const { cluster } = simulation;
+    const [message, ...remaining] = cluster.network;
     if (message === undefined) return;
-    schedule.cluster = isBlockedByPartition(schedule, message)
-      ? { ...cluster, network: others }
+    simulation.cluster = isBlockedByPartition(simulation, message)
+      ? { ...cluster, network: remaining }
       : deliver(cluster, message, false, true);
   }
 }
 
-export function runForDuration(schedule: ClusterSimulation, milliseconds: number): void {
-  for (let passed = 0; passed < milliseconds; passed += STEP_MILLISECONDS) {
-    advanceAllClocks(schedule, STEP_MILLISECONDS);
-    finishWork(schedule);
-    repairMembership(schedule);
-    finishWork(schedule);
+export function runForDuration(simulation: ClusterSimulation, milliseconds: number): void {
+  for (
+    let elapsedMilliseconds = 0;
+    elapsedMilliseconds < milliseconds;
+    elapsedMilliseconds += STEP_MILLISECONDS
+  ) {
+    advanceAllClocks(simulation, STEP_MILLISECONDS);
+    deliverAndSyncAll(simulation);
+    repairMembership(simulation);
+    deliverAndSyncAll(simulation);
   }
 }
--- a/packages/store-core/src/consensus/testing/scenario.ts
+++ b/packages/store-core/src/consensus/testing/scenario.ts
@@ -50,20 +50,24 @@
 }
 
 /** Everything runs without faults, but for these instances, which hear and say nothing. */
-export function runUntilIdleWithout(start: ModelCluster, cutOff: readonly string[]): ModelCluster {
+export function runUntilIdleWithout(
+  start: ModelCluster,
+  isolatedInstances: readonly string[],
+): ModelCluster {
   let cluster = start;
   for (;;) {
-    const kept = cluster.network.filter(
+    const remainingMessages = cluster.network.filter(
       ({ instance, envelope }) =>
-        !cutOff.includes(instance) && !cutOff.includes(envelope.from.instance),
+        !isolatedInstances.includes(instance) &&
+        !isolatedInstances.includes(envelope.from.instance),
     );
-    cluster = { ...cluster, network: kept };
-    const waiting = Object.values(cluster.voters).find(
-      ({ instance, pendingWrites: jobs, state }) =>
-        state !== undefined && jobs.length > 0 && !cutOff.includes(instance),
+    cluster = { ...cluster, network: remainingMessages };
+    const voterWithWrites = Object.values(cluster.voters).find(
+      ({ instance, pendingWrites, state }) =>
+        state !== undefined && pendingWrites.length > 0 && !isolatedInstances.includes(instance),
     );
-    const [message] = kept;
-    if (waiting !== undefined) cluster = syncDisk(cluster, waiting.instance, 1);
+    const [message] = remainingMessages;
+    if (voterWithWrites !== undefined) cluster = syncDisk(cluster, voterWithWrites.instance, 1);
     else if (message !== undefined) cluster = deliver(cluster, message);
     else return cluster;
   }
@@ -72,9 +76,9 @@
 export function electLeader(
   cluster: ModelCluster,
   instance: string,
-  cutOff: readonly string[] = [],
+  isolatedInstances: readonly string[] = [],
 ) {
-  const next = runUntilIdleWithout(fireTimer(cluster, instance), cutOff);
+  const next = runUntilIdleWithout(fireTimer(cluster, instance), isolatedInstances);
   assert.equal(findLeader(next)?.instance, instance);
   return next;
 }
@@ -82,10 +86,10 @@
 /** Delivers the messages of now that are meant. */
 export function deliverMatching(
   start: ModelCluster,
-  isMeant: (message: ModelMessage) => boolean,
+  isSelected: (message: ModelMessage) => boolean,
 ): ModelCluster {
   return start.network
-    .filter(isMeant)
+    .filter(isSelected)
     .reduce((cluster, message) => deliver(cluster, message), start);
 }
 
@@ -93,14 +97,14 @@
 export function runInstancesUntil(
   start: ModelCluster,
   instances: readonly string[],
-  done: (cluster: ModelCluster) => boolean,
+  isDone: (cluster: ModelCluster) => boolean,
 ): ModelCluster {
   let cluster = start;
-  while (!done(cluster)) {
+  while (!isDone(cluster)) {
     const { voters, network } = cluster;
-    const waiting = instances.find((instance) => voters[instance]?.pendingWrites.length);
+    const instanceWithWrites = instances.find((instance) => voters[instance]?.pendingWrites.length);
     const message = network.find(({ instance }) => instances.includes(instance));
-    if (waiting !== undefined) cluster = syncDisk(cluster, waiting, 1);
+    if (instanceWithWrites !== undefined) cluster = syncDisk(cluster, instanceWithWrites, 1);
     else if (message !== undefined) cluster = deliver(cluster, message);
     else break;
   }
@@ -108,7 +112,7 @@
 }
 
 /** The furthest that any state has come, to show that an exploration meets what it is about. */
-interface Reached {
+interface ReachedMaxima {
   committed: number;
   leaders: number;
   restores: number;
@@ -120,19 +124,14 @@
   scenario: Scenario,
   fault: InjectedFault,
 ): Exploration {
-  const reached: Reached = { committed: 0, leaders: 0, restores: 0, reads: 0 };
+  const reached: ReachedMaxima = { committed: 0, leaders: 0, restores: 0, reads: 0 };
   const model = makeClusterModel(scenario.prepare(fault), scenario.budget);
   const check = (bounded: BoundedCluster) => {
-    const {
-      committed,
-      leaderByTerm: leaders,
-      restoreCount: restores,
-      answeredReadCount: answeredReads,
-    } = bounded.cluster;
+    const { committed, leaderByTerm, restoreCount, answeredReadCount } = bounded.cluster;
     reached.committed = Math.max(reached.committed, committed.length);
-    reached.leaders = Math.max(reached.leaders, Object.keys(leaders).length);
-    reached.restores = Math.max(reached.restores, restores);
-    reached.reads = Math.max(reached.reads, answeredReads);
+    reached.leaders = Math.max(reached.leaders, Object.keys(leaderByTerm).length);
+    reached.restores = Math.max(reached.restores, restoreCount);
+    reached.reads = Math.max(reached.reads, answeredReadCount);
     return model.check(bounded);
   };
   const bounds = { mostStates: 400_000, mostSteps: scenario.maxSteps };
--- a/packages/store-core/src/log/FileSystem.ts
+++ b/packages/store-core/src/log/FileSystem.ts
@@ -28,7 +28,7 @@
   abstract syncFolder(folder: string): Promise<void>;
 }
 
-function codeOf(error: unknown): string | undefined {
+function getErrorCode(error: unknown): string | undefined {
   return error instanceof Error && 'code' in error ? String(error.code) : undefined;
 }
 
@@ -38,11 +38,16 @@
   }
 
   override async write(data: Uint8Array, position: number): Promise<void> {
-    let done = 0;
-    while (done < data.length) {
-      const left = data.length - done;
-      const { bytesWritten } = await this.handle.write(data, done, left, position + done);
-      done += bytesWritten;
+    let writtenBytes = 0;
+    while (writtenBytes < data.length) {
+      const remainingBytes = data.length - writtenBytes;
+      const { bytesWritten } = await this.handle.write(
+        data,
+        writtenBytes,
+        remainingBytes,
+        position + writtenBytes,
+      );
+      writtenBytes += bytesWritten;
     }
   }
 
@@ -61,14 +66,19 @@
 
 /** The file system of the instance. */
 /** What a link fails with where the file system has none. */
-const withoutLinks = new Set<string | undefined>(['ENOSYS', 'EPERM', 'ENOTSUP', 'EOPNOTSUPP']);
+const UNSUPPORTED_LINK_CODES = new Set<string | undefined>([
+  'ENOSYS',
+  'EPERM',
+  'ENOTSUP',
+  'EOPNOTSUPP',
+]);
 
 export class NodeFileSystem extends FileSystem {
   override async open(path: string): Promise<OpenFile> {
     try {
       return new NodeFile(await open(path, 'r+'));
     } catch (error) {
-      if (codeOf(error) !== 'ENOENT') throw error;
+      if (getErrorCode(error) !== 'ENOENT') throw error;
       return new NodeFile(await open(path, 'w+'));
     }
   }
@@ -77,7 +87,7 @@
     try {
       return await readFile(path);
     } catch (error) {
-      if (codeOf(error) === 'ENOENT') return undefined;
+      if (getErrorCode(error) === 'ENOENT') return undefined;
       throw error;
     }
   }
@@ -99,20 +109,20 @@
       await link(from, to);
       return true;
     } catch (error) {
-      const code = codeOf(error);
+      const code = getErrorCode(error);
       if (code === 'EEXIST') return false;
-      if (!withoutLinks.has(code)) throw error;
+      if (!UNSUPPORTED_LINK_CODES.has(code)) throw error;
     }
-    return this.copyOnce(from, to);
+    return this.copyIfAbsent(from, to);
   }
 
   /** Some file systems have no links; the content then appears in steps, but under a new name. */
-  private async copyOnce(from: string, to: string): Promise<boolean> {
+  private async copyIfAbsent(from: string, to: string): Promise<boolean> {
     try {
       await writeFile(to, await readFile(from), { flag: 'wx' });
       return true;
     } catch (error) {
-      if (codeOf(error) === 'EEXIST') return false;
+      if (getErrorCode(error) === 'EEXIST') return false;
       throw error;
     }
   }
--- a/packages/store-core/src/log/FolderLock.ts
+++ b/packages/store-core/src/log/FolderLock.ts
@@ -14,19 +14,19 @@
 import { decodeFrame, encodeFrame } from './frames.js';
 import { makeFolderLockedError } from './logErrors.js';
 
-interface Owner {
+interface LockOwner {
   readonly pid: number;
   /** When the process started, as the kernel counts; a reused pid has another. */
   readonly startedAt: string;
   readonly boot: string;
 }
 
-const LOCK_NAME = /^lock-(\d+)$/;
+const LOCK_NAME_PATTERN = /^lock-(\d+)$/;
 const BOOT_FILE = '/proc/sys/kernel/random/boot_id';
 /** Position of the start time behind the process name in the kernel's status line. */
-const START_FIELD = 19;
+const START_TIME_FIELD_INDEX = 19;
 
-function readText(path: string): string {
+function readTextOrEmpty(path: string): string {
   try {
     return readFileSync(path, 'utf8').trim();
   } catch {
@@ -34,10 +34,10 @@
   }
 }
 
-function startOf(pid: number): string {
-  const status = readText(`/proc/${pid}/stat`);
+function readStartTime(pid: number): string {
+  const status = readTextOrEmpty(`/proc/${pid}/stat`);
   const fields = status.slice(status.lastIndexOf(')') + 2).split(' ');
-  return fields[START_FIELD] ?? '';
+  return fields[START_TIME_FIELD_INDEX] ?? '';
 }
 
 /**
@@ -45,37 +45,37 @@
  * cannot be told from a later one of the same number, and a store that is killed there would
  * never start again, for its own lock: such a lock holds nobody off.
  */
-function isAlive({ pid, startedAt, boot }: Owner): boolean {
-  if (startedAt === '' || boot !== readText(BOOT_FILE)) return false;
+function isRunning({ pid, startedAt, boot }: LockOwner): boolean {
+  if (startedAt === '' || boot !== readTextOrEmpty(BOOT_FILE)) return false;
   try {
     process.kill(pid, 0);
   } catch (error) {
     // Not ours to signal, but there.
-    const isThere = error instanceof Error && 'code' in error && error.code === 'EPERM';
-    if (!isThere) return false;
+    const exists = error instanceof Error && 'code' in error && error.code === 'EPERM';
+    if (!exists) return false;
   }
-  return startedAt === startOf(pid);
+  return startedAt === readStartTime(pid);
 }
 
 interface FoundLock {
   readonly name: string;
   readonly number: number;
   /** Undefined for one that cannot be read: cut off with its machine, or still being written. */
-  readonly owner: Owner | undefined;
+  readonly owner: LockOwner | undefined;
 }
 
-function findLiving(locks: readonly FoundLock[]): Owner | undefined {
-  return locks.flatMap(({ owner }) => owner ?? []).find(isAlive);
+function findRunningOwner(locks: readonly FoundLock[]): LockOwner | undefined {
+  return locks.flatMap(({ owner }) => owner ?? []).find(isRunning);
 }
 
 async function findLocks(fileSystem: FileSystem, folder: string): Promise<FoundLock[]> {
   const found: FoundLock[] = [];
   for (const name of await fileSystem.list(folder)) {
-    const number = LOCK_NAME.exec(name)?.[1];
+    const number = LOCK_NAME_PATTERN.exec(name)?.[1];
     if (number === undefined) continue;
     const content = await fileSystem.read(join(folder, name));
     const frame = content ? decodeFrame(content, 0) : undefined;
-    found.push({ name, number: Number(number), owner: frame?.value as Owner | undefined });
+    found.push({ name, number: Number(number), owner: frame?.value as LockOwner | undefined });
   }
   return found;
 }
@@ -88,27 +88,31 @@
 
   /** Takes the lock, or throws if a living process has it. */
   static async acquire(fileSystem: FileSystem, folder: string): Promise<FolderLock> {
-    const before = await findLocks(fileSystem, folder);
-    const holder = findLiving(before);
-    if (holder !== undefined) throw makeFolderLockedError(folder, holder.pid);
-    const number = Math.max(0, ...before.map((lock) => lock.number)) + 1;
+    const existingLocks = await findLocks(fileSystem, folder);
+    const runningOwner = findRunningOwner(existingLocks);
+    if (runningOwner !== undefined) throw makeFolderLockedError(folder, runningOwner.pid);
+    const number = Math.max(0, ...existingLocks.map((lock) => lock.number)) + 1;
     const name = `lock-${number}`;
     const path = join(folder, name);
     const { pid } = process;
-    const owner: Owner = { pid, startedAt: startOf(pid), boot: readText(BOOT_FILE) };
-    const temporary = join(folder, `taking-${pid}-${number}`);
-    const file = await fileSystem.open(temporary);
+    const owner: LockOwner = {
+      pid,
+      startedAt: readStartTime(pid),
+      boot: readTextOrEmpty(BOOT_FILE),
+    };
+    const temporaryPath = join(folder, `taking-${pid}-${number}`);
+    const file = await fileSystem.open(temporaryPath);
     await file.write(encodeFrame(owner), 0);
     await file.close();
-    const taken = await fileSystem.link(temporary, path);
-    await fileSystem.remove(temporary);
-    const others = (await findLocks(fileSystem, folder)).filter((lock) => lock.name !== name);
-    const rival = findLiving(others);
-    if (!taken || rival !== undefined) {
-      if (taken) await fileSystem.remove(path);
-      throw makeFolderLockedError(folder, rival?.pid ?? 0);
+    const isLinked = await fileSystem.link(temporaryPath, path);
+    await fileSystem.remove(temporaryPath);
+    const otherLocks = (await findLocks(fileSystem, folder)).filter((lock) => lock.name !== name);
+    const rivalOwner = findRunningOwner(otherLocks);
+    if (!isLinked || rivalOwner !== undefined) {
+      if (isLinked) await fileSystem.remove(path);
+      throw makeFolderLockedError(folder, rivalOwner?.pid ?? 0);
     }
-    for (const stale of others) await fileSystem.remove(join(folder, stale.name));
+    for (const stale of otherLocks) await fileSystem.remove(join(folder, stale.name));
     return new FolderLock(fileSystem, path);
   }
 
--- a/packages/store-core/src/log/LogStore.ts
+++ b/packages/store-core/src/log/LogStore.ts
@@ -52,7 +52,7 @@
   readonly data: Uint8Array;
 }
 
-interface WaitingWrite {
+interface QueuedWrite {
   readonly batch: PersistEffect;
   resolve(): void;
   reject(reason: unknown): void;
@@ -84,20 +84,21 @@
   fileSystem: FileSystem,
   { folder, cluster, instance }: LogStoreOptions,
 ): Promise<string> {
-  const found = (await readWholeFile(fileSystem, folder, IDENTITY_FILE)) as Identity | undefined;
-  if (found !== undefined) {
-    const { cluster: itsCluster, instance: itsInstance, identity } = found;
-    if (itsCluster === cluster && itsInstance === instance) return identity;
+  const stored = (await readWholeFile(fileSystem, folder, IDENTITY_FILE)) as Identity | undefined;
+  if (stored !== undefined) {
+    const { cluster: storedCluster, instance: storedInstance, identity } = stored;
+    if (storedCluster === cluster && storedInstance === instance) return identity;
     throw makeDamagedLogError(
       IDENTITY_FILE,
       0,
-      `it is of ${itsInstance} in the cluster ${itsCluster}`,
+      `it is of ${storedInstance} in the cluster ${storedCluster}`,
     );
   }
   // A new identity beside old files would hide that this disk has made promises.
   const names = await fileSystem.list(folder);
-  const old = names.find((name) => /^(state|snapshot|log)-/.test(name));
-  if (old !== undefined) throw makeDamagedLogError(IDENTITY_FILE, 0, `it is missing beside ${old}`);
+  const existingName = names.find((name) => /^(state|snapshot|log)-/.test(name));
+  if (existingName !== undefined)
+    throw makeDamagedLogError(IDENTITY_FILE, 0, `it is missing beside ${existingName}`);
   const identity = randomUUID();
   await replaceFile(fileSystem, folder, IDENTITY_FILE, { cluster, instance, identity });
   return identity;
@@ -145,9 +146,9 @@
 
   private failure: HornbeampondError | undefined;
 
-  private waiting: WaitingWrite[] = [];
+  private queuedWrites: QueuedWrite[] = [];
 
-  private turn: Promise<void> = Promise.resolve();
+  private lastOperation: Promise<void> = Promise.resolve();
 
   private constructor(private readonly options: LogStoreOptions) {
     this.fileSystem = options.fileSystem ?? new NodeFileSystem();
@@ -191,14 +192,14 @@
    */
   async write(batch: PersistEffect): Promise<void> {
     return new Promise((resolve, reject) => {
-      this.waiting.push({ batch, resolve, reject });
-      if (this.waiting.length === 1) void this.inTurn(() => this.writeWaiting());
+      this.queuedWrites.push({ batch, resolve, reject });
+      if (this.queuedWrites.length === 1) void this.runInOrder(() => this.writeQueued());
     });
   }
 
   /** Saves a snapshot of the state machine. */
   async saveSnapshot(snapshot: SavedSnapshot): Promise<void> {
-    await this.inTurn(() => this.guarded(() => this.storeOwnSnapshot(snapshot)));
+    await this.runInOrder(() => this.failOnError(() => this.storeOwnSnapshot(snapshot)));
   }
 
   async readSnapshot(): Promise<SavedSnapshot | undefined> {
@@ -208,27 +209,27 @@
 
   /** Removes the segments that hold nothing above `throughIndex`. */
   async discardLog(throughIndex: number): Promise<void> {
-    await this.inTurn(() => this.discardSegments(throughIndex));
+    await this.runInOrder(() => this.discardSegments(throughIndex));
   }
 
   async close(): Promise<void> {
-    await this.turn;
+    await this.lastOperation;
     await this.file?.close();
     this.file = undefined;
     await this.lock.release();
   }
 
   /** Runs one piece of work after another. */
-  private async inTurn(work: () => Promise<void>): Promise<void> {
-    const done = this.turn.then(work);
-    this.turn = done.catch(() => {});
-    return done;
+  private async runInOrder(work: () => Promise<void>): Promise<void> {
+    const result = this.lastOperation.then(work);
+    this.lastOperation = result.catch(() => {});
+    return result;
   }
 
-  private async writeWaiting(): Promise<void> {
-    const writes = this.waiting.splice(0);
+  private async writeQueued(): Promise<void> {
+    const writes = this.queuedWrites.splice(0);
     try {
-      await this.guarded(() => this.writeBatches(writes.map(({ batch }) => batch)));
+      await this.failOnError(() => this.writeBatches(writes.map(({ batch }) => batch)));
       writes.forEach(({ resolve }) => resolve());
     } catch (error) {
       writes.forEach(({ reject }) => reject(error));
@@ -257,15 +258,15 @@
   private async discardSegments(throughIndex: number): Promise<void> {
     const through = Math.min(throughIndex, this.snapshot?.index ?? 0);
     const last = this.segments.length - 1;
-    const keepFrom = this.segments.findIndex(
+    const firstKeptPosition = this.segments.findIndex(
       ({ highestIndex }, position) => highestIndex > through || position === last,
     );
-    const first = this.segments[keepFrom];
-    if (first === undefined || keepFrom === 0) return;
-    await this.guarded(async () => {
+    const first = this.segments[firstKeptPosition];
+    if (first === undefined || firstKeptPosition === 0) return;
+    await this.failOnError(async () => {
       await this.saveState({ ...this.state, firstSegment: first.number });
-      for (const gone of this.segments.splice(0, keepFrom)) {
-        await this.fileSystem.remove(join(this.folder, gone.name));
+      for (const removedSegment of this.segments.splice(0, firstKeptPosition)) {
+        await this.fileSystem.remove(join(this.folder, removedSegment.name));
       }
     });
   }
@@ -281,7 +282,7 @@
   private async load(): Promise<void> {
     this.identity = await readIdentity(this.fileSystem, this.options);
     const state = await readWholeFile(this.fileSystem, this.folder, this.nameOf('state'));
-    if (state === undefined) await this.mustBeNew();
+    if (state === undefined) await this.assertNoLogFiles();
     else this.state = state as DiskState;
     const saved = await this.readSnapshot();
     this.snapshot = saved?.header;
@@ -289,10 +290,10 @@
     const [last] = this.segments.slice(-1);
     this.lastIndex = replayed.entries.at(-1)?.index ?? this.snapshot?.index ?? 0;
     const entries = selectEntriesAfterSnapshot(this.snapshot, replayed.entries, last?.name ?? '');
-    if (this.mustReset(replayed.entries.at(-1), entries)) {
+    if (this.needsReset(replayed.entries.at(-1), entries)) {
       await this.appendFrame([{ reset: true, entries: [] }]);
     }
-    await this.removeLeftovers();
+    await this.removeUnlistedSegments();
     // Counted before the first message leaves, so that peers can tell this run from earlier ones.
     await this.saveState({ ...this.state, runs: this.state.runs + 1 });
     const { term, votedFor, runs } = this.state;
@@ -310,27 +311,32 @@
    * True if the snapshot has replaced what is in the segments. That must be written down before
    * anything is added: entries behind the snapshot would be read back as following the old ones.
    */
-  private mustReset(last: LogEntry | undefined, behind: readonly LogEntry[]): boolean {
-    if (last === undefined || behind.length > 0) return false;
-    return last.index !== this.snapshot?.index || last.term !== this.snapshot.term;
+  private needsReset(
+    lastEntry: LogEntry | undefined,
+    remainingEntries: readonly LogEntry[],
+  ): boolean {
+    if (lastEntry === undefined || remainingEntries.length > 0) return false;
+    return lastEntry.index !== this.snapshot?.index || lastEntry.term !== this.snapshot.term;
   }
 
   /** Removes segments whose removal, or whose beginning, a crash has interrupted. */
-  private async removeLeftovers(): Promise<void> {
-    const live = new Set(this.segments.map(({ name }) => name));
+  private async removeUnlistedSegments(): Promise<void> {
+    const listedNames = new Set(this.segments.map(({ name }) => name));
     const names = await this.fileSystem.list(this.folder);
     for (const name of names) {
-      if (name.startsWith(`log-${this.identity}-`) && !live.has(name)) {
+      if (name.startsWith(`log-${this.identity}-`) && !listedNames.has(name)) {
         await this.fileSystem.remove(join(this.folder, name));
       }
     }
   }
 
-  private async mustBeNew(): Promise<void> {
+  private async assertNoLogFiles(): Promise<void> {
     const names = await this.fileSystem.list(this.folder);
-    const old = names.find((name) => /^(snapshot|log)-/.test(name) && name.includes(this.identity));
-    if (old === undefined) return;
-    throw makeDamagedLogError(this.nameOf('state'), 0, `it is missing beside ${old}`);
+    const existingName = names.find(
+      (name) => /^(snapshot|log)-/.test(name) && name.includes(this.identity),
+    );
+    if (existingName === undefined) return;
+    throw makeDamagedLogError(this.nameOf('state'), 0, `it is missing beside ${existingName}`);
   }
 
   private async readSegments(): Promise<{ entries: RestoredState['entries'] }> {
@@ -348,12 +354,12 @@
       number: firstSegment + position,
     }));
     const last = this.segments.at(-1);
-    if (last !== undefined) await this.cutTail(last, contents.at(-1)?.content.length ?? 0);
+    if (last !== undefined) await this.truncateTail(last, contents.at(-1)?.content.length ?? 0);
     return replay;
   }
 
   /** Cuts off what an unfinished write has left, and keeps the last segment open. */
-  private async cutTail(
+  private async truncateTail(
     last: { name: string; byteLength: number },
     fileLength: number,
   ): Promise<void> {
@@ -389,14 +395,14 @@
     await this.appendFrame([{ reset: true, entries: [] }]);
   }
 
-  private noteLastIndex({ reset, truncateFrom, entries }: LogOperation): void {
+  private updateLastIndex({ reset, truncateFrom, entries }: LogOperation): void {
     if (reset) this.lastIndex = this.snapshot?.index ?? 0;
     if (truncateFrom !== undefined) this.lastIndex = Math.min(this.lastIndex, truncateFrom - 1);
     this.lastIndex = entries.at(-1)?.index ?? this.lastIndex;
   }
 
   /** Begins a segment. It is named in the state before anything in it is acknowledged. */
-  private async beginSegment(): Promise<void> {
+  private async startSegment(): Promise<void> {
     const number = this.state.lastSegment + 1;
     const name = this.segmentName(number);
     const path = join(this.folder, name);
@@ -413,14 +419,14 @@
   private async appendFrame(operations: readonly LogOperation[]): Promise<void> {
     if (operations.length === 0) return;
     const current = this.segments.at(-1);
-    if (current === undefined || current.byteLength >= this.segmentBytes) await this.beginSegment();
+    if (current === undefined || current.byteLength >= this.segmentBytes) await this.startSegment();
     const segment = this.segments.at(-1);
     if (segment === undefined || this.file === undefined) throw new Error('No segment is open');
     const frame = encodeFrame(operations);
     await this.file.write(frame, segment.byteLength);
     await this.file.sync();
     segment.byteLength += frame.length;
-    operations.forEach((operation) => this.noteLastIndex(operation));
+    operations.forEach((operation) => this.updateLastIndex(operation));
     segment.highestIndex = Math.max(segment.highestIndex, findHighestIndex(operations));
   }
 
@@ -428,20 +434,20 @@
    * Runs a write. After any failure the log takes no more: a sync that has failed once may report
    * success later for data that is gone.
    */
-  private async guarded(write: () => Promise<void>): Promise<void> {
+  private async failOnError(write: () => Promise<void>): Promise<void> {
     if (this.failure !== undefined) throw this.failure;
     try {
       await write();
     } catch (error) {
       const reason = error instanceof Error ? error.message : String(error);
       this.failure = makeReadOnlyLogError(reason, error);
-      await this.dropUnfinished();
+      await this.truncateUnfinishedFrame();
       this.options.onNotice({ type: 'diskFull', reason });
       throw this.failure;
     }
   }
 
-  private async dropUnfinished(): Promise<void> {
+  private async truncateUnfinishedFrame(): Promise<void> {
     try {
       await this.file?.truncate(this.segments.at(-1)?.byteLength ?? 0);
     } catch {
--- a/packages/store-core/src/log/frames.ts
+++ b/packages/store-core/src/log/frames.ts
@@ -15,7 +15,7 @@
 const { h64Raw } = await xxhash();
 
 /** The length goes into the checksum, so that a damaged length can't pass for a shorter frame. */
-function checksumOf(payload: Uint8Array): bigint {
+function computeChecksum(payload: Uint8Array): bigint {
   return h64Raw(payload, BigInt(payload.length));
 }
 
@@ -24,7 +24,7 @@
   const frame = Buffer.alloc(HEADER_BYTES + payload.length);
   frame.writeUInt32BE(MAGIC, 0);
   frame.writeUInt32BE(payload.length, LENGTH_OFFSET);
-  frame.writeBigUInt64BE(checksumOf(payload), CHECKSUM_OFFSET);
+  frame.writeBigUInt64BE(computeChecksum(payload), CHECKSUM_OFFSET);
   frame.set(payload, HEADER_BYTES);
   return frame;
 }
@@ -44,17 +44,22 @@
   const end = start + bytes.readUInt32BE(offset + LENGTH_OFFSET);
   if (end > bytes.length) return undefined;
   const payload = bytes.subarray(start, end);
-  if (bytes.readBigUInt64BE(offset + CHECKSUM_OFFSET) !== checksumOf(payload)) return undefined;
+  if (bytes.readBigUInt64BE(offset + CHECKSUM_OFFSET) !== computeChecksum(payload))
+    return undefined;
   return { value: codec.decode(payload), endOffset: end };
 }
 
 /** True if a sound frame begins anywhere from `offset` on. */
 export function hasValidFrameFrom(file: Uint8Array, offset: number): boolean {
   const bytes = Buffer.from(file.buffer, file.byteOffset, file.byteLength);
-  const mark = Buffer.alloc(4);
-  mark.writeUInt32BE(MAGIC, 0);
-  for (let at = bytes.indexOf(mark, offset); at !== -1; at = bytes.indexOf(mark, at + 1)) {
-    if (decodeFrame(bytes, at) !== undefined) return true;
+  const magic = Buffer.alloc(4);
+  magic.writeUInt32BE(MAGIC, 0);
+  for (
+    let position = bytes.indexOf(magic, offset);
+    position !== -1;
+    position = bytes.indexOf(magic, position + 1)
+  ) {
+    if (decodeFrame(bytes, position) !== undefined) return true;
   }
   return false;
 }
--- a/packages/store-core/src/log/logSchedules.test.ts
+++ b/packages/store-core/src/log/logSchedules.test.ts
@@ -13,39 +13,39 @@
 import { LogStore } from './LogStore.js';
 import { MemoryFileSystem, type SurvivingWrites } from './testing/MemoryFileSystem.js';
 
-const kinds = ['append', 'conflict', 'ownSnapshot', 'installed', 'vote'] as const;
-const leftovers: readonly SurvivingWrites[] = ['nothing', 'half', 'everything'];
+const writeKinds = ['append', 'conflict', 'ownSnapshot', 'installed', 'vote'] as const;
+const survivingWritesOptions: readonly SurvivingWrites[] = ['nothing', 'half', 'everything'];
 
-interface Pick {
-  readonly kind: (typeof kinds)[number];
+interface PlannedWrite {
+  readonly kind: (typeof writeKinds)[number];
   readonly count: number;
   /** True if the power goes during this write. */
-  readonly cut: boolean;
-  readonly failAfter: number;
-  readonly leftover: SurvivingWrites;
+  readonly cutsPower: boolean;
+  readonly failAfterOperations: number;
+  readonly survivingWrites: SurvivingWrites;
 }
 
-const picks = fc.array(
+const plannedWrites = fc.array(
   fc.record({
-    kind: fc.constantFrom(...kinds),
+    kind: fc.constantFrom(...writeKinds),
     count: fc.integer({ min: 1, max: 5 }),
-    cut: fc.boolean(),
-    failAfter: fc.integer({ min: 1, max: 12 }),
-    leftover: fc.constantFrom(...leftovers),
+    cutsPower: fc.boolean(),
+    failAfterOperations: fc.integer({ min: 1, max: 12 }),
+    survivingWrites: fc.constantFrom(...survivingWritesOptions),
   }),
   { minLength: 30, maxLength: 30 },
 );
 
-type Work =
+type DiskWrite =
   | { readonly type: 'batch'; readonly batch: PersistEffect }
   | { readonly type: 'snapshot'; readonly snapshot: SavedSnapshot };
 
-function baseOf({ snapshot }: ModelDisk): number {
+function snapshotIndexOf({ snapshot }: ModelDisk): number {
   return snapshot?.header.index ?? 0;
 }
 
-function lastOf(disk: ModelDisk): number {
-  return disk.entries.at(-1)?.index ?? baseOf(disk);
+function lastIndexOf(disk: ModelDisk): number {
+  return disk.entries.at(-1)?.index ?? snapshotIndexOf(disk);
 }
 
 function makeEntries(first: number, count: number, term: number): LogEntry[] {
@@ -63,47 +63,50 @@
 }
 
 /** A write that a voter could ask for, given what its disk holds. */
-function workFor(disk: ModelDisk, { kind, count }: Pick): Work {
-  const none: PersistEffect = { type: 'persist', batch: 1, entries: [] };
+function makeWrite(disk: ModelDisk, { kind, count }: PlannedWrite): DiskWrite {
+  const emptyBatch: PersistEffect = { type: 'persist', batch: 1, entries: [] };
   const term = disk.term + 1;
   const vote = { term };
   switch (kind) {
     case 'conflict': {
-      const truncateFrom = Math.max(baseOf(disk) + 1, lastOf(disk) - count + 1);
+      const truncateFrom = Math.max(snapshotIndexOf(disk) + 1, lastIndexOf(disk) - count + 1);
       const entries = makeEntries(truncateFrom, count, term);
-      return { type: 'batch', batch: { ...none, vote, truncateFrom, entries } };
+      return { type: 'batch', batch: { ...emptyBatch, vote, truncateFrom, entries } };
     }
     case 'ownSnapshot': {
-      const inLog = disk.entries[Math.min(count, disk.entries.length) - 1];
-      const snapshot = snapshotAt(inLog?.index ?? lastOf(disk) + count, inLog?.term ?? disk.term);
+      const snapshotEntry = disk.entries[Math.min(count, disk.entries.length) - 1];
+      const snapshot = snapshotAt(
+        snapshotEntry?.index ?? lastIndexOf(disk) + count,
+        snapshotEntry?.term ?? disk.term,
+      );
       return { type: 'snapshot', snapshot };
     }
     case 'installed': {
       // It may end below, at or beyond the end of a log that differs from it.
-      const index = Math.max(baseOf(disk) + 1, lastOf(disk) + count - 3);
-      return { type: 'batch', batch: { ...none, vote, snapshot: snapshotAt(index, term) } };
+      const index = Math.max(snapshotIndexOf(disk) + 1, lastIndexOf(disk) + count - 3);
+      return { type: 'batch', batch: { ...emptyBatch, vote, snapshot: snapshotAt(index, term) } };
     }
     case 'vote':
-      return { type: 'batch', batch: { ...none, vote: { term, votedFor: `${count}` } } };
+      return { type: 'batch', batch: { ...emptyBatch, vote: { term, votedFor: `${count}` } } };
     default: {
-      const entries = makeEntries(lastOf(disk) + 1, count, disk.term);
-      return { type: 'batch', batch: { ...none, entries } };
+      const entries = makeEntries(lastIndexOf(disk) + 1, count, disk.term);
+      return { type: 'batch', batch: { ...emptyBatch, entries } };
     }
   }
 }
 
-function doneOn(disk: ModelDisk, work: Work): ModelDisk {
-  const next = { ...disk, entries: [...disk.entries] };
-  if (work.type === 'snapshot') saveSnapshot(next, work.snapshot);
-  else writeBatch(next, work.batch);
-  return next;
+function applyToModel(disk: ModelDisk, write: DiskWrite): ModelDisk {
+  const nextDisk = { ...disk, entries: [...disk.entries] };
+  if (write.type === 'snapshot') saveSnapshot(nextDisk, write.snapshot);
+  else writeBatch(nextDisk, write.batch);
+  return nextDisk;
 }
 
-async function doOn(store: LogStore, work: Work): Promise<void> {
-  if (work.type === 'batch') await store.write(work.batch);
+async function applyToStore(store: LogStore, write: DiskWrite): Promise<void> {
+  if (write.type === 'batch') await store.write(write.batch);
   else {
-    await store.saveSnapshot(work.snapshot);
-    await store.discardLog(work.snapshot.header.index);
+    await store.saveSnapshot(write.snapshot);
+    await store.discardLog(write.snapshot.header.index);
   }
 }
 
@@ -119,7 +122,7 @@
   return describe(restored.term, restored.snapshot?.index, restored.entries);
 }
 
-interface Pair {
+interface StoreAndModel {
   store: LogStore;
   disk: ModelDisk;
 }
@@ -128,58 +131,66 @@
  * Lets the power go during a write. Afterwards it is there as a whole or not at all, but for the
  * term, which is written first.
  */
-async function cutDuring(
-  pair: Pair,
+async function cutPowerDuring(
+  storeAndModel: StoreAndModel,
   fileSystem: MemoryFileSystem,
-  work: Work,
-  { failAfter, leftover }: Pick,
+  write: DiskWrite,
+  { failAfterOperations, survivingWrites: leftover }: PlannedWrite,
 ): Promise<void> {
-  const after = doneOn(pair.disk, work);
-  fileSystem.failFromOperation = fileSystem.operationCount + failAfter;
-  const acknowledged = await doOn(pair.store, work).then(
+  const diskAfter = applyToModel(storeAndModel.disk, write);
+  fileSystem.failFromOperation = fileSystem.operationCount + failAfterOperations;
+  const acknowledged = await applyToStore(storeAndModel.store, write).then(
     () => true,
     () => false,
   );
   fileSystem.cutPower(leftover);
-  pair.store = await LogStore.open(optionsOf(fileSystem));
-  const read = describeStore(pair.store);
-  const onlyTerm = { ...pair.disk, term: after.term };
-  const allowed = acknowledged ? [after] : [pair.disk, onlyTerm, after];
-  const found = allowed.find((disk) => describeDisk(disk) === read);
-  assert.ok(found !== undefined, `read ${read}, had ${describeDisk(pair.disk)}`);
-  pair.disk = found;
+  storeAndModel.store = await LogStore.open(makeOptions(fileSystem));
+  const storeContent = describeStore(storeAndModel.store);
+  const diskWithNewTerm = { ...storeAndModel.disk, term: diskAfter.term };
+  const allowedDisks = acknowledged
+    ? [diskAfter]
+    : [storeAndModel.disk, diskWithNewTerm, diskAfter];
+  const matchingDisk = allowedDisks.find((disk) => describeDisk(disk) === storeContent);
+  assert.ok(
+    matchingDisk !== undefined,
+    `read ${storeContent}, had ${describeDisk(storeAndModel.disk)}`,
+  );
+  storeAndModel.disk = matchingDisk;
 }
 
-function optionsOf(fileSystem: MemoryFileSystem) {
-  const names = { folder: '/data', cluster: 'test', instance: 'a' };
-  return { ...names, onNotice: () => {}, fileSystem, segmentBytes: 300 };
+function makeOptions(fileSystem: MemoryFileSystem) {
+  const identityOptions = { folder: '/data', cluster: 'test', instance: 'a' };
+  return { ...identityOptions, onNotice: () => {}, fileSystem, segmentBytes: 300 };
 }
 
 test('The log on disk holds what the model of a disk holds, over power cuts', async (context) => {
   // Any sequence of writes, with the power going in the middle of some. After each restart the
   // store has read what the model of a disk holds, before or after the write that was under way;
   // the model check of the agreement rests on that.
-  let cuts = 0;
-  const property = fc.asyncProperty(picks, async (sequence) => {
+  let cutCount = 0;
+  const property = fc.asyncProperty(plannedWrites, async (plannedSequence) => {
     const fileSystem = new MemoryFileSystem();
-    const options = optionsOf(fileSystem);
-    const pair: Pair = { store: await LogStore.open(options), disk: makeEmptyDisk() };
-    for (const pick of sequence) {
-      const work = workFor(pair.disk, pick);
-      if (pick.cut) {
-        await cutDuring(pair, fileSystem, work, pick);
-        cuts += 1;
+    const options = makeOptions(fileSystem);
+    const storeAndModel: StoreAndModel = {
+      store: await LogStore.open(options),
+      disk: makeEmptyDisk(),
+    };
+    for (const plannedWrite of plannedSequence) {
+      const write = makeWrite(storeAndModel.disk, plannedWrite);
+      if (plannedWrite.cutsPower) {
+        await cutPowerDuring(storeAndModel, fileSystem, write, plannedWrite);
+        cutCount += 1;
       } else {
-        await doOn(pair.store, work);
-        pair.disk = doneOn(pair.disk, work);
+        await applyToStore(storeAndModel.store, write);
+        storeAndModel.disk = applyToModel(storeAndModel.disk, write);
       }
     }
-    await pair.store.close();
-    const again = await LogStore.open(options);
-    assert.equal(describeStore(again), describeDisk(pair.disk));
-    await again.close();
+    await storeAndModel.store.close();
+    const reopened = await LogStore.open(options);
+    assert.equal(describeStore(reopened), describeDisk(storeAndModel.disk));
+    await reopened.close();
   });
   const numRuns = 300;
   await fc.assert(property, { seed: 401, numRuns, endOnFailure: true });
-  context.diagnostic(`${numRuns} sequences, ${cuts} power cuts`);
+  context.diagnostic(`${numRuns} sequences, ${cutCount} power cuts`);
 });
--- a/packages/store-core/src/log/replaceFile.ts
+++ b/packages/store-core/src/log/replaceFile.ts
@@ -16,16 +16,16 @@
   value: unknown,
 ): Promise<void> {
   const path = join(folder, name);
-  const temporary = `${path}${TEMPORARY_SUFFIX}`;
-  await fileSystem.remove(temporary);
-  const file = await fileSystem.open(temporary);
+  const temporaryPath = `${path}${TEMPORARY_SUFFIX}`;
+  await fileSystem.remove(temporaryPath);
+  const file = await fileSystem.open(temporaryPath);
   try {
     await file.write(encodeFrame(value), 0);
     await file.sync();
   } finally {
     await file.close();
   }
-  await fileSystem.rename(temporary, path);
+  await fileSystem.rename(temporaryPath, path);
   await fileSystem.syncFolder(folder);
 }
 
--- a/packages/store-core/src/log/replaySegments.ts
+++ b/packages/store-core/src/log/replaySegments.ts
@@ -37,18 +37,18 @@
 function replayOperation(
   entries: LogEntry[],
   operation: LogOperation,
-  damaged: (reason: string) => Error,
+  makeError: (reason: string) => Error,
 ): void {
   const { truncateFrom } = operation;
   if (operation.reset) entries.length = 0;
-  const first = entries[0]?.index;
-  if (truncateFrom !== undefined && first !== undefined) {
-    entries.length = Math.min(entries.length, Math.max(0, truncateFrom - first));
+  const firstIndex = entries[0]?.index;
+  if (truncateFrom !== undefined && firstIndex !== undefined) {
+    entries.length = Math.min(entries.length, Math.max(0, truncateFrom - firstIndex));
   }
   operation.entries.forEach((entry) => {
     const previous = entries.at(-1);
     if (previous !== undefined && entry.index !== previous.index + 1) {
-      throw damaged(`entry ${entry.index} follows entry ${previous.index}`);
+      throw makeError(`entry ${entry.index} follows entry ${previous.index}`);
     }
     entries.push(entry);
   });
@@ -97,6 +97,6 @@
     throw makeDamagedLogError(lastSegment, 0, reason);
   }
   if (first.index === index + 1) return entries;
-  const shared = entries[index - first.index];
-  return shared?.term === header?.term ? entries.slice(index - first.index + 1) : [];
+  const entryAtSnapshot = entries[index - first.index];
+  return entryAtSnapshot?.term === header?.term ? entries.slice(index - first.index + 1) : [];
 }
--- a/packages/store-core/src/log/testing/MemoryFileSystem.ts
+++ b/packages/store-core/src/log/testing/MemoryFileSystem.ts
@@ -11,7 +11,7 @@
 }
 
 /** What a file needs of its disk. */
-interface DiskMeter {
+interface SimulatedDisk {
   syncCount: number;
   freeBytes: number;
   readonly ignoresSyncs: boolean;
@@ -20,7 +20,7 @@
 
 class MemoryFile extends OpenFile {
   constructor(
-    private readonly disk: DiskMeter,
+    private readonly disk: SimulatedDisk,
     private readonly content: Content,
   ) {
     super();
@@ -28,14 +28,14 @@
 
   override async write(data: Uint8Array, position: number): Promise<void> {
     this.disk.countOperation();
-    const taken = Math.min(data.length, this.disk.freeBytes);
-    this.disk.freeBytes -= taken;
+    const writtenLength = Math.min(data.length, this.disk.freeBytes);
+    this.disk.freeBytes -= writtenLength;
     const { live } = this.content;
-    const next = Buffer.alloc(Math.max(live.length, position + taken));
-    next.set(live);
-    next.set(data.subarray(0, taken), position);
-    this.content.live = next;
-    if (taken < data.length) throw new Error('ENOSPC: no space left on device, write');
+    const nextContent = Buffer.alloc(Math.max(live.length, position + writtenLength));
+    nextContent.set(live);
+    nextContent.set(data.subarray(0, writtenLength), position);
+    this.content.live = nextContent;
+    if (writtenLength < data.length) throw new Error('ENOSPC: no space left on device, write');
   }
 
   override async sync(): Promise<void> {
@@ -58,9 +58,9 @@
 export type SurvivingWrites = 'nothing' | 'half' | 'everything';
 
 export class MemoryFileSystem extends FileSystem {
-  private names = new Map<string, Content>();
+  private contentByPath = new Map<string, Content>();
 
-  private syncedNames = new Map<string, Content>();
+  private syncedContentByPath = new Map<string, Content>();
 
   operationCount = 0;
 
@@ -82,8 +82,8 @@
 
   /** Takes the power away and brings it back. Locks of before are of another boot. */
   cutPower(leftover: SurvivingWrites): void {
-    if (leftover === 'nothing') this.names = new Map(this.syncedNames);
-    this.names.forEach((content, path) => {
+    if (leftover === 'nothing') this.contentByPath = new Map(this.syncedContentByPath);
+    this.contentByPath.forEach((content, path) => {
       const { live, synced } = content;
       if (leftover === 'nothing') content.live = synced;
       if (leftover === 'half' && live.length > synced.length) {
@@ -93,25 +93,28 @@
         );
       }
       content.synced = content.live;
-      if (basename(path).startsWith('lock-')) this.names.delete(path);
+      if (basename(path).startsWith('lock-')) this.contentByPath.delete(path);
     });
-    this.syncedNames = new Map(this.names);
+    this.syncedContentByPath = new Map(this.contentByPath);
     this.failFromOperation = Number.POSITIVE_INFINITY;
   }
 
   override async open(path: string): Promise<OpenFile> {
     this.countOperation();
-    const content = this.names.get(path) ?? { live: Buffer.alloc(0), synced: Buffer.alloc(0) };
-    this.names.set(path, content);
+    const content = this.contentByPath.get(path) ?? {
+      live: Buffer.alloc(0),
+      synced: Buffer.alloc(0),
+    };
+    this.contentByPath.set(path, content);
     return new MemoryFile(this, content);
   }
 
   override async read(path: string): Promise<Uint8Array | undefined> {
-    return this.names.get(path)?.live;
+    return this.contentByPath.get(path)?.live;
   }
 
   override async list(folder: string): Promise<readonly string[]> {
-    return [...this.names.keys()]
+    return [...this.contentByPath.keys()]
       .filter((path) => dirname(path) === folder)
       .map((path) => basename(path));
   }
@@ -122,27 +125,27 @@
 
   override async rename(from: string, to: string): Promise<void> {
     this.countOperation();
-    const content = this.names.get(from);
+    const content = this.contentByPath.get(from);
     if (content === undefined) throw new Error(`${from} is missing`);
-    this.names.delete(from);
-    this.names.set(to, content);
+    this.contentByPath.delete(from);
+    this.contentByPath.set(to, content);
   }
 
   override async link(from: string, to: string): Promise<boolean> {
     this.countOperation();
-    const content = this.names.get(from);
-    if (content === undefined || this.names.has(to)) return false;
-    this.names.set(to, content);
+    const content = this.contentByPath.get(from);
+    if (content === undefined || this.contentByPath.has(to)) return false;
+    this.contentByPath.set(to, content);
     return true;
   }
 
   override async remove(path: string): Promise<void> {
     this.countOperation();
-    this.names.delete(path);
+    this.contentByPath.delete(path);
   }
 
   override async syncFolder(): Promise<void> {
     this.countOperation();
-    this.syncedNames = new Map(this.names);
+    this.syncedContentByPath = new Map(this.contentByPath);
   }
 }
