--- a/packages/store-core/src/consensus/testing/runForDuration.ts
+++ b/packages/store-core/src/consensus/testing/runForDuration.ts
@@ -27,11 +27,7 @@
 }
 
 export function runForDuration(simulation: ClusterSimulation, milliseconds: number): void {
-  for (
-    let elapsedMilliseconds = 0;
-    elapsedMilliseconds < milliseconds;
-    elapsedMilliseconds += STEP_MILLISECONDS
-  ) {
+  for (let elapsed = 0; elapsed < milliseconds; elapsed += STEP_MILLISECONDS) {
     advanceAllClocks(simulation, STEP_MILLISECONDS);
     deliverAndSyncAll(simulation);
     repairMembership(simulation);
--- a/packages/store-core/src/log/FolderLock.ts
+++ b/packages/store-core/src/log/FolderLock.ts
@@ -35,8 +35,8 @@
 }
 
 function readStartTime(pid: number): string {
-  const status = readTextOrEmpty(`/proc/${pid}/stat`);
-  const fields = status.slice(status.lastIndexOf(')') + 2).split(' ');
+  const statusLine = readTextOrEmpty(`/proc/${pid}/stat`);
+  const fields = statusLine.slice(statusLine.lastIndexOf(')') + 2).split(' ');
   return fields[START_TIME_FIELD_INDEX] ?? '';
 }
 
@@ -51,8 +51,8 @@
     process.kill(pid, 0);
   } catch (error) {
     // Not ours to signal, but there.
-    const exists = error instanceof Error && 'code' in error && error.code === 'EPERM';
-    if (!exists) return false;
+    const isOtherUsers = error instanceof Error && 'code' in error && error.code === 'EPERM';
+    if (!isOtherUsers) return false;
   }
   return startedAt === readStartTime(pid);
 }
@@ -112,7 +112,7 @@
       if (isLinked) await fileSystem.remove(path);
       throw makeFolderLockedError(folder, rivalOwner?.pid ?? 0);
     }
-    for (const stale of otherLocks) await fileSystem.remove(join(folder, stale.name));
+    for (const staleLock of otherLocks) await fileSystem.remove(join(folder, staleLock.name));
     return new FolderLock(fileSystem, path);
   }
 
--- a/packages/store-core/src/log/LogStore.test.ts
+++ b/packages/store-core/src/log/LogStore.test.ts
@@ -48,7 +48,7 @@
   await Promise.all(batches.map((batch) => store.write(batch)));
 }
 
-const DATA = new Uint8Array([1, 2, 3]);
+const SNAPSHOT_DATA = new Uint8Array([1, 2, 3]);
 
 test('What was written is there again, and each run has a number of its own', async (context) => {
   const options = makeOptions(await makeTemporaryFolder(context));
@@ -162,7 +162,7 @@
   for (let index = 1; index <= 60; index += 1) {
     await writeTogether(store, [makeBatch({ entries: [makeEntry(index)] })]);
     if (index % 10 === 0) {
-      await store.saveSnapshot({ header: makeHeader(index), data: DATA });
+      await store.saveSnapshot({ header: makeHeader(index), data: SNAPSHOT_DATA });
       await store.discardLog(index);
     }
   }
@@ -173,7 +173,7 @@
   const reopened = await LogStore.open(options);
   assert.deepEqual(listEntryNames(reopened), ['61.1', '62.1']);
   assert.deepEqual(reopened.restored.snapshot, makeHeader(60));
-  assert.deepEqual(new Uint8Array((await reopened.readSnapshot())?.data ?? []), DATA);
+  assert.deepEqual(new Uint8Array((await reopened.readSnapshot())?.data ?? []), SNAPSHOT_DATA);
   await reopened.close();
 });
 
@@ -183,12 +183,12 @@
   const fileSystem = new MemoryFileSystem();
   const options = makeOptions('/data', { fileSystem });
   const store = await LogStore.open(options);
-  const newer = { header: makeHeader(20, 5), data: DATA };
+  const newer = { header: makeHeader(20, 5), data: SNAPSHOT_DATA };
   await writeTogether(store, [
     makeBatch({ snapshot: newer }),
     makeBatch({ entries: makeEntries(21, 22, 5) }),
   ]);
-  await store.saveSnapshot({ header: makeHeader(10), data: DATA });
+  await store.saveSnapshot({ header: makeHeader(10), data: SNAPSHOT_DATA });
   await store.close();
   const reopened = await LogStore.open(options);
   assert.deepEqual(reopened.restored.snapshot, makeHeader(20, 5));
@@ -202,7 +202,7 @@
   const folder = await makeTemporaryFolder(context);
   const store = await LogStore.open(makeOptions(folder));
   await writeTogether(store, [makeBatch({ entries: makeEntries(1, 3) })]);
-  await store.saveSnapshot({ header: makeHeader(2), data: DATA });
+  await store.saveSnapshot({ header: makeHeader(2), data: SNAPSHOT_DATA });
   await store.close();
   for (const kind of ['identity', 'state-', 'log-']) {
     const name = (await readdir(folder)).find((file) => file.startsWith(kind)) ?? '';
@@ -267,14 +267,17 @@
     expected: [2, 0, ['1.1', '2.1', '3.2', '4.2', '5.2', '6.2']],
   },
   {
-    write: (store) => store.saveSnapshot({ header: makeHeader(4, 2), data: DATA }),
+    write: (store) => store.saveSnapshot({ header: makeHeader(4, 2), data: SNAPSHOT_DATA }),
     expected: [2, 4, ['5.2', '6.2']],
   },
   { write: (store) => store.discardLog(4), expected: [2, 4, ['5.2', '6.2']] },
   {
     write: (store) =>
       writeTogether(store, [
-        makeBatch({ vote: { term: 5 }, snapshot: { header: makeHeader(20, 5), data: DATA } }),
+        makeBatch({
+          vote: { term: 5 },
+          snapshot: { header: makeHeader(20, 5), data: SNAPSHOT_DATA },
+        }),
         makeBatch({ entries: makeEntries(21, 22, 5) }),
       ]),
     installsSnapshot: true,
@@ -282,7 +285,7 @@
   },
   // A snapshot may be ahead of what this disk has of the log.
   {
-    write: (store) => store.saveSnapshot({ header: makeHeader(30, 5), data: DATA }),
+    write: (store) => store.saveSnapshot({ header: makeHeader(30, 5), data: SNAPSHOT_DATA }),
     expected: [5, 30, []],
   },
 ];
@@ -308,44 +311,47 @@
 
 /** What is wrong with what a store has read, if the power went after `done` steps. */
 function findMismatch(store: LogStore, lastDoneStep: number): string | undefined {
-  const [term, snapshot, names] = describeState(store);
+  const [term, snapshot, entryNames] = describeState(store);
   const before = script[lastDoneStep]?.expected ?? [0, 0, []];
   const step = script[lastDoneStep + 1];
   const after = step?.expected ?? before;
   if (term !== before[0] && term !== after[0]) return `term ${term}`;
   if (snapshot !== before[1] && snapshot !== after[1]) return `snapshot ${snapshot}`;
   // A snapshot that came in may be there while the entries behind it are not.
-  const installed = step?.installsSnapshot === true && snapshot === after[1] && names.length === 0;
-  const allowed = snapshot === before[1] ? [before[2], after[2]] : [after[2]];
-  const originalContent = allowed.some((list) => list.join() === names.join());
-  return originalContent || installed ? undefined : `entries ${names.join()}`;
+  const hasOnlyNewSnapshot =
+    step?.installsSnapshot === true && snapshot === after[1] && entryNames.length === 0;
+  const allowedEntryNames = snapshot === before[1] ? [before[2], after[2]] : [after[2]];
+  const hasAllowedEntries = allowedEntryNames.some(
+    (expectedNames) => expectedNames.join() === entryNames.join(),
+  );
+  return hasAllowedEntries || hasOnlyNewSnapshot ? undefined : `entries ${entryNames.join()}`;
 }
 
 /** Lets the power go at each file operation of the script in turn. */
 async function cutPowerAtEachOperation(
   survivingWrites: SurvivingWrites,
-  syncsIgnored: boolean,
+  ignoresSyncs: boolean,
 ): Promise<number> {
-  for (let failFrom = 1; ; failFrom += 1) {
+  for (let failFromOperation = 1; ; failFromOperation += 1) {
     const fileSystem = new MemoryFileSystem();
-    fileSystem.ignoresSyncs = syncsIgnored;
-    fileSystem.failFromOperation = failFrom;
+    fileSystem.ignoresSyncs = ignoresSyncs;
+    fileSystem.failFromOperation = failFromOperation;
     const options = makeOptions('/data', { fileSystem, segmentBytes: 150 });
     const lastDoneStep = await runScript(options);
-    if (fileSystem.operationCount < failFrom) return failFrom - 1;
+    if (fileSystem.operationCount < failFromOperation) return failFromOperation - 1;
     fileSystem.cutPower(survivingWrites);
     const store = await LogStore.open(options);
     assert.equal(
       findMismatch(store, lastDoneStep),
       undefined,
-      `power cut at operation ${failFrom}`,
+      `power cut at operation ${failFromOperation}`,
     );
     const { entries: keptEntries, snapshot } = store.restored;
-    const next = (keptEntries.at(-1)?.index ?? snapshot?.index ?? 0) + 1;
-    await writeTogether(store, [makeBatch({ entries: [makeEntry(next, 9)] })]);
+    const nextIndex = (keptEntries.at(-1)?.index ?? snapshot?.index ?? 0) + 1;
+    await writeTogether(store, [makeBatch({ entries: [makeEntry(nextIndex, 9)] })]);
     await store.close();
     const reopened = await LogStore.open(options);
-    assert.deepEqual(listEntryNames(reopened), [...listEntryNames(store), `${next}.9`]);
+    assert.deepEqual(listEntryNames(reopened), [...listEntryNames(store), `${nextIndex}.9`]);
   }
 }
 
--- a/packages/store-core/src/log/LogStore.ts
+++ b/packages/store-core/src/log/LogStore.ts
@@ -135,7 +135,7 @@
   private segments: { name: string; number: number; byteLength: number; highestIndex: number }[] =
     [];
 
-  private file: OpenFile | undefined;
+  private segmentFile: OpenFile | undefined;
 
   private snapshot: SnapshotHeader | undefined;
 
@@ -162,7 +162,7 @@
     await store.fileSystem.makeFolder(store.folder);
     store.lock = await FolderLock.acquire(store.fileSystem, store.folder);
     try {
-      await store.load();
+      await store.loadAndCountRun();
     } catch (error) {
       await store.close();
       throw error;
@@ -199,11 +199,11 @@
 
   /** Saves a snapshot of the state machine. */
   async saveSnapshot(snapshot: SavedSnapshot): Promise<void> {
-    await this.runInOrder(() => this.failOnError(() => this.storeOwnSnapshot(snapshot)));
+    await this.runInOrder(() => this.runWrite(() => this.storeOwnSnapshot(snapshot)));
   }
 
   async readSnapshot(): Promise<SavedSnapshot | undefined> {
-    const name = this.nameOf('snapshot');
+    const name = this.fileNameOf('snapshot');
     return (await readWholeFile(this.fileSystem, this.folder, name)) as SavedSnapshot | undefined;
   }
 
@@ -214,8 +214,8 @@
 
   async close(): Promise<void> {
     await this.lastOperation;
-    await this.file?.close();
-    this.file = undefined;
+    await this.segmentFile?.close();
+    this.segmentFile = undefined;
     await this.lock.release();
   }
 
@@ -229,7 +229,7 @@
   private async writeQueued(): Promise<void> {
     const writes = this.queuedWrites.splice(0);
     try {
-      await this.failOnError(() => this.writeBatches(writes.map(({ batch }) => batch)));
+      await this.runWrite(() => this.writeBatches(writes.map(({ batch }) => batch)));
       writes.forEach(({ resolve }) => resolve());
     } catch (error) {
       writes.forEach(({ reject }) => reject(error));
@@ -256,14 +256,14 @@
   }
 
   private async discardSegments(throughIndex: number): Promise<void> {
-    const through = Math.min(throughIndex, this.snapshot?.index ?? 0);
+    const coveredIndex = Math.min(throughIndex, this.snapshot?.index ?? 0);
     const last = this.segments.length - 1;
     const firstKeptPosition = this.segments.findIndex(
-      ({ highestIndex }, position) => highestIndex > through || position === last,
+      ({ highestIndex }, position) => highestIndex > coveredIndex || position === last,
     );
     const first = this.segments[firstKeptPosition];
     if (first === undefined || firstKeptPosition === 0) return;
-    await this.failOnError(async () => {
+    await this.runWrite(async () => {
       await this.saveState({ ...this.state, firstSegment: first.number });
       for (const removedSegment of this.segments.splice(0, firstKeptPosition)) {
         await this.fileSystem.remove(join(this.folder, removedSegment.name));
@@ -271,18 +271,18 @@
     });
   }
 
-  private nameOf(kind: 'state' | 'snapshot'): string {
+  private fileNameOf(kind: 'state' | 'snapshot'): string {
     return `${kind}-${this.identity}`;
   }
 
-  private segmentName(number: number): string {
+  private segmentFileName(number: number): string {
     return `log-${this.identity}-${String(number).padStart(SEGMENT_DIGITS, '0')}`;
   }
 
-  private async load(): Promise<void> {
+  private async loadAndCountRun(): Promise<void> {
     this.identity = await readIdentity(this.fileSystem, this.options);
-    const state = await readWholeFile(this.fileSystem, this.folder, this.nameOf('state'));
-    if (state === undefined) await this.assertNoLogFiles();
+    const state = await readWholeFile(this.fileSystem, this.folder, this.fileNameOf('state'));
+    if (state === undefined) await this.assertNoDataFiles();
     else this.state = state as DiskState;
     const saved = await this.readSnapshot();
     this.snapshot = saved?.header;
@@ -330,32 +330,32 @@
     }
   }
 
-  private async assertNoLogFiles(): Promise<void> {
+  private async assertNoDataFiles(): Promise<void> {
     const names = await this.fileSystem.list(this.folder);
     const existingName = names.find(
       (name) => /^(snapshot|log)-/.test(name) && name.includes(this.identity),
     );
     if (existingName === undefined) return;
-    throw makeDamagedLogError(this.nameOf('state'), 0, `it is missing beside ${existingName}`);
+    throw makeDamagedLogError(this.fileNameOf('state'), 0, `it is missing beside ${existingName}`);
   }
 
   private async readSegments(): Promise<{ entries: RestoredState['entries'] }> {
     const { firstSegment, lastSegment } = this.state;
     const contents: { name: string; content: Uint8Array }[] = [];
     for (let number = firstSegment; number <= lastSegment; number += 1) {
-      const name = this.segmentName(number);
+      const name = this.segmentFileName(number);
       const content = await this.fileSystem.read(join(this.folder, name));
       if (content === undefined) throw makeDamagedLogError(name, 0, 'the file is missing');
       contents.push({ name, content });
     }
-    const replay = replaySegments(contents);
-    this.segments = replay.segments.map((segment: ReplayedSegment, position) => ({
+    const replayed = replaySegments(contents);
+    this.segments = replayed.segments.map((segment: ReplayedSegment, position) => ({
       ...segment,
       number: firstSegment + position,
     }));
     const last = this.segments.at(-1);
     if (last !== undefined) await this.truncateTail(last, contents.at(-1)?.content.length ?? 0);
-    return replay;
+    return replayed;
   }
 
   /** Cuts off what an unfinished write has left, and keeps the last segment open. */
@@ -363,10 +363,10 @@
     last: { name: string; byteLength: number },
     fileLength: number,
   ): Promise<void> {
-    this.file = await this.fileSystem.open(join(this.folder, last.name));
+    this.segmentFile = await this.fileSystem.open(join(this.folder, last.name));
     if (fileLength === last.byteLength) return;
-    await this.file.truncate(last.byteLength);
-    await this.file.sync();
+    await this.segmentFile.truncate(last.byteLength);
+    await this.segmentFile.sync();
     this.options.onNotice({
       type: 'tornTailCut',
       file: last.name,
@@ -376,7 +376,7 @@
   }
 
   private async saveState(state: DiskState): Promise<void> {
-    await replaceFile(this.fileSystem, this.folder, this.nameOf('state'), state);
+    await replaceFile(this.fileSystem, this.folder, this.fileNameOf('state'), state);
     this.state = state;
   }
 
@@ -384,7 +384,7 @@
     // One that was asked for before a newer one came in may be saved after it; the log below the
     // newer one is gone.
     if (snapshot.header.index <= (this.snapshot?.index ?? 0)) return;
-    await replaceFile(this.fileSystem, this.folder, this.nameOf('snapshot'), snapshot);
+    await replaceFile(this.fileSystem, this.folder, this.fileNameOf('snapshot'), snapshot);
     this.snapshot = snapshot.header;
   }
 
@@ -404,13 +404,13 @@
   /** Begins a segment. It is named in the state before anything in it is acknowledged. */
   private async startSegment(): Promise<void> {
     const number = this.state.lastSegment + 1;
-    const name = this.segmentName(number);
+    const name = this.segmentFileName(number);
     const path = join(this.folder, name);
-    await this.file?.close();
-    this.file = undefined;
+    await this.segmentFile?.close();
+    this.segmentFile = undefined;
     // A file of this name was begun by a run that crashed before naming it.
     await this.fileSystem.remove(path);
-    this.file = await this.fileSystem.open(path);
+    this.segmentFile = await this.fileSystem.open(path);
     await this.fileSystem.syncFolder(this.folder);
     await this.saveState({ ...this.state, lastSegment: number });
     this.segments.push({ name, number, byteLength: 0, highestIndex: 0 });
@@ -421,10 +421,11 @@
     const current = this.segments.at(-1);
     if (current === undefined || current.byteLength >= this.segmentBytes) await this.startSegment();
     const segment = this.segments.at(-1);
-    if (segment === undefined || this.file === undefined) throw new Error('No segment is open');
+    if (segment === undefined || this.segmentFile === undefined)
+      throw new Error('No segment is open');
     const frame = encodeFrame(operations);
-    await this.file.write(frame, segment.byteLength);
-    await this.file.sync();
+    await this.segmentFile.write(frame, segment.byteLength);
+    await this.segmentFile.sync();
     segment.byteLength += frame.length;
     operations.forEach((operation) => this.updateLastIndex(operation));
     segment.highestIndex = Math.max(segment.highestIndex, findHighestIndex(operations));
@@ -434,7 +435,7 @@
    * Runs a write. After any failure the log takes no more: a sync that has failed once may report
    * success later for data that is gone.
    */
-  private async failOnError(write: () => Promise<void>): Promise<void> {
+  private async runWrite(write: () => Promise<void>): Promise<void> {
     if (this.failure !== undefined) throw this.failure;
     try {
       await write();
@@ -449,7 +450,7 @@
 
   private async truncateUnfinishedFrame(): Promise<void> {
     try {
-      await this.file?.truncate(this.segments.at(-1)?.byteLength ?? 0);
+      await this.segmentFile?.truncate(this.segments.at(-1)?.byteLength ?? 0);
     } catch {
       // The next start cuts it off.
     }
--- a/packages/store-core/src/log/logSchedules.test.ts
+++ b/packages/store-core/src/log/logSchedules.test.ts
@@ -135,7 +135,7 @@
   storeAndModel: StoreAndModel,
   fileSystem: MemoryFileSystem,
   write: DiskWrite,
-  { failAfterOperations, survivingWrites: leftover }: PlannedWrite,
+  { failAfterOperations, survivingWrites }: PlannedWrite,
 ): Promise<void> {
   const diskAfter = applyToModel(storeAndModel.disk, write);
   fileSystem.failFromOperation = fileSystem.operationCount + failAfterOperations;
@@ -143,7 +143,7 @@
     () => true,
     () => false,
   );
-  fileSystem.cutPower(leftover);
+  fileSystem.cutPower(survivingWrites);
   storeAndModel.store = await LogStore.open(makeOptions(fileSystem));
   const storeContent = describeStore(storeAndModel.store);
   const diskWithNewTerm = { ...storeAndModel.disk, term: diskAfter.term };
--- a/packages/store-core/src/log/testing/MemoryFileSystem.ts
+++ b/packages/store-core/src/log/testing/MemoryFileSystem.ts
@@ -11,23 +11,23 @@
 }
 
 /** What a file needs of its disk. */
-interface SimulatedDisk {
+interface DiskCounters {
   syncCount: number;
   freeBytes: number;
   readonly ignoresSyncs: boolean;
-  countOperation(): void;
+  beginOperation(): void;
 }
 
 class MemoryFile extends OpenFile {
   constructor(
-    private readonly disk: SimulatedDisk,
+    private readonly disk: DiskCounters,
     private readonly content: Content,
   ) {
     super();
   }
 
   override async write(data: Uint8Array, position: number): Promise<void> {
-    this.disk.countOperation();
+    this.disk.beginOperation();
     const writtenLength = Math.min(data.length, this.disk.freeBytes);
     this.disk.freeBytes -= writtenLength;
     const { live } = this.content;
@@ -39,13 +39,13 @@
   }
 
   override async sync(): Promise<void> {
-    this.disk.countOperation();
+    this.disk.beginOperation();
     this.disk.syncCount += 1;
     if (!this.disk.ignoresSyncs) this.content.synced = this.content.live;
   }
 
   override async truncate(length: number): Promise<void> {
-    this.disk.countOperation();
+    this.disk.beginOperation();
     this.content.live = this.content.live.subarray(0, length);
   }
 
@@ -75,18 +75,18 @@
   /** Bytes that the disk still takes. */
   freeBytes = Number.POSITIVE_INFINITY;
 
-  countOperation(): void {
+  beginOperation(): void {
     this.operationCount += 1;
     if (this.operationCount >= this.failFromOperation) throw new Error('The power is gone');
   }
 
   /** Takes the power away and brings it back. Locks of before are of another boot. */
-  cutPower(leftover: SurvivingWrites): void {
-    if (leftover === 'nothing') this.contentByPath = new Map(this.syncedContentByPath);
+  cutPower(survivingWrites: SurvivingWrites): void {
+    if (survivingWrites === 'nothing') this.contentByPath = new Map(this.syncedContentByPath);
     this.contentByPath.forEach((content, path) => {
       const { live, synced } = content;
-      if (leftover === 'nothing') content.live = synced;
-      if (leftover === 'half' && live.length > synced.length) {
+      if (survivingWrites === 'nothing') content.live = synced;
+      if (survivingWrites === 'half' && live.length > synced.length) {
         content.live = live.subarray(
           0,
           synced.length + Math.ceil((live.length - synced.length) / 2),
@@ -100,7 +100,7 @@
   }
 
   override async open(path: string): Promise<OpenFile> {
-    this.countOperation();
+    this.beginOperation();
     const content = this.contentByPath.get(path) ?? {
       live: Buffer.alloc(0),
       synced: Buffer.alloc(0),
@@ -120,11 +120,11 @@
   }
 
   override async makeFolder(): Promise<void> {
-    this.countOperation();
+    this.beginOperation();
   }
 
   override async rename(from: string, to: string): Promise<void> {
-    this.countOperation();
+    this.beginOperation();
     const content = this.contentByPath.get(from);
     if (content === undefined) throw new Error(`${from} is missing`);
     this.contentByPath.delete(from);
@@ -132,7 +132,7 @@
   }
 
   override async link(from: string, to: string): Promise<boolean> {
-    this.countOperation();
+    this.beginOperation();
     const content = this.contentByPath.get(from);
     if (content === undefined || this.contentByPath.has(to)) return false;
     this.contentByPath.set(to, content);
@@ -140,12 +140,12 @@
   }
 
   override async remove(path: string): Promise<void> {
-    this.countOperation();
+    this.beginOperation();
     this.contentByPath.delete(path);
   }
 
   override async syncFolder(): Promise<void> {
-    this.countOperation();
+    this.beginOperation();
     this.syncedContentByPath = new Map(this.contentByPath);
   }
 }
