--- a/packages/store-core/src/consensus/testing/makeClusterModel.ts
+++ b/packages/store-core/src/consensus/testing/makeClusterModel.ts
@@ -1,4 +1,8 @@
-/** What can happen to a model cluster within stated bounds, as a model for the explorer. */
+/**
+ * A model of everything that can happen to a cluster within a budget of events, for
+ * `exploreStates`. A state is a cluster with the remaining budget; its check is the `violation` of
+ * the cluster.
+ */
 import type { Model, Step } from '@hornbeampond/testing';
 import {
   makeClusterKey,
@@ -14,7 +18,10 @@
   type ModelVoter,
 } from './modelCluster.js';
 
-/** How often each thing may still happen. A message that never arrives costs nothing. */
+/**
+ * How often each event may still occur; `timeouts` counts per instance. Deliveries, syncs and
+ * restarts are unlimited. Message loss needs no step, as a message may stay undelivered.
+ */
 export interface Budget {
   readonly timeouts: Readonly<Record<string, number>>;
   readonly proposals: number;
--- a/packages/store-core/src/consensus/testing/modelCluster.ts
+++ b/packages/store-core/src/consensus/testing/modelCluster.ts
@@ -1,7 +1,8 @@
 /**
- * A cluster of real reducers as one value, for the explorer and for random schedules. Disks keep
- * only what was synced, messages wait in a bag from which any may come next, and each step copies
- * only the voter it touches. What the voters do is compared with what all of them did before.
+ * A cluster of real consensus reducers as one value, for the state explorer and random schedules.
+ * Disks keep only synced writes, and pending messages can be delivered in any order. A step returns
+ * a new cluster and copies only the voter that it changes. The effects of every step are checked
+ * against the safety properties; `violation` holds the first failure.
  */
 import {
   createConsensusState,
@@ -30,7 +31,7 @@
   makeStateKey,
 } from './modelKeys.js';
 
-/** Faults of the shell that a test puts in to see the checks notice. */
+/** A fault of the shell that a test injects to show that the checks detect it. */
 export type ShellMutation = 'acknowledgeBeforeSync' | 'voteForgotten' | 'lostDiskKeepsIdentity';
 
 type PendingWrite =
@@ -41,11 +42,11 @@
   readonly instance: string;
   identity: string;
   now: number;
-  /** Missing while the process is down. */
+  /** Undefined while the process is stopped. */
   state?: ConsensusState;
   disk: ModelDisk;
   pendingWrites: PendingWrite[];
-  /** The state machine: what was applied, in order. */
+  /** Keys of the entries that the state machine holds, in order. */
   applied: string[];
   key: string;
 }
@@ -62,20 +63,24 @@
   readonly voters: Readonly<Record<string, ModelVoter>>;
   readonly network: readonly ModelMessage[];
   readonly leaderByTerm: Readonly<Record<number, string>>;
-  /** Every entry that any voter has applied, from index 1 on. */
+  /** Keys of all entries that any voter has applied, from index 1 on. */
   readonly committed: readonly string[];
   readonly acknowledgedIndex: number;
-  /** Reads under way, and the index that was acknowledged when they began. */
+  /** For each read, by request id, the index that was acknowledged when it began. */
   readonly minIndexByReadId: Readonly<Record<string, number>>;
   readonly answeredReadCount: number;
-  /** Snapshots that voters have taken over from others. */
+  /** Number of snapshots that voters have installed from a leader. */
   readonly restoreCount: number;
   readonly requestCount: number;
-  /** What each disk ever had synced at an index, by identity; it outlives the disk. */
+  /**
+   * By identity of each disk, the key of the entry that it last synced at each index; kept when the
+   * disk is lost.
+   */
   readonly everSynced: Readonly<Record<string, readonly string[]>>;
   readonly violation?: string;
 }
 
+/** The copy of a cluster that a step changes in place. */
 type MutableCluster = { -readonly [Name in keyof ModelCluster]: ModelCluster[Name] };
 
 export function makeAddress(instance: string) {
@@ -103,9 +108,10 @@
   return [identity, stateKey, diskKey, pendingKeys.join('|'), applied.length].join('#');
 }
 
+/** Copies the cluster and one voter, which the step then changes. */
 function copyForStep(cluster: ModelCluster, instance: string): [MutableCluster, ModelVoter] {
   const original = cluster.voters[instance];
-  if (original === undefined) throw new Error(`No voter ${instance}`);
+  if (original === undefined) throw new Error(`There is no voter ${instance}`);
   const voter = copyVoter(original);
   return [{ ...cluster, voters: { ...cluster.voters, [instance]: voter } }, voter];
 }
@@ -122,11 +128,11 @@
     return;
   }
   if (index !== cluster.committed.length + 1)
-    recordViolation(cluster, `index ${index} leaves a gap`);
+    recordViolation(cluster, `index ${index} was committed before a lower index`);
   cluster.committed = [...cluster.committed, entryKey];
 }
 
-/** An entry counts as committed only if a quorum of the voters has had it on disk. */
+/** An entry may be committed only once a quorum of the voters has synced it. */
 function checkCommitQuorum(
   cluster: MutableCluster,
   voter: ModelVoter,
@@ -139,14 +145,15 @@
     ({ identity }) => cluster.everSynced[identity]?.[index] === entryKey,
   );
   if (copies.length * 2 <= voters.length) {
-    recordViolation(cluster, `index ${index} was committed with ${copies.length} copies on disk`);
+    recordViolation(cluster, `index ${index} was committed with ${copies.length} synced copies`);
   }
 }
 
+/** A term has at most one leader, and the log of a new leader holds all committed entries. */
 function checkNewLeader(cluster: MutableCluster, voter: ModelVoter, term: number): void {
   const recordedLeader = cluster.leaderByTerm[term];
   if (recordedLeader !== undefined && recordedLeader !== voter.identity)
-    recordViolation(cluster, `two leaders in ${term}`);
+    recordViolation(cluster, `two leaders in term ${term}`);
   cluster.leaderByTerm = { ...cluster.leaderByTerm, [term]: voter.identity };
   const { state } = voter;
   if (state === undefined) return;
@@ -195,7 +202,7 @@
     case 'apply': {
       const entryKey = makeEntryKey(effect.entry);
       if (effect.index !== voter.applied.length + 1)
-        recordViolation(cluster, 'applied out of order');
+        recordViolation(cluster, 'an entry was applied out of order');
       voter.applied.push(entryKey);
       const isFirstApplication = effect.index > cluster.committed.length;
       recordCommitted(cluster, effect.index, entryKey);
@@ -206,7 +213,7 @@
       cluster.restoreCount += 1;
       voter.applied = JSON.parse(Buffer.from(effect.data).toString()) as string[];
       if (voter.applied.length !== effect.header.index)
-        recordViolation(cluster, 'snapshot of other size');
+        recordViolation(cluster, 'the number of entries in a snapshot differs from its index');
       voter.applied.forEach((entryKey, position) =>
         recordCommitted(cluster, position + 1, entryKey),
       );
@@ -261,7 +268,7 @@
   checkNewVoters(cluster, state, votersBefore);
 }
 
-/** A disk that is made a voter already holds everything that its leader knows to be committed. */
+/** A disk becomes a voter only once it holds every entry that the leader knows to be committed. */
 function checkNewVoters(
   cluster: MutableCluster,
   state: ConsensusState,
@@ -284,7 +291,7 @@
   return cluster;
 }
 
-/** Hands one event to one voter. */
+/** Passes one event to one voter. */
 export function dispatchEvent(
   cluster: ModelCluster,
   instance: string,
@@ -295,7 +302,10 @@
   return finishStep(next, voter);
 }
 
-/** Lets a message arrive, or a copy of it if `keep`. A voter's patience is taken to be over. */
+/**
+ * Delivers a message, or a copy of it with `keepCopy`. Unless `keepClock` is set, a vote request
+ * first advances the receiver's clock to the time from which it may grant votes.
+ */
 export function deliver(
   cluster: ModelCluster,
   message: ModelMessage,
@@ -312,7 +322,7 @@
   return finishStep(next, voter);
 }
 
-/** Lets a voter's timer fire, as soon as it is due. */
+/** Advances a voter's clock to the time at which its timer is due, and fires the timer. */
 export function fireTimer(cluster: ModelCluster, instance: string): ModelCluster {
   const [next, voter] = copyForStep(cluster, instance);
   voter.now = Math.max(voter.now, voter.state?.wakeAt ?? 0);
@@ -320,7 +330,7 @@
   return finishStep(next, voter);
 }
 
-/** Lets a voter's clock run, and fires its timer if it is due then. */
+/** Advances a voter's clock, and fires its timer once if it is due by then. */
 export function advanceClock(
   cluster: ModelCluster,
   instance: string,
@@ -334,7 +344,7 @@
   return finishStep(next, voter);
 }
 
-/** Syncs the first `count` writes that wait. */
+/** Syncs the first `count` pending writes of a voter. */
 export function syncDisk(cluster: ModelCluster, instance: string, count: number): ModelCluster {
   const [next, voter] = copyForStep(cluster, instance);
   voter.pendingWrites.splice(0, count).forEach((write) => {
@@ -350,6 +360,7 @@
   return finishStep(next, voter);
 }
 
+/** Stops a voter; its pending writes are lost. */
 export function crash(cluster: ModelCluster, instance: string): ModelCluster {
   const [next, voter] = copyForStep(cluster, instance);
   voter.state = undefined;
@@ -382,7 +393,7 @@
   return finishStep(next, voter);
 }
 
-/** A stopped voter's disk is replaced by an empty one, which has an identity of its own. */
+/** Replaces the disk of a stopped voter by an empty one with a new identity. */
 export function loseDisk(cluster: ModelCluster, instance: string): ModelCluster {
   const [next, voter] = copyForStep(cluster, instance);
   voter.disk = {
@@ -412,13 +423,13 @@
 
 export interface ModelClusterOptions {
   readonly voters: readonly string[];
-  /** Instances that run, but are no members yet. */
+  /** Instances that run with empty disks and are not members yet. */
   readonly nonMembers?: readonly string[];
   readonly settings?: Partial<ConsensusSettings>;
   readonly mutation?: ShellMutation;
 }
 
-/** A cluster whose voters have just started, with a founding membership on every disk. */
+/** Starts a cluster; the disk of each voter holds the founding membership. */
 export function makeCluster(options: ModelClusterOptions): ModelCluster {
   const settings = { ...defaultConsensusSettings, cluster: 'test', ...options.settings };
   const members: Member[] = options.voters.map((instance) => ({
@@ -460,7 +471,7 @@
   return Object.keys(voters).reduce((next, instance) => restart(next, instance), cluster);
 }
 
-/** Names a cluster's state, for the explorer. */
+/** Makes the key by which the explorer identifies the state of a cluster. */
 export function makeClusterKey(cluster: ModelCluster): string {
   const messages = cluster.network.map((message) => message.key).sort();
   const voters = Object.values(cluster.voters).map((voter) => voter.key);
@@ -472,13 +483,14 @@
   ].join('\n');
 }
 
+/** Finds the running leader of the highest term. */
 export function findLeader(cluster: ModelCluster): ModelVoter | undefined {
   return Object.values(cluster.voters)
     .filter((voter) => voter.state?.role.type === 'leader')
     .sort((a, b) => (b.state?.term ?? 0) - (a.state?.term ?? 0))[0];
 }
 
-/** Lets everything run without faults until nothing is left to do. */
+/** Delivers messages in order and syncs disks until nothing is pending, for `maxSteps` at most. */
 export function runUntilIdle(start: ModelCluster, maxSteps = 2000): ModelCluster {
   let cluster = start;
   for (let step = 0; step < maxSteps; step += 1) {
--- a/packages/store-core/src/consensus/testing/modelDisk.ts
+++ b/packages/store-core/src/consensus/testing/modelDisk.ts
@@ -1,4 +1,7 @@
-/** What a disk holds, as the model and the tests of the real log see it. */
+/**
+ * A model of the contents of a store's disk. The cluster model keeps its disks in it, and the tests
+ * of the log store check that the store on a file system holds the same.
+ */
 import type { PersistEffect } from '../consensusEvents.js';
 import type { LogEntry, SnapshotHeader } from '../consensusTypes.js';
 
@@ -19,7 +22,10 @@
   return { runs: 0, term: 0, entries: [] };
 }
 
-/** Keeps a snapshot, and of the log what follows it. */
+/**
+ * Saves a snapshot unless one at the same or a higher index is there. Of the log the entries after
+ * it are kept, or none if the log has no entry with its index and term.
+ */
 export function saveSnapshot(disk: ModelDisk, snapshot: SavedSnapshot): void {
   const { index, term } = snapshot.header;
   if (index <= (disk.snapshot?.header.index ?? 0)) return;
--- a/packages/store-core/src/consensus/testing/modelKeys.ts
+++ b/packages/store-core/src/consensus/testing/modelKeys.ts
@@ -1,7 +1,8 @@
 /**
- * Copies and names of a voter's state, made for speed: the explorer makes one of each per step.
- * Names leave out clocks, timers and the generator: the model lets a timer fire at any moment, so
- * they change nothing of what can happen next.
+ * Copies of a voter's state, and keys by which the explorer identifies states and messages. Both
+ * are written by hand for speed, as the explorer makes one of each per step. Keys leave out clocks,
+ * timers and the random generator: the model lets a timer fire at any time, so that they do not
+ * affect which steps can follow.
  */
 import type { ConsensusState, RoleState } from '../ConsensusState.js';
 import type { PersistEffect } from '../consensusEvents.js';
@@ -25,7 +26,7 @@
   return header === undefined ? '-' : `${header.index}.${header.term}`;
 }
 
-/** The members of a message in fixed order, without the times in its entries. */
+/** Makes the key of a message; timestamps of entries are left out. */
 export function makeEnvelopeKey({ from, to, message }: Envelope): string {
   const direction = `${from.identity}.${from.run.count}>${to}`;
   if (message.type === 'appendRequest') {
--- a/packages/store-core/src/consensus/testing/runForDuration.ts
+++ b/packages/store-core/src/consensus/testing/runForDuration.ts
@@ -1,6 +1,7 @@
 /**
- * Lets time pass in a model cluster without further faults: messages arrive in order, disks are
- * synced, clocks run, and stores that are no members ask to be let in.
+ * Runs a simulated cluster for a duration without new faults: clocks advance, writes are synced,
+ * messages are delivered in order, and `repairMembership` runs in each step. Existing faults, such
+ * as a partition or a stopped store, last.
  */
 import { deliver } from './modelCluster.js';
 import {
@@ -13,7 +14,7 @@
 
 const STEP_MILLISECONDS = 25;
 
-/** Carries out all that is under way; messages between the two sides of a cut are lost. */
+/** Syncs and delivers until no message is pending; messages across the partition are dropped. */
 function deliverAndSyncAll(simulation: ClusterSimulation): void {
   for (;;) {
     syncAllDisks(simulation);
--- a/packages/store-core/src/consensus/testing/runSchedule.ts
+++ b/packages/store-core/src/consensus/testing/runSchedule.ts
@@ -1,7 +1,8 @@
 /**
- * A random schedule of everything that can happen to a cluster: each number of a list picks the
- * next thing and its subject. Timers run on virtual clocks, and an operator takes out lost disks
- * and lets new ones in. At the end all faults are healed and the cluster must go on.
+ * Runs random schedules on a model cluster: each number of a list selects the next action and its
+ * target. Actions inject faults, send requests, advance virtual clocks and change the membership as
+ * an operator does. After a schedule, `recoverFromFaults` ends all faults, so that a test can check
+ * that the cluster commits again.
  */
 import { memberOf, votersOf } from '../membership.js';
 import {
@@ -22,14 +23,16 @@
   type ModelVoter,
 } from './modelCluster.js';
 
+/** A cluster and its partition; actions replace both in place. */
 export interface ClusterSimulation {
   cluster: ModelCluster;
-  /** Instances that are cut off from all others. */
+  /** Instances that are partitioned from the rest of the cluster. */
   isolatedInstances: string[];
 }
 
 type Action = (simulation: ClusterSimulation, pick: number) => void;
 
+/** With more pending messages than this, a selected message is dropped instead of delivered. */
 const MAX_MESSAGES = 300;
 
 function chooseVoter({ cluster }: ClusterSimulation, pick: number): ModelVoter {
@@ -77,7 +80,7 @@
   });
 }
 
-/** A while without a new fault: messages arrive in some order and disks are synced. */
+/** Delivers some messages, syncs disks and advances all clocks, without a new fault. */
 function runWithoutFaults(simulation: ClusterSimulation, pick: number): void {
   for (let step = 0; step < 12; step += 1) {
     deliverMessage(simulation, Math.floor(pick / (step + 1)), false);
@@ -86,7 +89,10 @@
   advanceAllClocks(simulation, 30 + (pick % 120));
 }
 
-/** Lets a new disk in, or takes the member of a lost one out. */
+/**
+ * Has the leader add a running store that is not a member, or first remove the old member of the
+ * same instance if its disk was replaced.
+ */
 export function repairMembership(simulation: ClusterSimulation): void {
   const leader = findLeader(simulation.cluster);
   if (leader?.state === undefined) return;
@@ -194,7 +200,7 @@
 
 const weightedActions = actions.flatMap(({ weight, act }) => Array<Action>(weight).fill(act));
 
-/** Runs a schedule until its end or the first violation. */
+/** Runs the actions that `picks` select, until the end or the first violation. */
 export function runSchedule(start: ModelCluster, picks: readonly number[]): ClusterSimulation {
   const simulation: ClusterSimulation = { cluster: start, isolatedInstances: [] };
   for (const pick of picks) {
@@ -205,7 +211,10 @@
   return simulation;
 }
 
-/** Heals everything and lets time pass, so that a cluster with a quorum of disks must go on. */
+/**
+ * Ends all faults and lets time pass. A cluster that still has a quorum of its disks must then
+ * commit the write that is proposed near the end.
+ */
 export function recoverFromFaults(simulation: ClusterSimulation): void {
   simulation.isolatedInstances = [];
   Object.values(simulation.cluster.voters).forEach(({ instance, state }) => {
@@ -223,7 +232,7 @@
   }
 }
 
-/** True if a quorum of the newest membership that anybody holds still has its disks. */
+/** True if a quorum of the voters in every running store's latest membership still has its disk. */
 export function hasQuorumOfDisks({ cluster }: ClusterSimulation): boolean {
   const currentIdentities = Object.values(cluster.voters).map(({ identity }) => identity);
   return Object.values(cluster.voters).every(({ state }) => {
--- a/packages/store-core/src/consensus/testing/scenario.ts
+++ b/packages/store-core/src/consensus/testing/scenario.ts
@@ -1,6 +1,7 @@
 /**
- * What explorations share: a situation is prepared by hand, then everything that can happen within
- * its bounds is tried. Each names the faults that it must notice.
+ * Scenarios for the state explorer, and the helpers that prepare them. A scenario prepares a
+ * cluster by hand, and then every sequence of steps within its budget is explored. It lists the
+ * injected faults that the exploration must detect.
  */
 import assert from 'node:assert/strict';
 import type { TestContext } from 'node:test';
@@ -18,6 +19,7 @@
   type ShellMutation,
 } from './modelCluster.js';
 
+/** A safeguard that is turned off, or a fault of the shell. */
 export interface InjectedFault {
   readonly disabledSafeguard?: keyof Safeguards;
   readonly mutation?: ShellMutation;
@@ -28,7 +30,7 @@
   prepare(fault: InjectedFault): ModelCluster;
   readonly budget: Partial<Budget>;
   readonly maxSteps: number;
-  /** What the exploration must catch when it is put in. */
+  /** Faults of which each, injected alone, must lead to a violation. */
   readonly faultsToDetect: readonly InjectedFault[];
 }
 
@@ -49,7 +51,10 @@
   });
 }
 
-/** Everything runs without faults, but for these instances, which hear and say nothing. */
+/**
+ * Delivers messages and syncs disks until nothing is pending. Messages from and to the isolated
+ * instances are dropped, and their disks are not synced.
+ */
 export function runUntilIdleWithout(
   start: ModelCluster,
   isolatedInstances: readonly string[],
@@ -73,6 +78,7 @@
   }
 }
 
+/** Fires the timer of one instance and asserts that it becomes leader. */
 export function electLeader(
   cluster: ModelCluster,
   instance: string,
@@ -83,7 +89,7 @@
   return next;
 }
 
-/** Delivers the messages of now that are meant. */
+/** Delivers the selected ones of the messages that are pending at the start. */
 export function deliverMatching(
   start: ModelCluster,
   isSelected: (message: ModelMessage) => boolean,
@@ -93,7 +99,10 @@
     .reduce((cluster, message) => deliver(cluster, message), start);
 }
 
-/** Hands on what is meant for these instances, and syncs their disks, until `done`. */
+/**
+ * Syncs the disks of these instances and delivers messages to them, until `isDone` or until nothing
+ * is left to sync or deliver.
+ */
 export function runInstancesUntil(
   start: ModelCluster,
   instances: readonly string[],
@@ -111,7 +120,7 @@
   return cluster;
 }
 
-/** The furthest that any state has come, to show that an exploration meets what it is about. */
+/** Highest counts in any explored state; they show whether the scenario reaches its subject. */
 interface ReachedMaxima {
   committed: number;
   leaders: number;
--- a/packages/store-core/src/log/FileSystem.ts
+++ b/packages/store-core/src/log/FileSystem.ts
@@ -1,6 +1,6 @@
 /**
- * The few file operations that the log needs. Tests put faults in here, such as a full disk or a
- * crash that loses what was not synced.
+ * The file operations that the log needs, and their implementation for Node.js. Tests implement
+ * them in memory to inject faults, such as a full disk or a crash that loses unsynced data.
  */
 import { link, mkdir, open, readFile, readdir, rename, rm, writeFile } from 'node:fs/promises';
 
@@ -8,23 +8,24 @@
 export abstract class OpenFile {
   /** Writes all of `data` at `position`. */
   abstract write(data: Uint8Array, position: number): Promise<void>;
-  /** Returns when the data, and the size needed to read it, are on disk. */
+  /** Resolves once the data, and the file size needed to read it, are on disk. */
   abstract sync(): Promise<void>;
   abstract truncate(length: number): Promise<void>;
   abstract close(): Promise<void>;
 }
 
 export abstract class FileSystem {
-  /** Opens a file for writing; it is made if it is missing. */
+  /** Opens a file for writing, and creates it if it is missing. */
   abstract open(path: string): Promise<OpenFile>;
+  /** Returns undefined if the file is missing. */
   abstract read(path: string): Promise<Uint8Array | undefined>;
   abstract list(folder: string): Promise<readonly string[]>;
   abstract makeFolder(folder: string): Promise<void>;
   abstract rename(from: string, to: string): Promise<void>;
-  /** Gives a file a second name; returns false if that name is taken. */
+  /** Creates a second name for a file; returns false if that name exists. */
   abstract link(from: string, to: string): Promise<boolean>;
   abstract remove(path: string): Promise<void>;
-  /** Makes names that were added to or taken from a folder last. */
+  /** Makes the creation, renaming and removal of files in a folder durable. */
   abstract syncFolder(folder: string): Promise<void>;
 }
 
@@ -64,8 +65,7 @@
   }
 }
 
-/** The file system of the instance. */
-/** What a link fails with where the file system has none. */
+/** Error codes of `link` on file systems without hard links. */
 const UNSUPPORTED_LINK_CODES = new Set<string | undefined>([
   'ENOSYS',
   'EPERM',
@@ -73,6 +73,7 @@
   'EOPNOTSUPP',
 ]);
 
+/** The file system of the operating system. */
 export class NodeFileSystem extends FileSystem {
   override async open(path: string): Promise<OpenFile> {
     try {
@@ -116,7 +117,10 @@
     return this.copyIfAbsent(from, to);
   }
 
-  /** Some file systems have no links; the content then appears in steps, but under a new name. */
+  /**
+   * Replaces `link` on file systems without hard links. The copy is not atomic, but never
+   * overwrites a file.
+   */
   private async copyIfAbsent(from: string, to: string): Promise<boolean> {
     try {
       await writeFile(to, await readFile(from), { flag: 'wx' });
--- a/packages/store-core/src/log/FolderLock.ts
+++ b/packages/store-core/src/log/FolderLock.ts
@@ -1,12 +1,9 @@
 /**
- * Keeps two processes off one data folder. Each lock is a file of its own number that names its
- * process; a process may only go on if no other lock belongs to a living one. Numbers are never
- * taken over: a stale lock is passed over first and removed later, so that two processes that both
- * find it stale can't remove each other's new lock.
- *
- * A process writes its whole lock before it looks for others. Of two that start together at least
- * one so finds the other, also where the file system has no links and a lock that is being written
- * can be seen half.
+ * Ensures that only one process at a time uses a data folder. Each lock is a numbered file that
+ * identifies its process. A process writes its lock completely before it checks for others, so that
+ * of two that start together at least one finds the other. A stale lock is not overwritten: the new
+ * one gets the next number and the stale one is removed afterwards, so that two processes that both
+ * find it stale cannot remove each other's new lock.
  */
 import { readFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -16,14 +13,17 @@
 
 interface LockOwner {
   readonly pid: number;
-  /** When the process started, as the kernel counts; a reused pid has another. */
+  /**
+   * Start time of the process in clock ticks since boot, which distinguishes it from a later
+   * process with the same pid. Empty where `/proc` does not exist.
+   */
   readonly startedAt: string;
   readonly boot: string;
 }
 
 const LOCK_NAME_PATTERN = /^lock-(\d+)$/;
 const BOOT_FILE = '/proc/sys/kernel/random/boot_id';
-/** Position of the start time behind the process name in the kernel's status line. */
+/** Position of the start time among the fields after the process name in `/proc/PID/stat`. */
 const START_TIME_FIELD_INDEX = 19;
 
 function readTextOrEmpty(path: string): string {
@@ -41,16 +41,16 @@
 }
 
 /**
- * A lock without a start time was taken where the kernel tells nothing of processes. Its process
- * cannot be told from a later one of the same number, and a store that is killed there would
- * never start again, for its own lock: such a lock holds nobody off.
+ * True if the process that took a lock still runs. A lock without a start time counts as stale: its
+ * process cannot be distinguished from a later one with the same pid, so that its lock could keep a
+ * killed store from ever starting again.
  */
 function isRunning({ pid, startedAt, boot }: LockOwner): boolean {
   if (startedAt === '' || boot !== readTextOrEmpty(BOOT_FILE)) return false;
   try {
     process.kill(pid, 0);
   } catch (error) {
-    // Not ours to signal, but there.
+    // The process exists, but belongs to another user.
     const isOtherUsers = error instanceof Error && 'code' in error && error.code === 'EPERM';
     if (!isOtherUsers) return false;
   }
@@ -60,7 +60,7 @@
 interface FoundLock {
   readonly name: string;
   readonly number: number;
-  /** Undefined for one that cannot be read: cut off with its machine, or still being written. */
+  /** Undefined if the file is incomplete: truncated by a crash, or still being written. */
   readonly owner: LockOwner | undefined;
 }
 
@@ -86,7 +86,7 @@
     private readonly path: string,
   ) {}
 
-  /** Takes the lock, or throws if a living process has it. */
+  /** Acquires the lock, or throws if another process holds one or acquires one at the same time. */
   static async acquire(fileSystem: FileSystem, folder: string): Promise<FolderLock> {
     const existingLocks = await findLocks(fileSystem, folder);
     const runningOwner = findRunningOwner(existingLocks);
--- a/packages/store-core/src/log/LogStore.test.ts
+++ b/packages/store-core/src/log/LogStore.test.ts
@@ -43,14 +43,14 @@
   return store.restored.entries.map(({ index, term }) => `${index}.${term}`);
 }
 
-/** Writes batches that come together. */
+/** Writes several batches without waiting in between. */
 async function writeTogether(store: LogStore, batches: readonly PersistEffect[]): Promise<void> {
   await Promise.all(batches.map((batch) => store.write(batch)));
 }
 
 const SNAPSHOT_DATA = new Uint8Array([1, 2, 3]);
 
-test('What was written is there again, and each run has a number of its own', async (context) => {
+test('Writes survive a restart, and each run has its own number', async (context) => {
   const options = makeOptions(await makeTemporaryFolder(context));
   const first = await LogStore.open(options);
   await writeTogether(first, [
@@ -71,7 +71,7 @@
   await second.close();
 });
 
-test('Batches that come together share one sync', async () => {
+test('Batches that are written together share one sync', async () => {
   const fileSystem = new MemoryFileSystem();
   const store = await LogStore.open(makeOptions('/data', { fileSystem }));
   await writeTogether(store, [makeBatch({ entries: [makeEntry(1)] })]);
@@ -96,9 +96,8 @@
   return { path, firstFrameEnd, fileLength: (await readFile(path)).length };
 }
 
-test('An unfinished frame at the end is cut off, wherever it stops', async (context) => {
-  // The process dies while it writes a batch. Nothing of the batch was acknowledged. After the
-  // restart the log ends before the batch, the operator is told, and writing goes on.
+test('An incomplete last frame is truncated, whatever its length', async (context) => {
+  // Guards against a store that does not start, or reads half a batch, after a crash in a write.
   const folder = await makeTemporaryFolder(context);
   const { path, firstFrameEnd, fileLength } = await writeTwoFrames(folder);
   const originalContent = await readFile(path);
@@ -117,9 +116,8 @@
   }
 });
 
-test('Damage before the end stops the store with file and offset', async (context) => {
-  // A byte that was synced and acknowledged has changed. Cutting the log there would lose what
-  // callers were promised, so the store doesn't start and says where the damage is.
+test('Damage before the last frame is reported with file and offset on start', async (context) => {
+  // Guards against truncating the log at a damaged frame, which would lose acknowledged entries.
   const folder = await makeTemporaryFolder(context);
   const { path, firstFrameEnd } = await writeTwoFrames(folder);
   const originalContent = await readFile(path);
@@ -131,9 +129,8 @@
   }
 });
 
-test('A full disk turns the log read-only and loses nothing acknowledged', async () => {
-  // The disk fills up in the middle of a batch. The batch is not acknowledged and no later one is
-  // taken, also if space comes back; after a restart all acknowledged entries are there.
+test('A full disk makes the log read-only and loses no acknowledged entry', async () => {
+  // Guards against accepting batches after a failed one, even once the disk has space again.
   const fileSystem = new MemoryFileSystem();
   const options = makeOptions('/data', { fileSystem });
   const store = await LogStore.open(options);
@@ -155,7 +152,7 @@
   assert.deepEqual(listEntryNames(reopened), ['1.1', '2.1', '3.1']);
 });
 
-test('Segments below a snapshot go, and the log stays bounded', async (context) => {
+test('Segments covered by a snapshot are removed, which bounds the log', async (context) => {
   const folder = await makeTemporaryFolder(context);
   const options = makeOptions(folder, { segmentBytes: 200 });
   const store = await LogStore.open(options);
@@ -177,9 +174,8 @@
   await reopened.close();
 });
 
-test('A snapshot of our own does not replace a newer one that came in', async () => {
-  // A snapshot is asked for, and before it is saved a newer one comes in from the leader. Saved
-  // last, the older one would stand before a log that begins after the newer one.
+test('A snapshot taken here does not replace a newer one from the leader', async () => {
+  // Guards against missing entries between an older snapshot, saved last, and the start of the log.
   const fileSystem = new MemoryFileSystem();
   const options = makeOptions('/data', { fileSystem });
   const store = await LogStore.open(options);
@@ -196,9 +192,8 @@
   await reopened.close();
 });
 
-test('A file that is gone stops the store', async (context) => {
-  // Someone has removed a file. Without it the store would start with less than it has promised,
-  // and count as a copy of what it no longer holds.
+test('A missing identity, state or log file keeps the store from starting', async (context) => {
+  // Guards against a store that counts as a copy of acknowledged entries that it no longer holds.
   const folder = await makeTemporaryFolder(context);
   const store = await LogStore.open(makeOptions(folder));
   await writeTogether(store, [makeBatch({ entries: makeEntries(1, 3) })]);
@@ -214,7 +209,7 @@
   await (await LogStore.open(makeOptions(folder))).close();
 });
 
-test('A second process is kept off the folder, a stale lock is not in the way', async (context) => {
+test('A folder in use cannot be opened a second time, and stale locks are ignored', async (context) => {
   const folder = await makeTemporaryFolder(context);
   const boot = (await readFile('/proc/sys/kernel/random/boot_id', 'utf8')).trim();
   const deadOwner = { pid: 1, startedAt: 'before', boot };
@@ -229,7 +224,7 @@
   );
 });
 
-test('A folder of another cluster or instance is refused; a renewed one is empty', async (context) => {
+test('A folder of another cluster or instance is refused; a new identity empties it', async (context) => {
   const folder = await makeTemporaryFolder(context);
   const store = await LogStore.open(makeOptions(folder));
   await writeTogether(store, [makeBatch({ vote: { term: 3 }, entries: makeEntries(1, 3, 3) })]);
@@ -238,7 +233,7 @@
     LogStore.open(makeOptions(folder, { cluster: 'other' })),
     /in the cluster test/,
   );
-  await assert.rejects(LogStore.open(makeOptions(folder, { instance: 'b' })), /it is of a in/);
+  await assert.rejects(LogStore.open(makeOptions(folder, { instance: 'b' })), /it belongs to a in/);
   await renewIdentity(makeOptions(folder));
   const renewed = await LogStore.open(makeOptions(folder));
   assert.notEqual(renewed.restored.self.identity, store.restored.self.identity);
@@ -249,7 +244,7 @@
 interface ScriptStep {
   write(store: LogStore): Promise<void>;
   readonly installsSnapshot?: boolean;
-  /** Term, snapshot and entries afterwards. */
+  /** Term, index of the snapshot and names of the entries after the step. */
   readonly expected: readonly [number, number, readonly string[]];
 }
 
@@ -283,7 +278,7 @@
     installsSnapshot: true,
     expected: [5, 20, ['21.5', '22.5']],
   },
-  // A snapshot may be ahead of what this disk has of the log.
+  // A snapshot may cover entries that the log on this disk does not have yet.
   {
     write: (store) => store.saveSnapshot({ header: makeHeader(30, 5), data: SNAPSHOT_DATA }),
     expected: [5, 30, []],
@@ -295,6 +290,7 @@
   return [term, snapshot?.index ?? 0, listEntryNames(store)];
 }
 
+/** Returns the index of the last step that succeeded, or -1. */
 async function runScript(options: LogStoreOptions): Promise<number> {
   let lastDoneStep = -1;
   try {
@@ -309,7 +305,10 @@
   return lastDoneStep;
 }
 
-/** What is wrong with what a store has read, if the power went after `done` steps. */
+/**
+ * Describes how a store differs from what is allowed after a power cut in the step after
+ * `lastDoneStep`.
+ */
 function findMismatch(store: LogStore, lastDoneStep: number): string | undefined {
   const [term, snapshot, entryNames] = describeState(store);
   const before = script[lastDoneStep]?.expected ?? [0, 0, []];
@@ -317,7 +316,7 @@
   const after = step?.expected ?? before;
   if (term !== before[0] && term !== after[0]) return `term ${term}`;
   if (snapshot !== before[1] && snapshot !== after[1]) return `snapshot ${snapshot}`;
-  // A snapshot that came in may be there while the entries behind it are not.
+  // An installed snapshot may be on disk while the entries after it are not.
   const hasOnlyNewSnapshot =
     step?.installsSnapshot === true && snapshot === after[1] && entryNames.length === 0;
   const allowedEntryNames = snapshot === before[1] ? [before[2], after[2]] : [after[2]];
@@ -327,7 +326,7 @@
   return hasAllowedEntries || hasOnlyNewSnapshot ? undefined : `entries ${entryNames.join()}`;
 }
 
-/** Lets the power go at each file operation of the script in turn. */
+/** Runs the script with a power cut at each file operation in turn; returns their number. */
 async function cutPowerAtEachOperation(
   survivingWrites: SurvivingWrites,
   ignoresSyncs: boolean,
@@ -356,16 +355,13 @@
 }
 
 for (const survivingWrites of ['nothing', 'half', 'everything'] satisfies SurvivingWrites[]) {
-  test(`Power may go at any operation, with ${survivingWrites} of the unsynced left`, async (context) => {
-    // The power goes at each file operation in turn. After the restart the log opens, everything
-    // acknowledged before is there, and what was under way is there as far as its parts go.
+  test(`No power cut loses an acknowledged write (${survivingWrites} of the unsynced data survives)`, async (context) => {
     const cutCount = await cutPowerAtEachOperation(survivingWrites, false);
     context.diagnostic(`${cutCount} power cuts`);
     assert.ok(cutCount > 50);
   });
 }
 
-test('A sync that does nothing would be noticed', async () => {
-  // The same on a disk that forgets what it said was synced: the check must find a loss.
+test('The power cut test detects a disk that ignores syncs', async () => {
   await assert.rejects(cutPowerAtEachOperation('nothing', true), /power cut at operation|damaged/);
 });
--- a/packages/store-core/src/log/LogStore.ts
+++ b/packages/store-core/src/log/LogStore.ts
@@ -1,10 +1,8 @@
 /**
- * The log of one voter on its disk: segments of checksummed frames, a file for term and vote, and
- * the newest snapshot. Nothing counts before it is synced, one sync covers a whole batch, and what
- * can't be read back stops the store instead of being guessed.
- *
- * All files but `identity` carry the disk's identity in their names. A folder gets a new identity
- * by replacing that one file; files of another identity are never read again.
+ * The log of one store on its disk: segments of checksummed frames, a file for term and vote, and
+ * the newest snapshot. A write is acknowledged only after its sync, and damaged or missing
+ * files keep the store from starting. The names of these files contain the disk's identity, so that
+ * replacing the file `identity` gives the folder a new identity and leaves the old files unread.
  */
 import { randomUUID } from 'node:crypto';
 import { join } from 'node:path';
@@ -25,7 +23,7 @@
   type ReplayedSegment,
 } from './replaySegments.js';
 
-/** Something that the operator should read about; the shell logs it. */
+/** An event for the operator; the shell logs it. */
 export type LogNotice =
   | { readonly type: 'opened'; readonly entries: number; readonly snapshotIndex: number }
   | {
@@ -37,13 +35,16 @@
   | { readonly type: 'diskFull'; readonly reason: string };
 
 export interface LogStoreOptions {
-  /** The data folder; it holds nothing else. */
+  /**
+   * The data folder. Its files `identity`, `lock-*`, `state-*`, `snapshot-*` and `log-*` belong to
+   * the log store.
+   */
   readonly folder: string;
   readonly cluster: string;
   readonly instance: string;
   readonly onNotice: (notice: LogNotice) => void;
   readonly fileSystem?: FileSystem;
-  /** A segment that has grown past this is closed, and the next one is begun. */
+  /** Length from which a segment is closed and the next one started. */
   readonly segmentBytes?: number;
 }
 
@@ -60,12 +61,14 @@
 
 interface Identity {
   readonly cluster: string;
-  /** A copy of the folder on another instance would vote a second time under one identity. */
+  /**
+   * Checked on start: a copy of the folder on another instance would vote twice as one identity.
+   */
   readonly instance: string;
   readonly identity: string;
 }
 
-/** Term and vote, and which segments there must be, so that a missing one is noticed. */
+/** Number of runs, term and vote, and the range of segments, by which a missing one is detected. */
 interface DiskState {
   readonly runs: number;
   readonly term: number;
@@ -91,22 +94,23 @@
     throw makeDamagedLogError(
       IDENTITY_FILE,
       0,
-      `it is of ${storedInstance} in the cluster ${storedCluster}`,
+      `it belongs to ${storedInstance} in the cluster ${storedCluster}`,
     );
   }
-  // A new identity beside old files would hide that this disk has made promises.
+  // A new identity would hide that this disk has acknowledged entries and votes.
   const names = await fileSystem.list(folder);
   const existingName = names.find((name) => /^(state|snapshot|log)-/.test(name));
   if (existingName !== undefined)
-    throw makeDamagedLogError(IDENTITY_FILE, 0, `it is missing beside ${existingName}`);
+    throw makeDamagedLogError(IDENTITY_FILE, 0, `it is missing although ${existingName} exists`);
   const identity = randomUUID();
   await replaceFile(fileSystem, folder, IDENTITY_FILE, { cluster, instance, identity });
   return identity;
 }
 
 /**
- * Gives a folder a new identity, after its disk was refused as older than its promises. Its files
- * are left for inspection and are not read again. The folder must not be open.
+ * Gives a folder a new identity, for a disk that a leader has refused as older than what it had
+ * acknowledged. The old files are kept for inspection but not read again. Throws if a running
+ * process has the folder open.
  */
 export async function renewIdentity(options: LogStoreOptions): Promise<void> {
   const fileSystem = options.fileSystem ?? new NodeFileSystem();
@@ -156,7 +160,7 @@
     this.segmentBytes = options.segmentBytes ?? DEFAULT_SEGMENT_BYTES;
   }
 
-  /** Locks the folder and reads all of it. */
+  /** Locks the folder, reads the log and counts a new run. */
   static async open(options: LogStoreOptions): Promise<LogStore> {
     const store = new LogStore(options);
     await store.fileSystem.makeFolder(store.folder);
@@ -170,12 +174,12 @@
     return store;
   }
 
-  /** What a voter begins with; its run is already counted on disk. */
+  /** The state with which the reducer starts; its run is already counted on disk. */
   get restored(): RestoredState {
     return this.restoredState;
   }
 
-  /** True if this disk has never been part of a cluster. */
+  /** True if the disk held no term, snapshot or entry when it was opened. */
   get isNew(): boolean {
     const { term, snapshot, entries } = this.restoredState;
     return term === 0 && snapshot === undefined && entries.length === 0;
@@ -186,9 +190,9 @@
   }
 
   /**
-   * Makes a batch durable. Batches are written in the order of the calls; those that come in while
-   * a sync is under way share the next one, so callers need not wait for each other. If it rejects,
-   * the log takes no more and the batch may not be acknowledged.
+   * Makes a batch durable. Batches are written in the order of the calls; those that arrive during
+   * a sync share the next one. After a rejection the log is read-only, and the batch must not be
+   * acknowledged.
    */
   async write(batch: PersistEffect): Promise<void> {
     return new Promise((resolve, reject) => {
@@ -197,7 +201,7 @@
     });
   }
 
-  /** Saves a snapshot of the state machine. */
+  /** Saves a snapshot of this store's state machine. */
   async saveSnapshot(snapshot: SavedSnapshot): Promise<void> {
     await this.runInOrder(() => this.runWrite(() => this.storeOwnSnapshot(snapshot)));
   }
@@ -207,7 +211,10 @@
     return (await readWholeFile(this.fileSystem, this.folder, name)) as SavedSnapshot | undefined;
   }
 
-  /** Removes the segments that hold nothing above `throughIndex`. */
+  /**
+   * Removes the first segments, as far as their entries are both at or below `throughIndex` and
+   * covered by the snapshot. The last segment is kept.
+   */
   async discardLog(throughIndex: number): Promise<void> {
     await this.runInOrder(() => this.discardSegments(throughIndex));
   }
@@ -219,7 +226,7 @@
     await this.lock.release();
   }
 
-  /** Runs one piece of work after another. */
+  /** Runs an operation once all earlier ones have ended. */
   private async runInOrder(work: () => Promise<void>): Promise<void> {
     const result = this.lastOperation.then(work);
     this.lastOperation = result.catch(() => {});
@@ -237,7 +244,8 @@
   }
 
   private async writeBatches(batches: readonly PersistEffect[]): Promise<void> {
-    // Term and vote go first: an entry must not be there without the term it came in.
+    // Term and vote are saved first, so that no entry on disk is of a later term than the saved
+    // one.
     const vote = batches.findLast((batch) => batch.vote !== undefined)?.vote;
     if (vote !== undefined)
       await this.saveState({ ...this.state, ...vote, votedFor: vote.votedFor });
@@ -294,7 +302,8 @@
       await this.appendFrame([{ reset: true, entries: [] }]);
     }
     await this.removeUnlistedSegments();
-    // Counted before the first message leaves, so that peers can tell this run from earlier ones.
+    // Saved before the first message is sent, so that peers can distinguish this run from earlier
+    // ones.
     await this.saveState({ ...this.state, runs: this.state.runs + 1 });
     const { term, votedFor, runs } = this.state;
     const run = { count: runs, token: this.runToken };
@@ -308,8 +317,8 @@
   }
 
   /**
-   * True if the snapshot has replaced what is in the segments. That must be written down before
-   * anything is added: entries behind the snapshot would be read back as following the old ones.
+   * True if the snapshot replaces all entries in the segments. A reset must then be written before
+   * new entries, because a replay would otherwise append them to the old ones.
    */
   private needsReset(
     lastEntry: LogEntry | undefined,
@@ -319,7 +328,7 @@
     return lastEntry.index !== this.snapshot?.index || lastEntry.term !== this.snapshot.term;
   }
 
-  /** Removes segments whose removal, or whose beginning, a crash has interrupted. */
+  /** Removes segments whose creation or removal was interrupted by a crash. */
   private async removeUnlistedSegments(): Promise<void> {
     const listedNames = new Set(this.segments.map(({ name }) => name));
     const names = await this.fileSystem.list(this.folder);
@@ -336,7 +345,11 @@
       (name) => /^(snapshot|log)-/.test(name) && name.includes(this.identity),
     );
     if (existingName === undefined) return;
-    throw makeDamagedLogError(this.fileNameOf('state'), 0, `it is missing beside ${existingName}`);
+    throw makeDamagedLogError(
+      this.fileNameOf('state'),
+      0,
+      `it is missing although ${existingName} exists`,
+    );
   }
 
   private async readSegments(): Promise<{ entries: RestoredState['entries'] }> {
@@ -358,7 +371,7 @@
     return replayed;
   }
 
-  /** Cuts off what an unfinished write has left, and keeps the last segment open. */
+  /** Opens the last segment for writing and truncates an incomplete frame at its end. */
   private async truncateTail(
     last: { name: string; byteLength: number },
     fileLength: number,
@@ -381,14 +394,16 @@
   }
 
   private async storeSnapshot(snapshot: SavedSnapshot): Promise<void> {
-    // One that was asked for before a newer one came in may be saved after it; the log below the
-    // newer one is gone.
+    // A snapshot taken here may be saved after a newer one from the leader, which has already
+    // replaced the log below it.
     if (snapshot.header.index <= (this.snapshot?.index ?? 0)) return;
     await replaceFile(this.fileSystem, this.folder, this.fileNameOf('snapshot'), snapshot);
     this.snapshot = snapshot.header;
   }
 
-  /** Saves a snapshot; where the log ends before it, what comes next follows the snapshot. */
+  /**
+   * Saves a snapshot; if the log ends before it, a reset makes the next entry follow the snapshot.
+   */
   private async storeOwnSnapshot(snapshot: SavedSnapshot): Promise<void> {
     await this.storeSnapshot(snapshot);
     if (this.lastIndex >= snapshot.header.index) return;
@@ -401,14 +416,14 @@
     this.lastIndex = entries.at(-1)?.index ?? this.lastIndex;
   }
 
-  /** Begins a segment. It is named in the state before anything in it is acknowledged. */
+  /** Starts a segment and lists it in the state file before any frame is written to it. */
   private async startSegment(): Promise<void> {
     const number = this.state.lastSegment + 1;
     const name = this.segmentFileName(number);
     const path = join(this.folder, name);
     await this.segmentFile?.close();
     this.segmentFile = undefined;
-    // A file of this name was begun by a run that crashed before naming it.
+    // A file of this name is left from a run that crashed before it listed the segment.
     await this.fileSystem.remove(path);
     this.segmentFile = await this.fileSystem.open(path);
     await this.fileSystem.syncFolder(this.folder);
@@ -432,8 +447,8 @@
   }
 
   /**
-   * Runs a write. After any failure the log takes no more: a sync that has failed once may report
-   * success later for data that is gone.
+   * Runs a write. After any failure the log stays read-only, because a sync that is repeated after
+   * a failure may report success for data that is lost.
    */
   private async runWrite(write: () => Promise<void>): Promise<void> {
     if (this.failure !== undefined) throw this.failure;
@@ -452,7 +467,7 @@
     try {
       await this.segmentFile?.truncate(this.segments.at(-1)?.byteLength ?? 0);
     } catch {
-      // The next start cuts it off.
+      // The next start truncates it.
     }
   }
 }
--- a/packages/store-core/src/log/frames.ts
+++ b/packages/store-core/src/log/frames.ts
@@ -1,7 +1,7 @@
 /**
- * Checksummed frames, the unit of everything on disk. One frame holds one batch and is synced
- * before the next is written, so only the last frame of a log can be unfinished. A bad frame with
- * a good one behind it was good once: it is damage, not an unfinished write.
+ * Encodes values as checksummed frames, the format of all files of the store. A log syncs each
+ * frame before it writes the next, so that only its last frame can be incomplete. An invalid frame
+ * before a valid one is therefore damage and not an unfinished write.
  */
 import { Encoder } from 'cbor-x';
 import xxhash from 'xxhash-wasm';
@@ -14,7 +14,7 @@
 const codec = new Encoder({ useRecords: false });
 const { h64Raw } = await xxhash();
 
-/** The length goes into the checksum, so that a damaged length can't pass for a shorter frame. */
+/** The length seeds the checksum, so that a frame with a damaged length is invalid. */
 function computeChecksum(payload: Uint8Array): bigint {
   return h64Raw(payload, BigInt(payload.length));
 }
@@ -31,11 +31,11 @@
 
 export interface Frame {
   readonly value: unknown;
-  /** Where the next frame begins. */
+  /** Offset at which the next frame starts. */
   readonly endOffset: number;
 }
 
-/** Reads the frame at `offset`, or returns undefined if there is no whole and sound one. */
+/** Decodes the frame at `offset`, or returns undefined if it is incomplete or invalid. */
 export function decodeFrame(file: Uint8Array, offset: number): Frame | undefined {
   const bytes = Buffer.from(file.buffer, file.byteOffset, file.byteLength);
   if (offset + HEADER_BYTES > bytes.length) return undefined;
@@ -49,7 +49,7 @@
   return { value: codec.decode(payload), endOffset: end };
 }
 
-/** True if a sound frame begins anywhere from `offset` on. */
+/** True if a valid frame starts at `offset` or anywhere after it. */
 export function hasValidFrameFrom(file: Uint8Array, offset: number): boolean {
   const bytes = Buffer.from(file.buffer, file.byteOffset, file.byteLength);
   const magic = Buffer.alloc(4);
--- a/packages/store-core/src/log/logSchedules.test.ts
+++ b/packages/store-core/src/log/logSchedules.test.ts
@@ -19,7 +19,7 @@
 interface PlannedWrite {
   readonly kind: (typeof writeKinds)[number];
   readonly count: number;
-  /** True if the power goes during this write. */
+  /** True if the power is cut during this write. */
   readonly cutsPower: boolean;
   readonly failAfterOperations: number;
   readonly survivingWrites: SurvivingWrites;
@@ -62,7 +62,7 @@
   return { header, data: new Uint8Array([index]) };
 }
 
-/** A write that a voter could ask for, given what its disk holds. */
+/** Makes a write that the reducer could request, given what the disk holds. */
 function makeWrite(disk: ModelDisk, { kind, count }: PlannedWrite): DiskWrite {
   const emptyBatch: PersistEffect = { type: 'persist', batch: 1, entries: [] };
   const term = disk.term + 1;
@@ -82,7 +82,7 @@
       return { type: 'snapshot', snapshot };
     }
     case 'installed': {
-      // It may end below, at or beyond the end of a log that differs from it.
+      // The snapshot may end before, at or after the end of the log, which differs from it.
       const index = Math.max(snapshotIndexOf(disk) + 1, lastIndexOf(disk) + count - 3);
       return { type: 'batch', batch: { ...emptyBatch, vote, snapshot: snapshotAt(index, term) } };
     }
@@ -128,8 +128,8 @@
 }
 
 /**
- * Lets the power go during a write. Afterwards it is there as a whole or not at all, but for the
- * term, which is written first.
+ * Cuts the power during a write and asserts that afterwards the store holds all of the write, none
+ * of it, or only its term, which is written first. An acknowledged write must be there in full.
  */
 async function cutPowerDuring(
   storeAndModel: StoreAndModel,
@@ -163,10 +163,9 @@
   return { ...identityOptions, onNotice: () => {}, fileSystem, segmentBytes: 300 };
 }
 
-test('The log on disk holds what the model of a disk holds, over power cuts', async (context) => {
-  // Any sequence of writes, with the power going in the middle of some. After each restart the
-  // store has read what the model of a disk holds, before or after the write that was under way;
-  // the model check of the agreement rests on that.
+test('The log store and the disk model hold the same after any writes and power cuts', async (context) => {
+  // Guards against a log store that differs from the disk model, on which the state explorer
+  // relies.
   let cutCount = 0;
   const property = fc.asyncProperty(plannedWrites, async (plannedSequence) => {
     const fileSystem = new MemoryFileSystem();
--- a/packages/store-core/src/log/replaceFile.ts
+++ b/packages/store-core/src/log/replaceFile.ts
@@ -1,6 +1,6 @@
 /**
- * Replaces a small file as a whole: after a crash at any moment either the old or the new content
- * is there. The name must be synced too, or the old content could come back.
+ * Replaces a small file atomically, and reads it back: after a crash it holds either the old or the
+ * new content. The folder is synced too, as otherwise the old content could reappear.
  */
 import { join } from 'node:path';
 import type { FileSystem } from './FileSystem.js';
@@ -29,7 +29,7 @@
   await fileSystem.syncFolder(folder);
 }
 
-/** Reads a file written by `replaceFile`, or returns undefined if there is none. */
+/** Reads a file written by `replaceFile`; returns undefined if it is missing, throws if damaged. */
 export async function readWholeFile(
   fileSystem: FileSystem,
   folder: string,
--- a/packages/store-core/src/log/replaySegments.ts
+++ b/packages/store-core/src/log/replaySegments.ts
@@ -1,11 +1,14 @@
-/** Reads the segments of a log back into entries, and tells an unfinished write from damage. */
+/**
+ * Replays the segments of a log into entries. An incomplete frame at the end of the last segment is
+ * an unfinished write and left out; any other invalid frame, or a missing index, is damage.
+ */
 import type { LogEntry, SnapshotHeader } from '../consensus/consensusTypes.js';
 import { decodeFrame, hasValidFrameFrom } from './frames.js';
 import { makeDamagedLogError } from './logErrors.js';
 
-/** One change of the log. */
+/** One change of the log; a frame holds a list of them. */
 export interface LogOperation {
-  /** Drops all entries; what comes next follows a snapshot. */
+  /** Drops all entries; the next entry follows a snapshot. */
   readonly reset?: boolean;
   /** Drops the entries from this index on. */
   readonly truncateFrom?: number;
@@ -19,9 +22,9 @@
 
 export interface ReplayedSegment {
   readonly name: string;
-  /** Bytes of sound frames. */
+  /** Length of the valid frames, in bytes. */
   readonly byteLength: number;
-  /** Highest index of any entry in it, also of dropped ones. */
+  /** Highest index of any entry in the segment, including entries dropped since. */
   readonly highestIndex: number;
 }
 
@@ -54,7 +57,7 @@
   });
 }
 
-/** Replays segments in order. Only the last may end in an unfinished frame. */
+/** Replays segments in order; throws if one other than the last ends in an incomplete frame. */
 export function replaySegments(contents: readonly SegmentContent[]): ReplayedLog {
   const entries: LogEntry[] = [];
   const segments = contents.map(({ name, content }, position) => {
@@ -81,8 +84,8 @@
 }
 
 /**
- * The entries behind a snapshot. If the log differs from the snapshot at its index, or ends before
- * it, the snapshot replaces all of the log.
+ * Selects the entries that follow a snapshot. There are none if the log ends before the snapshot's
+ * index or has an entry of another term there; throws if entries after the snapshot are missing.
  */
 export function selectEntriesAfterSnapshot(
   header: SnapshotHeader | undefined,
--- a/packages/store-core/src/log/testing/MemoryFileSystem.ts
+++ b/packages/store-core/src/log/testing/MemoryFileSystem.ts
@@ -1,6 +1,7 @@
 /**
- * A disk in memory that forgets what was not synced. A test counts operations, lets one of them
- * fail, and then takes the power away.
+ * A file system in memory that loses unsynced data in a simulated power cut. It counts operations,
+ * so that a test can let all of them fail from a chosen one on. It can also run out of space or
+ * ignore syncs of files.
  */
 import { basename, dirname } from 'node:path';
 import { FileSystem, OpenFile } from '../FileSystem.js';
@@ -10,7 +11,7 @@
   synced: Buffer;
 }
 
-/** What a file needs of its disk. */
+/** The part of the file system that its open files use. */
 interface DiskCounters {
   syncCount: number;
   freeBytes: number;
@@ -54,7 +55,10 @@
   }
 }
 
-/** What a power cut leaves of writes that were not synced. */
+/**
+ * How much of the unsynced data of each file survives a power cut. Unsynced changes of names are
+ * lost with `nothing` and survive otherwise.
+ */
 export type SurvivingWrites = 'nothing' | 'half' | 'everything';
 
 export class MemoryFileSystem extends FileSystem {
@@ -66,21 +70,24 @@
 
   syncCount = 0;
 
-  /** The operation with this number, and all behind it, fail. */
+  /** Number of the first operation that fails; all later ones fail too. */
   failFromOperation = Number.POSITIVE_INFINITY;
 
-  /** True for a disk that says it has synced a file and hasn't. */
+  /** True for a disk that reports syncs of files as done without doing them. */
   ignoresSyncs = false;
 
-  /** Bytes that the disk still takes. */
+  /** Free space; a write beyond it stores the bytes that fit and fails. */
   freeBytes = Number.POSITIVE_INFINITY;
 
   beginOperation(): void {
     this.operationCount += 1;
-    if (this.operationCount >= this.failFromOperation) throw new Error('The power is gone');
+    if (this.operationCount >= this.failFromOperation) throw new Error('simulated power cut');
   }
 
-  /** Takes the power away and brings it back. Locks of before are of another boot. */
+  /**
+   * Simulates a power cut and a restart, after which operations succeed again. Lock files are
+   * removed: a real restart changes the boot id, but here the process would still count as owner.
+   */
   cutPower(survivingWrites: SurvivingWrites): void {
     if (survivingWrites === 'nothing') this.contentByPath = new Map(this.syncedContentByPath);
     this.contentByPath.forEach((content, path) => {
