--- a/packages/store-core/src/consensus/testing/modelCluster.ts
+++ b/packages/store-core/src/consensus/testing/modelCluster.ts
@@ -38,6 +38,7 @@
   | { readonly type: 'batch'; readonly effect: PersistEffect }
   | { readonly type: 'snapshot'; readonly snapshot: SavedSnapshot };
 
+/** One store of the cluster, also one that is not a member yet. */
 export interface ModelVoter {
   readonly instance: string;
   identity: string;
@@ -369,6 +370,7 @@
   return finishStep(next, voter);
 }
 
+/** Starts a voter from its disk and counts a new run. */
 export function restart(cluster: ModelCluster, instance: string): ModelCluster {
   const [next, voter] = copyForStep(cluster, instance);
   const { disk, identity } = voter;
--- a/packages/store-core/src/consensus/testing/runSchedule.ts
+++ b/packages/store-core/src/consensus/testing/runSchedule.ts
@@ -23,7 +23,7 @@
   type ModelVoter,
 } from './modelCluster.js';
 
-/** A cluster and its partition; actions replace both in place. */
+/** A cluster and its partition; actions assign new values to both. */
 export interface ClusterSimulation {
   cluster: ModelCluster;
   /** Instances that are partitioned from the rest of the cluster. */
@@ -114,6 +114,7 @@
   simulation.cluster = dispatchEvent(simulation.cluster, leader.instance, event);
 }
 
+/** Has the leader remove a voter, if it has more than three. */
 function removeVoter(simulation: ClusterSimulation, pick: number): void {
   const leader = findLeader(simulation.cluster);
   if (leader?.state === undefined) return;
@@ -125,6 +126,7 @@
   simulation.cluster = dispatchEvent(simulation.cluster, leader.instance, event);
 }
 
+/** Crashes a running voter; restarts a stopped one, with an empty disk if `losesDisk` is set. */
 function crashOrRestart(simulation: ClusterSimulation, pick: number, losesDisk: boolean): void {
   const { instance, state } = chooseVoter(simulation, pick);
   if (state !== undefined) simulation.cluster = crash(simulation.cluster, instance);
--- a/packages/store-core/src/log/LogStore.test.ts
+++ b/packages/store-core/src/log/LogStore.test.ts
@@ -224,7 +224,7 @@
   );
 });
 
-test('A folder of another cluster or instance is refused; a new identity empties it', async (context) => {
+test('A folder of another cluster or instance is refused; with a new identity it opens empty', async (context) => {
   const folder = await makeTemporaryFolder(context);
   const store = await LogStore.open(makeOptions(folder));
   await writeTogether(store, [makeBatch({ vote: { term: 3 }, entries: makeEntries(1, 3, 3) })]);
