--- a/packages/store-core/src/consensus/testing/makeClusterModel.ts
+++ b/packages/store-core/src/consensus/testing/makeClusterModel.ts
@@ -15,7 +15,7 @@
   restart,
   syncDisk,
   type ModelCluster,
-  type ModelVoter,
+  type ModelStore,
 } from './modelCluster.js';
 
 /**
@@ -68,9 +68,9 @@
     });
 }
 
-function listStepsOfRunningVoter(
+function listStepsOfRunningStore(
   { cluster, budget }: BoundedCluster,
-  { instance, pendingWrites, state }: ModelVoter,
+  { instance, pendingWrites, state }: ModelStore,
 ): Step<BoundedCluster>[] {
   const steps: Step<BoundedCluster>[] = [];
   const addStep = (label: string, remainingBudget: Budget, take: () => ModelCluster) => {
@@ -100,9 +100,9 @@
   return steps;
 }
 
-function listStepsOfStoppedVoter(
+function listStepsOfStoppedStore(
   { cluster, budget }: BoundedCluster,
-  { instance }: ModelVoter,
+  { instance }: ModelStore,
 ): Step<BoundedCluster>[] {
   const restartStep = {
     label: `restart ${instance}`,
@@ -126,10 +126,10 @@
     check: (bounded) => bounded.cluster.violation,
     steps: (bounded) => [
       ...listMessageSteps(bounded),
-      ...Object.values(bounded.cluster.voters).flatMap((voter) =>
-        voter.state === undefined
-          ? listStepsOfStoppedVoter(bounded, voter)
-          : listStepsOfRunningVoter(bounded, voter),
+      ...Object.values(bounded.cluster.voters).flatMap((store) =>
+        store.state === undefined
+          ? listStepsOfStoppedStore(bounded, store)
+          : listStepsOfRunningStore(bounded, store),
       ),
     ],
   };
--- a/packages/store-core/src/consensus/testing/modelCluster.ts
+++ b/packages/store-core/src/consensus/testing/modelCluster.ts
@@ -1,7 +1,7 @@
 /**
  * A cluster of real consensus reducers as one value, for the state explorer and random schedules.
  * Disks keep only synced writes, and pending messages can be delivered in any order. A step returns
- * a new cluster and copies only the voter that it changes. The effects of every step are checked
+ * a new cluster and copies only the store that it changes. The effects of every step are checked
  * against the safety properties; `violation` holds the first failure.
  */
 import {
@@ -31,7 +31,7 @@
   makeStateKey,
 } from './modelKeys.js';
 
-/** A fault of the shell that a test injects to show that the checks detect it. */
+/** A fault in the shell, which carries out the reducer's effects; injected to test the checks. */
 export type ShellMutation = 'acknowledgeBeforeSync' | 'voteForgotten' | 'lostDiskKeepsIdentity';
 
 type PendingWrite =
@@ -39,7 +39,7 @@
   | { readonly type: 'snapshot'; readonly snapshot: SavedSnapshot };
 
 /** One store of the cluster, also one that is not a member yet. */
-export interface ModelVoter {
+export interface ModelStore {
   readonly instance: string;
   identity: string;
   now: number;
@@ -61,23 +61,24 @@
 export interface ModelCluster {
   readonly settings: ConsensusSettings;
   readonly mutation?: ShellMutation;
-  readonly voters: Readonly<Record<string, ModelVoter>>;
+  /** All stores by instance, also those that are not voters. */
+  readonly voters: Readonly<Record<string, ModelStore>>;
   readonly network: readonly ModelMessage[];
   readonly leaderByTerm: Readonly<Record<number, string>>;
-  /** Keys of all entries that any voter has applied, from index 1 on. */
+  /** Keys of all entries that any store has applied, from index 1 on. */
   readonly committed: readonly string[];
   readonly acknowledgedIndex: number;
   /** For each read, by request id, the index that was acknowledged when it began. */
   readonly minIndexByReadId: Readonly<Record<string, number>>;
   readonly answeredReadCount: number;
-  /** Number of snapshots that voters have installed from a leader. */
+  /** Number of snapshots that stores have installed from a leader. */
   readonly restoreCount: number;
   readonly requestCount: number;
   /**
-   * By identity of each disk, the key of the entry that it last synced at each index; kept when the
-   * disk is lost.
+   * For each disk identity, the key of the entry last synced at each log index (element 0 is
+   * unused). Kept after the disk is lost.
    */
-  readonly everSynced: Readonly<Record<string, readonly string[]>>;
+  readonly lastSyncedKeysByIdentity: Readonly<Record<string, readonly string[]>>;
   readonly violation?: string;
 }
 
@@ -88,17 +89,17 @@
   return { instance, dataCentre: 'wien-a', host: '127.0.0.1', port: 1 };
 }
 
-function copyVoter(voter: ModelVoter): ModelVoter {
+function copyStore(store: ModelStore): ModelStore {
   return {
-    ...voter,
-    ...(voter.state === undefined ? {} : { state: copyState(voter.state) }),
-    disk: { ...voter.disk, entries: [...voter.disk.entries] },
-    pendingWrites: [...voter.pendingWrites],
-    applied: [...voter.applied],
+    ...store,
+    ...(store.state === undefined ? {} : { state: copyState(store.state) }),
+    disk: { ...store.disk, entries: [...store.disk.entries] },
+    pendingWrites: [...store.pendingWrites],
+    applied: [...store.applied],
   };
 }
 
-function makeVoterKey({ identity, state, disk, pendingWrites, applied }: ModelVoter): string {
+function makeStoreKey({ identity, state, disk, pendingWrites, applied }: ModelStore): string {
   const pendingKeys = pendingWrites.map((write) =>
     write.type === 'batch' ? makeBatchKey(write.effect) : `snapshot ${write.snapshot.header.index}`,
   );
@@ -109,12 +110,12 @@
   return [identity, stateKey, diskKey, pendingKeys.join('|'), applied.length].join('#');
 }
 
-/** Copies the cluster and one voter, which the step then changes. */
-function copyForStep(cluster: ModelCluster, instance: string): [MutableCluster, ModelVoter] {
+/** Copies the cluster and one store, both of which the step then changes. */
+function copyForStep(cluster: ModelCluster, instance: string): [MutableCluster, ModelStore] {
   const original = cluster.voters[instance];
-  if (original === undefined) throw new Error(`There is no voter ${instance}`);
-  const voter = copyVoter(original);
-  return [{ ...cluster, voters: { ...cluster.voters, [instance]: voter } }, voter];
+  if (original === undefined) throw new Error(`There is no store ${instance}`);
+  const store = copyStore(original);
+  return [{ ...cluster, voters: { ...cluster.voters, [instance]: store } }, store];
 }
 
 function recordViolation(cluster: MutableCluster, reason: string): void {
@@ -136,14 +137,14 @@
 /** An entry may be committed only once a quorum of the voters has synced it. */
 function checkCommitQuorum(
   cluster: MutableCluster,
-  voter: ModelVoter,
+  store: ModelStore,
   index: number,
   entryKey: string,
 ): void {
-  if (voter.state?.role.type !== 'leader') return;
-  const voters = votersOf(voter.state);
+  if (store.state?.role.type !== 'leader') return;
+  const voters = votersOf(store.state);
   const copies = voters.filter(
-    ({ identity }) => cluster.everSynced[identity]?.[index] === entryKey,
+    ({ identity }) => cluster.lastSyncedKeysByIdentity[identity]?.[index] === entryKey,
   );
   if (copies.length * 2 <= voters.length) {
     recordViolation(cluster, `index ${index} was committed with ${copies.length} synced copies`);
@@ -151,12 +152,12 @@
 }
 
 /** A term has at most one leader, and the log of a new leader holds all committed entries. */
-function checkNewLeader(cluster: MutableCluster, voter: ModelVoter, term: number): void {
+function checkNewLeader(cluster: MutableCluster, store: ModelStore, term: number): void {
   const recordedLeader = cluster.leaderByTerm[term];
-  if (recordedLeader !== undefined && recordedLeader !== voter.identity)
+  if (recordedLeader !== undefined && recordedLeader !== store.identity)
     recordViolation(cluster, `two leaders in term ${term}`);
-  cluster.leaderByTerm = { ...cluster.leaderByTerm, [term]: voter.identity };
-  const { state } = voter;
+  cluster.leaderByTerm = { ...cluster.leaderByTerm, [term]: store.identity };
+  const { state } = store;
   if (state === undefined) return;
   cluster.committed.forEach((entryKey, position) => {
     const index = position + 1;
@@ -168,9 +169,9 @@
   });
 }
 
-function recordSynced(cluster: MutableCluster, voter: ModelVoter): void {
-  const syncedKeys = [...(cluster.everSynced[voter.identity] ?? [])];
-  const { snapshot, entries } = voter.disk;
+function recordSynced(cluster: MutableCluster, store: ModelStore): void {
+  const syncedKeys = [...(cluster.lastSyncedKeysByIdentity[store.identity] ?? [])];
+  const { snapshot, entries } = store.disk;
   if (snapshot !== undefined) {
     const appliedKeys = JSON.parse(Buffer.from(snapshot.data).toString()) as string[];
     appliedKeys.forEach((entryKey, position) => {
@@ -180,49 +181,52 @@
   entries.forEach((entry) => {
     syncedKeys[entry.index] = makeEntryKey(entry);
   });
-  cluster.everSynced = { ...cluster.everSynced, [voter.identity]: syncedKeys };
+  cluster.lastSyncedKeysByIdentity = {
+    ...cluster.lastSyncedKeysByIdentity,
+    [store.identity]: syncedKeys,
+  };
 }
 
-function applyEffect(cluster: MutableCluster, voter: ModelVoter, effect: ConsensusEffect): void {
+function applyEffect(cluster: MutableCluster, store: ModelStore, effect: ConsensusEffect): void {
   switch (effect.type) {
     case 'persist':
-      voter.pendingWrites.push({ type: 'batch', effect });
+      store.pendingWrites.push({ type: 'batch', effect });
       if (cluster.mutation === 'acknowledgeBeforeSync') {
-        handleEvent(cluster, voter, { type: 'persisted', batch: effect.batch });
+        handleEvent(cluster, store, { type: 'persisted', batch: effect.batch });
       }
       break;
     case 'send':
       send(cluster, effect.instance, effect.envelope);
       break;
     case 'sendSnapshot': {
-      const { snapshot } = voter.disk;
+      const { snapshot } = store.disk;
       const envelope = snapshot && fillSnapshotPart(effect, snapshot);
       if (envelope !== undefined) send(cluster, effect.instance, envelope);
       break;
     }
     case 'apply': {
       const entryKey = makeEntryKey(effect.entry);
-      if (effect.index !== voter.applied.length + 1)
+      if (effect.index !== store.applied.length + 1)
         recordViolation(cluster, 'an entry was applied out of order');
-      voter.applied.push(entryKey);
+      store.applied.push(entryKey);
       const isFirstApplication = effect.index > cluster.committed.length;
       recordCommitted(cluster, effect.index, entryKey);
-      if (isFirstApplication) checkCommitQuorum(cluster, voter, effect.index, entryKey);
+      if (isFirstApplication) checkCommitQuorum(cluster, store, effect.index, entryKey);
       break;
     }
     case 'restore': {
       cluster.restoreCount += 1;
-      voter.applied = JSON.parse(Buffer.from(effect.data).toString()) as string[];
-      if (voter.applied.length !== effect.header.index)
+      store.applied = JSON.parse(Buffer.from(effect.data).toString()) as string[];
+      if (store.applied.length !== effect.header.index)
         recordViolation(cluster, 'the number of entries in a snapshot differs from its index');
-      voter.applied.forEach((entryKey, position) =>
+      store.applied.forEach((entryKey, position) =>
         recordCommitted(cluster, position + 1, entryKey),
       );
       break;
     }
     case 'takeSnapshot': {
-      const data = new Uint8Array(Buffer.from(JSON.stringify(voter.applied)));
-      voter.pendingWrites.push({ type: 'snapshot', snapshot: { header: effect.header, data } });
+      const data = new Uint8Array(Buffer.from(JSON.stringify(store.applied)));
+      store.pendingWrites.push({ type: 'snapshot', snapshot: { header: effect.header, data } });
       break;
     }
     case 'reply': {
@@ -233,14 +237,14 @@
       if (outcome.type === 'readable') {
         const minIndex = cluster.minIndexByReadId[requestId] ?? 0;
         cluster.answeredReadCount += 1;
-        if (voter.applied.length < minIndex) {
+        if (store.applied.length < minIndex) {
           recordViolation(cluster, `a read missed index ${minIndex}, acknowledged before it began`);
         }
       }
       break;
     }
     case 'roleChanged':
-      if (effect.role === 'leader') checkNewLeader(cluster, voter, effect.term);
+      if (effect.role === 'leader') checkNewLeader(cluster, store, effect.term);
       break;
     default:
   }
@@ -256,13 +260,13 @@
   : never;
 export type ModelEvent = WithoutTimestamps<ConsensusEvent>;
 
-function handleEvent(cluster: MutableCluster, voter: ModelVoter, event: ModelEvent): void {
-  const { state, now } = voter;
+function handleEvent(cluster: MutableCluster, store: ModelStore, event: ModelEvent): void {
+  const { state, now } = store;
   if (state === undefined) return;
   const votersBefore = votersOf(state).map((member) => member.identity);
   try {
     const effects = reduceConsensus(state, { ...event, now, wallNow: now });
-    effects.forEach((effect) => applyEffect(cluster, voter, effect));
+    effects.forEach((effect) => applyEffect(cluster, store, effect));
   } catch (error) {
     recordViolation(cluster, String(error));
   }
@@ -279,7 +283,7 @@
   votersOf(state)
     .filter(({ identity }) => !previousVoters.includes(identity))
     .forEach(({ identity }) => {
-      const syncedKeys = cluster.everSynced[identity] ?? [];
+      const syncedKeys = cluster.lastSyncedKeysByIdentity[identity] ?? [];
       const isBehind = cluster.committed
         .slice(0, state.commitIndex)
         .some((entryKey, position) => syncedKeys[position + 1] !== entryKey);
@@ -287,25 +291,26 @@
     });
 }
 
-function finishStep(cluster: MutableCluster, voter: ModelVoter): ModelCluster {
-  voter.key = makeVoterKey(voter);
+function finishStep(cluster: MutableCluster, store: ModelStore): ModelCluster {
+  store.key = makeStoreKey(store);
   return cluster;
 }
 
-/** Passes one event to one voter. */
+/** Passes one event to one store. */
 export function dispatchEvent(
   cluster: ModelCluster,
   instance: string,
   event: ModelEvent,
 ): ModelCluster {
-  const [next, voter] = copyForStep(cluster, instance);
-  handleEvent(next, voter, event);
-  return finishStep(next, voter);
+  const [next, store] = copyForStep(cluster, instance);
+  handleEvent(next, store, event);
+  return finishStep(next, store);
 }
 
 /**
- * Delivers a message, or a copy of it with `keepCopy`. Unless `keepClock` is set, a vote request
- * first advances the receiver's clock to the time from which it may grant votes.
+ * Delivers a message and removes it from the network; with `keepCopy` it stays pending, so that it
+ * can be delivered again. Unless `keepClock` is set, a vote request first advances the receiver's
+ * clock to the time from which it may grant votes.
  */
 export function deliver(
   cluster: ModelCluster,
@@ -313,70 +318,70 @@
   keepCopy = false,
   keepClock = false,
 ): ModelCluster {
-  const [next, voter] = copyForStep(cluster, message.instance);
+  const [next, store] = copyForStep(cluster, message.instance);
   if (!keepCopy) next.network = cluster.network.filter((other) => other !== message);
-  const { state } = voter;
+  const { state } = store;
   if (!keepClock && state !== undefined && message.envelope.message.type === 'voteRequest') {
-    voter.now = Math.max(voter.now, state.voteAfter);
+    store.now = Math.max(store.now, state.voteAfter);
   }
-  handleEvent(next, voter, { type: 'received', envelope: message.envelope });
-  return finishStep(next, voter);
+  handleEvent(next, store, { type: 'received', envelope: message.envelope });
+  return finishStep(next, store);
 }
 
-/** Advances a voter's clock to the time at which its timer is due, and fires the timer. */
+/** Advances a store's clock to the time at which its timer is due, and fires the timer. */
 export function fireTimer(cluster: ModelCluster, instance: string): ModelCluster {
-  const [next, voter] = copyForStep(cluster, instance);
-  voter.now = Math.max(voter.now, voter.state?.wakeAt ?? 0);
-  handleEvent(next, voter, { type: 'timerFired' });
-  return finishStep(next, voter);
+  const [next, store] = copyForStep(cluster, instance);
+  store.now = Math.max(store.now, store.state?.wakeAt ?? 0);
+  handleEvent(next, store, { type: 'timerFired' });
+  return finishStep(next, store);
 }
 
-/** Advances a voter's clock, and fires its timer once if it is due by then. */
+/** Advances a store's clock, and fires its timer once if it is due by then. */
 export function advanceClock(
   cluster: ModelCluster,
   instance: string,
   milliseconds: number,
 ): ModelCluster {
-  const [next, voter] = copyForStep(cluster, instance);
-  voter.now += milliseconds;
-  if (voter.state !== undefined && voter.now >= voter.state.wakeAt) {
-    handleEvent(next, voter, { type: 'timerFired' });
+  const [next, store] = copyForStep(cluster, instance);
+  store.now += milliseconds;
+  if (store.state !== undefined && store.now >= store.state.wakeAt) {
+    handleEvent(next, store, { type: 'timerFired' });
   }
-  return finishStep(next, voter);
+  return finishStep(next, store);
 }
 
-/** Syncs the first `count` pending writes of a voter. */
+/** Syncs the first `count` pending writes of a store. */
 export function syncDisk(cluster: ModelCluster, instance: string, count: number): ModelCluster {
-  const [next, voter] = copyForStep(cluster, instance);
-  voter.pendingWrites.splice(0, count).forEach((write) => {
-    if (write.type === 'batch') writeBatch(voter.disk, write.effect);
-    else saveSnapshot(voter.disk, write.snapshot);
-    recordSynced(next, voter);
+  const [next, store] = copyForStep(cluster, instance);
+  store.pendingWrites.splice(0, count).forEach((write) => {
+    if (write.type === 'batch') writeBatch(store.disk, write.effect);
+    else saveSnapshot(store.disk, write.snapshot);
+    recordSynced(next, store);
     if (write.type === 'snapshot')
-      handleEvent(next, voter, { type: 'compacted', header: write.snapshot.header });
+      handleEvent(next, store, { type: 'compacted', header: write.snapshot.header });
     else if (next.mutation !== 'acknowledgeBeforeSync') {
-      handleEvent(next, voter, { type: 'persisted', batch: write.effect.batch });
+      handleEvent(next, store, { type: 'persisted', batch: write.effect.batch });
     }
   });
-  return finishStep(next, voter);
+  return finishStep(next, store);
 }
 
-/** Stops a voter; its pending writes are lost. */
+/** Stops a store; its pending writes are lost. */
 export function crash(cluster: ModelCluster, instance: string): ModelCluster {
-  const [next, voter] = copyForStep(cluster, instance);
-  voter.state = undefined;
-  voter.pendingWrites = [];
-  voter.applied = [];
-  return finishStep(next, voter);
+  const [next, store] = copyForStep(cluster, instance);
+  store.state = undefined;
+  store.pendingWrites = [];
+  store.applied = [];
+  return finishStep(next, store);
 }
 
-/** Starts a voter from its disk and counts a new run. */
+/** Starts a stopped store from its disk and counts a new run. */
 export function restart(cluster: ModelCluster, instance: string): ModelCluster {
-  const [next, voter] = copyForStep(cluster, instance);
-  const { disk, identity } = voter;
+  const [next, store] = copyForStep(cluster, instance);
+  const { disk, identity } = store;
   disk.runs += 1;
   const run = { count: disk.runs, token: `${identity}-${disk.runs}` };
-  voter.state = createConsensusState(
+  store.state = createConsensusState(
     cluster.settings,
     {
       self: { instance, identity, run },
@@ -387,23 +392,23 @@
     },
     instance.charCodeAt(0) * 31 + disk.runs,
   );
-  voter.applied =
+  store.applied =
     disk.snapshot === undefined
       ? []
       : (JSON.parse(Buffer.from(disk.snapshot.data).toString()) as string[]);
-  handleEvent(next, voter, { type: 'started' });
-  return finishStep(next, voter);
+  handleEvent(next, store, { type: 'started' });
+  return finishStep(next, store);
 }
 
-/** Replaces the disk of a stopped voter by an empty one with a new identity. */
+/** Replaces the disk of a stopped store by an empty one with a new identity. */
 export function loseDisk(cluster: ModelCluster, instance: string): ModelCluster {
-  const [next, voter] = copyForStep(cluster, instance);
-  voter.disk = {
+  const [next, store] = copyForStep(cluster, instance);
+  store.disk = {
     ...makeEmptyDisk(),
-    runs: cluster.mutation === 'lostDiskKeepsIdentity' ? voter.disk.runs : 0,
+    runs: cluster.mutation === 'lostDiskKeepsIdentity' ? store.disk.runs : 0,
   };
-  if (cluster.mutation !== 'lostDiskKeepsIdentity') voter.identity = `${voter.identity}'`;
-  return finishStep(next, voter);
+  if (cluster.mutation !== 'lostDiskKeepsIdentity') store.identity = `${store.identity}'`;
+  return finishStep(next, store);
 }
 
 export function propose(cluster: ModelCluster, instance: string): ModelCluster {
@@ -441,7 +446,7 @@
   }));
   const header = { index: 0, term: 0, at: 0, membership: { members } };
   const foundingSnapshot = { header, data: new Uint8Array(Buffer.from('[]')) };
-  const makeVoter = (instance: string, isMember: boolean): ModelVoter => ({
+  const makeStore = (instance: string, isMember: boolean): ModelStore => ({
     instance,
     identity: `${instance}1`,
     now: 0,
@@ -450,16 +455,16 @@
     applied: [],
     key: '',
   });
-  const voters = Object.fromEntries([
-    ...options.voters.map((instance) => [instance, makeVoter(instance, true)] as const),
+  const stores = Object.fromEntries([
+    ...options.voters.map((instance) => [instance, makeStore(instance, true)] as const),
     ...(options.nonMembers ?? []).map(
-      (instance) => [instance, makeVoter(instance, false)] as const,
+      (instance) => [instance, makeStore(instance, false)] as const,
     ),
   ]);
   const cluster: ModelCluster = {
     settings,
     mutation: options.mutation,
-    voters,
+    voters: stores,
     network: [],
     leaderByTerm: {},
     committed: [],
@@ -468,27 +473,27 @@
     answeredReadCount: 0,
     restoreCount: 0,
     requestCount: 0,
-    everSynced: {},
+    lastSyncedKeysByIdentity: {},
   };
-  return Object.keys(voters).reduce((next, instance) => restart(next, instance), cluster);
+  return Object.keys(stores).reduce((next, instance) => restart(next, instance), cluster);
 }
 
 /** Makes the key by which the explorer identifies the state of a cluster. */
 export function makeClusterKey(cluster: ModelCluster): string {
   const messages = cluster.network.map((message) => message.key).sort();
-  const voters = Object.values(cluster.voters).map((voter) => voter.key);
+  const storeKeys = Object.values(cluster.voters).map((store) => store.key);
   const { leaderByTerm, committed, acknowledgedIndex, minIndexByReadId, requestCount } = cluster;
   return [
-    ...voters,
+    ...storeKeys,
     ...messages,
     JSON.stringify([leaderByTerm, committed, acknowledgedIndex, minIndexByReadId, requestCount]),
   ].join('\n');
 }
 
 /** Finds the running leader of the highest term. */
-export function findLeader(cluster: ModelCluster): ModelVoter | undefined {
+export function findLeader(cluster: ModelCluster): ModelStore | undefined {
   return Object.values(cluster.voters)
-    .filter((voter) => voter.state?.role.type === 'leader')
+    .filter((store) => store.state?.role.type === 'leader')
     .sort((a, b) => (b.state?.term ?? 0) - (a.state?.term ?? 0))[0];
 }
 
@@ -496,11 +501,11 @@
 export function runUntilIdle(start: ModelCluster, maxSteps = 2000): ModelCluster {
   let cluster = start;
   for (let step = 0; step < maxSteps; step += 1) {
-    const voterWithWrites = Object.values(cluster.voters).find(
-      (voter) => voter.state !== undefined && voter.pendingWrites.length > 0,
+    const storeWithWrites = Object.values(cluster.voters).find(
+      (store) => store.state !== undefined && store.pendingWrites.length > 0,
     );
     const [message] = cluster.network;
-    if (voterWithWrites !== undefined) cluster = syncDisk(cluster, voterWithWrites.instance, 1);
+    if (storeWithWrites !== undefined) cluster = syncDisk(cluster, storeWithWrites.instance, 1);
     else if (message !== undefined) cluster = deliver(cluster, message);
     else return cluster;
   }
--- a/packages/store-core/src/consensus/testing/modelKeys.ts
+++ b/packages/store-core/src/consensus/testing/modelKeys.ts
@@ -1,5 +1,5 @@
 /**
- * Copies of a voter's state, and keys by which the explorer identifies states and messages. Both
+ * Copies of a store's state, and keys by which the explorer identifies states and messages. Both
  * are written by hand for speed, as the explorer makes one of each per step. Keys leave out clocks,
  * timers and the random generator: the model lets a timer fire at any time, so that they do not
  * affect which steps can follow.
--- a/packages/store-core/src/consensus/testing/runSchedule.ts
+++ b/packages/store-core/src/consensus/testing/runSchedule.ts
@@ -20,7 +20,7 @@
   syncDisk,
   type ModelCluster,
   type ModelMessage,
-  type ModelVoter,
+  type ModelStore,
 } from './modelCluster.js';
 
 /** A cluster and its partition; actions assign new values to both. */
@@ -32,12 +32,12 @@
 
 type Action = (simulation: ClusterSimulation, pick: number) => void;
 
-/** With more pending messages than this, a selected message is dropped instead of delivered. */
+/** Number of pending messages above which a selected message is dropped instead of delivered. */
 const MAX_MESSAGES = 300;
 
-function chooseVoter({ cluster }: ClusterSimulation, pick: number): ModelVoter {
-  const voters = Object.values(cluster.voters);
-  return voters[pick % voters.length] as ModelVoter;
+function chooseStore({ cluster }: ClusterSimulation, pick: number): ModelStore {
+  const stores = Object.values(cluster.voters);
+  return stores[pick % stores.length] as ModelStore;
 }
 
 export function isBlockedByPartition(
@@ -55,10 +55,10 @@
 }
 
 function deliverMessage(simulation: ClusterSimulation, pick: number, keepCopy: boolean): void {
-  const { network, voters } = simulation.cluster;
+  const { network, voters: stores } = simulation.cluster;
   const message = network[pick % Math.max(1, network.length)];
   if (message === undefined) return;
-  const stopped = voters[message.instance]?.state === undefined;
+  const stopped = stores[message.instance]?.state === undefined;
   if (stopped || isBlockedByPartition(simulation, message) || network.length > MAX_MESSAGES) {
     dropMessage(simulation, message);
   } else {
@@ -98,7 +98,7 @@
   if (leader?.state === undefined) return;
   const { state } = leader;
   const nonMember = Object.values(simulation.cluster.voters).find(
-    (voter) => voter.state !== undefined && memberOf(state, voter.identity) === undefined,
+    (store) => store.state !== undefined && memberOf(state, store.identity) === undefined,
   );
   if (nonMember === undefined) return;
   const { members } = state.memberships.at(-1)?.membership ?? { members: [] };
@@ -126,9 +126,9 @@
   simulation.cluster = dispatchEvent(simulation.cluster, leader.instance, event);
 }
 
-/** Crashes a running voter; restarts a stopped one, with an empty disk if `losesDisk` is set. */
+/** Crashes a running store; restarts a stopped one, with an empty disk if `losesDisk` is set. */
 function crashOrRestart(simulation: ClusterSimulation, pick: number, losesDisk: boolean): void {
-  const { instance, state } = chooseVoter(simulation, pick);
+  const { instance, state } = chooseStore(simulation, pick);
   if (state !== undefined) simulation.cluster = crash(simulation.cluster, instance);
   else {
     if (losesDisk) simulation.cluster = loseDisk(simulation.cluster, instance);
@@ -136,7 +136,7 @@
   }
 }
 
-function restartStoppedVoter(simulation: ClusterSimulation): void {
+function restartStoppedStore(simulation: ClusterSimulation): void {
   const stopped = Object.values(simulation.cluster.voters).find(({ state }) => state === undefined);
   if (stopped !== undefined) simulation.cluster = restart(simulation.cluster, stopped.instance);
 }
@@ -164,13 +164,13 @@
   {
     weight: 8,
     act: (simulation, pick) => {
-      simulation.cluster = syncDisk(simulation.cluster, chooseVoter(simulation, pick).instance, 1);
+      simulation.cluster = syncDisk(simulation.cluster, chooseStore(simulation, pick).instance, 1);
     },
   },
   {
     weight: 8,
     act: (simulation, pick) => {
-      const { instance } = chooseVoter(simulation, pick);
+      const { instance } = chooseStore(simulation, pick);
       simulation.cluster = advanceClock(simulation.cluster, instance, 200 + (pick % 1500));
     },
   },
@@ -178,16 +178,16 @@
   {
     weight: 6,
     act: (simulation, pick) => {
-      simulation.cluster = read(simulation.cluster, chooseVoter(simulation, pick).instance);
+      simulation.cluster = read(simulation.cluster, chooseStore(simulation, pick).instance);
     },
   },
   { weight: 3, act: (simulation, pick) => crashOrRestart(simulation, pick, false) },
   { weight: 1, act: (simulation, pick) => crashOrRestart(simulation, pick, true) },
-  { weight: 3, act: restartStoppedVoter },
+  { weight: 3, act: restartStoppedStore },
   {
     weight: 2,
     act: (simulation, pick) => {
-      simulation.isolatedInstances = [chooseVoter(simulation, pick).instance];
+      simulation.isolatedInstances = [chooseStore(simulation, pick).instance];
     },
   },
   {
--- a/packages/store-core/src/consensus/testing/scenario.ts
+++ b/packages/store-core/src/consensus/testing/scenario.ts
@@ -67,12 +67,12 @@
         !isolatedInstances.includes(envelope.from.instance),
     );
     cluster = { ...cluster, network: remainingMessages };
-    const voterWithWrites = Object.values(cluster.voters).find(
+    const storeWithWrites = Object.values(cluster.voters).find(
       ({ instance, pendingWrites, state }) =>
         state !== undefined && pendingWrites.length > 0 && !isolatedInstances.includes(instance),
     );
     const [message] = remainingMessages;
-    if (voterWithWrites !== undefined) cluster = syncDisk(cluster, voterWithWrites.instance, 1);
+    if (storeWithWrites !== undefined) cluster = syncDisk(cluster, storeWithWrites.instance, 1);
     else if (message !== undefined) cluster = deliver(cluster, message);
     else return cluster;
   }
@@ -110,8 +110,8 @@
 ): ModelCluster {
   let cluster = start;
   while (!isDone(cluster)) {
-    const { voters, network } = cluster;
-    const instanceWithWrites = instances.find((instance) => voters[instance]?.pendingWrites.length);
+    const { voters: stores, network } = cluster;
+    const instanceWithWrites = instances.find((instance) => stores[instance]?.pendingWrites.length);
     const message = network.find(({ instance }) => instances.includes(instance));
     if (instanceWithWrites !== undefined) cluster = syncDisk(cluster, instanceWithWrites, 1);
     else if (message !== undefined) cluster = deliver(cluster, message);
--- a/packages/store-core/src/log/FolderLock.ts
+++ b/packages/store-core/src/log/FolderLock.ts
@@ -41,9 +41,9 @@
 }
 
 /**
- * True if the process that took a lock still runs. A lock without a start time counts as stale: its
- * process cannot be distinguished from a later one with the same pid, so that its lock could keep a
- * killed store from ever starting again.
+ * True if the process that took a lock still runs. A lock without a start time counts as stale. If
+ * it counted as held, a later process with the same pid could keep a killed store from ever
+ * starting again.
  */
 function isRunning({ pid, startedAt, boot }: LockOwner): boolean {
   if (startedAt === '' || boot !== readTextOrEmpty(BOOT_FILE)) return false;
@@ -60,7 +60,10 @@
 interface FoundLock {
   readonly name: string;
   readonly number: number;
-  /** Undefined if the file is incomplete: truncated by a crash, or still being written. */
+  /**
+   * Undefined if the file is incomplete: truncated by a crash, or still being copied on a file
+   * system without hard links.
+   */
   readonly owner: LockOwner | undefined;
 }
 
--- a/packages/store-core/src/log/LogStore.test.ts
+++ b/packages/store-core/src/log/LogStore.test.ts
@@ -97,7 +97,8 @@
 }
 
 test('An incomplete last frame is truncated, whatever its length', async (context) => {
-  // Guards against a store that does not start, or reads half a batch, after a crash in a write.
+  // Guards against a store that cannot start, or restores half a batch, after a crash during a
+  // write.
   const folder = await makeTemporaryFolder(context);
   const { path, firstFrameEnd, fileLength } = await writeTwoFrames(folder);
   const originalContent = await readFile(path);
@@ -175,7 +176,8 @@
 });
 
 test('A snapshot taken here does not replace a newer one from the leader', async () => {
-  // Guards against missing entries between an older snapshot, saved last, and the start of the log.
+  // Guards against an older snapshot overwriting a newer one, which would leave a gap between the
+  // snapshot and the first log entry.
   const fileSystem = new MemoryFileSystem();
   const options = makeOptions('/data', { fileSystem });
   const store = await LogStore.open(options);
@@ -193,7 +195,8 @@
 });
 
 test('A missing identity, state or log file keeps the store from starting', async (context) => {
-  // Guards against a store that counts as a copy of acknowledged entries that it no longer holds.
+  // Guards against a store that rejoins under its old identity after losing entries that it
+  // acknowledged.
   const folder = await makeTemporaryFolder(context);
   const store = await LogStore.open(makeOptions(folder));
   await writeTogether(store, [makeBatch({ entries: makeEntries(1, 3) })]);
@@ -229,11 +232,11 @@
   const store = await LogStore.open(makeOptions(folder));
   await writeTogether(store, [makeBatch({ vote: { term: 3 }, entries: makeEntries(1, 3, 3) })]);
   await store.close();
+  await assert.rejects(LogStore.open(makeOptions(folder, { cluster: 'other' })), /of cluster test/);
   await assert.rejects(
-    LogStore.open(makeOptions(folder, { cluster: 'other' })),
-    /in the cluster test/,
+    LogStore.open(makeOptions(folder, { instance: 'b' })),
+    /it belongs to instance a/,
   );
-  await assert.rejects(LogStore.open(makeOptions(folder, { instance: 'b' })), /it belongs to a in/);
   await renewIdentity(makeOptions(folder));
   const renewed = await LogStore.open(makeOptions(folder));
   assert.notEqual(renewed.restored.self.identity, store.restored.self.identity);
--- a/packages/store-core/src/log/LogStore.ts
+++ b/packages/store-core/src/log/LogStore.ts
@@ -94,7 +94,7 @@
     throw makeDamagedLogError(
       IDENTITY_FILE,
       0,
-      `it belongs to ${storedInstance} in the cluster ${storedCluster}`,
+      `it belongs to instance ${storedInstance} of cluster ${storedCluster}`,
     );
   }
   // A new identity would hide that this disk has acknowledged entries and votes.
--- a/packages/store-core/src/log/replaceFile.ts
+++ b/packages/store-core/src/log/replaceFile.ts
@@ -1,6 +1,7 @@
 /**
- * Replaces a small file atomically, and reads it back: after a crash it holds either the old or the
- * new content. The folder is synced too, as otherwise the old content could reappear.
+ * Replaces and reads small files that hold one frame. The replacement is atomic: after a crash the
+ * file holds either the old or the new content. The folder is synced as well, because otherwise the
+ * old content could reappear after the replacement was reported as done.
  */
 import { join } from 'node:path';
 import type { FileSystem } from './FileSystem.js';
