--- a/packages/store-core/src/consensus/testing/modelCluster.ts
+++ b/packages/store-core/src/consensus/testing/modelCluster.ts
@@ -1,7 +1,8 @@
 /**
- * A cluster of real reducers as one value, for the explorer and for random schedules. Disks keep
- * only what was synced, messages wait in a bag from which any may come next, and each step copies
- * only the voter it touches. What the voters do is compared with what all of them did before.
+ * A cluster of real consensus reducers as one value, for the state explorer and random schedules.
+ * Disks keep only synced writes, and pending messages can be delivered in any order. A step returns
+ * a new cluster and copies only the store that it changes. The effects of every step are checked
+ * against the safety properties; `violation` holds the first failure.
  */
 import {
   createConsensusState,
@@ -30,22 +31,23 @@
   makeStateKey,
 } from './modelKeys.js';
 
-/** Faults of the shell that a test puts in to see the checks notice. */
+/** A fault in the shell, which carries out the reducer's effects; injected to test the checks. */
 export type ShellMutation = 'acknowledgeBeforeSync' | 'voteForgotten' | 'lostDiskKeepsIdentity';
 
-type DiskJob =
+type PendingWrite =
   | { readonly type: 'batch'; readonly effect: PersistEffect }
   | { readonly type: 'snapshot'; readonly snapshot: SavedSnapshot };
 
-export interface ModelVoter {
+/** One store of the cluster, also one that is not a member yet. */
+export interface ModelStore {
   readonly instance: string;
   identity: string;
   now: number;
-  /** Missing while the process is down. */
+  /** Undefined while the process is stopped. */
   state?: ConsensusState;
   disk: ModelDisk;
-  pendingWrites: DiskJob[];
-  /** The state machine: what was applied, in order. */
+  pendingWrites: PendingWrite[];
+  /** Keys of the entries that the state machine holds, in order. */
   applied: string[];
   key: string;
 }
@@ -59,149 +61,172 @@
 export interface ModelCluster {
   readonly settings: ConsensusSettings;
   readonly mutation?: ShellMutation;
-  readonly voters: Readonly<Record<string, ModelVoter>>;
+  /** All stores by instance, also those that are not voters. */
+  readonly voters: Readonly<Record<string, ModelStore>>;
   readonly network: readonly ModelMessage[];
   readonly leaderByTerm: Readonly<Record<number, string>>;
-  /** Every entry that any voter has applied, from index 1 on. */
+  /** Keys of all entries that any store has applied, from index 1 on. */
   readonly committed: readonly string[];
   readonly acknowledgedIndex: number;
-  /** Reads under way, and the index that was acknowledged when they began. */
+  /** For each read, by request id, the index that was acknowledged when it began. */
   readonly minIndexByReadId: Readonly<Record<string, number>>;
   readonly answeredReadCount: number;
-  /** Snapshots that voters have taken over from others. */
+  /** Number of snapshots that stores have installed from a leader. */
   readonly restoreCount: number;
   readonly requestCount: number;
-  /** What each disk ever had synced at an index, by identity; it outlives the disk. */
-  readonly everSynced: Readonly<Record<string, readonly string[]>>;
+  /**
+   * For each disk identity, the key of the entry last synced at each log index (element 0 is
+   * unused). Kept after the disk is lost.
+   */
+  readonly lastSyncedKeysByIdentity: Readonly<Record<string, readonly string[]>>;
   readonly violation?: string;
 }
 
-type Changes = { -readonly [Name in keyof ModelCluster]: ModelCluster[Name] };
+/** The copy of a cluster that a step changes in place. */
+type MutableCluster = { -readonly [Name in keyof ModelCluster]: ModelCluster[Name] };
 
 export function makeAddress(instance: string) {
   return { instance, dataCentre: 'wien-a', host: '127.0.0.1', port: 1 };
 }
 
-function copyVoter(voter: ModelVoter): ModelVoter {
+function copyStore(store: ModelStore): ModelStore {
   return {
-    ...voter,
-    ...(voter.state === undefined ? {} : { state: copyState(voter.state) }),
-    disk: { ...voter.disk, entries: [...voter.disk.entries] },
-    pendingWrites: [...voter.pendingWrites],
-    applied: [...voter.applied],
+    ...store,
+    ...(store.state === undefined ? {} : { state: copyState(store.state) }),
+    disk: { ...store.disk, entries: [...store.disk.entries] },
+    pendingWrites: [...store.pendingWrites],
+    applied: [...store.applied],
   };
 }
 
-function nameVoter({ identity, state, disk, pendingWrites: jobs, applied }: ModelVoter): string {
-  const waiting = jobs.map((job) =>
-    job.type === 'batch' ? makeBatchKey(job.effect) : `snapshot ${job.snapshot.header.index}`,
+function makeStoreKey({ identity, state, disk, pendingWrites, applied }: ModelStore): string {
+  const pendingKeys = pendingWrites.map((write) =>
+    write.type === 'batch' ? makeBatchKey(write.effect) : `snapshot ${write.snapshot.header.index}`,
   );
-  const stored = disk.entries.map((entry) => `${entry.index}=${makeEntryKey(entry)}`);
+  const entryKeys = disk.entries.map((entry) => `${entry.index}=${makeEntryKey(entry)}`);
   const { runs, term, votedFor, snapshot } = disk;
-  const onDisk = [runs, term, votedFor, snapshot?.header.index, stored.join('|')].join();
-  const live = state === undefined ? 'down' : makeStateKey(state);
-  return [identity, live, onDisk, waiting.join('|'), applied.length].join('#');
+  const diskKey = [runs, term, votedFor, snapshot?.header.index, entryKeys.join('|')].join();
+  const stateKey = state === undefined ? 'down' : makeStateKey(state);
+  return [identity, stateKey, diskKey, pendingKeys.join('|'), applied.length].join('#');
 }
 
-function changed(cluster: ModelCluster, instance: string): [Changes, ModelVoter] {
-  const found = cluster.voters[instance];
-  if (found === undefined) throw new Error(`No voter ${instance}`);
-  const voter = copyVoter(found);
-  return [{ ...cluster, voters: { ...cluster.voters, [instance]: voter } }, voter];
+/** Copies the cluster and one store, both of which the step then changes. */
+function copyForStep(cluster: ModelCluster, instance: string): [MutableCluster, ModelStore] {
+  const original = cluster.voters[instance];
+  if (original === undefined) throw new Error(`There is no store ${instance}`);
+  const store = copyStore(original);
+  return [{ ...cluster, voters: { ...cluster.voters, [instance]: store } }, store];
 }
 
-function violate(cluster: Changes, reason: string): void {
+function recordViolation(cluster: MutableCluster, reason: string): void {
   cluster.violation ??= reason;
 }
 
-function noteCommitted(cluster: Changes, index: number, name: string): void {
-  const known = cluster.committed[index - 1];
-  if (known === name) return;
-  if (known !== undefined) {
-    violate(cluster, `index ${index} was committed as ${known} and as ${name}`);
+function recordCommitted(cluster: MutableCluster, index: number, entryKey: string): void {
+  const recordedKey = cluster.committed[index - 1];
+  if (recordedKey === entryKey) return;
+  if (recordedKey !== undefined) {
+    recordViolation(cluster, `index ${index} was committed as ${recordedKey} and as ${entryKey}`);
     return;
   }
-  if (index !== cluster.committed.length + 1) violate(cluster, `index ${index} leaves a gap`);
-  cluster.committed = [...cluster.committed, name];
-}
-
-/** An entry counts as committed only if a quorum of the voters has had it on disk. */
-function checkCopies(cluster: Changes, voter: ModelVoter, index: number, name: string): void {
-  if (voter.state?.role.type !== 'leader') return;
-  const voters = votersOf(voter.state);
-  const copies = voters.filter(({ identity }) => cluster.everSynced[identity]?.[index] === name);
+  if (index !== cluster.committed.length + 1)
+    recordViolation(cluster, `index ${index} was committed before a lower index`);
+  cluster.committed = [...cluster.committed, entryKey];
+}
+
+/** An entry may be committed only once a quorum of the voters has synced it. */
+function checkCommitQuorum(
+  cluster: MutableCluster,
+  store: ModelStore,
+  index: number,
+  entryKey: string,
+): void {
+  if (store.state?.role.type !== 'leader') return;
+  const voters = votersOf(store.state);
+  const copies = voters.filter(
+    ({ identity }) => cluster.lastSyncedKeysByIdentity[identity]?.[index] === entryKey,
+  );
   if (copies.length * 2 <= voters.length) {
-    violate(cluster, `index ${index} was committed with ${copies.length} copies on disk`);
+    recordViolation(cluster, `index ${index} was committed with ${copies.length} synced copies`);
   }
 }
 
-function checkNewLeader(cluster: Changes, voter: ModelVoter, term: number): void {
-  const known = cluster.leaderByTerm[term];
-  if (known !== undefined && known !== voter.identity) violate(cluster, `two leaders in ${term}`);
-  cluster.leaderByTerm = { ...cluster.leaderByTerm, [term]: voter.identity };
-  const { state } = voter;
+/** A term has at most one leader, and the log of a new leader holds all committed entries. */
+function checkNewLeader(cluster: MutableCluster, store: ModelStore, term: number): void {
+  const recordedLeader = cluster.leaderByTerm[term];
+  if (recordedLeader !== undefined && recordedLeader !== store.identity)
+    recordViolation(cluster, `two leaders in term ${term}`);
+  cluster.leaderByTerm = { ...cluster.leaderByTerm, [term]: store.identity };
+  const { state } = store;
   if (state === undefined) return;
-  cluster.committed.forEach((name, position) => {
+  cluster.committed.forEach((entryKey, position) => {
     const index = position + 1;
     if (index <= state.log.base.index) return;
     const entry = entryAt(state, index);
-    if (entry === undefined || makeEntryKey(entry) !== name) {
-      violate(cluster, `the leader of term ${term} lacks the committed index ${index}`);
+    if (entry === undefined || makeEntryKey(entry) !== entryKey) {
+      recordViolation(cluster, `the leader of term ${term} lacks the committed index ${index}`);
     }
   });
 }
 
-function noteSynced(cluster: Changes, voter: ModelVoter): void {
-  const names = [...(cluster.everSynced[voter.identity] ?? [])];
-  const { snapshot, entries } = voter.disk;
+function recordSynced(cluster: MutableCluster, store: ModelStore): void {
+  const syncedKeys = [...(cluster.lastSyncedKeysByIdentity[store.identity] ?? [])];
+  const { snapshot, entries } = store.disk;
   if (snapshot !== undefined) {
-    const applied = JSON.parse(Buffer.from(snapshot.data).toString()) as string[];
-    applied.forEach((name, position) => {
-      names[position + 1] = name;
+    const appliedKeys = JSON.parse(Buffer.from(snapshot.data).toString()) as string[];
+    appliedKeys.forEach((entryKey, position) => {
+      syncedKeys[position + 1] = entryKey;
     });
   }
   entries.forEach((entry) => {
-    names[entry.index] = makeEntryKey(entry);
+    syncedKeys[entry.index] = makeEntryKey(entry);
   });
-  cluster.everSynced = { ...cluster.everSynced, [voter.identity]: names };
+  cluster.lastSyncedKeysByIdentity = {
+    ...cluster.lastSyncedKeysByIdentity,
+    [store.identity]: syncedKeys,
+  };
 }
 
-function carryOut(cluster: Changes, voter: ModelVoter, effect: ConsensusEffect): void {
+function applyEffect(cluster: MutableCluster, store: ModelStore, effect: ConsensusEffect): void {
   switch (effect.type) {
     case 'persist':
-      voter.pendingWrites.push({ type: 'batch', effect });
+      store.pendingWrites.push({ type: 'batch', effect });
       if (cluster.mutation === 'acknowledgeBeforeSync') {
-        handle(cluster, voter, { type: 'persisted', batch: effect.batch });
+        handleEvent(cluster, store, { type: 'persisted', batch: effect.batch });
       }
       break;
     case 'send':
       send(cluster, effect.instance, effect.envelope);
       break;
     case 'sendSnapshot': {
-      const { snapshot } = voter.disk;
+      const { snapshot } = store.disk;
       const envelope = snapshot && fillSnapshotPart(effect, snapshot);
       if (envelope !== undefined) send(cluster, effect.instance, envelope);
       break;
     }
     case 'apply': {
-      const name = makeEntryKey(effect.entry);
-      if (effect.index !== voter.applied.length + 1) violate(cluster, 'applied out of order');
-      voter.applied.push(name);
-      const first = effect.index > cluster.committed.length;
-      noteCommitted(cluster, effect.index, name);
-      if (first) checkCopies(cluster, voter, effect.index, name);
+      const entryKey = makeEntryKey(effect.entry);
+      if (effect.index !== store.applied.length + 1)
+        recordViolation(cluster, 'an entry was applied out of order');
+      store.applied.push(entryKey);
+      const isFirstApplication = effect.index > cluster.committed.length;
+      recordCommitted(cluster, effect.index, entryKey);
+      if (isFirstApplication) checkCommitQuorum(cluster, store, effect.index, entryKey);
       break;
     }
     case 'restore': {
       cluster.restoreCount += 1;
-      voter.applied = JSON.parse(Buffer.from(effect.data).toString()) as string[];
-      if (voter.applied.length !== effect.header.index) violate(cluster, 'snapshot of other size');
-      voter.applied.forEach((name, position) => noteCommitted(cluster, position + 1, name));
+      store.applied = JSON.parse(Buffer.from(effect.data).toString()) as string[];
+      if (store.applied.length !== effect.header.index)
+        recordViolation(cluster, 'the number of entries in a snapshot differs from its index');
+      store.applied.forEach((entryKey, position) =>
+        recordCommitted(cluster, position + 1, entryKey),
+      );
       break;
     }
     case 'takeSnapshot': {
-      const data = new Uint8Array(Buffer.from(JSON.stringify(voter.applied)));
-      voter.pendingWrites.push({ type: 'snapshot', snapshot: { header: effect.header, data } });
+      const data = new Uint8Array(Buffer.from(JSON.stringify(store.applied)));
+      store.pendingWrites.push({ type: 'snapshot', snapshot: { header: effect.header, data } });
       break;
     }
     case 'reply': {
@@ -210,137 +235,153 @@
         cluster.acknowledgedIndex = Math.max(cluster.acknowledgedIndex, outcome.index);
       }
       if (outcome.type === 'readable') {
-        const floor = cluster.minIndexByReadId[requestId] ?? 0;
+        const minIndex = cluster.minIndexByReadId[requestId] ?? 0;
         cluster.answeredReadCount += 1;
-        if (voter.applied.length < floor) {
-          violate(cluster, `a read missed index ${floor}, acknowledged before it began`);
+        if (store.applied.length < minIndex) {
+          recordViolation(cluster, `a read missed index ${minIndex}, acknowledged before it began`);
         }
       }
       break;
     }
     case 'roleChanged':
-      if (effect.role === 'leader') checkNewLeader(cluster, voter, effect.term);
+      if (effect.role === 'leader') checkNewLeader(cluster, store, effect.term);
       break;
     default:
   }
 }
 
-function send(cluster: Changes, instance: string, envelope: Envelope): void {
+function send(cluster: MutableCluster, instance: string, envelope: Envelope): void {
   const message = { instance, envelope, key: makeEnvelopeKey(envelope) };
   cluster.network = [...cluster.network, message];
 }
 
-type Untimed<Event> = Event extends ConsensusEvent ? Omit<Event, 'now' | 'wallNow'> : never;
-export type ModelEvent = Untimed<ConsensusEvent>;
+type WithoutTimestamps<Event> = Event extends ConsensusEvent
+  ? Omit<Event, 'now' | 'wallNow'>
+  : never;
+export type ModelEvent = WithoutTimestamps<ConsensusEvent>;
 
-function handle(cluster: Changes, voter: ModelVoter, event: ModelEvent): void {
-  const { state, now } = voter;
+function handleEvent(cluster: MutableCluster, store: ModelStore, event: ModelEvent): void {
+  const { state, now } = store;
   if (state === undefined) return;
   const votersBefore = votersOf(state).map((member) => member.identity);
   try {
     const effects = reduceConsensus(state, { ...event, now, wallNow: now });
-    effects.forEach((effect) => carryOut(cluster, voter, effect));
+    effects.forEach((effect) => applyEffect(cluster, store, effect));
   } catch (error) {
-    violate(cluster, String(error));
+    recordViolation(cluster, String(error));
   }
   checkNewVoters(cluster, state, votersBefore);
 }
 
-/** A disk that is made a voter already holds everything that its leader knows to be committed. */
-function checkNewVoters(cluster: Changes, state: ConsensusState, before: readonly string[]): void {
-  if (state.role.type !== 'leader' || before.length === 0) return;
+/** A disk becomes a voter only once it holds every entry that the leader knows to be committed. */
+function checkNewVoters(
+  cluster: MutableCluster,
+  state: ConsensusState,
+  previousVoters: readonly string[],
+): void {
+  if (state.role.type !== 'leader' || previousVoters.length === 0) return;
   votersOf(state)
-    .filter(({ identity }) => !before.includes(identity))
+    .filter(({ identity }) => !previousVoters.includes(identity))
     .forEach(({ identity }) => {
-      const synced = cluster.everSynced[identity] ?? [];
-      const missing = cluster.committed
+      const syncedKeys = cluster.lastSyncedKeysByIdentity[identity] ?? [];
+      const isBehind = cluster.committed
         .slice(0, state.commitIndex)
-        .some((name, position) => synced[position + 1] !== name);
-      if (missing) violate(cluster, `${identity} became a voter before it had caught up`);
+        .some((entryKey, position) => syncedKeys[position + 1] !== entryKey);
+      if (isBehind) recordViolation(cluster, `${identity} became a voter before it had caught up`);
     });
 }
 
-function finish(cluster: Changes, voter: ModelVoter): ModelCluster {
-  voter.key = nameVoter(voter);
+function finishStep(cluster: MutableCluster, store: ModelStore): ModelCluster {
+  store.key = makeStoreKey(store);
   return cluster;
 }
 
-/** Hands one event to one voter. */
+/** Passes one event to one store. */
 export function dispatchEvent(
   cluster: ModelCluster,
   instance: string,
   event: ModelEvent,
 ): ModelCluster {
-  const [next, voter] = changed(cluster, instance);
-  handle(next, voter, event);
-  return finish(next, voter);
+  const [next, store] = copyForStep(cluster, instance);
+  handleEvent(next, store, event);
+  return finishStep(next, store);
 }
 
-/** Lets a message arrive, or a copy of it if `keep`. A voter's patience is taken to be over. */
+/**
+ * Delivers a message and removes it from the network; with `keepCopy` it stays pending, so that it
+ * can be delivered again. Unless `keepClock` is set, a vote request first advances the receiver's
+ * clock to the time from which it may grant votes.
+ */
 export function deliver(
   cluster: ModelCluster,
   message: ModelMessage,
-  keep = false,
-  patient = false,
+  keepCopy = false,
+  keepClock = false,
 ): ModelCluster {
-  const [next, voter] = changed(cluster, message.instance);
-  if (!keep) next.network = cluster.network.filter((other) => other !== message);
-  const { state } = voter;
-  if (!patient && state !== undefined && message.envelope.message.type === 'voteRequest') {
-    voter.now = Math.max(voter.now, state.voteAfter);
+  const [next, store] = copyForStep(cluster, message.instance);
+  if (!keepCopy) next.network = cluster.network.filter((other) => other !== message);
+  const { state } = store;
+  if (!keepClock && state !== undefined && message.envelope.message.type === 'voteRequest') {
+    store.now = Math.max(store.now, state.voteAfter);
   }
-  handle(next, voter, { type: 'received', envelope: message.envelope });
-  return finish(next, voter);
+  handleEvent(next, store, { type: 'received', envelope: message.envelope });
+  return finishStep(next, store);
 }
 
-/** Lets a voter's timer fire, as soon as it is due. */
+/** Advances a store's clock to the time at which its timer is due, and fires the timer. */
 export function fireTimer(cluster: ModelCluster, instance: string): ModelCluster {
-  const [next, voter] = changed(cluster, instance);
-  voter.now = Math.max(voter.now, voter.state?.wakeAt ?? 0);
-  handle(next, voter, { type: 'timerFired' });
-  return finish(next, voter);
-}
-
-/** Lets a voter's clock run, and fires its timer if it is due then. */
-export function advanceClock(cluster: ModelCluster, instance: string, span: number): ModelCluster {
-  const [next, voter] = changed(cluster, instance);
-  voter.now += span;
-  if (voter.state !== undefined && voter.now >= voter.state.wakeAt) {
-    handle(next, voter, { type: 'timerFired' });
+  const [next, store] = copyForStep(cluster, instance);
+  store.now = Math.max(store.now, store.state?.wakeAt ?? 0);
+  handleEvent(next, store, { type: 'timerFired' });
+  return finishStep(next, store);
+}
+
+/** Advances a store's clock, and fires its timer once if it is due by then. */
+export function advanceClock(
+  cluster: ModelCluster,
+  instance: string,
+  milliseconds: number,
+): ModelCluster {
+  const [next, store] = copyForStep(cluster, instance);
+  store.now += milliseconds;
+  if (store.state !== undefined && store.now >= store.state.wakeAt) {
+    handleEvent(next, store, { type: 'timerFired' });
   }
-  return finish(next, voter);
+  return finishStep(next, store);
 }
 
-/** Syncs the first `count` writes that wait. */
+/** Syncs the first `count` pending writes of a store. */
 export function syncDisk(cluster: ModelCluster, instance: string, count: number): ModelCluster {
-  const [next, voter] = changed(cluster, instance);
-  voter.pendingWrites.splice(0, count).forEach((job) => {
-    if (job.type === 'batch') writeBatch(voter.disk, job.effect);
-    else saveSnapshot(voter.disk, job.snapshot);
-    noteSynced(next, voter);
-    if (job.type === 'snapshot')
-      handle(next, voter, { type: 'compacted', header: job.snapshot.header });
+  const [next, store] = copyForStep(cluster, instance);
+  store.pendingWrites.splice(0, count).forEach((write) => {
+    if (write.type === 'batch') writeBatch(store.disk, write.effect);
+    else saveSnapshot(store.disk, write.snapshot);
+    recordSynced(next, store);
+    if (write.type === 'snapshot')
+      handleEvent(next, store, { type: 'compacted', header: write.snapshot.header });
     else if (next.mutation !== 'acknowledgeBeforeSync') {
-      handle(next, voter, { type: 'persisted', batch: job.effect.batch });
+      handleEvent(next, store, { type: 'persisted', batch: write.effect.batch });
     }
   });
-  return finish(next, voter);
+  return finishStep(next, store);
 }
 
+/** Stops a store; its pending writes are lost. */
 export function crash(cluster: ModelCluster, instance: string): ModelCluster {
-  const [next, voter] = changed(cluster, instance);
-  voter.state = undefined;
-  voter.pendingWrites = [];
-  voter.applied = [];
-  return finish(next, voter);
+  const [next, store] = copyForStep(cluster, instance);
+  store.state = undefined;
+  store.pendingWrites = [];
+  store.applied = [];
+  return finishStep(next, store);
 }
 
+/** Starts a stopped store from its disk and counts a new run. */
 export function restart(cluster: ModelCluster, instance: string): ModelCluster {
-  const [next, voter] = changed(cluster, instance);
-  const { disk, identity } = voter;
+  const [next, store] = copyForStep(cluster, instance);
+  const { disk, identity } = store;
   disk.runs += 1;
   const run = { count: disk.runs, token: `${identity}-${disk.runs}` };
-  voter.state = createConsensusState(
+  store.state = createConsensusState(
     cluster.settings,
     {
       self: { instance, identity, run },
@@ -351,51 +392,51 @@
     },
     instance.charCodeAt(0) * 31 + disk.runs,
   );
-  voter.applied =
+  store.applied =
     disk.snapshot === undefined
       ? []
       : (JSON.parse(Buffer.from(disk.snapshot.data).toString()) as string[]);
-  handle(next, voter, { type: 'started' });
-  return finish(next, voter);
+  handleEvent(next, store, { type: 'started' });
+  return finishStep(next, store);
 }
 
-/** A stopped voter's disk is replaced by an empty one, which has an identity of its own. */
+/** Replaces the disk of a stopped store by an empty one with a new identity. */
 export function loseDisk(cluster: ModelCluster, instance: string): ModelCluster {
-  const [next, voter] = changed(cluster, instance);
-  voter.disk = {
+  const [next, store] = copyForStep(cluster, instance);
+  store.disk = {
     ...makeEmptyDisk(),
-    runs: cluster.mutation === 'lostDiskKeepsIdentity' ? voter.disk.runs : 0,
+    runs: cluster.mutation === 'lostDiskKeepsIdentity' ? store.disk.runs : 0,
   };
-  if (cluster.mutation !== 'lostDiskKeepsIdentity') voter.identity = `${voter.identity}'`;
-  return finish(next, voter);
+  if (cluster.mutation !== 'lostDiskKeepsIdentity') store.identity = `${store.identity}'`;
+  return finishStep(next, store);
 }
 
 export function propose(cluster: ModelCluster, instance: string): ModelCluster {
   const requestId = `write-${cluster.requestCount}`;
-  const counted = { ...cluster, requests: cluster.requestCount + 1 };
+  const withRequest = { ...cluster, requestCount: cluster.requestCount + 1 };
   const proposals = [{ requestId, command: requestId }];
-  return dispatchEvent(counted, instance, { type: 'propose', proposals });
+  return dispatchEvent(withRequest, instance, { type: 'propose', proposals });
 }
 
 export function read(cluster: ModelCluster, instance: string): ModelCluster {
   const requestId = `read-${cluster.requestCount}`;
-  const counted = {
+  const withRequest = {
     ...cluster,
-    requests: cluster.requestCount + 1,
-    reads: { ...cluster.minIndexByReadId, [requestId]: cluster.acknowledgedIndex },
+    requestCount: cluster.requestCount + 1,
+    minIndexByReadId: { ...cluster.minIndexByReadId, [requestId]: cluster.acknowledgedIndex },
   };
-  return dispatchEvent(counted, instance, { type: 'read', requestId });
+  return dispatchEvent(withRequest, instance, { type: 'read', requestId });
 }
 
 export interface ModelClusterOptions {
   readonly voters: readonly string[];
-  /** Instances that run, but are no members yet. */
+  /** Instances that run with empty disks and are not members yet. */
   readonly nonMembers?: readonly string[];
   readonly settings?: Partial<ConsensusSettings>;
   readonly mutation?: ShellMutation;
 }
 
-/** A cluster whose voters have just started, with a founding membership on every disk. */
+/** Starts a cluster; the disk of each voter holds the founding membership. */
 export function makeCluster(options: ModelClusterOptions): ModelCluster {
   const settings = { ...defaultConsensusSettings, cluster: 'test', ...options.settings };
   const members: Member[] = options.voters.map((instance) => ({
@@ -404,26 +445,26 @@
     address: makeAddress(instance),
   }));
   const header = { index: 0, term: 0, at: 0, membership: { members } };
-  const founded = { header, data: new Uint8Array(Buffer.from('[]')) };
-  const makeVoter = (instance: string, isMember: boolean): ModelVoter => ({
+  const foundingSnapshot = { header, data: new Uint8Array(Buffer.from('[]')) };
+  const makeStore = (instance: string, isMember: boolean): ModelStore => ({
     instance,
     identity: `${instance}1`,
     now: 0,
-    disk: isMember ? { ...makeEmptyDisk(), snapshot: founded } : makeEmptyDisk(),
+    disk: isMember ? { ...makeEmptyDisk(), snapshot: foundingSnapshot } : makeEmptyDisk(),
     pendingWrites: [],
     applied: [],
     key: '',
   });
-  const voters = Object.fromEntries([
-    ...options.voters.map((instance) => [instance, makeVoter(instance, true)] as const),
+  const stores = Object.fromEntries([
+    ...options.voters.map((instance) => [instance, makeStore(instance, true)] as const),
     ...(options.nonMembers ?? []).map(
-      (instance) => [instance, makeVoter(instance, false)] as const,
+      (instance) => [instance, makeStore(instance, false)] as const,
     ),
   ]);
   const cluster: ModelCluster = {
     settings,
     mutation: options.mutation,
-    voters,
+    voters: stores,
     network: [],
     leaderByTerm: {},
     committed: [],
@@ -432,44 +473,39 @@
     answeredReadCount: 0,
     restoreCount: 0,
     requestCount: 0,
-    everSynced: {},
+    lastSyncedKeysByIdentity: {},
   };
-  return Object.keys(voters).reduce((next, instance) => restart(next, instance), cluster);
+  return Object.keys(stores).reduce((next, instance) => restart(next, instance), cluster);
 }
 
-/** Names a cluster's state, for the explorer. */
+/** Makes the key by which the explorer identifies the state of a cluster. */
 export function makeClusterKey(cluster: ModelCluster): string {
   const messages = cluster.network.map((message) => message.key).sort();
-  const voters = Object.values(cluster.voters).map((voter) => voter.key);
-  const {
-    leaderByTerm: leaders,
-    committed,
-    acknowledgedIndex,
-    minIndexByReadId: reads,
-    requestCount: requests,
-  } = cluster;
+  const storeKeys = Object.values(cluster.voters).map((store) => store.key);
+  const { leaderByTerm, committed, acknowledgedIndex, minIndexByReadId, requestCount } = cluster;
   return [
-    ...voters,
+    ...storeKeys,
     ...messages,
-    JSON.stringify([leaders, committed, acknowledgedIndex, reads, requests]),
+    JSON.stringify([leaderByTerm, committed, acknowledgedIndex, minIndexByReadId, requestCount]),
   ].join('\n');
 }
 
-export function findLeader(cluster: ModelCluster): ModelVoter | undefined {
+/** Finds the running leader of the highest term. */
+export function findLeader(cluster: ModelCluster): ModelStore | undefined {
   return Object.values(cluster.voters)
-    .filter((voter) => voter.state?.role.type === 'leader')
+    .filter((store) => store.state?.role.type === 'leader')
     .sort((a, b) => (b.state?.term ?? 0) - (a.state?.term ?? 0))[0];
 }
 
-/** Lets everything run without faults until nothing is left to do. */
-export function runUntilIdle(start: ModelCluster, mostSteps = 2000): ModelCluster {
+/** Delivers messages in order and syncs disks until nothing is pending, for `maxSteps` at most. */
+export function runUntilIdle(start: ModelCluster, maxSteps = 2000): ModelCluster {
   let cluster = start;
-  for (let step = 0; step < mostSteps; step += 1) {
-    const waiting = Object.values(cluster.voters).find(
-      (voter) => voter.state !== undefined && voter.pendingWrites.length > 0,
+  for (let step = 0; step < maxSteps; step += 1) {
+    const storeWithWrites = Object.values(cluster.voters).find(
+      (store) => store.state !== undefined && store.pendingWrites.length > 0,
     );
     const [message] = cluster.network;
-    if (waiting !== undefined) cluster = syncDisk(cluster, waiting.instance, 1);
+    if (storeWithWrites !== undefined) cluster = syncDisk(cluster, storeWithWrites.instance, 1);
     else if (message !== undefined) cluster = deliver(cluster, message);
     else return cluster;
   }
--- a/packages/store-core/src/consensus/testing/runForDuration.ts
+++ b/packages/store-core/src/consensus/testing/runForDuration.ts
@@ -1,6 +1,7 @@
 /**
- * Lets time pass in a model cluster without further faults: messages arrive in order, disks are
- * synced, clocks run, and stores that are no members ask to be let in.
+ * Runs a simulated cluster for a duration without new faults: clocks advance, writes are synced,
+ * messages are delivered in order, and `repairMembership` runs in each step. Existing faults, such
+ * as a partition or a stopped store, last.
  */
 import { deliver } from './modelCluster.js';
 import {
@@ -13,24 +14,24 @@
 
 const STEP_MILLISECONDS = 25;
 
-/** Carries out all that is under way; messages between the two sides of a cut are lost. */
-function finishWork(schedule: ClusterSimulation): void {
+/** Syncs and delivers until no message is pending; messages across the partition are dropped. */
+function deliverAndSyncAll(simulation: ClusterSimulation): void {
   for (;;) {
-    syncAllDisks(schedule);
-    const { cluster } = schedule;
-    const [message, ...others] = cluster.network;
+    syncAllDisks(simulation);
+    const { cluster } = simulation;
+    const [message, ...remaining] = cluster.network;
     if (message === undefined) return;
-    schedule.cluster = isBlockedByPartition(schedule, message)
-      ? { ...cluster, network: others }
+    simulation.cluster = isBlockedByPartition(simulation, message)
+      ? { ...cluster, network: remaining }
       : deliver(cluster, message, false, true);
   }
 }
 
-export function runForDuration(schedule: ClusterSimulation, milliseconds: number): void {
-  for (let passed = 0; passed < milliseconds; passed += STEP_MILLISECONDS) {
-    advanceAllClocks(schedule, STEP_MILLISECONDS);
-    finishWork(schedule);
-    repairMembership(schedule);
-    finishWork(schedule);
+export function runForDuration(simulation: ClusterSimulation, milliseconds: number): void {
+  for (let elapsed = 0; elapsed < milliseconds; elapsed += STEP_MILLISECONDS) {
+    advanceAllClocks(simulation, STEP_MILLISECONDS);
+    deliverAndSyncAll(simulation);
+    repairMembership(simulation);
+    deliverAndSyncAll(simulation);
   }
 }
--- a/packages/store-core/src/consensus/testing/runSchedule.ts
+++ b/packages/store-core/src/consensus/testing/runSchedule.ts
@@ -1,7 +1,8 @@
 /**
- * A random schedule of everything that can happen to a cluster: each number of a list picks the
- * next thing and its subject. Timers run on virtual clocks, and an operator takes out lost disks
- * and lets new ones in. At the end all faults are healed and the cluster must go on.
+ * Runs random schedules on a model cluster: each number of a list selects the next action and its
+ * target. Actions inject faults, send requests, advance virtual clocks and change the membership as
+ * an operator does. After a schedule, `recoverFromFaults` ends all faults, so that a test can check
+ * that the cluster commits again.
  */
 import { memberOf, votersOf } from '../membership.js';
 import {
@@ -19,215 +20,227 @@
   syncDisk,
   type ModelCluster,
   type ModelMessage,
-  type ModelVoter,
+  type ModelStore,
 } from './modelCluster.js';
 
+/** A cluster and its partition; actions assign new values to both. */
 export interface ClusterSimulation {
   cluster: ModelCluster;
-  /** Instances that are cut off from all others. */
+  /** Instances that are partitioned from the rest of the cluster. */
   isolatedInstances: string[];
 }
 
-type Action = (schedule: ClusterSimulation, pick: number) => void;
+type Action = (simulation: ClusterSimulation, pick: number) => void;
 
-const MOST_MESSAGES = 300;
+/** Number of pending messages above which a selected message is dropped instead of delivered. */
+const MAX_MESSAGES = 300;
 
-function voterAt({ cluster }: ClusterSimulation, pick: number): ModelVoter {
-  const voters = Object.values(cluster.voters);
-  return voters[pick % voters.length] as ModelVoter;
+function chooseStore({ cluster }: ClusterSimulation, pick: number): ModelStore {
+  const stores = Object.values(cluster.voters);
+  return stores[pick % stores.length] as ModelStore;
 }
 
 export function isBlockedByPartition(
-  { isolatedInstances: cutOff }: ClusterSimulation,
+  { isolatedInstances }: ClusterSimulation,
   { instance, envelope }: ModelMessage,
 ): boolean {
-  return cutOff.includes(instance) !== cutOff.includes(envelope.from.instance);
+  return (
+    isolatedInstances.includes(instance) !== isolatedInstances.includes(envelope.from.instance)
+  );
 }
 
-function dropMessage(schedule: ClusterSimulation, message: ModelMessage): void {
-  const network = schedule.cluster.network.filter((other) => other !== message);
-  schedule.cluster = { ...schedule.cluster, network };
+function dropMessage(simulation: ClusterSimulation, message: ModelMessage): void {
+  const network = simulation.cluster.network.filter((other) => other !== message);
+  simulation.cluster = { ...simulation.cluster, network };
 }
 
-function deliverOne(schedule: ClusterSimulation, pick: number, keep: boolean): void {
-  const { network, voters } = schedule.cluster;
+function deliverMessage(simulation: ClusterSimulation, pick: number, keepCopy: boolean): void {
+  const { network, voters: stores } = simulation.cluster;
   const message = network[pick % Math.max(1, network.length)];
   if (message === undefined) return;
-  const stopped = voters[message.instance]?.state === undefined;
-  if (stopped || isBlockedByPartition(schedule, message) || network.length > MOST_MESSAGES) {
-    dropMessage(schedule, message);
+  const stopped = stores[message.instance]?.state === undefined;
+  if (stopped || isBlockedByPartition(simulation, message) || network.length > MAX_MESSAGES) {
+    dropMessage(simulation, message);
   } else {
-    schedule.cluster = deliver(schedule.cluster, message, keep, true);
+    simulation.cluster = deliver(simulation.cluster, message, keepCopy, true);
   }
 }
 
-export function syncAllDisks(schedule: ClusterSimulation): void {
-  Object.values(schedule.cluster.voters)
-    .filter(({ pendingWrites: jobs }) => jobs.length > 0)
-    .forEach(({ instance, pendingWrites: jobs }) => {
-      schedule.cluster = syncDisk(schedule.cluster, instance, jobs.length);
+export function syncAllDisks(simulation: ClusterSimulation): void {
+  Object.values(simulation.cluster.voters)
+    .filter(({ pendingWrites }) => pendingWrites.length > 0)
+    .forEach(({ instance, pendingWrites }) => {
+      simulation.cluster = syncDisk(simulation.cluster, instance, pendingWrites.length);
     });
 }
 
-export function advanceAllClocks(schedule: ClusterSimulation, span: number): void {
-  Object.keys(schedule.cluster.voters).forEach((instance) => {
-    schedule.cluster = advanceClock(schedule.cluster, instance, span);
+export function advanceAllClocks(simulation: ClusterSimulation, milliseconds: number): void {
+  Object.keys(simulation.cluster.voters).forEach((instance) => {
+    simulation.cluster = advanceClock(simulation.cluster, instance, milliseconds);
   });
 }
 
-/** A while without a new fault: messages arrive in some order and disks are synced. */
-function calm(schedule: ClusterSimulation, pick: number): void {
-  for (let turn = 0; turn < 12; turn += 1) {
-    deliverOne(schedule, Math.floor(pick / (turn + 1)), false);
-    if (turn % 4 === 3) syncAllDisks(schedule);
+/** Delivers some messages, syncs disks and advances all clocks, without a new fault. */
+function runWithoutFaults(simulation: ClusterSimulation, pick: number): void {
+  for (let step = 0; step < 12; step += 1) {
+    deliverMessage(simulation, Math.floor(pick / (step + 1)), false);
+    if (step % 4 === 3) syncAllDisks(simulation);
   }
-  advanceAllClocks(schedule, 30 + (pick % 120));
+  advanceAllClocks(simulation, 30 + (pick % 120));
 }
 
-/** Lets a new disk in, or takes the member of a lost one out. */
-export function repairMembership(schedule: ClusterSimulation): void {
-  const leader = findLeader(schedule.cluster);
+/**
+ * Has the leader add a running store that is not a member, or first remove the old member of the
+ * same instance if its disk was replaced.
+ */
+export function repairMembership(simulation: ClusterSimulation): void {
+  const leader = findLeader(simulation.cluster);
   if (leader?.state === undefined) return;
   const { state } = leader;
-  const stranger = Object.values(schedule.cluster.voters).find(
-    (voter) => voter.state !== undefined && memberOf(state, voter.identity) === undefined,
+  const nonMember = Object.values(simulation.cluster.voters).find(
+    (store) => store.state !== undefined && memberOf(state, store.identity) === undefined,
   );
-  if (stranger === undefined) return;
+  if (nonMember === undefined) return;
   const { members } = state.memberships.at(-1)?.membership ?? { members: [] };
-  const old = members.find((member) => member.address.instance === stranger.instance);
+  const staleMember = members.find((member) => member.address.instance === nonMember.instance);
   const change =
-    old === undefined
+    staleMember === undefined
       ? ({
           type: 'addLearner',
-          member: { identity: stranger.identity, address: makeAddress(stranger.instance) },
+          member: { identity: nonMember.identity, address: makeAddress(nonMember.instance) },
         } as const)
-      : ({ type: 'removeMember', identity: old.identity } as const);
+      : ({ type: 'removeMember', identity: staleMember.identity } as const);
   const event = { type: 'changeMembership', requestId: 'operator', change } as const;
-  schedule.cluster = dispatchEvent(schedule.cluster, leader.instance, event);
+  simulation.cluster = dispatchEvent(simulation.cluster, leader.instance, event);
 }
 
-function removeSomeone(schedule: ClusterSimulation, pick: number): void {
-  const leader = findLeader(schedule.cluster);
+/** Has the leader remove a voter, if it has more than three. */
+function removeVoter(simulation: ClusterSimulation, pick: number): void {
+  const leader = findLeader(simulation.cluster);
   if (leader?.state === undefined) return;
   const voters = votersOf(leader.state);
-  const victim = voters[pick % voters.length];
-  if (victim === undefined || voters.length <= 3) return;
-  const change = { type: 'removeMember', identity: victim.identity } as const;
+  const voter = voters[pick % voters.length];
+  if (voter === undefined || voters.length <= 3) return;
+  const change = { type: 'removeMember', identity: voter.identity } as const;
   const event = { type: 'changeMembership', requestId: 'operator', change } as const;
-  schedule.cluster = dispatchEvent(schedule.cluster, leader.instance, event);
+  simulation.cluster = dispatchEvent(simulation.cluster, leader.instance, event);
 }
 
-function startOrStop(schedule: ClusterSimulation, pick: number, diskGoes: boolean): void {
-  const { instance, state } = voterAt(schedule, pick);
-  if (state !== undefined) schedule.cluster = crash(schedule.cluster, instance);
+/** Crashes a running store; restarts a stopped one, with an empty disk if `losesDisk` is set. */
+function crashOrRestart(simulation: ClusterSimulation, pick: number, losesDisk: boolean): void {
+  const { instance, state } = chooseStore(simulation, pick);
+  if (state !== undefined) simulation.cluster = crash(simulation.cluster, instance);
   else {
-    if (diskGoes) schedule.cluster = loseDisk(schedule.cluster, instance);
-    schedule.cluster = restart(schedule.cluster, instance);
+    if (losesDisk) simulation.cluster = loseDisk(simulation.cluster, instance);
+    simulation.cluster = restart(simulation.cluster, instance);
   }
 }
 
-function restartOne(schedule: ClusterSimulation): void {
-  const stopped = Object.values(schedule.cluster.voters).find(({ state }) => state === undefined);
-  if (stopped !== undefined) schedule.cluster = restart(schedule.cluster, stopped.instance);
+function restartStoppedStore(simulation: ClusterSimulation): void {
+  const stopped = Object.values(simulation.cluster.voters).find(({ state }) => state === undefined);
+  if (stopped !== undefined) simulation.cluster = restart(simulation.cluster, stopped.instance);
 }
 
-function proposeSomewhere(schedule: ClusterSimulation, pick: number): void {
-  const leaders = Object.values(schedule.cluster.voters).filter(
+function proposeAtLeader(simulation: ClusterSimulation, pick: number): void {
+  const leaders = Object.values(simulation.cluster.voters).filter(
     ({ state }) => state?.role.type === 'leader',
   );
   const leader = leaders[pick % Math.max(1, leaders.length)];
-  if (leader !== undefined) schedule.cluster = propose(schedule.cluster, leader.instance);
+  if (leader !== undefined) simulation.cluster = propose(simulation.cluster, leader.instance);
 }
 
 const actions: readonly { readonly weight: number; readonly act: Action }[] = [
-  { weight: 30, act: calm },
-  { weight: 14, act: (schedule, pick) => deliverOne(schedule, pick, false) },
-  { weight: 4, act: (schedule, pick) => deliverOne(schedule, pick, true) },
+  { weight: 30, act: runWithoutFaults },
+  { weight: 14, act: (simulation, pick) => deliverMessage(simulation, pick, false) },
+  { weight: 4, act: (simulation, pick) => deliverMessage(simulation, pick, true) },
   {
     weight: 3,
-    act: (schedule, pick) => {
-      const { network } = schedule.cluster;
+    act: (simulation, pick) => {
+      const { network } = simulation.cluster;
       const message = network[pick % Math.max(1, network.length)];
-      if (message !== undefined) dropMessage(schedule, message);
+      if (message !== undefined) dropMessage(simulation, message);
     },
   },
   {
     weight: 8,
-    act: (schedule, pick) => {
-      schedule.cluster = syncDisk(schedule.cluster, voterAt(schedule, pick).instance, 1);
+    act: (simulation, pick) => {
+      simulation.cluster = syncDisk(simulation.cluster, chooseStore(simulation, pick).instance, 1);
     },
   },
   {
     weight: 8,
-    act: (schedule, pick) => {
-      const { instance } = voterAt(schedule, pick);
-      schedule.cluster = advanceClock(schedule.cluster, instance, 200 + (pick % 1500));
+    act: (simulation, pick) => {
+      const { instance } = chooseStore(simulation, pick);
+      simulation.cluster = advanceClock(simulation.cluster, instance, 200 + (pick % 1500));
     },
   },
-  { weight: 14, act: proposeSomewhere },
+  { weight: 14, act: proposeAtLeader },
   {
     weight: 6,
-    act: (schedule, pick) => {
-      schedule.cluster = read(schedule.cluster, voterAt(schedule, pick).instance);
+    act: (simulation, pick) => {
+      simulation.cluster = read(simulation.cluster, chooseStore(simulation, pick).instance);
     },
   },
-  { weight: 3, act: (schedule, pick) => startOrStop(schedule, pick, false) },
-  { weight: 1, act: (schedule, pick) => startOrStop(schedule, pick, true) },
-  { weight: 3, act: restartOne },
+  { weight: 3, act: (simulation, pick) => crashOrRestart(simulation, pick, false) },
+  { weight: 1, act: (simulation, pick) => crashOrRestart(simulation, pick, true) },
+  { weight: 3, act: restartStoppedStore },
   {
     weight: 2,
-    act: (schedule, pick) => {
-      schedule.isolatedInstances = [voterAt(schedule, pick).instance];
+    act: (simulation, pick) => {
+      simulation.isolatedInstances = [chooseStore(simulation, pick).instance];
     },
   },
   {
     weight: 2,
-    act: (schedule) => {
-      schedule.isolatedInstances = [];
+    act: (simulation) => {
+      simulation.isolatedInstances = [];
     },
   },
   { weight: 3, act: repairMembership },
-  { weight: 1, act: removeSomeone },
+  { weight: 1, act: removeVoter },
 ];
 
-const drawn = actions.flatMap(({ weight, act }) => Array<Action>(weight).fill(act));
+const weightedActions = actions.flatMap(({ weight, act }) => Array<Action>(weight).fill(act));
 
-/** Runs a schedule until its end or the first violation. */
+/** Runs the actions that `picks` select, until the end or the first violation. */
 export function runSchedule(start: ModelCluster, picks: readonly number[]): ClusterSimulation {
-  const schedule: ClusterSimulation = { cluster: start, isolatedInstances: [] };
+  const simulation: ClusterSimulation = { cluster: start, isolatedInstances: [] };
   for (const pick of picks) {
-    const act = drawn[pick % drawn.length] as Action;
-    act(schedule, Math.floor(pick / drawn.length));
-    if (schedule.cluster.violation !== undefined) break;
+    const act = weightedActions[pick % weightedActions.length] as Action;
+    act(simulation, Math.floor(pick / weightedActions.length));
+    if (simulation.cluster.violation !== undefined) break;
   }
-  return schedule;
+  return simulation;
 }
 
-/** Heals everything and lets time pass, so that a cluster with a quorum of disks must go on. */
-export function recoverFromFaults(schedule: ClusterSimulation): void {
-  schedule.isolatedInstances = [];
-  Object.values(schedule.cluster.voters).forEach(({ instance, state }) => {
-    if (state === undefined) schedule.cluster = restart(schedule.cluster, instance);
+/**
+ * Ends all faults and lets time pass. A cluster that still has a quorum of its disks must then
+ * commit the write that is proposed near the end.
+ */
+export function recoverFromFaults(simulation: ClusterSimulation): void {
+  simulation.isolatedInstances = [];
+  Object.values(simulation.cluster.voters).forEach(({ instance, state }) => {
+    if (state === undefined) simulation.cluster = restart(simulation.cluster, instance);
   });
-  for (let round = 0; round < 80; round += 1) {
-    schedule.cluster = runUntilIdle(schedule.cluster);
-    advanceAllClocks(schedule, 150);
-    if (round % 4 === 3) repairMembership(schedule);
+  for (let iteration = 0; iteration < 80; iteration += 1) {
+    simulation.cluster = runUntilIdle(simulation.cluster);
+    advanceAllClocks(simulation, 150);
+    if (iteration % 4 === 3) repairMembership(simulation);
   }
-  proposeSomewhere(schedule, 0);
-  for (let round = 0; round < 8; round += 1) {
-    schedule.cluster = runUntilIdle(schedule.cluster);
-    advanceAllClocks(schedule, 150);
+  proposeAtLeader(simulation, 0);
+  for (let iteration = 0; iteration < 8; iteration += 1) {
+    simulation.cluster = runUntilIdle(simulation.cluster);
+    advanceAllClocks(simulation, 150);
   }
 }
 
-/** True if a quorum of the newest membership that anybody holds still has its disks. */
+/** True if a quorum of the voters in every running store's latest membership still has its disk. */
 export function hasQuorumOfDisks({ cluster }: ClusterSimulation): boolean {
-  const alive = Object.values(cluster.voters).map(({ identity }) => identity);
+  const currentIdentities = Object.values(cluster.voters).map(({ identity }) => identity);
   return Object.values(cluster.voters).every(({ state }) => {
     if (state === undefined || votersOf(state).length === 0) return true;
     const voters = votersOf(state);
-    const left = voters.filter(({ identity }) => alive.includes(identity));
-    return left.length * 2 > voters.length;
+    const votersWithDisk = voters.filter(({ identity }) => currentIdentities.includes(identity));
+    return votersWithDisk.length * 2 > voters.length;
   });
 }
--- a/packages/store-core/src/log/replaySegments.ts
+++ b/packages/store-core/src/log/replaySegments.ts
@@ -1,11 +1,14 @@
-/** Reads the segments of a log back into entries, and tells an unfinished write from damage. */
+/**
+ * Replays the segments of a log into entries. An incomplete frame at the end of the last segment is
+ * an unfinished write and left out; any other invalid frame, or a missing index, is damage.
+ */
 import type { LogEntry, SnapshotHeader } from '../consensus/consensusTypes.js';
 import { decodeFrame, hasValidFrameFrom } from './frames.js';
 import { makeDamagedLogError } from './logErrors.js';
 
-/** One change of the log. */
+/** One change of the log; a frame holds a list of them. */
 export interface LogOperation {
-  /** Drops all entries; what comes next follows a snapshot. */
+  /** Drops all entries; the next entry follows a snapshot. */
   readonly reset?: boolean;
   /** Drops the entries from this index on. */
   readonly truncateFrom?: number;
@@ -19,9 +22,9 @@
 
 export interface ReplayedSegment {
   readonly name: string;
-  /** Bytes of sound frames. */
+  /** Length of the valid frames, in bytes. */
   readonly byteLength: number;
-  /** Highest index of any entry in it, also of dropped ones. */
+  /** Highest index of any entry in the segment, including entries dropped since. */
   readonly highestIndex: number;
 }
 
@@ -37,24 +40,24 @@
 function replayOperation(
   entries: LogEntry[],
   operation: LogOperation,
-  damaged: (reason: string) => Error,
+  makeError: (reason: string) => Error,
 ): void {
   const { truncateFrom } = operation;
   if (operation.reset) entries.length = 0;
-  const first = entries[0]?.index;
-  if (truncateFrom !== undefined && first !== undefined) {
-    entries.length = Math.min(entries.length, Math.max(0, truncateFrom - first));
+  const firstIndex = entries[0]?.index;
+  if (truncateFrom !== undefined && firstIndex !== undefined) {
+    entries.length = Math.min(entries.length, Math.max(0, truncateFrom - firstIndex));
   }
   operation.entries.forEach((entry) => {
     const previous = entries.at(-1);
     if (previous !== undefined && entry.index !== previous.index + 1) {
-      throw damaged(`entry ${entry.index} follows entry ${previous.index}`);
+      throw makeError(`entry ${entry.index} follows entry ${previous.index}`);
     }
     entries.push(entry);
   });
 }
 
-/** Replays segments in order. Only the last may end in an unfinished frame. */
+/** Replays segments in order; throws if one other than the last ends in an incomplete frame. */
 export function replaySegments(contents: readonly SegmentContent[]): ReplayedLog {
   const entries: LogEntry[] = [];
   const segments = contents.map(({ name, content }, position) => {
@@ -81,8 +84,8 @@
 }
 
 /**
- * The entries behind a snapshot. If the log differs from the snapshot at its index, or ends before
- * it, the snapshot replaces all of the log.
+ * Selects the entries that follow a snapshot. There are none if the log ends before the snapshot's
+ * index or has an entry of another term there; throws if entries after the snapshot are missing.
  */
 export function selectEntriesAfterSnapshot(
   header: SnapshotHeader | undefined,
@@ -97,6 +100,6 @@
     throw makeDamagedLogError(lastSegment, 0, reason);
   }
   if (first.index === index + 1) return entries;
-  const shared = entries[index - first.index];
-  return shared?.term === header?.term ? entries.slice(index - first.index + 1) : [];
+  const entryAtSnapshot = entries[index - first.index];
+  return entryAtSnapshot?.term === header?.term ? entries.slice(index - first.index + 1) : [];
 }
