--- a/apps/controller/src/ControllerProcess.ts
+++ b/apps/controller/src/ControllerProcess.ts
@@ -38,12 +38,12 @@
 const TICK_MILLISECONDS = 250;
 
 /** The platform and the weight store are given up on after this long; a resend is harmless. */
-const PLATFORM_MILLISECONDS = 5000;
+const PLATFORM_TIMEOUT_MILLISECONDS = 5000;
 
 /** Time for the release of the lease to reach the store. */
-const RELEASE_MILLISECONDS = 200;
+const LEASE_RELEASE_WAIT_MILLISECONDS = 200;
 
-type Occurrence = ControllerEvent extends infer Event
+type EventWithoutClocks = ControllerEvent extends infer Event
   ? Event extends { now: number; wallNow: number }
     ? Omit<Event, 'now' | 'wallNow'>
     : never
@@ -77,7 +77,7 @@
 
   private readonly operators: OperatorServer;
 
-  private readonly drained = new Set<string>();
+  private readonly drainedInstances = new Set<string>();
 
   private stopTicks: Unsubscribe = () => {};
 
@@ -91,7 +91,7 @@
     this.loop = new EventLoop(
       createControllerState({ dataCentre, seed: Math.trunc(timers.wallNow()), policy }),
       reduceController,
-      (effect) => this.carryOut(effect),
+      (effect) => this.runEffect(effect),
       (error, event) => this.reportError(error, event.type),
     );
     const context: PeerContext = {
@@ -143,10 +143,10 @@
       context,
       timers,
       readDrains: () => this.readDrains(),
-      readReport: (withShapes) =>
+      readReport: (withDailyProfiles) =>
         this.lease.epoch === undefined
           ? undefined
-          : makeDataCentreReport(this.loop.state, withShapes),
+          : makeDataCentreReport(this.loop.state, withDailyProfiles),
       onDemand: (entry, demand) => this.dispatch({ type: 'demandReported', entry, demand }),
       onReport: (report) => this.dispatch({ type: 'peerReported', report }),
     });
@@ -183,7 +183,7 @@
     this.stopTicks();
     this.loseLease();
     this.lease.release();
-    await this.timers.wait(RELEASE_MILLISECONDS);
+    await this.timers.wait(LEASE_RELEASE_WAIT_MILLISECONDS);
     await this.close();
     this.logger.write('shutdownFinished', {});
   }
@@ -196,9 +196,9 @@
     await Promise.all([this.watcher.close(), this.exchange.close(), this.operators.close()]);
   }
 
-  private dispatch(occurrence: Occurrence): void {
+  private dispatch(event: EventWithoutClocks): void {
     const clocks = { now: this.timers.monotonicNow(), wallNow: this.timers.wallNow() };
-    this.loop.dispatch({ ...occurrence, ...clocks });
+    this.loop.dispatch({ ...event, ...clocks });
   }
 
   private makeInstanceReport(revision: number) {
@@ -219,28 +219,28 @@
   }
 
   private loseLease(): void {
-    this.drained.clear();
+    this.drainedInstances.clear();
     this.dispatch({ type: 'leaseLost' });
   }
 
   private readDrains() {
     const { epoch } = this.lease;
     if (epoch === undefined) return undefined;
-    return { dataCentre: this.settings.dataCentre, epoch, instances: [...this.drained] };
+    return { dataCentre: this.settings.dataCentre, epoch, instances: [...this.drainedInstances] };
   }
 
-  private carryOut(effect: ControllerEffect): void {
+  private runEffect(effect: ControllerEffect): void {
     if (runCommonEffect(effect, this.logger, this.metrics)) return;
     switch (effect.type) {
       case 'startInstance':
         void this.startInstance(effect);
         return;
       case 'drainInstance':
-        this.drained.add(effect.instance);
+        this.drainedInstances.add(effect.instance);
         this.exchange.exchangeNow();
         return;
       case 'restoreInstance':
-        this.drained.delete(effect.instance);
+        this.drainedInstances.delete(effect.instance);
         this.exchange.exchangeNow();
         return;
       case 'endInstance':
@@ -259,7 +259,7 @@
     const { startToken } = start;
     let outcome: StartOutcome;
     try {
-      const signal = AbortSignal.timeout(PLATFORM_MILLISECONDS);
+      const signal = AbortSignal.timeout(PLATFORM_TIMEOUT_MILLISECONDS);
       outcome = await this.platform.startInstance(start, signal);
     } catch {
       outcome = { type: 'lost' };
@@ -270,21 +270,21 @@
   private async endInstance(instance: string): Promise<void> {
     let ok = true;
     try {
-      await this.platform.endInstance(instance, AbortSignal.timeout(PLATFORM_MILLISECONDS));
+      await this.platform.endInstance(instance, AbortSignal.timeout(PLATFORM_TIMEOUT_MILLISECONDS));
     } catch {
       ok = false;
     }
-    if (ok) this.drained.delete(instance);
+    if (ok) this.drainedInstances.delete(instance);
     this.dispatch({ type: 'endAnswered', instance, ok });
   }
 
   private async sendOrder({ instance, order }: EffectOf<'sendOrder'>): Promise<void> {
-    const outcome = await this.giveOrder(instance, order);
+    const outcome = await this.requestPermissionAndSend(instance, order);
     const { epoch, sequence } = order;
     this.dispatch({ type: 'orderAnswered', instance, epoch, sequence, outcome });
   }
 
-  private async giveOrder(
+  private async requestPermissionAndSend(
     instance: string,
     order: EffectOf<'sendOrder'>['order'],
   ): Promise<OrderOutcome> {
@@ -292,7 +292,7 @@
       const { action } = order;
       if (action.type === 'load' && this.weightStore !== undefined) {
         const { model, adapter, version } = action;
-        const signal = AbortSignal.timeout(PLATFORM_MILLISECONDS);
+        const signal = AbortSignal.timeout(PLATFORM_TIMEOUT_MILLISECONDS);
         const load = { instance, model, adapter, version };
         const permission = await this.weightStore.requestLoad(load, signal);
         if (permission.type === 'refused') {
@@ -317,7 +317,7 @@
       dataCentre: this.settings.dataCentre,
       epoch: this.lease.epoch ?? null,
       configurationRevision: state.configuration.revision,
-      drained: [...this.drained],
+      drained: [...this.drainedInstances],
       plan: explainPlan(state),
     };
   }
--- a/apps/controller/src/FleetExchange.ts
+++ b/apps/controller/src/FleetExchange.ts
@@ -14,11 +14,11 @@
 } from '@hornbeampond/schema';
 import { PeerClient, PeerServer, type PeerContext } from '@hornbeampond/transport';
 
-const INTERVAL_MILLISECONDS = 1000;
-const REQUEST_MILLISECONDS = 900;
+const EXCHANGE_INTERVAL_MILLISECONDS = 1000;
+const REQUEST_TIMEOUT_MILLISECONDS = 900;
 
 /** Learnt days change slowly; they go with one report out of so many. */
-const REPORTS_PER_SHAPES = 60;
+const REPORTS_PER_DAILY_PROFILES = 60;
 
 export interface FleetExchangeOptions {
   readonly settings: ControllerSettings;
@@ -27,7 +27,7 @@
   /** What entries are told, or nothing while no lease is held. */
   readDrains(): DrainedInstances | undefined;
   /** What other controllers are told, or nothing while no lease is held. */
-  readReport(withShapes: boolean): DataCentreReport | undefined;
+  readReport(withDailyProfiles: boolean): DataCentreReport | undefined;
   onDemand(entry: string, demand: readonly RouteDemandReport[]): void;
   onReport(report: DataCentreReport): void;
 }
@@ -46,7 +46,7 @@
 
   private stopExchange: Unsubscribe = () => {};
 
-  private reports = 0;
+  private reportCount = 0;
 
   constructor(private readonly options: FleetExchangeOptions) {
     const { settings, context } = options;
@@ -66,7 +66,9 @@
   }
 
   async start(): Promise<number> {
-    this.stopExchange = this.options.timers.every(INTERVAL_MILLISECONDS, () => this.exchangeNow());
+    this.stopExchange = this.options.timers.every(EXCHANGE_INTERVAL_MILLISECONDS, () =>
+      this.exchangeNow(),
+    );
     return this.server.listen(this.options.settings.peerListen);
   }
 
@@ -78,15 +80,15 @@
 
   /** Tells entries of a drain at once, rather than at the next interval. */
   exchangeNow(): void {
-    const report = this.options.readReport(this.reports % REPORTS_PER_SHAPES === 0);
-    this.reports += 1;
+    const report = this.options.readReport(this.reportCount % REPORTS_PER_DAILY_PROFILES === 0);
+    this.reportCount += 1;
     if (report !== undefined) this.controllers.forEach(({ client }) => client.push(report));
     this.entries.forEach((entry) => {
-      void this.askEntry(entry);
+      void this.exchangeWithEntry(entry);
     });
   }
 
-  private async askEntry({ address, client }: Peer): Promise<void> {
+  private async exchangeWithEntry({ address, client }: Peer): Promise<void> {
     if (!client.isOpen) return;
     const { readDrains, onDemand, settings } = this.options;
     const drains = readDrains();
@@ -95,7 +97,10 @@
       ...(drains === undefined ? {} : { drains }),
     };
     try {
-      const response = (await client.request(request, REQUEST_MILLISECONDS)) as EntryResponse;
+      const response = (await client.request(
+        request,
+        REQUEST_TIMEOUT_MILLISECONDS,
+      )) as EntryResponse;
       if (response.type !== 'demand' || address.dataCentre !== settings.dataCentre) return;
       onDemand(address.instance, response.demand);
     } catch {
--- a/apps/controller/src/FleetWatcher.test.ts
+++ b/apps/controller/src/FleetWatcher.test.ts
@@ -23,8 +23,8 @@
   const { host, port } = engine;
   const place = { dataCentre: 'wien-a', instanceClass: 'gpu', pool: pool.name };
   platform.add({ instance: 'engine-1', ...place, state: 'live', host, port });
-  const lost = new Set<string>();
-  let polled: () => void = () => {};
+  const lostInstances = new Set<string>();
+  let onPolled: () => void = () => {};
   const watcher = new FleetWatcher({
     platform: new HttpPlatformAdapter(platform.url),
     weightStore: undefined,
@@ -34,19 +34,19 @@
     pollMilliseconds: 50,
     maxUnansweredMilliseconds: 200,
     readConfiguration: () => ({ ...emptyConfiguration, pools: { revision: 1, rows: [pool] } }),
-    onListed: () => polled(),
+    onListed: () => onPolled(),
     onReclaimNotice: () => {},
     onLoad: () => {},
-    onLost: (instance) => lost.add(instance),
+    onLost: (instance) => lostInstances.add(instance),
     onLoadRate: () => {},
   });
   watcher.start();
   context.after(async () => Promise.all([watcher.close(), engine.close(), platform.close()]));
-  const nextPoll = async () =>
+  const waitForPoll = async () =>
     new Promise<void>((resolve) => {
-      polled = resolve;
+      onPolled = resolve;
     });
-  return { engine, lost, nextPoll };
+  return { engine, lost: lostInstances, nextPoll: waitForPoll };
 }
 
 // Callers would be a server short for as long as the platform goes on listing a dead instance: its
--- a/apps/controller/src/FleetWatcher.ts
+++ b/apps/controller/src/FleetWatcher.ts
@@ -41,9 +41,9 @@
  * An instance that has answered no poll for so long is probed. A server process that crashed and is
  * started again on its instance is back before that, and must not be replaced.
  */
-const LOST_MILLISECONDS = 30_000;
+const MAX_UNANSWERED_MILLISECONDS = 30_000;
 
-const PROBE_MILLISECONDS = 2000;
+const PROBE_TIMEOUT_MILLISECONDS = 2000;
 
 type Adapter = EngineAdapter | PlainServiceAdapter;
 
@@ -54,7 +54,7 @@
 
   private stopPolling: Unsubscribe = () => {};
 
-  private polling = false;
+  private isPolling = false;
 
   /** Since when an instance has answered no poll. */
   private readonly unansweredSince = new Map<string, number>();
@@ -73,7 +73,7 @@
   findEngine(instance: string): EngineAdapter | undefined {
     const listed = this.instances.find((row) => row.instance === instance);
     if (listed === undefined) return undefined;
-    const adapter = this.adapterOf(listed);
+    const adapter = this.getOrCreateAdapter(listed);
     return adapter !== undefined && 'sendOrder' in adapter ? adapter : undefined;
   }
 
@@ -92,25 +92,19 @@
   }
 
   private async poll(): Promise<void> {
-    if (this.polling) return;
-    this.polling = true;
+    if (this.isPolling) return;
+    this.isPolling = true;
     try {
       await this.pollPlatform();
       await Promise.all(this.instances.map(async (instance) => this.pollLoad(instance)));
-      await this.pollRate();
+      await this.pollLoadRate();
     } finally {
-      this.polling = false;
+      this.isPolling = false;
     }
   }
 
   private async pollPlatform(): Promise<void> {
-    const {
-      platform,
-      pollMilliseconds,
-      onListed,
-      onReclaimNotice: onNotice,
-      logger,
-    } = this.options;
+    const { platform, pollMilliseconds, onListed, onReclaimNotice, logger } = this.options;
     const signal = AbortSignal.timeout(pollMilliseconds * 2);
     try {
       const [instances, notices] = await Promise.all([
@@ -118,9 +112,9 @@
         platform.readNotices(signal),
       ]);
       this.instances = instances;
-      this.forgetUnlisted();
+      this.pruneUnlisted();
       onListed(instances);
-      notices.forEach(({ instance, goneAt }) => onNotice(instance, goneAt));
+      notices.forEach(({ instance, goneAt }) => onReclaimNotice(instance, goneAt));
     } catch (error) {
       logger.write('platformUnreachable', { reason: String(error) });
     }
@@ -132,7 +126,7 @@
     const { instance } = listed;
     try {
       const signal = AbortSignal.timeout(pollMilliseconds);
-      const report = await this.adapterOf(listed)?.readLoad(signal);
+      const report = await this.getOrCreateAdapter(listed)?.readLoad(signal);
       if (report !== undefined) onLoad({ ...report, instance });
       this.unansweredSince.delete(instance);
     } catch {
@@ -140,8 +134,8 @@
       const now = this.options.timers.monotonicNow();
       const since = this.unansweredSince.get(instance) ?? now;
       this.unansweredSince.set(instance, since);
-      const patience = this.options.maxUnansweredMilliseconds ?? LOST_MILLISECONDS;
-      if (now - since >= patience) await this.checkLost(listed);
+      const maxUnanswered = this.options.maxUnansweredMilliseconds ?? MAX_UNANSWERED_MILLISECONDS;
+      if (now - since >= maxUnanswered) await this.reportLostUnlessReachable(listed);
     }
   }
 
@@ -149,22 +143,22 @@
    * The platform may list a dead instance for long, and it would never be replaced. It is taken for
    * lost only if a new connection to it fails as well: one that is merely slow still answers that.
    */
-  private async checkLost(listed: PlatformInstance): Promise<void> {
+  private async reportLostUnlessReachable(listed: PlatformInstance): Promise<void> {
     try {
-      await this.adapterOf(listed)?.probe(AbortSignal.timeout(PROBE_MILLISECONDS));
+      await this.getOrCreateAdapter(listed)?.probe(AbortSignal.timeout(PROBE_TIMEOUT_MILLISECONDS));
     } catch {
       this.options.onLost(listed.instance);
     }
   }
 
-  private forgetUnlisted(): void {
+  private pruneUnlisted(): void {
     const listed = new Set(this.instances.map(({ instance }) => instance));
     [...this.unansweredSince.keys()].forEach((instance) => {
       if (!listed.has(instance)) this.unansweredSince.delete(instance);
     });
   }
 
-  private async pollRate(): Promise<void> {
+  private async pollLoadRate(): Promise<void> {
     const { weightStore, pollMilliseconds, onLoadRate } = this.options;
     if (weightStore === undefined) return;
     try {
@@ -175,7 +169,7 @@
     }
   }
 
-  private adapterOf({ pool, host, port }: PlatformInstance): Adapter | undefined {
+  private getOrCreateAdapter({ pool, host, port }: PlatformInstance): Adapter | undefined {
     const { rows } = this.options.readConfiguration().pools;
     const kind = rows.find((row) => row.name === pool)?.kind;
     if (kind === undefined) return undefined;
--- a/apps/controller/src/LeaseClient.ts
+++ b/apps/controller/src/LeaseClient.ts
@@ -43,16 +43,16 @@
 export class LeaseClient {
   private readonly lease: LeaseHolder;
 
-  private cancelAsk: Unsubscribe = () => {};
+  private cancelRenewal: Unsubscribe = () => {};
 
-  private cancelEnd: Unsubscribe = () => {};
+  private cancelExpiry: Unsubscribe = () => {};
 
   private abandoned = false;
 
   /** When each open ask was made by the wall clock, and until when the lease is held by it. */
-  private readonly askedAtWall = new Map<number, EpochMilliseconds>();
+  private readonly requestTimesByWallClock = new Map<number, EpochMilliseconds>();
 
-  private heldUntilWall = Number.NEGATIVE_INFINITY;
+  private heldUntilByWallClock = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: LeaseClientOptions) {
     this.lease = makeLeaseHolder({
@@ -66,7 +66,7 @@
   }
 
   start(): void {
-    this.feed({ type: 'askDue', now: this.now });
+    this.dispatch({ type: 'askDue', now: this.now });
   }
 
   /**
@@ -75,7 +75,7 @@
    * would go on giving orders beside its successor.
    */
   maySendOrder(checksFencing: boolean): boolean {
-    if (this.options.timers.wallNow() >= this.heldUntilWall) return false;
+    if (this.options.timers.wallNow() >= this.heldUntilByWallClock) return false;
     return maySendOrder(this.lease, this.now, checksFencing);
   }
 
@@ -90,42 +90,42 @@
    */
   abandon(): void {
     this.abandoned = true;
-    this.cancelAsk();
-    this.cancelEnd();
+    this.cancelRenewal();
+    this.cancelExpiry();
   }
 
   /** Gives the lease back, so that a planned replacement need not wait for its end. */
   release(): void {
-    this.cancelAsk();
-    this.cancelEnd();
-    this.feed({ type: 'stop' });
+    this.cancelRenewal();
+    this.cancelExpiry();
+    this.dispatch({ type: 'stop' });
   }
 
   private get now(): number {
     return this.options.timers.monotonicNow();
   }
 
-  private feed(event: LeaseEvent): void {
+  private dispatch(event: LeaseEvent): void {
     if (this.abandoned) return;
-    reduceLease(this.lease, event).forEach((effect) => this.carryOut(effect));
+    reduceLease(this.lease, event).forEach((effect) => this.runEffect(effect));
   }
 
-  private carryOut(effect: LeaseEffect): void {
+  private runEffect(effect: LeaseEffect): void {
     const { timers, logger, onHeld, onLost } = this.options;
     switch (effect.type) {
       case 'propose':
         void this.propose(effect);
         return;
       case 'startAskTimer':
-        this.cancelAsk();
-        this.cancelAsk = timers.after(effect.after, () =>
-          this.feed({ type: 'askDue', now: this.now }),
+        this.cancelRenewal();
+        this.cancelRenewal = timers.after(effect.after, () =>
+          this.dispatch({ type: 'askDue', now: this.now }),
         );
         return;
       case 'startEndTimer':
-        this.cancelEnd();
-        this.cancelEnd = timers.after(effect.after, () =>
-          this.feed({ type: 'endDue', now: this.now }),
+        this.cancelExpiry();
+        this.cancelExpiry = timers.after(effect.after, () =>
+          this.dispatch({ type: 'endDue', now: this.now }),
         );
         return;
       case 'leaseStarted':
@@ -142,23 +142,24 @@
   }
 
   private async propose({
-    requestNumber: ask,
+    requestNumber,
     command,
   }: Extract<LeaseEffect, { type: 'propose' }>): Promise<void> {
-    const { store, timers, duration: patience } = this.options;
-    this.askedAtWall.set(ask, timers.wallNow());
-    const outcome = await store.propose(command, patience);
-    const askedAtWall = this.askedAtWall.get(ask) ?? Number.NEGATIVE_INFINITY;
-    this.askedAtWall.delete(ask);
+    const { store, timers, duration: timeout } = this.options;
+    this.requestTimesByWallClock.set(requestNumber, timers.wallNow());
+    const outcome = await store.propose(command, timeout);
+    const requestedAtWall =
+      this.requestTimesByWallClock.get(requestNumber) ?? Number.NEGATIVE_INFINITY;
+    this.requestTimesByWallClock.delete(requestNumber);
     if (outcome.type !== 'result') return;
     const result = outcome.result as LeaseResult;
     if (result.type !== 'leaseHeld') return;
     const { epoch, duration, previousDuration } = result;
-    this.heldUntilWall = Math.max(this.heldUntilWall, askedAtWall + duration);
-    this.feed({
+    this.heldUntilByWallClock = Math.max(this.heldUntilByWallClock, requestedAtWall + duration);
+    this.dispatch({
       type: 'leaseHeld',
       now: this.now,
-      requestNumber: ask,
+      requestNumber,
       epoch,
       duration,
       previousDuration,
--- a/apps/controller/src/SingletonProcess.ts
+++ b/apps/controller/src/SingletonProcess.ts
@@ -23,17 +23,17 @@
 import { StoreClient, toSharedInstances, type PeerContext } from '@hornbeampond/transport';
 import { LeaseClient } from './LeaseClient.js';
 
-const LEASE = 'singleton';
+const LEASE_NAME = 'singleton';
 
 const TICK_MILLISECONDS: Milliseconds = 250;
 
 /** The list is read by the holder alone, for all, and as often as the plan is made. */
-const LIST_MILLISECONDS: Milliseconds = 1000;
+const LIST_INTERVAL_MILLISECONDS: Milliseconds = 1000;
 
 /** A call that has not come back by then is given up; it acts no more after its connection ends. */
-const CALL_MILLISECONDS: Milliseconds = 900;
+const PLATFORM_TIMEOUT_MILLISECONDS: Milliseconds = 900;
 
-const SETTLE_MILLISECONDS: Milliseconds = 2000;
+const SETTLE_USAGE_TIMEOUT_MILLISECONDS: Milliseconds = 2000;
 
 export interface SingletonProcessOptions extends SingletonOptions {
   readonly stores: readonly StoreAddress[];
@@ -63,7 +63,7 @@
     this.loop = new EventLoop(
       makeSingletonState(options),
       reduceSingleton,
-      (effect) => this.carryOut(effect),
+      (effect) => this.runEffect(effect),
       (error, event) => logger.write('unexpectedError', { at: event.type, reason: String(error) }),
     );
     this.store = new StoreClient(
@@ -76,17 +76,17 @@
         onUsage: (usage) => this.dispatch({ type: 'usageTold', usage }),
         onPersistedState: ({ usage }) => this.dispatch({ type: 'usageTold', usage }),
       },
-      this.makeReport(),
+      this.makeInstanceReport(),
       true,
     );
     this.lease = new LeaseClient({
       store: this.store,
       timers,
       logger,
-      lease: LEASE,
+      lease: LEASE_NAME,
       holder,
       duration: options.leaseMilliseconds,
-      maxOrderDuration: CALL_MILLISECONDS,
+      maxOrderDuration: PLATFORM_TIMEOUT_MILLISECONDS,
       onHeld: (epoch) => this.dispatch({ type: 'leaseHeld', epoch }),
       onLost: () => this.dispatch({ type: 'leaseLost' }),
     });
@@ -97,8 +97,8 @@
     this.lease.start();
     this.subscriptions = [
       timers.every(TICK_MILLISECONDS, () => this.dispatch({ type: 'tick' })),
-      timers.every(LIST_MILLISECONDS, () => {
-        void this.list();
+      timers.every(LIST_INTERVAL_MILLISECONDS, () => {
+        void this.listInstances();
       }),
     ];
   }
@@ -111,18 +111,18 @@
     this.store.close();
   }
 
-  private makeReport(): InstanceReport {
+  private makeInstanceReport(): InstanceReport {
     const { instance, dataCentre } = this.options.context.identity;
     return { instance, dataCentre, role: 'controller', revision: 0, cutOff: false };
   }
 
-  private dispatch(occurrence: SingletonEventPayload): void {
+  private dispatch(event: SingletonEventPayload): void {
     const { timers } = this.options;
     const clocks = { now: timers.monotonicNow(), wallNow: timers.wallNow() };
-    this.loop.dispatch({ ...occurrence, ...clocks });
+    this.loop.dispatch({ ...event, ...clocks });
   }
 
-  private carryOut(effect: SingletonEffect): void {
+  private runEffect(effect: SingletonEffect): void {
     switch (effect.type) {
       case 'log':
         this.options.logger.write(effect.event, effect.fields);
@@ -143,7 +143,7 @@
 
   private async settleUsage(window: number, counts: UsageCounts) {
     const command = { type: 'settleUsage', window, counts } as const;
-    const outcome = await this.store.propose(command, SETTLE_MILLISECONDS);
+    const outcome = await this.store.propose(command, SETTLE_USAGE_TIMEOUT_MILLISECONDS);
     if (outcome.type !== 'result' || outcome.result.type !== 'usageSettled') return;
     this.dispatch({ type: 'usageSettled', window, counts: outcome.result.counts });
   }
@@ -156,7 +156,7 @@
     if (!this.lease.maySendOrder(false)) return;
     const { adapter, holder, logger } = this.options;
     try {
-      const signal = AbortSignal.timeout(CALL_MILLISECONDS);
+      const signal = AbortSignal.timeout(PLATFORM_TIMEOUT_MILLISECONDS);
       await adapter.reportUsage(window, counts, { holder, epoch }, signal);
       logger.write('usageReported', { window, counts, epoch });
       this.dispatch({ type: 'usageReported', window });
@@ -172,7 +172,7 @@
     if (!this.lease.maySendOrder(false)) return;
     const { adapter, holder, logger } = this.options;
     try {
-      const signal = AbortSignal.timeout(CALL_MILLISECONDS);
+      const signal = AbortSignal.timeout(PLATFORM_TIMEOUT_MILLISECONDS);
       const outcome = await adapter.orderSize(order, { holder, epoch }, signal);
       this.dispatch({ type: 'sizeOrdered', order, outcome });
     } catch (error) {
@@ -181,12 +181,12 @@
     }
   }
 
-  private async list(): Promise<void> {
+  private async listInstances(): Promise<void> {
     const { platform, logger, timers } = this.options;
     if (this.isListing || this.lease.epoch === undefined) return;
     this.isListing = true;
     try {
-      const signal = AbortSignal.timeout(CALL_MILLISECONDS);
+      const signal = AbortSignal.timeout(PLATFORM_TIMEOUT_MILLISECONDS);
       const instances = await platform.listInstances(signal);
       this.store.shareInstances(toSharedInstances(instances, timers.wallNow()));
       this.dispatch({ type: 'instancesListed', instances });
--- a/apps/ctl/src/Command.ts
+++ b/apps/ctl/src/Command.ts
@@ -4,13 +4,13 @@
 import type { Paint } from './paint.js';
 
 /** Options that every verb takes. */
-export interface CommonOptions {
+export interface OutputOptions {
   readonly json: boolean;
   /** Where the output goes, a line at a time. */
   print(line: string): void;
 }
 
-export interface CommandContext extends CommonOptions {
+export interface CommandContext extends OutputOptions {
   readonly client: OperatorClient;
   readonly timers: TimerService;
   /** Colours text if the output is a terminal. */
--- a/apps/ctl/src/OperatorClient.ts
+++ b/apps/ctl/src/OperatorClient.ts
@@ -69,11 +69,11 @@
 }
 
 /** Times that a change is sent while its answer stays away. */
-const MOST_SENDS = 5;
-const REQUEST_MILLISECONDS = 10_000;
-const PAUSE_MILLISECONDS = 500;
+const MAX_SENDS = 5;
+const RESPONSE_TIMEOUT_MILLISECONDS = 10_000;
+const RESEND_DELAY_MILLISECONDS = 500;
 
-interface Answer {
+interface ResponseText {
   readonly status: number;
   readonly text: string;
 }
@@ -86,20 +86,20 @@
     private readonly key: string,
     private readonly timers: TimerService = new SystemTimerService(),
   ) {
-    this.client = new Client(url, { headersTimeout: REQUEST_MILLISECONDS });
+    this.client = new Client(url, { headersTimeout: RESPONSE_TIMEOUT_MILLISECONDS });
   }
 
   async getTable(table: TableName): Promise<VersionedTable> {
-    return this.readJson(await this.send('GET', `/tables/${table}`)) as VersionedTable;
+    return this.parseResponse(await this.send('GET', `/tables/${table}`)) as VersionedTable;
   }
 
   async getStatus(): Promise<EntryStatus> {
-    return this.readJson(await this.send('GET', '/status')) as EntryStatus;
+    return this.parseResponse(await this.send('GET', '/status')) as EntryStatus;
   }
 
   /** The plan of a controller; entries and stores have none. */
   async getPlan(): Promise<readonly PlanRow[]> {
-    const plan = this.readJson(await this.send('GET', '/plan'));
+    const plan = this.parseResponse(await this.send('GET', '/plan'));
     return (plan as { readonly rows: readonly PlanRow[] }).rows;
   }
 
@@ -107,19 +107,19 @@
   async putTable({ table, baseRevision, changeId, rows }: TableUpdate): Promise<number> {
     const headers = { 'if-match': `"${baseRevision}"`, 'idempotency-key': changeId };
     const body = JSON.stringify({ rows });
-    for (let sends = 1; ; sends += 1) {
+    for (let sendCount = 1; ; sendCount += 1) {
       try {
         const answer = await this.send('PUT', `/tables/${table}`, headers, body);
-        return (this.readJson(answer) as { readonly revision: number }).revision;
+        return (this.parseResponse(answer) as { readonly revision: number }).revision;
       } catch (error) {
-        if (sends >= MOST_SENDS || !this.mayResend(error)) throw error;
-        await this.timers.wait(PAUSE_MILLISECONDS);
+        if (sendCount >= MAX_SENDS || !this.canResend(error)) throw error;
+        await this.timers.wait(RESEND_DELAY_MILLISECONDS);
       }
     }
   }
 
   async post(path: string, body: unknown): Promise<unknown> {
-    return this.readJson(await this.send('POST', path, {}, JSON.stringify(body)));
+    return this.parseResponse(await this.send('POST', path, {}, JSON.stringify(body)));
   }
 
   async close(): Promise<void> {
@@ -127,12 +127,12 @@
   }
 
   /** A lost connection or an unsure change: the same change id makes a resend harmless. */
-  private mayResend(error: unknown): boolean {
+  private canResend(error: unknown): boolean {
     if (!(error instanceof ProblemError)) return true;
     return error.problem.kind === 'changeUnsure' || error.problem.kind === 'storeUnavailable';
   }
 
-  private readJson({ status, text }: Answer): unknown {
+  private parseResponse({ status, text }: ResponseText): unknown {
     const value: unknown = JSON.parse(text);
     if (status >= 400) throw new ProblemError(value as ProblemDocument);
     return value;
@@ -143,7 +143,7 @@
     path: string,
     headers: Readonly<Record<string, string>> = {},
     body?: string,
-  ): Promise<Answer> {
+  ): Promise<ResponseText> {
     const response = await this.client.request({
       method,
       path,
--- a/apps/ctl/src/commands/describeStatus.ts
+++ b/apps/ctl/src/commands/describeStatus.ts
@@ -15,34 +15,41 @@
   );
 }
 
-function sumPrices(servers: readonly BackendServer[]): string {
+function formatHourlyCost(servers: readonly BackendServer[]): string {
   const euros = servers.reduce((sum, { eurosPerHour = 0 }) => sum + eurosPerHour, 0);
   const unknown = servers.filter(({ eurosPerHour }) => eurosPerHour === undefined).length;
   return euros.toFixed(2) + (unknown > 0 ? ` and ${unknown} without a price` : '');
 }
 
 function describePools(servers: readonly BackendServer[]): string[] {
-  const names = [...new Set(servers.map(({ pool }) => pool))].sort();
-  const rows = names.map((name) => {
+  const poolNames = [...new Set(servers.map(({ pool }) => pool))].sort();
+  const rows = poolNames.map((name) => {
     const pool = servers.filter((server) => server.pool === name);
     const count = (state: string) => pool.filter((server) => server.state === state).length;
     const inProgress = pool.reduce((sum, server) => sum + server.inProgress, 0);
-    return [name, count('live'), count('starting'), count('leaving'), inProgress, sumPrices(pool)];
+    return [
+      name,
+      count('live'),
+      count('starting'),
+      count('leaving'),
+      inProgress,
+      formatHourlyCost(pool),
+    ];
   });
   const titles = ['pool', 'live', 'starting', 'leaving', 'in progress here', 'euros an hour'];
-  const total = rows.length > 0 ? [`cost: ${sumPrices(servers)} euros an hour`] : [];
-  return [...formatTable(titles, rows), ...total];
+  const totalLines = rows.length > 0 ? [`cost: ${formatHourlyCost(servers)} euros an hour`] : [];
+  return [...formatTable(titles, rows), ...totalLines];
 }
 
 function describeCounts(title: string, counts: Readonly<Record<string, number>> = {}): string[] {
   const parts = Object.entries(counts)
-    .sort(([a, most], [b, least]) => least - most || a.localeCompare(b))
+    .sort(([a, countA], [b, countB]) => countB - countA || a.localeCompare(b))
     .map(([reason, count]) => `${reason} ${count}`);
   return [`${title}: ${parts.length === 0 ? 'none' : parts.join(', ')}`];
 }
 
 export function describeStatus(status: EntryStatus, paint: Paint): string[] {
-  const newest = findMostUpToDateStore(status.stores);
+  const mostUpToDate = findMostUpToDateStore(status.stores);
   return [
     describeEntry(status, paint),
     ...describeCounts('refusals since its start', status.refusals),
@@ -51,7 +58,7 @@
     ...describeStores(status.stores, paint),
     ...formatTable(
       ['instance', 'data centre', 'role', 'revision in force'],
-      (newest?.instances ?? []).map((report) => [
+      (mostUpToDate?.instances ?? []).map((report) => [
         report.instance,
         report.dataCentre,
         report.role,
@@ -60,9 +67,9 @@
     ),
     ...formatTable(
       ['lease', 'holder', 'epoch'],
-      (newest?.leases ?? []).map((lease) => [lease.lease, lease.holder, lease.epoch]),
+      (mostUpToDate?.leases ?? []).map((lease) => [lease.lease, lease.holder, lease.epoch]),
     ),
-    `quarantined requests: ${newest?.quarantine.length ?? 'not known'}`,
+    `quarantined requests: ${mostUpToDate?.quarantine.length ?? 'not known'}`,
     ...describePools(status.backendServers),
     ...formatTable(
       ['backend server', 'pool', 'data centre', 'state', 'in progress here'],
--- a/apps/ctl/src/commands/describeStores.ts
+++ b/apps/ctl/src/commands/describeStores.ts
@@ -29,7 +29,7 @@
 /** The store that knows most, whose word on leases, instances and quarantine is taken. */
 export function findMostUpToDateStore(stores: readonly StoreStatus[]): StoreStatus | undefined {
   return stores.reduce<StoreStatus | undefined>(
-    (most, store) => (store.appliedIndex > (most?.appliedIndex ?? -1) ? store : most),
+    (best, store) => (store.appliedIndex > (best?.appliedIndex ?? -1) ? store : best),
     undefined,
   );
 }
--- a/apps/ctl/src/commands/plan.ts
+++ b/apps/ctl/src/commands/plan.ts
@@ -43,12 +43,12 @@
     .map(([pool, slots]) => `${pool} lacks ${slots} slots that no place can give`);
 }
 
-function sumPresent(rows: readonly PlanRow[]): string {
+function formatPresentCost(rows: readonly PlanRow[]): string {
   const euros = rows.reduce((sum, { present, eurosPerHour }) => sum + present * eurosPerHour, 0);
   return euros.toFixed(2);
 }
 
-export class Plan extends Command {
+export class PlanCommand extends Command {
   override readonly name = 'plan';
 
   override readonly usage = '';
@@ -74,9 +74,9 @@
       print(colour === undefined ? line : paint(colour, line));
     });
     describeShortfalls(rows).forEach((line) => print(paint('red', line)));
-    print(`cost of what is present: ${sumPresent(rows)} euros an hour`);
+    print(`cost of what is present: ${formatPresentCost(rows)} euros an hour`);
     return exitCodes.done;
   }
 }
 
-export const planCommands: readonly Command[] = [new Plan()];
+export const planCommands: readonly Command[] = [new PlanCommand()];
--- a/apps/ctl/src/commands/status.ts
+++ b/apps/ctl/src/commands/status.ts
@@ -5,7 +5,7 @@
 
 const DEFAULT_WATCH_SECONDS = 2;
 
-export class Status extends Command {
+export class StatusCommand extends Command {
   override readonly name = 'status';
 
   override readonly usage = '';
@@ -22,7 +22,7 @@
   }
 }
 
-export class Watch extends Command {
+export class WatchCommand extends Command {
   override readonly name = 'watch';
 
   override readonly usage = '';
@@ -43,14 +43,14 @@
     if (!(seconds > 0) || !(times > 0)) {
       throw new UsageError(['--seconds and --times take numbers above 0']);
     }
-    for (let shown = 0; shown < times; shown += 1) {
+    for (let printedCount = 0; printedCount < times; printedCount += 1) {
       const status = await client.getStatus();
       if (json) print(JSON.stringify(status));
       else {
         const time = new Date(timers.wallNow()).toISOString();
         [`-- ${time}`, ...describeStatus(status, paint)].forEach(print);
       }
-      if (shown + 1 < times) {
+      if (printedCount + 1 < times) {
         await timers.wait(seconds * 1000);
       }
     }
@@ -58,4 +58,4 @@
   }
 }
 
-export const statusCommands: readonly Command[] = [new Status(), new Watch()];
+export const statusCommands: readonly Command[] = [new StatusCommand(), new WatchCommand()];
--- a/apps/ctl/src/commands/stores.ts
+++ b/apps/ctl/src/commands/stores.ts
@@ -3,7 +3,7 @@
 import { Command, UsageError, type CommandContext } from '../Command.js';
 import { describeStores } from './describeStores.js';
 
-export class StoreFound extends Command {
+export class StoreFoundCommand extends Command {
   override readonly name = 'store found';
 
   override readonly usage = '';
@@ -20,7 +20,7 @@
   }
 }
 
-export class StoreRemove extends Command {
+export class StoreRemoveCommand extends Command {
   override readonly name = 'store remove';
 
   override readonly usage = 'INSTANCE';
@@ -30,8 +30,8 @@
 
   override readonly example = 'hornbeampondctl store remove store-eisenstadt-1';
 
-  override async run({ client, positionals: words, print }: CommandContext): Promise<number> {
-    const [instance] = words;
+  override async run({ client, positionals, print }: CommandContext): Promise<number> {
+    const [instance] = positionals;
     if (instance === undefined) throw new UsageError(['name the instance to remove']);
     await client.post('/store/remove', { instance });
     print(`${instance} is no voter any more`);
@@ -39,7 +39,7 @@
   }
 }
 
-export class StoreAdd extends Command {
+export class StoreAddCommand extends Command {
   override readonly name = 'store add';
 
   override readonly usage = '';
@@ -74,8 +74,8 @@
 }
 
 export const storeCommands: readonly Command[] = [
-  new StoreFound(),
-  new StoreAdd(),
-  new StoreRemove(),
+  new StoreFoundCommand(),
+  new StoreAddCommand(),
+  new StoreRemoveCommand(),
   new StoreStatusCommand(),
 ];
--- a/apps/ctl/src/commands/tables.ts
+++ b/apps/ctl/src/commands/tables.ts
@@ -8,15 +8,15 @@
 import { readTableFile, parseTableName } from '../readTableFile.js';
 
 /** A change lost the race against another. */
-export const EXIT_RACE_LOST = 3;
+export const EXIT_CODE_REVISION_CONFLICT = 3;
 
 /** Not everywhere in force within the time that was given. */
-export const EXIT_NOT_IN_FORCE = 4;
+export const EXIT_CODE_NOT_IN_FORCE = 4;
 
-const POLL_MILLISECONDS = 100;
+const POLL_INTERVAL_MILLISECONDS = 100;
 const DEFAULT_WAIT_SECONDS = 15;
 
-export class TablesGet extends Command {
+export class TablesGetCommand extends Command {
   override readonly name = 'tables get';
 
   override readonly usage = 'routes|pools';
@@ -25,20 +25,20 @@
 
   override readonly example = 'hornbeampondctl tables get routes > routes.toml';
 
-  override async run({ client, positionals: words, json, print }: CommandContext): Promise<number> {
-    const table = parseTableName(words[0]);
-    const reading = await client.getTable(table);
+  override async run({ client, positionals, json, print }: CommandContext): Promise<number> {
+    const table = parseTableName(positionals[0]);
+    const current = await client.getTable(table);
     if (json) {
-      print(JSON.stringify(reading));
+      print(JSON.stringify(current));
       return exitCodes.done;
     }
-    print(`# ${table} at revision ${reading.revision}`);
-    print(stringify({ [table]: reading.rows }));
+    print(`# ${table} at revision ${current.revision}`);
+    print(stringify({ [table]: current.rows }));
     return exitCodes.done;
   }
 }
 
-export class TablesDiff extends Command {
+export class TablesDiffCommand extends Command {
   override readonly name = 'tables diff';
 
   override readonly usage = 'routes|pools FILE';
@@ -47,19 +47,19 @@
 
   override readonly example = 'hornbeampondctl tables diff routes routes.toml';
 
-  override async run({ client, positionals: words, json, print }: CommandContext): Promise<number> {
-    const table = parseTableName(words[0]);
-    const rows = readTableFile(table, words[1]);
-    const reading = await client.getTable(table);
-    const differences = findRowDifferences(reading.rows, rows);
-    if (json) print(JSON.stringify({ revision: reading.revision, differences }));
-    else if (differences.length === 0) print(`no difference to revision ${reading.revision}`);
+  override async run({ client, positionals, json, print }: CommandContext): Promise<number> {
+    const table = parseTableName(positionals[0]);
+    const rows = readTableFile(table, positionals[1]);
+    const current = await client.getTable(table);
+    const differences = findRowDifferences(current.rows, rows);
+    if (json) print(JSON.stringify({ revision: current.revision, differences }));
+    else if (differences.length === 0) print(`no difference to revision ${current.revision}`);
     else differences.forEach((difference) => print(formatRowDifference(difference)));
     return exitCodes.done;
   }
 }
 
-export class TablesPut extends Command {
+export class TablesPutCommand extends Command {
   override readonly name = 'tables put';
 
   override readonly usage = 'routes|pools FILE';
@@ -78,13 +78,13 @@
 
   override async run({
     client,
-    positionals: words,
+    positionals,
     options,
     json,
     print,
   }: CommandContext): Promise<number> {
-    const table = parseTableName(words[0]);
-    const rows = readTableFile(table, words[1]);
+    const table = parseTableName(positionals[0]);
+    const rows = readTableFile(table, positionals[1]);
     const baseRevision =
       typeof options.revision === 'string'
         ? Number(options.revision)
@@ -103,14 +103,14 @@
       }
       print(`${table} was changed meanwhile: it is at revision ${error.problem.currentRevision}`);
       print(`your file was made from revision ${baseRevision}; nothing was changed. To merge:`);
-      print(`  hornbeampondctl tables diff ${table} ${words[1]}`);
+      print(`  hornbeampondctl tables diff ${table} ${positionals[1]}`);
       print(`  then put again with --revision ${error.problem.currentRevision}`);
-      return EXIT_RACE_LOST;
+      return EXIT_CODE_REVISION_CONFLICT;
     }
   }
 }
 
-function namesBehind(status: EntryStatus, revision: number): string[] {
+function describeInstancesBehind(status: EntryStatus, revision: number): string[] {
   const reports = new Map(
     status.stores.flatMap((store) => store.instances.map((report) => [report.instance, report])),
   );
@@ -119,7 +119,7 @@
     .map((report) => `${report.instance} (${report.dataCentre}) at ${report.revision}`);
 }
 
-export class TablesWait extends Command {
+export class TablesWaitCommand extends Command {
   override readonly name = 'tables wait';
 
   override readonly usage = 'REVISION';
@@ -134,36 +134,36 @@
 
   override async run({
     client,
-    positionals: words,
+    positionals,
     options,
     timers,
     print,
   }: CommandContext): Promise<number> {
-    const revision = Number(words[0]);
+    const revision = Number(positionals[0]);
     if (!Number.isInteger(revision)) throw new UsageError(['name a revision']);
     const seconds = Number(options.seconds ?? DEFAULT_WAIT_SECONDS);
     if (!(seconds > 0)) throw new UsageError(['--seconds takes a number above 0']);
     const endsAt = timers.monotonicNow() + seconds * 1000;
     for (;;) {
       const status = await client.getStatus();
-      const behind = namesBehind(status, revision);
+      const behind = describeInstancesBehind(status, revision);
       if (behind.length === 0 && status.configurationRevision >= revision) {
         print(`revision ${revision} is in force everywhere`);
         return exitCodes.done;
       }
       if (timers.monotonicNow() > endsAt) {
         print(`revision ${revision} is not yet in force on:`);
-        behind.forEach((name) => print(`  ${name}`));
-        return EXIT_NOT_IN_FORCE;
+        behind.forEach((line) => print(`  ${line}`));
+        return EXIT_CODE_NOT_IN_FORCE;
       }
-      await timers.wait(POLL_MILLISECONDS);
+      await timers.wait(POLL_INTERVAL_MILLISECONDS);
     }
   }
 }
 
 export const tableCommands: readonly Command[] = [
-  new TablesGet(),
-  new TablesDiff(),
-  new TablesPut(),
-  new TablesWait(),
+  new TablesGetCommand(),
+  new TablesDiffCommand(),
+  new TablesPutCommand(),
+  new TablesWaitCommand(),
 ];
--- a/apps/ctl/src/findRowDifferences.ts
+++ b/apps/ctl/src/findRowDifferences.ts
@@ -10,7 +10,7 @@
 
 type Row = Readonly<Record<string, unknown>>;
 
-function byName(rows: readonly unknown[]): Map<string, Row> {
+function mapRowsByName(rows: readonly unknown[]): Map<string, Row> {
   return new Map((rows as readonly Row[]).map((row) => [String(row.name), row]));
 }
 
@@ -18,20 +18,20 @@
   before: readonly unknown[],
   after: readonly unknown[],
 ): RowDifference[] {
-  const old = byName(before);
-  const now = byName(after);
-  const removed = [...old.keys()]
-    .filter((name) => !now.has(name))
+  const rowsBefore = mapRowsByName(before);
+  const rowsAfter = mapRowsByName(after);
+  const removed = [...rowsBefore.keys()]
+    .filter((name) => !rowsAfter.has(name))
     .map((row): RowDifference => ({ change: 'removed', row, keys: [] }));
-  const others = [...now].flatMap(([name, row]): RowDifference[] => {
-    const earlier = old.get(name);
-    if (earlier === undefined) return [{ change: 'added', row: name, keys: [] }];
-    const keys = [...new Set([...Object.keys(earlier), ...Object.keys(row)])].filter(
-      (key) => !isDeepStrictEqual(earlier[key], row[key]),
+  const addedOrChanged = [...rowsAfter].flatMap(([name, row]): RowDifference[] => {
+    const rowBefore = rowsBefore.get(name);
+    if (rowBefore === undefined) return [{ change: 'added', row: name, keys: [] }];
+    const keys = [...new Set([...Object.keys(rowBefore), ...Object.keys(row)])].filter(
+      (key) => !isDeepStrictEqual(rowBefore[key], row[key]),
     );
     return keys.length === 0 ? [] : [{ change: 'changed', row: name, keys }];
   });
-  return [...removed, ...others];
+  return [...removed, ...addedOrChanged];
 }
 
 export function formatRowDifference({ change, row, keys }: RowDifference): string {
--- a/apps/ctl/src/readTableFile.ts
+++ b/apps/ctl/src/readTableFile.ts
@@ -19,8 +19,9 @@
   } catch (error) {
     throw new UsageError([`${file}: ${error instanceof Error ? error.message : String(error)}`]);
   }
-  const others = Object.keys(values).filter((key) => key !== table);
-  if (others.length > 0) throw new UsageError([`${file}: only [[${table}]] may stand here`]);
+  const unexpectedKeys = Object.keys(values).filter((key) => key !== table);
+  if (unexpectedKeys.length > 0)
+    throw new UsageError([`${file}: only [[${table}]] may stand here`]);
   const rows = values[table] ?? [];
   const checked = table === 'routes' ? checkRoutes(rows) : checkPools(rows);
   if (checked.ok) return checked.rows;
--- a/apps/ctl/src/runCommandLine.test.ts
+++ b/apps/ctl/src/runCommandLine.test.ts
@@ -10,8 +10,10 @@
 import { FakeOperatorServer } from './testing/FakeOperatorServer.js';
 import { samplePlan, sampleStatus } from './testing/statusSamples.js';
 
-const pools = fileURLToPath(new URL('../../../examples/kartenwerk/pools.toml', import.meta.url));
-let port: FakeOperatorServer;
+const poolsFile = fileURLToPath(
+  new URL('../../../examples/kartenwerk/pools.toml', import.meta.url),
+);
+let server: FakeOperatorServer;
 let folder: string;
 
 before(() => {
@@ -20,15 +22,15 @@
 
 after(async () => {
   rmSync(folder, { recursive: true });
-  await port.close();
+  await server.close();
 });
 
 beforeEach(async () => {
-  if ((port as FakeOperatorServer | undefined) !== undefined) await port.close();
-  port = await FakeOperatorServer.start();
-  port.responsesByPath.set('/tables/pools', { revision: 7, configurationRevision: 7, rows: [] });
-  port.responsesByPath.set('/status', sampleStatus);
-  port.responsesByPath.set('/plan', { rows: samplePlan });
+  if ((server as FakeOperatorServer | undefined) !== undefined) await server.close();
+  server = await FakeOperatorServer.start();
+  server.responsesByPath.set('/tables/pools', { revision: 7, configurationRevision: 7, rows: [] });
+  server.responsesByPath.set('/status', sampleStatus);
+  server.responsesByPath.set('/plan', { rows: samplePlan });
 });
 
 interface Outcome {
@@ -37,12 +39,12 @@
   readonly errors: readonly string[];
 }
 
-async function run(words: string, isTerminal = false): Promise<Outcome> {
+async function run(commandLine: string, isTerminal = false): Promise<Outcome> {
   const printed: string[] = [];
   const errors: string[] = [];
-  const exitCode = await runCommandLine(words.split(' '), {
+  const exitCode = await runCommandLine(commandLine.split(' '), {
     environment: {
-      HORNBEAMPOND_ENTRY: port.url,
+      HORNBEAMPOND_ENTRY: server.url,
       HORNBEAMPOND_OPERATOR_KEY: 'operator-key',
     },
     isTerminal,
@@ -54,68 +56,75 @@
 }
 
 test('help lists the verbs and exit codes, and each verb tells its own with an example', async () => {
-  const all = await run('--help');
-  assert.equal(all.exitCode, 0);
-  const each = await Promise.all(commands.map(({ name }) => run(`${name} --help`)));
-  each.forEach(({ exitCode, printed }, position) => {
+  const help = await run('--help');
+  assert.equal(help.exitCode, 0);
+  const commandHelps = await Promise.all(commands.map(({ name }) => run(`${name} --help`)));
+  commandHelps.forEach(({ exitCode, printed }, position) => {
     assert.equal(exitCode, 0);
     assert.match(printed.at(-1) ?? '', new RegExp(`^example: .*${commands[position]?.name}`));
   });
-  const text = [all, ...each].map(({ printed }) => printed.join('\n')).join('\n\n----\n\n');
+  const text = [help, ...commandHelps]
+    .map(({ printed }) => printed.join('\n'))
+    .join('\n\n----\n\n');
   await matchSnapshot(import.meta.url, 'help', text);
 });
 
 test('a verb, an option or a table that there is not exits 2', async () => {
-  for (const words of ['tables burn', 'status --loud', 'tables get rotes', 'tables wait soon']) {
-    const { exitCode, errors } = await run(words);
-    assert.equal(exitCode, 2, words);
-    assert.ok(errors.length > 0, words);
+  for (const commandLine of [
+    'tables burn',
+    'status --loud',
+    'tables get rotes',
+    'tables wait soon',
+  ]) {
+    const { exitCode, errors } = await run(commandLine);
+    assert.equal(exitCode, 2, commandLine);
+    assert.ok(errors.length > 0, commandLine);
   }
 });
 
 test('options may stand before the verb', async () => {
-  const { exitCode, printed } = await run(`--entry ${port.url} status --json`);
+  const { exitCode, printed } = await run(`--entry ${server.url} status --json`);
   assert.equal(exitCode, 0);
   assert.deepEqual(JSON.parse(printed[0] ?? ''), sampleStatus);
 });
 
 test('put sends the revision that was read and prints the new one', async () => {
-  const outcome = await run(`tables put pools ${pools}`);
+  const outcome = await run(`tables put pools ${poolsFile}`);
   assert.deepEqual(outcome, { exitCode: 0, printed: ['pools is at revision 8'], errors: [] });
-  assert.equal(port.receivedChanges.length, 1);
-  assert.equal(port.receivedChanges[0]?.ifMatch, '"7"');
+  assert.equal(server.receivedChanges.length, 1);
+  assert.equal(server.receivedChanges[0]?.ifMatch, '"7"');
 });
 
 // Two operators hold revision 7. The other's change comes first, so the log is at 9. Ours is refused
 // with nothing changed, and the operator is told who is ahead and how to merge.
 test('a race that was lost exits 3 and tells how to merge', async () => {
-  port.revision = 9;
-  const outcome = await run(`tables put pools ${pools} --revision 7`);
+  server.revision = 9;
+  const outcome = await run(`tables put pools ${poolsFile} --revision 7`);
   assert.equal(outcome.exitCode, 3);
-  assert.equal(port.revision, 9);
-  const text = outcome.printed.join('\n').replaceAll(pools, 'pools.toml');
+  assert.equal(server.revision, 9);
+  const text = outcome.printed.join('\n').replaceAll(poolsFile, 'pools.toml');
   await matchSnapshot(import.meta.url, 'race lost', text);
 });
 
 // The change is carried out, but its answer is lost twice. The operator must see it succeed once:
 // the command sends it again under the same change id, and the log gives the first answer again.
 test('a change whose answer is lost is sent again under the same id and made once', async () => {
-  port.responsesToDrop = 2;
-  const outcome = await run(`tables put pools ${pools}`);
+  server.responsesToDrop = 2;
+  const outcome = await run(`tables put pools ${poolsFile}`);
   assert.equal(outcome.exitCode, 0);
   assert.deepEqual(outcome.printed, ['pools is at revision 8']);
-  assert.equal(port.receivedChanges.length, 3);
-  assert.equal(new Set(port.receivedChanges.map(({ changeId }) => changeId)).size, 1);
-  assert.equal(port.revision, 8);
+  assert.equal(server.receivedChanges.length, 3);
+  assert.equal(new Set(server.receivedChanges.map(({ changeId }) => changeId)).size, 1);
+  assert.equal(server.revision, 8);
 });
 
 // All answers are lost. The operator can't know whether the change was made, and gets the id under
 // which the same file can be sent again without harm.
 test('a change that stays unanswered exits 1 after a few sends', async () => {
-  port.responsesToDrop = 100;
-  const outcome = await run(`tables put pools ${pools} --change-id mine`);
+  server.responsesToDrop = 100;
+  const outcome = await run(`tables put pools ${poolsFile} --change-id mine`);
   assert.equal(outcome.exitCode, 1);
-  assert.equal(port.receivedChanges.length, 5);
+  assert.equal(server.receivedChanges.length, 5);
   assert.ok(outcome.errors.length > 0);
   assert.match([...outcome.printed, ...outcome.errors].join('\n'), /--change-id mine/);
 });
@@ -129,7 +138,7 @@
   );
   const outcome = await run(`tables put pools ${file}`);
   assert.equal(outcome.exitCode, 2);
-  assert.deepEqual(port.receivedChanges, []);
+  assert.deepEqual(server.receivedChanges, []);
   assert.deepEqual(outcome.printed, []);
   const text = outcome.errors.join('\n').replaceAll(file, 'pools.toml');
   await matchSnapshot(import.meta.url, 'faults of a file', text);
@@ -171,7 +180,7 @@
 test('plan --json gives the rows, and an entry, which has none, is told so', async () => {
   const { printed } = await run('plan --json');
   assert.deepEqual(JSON.parse(printed[0] ?? ''), samplePlan);
-  port.responsesByPath.delete('/plan');
+  server.responsesByPath.delete('/plan');
   const { exitCode, errors } = await run('plan');
   assert.equal(exitCode, 1);
   assert.match(errors[0] ?? '', /^routeNotFound: /);
--- a/apps/ctl/src/runCommandLine.ts
+++ b/apps/ctl/src/runCommandLine.ts
@@ -16,7 +16,7 @@
   ...storeCommands,
 ];
 
-const DEFAULT_ENTRY = 'http://127.0.0.1:9080';
+const DEFAULT_ENTRY_URL = 'http://127.0.0.1:9080';
 
 const commonOptions = {
   entry: {
@@ -46,7 +46,7 @@
   );
 }
 
-function helpOf(command: Command): string[] {
+function formatCommandHelp(command: Command): string[] {
   return [
     `hornbeampondctl ${command.name} ${command.usage}`.trimEnd(),
     '',
@@ -58,7 +58,7 @@
   ];
 }
 
-function helpOfAll(): string[] {
+function formatHelp(): string[] {
   return [
     'hornbeampondctl: edits the two tables and watches the outcomes',
     '',
@@ -68,20 +68,24 @@
     '',
     'exit codes: 0 done, 1 failed, 2 bad input (nothing changed), 3 a race was lost,',
     '            4 not in force in time',
-    `without --entry and HORNBEAMPOND_ENTRY, ${DEFAULT_ENTRY} is asked`,
+    `without --entry and HORNBEAMPOND_ENTRY, ${DEFAULT_ENTRY_URL} is asked`,
   ];
 }
 
 /** The words of a call without its options and their values. */
-function findWords(argumentsGiven: readonly string[]): string[] {
+function findPositionals(commandLineArguments: readonly string[]): string[] {
   const options = Object.assign({}, commonOptions, ...commands.map((command) => command.options));
-  return parseArgs({ args: [...argumentsGiven], options, allowPositionals: true, strict: false })
-    .positionals;
+  return parseArgs({
+    args: [...commandLineArguments],
+    options,
+    allowPositionals: true,
+    strict: false,
+  }).positionals;
 }
 
-function findCommand(words: readonly string[]): Command | undefined {
+function findCommand(positionals: readonly string[]): Command | undefined {
   return commands.find((command) =>
-    command.name.split(' ').every((word, position) => words[position] === word),
+    command.name.split(' ').every((word, position) => positionals[position] === word),
   );
 }
 
@@ -99,19 +103,23 @@
   return exitCodes.failed;
 }
 
-async function runCommand(command: Command, argumentsGiven: readonly string[], io: CommandLineIo) {
+async function runCommand(
+  command: Command,
+  commandLineArguments: readonly string[],
+  io: CommandLineIo,
+) {
   const { values, positionals } = parseArgs({
-    args: [...argumentsGiven],
+    args: [...commandLineArguments],
     options: { ...commonOptions, ...command.options },
     allowPositionals: true,
   });
-  const given: Readonly<Record<string, string | boolean | undefined>> = values;
-  if (given.help === true) {
-    helpOf(command).forEach(io.print);
+  const optionValues: Readonly<Record<string, string | boolean | undefined>> = values;
+  if (optionValues.help === true) {
+    formatCommandHelp(command).forEach(io.print);
     return exitCodes.done;
   }
-  const key = given.key ?? io.environment.HORNBEAMPOND_OPERATOR_KEY ?? '';
-  const entry = given.entry ?? io.environment.HORNBEAMPOND_ENTRY ?? DEFAULT_ENTRY;
+  const key = optionValues.key ?? io.environment.HORNBEAMPOND_OPERATOR_KEY ?? '';
+  const entry = optionValues.entry ?? io.environment.HORNBEAMPOND_ENTRY ?? DEFAULT_ENTRY_URL;
   const timers = io.timers ?? new SystemTimerService();
   const client = new OperatorClient(String(entry), String(key), timers);
   try {
@@ -119,9 +127,9 @@
       client,
       timers,
       paint: choosePaint(io.isTerminal, io.environment.NO_COLOR),
-      options: given,
+      options: optionValues,
       positionals: positionals.slice(command.name.split(' ').length),
-      json: given.json === true,
+      json: optionValues.json === true,
       print: io.print,
     });
   } finally {
@@ -131,25 +139,25 @@
 
 /** Runs one call of the command line and returns its exit code. */
 export async function runCommandLine(
-  argumentsGiven: readonly string[],
+  commandLineArguments: readonly string[],
   io: CommandLineIo,
 ): Promise<number> {
-  const words = findWords(argumentsGiven);
-  const command = findCommand(words);
+  const positionals = findPositionals(commandLineArguments);
+  const command = findCommand(positionals);
   try {
-    if (command !== undefined) return await runCommand(command, argumentsGiven, io);
+    if (command !== undefined) return await runCommand(command, commandLineArguments, io);
   } catch (error) {
-    const parseFailed = error instanceof TypeError && 'code' in error;
-    return reportError(parseFailed ? new UsageError([error.message]) : error, io);
+    const isParseError = error instanceof TypeError && 'code' in error;
+    return reportError(isParseError ? new UsageError([error.message]) : error, io);
   }
-  if (argumentsGiven.includes('--version')) {
+  if (commandLineArguments.includes('--version')) {
     io.print(`hornbeampondctl ${version}`);
     return exitCodes.done;
   }
-  if (argumentsGiven.includes('--help') || argumentsGiven.length === 0) {
-    helpOfAll().forEach(io.print);
-    return argumentsGiven.length === 0 ? exitCodes.badInput : exitCodes.done;
+  if (commandLineArguments.includes('--help') || commandLineArguments.length === 0) {
+    formatHelp().forEach(io.print);
+    return commandLineArguments.length === 0 ? exitCodes.badInput : exitCodes.done;
   }
-  io.printError(`there is no "${words.join(' ')}"; see "hornbeampondctl --help"`);
+  io.printError(`there is no "${positionals.join(' ')}"; see "hornbeampondctl --help"`);
   return exitCodes.badInput;
 }
--- a/apps/ctl/src/testing/AutoAdvancingTimerService.ts
+++ b/apps/ctl/src/testing/AutoAdvancingTimerService.ts
@@ -2,19 +2,19 @@
 import { TimerService, type Unsubscribe } from '@hornbeampond/runtime';
 
 export class AutoAdvancingTimerService extends TimerService {
-  private now = 0;
+  private elapsed = 0;
 
   override monotonicNow(): number {
-    return this.now;
+    return this.elapsed;
   }
 
   override wallNow(): number {
-    return Date.UTC(2026, 0, 15, 11) + this.now;
+    return Date.UTC(2026, 0, 15, 11) + this.elapsed;
   }
 
   override after(delay: number, listener: () => void): Unsubscribe {
     const timer = setImmediate(() => {
-      this.now += delay;
+      this.elapsed += delay;
       listener();
     });
     return () => clearImmediate(timer);
--- a/apps/ctl/src/testing/FakeOperatorServer.ts
+++ b/apps/ctl/src/testing/FakeOperatorServer.ts
@@ -29,11 +29,11 @@
 
   private readonly server: Server;
 
-  private readonly acceptedIds = new Set<string>();
+  private readonly acceptedChangeIds = new Set<string>();
 
   private constructor() {
     this.server = createServer((request, response) => {
-      this.answer(request, response).catch((error: unknown) => {
+      this.handleRequest(request, response).catch((error: unknown) => {
         const problem = toProblemDocument(error);
         response.writeHead(problem.status, { 'content-type': 'application/problem+json' });
         response.end(JSON.stringify(problem));
@@ -42,10 +42,10 @@
   }
 
   static async start(): Promise<FakeOperatorServer> {
-    const standIn = new FakeOperatorServer();
-    standIn.server.listen(0, '127.0.0.1');
-    await once(standIn.server, 'listening');
-    return standIn;
+    const server = new FakeOperatorServer();
+    server.server.listen(0, '127.0.0.1');
+    await once(server.server, 'listening');
+    return server;
   }
 
   get url(): string {
@@ -58,13 +58,13 @@
     await once(this.server, 'close');
   }
 
-  private async answer(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  private async handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
     if (request.headers.authorization !== 'Bearer operator-key') {
       throw new HornbeampondError('unauthorized', 'The operator key is missing or not known');
     }
     const path = request.url ?? '';
     if (request.method === 'PUT') {
-      await this.put(path, request, response);
+      await this.handlePut(path, request, response);
       return;
     }
     const document = this.responsesByPath.get(path);
@@ -72,7 +72,7 @@
     response.end(JSON.stringify(document));
   }
 
-  private async put(
+  private async handlePut(
     path: string,
     request: IncomingMessage,
     response: ServerResponse,
@@ -81,13 +81,13 @@
     const ifMatch = request.headers['if-match'];
     const changeId = request.headers['idempotency-key'] as string;
     this.receivedChanges.push({ path, ifMatch, changeId, rows: rows.length });
-    if (!this.acceptedIds.has(changeId)) {
+    if (!this.acceptedChangeIds.has(changeId)) {
       if (ifMatch !== `"${this.revision}"`) {
         const details = { currentRevision: this.revision };
         throw new HornbeampondError('revisionStale', 'Another change came first', details);
       }
       this.revision += 1;
-      this.acceptedIds.add(changeId);
+      this.acceptedChangeIds.add(changeId);
     }
     if (this.responsesToDrop > 0) {
       this.responsesToDrop -= 1;
--- a/apps/ctl/src/testing/statusSamples.ts
+++ b/apps/ctl/src/testing/statusSamples.ts
@@ -71,7 +71,7 @@
   ],
 };
 
-const place = {
+const planRow = {
   pool: 'assistants',
   dataCentre: 'a',
   instanceClass: 'small',
@@ -82,7 +82,7 @@
 
 export const samplePlan: readonly PlanRow[] = [
   {
-    ...place,
+    ...planRow,
     wanted: 3,
     present: 2,
     serving: 2,
@@ -90,7 +90,7 @@
     reason: 'the cheapest safe place for what is lacking',
   },
   {
-    ...place,
+    ...planRow,
     dataCentre: 'b',
     wanted: 0,
     present: 1,
@@ -99,7 +99,7 @@
     reason: 'not needed, or cheaper elsewhere; drained once safe',
   },
   {
-    ...place,
+    ...planRow,
     pool: 'bookings',
     reclaimable: false,
     eurosPerHour: 2,
--- a/apps/dev/src/DevCluster.test.ts
+++ b/apps/dev/src/DevCluster.test.ts
@@ -28,7 +28,10 @@
   return generateText(digestPrompt([{ role: 'user', content }]), 0, tokens);
 }
 
-function ask(content: string, more: Readonly<Record<string, unknown>> = {}): Promise<Response> {
+function sendChat(
+  content: string,
+  more: Readonly<Record<string, unknown>> = {},
+): Promise<Response> {
   return fetch(`${callers}/v1/chat/completions`, {
     method: 'POST',
     headers: { authorization },
@@ -50,7 +53,7 @@
   readonly choices: readonly { readonly delta: { readonly content?: string } }[];
 }
 
-function reserve(key: string, body: string): Promise<Response> {
+function sendReservation(key: string, body: string): Promise<Response> {
   return fetch(`${callers}/reservations`, {
     method: 'POST',
     headers: { authorization, 'idempotency-key': key },
@@ -63,12 +66,12 @@
 }
 
 test('a streamed answer comes whole and in order', async () => {
-  const text = await readText(await ask('Which carriage has the bar?', { stream: true }));
+  const text = await readText(await sendChat('Which carriage has the bar?', { stream: true }));
   assert.equal(text, generateAnswer('Which carriage has the bar?'));
 });
 
 test('an answer that is asked for whole is the same text', async () => {
-  const answer = (await (await ask('When does the guide arrive?')).json()) as {
+  const answer = (await (await sendChat('When does the guide arrive?')).json()) as {
     readonly choices: readonly { readonly message: { readonly content: string } }[];
   };
   assert.equal(answer.choices[0]?.message.content, generateAnswer('When does the guide arrive?'));
@@ -78,14 +81,14 @@
 // the answer has begun; the entry has the text so far and goes on from there at the other engine.
 test('an engine that dies in the middle of a stream is not seen by the caller', async () => {
   const question = 'Plan three days along the line, with a stop each noon.';
-  const response = await ask(question, { stream: true, max_tokens: 60 });
-  const busy = cluster.engines.find(
+  const response = await sendChat(question, { stream: true, max_tokens: 60 });
+  const busyEngine = cluster.engines.find(
     (engine) => engine.counts.generatedTokens > 0 && engine.running > 0,
   );
-  assert.ok(busy !== undefined);
-  await busy.die();
+  assert.ok(busyEngine !== undefined);
+  await busyEngine.die();
   assert.equal(await readText(response), generateAnswer(question, 60));
-  await busy.restart();
+  await busyEngine.restart();
 });
 
 test('a caller without a known key gets 401, one with a malformed body 400', async () => {
@@ -95,7 +98,7 @@
     body: '{}',
   });
   assert.equal(unknown.status, 401);
-  const malformed = await ask('x', { messages: 'none' });
+  const malformed = await sendChat('x', { messages: 'none' });
   assert.equal(malformed.status, 400);
   const problem = (await malformed.json()) as { readonly kind: string; readonly ran: string };
   assert.deepEqual([problem.kind, problem.ran], ['badRequest', 'no']);
@@ -104,8 +107,8 @@
 // The caller reserves a seat, does not trust the answer it got and sends the same call again. The
 // claim in the log is done by then, so the resend is given the stored answer and nothing runs.
 test('a reservation that is sent again is answered from the first run', async () => {
-  const first = await reserve('seat-1', 'carriage 3, seat 12');
-  const again = await reserve('seat-1', 'carriage 3, seat 12');
+  const first = await sendReservation('seat-1', 'carriage 3, seat 12');
+  const again = await sendReservation('seat-1', 'carriage 3, seat 12');
   assert.equal(first.status, 200);
   assert.equal(await again.text(), await first.text());
   assert.equal(again.headers.get('idempotent-replay'), 'true');
@@ -115,7 +118,9 @@
 // Twenty resends of one reservation arrive at once. The log lets one of them run; the others are
 // told that it is in progress, or get its answer if they come a moment later.
 test('a reservation that is sent many times at once runs once', async () => {
-  const answers = await Promise.all(Array.from({ length: 20 }, () => reserve('seat-2', 'seat 14')));
+  const answers = await Promise.all(
+    Array.from({ length: 20 }, () => sendReservation('seat-2', 'seat 14')),
+  );
   const statuses = new Set(answers.map(({ status }) => status));
   assert.equal(countRuns('seat-2'), 1);
   statuses.delete(409);
@@ -123,8 +128,8 @@
 });
 
 test('a key that is used again with another body is refused, and nothing runs', async () => {
-  await reserve('seat-3', 'seat 1');
-  const other = await reserve('seat-3', 'seat 2');
+  await sendReservation('seat-3', 'seat 1');
+  const other = await sendReservation('seat-3', 'seat 2');
   assert.equal(other.status, 422);
   assert.equal(countRuns('seat-3'), 1);
 });
@@ -134,11 +139,11 @@
 // service would book the seat twice.
 test('a reservation whose answer is lost is never sent again', async () => {
   cluster.services.forEach((service) => service.setOutcome('lost'));
-  const lost = await reserve('seat-4', 'seat 4');
+  const lost = await sendReservation('seat-4', 'seat 4');
   cluster.services.forEach((service) => service.setOutcome('answer'));
   const problem = (await lost.json()) as { readonly kind: string; readonly ran: string };
   assert.deepEqual([problem.kind, problem.ran], ['outcomeUnknown', 'unknown']);
-  const again = await reserve('seat-4', 'seat 4');
+  const again = await sendReservation('seat-4', 'seat 4');
   assert.equal(((await again.json()) as { readonly ran: string }).ran, 'unknown');
   assert.equal(countRuns('seat-4'), 1);
 });
@@ -149,14 +154,14 @@
   const rows = devRoutes.map((route) =>
     route.name === 'chat' ? { ...route, match: { ...route.match, workspaces: ['others'] } } : route,
   );
-  const put = async (baseRevision: number, changeId: string, wanted: readonly unknown[]) =>
-    client.putTable({ table: 'routes', baseRevision, changeId, rows: wanted });
+  const put = async (baseRevision: number, changeId: string, newRows: readonly unknown[]) =>
+    client.putTable({ table: 'routes', baseRevision, changeId, rows: newRows });
   const changed = await put(revision, 'only-others', rows);
   const deadline = AbortSignal.timeout(1000);
-  let { status } = await ask('x', { max_tokens: 1 });
+  let { status } = await sendChat('x', { max_tokens: 1 });
   while (status !== 403) {
     deadline.throwIfAborted();
-    ({ status } = await ask('x', { max_tokens: 1 }));
+    ({ status } = await sendChat('x', { max_tokens: 1 }));
   }
   await put(changed, 'all-again', devRoutes);
   await client.close();
--- a/apps/dev/src/DevCluster.ts
+++ b/apps/dev/src/DevCluster.ts
@@ -29,13 +29,13 @@
 import { DEV_DATA_CENTRE, devKeys, devPools, devRoutes } from './devTables.js';
 
 const HOST = '127.0.0.1';
-const POLL_MILLISECONDS = 100;
+const PLATFORM_POLL_MILLISECONDS = 100;
 const TOKEN_DELAY_MILLISECONDS = 20;
-const READY_MILLISECONDS = 10_000;
-const LOOK_MILLISECONDS = 20;
+const READY_TIMEOUT_MILLISECONDS = 10_000;
+const READY_CHECK_MILLISECONDS = 20;
 
 /** Plenty for a handful of fakes, so that a first look never waits for the weight store. */
-const LOADS = { loadsPerMinute: 600, burst: 10 } as const;
+const WEIGHT_STORE_LIMITS = { loadsPerMinute: 600, burst: 10 } as const;
 
 export interface DevOptions {
   /** 0 takes any free port. */
@@ -56,15 +56,12 @@
 }
 
 /** What an instance that is bought or listed is called and what runs there. */
-interface Launching {
+interface InstanceLaunch {
   readonly instance: string;
   readonly pool: string;
 }
 
-function requireSettings<Schema extends z.ZodType>(
-  schema: Schema,
-  values: unknown,
-): z.infer<Schema> {
+function parseSettings<Schema extends z.ZodType>(schema: Schema, values: unknown): z.infer<Schema> {
   const checked = checkSettings(schema, values);
   if (checked.ok) return checked.settings;
   throw new HornbeampondError('internalError', 'The embedded settings have faults', {
@@ -82,7 +79,7 @@
   const action = { type: 'load', model, ...(version === undefined ? {} : { version }) } as const;
   await adapter.sendOrder(
     { epoch: 0, sequence: 0, action },
-    AbortSignal.timeout(READY_MILLISECONDS),
+    AbortSignal.timeout(READY_TIMEOUT_MILLISECONDS),
   );
   await adapter.close();
 }
@@ -94,7 +91,7 @@
     launch: async ({ pool }: InstanceStart, instance) => this.launch({ instance, pool }),
   });
 
-  readonly weightStore = new FakeWeightStore(LOADS);
+  readonly weightStore = new FakeWeightStore(WEIGHT_STORE_LIMITS);
 
   /** All that were started, in that order; those that are gone stay in the list. */
   readonly engines: FakeEngine[] = [];
@@ -105,25 +102,25 @@
 
   private store: StoreProcess | undefined;
 
-  private readonly closers: (() => Promise<void>)[] = [];
+  private readonly closeCallbacks: (() => Promise<void>)[] = [];
 
   constructor(private readonly options: DevOptions) {}
 
   /** Starts everything; resolves once a caller's request can be served. */
   async start(): Promise<EntryPorts> {
-    await this.startOutside();
+    await this.startExternalFakes();
     const storePort = await this.startStore();
     const ports = await this.startEntry(storePort);
-    await this.putTables(ports.operators);
-    const { controllerCount: controllers = 1 } = this.options;
-    for (let number = 1; number <= controllers; number += 1) {
+    await this.putTablesAndWait(ports.operators);
+    const { controllerCount = 1 } = this.options;
+    for (let number = 1; number <= controllerCount; number += 1) {
       await this.startController(`controller-${number}`, storePort, ports.peers);
     }
     return ports;
   }
 
   async close(): Promise<void> {
-    for (const close of this.closers.splice(0).reverse()) await close();
+    for (const close of this.closeCallbacks.splice(0).reverse()) await close();
   }
 
   /** Ends the only store, as its loss would; entries and controllers go on without. */
@@ -132,15 +129,15 @@
     this.store = undefined;
   }
 
-  private async startOutside(): Promise<void> {
+  private async startExternalFakes(): Promise<void> {
     await this.platform.restart();
-    this.closers.push(async () => this.platform.close());
+    this.closeCallbacks.push(async () => this.platform.close());
     await this.weightStore.restart();
-    this.closers.push(async () => this.weightStore.close());
+    this.closeCallbacks.push(async () => this.weightStore.close());
     for (const number of [1, 2]) {
       await this.addEngine(`engine-${number}`);
       const service = await this.launch({ instance: `service-${number}`, pool: 'bookings' });
-      this.list(service, 'bookings', 'fake-service');
+      this.addToPlatform(service, 'bookings', 'fake-service');
     }
   }
 
@@ -148,10 +145,10 @@
   async addEngine(instance: string): Promise<void> {
     const engine = await this.launch({ instance, pool: 'assistants' });
     await loadModel(engine);
-    this.list(engine, 'assistants', 'fake-engine');
+    this.addToPlatform(engine, 'assistants', 'fake-engine');
   }
 
-  private async launch({ instance, pool }: Launching): Promise<FakeBackendServer> {
+  private async launch({ instance, pool }: InstanceLaunch): Promise<FakeBackendServer> {
     if (devPools.find(({ name }) => name === pool)?.kind === 'plainService') {
       const service = await FakePlainService.start({ instance });
       this.services.push(service);
@@ -166,7 +163,7 @@
     return engine;
   }
 
-  private list(server: FakeBackendServer, pool: string, instanceClass: string): void {
+  private addToPlatform(server: FakeBackendServer, pool: string, instanceClass: string): void {
     const { instance, host, port } = server;
     const listed = { instance, dataCentre: DEV_DATA_CENTRE, instanceClass, pool, host, port };
     this.platform.add({ ...listed, state: 'live' }, server);
@@ -186,7 +183,7 @@
   }
 
   private async startStore(): Promise<number> {
-    const settings = requireSettings(storeSettingsSchema, {
+    const settings = parseSettings(storeSettingsSchema, {
       ...this.commonSettings('store-1', 1, 0),
       listen: { host: HOST, port: 0 },
       dataFolder: '(memory)',
@@ -194,21 +191,21 @@
     const store = new StoreProcess(settings, this.timers, new MemoryDisk());
     const { peers } = await store.start();
     this.store = store;
-    this.closers.push(async () => this.closeStore());
+    this.closeCallbacks.push(async () => this.closeStore());
     store.foundCluster();
     return peers;
   }
 
   private async startEntry(storePort: number): Promise<EntryPorts> {
     const { callersPort, operatorsPort, shutdownMilliseconds } = this.options;
-    const settings = requireSettings(entrySettingsSchema, {
+    const settings = parseSettings(entrySettingsSchema, {
       ...this.commonSettings('entry-1', storePort, operatorsPort),
       listen: { host: HOST, port: callersPort },
       peerListen: { host: HOST, port: 0 },
       workspaces: [{ name: 'dev', keySha256: digestKey(devKeys.workspace) }],
       platform: {
         url: `http://${HOST}:${this.platform.port}`,
-        pollMilliseconds: POLL_MILLISECONDS,
+        pollMilliseconds: PLATFORM_POLL_MILLISECONDS,
       },
       balancerDelayMilliseconds: 0,
       limits: this.options.limits ?? {},
@@ -216,7 +213,7 @@
     });
     const entry = new EntryProcess(settings, this.timers, makeHttpDependencies(settings));
     const ports = await entry.start();
-    this.closers.push(async () => entry.shutDown());
+    this.closeCallbacks.push(async () => entry.shutDown());
     return ports;
   }
 
@@ -226,35 +223,35 @@
     entryPort: number,
   ): Promise<void> {
     const { leaseMilliseconds } = this.options;
-    const settings = requireSettings(controllerSettingsSchema, {
+    const settings = parseSettings(controllerSettingsSchema, {
       ...this.commonSettings(instance, storePort, 0),
       peerListen: { host: HOST, port: 0 },
       entries: [{ instance: 'entry-1', dataCentre: DEV_DATA_CENTRE, host: HOST, port: entryPort }],
       weightStore: { url: this.weightStore.url },
       platform: {
         url: this.platform.url,
-        pollMilliseconds: POLL_MILLISECONDS,
+        pollMilliseconds: PLATFORM_POLL_MILLISECONDS,
       },
       ...(leaseMilliseconds === undefined ? {} : { leaseMilliseconds }),
     });
     const controller = new ControllerProcess(settings, this.timers, this.options.policy);
     await controller.start();
     this.controllers.push(controller);
-    this.closers.push(async () => controller.close());
+    this.closeCallbacks.push(async () => controller.close());
   }
 
-  private async putTables(operatorsPort: number): Promise<void> {
+  private async putTablesAndWait(operatorsPort: number): Promise<void> {
     const client = new OperatorClient(`http://${HOST}:${operatorsPort}`, devKeys.operator);
     const put = async (table: 'pools' | 'routes', rows: readonly unknown[]) =>
       client.putTable({ table, baseRevision: 0, changeId: `dev-${table}`, rows });
     await put('pools', devPools);
     const revision = await put('routes', devRoutes);
-    const endsAt = this.timers.monotonicNow() + READY_MILLISECONDS;
+    const endsAt = this.timers.monotonicNow() + READY_TIMEOUT_MILLISECONDS;
     while (!(await this.isServing(client, revision))) {
       if (this.timers.monotonicNow() > endsAt) {
         throw new HornbeampondError('internalError', 'The embedded default did not get ready');
       }
-      await this.timers.wait(LOOK_MILLISECONDS);
+      await this.timers.wait(READY_CHECK_MILLISECONDS);
     }
     await client.close();
   }
--- a/apps/dev/src/callersPage.test.ts
+++ b/apps/dev/src/callersPage.test.ts
@@ -6,7 +6,7 @@
 import { DevCluster } from './DevCluster.js';
 import { devKeys } from './devTables.js';
 
-const page = readFileSync(new URL('../../../docs/CALLERS.md', import.meta.url), 'utf8');
+const callersDocument = readFileSync(new URL('../../../docs/CALLERS.md', import.meta.url), 'utf8');
 let cluster: DevCluster;
 let callers: string;
 
@@ -19,38 +19,41 @@
   await cluster.close();
 });
 
-async function reserve(key: string | undefined, body: string) {
+async function sendReservation(key: string | undefined, body: string) {
   const authorization = `Bearer ${devKeys.workspace}`;
   const headers = { authorization, ...(key === undefined ? {} : { 'idempotency-key': key }) };
   const response = await fetch(`${callers}/reservations`, { method: 'POST', headers, body });
   const text = await response.text();
-  const problem = response.headers.get('content-type') === 'application/problem+json';
+  const isProblem = response.headers.get('content-type') === 'application/problem+json';
   return {
     headers: response.headers,
     text,
-    kind: problem ? (JSON.parse(text) as { readonly kind: string }).kind : undefined,
+    kind: isProblem ? (JSON.parse(text) as { readonly kind: string }).kind : undefined,
   };
 }
 
 test('the bound on Idempotency-Key is the one on the page', async () => {
-  const [, most] = /1 to (\d+) characters/.exec(page) ?? [];
-  assert.ok(most !== undefined);
-  assert.equal((await reserve('k'.repeat(Number(most)), 'seat 1')).kind, undefined);
-  assert.equal((await reserve('k'.repeat(Number(most) + 1), 'seat 1')).kind, 'badRequest');
+  const [, maxKeyLength] = /1 to (\d+) characters/.exec(callersDocument) ?? [];
+  assert.ok(maxKeyLength !== undefined);
+  assert.equal((await sendReservation('k'.repeat(Number(maxKeyLength)), 'seat 1')).kind, undefined);
+  assert.equal(
+    (await sendReservation('k'.repeat(Number(maxKeyLength) + 1), 'seat 1')).kind,
+    'badRequest',
+  );
 });
 
 test('a call without a key, or with another body under its key, is refused as the page says', async () => {
-  assert.equal((await reserve(undefined, 'seat 2')).kind, 'idempotencyKeyMissing');
-  assert.equal((await reserve('key-2', 'seat 2')).kind, undefined);
-  assert.equal((await reserve('key-2', 'seat 3')).kind, 'idempotencyKeyReused');
+  assert.equal((await sendReservation(undefined, 'seat 2')).kind, 'idempotencyKeyMissing');
+  assert.equal((await sendReservation('key-2', 'seat 2')).kind, undefined);
+  assert.equal((await sendReservation('key-2', 'seat 3')).kind, 'idempotencyKeyReused');
 });
 
 test('a resend gets the first answer, with the headers that the page names', async () => {
-  const first = await reserve('key-3', 'seat 3');
-  const again = await reserve('key-3', 'seat 3');
+  const first = await sendReservation('key-3', 'seat 3');
+  const again = await sendReservation('key-3', 'seat 3');
   assert.equal(again.text, first.text);
   ['x-request-id', 'idempotent-replay'].forEach((name) => {
-    assert.ok(page.includes(`\`${name}`), name);
+    assert.ok(callersDocument.includes(`\`${name}`), name);
     assert.ok(again.headers.get(name) !== null, name);
   });
   assert.equal(first.headers.get('idempotent-replay'), null);
--- a/apps/dev/src/controller.test.ts
+++ b/apps/dev/src/controller.test.ts
@@ -10,7 +10,7 @@
 import { DevCluster, type DevOptions } from './DevCluster.js';
 import { devKeys } from './devTables.js';
 
-const LOOK_MILLISECONDS = 10;
+const CHECK_INTERVAL_MILLISECONDS = 10;
 const LEASE_MILLISECONDS = 600;
 
 const timers = new SystemTimerService();
@@ -23,11 +23,18 @@
   drainPropagationTime: 300,
 } as const;
 
-async function until(what: string, holds: () => boolean, limit = 6000): Promise<void> {
-  const endsAt = timers.monotonicNow() + limit;
-  while (!holds()) {
-    assert.ok(timers.monotonicNow() < endsAt, `not within ${limit} ms: ${what}`);
-    await timers.wait(LOOK_MILLISECONDS);
+async function waitUntil(
+  description: string,
+  condition: () => boolean,
+  timeoutMilliseconds = 6000,
+): Promise<void> {
+  const endsAt = timers.monotonicNow() + timeoutMilliseconds;
+  while (!condition()) {
+    assert.ok(
+      timers.monotonicNow() < endsAt,
+      `not within ${timeoutMilliseconds} ms: ${description}`,
+    );
+    await timers.wait(CHECK_INTERVAL_MILLISECONDS);
   }
 }
 
@@ -49,7 +56,7 @@
   return { cluster, callers: `http://127.0.0.1:${ports.callers}` };
 }
 
-async function ask(callers: string, content: string): Promise<string> {
+async function sendChat(callers: string, content: string): Promise<string> {
   const response = await fetch(`${callers}/v1/chat/completions`, {
     method: 'POST',
     headers: { authorization: `Bearer ${devKeys.workspace}` },
@@ -73,27 +80,27 @@
 // another. The new one has nothing loaded, so an order comes first and callers only after it.
 test('an engine that vanishes is replaced by one that is loaded and serves', async (context) => {
   const { cluster, callers } = await startCluster(context);
-  await until('a lease', () => cluster.controllers[0]?.epoch === 1);
+  await waitUntil('a lease', () => cluster.controllers[0]?.epoch === 1);
   await cluster.platform.remove('engine-1');
-  await until('a purchase', () => cluster.platform.purchases.length > 0);
+  await waitUntil('a purchase', () => cluster.platform.purchases.length > 0);
   assert.equal(cluster.platform.purchases[0]?.pool, 'assistants');
   const bought = 'assistants-laptop-1';
-  await until('a load', () => isLoaded(cluster, bought));
+  await waitUntil('a load', () => isLoaded(cluster, bought));
   // Only the bought engine is left, so an answer can come from nowhere else.
-  const before = cluster.engines.find(({ instance }) => instance === bought);
-  assert.ok(before !== undefined);
-  const [order] = before.orders;
+  const boughtEngine = cluster.engines.find(({ instance }) => instance === bought);
+  assert.ok(boughtEngine !== undefined);
+  const [order] = boughtEngine.orders;
   assert.deepEqual(order, {
     epoch: 1,
     sequence: order?.sequence,
     action: { type: 'load', model: 'dev-model', version: '1' },
   });
-  assert.equal(before.counts.runs, 0);
+  assert.equal(boughtEngine.counts.runs, 0);
   await cluster.engines.find(({ instance }) => instance === 'engine-2')?.die();
   const question = 'Who has the new engine?';
   const expected = generateText(digestPrompt([{ role: 'user', content: question }]), 0, 32);
-  assert.equal(await ask(callers, question), expected);
-  assert.ok(before.counts.finished > 0);
+  assert.equal(await sendChat(callers, question), expected);
+  assert.ok(boughtEngine.counts.finished > 0);
 });
 
 // Nobody sees anything but a dearer bill. The platform has no more of the cheap class; the refused
@@ -103,13 +110,13 @@
   const { platform } = cluster;
   platform.refuseStarts([{ instanceClass: 'fake-engine', reason: 'none left' }]);
   await platform.remove('engine-1');
-  await until('a purchase', () => platform.purchases.length > 0);
+  await waitUntil('a purchase', () => platform.purchases.length > 0);
   assert.ok(platform.refusedCount >= 1);
   assert.deepEqual(
     platform.purchases.map(({ instanceClass }) => instanceClass),
     ['fake-engine-on-demand'],
   );
-  await until('a load', () => isLoaded(cluster, 'assistants-laptop-1'));
+  await waitUntil('a load', () => isLoaded(cluster, 'assistants-laptop-1'));
 });
 
 // Two controllers keep one data centre. The one that holds the lease is killed, so nobody gives it
@@ -118,15 +125,15 @@
 test('the second controller goes on when the first is killed', async (context) => {
   const { cluster } = await startCluster(context, { controllerCount: 2 });
   const holders = () => cluster.controllers.filter(({ epoch }) => epoch !== undefined);
-  await until('a lease', () => holders().length === 1);
+  await waitUntil('a lease', () => holders().length === 1);
   const [first] = holders();
   const second = cluster.controllers.find((controller) => controller !== first);
   assert.equal(first?.epoch, 1);
   await first.close();
-  await until('another holder', () => second?.epoch !== undefined);
+  await waitUntil('another holder', () => second?.epoch !== undefined);
   assert.ok((second?.epoch ?? 0) > 1);
   await cluster.platform.remove('engine-1');
-  await until('a load', () => isLoaded(cluster, 'assistants-laptop-1'));
+  await waitUntil('a load', () => isLoaded(cluster, 'assistants-laptop-1'));
   const bought = cluster.engines.find(({ instance }) => instance === 'assistants-laptop-1');
   assert.equal(bought?.orders[0]?.epoch, second?.epoch);
   assert.equal(cluster.platform.purchases.length, 1);
@@ -138,18 +145,18 @@
 test('a controller that cannot reach the store goes quiet', async (context) => {
   const { cluster, callers } = await startCluster(context);
   const [controller] = cluster.controllers;
-  await until('a lease', () => controller?.epoch === 1);
+  await waitUntil('a lease', () => controller?.epoch === 1);
   await cluster.closeStore();
-  await until('the end of the lease', () => controller?.epoch === undefined);
-  const asked = 'GET /instances';
+  await waitUntil('the end of the lease', () => controller?.epoch === undefined);
+  const listRequest = 'GET /instances';
   const { requestCounts, purchases } = cluster.platform;
-  const seen = requestCounts.get(asked) ?? 0;
+  const listRequestsBefore = requestCounts.get(listRequest) ?? 0;
   await cluster.platform.remove('engine-1');
   // Three times as many polls as the list's lag takes at 100 ms each.
-  await until('polls', () => (requestCounts.get(asked) ?? 0) > seen + 30);
+  await waitUntil('polls', () => (requestCounts.get(listRequest) ?? 0) > listRequestsBefore + 30);
   assert.deepEqual(purchases, []);
   assert.equal(cluster.platform.refusedCount, 0);
   const question = 'Is anyone there?';
   const expected = generateText(digestPrompt([{ role: 'user', content: question }]), 0, 32);
-  assert.equal(await ask(callers, question), expected);
+  assert.equal(await sendChat(callers, question), expected);
 });
--- a/apps/dev/src/dataPlane.test.ts
+++ b/apps/dev/src/dataPlane.test.ts
@@ -11,12 +11,12 @@
 import { DevCluster, type DevOptions } from './DevCluster.js';
 import { devKeys } from './devTables.js';
 
-const LOOK_MILLISECONDS = 10;
+const CHECK_INTERVAL_MILLISECONDS = 10;
 
 const timers = new SystemTimerService();
 const authorization = `Bearer ${devKeys.workspace}`;
 
-interface Serving {
+interface StartedCluster {
   readonly cluster: DevCluster;
   readonly callers: string;
 }
@@ -27,18 +27,25 @@
   readonly faults?: readonly { readonly where: string }[];
 }
 
-async function until(what: string, holds: () => boolean, limit = 10_000): Promise<void> {
-  const endsAt = timers.monotonicNow() + limit;
-  while (!holds()) {
-    assert.ok(timers.monotonicNow() < endsAt, `not within ${limit} ms: ${what}`);
-    await timers.wait(LOOK_MILLISECONDS);
+async function waitUntil(
+  description: string,
+  condition: () => boolean,
+  timeoutMilliseconds = 10_000,
+): Promise<void> {
+  const endsAt = timers.monotonicNow() + timeoutMilliseconds;
+  while (!condition()) {
+    assert.ok(
+      timers.monotonicNow() < endsAt,
+      `not within ${timeoutMilliseconds} ms: ${description}`,
+    );
+    await timers.wait(CHECK_INTERVAL_MILLISECONDS);
   }
 }
 
 async function startCluster(
   context: TestContext,
   more: Partial<DevOptions> = {},
-): Promise<Serving> {
+): Promise<StartedCluster> {
   const options = { callersPort: 0, operatorsPort: 0, logLevel: 'error' as const, ...more };
   const cluster = new DevCluster(options);
   context.after(async () => cluster.close());
@@ -55,7 +62,7 @@
   return JSON.stringify({ messages, max_tokens: tokens, stream: true });
 }
 
-async function ask(
+async function sendChat(
   callers: string,
   content: string,
   tokens: number,
@@ -83,19 +90,23 @@
   readonly choices: readonly { readonly delta: { readonly content?: string } }[];
 }
 
-async function assertWhole(response: Response, content: string, tokens: number): Promise<void> {
+async function assertWholeAnswer(
+  response: Response,
+  content: string,
+  tokens: number,
+): Promise<void> {
   const body = await response.text();
   assert.equal(response.status, 200, body);
   assert.equal(readText(body), generateAnswer(content, tokens));
 }
 
-function findBusy(cluster: DevCluster): FakeEngine {
+function findBusyEngine(cluster: DevCluster): FakeEngine {
   const busy = cluster.engines.find(({ running, counts }) => running > 0 && counts.runs > 0);
   assert.ok(busy !== undefined);
   return busy;
 }
 
-function sumOf(cluster: DevCluster, count: keyof FakeEngine['counts']): number {
+function sumEngineCounts(cluster: DevCluster, count: keyof FakeEngine['counts']): number {
   return cluster.engines.reduce((sum, { counts }) => sum + counts[count], 0);
 }
 
@@ -114,16 +125,18 @@
 test('a reclaim notice while streams run is not seen by callers', async (context) => {
   const { cluster, callers } = await startCluster(context);
   const questions = Array.from({ length: 6 }, (_, index) => `Which stop is number ${index}?`);
-  const responses = await Promise.all(questions.map((question) => ask(callers, question, 100)));
-  const leaving = findBusy(cluster);
-  await until('tokens', () => leaving.counts.generatedTokens > 10);
-  const runsBefore = sumOf(cluster, 'runs');
+  const responses = await Promise.all(
+    questions.map((question) => sendChat(callers, question, 100)),
+  );
+  const leaving = findBusyEngine(cluster);
+  await waitUntil('tokens', () => leaving.counts.generatedTokens > 10);
+  const runsBefore = sumEngineCounts(cluster, 'runs');
   cluster.platform.giveNotice(leaving.instance, 800);
   await Promise.all(
-    responses.map((response, index) => assertWhole(response, questions[index] ?? '', 100)),
+    responses.map((response, index) => assertWholeAnswer(response, questions[index] ?? '', 100)),
   );
-  assert.equal(sumOf(cluster, 'wrongResumes'), 0);
-  assert.ok(sumOf(cluster, 'runs') > runsBefore, 'streams went on in other runs');
+  assert.equal(sumEngineCounts(cluster, 'wrongResumes'), 0);
+  assert.ok(sumEngineCounts(cluster, 'runs') > runsBefore, 'streams went on in other runs');
 });
 
 // The caller waits a few seconds and then gets the rest. The connection stays open but carries
@@ -131,24 +144,24 @@
 // tells, and a probe over a new connection shows that the engine itself is well.
 test('a connection that goes silent is given up and its stream resumed', async (context) => {
   const { cluster, callers } = await startCluster(context);
-  const response = await ask(callers, 'Who can hear me?', 60);
-  const busy = findBusy(cluster);
-  await until('tokens', () => busy.counts.generatedTokens > 5);
+  const response = await sendChat(callers, 'Who can hear me?', 60);
+  const busy = findBusyEngine(cluster);
+  await waitUntil('tokens', () => busy.counts.generatedTokens > 5);
   busy.goSilent();
-  await assertWhole(response, 'Who can hear me?', 60);
-  assert.equal(sumOf(cluster, 'wrongResumes'), 0);
-  assert.equal(sumOf(cluster, 'runs'), 2);
+  await assertWholeAnswer(response, 'Who can hear me?', 60);
+  assert.equal(sumEngineCounts(cluster, 'wrongResumes'), 0);
+  assert.equal(sumEngineCounts(cluster, 'runs'), 2);
 });
 
 // The caller waits a few seconds and then gets the rest from the other engine. The first one keeps
 // its connections and answers probes, but its streams make no progress any more.
 test('a stream that stalls goes on at the other engine', async (context) => {
   const { cluster, callers } = await startCluster(context);
-  const response = await ask(callers, 'What holds the train?', 60);
-  const busy = findBusy(cluster);
+  const response = await sendChat(callers, 'What holds the train?', 60);
+  const busy = findBusyEngine(cluster);
   busy.stallStreamsAfter(10);
-  await assertWhole(response, 'What holds the train?', 60);
-  assert.equal(sumOf(cluster, 'wrongResumes'), 0);
+  await assertWholeAnswer(response, 'What holds the train?', 60);
+  assert.equal(sumEngineCounts(cluster, 'wrongResumes'), 0);
   assert.ok(cluster.engines.some((engine) => engine !== busy && engine.counts.finished === 1));
 });
 
@@ -165,41 +178,41 @@
     sent.end(formatBody('Who reads so slowly?', tokens));
   });
   assert.equal(response.statusCode, 200);
-  const quietFor = 5500;
-  let seen = -1;
-  let since = timers.monotonicNow();
-  await until(
+  const pauseMilliseconds = 5500;
+  let generatedBefore = -1;
+  let lastChangeAt = timers.monotonicNow();
+  await waitUntil(
     'a pause of the engine',
     () => {
-      const generated = sumOf(cluster, 'generatedTokens');
-      if (generated !== seen) since = timers.monotonicNow();
-      seen = generated;
-      return timers.monotonicNow() - since > quietFor;
+      const generated = sumEngineCounts(cluster, 'generatedTokens');
+      if (generated !== generatedBefore) lastChangeAt = timers.monotonicNow();
+      generatedBefore = generated;
+      return timers.monotonicNow() - lastChangeAt > pauseMilliseconds;
     },
     20_000,
   );
-  context.diagnostic(`tokens ahead of the caller: ${seen} of ${tokens}`);
-  assert.ok(seen < tokens, 'the engine was held back');
+  context.diagnostic(`tokens ahead of the caller: ${generatedBefore} of ${tokens}`);
+  assert.ok(generatedBefore < tokens, 'the engine was held back');
   const parts: Buffer[] = [];
   for await (const part of response) parts.push(part as Buffer);
   const text = readText(Buffer.concat(parts).toString());
   assert.ok(text === generateAnswer('Who reads so slowly?', tokens), 'the answer is whole');
-  assert.equal(sumOf(cluster, 'runs'), 1);
+  assert.equal(sumEngineCounts(cluster, 'runs'), 1);
 });
 
 // The caller leaves. Nobody needs the rest, so the engine is told and has room for others at once.
 test('a caller that leaves cancels the work of its engine', async (context) => {
   const { cluster, callers } = await startCluster(context);
   const controller = new AbortController();
-  const response = await ask(callers, 'Never mind?', 2000, { signal: controller.signal });
-  const busy = findBusy(cluster);
+  const response = await sendChat(callers, 'Never mind?', 2000, { signal: controller.signal });
+  const busy = findBusyEngine(cluster);
   controller.abort();
   await assert.rejects(response.text());
-  await until('a stopped run', () => busy.counts.stopped === 1 && busy.running === 0);
+  await waitUntil('a stopped run', () => busy.counts.stopped === 1 && busy.running === 0);
   // Whether the cancel or the end of the connection reaches the engine first is up to the sockets.
-  const countTold = () => busy.requestCounts.get('POST /engine/cancel') ?? 0;
-  await until('the cancel', () => countTold() === 1);
-  assert.equal(sumOf(cluster, 'runs'), 1);
+  const countCancelRequests = () => busy.requestCounts.get('POST /engine/cancel') ?? 0;
+  await waitUntil('the cancel', () => countCancelRequests() === 1);
+  assert.equal(sumEngineCounts(cluster, 'runs'), 1);
 });
 
 // The caller of a reservation leaves before the answer and asks again. Its call was claimed and may
@@ -210,21 +223,21 @@
   const controller = new AbortController();
   const init = { method: 'POST', headers: { authorization, 'idempotency-key': 'left' }, body: 'a' };
   const first = fetch(`${callers}/reservations`, { ...init, signal: controller.signal });
-  const countSent = () =>
+  const countReservationRequests = () =>
     cluster.services.reduce(
       (sum, { requestCounts }) => sum + (requestCounts.get('POST /reservations') ?? 0),
       0,
     );
-  await until('the send', () => countSent() === 1);
+  await waitUntil('the send', () => countReservationRequests() === 1);
   controller.abort();
   await assert.rejects(first);
   const countRuns = () =>
     cluster.services.reduce((sum, service) => sum + service.countRuns('left'), 0);
-  await until('the run', () => countRuns() === 1);
+  await waitUntil('the run', () => countRuns() === 1);
   const endsAt = timers.monotonicNow() + 5000;
   let again = await fetch(`${callers}/reservations`, init);
   while (again.status === 409 && timers.monotonicNow() < endsAt) {
-    await timers.wait(LOOK_MILLISECONDS);
+    await timers.wait(CHECK_INTERVAL_MILLISECONDS);
     again = await fetch(`${callers}/reservations`, init);
   }
   assert.equal(again.status, 200, await again.text());
@@ -235,25 +248,25 @@
 test('what is too large or malformed is refused with a problem document', async (context) => {
   const limits = { bodyBytes: 4096, headerBytes: 4096 };
   const { cluster, callers } = await startCluster(context, { limits });
-  const large = await ask(callers, 'x'.repeat(8192), 1);
+  const large = await sendChat(callers, 'x'.repeat(8192), 1);
   assert.equal((await assertProblem(large, 413, 'bodyTooLarge')).ran, 'no');
   const headers = { authorization, 'x-large': 'x'.repeat(8192) };
-  const wide = await ask(callers, 'x', 1, { headers });
+  const wide = await sendChat(callers, 'x', 1, { headers });
   assert.equal((await assertProblem(wide, 431, 'headersTooLarge')).ran, 'no');
-  const text = await ask(callers, 'x', 1, { body: 'not JSON' });
+  const text = await sendChat(callers, 'x', 1, { body: 'not JSON' });
   assert.equal((await assertProblem(text, 400, 'badRequest')).ran, 'no');
   const messages = [{ role: 'user', content: 'x' }];
   const tools = [{ type: 'function', function: { name: 'book' } }];
-  for (const asked of [{ n: 2 }, { tools }, { functions: [{ name: 'book' }] }]) {
-    const body = JSON.stringify({ messages, ...asked });
-    const answer = await ask(callers, 'x', 1, { body });
+  for (const unsupported of [{ n: 2 }, { tools }, { functions: [{ name: 'book' }] }]) {
+    const body = JSON.stringify({ messages, ...unsupported });
+    const answer = await sendChat(callers, 'x', 1, { body });
     const problem = await assertProblem(answer, 400, 'badRequest');
     assert.deepEqual(
       problem.faults?.map(({ where }) => where),
-      Object.keys(asked),
+      Object.keys(unsupported),
     );
   }
-  assert.equal(sumOf(cluster, 'runs'), 0);
+  assert.equal(sumEngineCounts(cluster, 'runs'), 0);
 });
 
 // The caller of the poison gets an error and sends it again and again; its neighbours in the batch
@@ -265,14 +278,14 @@
   await cluster.addEngine('engine-4');
   cluster.engines.forEach((engine) => engine.setPoison('arsenic'));
   const questions = Array.from({ length: 8 }, (_, index) => `What is for lunch on day ${index}?`);
-  const responses = await Promise.all(questions.map((question) => ask(callers, question, 80)));
+  const responses = await Promise.all(questions.map((question) => sendChat(callers, question, 80)));
   const whole = responses.map((response, index) =>
-    assertWhole(response, questions[index] ?? '', 80),
+    assertWholeAnswer(response, questions[index] ?? '', 80),
   );
   const countCrashes = () => cluster.engines.reduce((sum, { crashCount }) => sum + crashCount, 0);
   let refused: Response | undefined;
   for (let send = 0; send < 6 && refused === undefined; send += 1) {
-    const answer = await ask(callers, 'Is there arsenic in it?', 10);
+    const answer = await sendChat(callers, 'Is there arsenic in it?', 10);
     const body = await answer.clone().text();
     if (body.includes('"quarantined"')) refused = answer;
   }
@@ -280,11 +293,11 @@
   assert.ok(refused !== undefined, 'the poison was never refused');
   assert.ok(Number(refused.headers.get('retry-after')) >= 1);
   await assertProblem(refused, 503, 'quarantined');
-  const again = await ask(callers, 'Is there arsenic in it?', 10);
+  const again = await sendChat(callers, 'Is there arsenic in it?', 10);
   await assertProblem(again, 503, 'quarantined');
   assert.ok(countCrashes() >= 1, 'the poison has run');
   assert.ok(countCrashes() <= 2, `${countCrashes()} engines were taken down`);
-  assert.equal(sumOf(cluster, 'wrongResumes'), 0);
+  assert.equal(sumEngineCounts(cluster, 'wrongResumes'), 0);
 });
 
 // The caller gets the start of its answer, then an error event that says how many tokens it has, so
@@ -292,16 +305,16 @@
 // answer is longer than the platform's limit lets it wait.
 test('an answer that outlasts the stop of its entry says how much was given', async (context) => {
   const { cluster, callers } = await startCluster(context, { shutdownMilliseconds: 1000 });
-  const response = await ask(callers, 'Is there no one left?', 400);
-  const busy = findBusy(cluster);
-  await until('tokens', () => busy.counts.generatedTokens > 5);
+  const response = await sendChat(callers, 'Is there no one left?', 400);
+  const busy = findBusyEngine(cluster);
+  await waitUntil('tokens', () => busy.counts.generatedTokens > 5);
   const closing = cluster.close();
   const streamed = await response.text();
   await closing;
   const [before = '', event = ''] = streamed.split('event: error\ndata: ');
   assert.ok(!streamed.includes('[DONE]'));
   const { error } = JSON.parse(event) as { error: Problem & { readonly tokensGiven?: number } };
-  const given = readText(`${before}data: [DONE]\n\n`);
-  assert.ok(given.length > 0);
-  assert.equal(given, generateAnswer('Is there no one left?', error.tokensGiven ?? 0));
+  const givenText = readText(`${before}data: [DONE]\n\n`);
+  assert.ok(givenText.length > 0);
+  assert.equal(givenText, generateAnswer('Is there no one left?', error.tokensGiven ?? 0));
 });
