--- a/apps/controller/src/ControllerProcess.ts
+++ b/apps/controller/src/ControllerProcess.ts
@@ -1,6 +1,7 @@
 /**
- * One running controller: it feeds the reducer with events and carries out its effects. While it
- * holds no lease the reducer asks for nothing that would change the fleet.
+ * One running controller: passes events to the reducer and runs the effects that it returns.
+ * Serves the status and the plan on the operators' port. Without the lease of its data centre, the
+ * reducer returns no effect that changes the fleet.
  */
 import {
   HttpPlatformAdapter,
@@ -37,10 +38,10 @@
 
 const TICK_MILLISECONDS = 250;
 
-/** The platform and the weight store are given up on after this long; a resend is harmless. */
+/** Timeout of calls to the platform and the weight store; repeating a call is harmless. */
 const PLATFORM_TIMEOUT_MILLISECONDS = 5000;
 
-/** Time for the release of the lease to reach the store. */
+/** Time allowed for the release of the lease to reach the store. */
 const LEASE_RELEASE_WAIT_MILLISECONDS = 200;
 
 type EventWithoutClocks = ControllerEvent extends infer Event
@@ -162,7 +163,7 @@
     });
   }
 
-  /** The epoch of the lease that is held, if any. */
+  /** The epoch of the lease while this controller holds it, else undefined. */
   get epoch(): number | undefined {
     return this.lease.epoch;
   }
@@ -177,7 +178,7 @@
     return { operators, peers };
   }
 
-  /** Gives the lease back, so that the other controller of the data centre goes on at once. */
+  /** Releases the lease, so that another controller of the data centre can take it immediately. */
   async shutDown(): Promise<void> {
     this.logger.write('shutdownStarted', {});
     this.stopTicks();
@@ -188,7 +189,7 @@
     this.logger.write('shutdownFinished', {});
   }
 
-  /** Stops without a goodbye, as a killed process does: the lease runs out by itself. */
+  /** Stops like a killed process, without releasing the lease, which then expires by itself. */
   async close(): Promise<void> {
     this.stopTicks();
     this.lease.abandon();
@@ -300,7 +301,7 @@
         }
       }
       const engine = this.watcher.findEngine(instance);
-      // Asked at the last moment: the permission above may have taken longer than the lease.
+      // Checked last: the lease may have expired while the weight store's permission was pending.
       const allowed = this.lease.maySendOrder(this.watcher.checksFencing(instance));
       if (engine === undefined || !allowed) return { type: 'lost' };
       const signal = AbortSignal.timeout(MAX_ORDER_DURATION_MILLISECONDS);
--- a/apps/controller/src/FleetExchange.ts
+++ b/apps/controller/src/FleetExchange.ts
@@ -1,6 +1,7 @@
 /**
- * What a controller exchanges with others once a second: with entries demand against drains, and
- * with the controllers of the other data centres its report.
+ * Exchanges data with other processes once a second. Entries receive the drained instances and
+ * answer with their demand; other controllers receive the report of this data centre. Drains and
+ * reports are sent only while the lease is held. Also receives the reports of other controllers.
  */
 import type { DataCentreReport } from '@hornbeampond/controller-core';
 import type { TimerService, Unsubscribe } from '@hornbeampond/runtime';
@@ -17,16 +18,16 @@
 const EXCHANGE_INTERVAL_MILLISECONDS = 1000;
 const REQUEST_TIMEOUT_MILLISECONDS = 900;
 
-/** Learnt days change slowly; they go with one report out of so many. */
+/** Daily profiles change slowly, so only one in this many reports carries them. */
 const REPORTS_PER_DAILY_PROFILES = 60;
 
 export interface FleetExchangeOptions {
   readonly settings: ControllerSettings;
   readonly context: PeerContext;
   readonly timers: TimerService;
-  /** What entries are told, or nothing while no lease is held. */
+  /** The drains to send to entries; undefined while the lease is not held. */
   readDrains(): DrainedInstances | undefined;
-  /** What other controllers are told, or nothing while no lease is held. */
+  /** The report to send to other controllers; undefined while the lease is not held. */
   readReport(withDailyProfiles: boolean): DataCentreReport | undefined;
   onDemand(entry: string, demand: readonly RouteDemandReport[]): void;
   onReport(report: DataCentreReport): void;
@@ -78,7 +79,7 @@
     await this.server.close();
   }
 
-  /** Tells entries of a drain at once, rather than at the next interval. */
+  /** Exchanges without waiting for the next interval, so that entries see a drain immediately. */
   exchangeNow(): void {
     const report = this.options.readReport(this.reportCount % REPORTS_PER_DAILY_PROFILES === 0);
     this.reportCount += 1;
@@ -104,7 +105,7 @@
       if (response.type !== 'demand' || address.dataCentre !== settings.dataCentre) return;
       onDemand(address.instance, response.demand);
     } catch {
-      // The next exchange carries the same; demand that is not told ages in the reducer.
+      // The next exchange sends the drains again; the reducer expires demand that is not renewed.
     }
   }
 }
--- a/apps/controller/src/FleetWatcher.test.ts
+++ b/apps/controller/src/FleetWatcher.test.ts
@@ -49,18 +49,17 @@
   return { engine, lost: lostInstances, nextPoll: waitForPoll };
 }
 
-// Callers would be a server short for as long as the platform goes on listing a dead instance: its
-// list says live, nothing answers there, and nobody would replace it.
-test('an instance that is listed but dead is told as lost', async (context) => {
+// Guards against a dead instance that is never replaced because the platform still lists it as live.
+test('an instance that is listed but dead is reported as lost', async (context) => {
   const { engine, lost, nextPoll } = await startWatcher(context);
   await nextPoll();
   await engine.die();
   while (!lost.has('engine-1')) await nextPoll();
 });
 
-// An engine's connections went silent, and new ones work. Were it taken for lost, its streams' work
-// would be thrown away with it.
-test('an instance that answers new connections is not lost', async (context) => {
+// Guards against replacing an engine whose open connections stall although it accepts new ones: the
+// work of its streams would be lost.
+test('an instance that answers new connections is not reported as lost', async (context) => {
   const { engine, lost, nextPoll } = await startWatcher(context);
   await nextPoll();
   engine.goSilent();
--- a/apps/controller/src/FleetWatcher.ts
+++ b/apps/controller/src/FleetWatcher.ts
@@ -1,6 +1,8 @@
 /**
- * Reads, at steady intervals, what a controller decides from: the platform's list and notices,
- * the load of its own data centre's backend servers, and the weight store's rate.
+ * Polls the inputs of a controller's decisions: the platform's instance list and reclaim notices,
+ * the load of the backend servers in its own data centre, and the weight store's load rate. Reports
+ * an instance as lost only if both its polls and a probe over a new connection fail. Also provides
+ * the adapters to engines.
  */
 import {
   HttpEngineAdapter,
@@ -26,20 +28,20 @@
   readonly logger: Logger;
   readonly dataCentre: string;
   readonly pollMilliseconds: Milliseconds;
-  /** How long an instance may answer nothing; 30 s unless given. */
+  /** How long an instance may leave polls unanswered before it is probed; 30 s by default. */
   readonly maxUnansweredMilliseconds?: Milliseconds;
   readConfiguration(): Configuration;
   onListed(instances: readonly PlatformInstance[]): void;
   onReclaimNotice(instance: string, goneAt: EpochMilliseconds): void;
   onLoad(report: LoadReport): void;
-  /** The instance is dead beyond doubt. */
+  /** Called at each poll at which the instance is found unreachable, so possibly repeatedly. */
   onLost(instance: string): void;
   onLoadRate(loadsPerMinute: number): void;
 }
 
 /**
- * An instance that has answered no poll for so long is probed. A server process that crashed and is
- * started again on its instance is back before that, and must not be replaced.
+ * An instance that has left polls unanswered for this long is probed. The time is long enough for a
+ * crashed server process to restart on its instance, which must not be replaced then.
  */
 const MAX_UNANSWERED_MILLISECONDS = 30_000;
 
@@ -56,7 +58,7 @@
 
   private isPolling = false;
 
-  /** Since when an instance has answered no poll. */
+  /** Time of the first of the consecutive unanswered polls, by instance. */
   private readonly unansweredSince = new Map<string, number>();
 
   constructor(private readonly options: FleetWatcherOptions) {}
@@ -69,7 +71,7 @@
     void this.poll();
   }
 
-  /** The adapter to a model engine of this data centre, if it is listed. */
+  /** The adapter to a model engine, if the platform lists the instance. */
   findEngine(instance: string): EngineAdapter | undefined {
     const listed = this.instances.find((row) => row.instance === instance);
     if (listed === undefined) return undefined;
@@ -77,7 +79,7 @@
     return adapter !== undefined && 'sendOrder' in adapter ? adapter : undefined;
   }
 
-  /** The pools table's word on whether a backend server refuses old fencing numbers. */
+  /** True if the pools table says that the backend server refuses outdated fencing tokens. */
   checksFencing(instance: string): boolean {
     const pool = this.instances.find((row) => row.instance === instance)?.pool;
     const { rows } = this.options.readConfiguration().pools;
@@ -130,7 +132,7 @@
       if (report !== undefined) onLoad({ ...report, instance });
       this.unansweredSince.delete(instance);
     } catch {
-      // An instance that does not answer keeps its last report, whose age says so.
+      // The last load report stays; its age shows that the instance has not answered since.
       const now = this.options.timers.monotonicNow();
       const since = this.unansweredSince.get(instance) ?? now;
       this.unansweredSince.set(instance, since);
@@ -140,8 +142,8 @@
   }
 
   /**
-   * The platform may list a dead instance for long, and it would never be replaced. It is taken for
-   * lost only if a new connection to it fails as well: one that is merely slow still answers that.
+   * The platform may go on listing a dead instance, which would then never be replaced. The probe
+   * uses a new connection, which a slow instance still answers.
    */
   private async reportLostUnlessReachable(listed: PlatformInstance): Promise<void> {
     try {
@@ -165,7 +167,7 @@
       const rate = await weightStore.readRate(AbortSignal.timeout(pollMilliseconds));
       onLoadRate(rate.loadsPerMinute);
     } catch {
-      // The last known rate stays in force.
+      // The last known rate stays in use.
     }
   }
 
--- a/apps/controller/src/LeaseClient.ts
+++ b/apps/controller/src/LeaseClient.ts
@@ -1,5 +1,7 @@
 /**
- * Keeps the lease of one data centre through the store, and tells when orders may be given.
+ * Acquires, renews and releases one lease through the store, and decides whether an order may be
+ * sent at this moment. Runs the effects of the lease reducer, which counts the lease by the
+ * monotonic clock, and checks its end by the wall clock as well.
  */
 import {
   MAX_CLOCK_DRIFT_FRACTION,
@@ -19,22 +21,22 @@
 } from '@hornbeampond/schema';
 import type { StoreClient } from '@hornbeampond/transport';
 
-/** An order is given up after this long, also by an engine that took it in late. */
+/** An order expires after this long, also at an engine that received it late. */
 export const MAX_ORDER_DURATION_MILLISECONDS: Milliseconds = 5000;
 
-/** A third of the lease: two asks may be lost before it ends. */
+/** Renewals are sent at a third of the lease, so it survives two lost requests in a row. */
 const RENEWALS_PER_LEASE = 3;
 
 export interface LeaseClientOptions {
   readonly store: StoreClient;
   readonly timers: TimerService;
   readonly logger: Logger;
-  /** Name of the lease. */
+  /** Name of the lease, unique in the cluster. */
   readonly lease: string;
-  /** Unique to this process start. */
+  /** Unique to this start of the process. */
   readonly holder: string;
   readonly duration: Milliseconds;
-  /** Longest time from the decision to give an order until it can act no more. */
+  /** Longest time from the decision to send an order until it can no longer take effect. */
   readonly maxOrderDuration: Milliseconds;
   onHeld(epoch: number, unfencedFrom: number): void;
   onLost(): void;
@@ -49,7 +51,7 @@
 
   private abandoned = false;
 
-  /** When each open ask was made by the wall clock, and until when the lease is held by it. */
+  /** When each unanswered request was made, by its number. */
   private readonly requestTimesByWallClock = new Map<number, EpochMilliseconds>();
 
   private heldUntilByWallClock = Number.NEGATIVE_INFINITY;
@@ -70,9 +72,9 @@
   }
 
   /**
-   * True if an order may leave at this very moment. The wall clock is asked besides: the monotonic
-   * one of a suspended instance stands still, and a holder that wakes after its lease has ended
-   * would go on giving orders beside its successor.
+   * True if an order may be sent now. The wall clock is checked as well, because the monotonic clock
+   * stops while an instance is suspended. A holder that resumes after the end of its lease would
+   * otherwise send orders at the same time as its successor.
    */
   maySendOrder(checksFencing: boolean): boolean {
     if (this.options.timers.wallNow() >= this.heldUntilByWallClock) return false;
@@ -84,9 +86,9 @@
   }
 
   /**
-   * Asks no more and tells nobody; the lease runs out by itself. Without this a closed controller
-   * would go on asking: its timers keep the process alive, and where the store still answers, the
-   * other controller never gets its turn. The flag also covers an ask whose answer is on its way.
+   * Stops renewing without releasing the lease, which expires by itself. Otherwise the timers of a
+   * closed controller would go on renewing it and keep other controllers out. The flag also makes
+   * this client ignore answers to pending requests.
    */
   abandon(): void {
     this.abandoned = true;
@@ -94,7 +96,7 @@
     this.cancelExpiry();
   }
 
-  /** Gives the lease back, so that a planned replacement need not wait for its end. */
+  /** Releases the lease, so that a successor need not wait for its end. */
   release(): void {
     this.cancelRenewal();
     this.cancelExpiry();
--- a/apps/controller/src/SingletonProcess.ts
+++ b/apps/controller/src/SingletonProcess.ts
@@ -1,6 +1,8 @@
 /**
- * The shell around the work of which one process in the whole cluster does all. It runs beside
- * each store; the lease decides which of them acts.
+ * Runs the singleton reducer, which reports usage and orders pool sizes for the whole cluster. An
+ * instance of this class runs next to each store, and only the holder of the singleton lease
+ * reports and orders. The holder also reads the platform's instance list and shares it through the
+ * store.
  */
 import type { PlatformAdapter, SingletonAdapter } from '@hornbeampond/adapters';
 import {
@@ -27,10 +29,10 @@
 
 const TICK_MILLISECONDS: Milliseconds = 250;
 
-/** The list is read by the holder alone, for all, and as often as the plan is made. */
+/** Interval at which the lease holder reads the platform's instance list. */
 const LIST_INTERVAL_MILLISECONDS: Milliseconds = 1000;
 
-/** A call that has not come back by then is given up; it acts no more after its connection ends. */
+/** Timeout of calls to the platform; a call has no effect once its connection is closed. */
 const PLATFORM_TIMEOUT_MILLISECONDS: Milliseconds = 900;
 
 const SETTLE_USAGE_TIMEOUT_MILLISECONDS: Milliseconds = 2000;
@@ -103,7 +105,7 @@
     ];
   }
 
-  /** Acts no more and gives the lease back. */
+  /** Stops all work, releases the lease and allows the release one tick to reach the store. */
   async stop(): Promise<void> {
     this.subscriptions.forEach((unsubscribe) => unsubscribe());
     this.lease.release();
--- a/apps/ctl/src/OperatorClient.ts
+++ b/apps/ctl/src/OperatorClient.ts
@@ -1,6 +1,6 @@
 /**
- * Talks to the operators' port of one entry. Changes are resent under the same change id when
- * their answer is lost, so that a change is never made twice.
+ * HTTP client of the operators' port of one entry, store or controller. A table change whose
+ * response is lost is sent again under the same change id, so that it is made at most once.
  */
 import { Client } from 'undici';
 import { SystemTimerService, type TimerService } from '@hornbeampond/runtime';
@@ -25,17 +25,17 @@
     readonly dataCentre: string;
     readonly state: string;
     readonly inProgress: number;
-    /** Missing if the tables have no price for it. */
+    /** Missing if the pools table has no price for the backend server. */
     readonly eurosPerHour?: number;
   }[];
-  /** Counts since the entry started, by error kind or reason; those at zero are left out. */
+  /** Counts since the entry started, by error kind; kinds with a count of zero are left out. */
   readonly refusals?: Readonly<Record<string, number>>;
   readonly retries?: Readonly<Record<string, number>>;
   readonly recomputedTokens?: Readonly<Record<string, number>>;
   readonly stores: readonly StoreStatus[];
 }
 
-/** One place of a pool in a controller's plan. */
+/** A controller's plan for one pool, data centre and instance class. */
 export interface PlanRow {
   readonly pool: string;
   readonly dataCentre: string;
@@ -50,7 +50,7 @@
   readonly missingSlots: number;
 }
 
-/** A problem that the server answered with. */
+/** The server answered with a problem document. */
 export class ProblemError extends Error {
   constructor(readonly problem: ProblemDocument) {
     super(`${problem.title}: ${problem.detail}`);
@@ -68,7 +68,7 @@
   readonly rows: readonly unknown[];
 }
 
-/** Times that a change is sent while its answer stays away. */
+/** How often a change is sent in total while no response arrives. */
 const MAX_SENDS = 5;
 const RESPONSE_TIMEOUT_MILLISECONDS = 10_000;
 const RESEND_DELAY_MILLISECONDS = 500;
@@ -97,7 +97,7 @@
     return this.parseResponse(await this.send('GET', '/status')) as EntryStatus;
   }
 
-  /** The plan of a controller; entries and stores have none. */
+  /** The plan of a controller; fails at entries and stores, which have none. */
   async getPlan(): Promise<readonly PlanRow[]> {
     const plan = this.parseResponse(await this.send('GET', '/plan'));
     return (plan as { readonly rows: readonly PlanRow[] }).rows;
@@ -126,7 +126,7 @@
     await this.client.close();
   }
 
-  /** A lost connection or an unsure change: the same change id makes a resend harmless. */
+  /** True after a lost response or an unconfirmed change; the change id makes a resend harmless. */
   private canResend(error: unknown): boolean {
     if (!(error instanceof ProblemError)) return true;
     return error.problem.kind === 'changeUnsure' || error.problem.kind === 'storeUnavailable';
--- a/apps/ctl/src/commands/describeStatus.ts
+++ b/apps/ctl/src/commands/describeStatus.ts
@@ -1,4 +1,4 @@
-/** The state of the system at a glance, as `status` and `watch` print it. */
+/** Formats the status of an entry and of the whole system for `status` and `watch`. */
 import type { EntryStatus } from '../OperatorClient.js';
 import type { Paint } from '../paint.js';
 import { formatTable } from '../formatTable.js';
--- a/apps/ctl/src/commands/describeStores.ts
+++ b/apps/ctl/src/commands/describeStores.ts
@@ -1,4 +1,4 @@
-/** The stores as they see themselves, for `status` and `store status`. */
+/** Formats the status that each store reports of itself, for `status` and `store status`. */
 import type { StoreStatus } from '@hornbeampond/schema';
 import type { Paint } from '../paint.js';
 import { formatTable } from '../formatTable.js';
@@ -26,7 +26,7 @@
   return [describeLeader(stores, paint), ...table];
 }
 
-/** The store that knows most, whose word on leases, instances and quarantine is taken. */
+/** The store with the highest applied index; its leases, instances and quarantine are shown. */
 export function findMostUpToDateStore(stores: readonly StoreStatus[]): StoreStatus | undefined {
   return stores.reduce<StoreStatus | undefined>(
     (best, store) => (store.appliedIndex > (best?.appliedIndex ?? -1) ? store : best),
--- a/apps/ctl/src/commands/plan.ts
+++ b/apps/ctl/src/commands/plan.ts
@@ -1,4 +1,4 @@
-/** The verb that shows what a controller plans, and from which figures. */
+/** The command that shows a controller's plan. */
 import { exitCodes } from '@hornbeampond/runtime';
 import { Command, type CommandContext } from '../Command.js';
 import type { PlanRow } from '../OperatorClient.js';
@@ -35,12 +35,12 @@
   return formatTable(titles, cells);
 }
 
-/** Pools that cannot have what their deadlines need; each row of a pool carries the same figure. */
+/** Pools that lack slots for their deadlines; all rows of a pool have the same `missingSlots`. */
 function describeShortfalls(rows: readonly PlanRow[]): string[] {
   const missing = new Map(rows.map((row) => [row.pool, row.missingSlots]));
   return [...missing]
     .filter(([, slots]) => slots > 0)
-    .map(([pool, slots]) => `${pool} lacks ${slots} slots that no place can give`);
+    .map(([pool, slots]) => `${pool} lacks ${slots} slots that are not available anywhere`);
 }
 
 function formatPresentCost(rows: readonly PlanRow[]): string {
@@ -53,7 +53,7 @@
 
   override readonly usage = '';
 
-  override readonly purpose = 'shows what a controller wants; --entry names its operators’ port';
+  override readonly purpose = 'shows the plan of a controller; --entry names its operators’ port';
 
   override readonly example = 'hornbeampondctl plan --entry http://127.0.0.1:9092';
 
@@ -74,7 +74,7 @@
       print(colour === undefined ? line : paint(colour, line));
     });
     describeShortfalls(rows).forEach((line) => print(paint('red', line)));
-    print(`cost of what is present: ${formatPresentCost(rows)} euros an hour`);
+    print(`cost of the present instances: ${formatPresentCost(rows)} euros an hour`);
     return exitCodes.done;
   }
 }
--- a/apps/ctl/src/commands/status.ts
+++ b/apps/ctl/src/commands/status.ts
@@ -1,4 +1,4 @@
-/** The verbs that show what the system does. */
+/** The commands that show the status of the system. */
 import { exitCodes } from '@hornbeampond/runtime';
 import { Command, UsageError, type CommandContext } from '../Command.js';
 import { describeStatus } from './describeStatus.js';
@@ -10,7 +10,7 @@
 
   override readonly usage = '';
 
-  override readonly purpose = 'shows the state of the system at a glance';
+  override readonly purpose = 'shows a summary of the state of the system';
 
   override readonly example = 'hornbeampondctl status --json';
 
@@ -27,13 +27,13 @@
 
   override readonly usage = '';
 
-  override readonly purpose = 'shows the status again and again until interrupted';
+  override readonly purpose = 'shows the status repeatedly until interrupted';
 
   override readonly example = 'hornbeampondctl watch --seconds 5';
 
   override readonly options = {
-    seconds: { type: 'string', purpose: `pause between two (${DEFAULT_WATCH_SECONDS})` },
-    times: { type: 'string', purpose: 'stop after so many' },
+    seconds: { type: 'string', purpose: `pause between two outputs (${DEFAULT_WATCH_SECONDS})` },
+    times: { type: 'string', purpose: 'number of outputs; unlimited by default' },
   } as const;
 
   override async run(context: CommandContext): Promise<number> {
--- a/apps/ctl/src/commands/stores.ts
+++ b/apps/ctl/src/commands/stores.ts
@@ -1,4 +1,4 @@
-/** The verbs on the stores: founding the cluster, and its voters. */
+/** The commands that found the cluster of stores, add and remove stores, and show their status. */
 import { exitCodes } from '@hornbeampond/runtime';
 import { Command, UsageError, type CommandContext } from '../Command.js';
 import { describeStores } from './describeStores.js';
@@ -26,7 +26,7 @@
   override readonly usage = 'INSTANCE';
 
   override readonly purpose =
-    'takes a store out of the voters for good; --entry names the leading store’s operators’ port';
+    'removes a store from the voters permanently; --entry names the leader’s operators’ port';
 
   override readonly example = 'hornbeampondctl store remove store-eisenstadt-1';
 
@@ -34,7 +34,7 @@
     const [instance] = positionals;
     if (instance === undefined) throw new UsageError(['name the instance to remove']);
     await client.post('/store/remove', { instance });
-    print(`${instance} is no voter any more`);
+    print(`${instance} is no longer a voter`);
     return exitCodes.done;
   }
 }
@@ -51,7 +51,7 @@
 
   override async run({ client, print }: CommandContext): Promise<number> {
     await client.post('/store/join', {});
-    print('the store has asked to join; "store status" shows when it votes');
+    print('the store has asked to join; "store status" shows when it is a voter');
     return exitCodes.done;
   }
 }
--- a/apps/ctl/src/commands/tables.ts
+++ b/apps/ctl/src/commands/tables.ts
@@ -1,4 +1,4 @@
-/** The verbs on the two tables. */
+/** The commands that read, compare and replace the tables, and wait for a revision. */
 import { randomUUID } from 'node:crypto';
 import { stringify } from 'smol-toml';
 import { exitCodes } from '@hornbeampond/runtime';
@@ -7,10 +7,10 @@
 import { findRowDifferences, formatRowDifference } from '../findRowDifferences.js';
 import { readTableFile, parseTableName } from '../readTableFile.js';
 
-/** A change lost the race against another. */
+/** Another change was made first, so the base revision is outdated. */
 export const EXIT_CODE_REVISION_CONFLICT = 3;
 
-/** Not everywhere in force within the time that was given. */
+/** The revision was not in force on all instances within the given time. */
 export const EXIT_CODE_NOT_IN_FORCE = 4;
 
 const POLL_INTERVAL_MILLISECONDS = 100;
@@ -21,7 +21,7 @@
 
   override readonly usage = 'routes|pools';
 
-  override readonly purpose = 'prints a table as TOML, as it is in force at the log';
+  override readonly purpose = 'prints the current table as TOML';
 
   override readonly example = 'hornbeampondctl tables get routes > routes.toml';
 
@@ -43,7 +43,7 @@
 
   override readonly usage = 'routes|pools FILE';
 
-  override readonly purpose = 'tells what putting the file would change';
+  override readonly purpose = 'shows what putting the file would change';
 
   override readonly example = 'hornbeampondctl tables diff routes routes.toml';
 
@@ -71,9 +71,12 @@
   override readonly options = {
     revision: {
       type: 'string',
-      purpose: 'the revision that the change was made from; without it the newest',
+      purpose: 'the revision that the file is based on; the newest by default',
+    },
+    'change-id': {
+      type: 'string',
+      purpose: 'id of the change, to send the same change again later',
     },
-    'change-id': { type: 'string', purpose: 'name of the change, to send it again later' },
   } as const;
 
   override async run({
@@ -101,8 +104,10 @@
         print(`change id ${changeId}; send the same file again with --change-id ${changeId}`);
         throw error;
       }
-      print(`${table} was changed meanwhile: it is at revision ${error.problem.currentRevision}`);
-      print(`your file was made from revision ${baseRevision}; nothing was changed. To merge:`);
+      print(
+        `${table} was changed in the meantime: it is at revision ${error.problem.currentRevision}`,
+      );
+      print(`your file is based on revision ${baseRevision}; nothing was changed. To merge:`);
       print(`  hornbeampondctl tables diff ${table} ${positionals[1]}`);
       print(`  then put again with --revision ${error.problem.currentRevision}`);
       return EXIT_CODE_REVISION_CONFLICT;
@@ -124,7 +129,8 @@
 
   override readonly usage = 'REVISION';
 
-  override readonly purpose = 'waits until a revision is in force on all that the stores hear of';
+  override readonly purpose =
+    'waits until a revision is in force on all instances that report to the stores';
 
   override readonly example = 'hornbeampondctl tables wait 8 --seconds 15';
 
--- a/apps/ctl/src/findRowDifferences.ts
+++ b/apps/ctl/src/findRowDifferences.ts
@@ -1,10 +1,10 @@
-/** Tells what differs between two states of a table, row by row. */
+/** Compares two versions of a table row by row, and formats the differences for the terminal. */
 import { isDeepStrictEqual } from 'node:util';
 
 export interface RowDifference {
   readonly change: 'added' | 'removed' | 'changed';
   readonly row: string;
-  /** Keys that differ, of a changed row. */
+  /** Keys whose values differ; empty unless the row was changed. */
   readonly keys: readonly string[];
 }
 
--- a/apps/ctl/src/formatTable.ts
+++ b/apps/ctl/src/formatTable.ts
@@ -1,6 +1,6 @@
-/** Lays rows out in columns. */
+/** Formats rows as aligned columns. */
 
-/** Column titles and rows of equal length; without rows there is no table. */
+/** Takes rows as long as `titles`; returns no lines, not even titles, if there are no rows. */
 export function formatTable(
   titles: readonly string[],
   rows: readonly (readonly (string | number)[])[],
--- a/apps/ctl/src/paint.ts
+++ b/apps/ctl/src/paint.ts
@@ -1,4 +1,4 @@
-/** Colours, used only where the output is a terminal and `NO_COLOR` is not set. */
+/** Colours text if the output is a terminal and `NO_COLOR` is unset or empty. */
 
 /** Select-graphic-rendition codes of ECMA-48. */
 const colourCodes = { red: 31, green: 32, yellow: 33 } as const;
@@ -10,7 +10,7 @@
 
 export const leaveUncoloured: Paint = (_colour, text) => text;
 
-/** What colours are used for is in the words as well, so that a log loses nothing. */
+/** The text must be complete without colours, because a log or a pipe has none. */
 export function choosePaint(isTerminal: boolean, noColor: string | undefined): Paint {
   const isPlain = !isTerminal || (noColor !== undefined && noColor !== '');
   return isPlain
--- a/apps/ctl/src/readTableFile.ts
+++ b/apps/ctl/src/readTableFile.ts
@@ -1,4 +1,4 @@
-/** Reads a table from a TOML file and checks it, so that faults show before anything is sent. */
+/** Reads and checks a table from a TOML file, so that faults are found before it is sent. */
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import { checkPools, checkRoutes, tableNames, type TableName } from '@hornbeampond/schema';
@@ -21,7 +21,7 @@
   }
   const unexpectedKeys = Object.keys(values).filter((key) => key !== table);
   if (unexpectedKeys.length > 0)
-    throw new UsageError([`${file}: only [[${table}]] may stand here`]);
+    throw new UsageError([`${file}: only [[${table}]] is allowed in this file`]);
   const rows = values[table] ?? [];
   const checked = table === 'routes' ? checkRoutes(rows) : checkPools(rows);
   if (checked.ok) return checked.rows;
--- a/apps/ctl/src/runCommandLine.test.ts
+++ b/apps/ctl/src/runCommandLine.test.ts
@@ -55,7 +55,7 @@
   return { exitCode, printed, errors };
 }
 
-test('help lists the verbs and exit codes, and each verb tells its own with an example', async () => {
+test('help lists the commands and exit codes, and the help of each command has an example', async () => {
   const help = await run('--help');
   assert.equal(help.exitCode, 0);
   const commandHelps = await Promise.all(commands.map(({ name }) => run(`${name} --help`)));
@@ -69,7 +69,7 @@
   await matchSnapshot(import.meta.url, 'help', text);
 });
 
-test('a verb, an option or a table that there is not exits 2', async () => {
+test('an unknown command, option or table and an invalid revision exit 2', async () => {
   for (const commandLine of [
     'tables burn',
     'status --loud',
@@ -82,7 +82,7 @@
   }
 });
 
-test('options may stand before the verb', async () => {
+test('options may precede the command', async () => {
   const { exitCode, printed } = await run(`--entry ${server.url} status --json`);
   assert.equal(exitCode, 0);
   assert.deepEqual(JSON.parse(printed[0] ?? ''), sampleStatus);
@@ -95,9 +95,9 @@
   assert.equal(server.receivedChanges[0]?.ifMatch, '"7"');
 });
 
-// Two operators hold revision 7. The other's change comes first, so the log is at 9. Ours is refused
-// with nothing changed, and the operator is told who is ahead and how to merge.
-test('a race that was lost exits 3 and tells how to merge', async () => {
+// Guards against overwriting a concurrent change: the put is based on revision 7, but the table is
+// at revision 9 by then.
+test('a put based on an outdated revision exits 3 and explains how to merge', async () => {
   server.revision = 9;
   const outcome = await run(`tables put pools ${poolsFile} --revision 7`);
   assert.equal(outcome.exitCode, 3);
@@ -106,9 +106,8 @@
   await matchSnapshot(import.meta.url, 'race lost', text);
 });
 
-// The change is carried out, but its answer is lost twice. The operator must see it succeed once:
-// the command sends it again under the same change id, and the log gives the first answer again.
-test('a change whose answer is lost is sent again under the same id and made once', async () => {
+// Guards against making a change twice when its response is lost.
+test('a change whose response is lost is sent again under the same id and made once', async () => {
   server.responsesToDrop = 2;
   const outcome = await run(`tables put pools ${poolsFile}`);
   assert.equal(outcome.exitCode, 0);
@@ -118,9 +117,9 @@
   assert.equal(server.revision, 8);
 });
 
-// All answers are lost. The operator can't know whether the change was made, and gets the id under
-// which the same file can be sent again without harm.
-test('a change that stays unanswered exits 1 after a few sends', async () => {
+// All responses are lost, so the change may have been made. The operator needs its id to send it
+// again safely.
+test('a change that stays unanswered exits 1 after five sends and prints its id', async () => {
   server.responsesToDrop = 100;
   const outcome = await run(`tables put pools ${poolsFile} --change-id mine`);
   assert.equal(outcome.exitCode, 1);
@@ -144,15 +143,15 @@
   await matchSnapshot(import.meta.url, 'faults of a file', text);
 });
 
-test('a key that is not known exits 1 with the kind', async () => {
+test('an unknown key exits 1 with the kind of the problem', async () => {
   const outcome = await run('status --key other');
   assert.equal(outcome.exitCode, 1);
   assert.match(outcome.errors[0] ?? '', /^unauthorized: /);
 });
 
-// One entry is cut off at an older revision and never follows. The operator who waits is told which
-// one after the given time, by an exit code that a script can tell from a failure.
-test('a wait that runs out exits 4 and names those behind', async () => {
+// Guards against a wait that never ends, or fails like any other error, because an instance stays at
+// an older revision.
+test('a wait that times out exits 4 and names the instances behind', async () => {
   const outcome = await run('tables wait 8 --seconds 2');
   const printed = [
     'revision 8 is not yet in force on:',
@@ -168,8 +167,10 @@
   assert.deepEqual(outcome, { exitCode: 0, printed, errors: [] });
 });
 
-test('status, store status and plan', async () => {
-  const outcomes = await Promise.all(['status', 'store status', 'plan'].map((verb) => run(verb)));
+test('status, store status and plan print the state that the server reports', async () => {
+  const outcomes = await Promise.all(
+    ['status', 'store status', 'plan'].map((commandName) => run(commandName)),
+  );
   outcomes.forEach(({ exitCode, errors }) =>
     assert.deepEqual({ exitCode, errors }, { exitCode: 0, errors: [] }),
   );
@@ -177,7 +178,7 @@
   await matchSnapshot(import.meta.url, 'status', text);
 });
 
-test('plan --json gives the rows, and an entry, which has none, is told so', async () => {
+test('plan --json prints the rows, and plan exits 1 at a server without a plan', async () => {
   const { printed } = await run('plan --json');
   assert.deepEqual(JSON.parse(printed[0] ?? ''), samplePlan);
   server.responsesByPath.delete('/plan');
@@ -188,13 +189,13 @@
 
 test('colours are used on a terminal only', async () => {
   const escape = '\u001b[';
-  for (const verb of ['status', 'plan']) {
-    assert.equal((await run(verb)).printed.join('').includes(escape), false);
-    assert.equal((await run(verb, true)).printed.join('').includes(escape), true);
+  for (const commandName of ['status', 'plan']) {
+    assert.equal((await run(commandName)).printed.join('').includes(escape), false);
+    assert.equal((await run(commandName, true)).printed.join('').includes(escape), true);
   }
 });
 
-test('watch shows the status as often as it is told', async () => {
+test('watch prints the status as often as --times says, at the given interval', async () => {
   const { exitCode, printed } = await run('watch --times 2 --seconds 5');
   assert.equal(exitCode, 0);
   const times = printed.filter((line) => line.startsWith('-- '));
--- a/apps/ctl/src/runCommandLine.ts
+++ b/apps/ctl/src/runCommandLine.ts
@@ -1,4 +1,4 @@
-/** The command line as a function, so that tests and the shell run the same. */
+/** Parses a command line, runs its command and maps errors to exit codes. */
 import { parseArgs } from 'node:util';
 import { exitCodes, SystemTimerService, version, type TimerService } from '@hornbeampond/runtime';
 import { UsageError, type Command } from './Command.js';
@@ -25,15 +25,15 @@
   },
   key: { type: 'string', purpose: 'operator key; else HORNBEAMPOND_OPERATOR_KEY is used' },
   json: { type: 'boolean', purpose: 'prints JSON' },
-  help: { type: 'boolean', purpose: 'prints this text, or that of a verb' },
+  help: { type: 'boolean', purpose: 'prints this text, or that of a command' },
   version: { type: 'boolean', purpose: 'prints the version' },
 } as const;
 
 export interface CommandLineIo {
   readonly environment: Readonly<Record<string, string | undefined>>;
-  /** True if the output goes to a terminal, which may then be coloured. */
+  /** True if the output is a terminal, so that it may be coloured. */
   readonly isTerminal: boolean;
-  /** Time for waits and pauses; the machine's if it is missing. */
+  /** Timers for waits and pauses; those of the system by default. */
   readonly timers?: TimerService;
   print(line: string): void;
   printError(line: string): void;
@@ -60,19 +60,19 @@
 
 function formatHelp(): string[] {
   return [
-    'hornbeampondctl: edits the two tables and watches the outcomes',
+    'hornbeampondctl: edits the tables, manages the stores and shows the status',
     '',
     ...commands.map((command) => `  ${command.name} ${command.usage}`.padEnd(36) + command.purpose),
     '',
     ...describeOptions(commonOptions),
     '',
-    'exit codes: 0 done, 1 failed, 2 bad input (nothing changed), 3 a race was lost,',
-    '            4 not in force in time',
-    `without --entry and HORNBEAMPOND_ENTRY, ${DEFAULT_ENTRY_URL} is asked`,
+    'exit codes: 0 done, 1 failed, 2 invalid input (nothing changed),',
+    '            3 another change was made first, 4 not in force in time',
+    `without --entry and HORNBEAMPOND_ENTRY, ${DEFAULT_ENTRY_URL} is used`,
   ];
 }
 
-/** The words of a call without its options and their values. */
+/** The arguments of a command line without options and their values. */
 function findPositionals(commandLineArguments: readonly string[]): string[] {
   const options = Object.assign({}, commonOptions, ...commands.map((command) => command.options));
   return parseArgs({
@@ -137,7 +137,7 @@
   }
 }
 
-/** Runs one call of the command line and returns its exit code. */
+/** Runs one command line and returns its exit code. */
 export async function runCommandLine(
   commandLineArguments: readonly string[],
   io: CommandLineIo,
@@ -158,6 +158,6 @@
     formatHelp().forEach(io.print);
     return commandLineArguments.length === 0 ? exitCodes.badInput : exitCodes.done;
   }
-  io.printError(`there is no "${positionals.join(' ')}"; see "hornbeampondctl --help"`);
+  io.printError(`unknown command "${positionals.join(' ')}"; see "hornbeampondctl --help"`);
   return exitCodes.badInput;
 }
--- a/apps/ctl/src/testing/AutoAdvancingTimerService.ts
+++ b/apps/ctl/src/testing/AutoAdvancingTimerService.ts
@@ -1,4 +1,4 @@
-/** Time that jumps to whatever is waited for, so that waits end at once and always the same. */
+/** Timers for tests: each one fires without delay and advances the clock by its delay. */
 import { TimerService, type Unsubscribe } from '@hornbeampond/runtime';
 
 export class AutoAdvancingTimerService extends TimerService {
--- a/apps/ctl/src/testing/FakeOperatorServer.ts
+++ b/apps/ctl/src/testing/FakeOperatorServer.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in for the operators' port of an entry: it serves the two tables and what else a test
- * sets, notes every change that it is sent, and can lose answers.
+ * A fake of the operators' port: serves the documents that a test sets, applies and records table
+ * changes, and can drop responses.
  */
 import { once } from 'node:events';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
@@ -8,7 +8,7 @@
 import { text } from 'node:stream/consumers';
 import { HornbeampondError, toProblemDocument } from '@hornbeampond/schema';
 
-/** A change as it came in. */
+/** A table change as it was received. */
 export interface ReceivedChange {
   readonly path: string;
   readonly ifMatch: string | undefined;
@@ -19,12 +19,12 @@
 export class FakeOperatorServer {
   readonly receivedChanges: ReceivedChange[] = [];
 
-  /** Answers to `GET`, by path. */
+  /** Response bodies of requests other than `PUT`, by path. */
   readonly responsesByPath = new Map<string, unknown>();
 
   revision = 7;
 
-  /** So many changes are carried out, and their connections closed without an answer. */
+  /** Number of accepted changes whose connections are closed without a response. */
   responsesToDrop = 0;
 
   private readonly server: Server;
@@ -42,10 +42,10 @@
   }
 
   static async start(): Promise<FakeOperatorServer> {
-    const server = new FakeOperatorServer();
-    server.server.listen(0, '127.0.0.1');
-    await once(server.server, 'listening');
-    return server;
+    const fake = new FakeOperatorServer();
+    fake.server.listen(0, '127.0.0.1');
+    await once(fake.server, 'listening');
+    return fake;
   }
 
   get url(): string {
--- a/apps/ctl/src/testing/statusSamples.ts
+++ b/apps/ctl/src/testing/statusSamples.ts
@@ -1,4 +1,4 @@
-/** Documents of the operators' port as tests of the command line read them. */
+/** Sample documents of the operators' port for tests of the command line. */
 import type { EntryStatus, PlanRow } from '../OperatorClient.js';
 
 const store = {
--- a/apps/dev/src/DevCluster.test.ts
+++ b/apps/dev/src/DevCluster.test.ts
@@ -23,7 +23,7 @@
 
 const authorization = `Bearer ${devKeys.workspace}`;
 
-/** What an undisturbed engine answers; 32 tokens unless the request names their number. */
+/** The answer of a run without faults; 32 tokens unless the request sets another number. */
 function generateAnswer(content: string, tokens = 32): string {
   return generateText(digestPrompt([{ role: 'user', content }]), 0, tokens);
 }
@@ -65,21 +65,20 @@
   return cluster.services.reduce((sum, service) => sum + service.countRuns(key), 0);
 }
 
-test('a streamed answer comes whole and in order', async () => {
+test('a streamed answer is complete and in order', async () => {
   const text = await readText(await sendChat('Which carriage has the bar?', { stream: true }));
   assert.equal(text, generateAnswer('Which carriage has the bar?'));
 });
 
-test('an answer that is asked for whole is the same text', async () => {
+test('an answer that is not streamed has the same text', async () => {
   const answer = (await (await sendChat('When does the guide arrive?')).json()) as {
     readonly choices: readonly { readonly message: { readonly content: string } }[];
   };
   assert.equal(answer.choices[0]?.message.content, generateAnswer('When does the guide arrive?'));
 });
 
-// The caller sees one whole answer, byte for byte that of an undisturbed run. Its engine dies after
-// the answer has begun; the entry has the text so far and goes on from there at the other engine.
-test('an engine that dies in the middle of a stream is not seen by the caller', async () => {
+// Guards against an answer with missing or repeated text when its engine dies during the stream.
+test('a stream whose engine dies is resumed on the other engine', async () => {
   const question = 'Plan three days along the line, with a stop each noon.';
   const response = await sendChat(question, { stream: true, max_tokens: 60 });
   const busyEngine = cluster.engines.find(
@@ -91,7 +90,7 @@
   await busyEngine.restart();
 });
 
-test('a caller without a known key gets 401, one with a malformed body 400', async () => {
+test('an unknown key is answered with 401, a malformed body with 400', async () => {
   const unknown = await fetch(`${callers}/v1/chat/completions`, {
     method: 'POST',
     headers: { authorization: 'Bearer wrong' },
@@ -104,9 +103,8 @@
   assert.deepEqual([problem.kind, problem.ran], ['badRequest', 'no']);
 });
 
-// The caller reserves a seat, does not trust the answer it got and sends the same call again. The
-// claim in the log is done by then, so the resend is given the stored answer and nothing runs.
-test('a reservation that is sent again is answered from the first run', async () => {
+// Guards against a completed call that runs again when the caller resends it.
+test('a reservation that is sent again gets the stored answer of the first run', async () => {
   const first = await sendReservation('seat-1', 'carriage 3, seat 12');
   const again = await sendReservation('seat-1', 'carriage 3, seat 12');
   assert.equal(first.status, 200);
@@ -115,9 +113,9 @@
   assert.equal(countRuns('seat-1'), 1);
 });
 
-// Twenty resends of one reservation arrive at once. The log lets one of them run; the others are
-// told that it is in progress, or get its answer if they come a moment later.
-test('a reservation that is sent many times at once runs once', async () => {
+// Guards against concurrent resends that run more than once. Each gets the answer of the one run, or
+// 409 while that is in progress.
+test('a reservation that is sent many times concurrently runs once', async () => {
   const answers = await Promise.all(
     Array.from({ length: 20 }, () => sendReservation('seat-2', 'seat 14')),
   );
@@ -127,16 +125,15 @@
   assert.deepEqual([...statuses], [200]);
 });
 
-test('a key that is used again with another body is refused, and nothing runs', async () => {
+test('a key that is reused with another body is refused, and nothing runs', async () => {
   await sendReservation('seat-3', 'seat 1');
   const other = await sendReservation('seat-3', 'seat 2');
   assert.equal(other.status, 422);
   assert.equal(countRuns('seat-3'), 1);
 });
 
-// The caller is told that the outcome is not known, and told the same when it asks again. The
-// service has run the call but its connection ends before the answer; sending it to the other
-// service would book the seat twice.
+// Guards against booking a seat twice: the service runs the call, but its connection is closed
+// before the answer, so a resend to the other service would run it again.
 test('a reservation whose answer is lost is never sent again', async () => {
   cluster.services.forEach((service) => service.setOutcome('lost'));
   const lost = await sendReservation('seat-4', 'seat 4');
@@ -148,7 +145,7 @@
   assert.equal(countRuns('seat-4'), 1);
 });
 
-test('a change of the routes table moves callers within a second', async () => {
+test('a change of the routes table takes effect within a second', async () => {
   const client = new OperatorClient(operators, devKeys.operator);
   const { revision } = await client.getTable('routes');
   const rows = devRoutes.map((route) =>
@@ -167,7 +164,7 @@
   await client.close();
 });
 
-test('the status tells refusals by kind and what each backend server costs', async () => {
+test('the status reports refusals by kind and the price of each backend server', async () => {
   const client = new OperatorClient(operators, devKeys.operator);
   const earlier = (await client.getStatus()).refusals?.routeNotFound ?? 0;
   await fetch(`${callers}/nowhere`, { headers: { authorization } });
--- a/apps/dev/src/DevCluster.ts
+++ b/apps/dev/src/DevCluster.ts
@@ -1,6 +1,7 @@
 /**
- * The embedded default: every role and its outside world in one process on loopback. It serves
- * for a first look and for tests; nothing it stores outlives it.
+ * A complete cluster in one process on loopback, for development and tests: one store, one entry,
+ * one or more controllers, and fakes of the platform, the weight store and the backend servers.
+ * All data is kept in memory only.
  */
 import { HttpEngineAdapter, type InstanceStart } from '@hornbeampond/adapters';
 import { ControllerProcess, type ControllerPolicy } from '@hornbeampond/controller-app';
@@ -34,28 +35,28 @@
 const READY_TIMEOUT_MILLISECONDS = 10_000;
 const READY_CHECK_MILLISECONDS = 20;
 
-/** Plenty for a handful of fakes, so that a first look never waits for the weight store. */
+/** High enough that the few fake engines never wait for the weight store. */
 const WEIGHT_STORE_LIMITS = { loadsPerMinute: 600, burst: 10 } as const;
 
 export interface DevOptions {
-  /** 0 takes any free port. */
+  /** 0 selects any free port. */
   readonly callersPort: number;
   readonly operatorsPort: number;
   readonly logLevel: LogLevel;
-  /** Changes how the fake model engines behave, the bought ones too. */
+  /** Options of all fake model engines, including those that a controller starts. */
   readonly engineOptions?: Omit<FakeEngineOptions, 'instance' | 'model'>;
-  /** Number of controllers, of which one acts; 1 unless given. */
+  /** Number of controllers, of which only the lease holder acts; 1 by default. */
   readonly controllerCount?: number;
   readonly leaseMilliseconds?: number;
-  /** Changes what the controllers' decisions are steered by. */
+  /** Overrides tuning parameters of the controllers' decisions. */
   readonly policy?: Partial<ControllerPolicy>;
-  /** How long the entry may take to stop. */
+  /** How long the entry may take to shut down. */
   readonly shutdownMilliseconds?: number;
-  /** Changes limits of the entry. */
+  /** Overrides limits of the entry. */
   readonly limits?: Partial<EntrySettings['limits']>;
 }
 
-/** What an instance that is bought or listed is called and what runs there. */
+/** The name of an instance to launch, and the pool that determines which server it runs. */
 interface InstanceLaunch {
   readonly instance: string;
   readonly pool: string;
@@ -64,14 +65,18 @@
 function parseSettings<Schema extends z.ZodType>(schema: Schema, values: unknown): z.infer<Schema> {
   const checked = checkSettings(schema, values);
   if (checked.ok) return checked.settings;
-  throw new HornbeampondError('internalError', 'The embedded settings have faults', {
-    faults: checked.faults,
-  });
+  throw new HornbeampondError(
+    'internalError',
+    'The settings of the development cluster are invalid',
+    {
+      faults: checked.faults,
+    },
+  );
 }
 
 /**
- * Loads what the pools table says, as an earlier controller would have: an engine without the
- * version would be drained and loaded anew right after the start. Epoch 0 is older than any lease.
+ * Loads the model that the pools table specifies; otherwise a controller would drain and reload the
+ * engine right after the start. Epoch 0 is older than that of any lease.
  */
 async function loadModel({ host, port }: FakeBackendServer): Promise<void> {
   const { model = '', version } = devPools[0] ?? {};
@@ -93,7 +98,7 @@
 
   readonly weightStore = new FakeWeightStore(WEIGHT_STORE_LIMITS);
 
-  /** All that were started, in that order; those that are gone stay in the list. */
+  /** All engines in the order in which they were started, including stopped ones. */
   readonly engines: FakeEngine[] = [];
 
   readonly services: FakePlainService[] = [];
@@ -123,7 +128,7 @@
     for (const close of this.closeCallbacks.splice(0).reverse()) await close();
   }
 
-  /** Ends the only store, as its loss would; entries and controllers go on without. */
+  /** Stops the only store; the entry and the controllers keep running without it. */
   async closeStore(): Promise<void> {
     await this.store?.close();
     this.store = undefined;
@@ -141,7 +146,7 @@
     }
   }
 
-  /** Adds a loaded engine that nobody bought. */
+  /** Adds a live engine with its model loaded, without a start by a controller. */
   async addEngine(instance: string): Promise<void> {
     const engine = await this.launch({ instance, pool: 'assistants' });
     await loadModel(engine);
@@ -249,7 +254,10 @@
     const endsAt = this.timers.monotonicNow() + READY_TIMEOUT_MILLISECONDS;
     while (!(await this.isServing(client, revision))) {
       if (this.timers.monotonicNow() > endsAt) {
-        throw new HornbeampondError('internalError', 'The embedded default did not get ready');
+        throw new HornbeampondError(
+          'internalError',
+          'The development cluster was not ready in time',
+        );
       }
       await this.timers.wait(READY_CHECK_MILLISECONDS);
     }
--- a/apps/dev/src/callersPage.test.ts
+++ b/apps/dev/src/callersPage.test.ts
@@ -1,4 +1,4 @@
-/** What docs/CALLERS.md promises besides its error table, asked of a running system. */
+/** Checks statements of docs/CALLERS.md, other than its error table, against a running cluster. */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { after, before, test } from 'node:test';
@@ -32,7 +32,7 @@
   };
 }
 
-test('the bound on Idempotency-Key is the one on the page', async () => {
+test('the maximum length of Idempotency-Key is the documented one', async () => {
   const [, maxKeyLength] = /1 to (\d+) characters/.exec(callersDocument) ?? [];
   assert.ok(maxKeyLength !== undefined);
   assert.equal((await sendReservation('k'.repeat(Number(maxKeyLength)), 'seat 1')).kind, undefined);
@@ -42,13 +42,13 @@
   );
 });
 
-test('a call without a key, or with another body under its key, is refused as the page says', async () => {
+test('a call without a key, or with another body under its key, is refused as documented', async () => {
   assert.equal((await sendReservation(undefined, 'seat 2')).kind, 'idempotencyKeyMissing');
   assert.equal((await sendReservation('key-2', 'seat 2')).kind, undefined);
   assert.equal((await sendReservation('key-2', 'seat 3')).kind, 'idempotencyKeyReused');
 });
 
-test('a resend gets the first answer, with the headers that the page names', async () => {
+test('a resend gets the first answer, with the documented headers', async () => {
   const first = await sendReservation('key-3', 'seat 3');
   const again = await sendReservation('key-3', 'seat 3');
   assert.equal(again.text, first.text);
--- a/apps/dev/src/controller.test.ts
+++ b/apps/dev/src/controller.test.ts
@@ -1,6 +1,6 @@
 /**
- * What the controllers of the embedded default do when the world outside changes. The figures that
- * steer them are shortened; the decisions are those of the product.
+ * How the controllers of the development cluster react to lost engines, refused starts and lost
+ * leases. Tuning parameters and the lease are shortened; the decisions are those in production.
  */
 import assert from 'node:assert/strict';
 import { test, type TestContext } from 'node:test';
@@ -75,10 +75,9 @@
   return engine?.orders.some(({ action }) => action.type === 'load') ?? false;
 }
 
-// Callers see whole answers throughout. One of two engines vanishes without notice; the platform's
-// list stops showing it, and once the list's lag has passed the controller believes it and buys
-// another. The new one has nothing loaded, so an order comes first and callers only after it.
-test('an engine that vanishes is replaced by one that is loaded and serves', async (context) => {
+// Guards against a removed engine that is not replaced, and against calls to its replacement before
+// the model is loaded there.
+test('an engine that is removed is replaced by one that is loaded and serves', async (context) => {
   const { cluster, callers } = await startCluster(context);
   await waitUntil('a lease', () => cluster.controllers[0]?.epoch === 1);
   await cluster.platform.remove('engine-1');
@@ -86,7 +85,7 @@
   assert.equal(cluster.platform.purchases[0]?.pool, 'assistants');
   const bought = 'assistants-laptop-1';
   await waitUntil('a load', () => isLoaded(cluster, bought));
-  // Only the bought engine is left, so an answer can come from nowhere else.
+  // Once the other engine is dead too, only the bought one can answer.
   const boughtEngine = cluster.engines.find(({ instance }) => instance === bought);
   assert.ok(boughtEngine !== undefined);
   const [order] = boughtEngine.orders;
@@ -103,9 +102,8 @@
   assert.ok(boughtEngine.counts.finished > 0);
 });
 
-// Nobody sees anything but a dearer bill. The platform has no more of the cheap class; the refused
-// place is closed for a while and the next cheapest class is bought instead, not asked for again.
-test('a refused start falls to the next class', async (context) => {
+// Guards against repeating a refused start instead of buying the next cheapest class.
+test('after a refused start the next cheapest class is bought', async (context) => {
   const { cluster } = await startCluster(context);
   const { platform } = cluster;
   platform.refuseStarts([{ instanceClass: 'fake-engine', reason: 'none left' }]);
@@ -119,10 +117,9 @@
   await waitUntil('a load', () => isLoaded(cluster, 'assistants-laptop-1'));
 });
 
-// Two controllers keep one data centre. The one that holds the lease is killed, so nobody gives it
-// back; it ends by itself, and the other takes it under a higher epoch and acts: it replaces an
-// engine, and its orders carry the new epoch, so that the engines refuse whatever the first sent.
-test('the second controller goes on when the first is killed', async (context) => {
+// Guards against a data centre that is left without an active controller when the lease holder is
+// killed. The successor's orders carry a higher epoch, so engines refuse those of the first.
+test('the second controller takes over when the first is killed', async (context) => {
   const { cluster } = await startCluster(context, { controllerCount: 2 });
   const holders = () => cluster.controllers.filter(({ epoch }) => epoch !== undefined);
   await waitUntil('a lease', () => holders().length === 1);
@@ -139,10 +136,9 @@
   assert.equal(cluster.platform.purchases.length, 1);
 });
 
-// The controller is cut off from the store but not from the platform. It cannot know whether
-// another has the lease by now, so it stops by its own clock: an engine that vanishes afterwards is
-// not replaced, however long it is watched. Callers are served by what is there.
-test('a controller that cannot reach the store goes quiet', async (context) => {
+// Guards against two active controllers: one that is partitioned from the store cannot know whether
+// another holds the lease by now, so it must not buy instances after its own lease has ended.
+test('a controller that cannot reach the store stops acting when its lease ends', async (context) => {
   const { cluster, callers } = await startCluster(context);
   const [controller] = cluster.controllers;
   await waitUntil('a lease', () => controller?.epoch === 1);
@@ -152,7 +148,7 @@
   const { requestCounts, purchases } = cluster.platform;
   const listRequestsBefore = requestCounts.get(listRequest) ?? 0;
   await cluster.platform.remove('engine-1');
-  // Three times as many polls as the list's lag takes at 100 ms each.
+  // Long enough for several times `maxListLag` to pass.
   await waitUntil('polls', () => (requestCounts.get(listRequest) ?? 0) > listRequestsBefore + 30);
   assert.deepEqual(purchases, []);
   assert.equal(cluster.platform.refusedCount, 0);
--- a/apps/dev/src/dataPlane.test.ts
+++ b/apps/dev/src/dataPlane.test.ts
@@ -1,6 +1,6 @@
 /**
- * What callers see through a real entry, over HTTP, while backend servers and callers misbehave.
- * Every answer is compared byte for byte with that of an undisturbed run.
+ * What callers receive from an entry over HTTP while backend servers or callers fail, stall or send
+ * invalid requests. Streamed answers are compared with the text of a run without faults.
  */
 import assert from 'node:assert/strict';
 import { request as sendRequest, type IncomingMessage } from 'node:http';
@@ -119,10 +119,9 @@
   return problem;
 }
 
-// Callers see whole answers. Both engines run streams when one gets a notice that is too short for
-// its streams; the entry moves their KV caches, or their text, to the other one and goes on there.
-// The other is told what the callers already have, and it checks it: a wrong splice is counted.
-test('a reclaim notice while streams run is not seen by callers', async (context) => {
+// Guards against lost or repeated text when streams migrate from an engine whose reclaim notice is
+// shorter than the streams. `wrongResumes` counts resumes from a text that the prompt does not give.
+test('streams on an engine with a reclaim notice migrate and stay complete', async (context) => {
   const { cluster, callers } = await startCluster(context);
   const questions = Array.from({ length: 6 }, (_, index) => `Which stop is number ${index}?`);
   const responses = await Promise.all(
@@ -136,39 +135,38 @@
     responses.map((response, index) => assertWholeAnswer(response, questions[index] ?? '', 100)),
   );
   assert.equal(sumEngineCounts(cluster, 'wrongResumes'), 0);
-  assert.ok(sumEngineCounts(cluster, 'runs') > runsBefore, 'streams went on in other runs');
+  assert.ok(sumEngineCounts(cluster, 'runs') > runsBefore, 'no stream was resumed in another run');
 });
 
-// The caller waits a few seconds and then gets the rest. The connection stays open but carries
-// nothing more, as when something between has forgotten it; no error ever comes. Only the silence
-// tells, and a probe over a new connection shows that the engine itself is well.
-test('a connection that goes silent is given up and its stream resumed', async (context) => {
+// Guards against waiting forever on a connection that stays open but carries no more data, as when a
+// middlebox has dropped its state. The engine itself still answers new connections.
+test('a stream on a stalled connection is resumed over another', async (context) => {
   const { cluster, callers } = await startCluster(context);
   const response = await sendChat(callers, 'Who can hear me?', 60);
-  const busy = findBusyEngine(cluster);
-  await waitUntil('tokens', () => busy.counts.generatedTokens > 5);
-  busy.goSilent();
+  const busyEngine = findBusyEngine(cluster);
+  await waitUntil('tokens', () => busyEngine.counts.generatedTokens > 5);
+  busyEngine.goSilent();
   await assertWholeAnswer(response, 'Who can hear me?', 60);
   assert.equal(sumEngineCounts(cluster, 'wrongResumes'), 0);
   assert.equal(sumEngineCounts(cluster, 'runs'), 2);
 });
 
-// The caller waits a few seconds and then gets the rest from the other engine. The first one keeps
-// its connections and answers probes, but its streams make no progress any more.
-test('a stream that stalls goes on at the other engine', async (context) => {
+// Guards against waiting forever on an engine that answers probes but whose streams make no progress.
+test('a stream that stalls is resumed on the other engine', async (context) => {
   const { cluster, callers } = await startCluster(context);
   const response = await sendChat(callers, 'What holds the train?', 60);
-  const busy = findBusyEngine(cluster);
-  busy.stallStreamsAfter(10);
+  const busyEngine = findBusyEngine(cluster);
+  busyEngine.stallStreamsAfter(10);
   await assertWholeAnswer(response, 'What holds the train?', 60);
   assert.equal(sumEngineCounts(cluster, 'wrongResumes'), 0);
-  assert.ok(cluster.engines.some((engine) => engine !== busy && engine.counts.finished === 1));
+  assert.ok(
+    cluster.engines.some((engine) => engine !== busyEngine && engine.counts.finished === 1),
+  );
 });
 
-// The caller does not read for longer than the silence an engine is allowed, then reads the rest.
-// Its socket fills, the entry stops reading the engine and the engine stops: what lies between them
-// is bounded by the sockets' buffers. The engine isn't to blame, so nothing is cut or run again.
-test('a caller that reads slowly holds back its engine and is not cut', async (context) => {
+// Guards against unbounded buffering for a caller that does not read, and against treating the
+// engine that it pauses as stalled: the answer must be neither interrupted nor run again.
+test('a caller that does not read pauses its engine and still gets the whole answer', async (context) => {
   const { cluster, callers } = await startCluster(context, { engineOptions: { tokenDelay: 0 } });
   const tokens = 120_000;
   const response = await new Promise<IncomingMessage>((resolve, reject) => {
@@ -192,32 +190,35 @@
     20_000,
   );
   context.diagnostic(`tokens ahead of the caller: ${generatedBefore} of ${tokens}`);
-  assert.ok(generatedBefore < tokens, 'the engine was held back');
+  assert.ok(generatedBefore < tokens, 'the engine was not paused');
   const parts: Buffer[] = [];
   for await (const part of response) parts.push(part as Buffer);
   const text = readText(Buffer.concat(parts).toString());
-  assert.ok(text === generateAnswer('Who reads so slowly?', tokens), 'the answer is whole');
+  assert.ok(text === generateAnswer('Who reads so slowly?', tokens), 'the answer is not complete');
   assert.equal(sumEngineCounts(cluster, 'runs'), 1);
 });
 
-// The caller leaves. Nobody needs the rest, so the engine is told and has room for others at once.
-test('a caller that leaves cancels the work of its engine', async (context) => {
+// Guards against engine capacity that is spent on an answer nobody receives.
+test('a caller that disconnects cancels the work of its engine', async (context) => {
   const { cluster, callers } = await startCluster(context);
   const controller = new AbortController();
   const response = await sendChat(callers, 'Never mind?', 2000, { signal: controller.signal });
-  const busy = findBusyEngine(cluster);
+  const busyEngine = findBusyEngine(cluster);
   controller.abort();
   await assert.rejects(response.text());
-  await waitUntil('a stopped run', () => busy.counts.stopped === 1 && busy.running === 0);
-  // Whether the cancel or the end of the connection reaches the engine first is up to the sockets.
-  const countCancelRequests = () => busy.requestCounts.get('POST /engine/cancel') ?? 0;
+  await waitUntil(
+    'a stopped run',
+    () => busyEngine.counts.stopped === 1 && busyEngine.running === 0,
+  );
+  // The cancel and the end of the connection can reach the engine in either order.
+  const countCancelRequests = () => busyEngine.requestCounts.get('POST /engine/cancel') ?? 0;
   await waitUntil('the cancel', () => countCancelRequests() === 1);
   assert.equal(sumEngineCounts(cluster, 'runs'), 1);
 });
 
-// The caller of a reservation leaves before the answer and asks again. Its call was claimed and may
-// have booked a seat, so it was not cancelled: the resend gets the first run's answer.
-test('a claimed call whose caller leaves runs to its end', async (context) => {
+// Guards against cancelling a claimed call, which may already have booked a seat, when its caller
+// disconnects. A resend gets the answer of the first run.
+test('a claimed call whose caller disconnects runs to completion', async (context) => {
   const { cluster, callers } = await startCluster(context);
   cluster.services.forEach((service) => service.setAnswerDelay(300));
   const controller = new AbortController();
@@ -245,14 +246,14 @@
   assert.equal(countRuns(), 1);
 });
 
-test('what is too large or malformed is refused with a problem document', async (context) => {
+test('a request that is too large, malformed or unsupported is refused with a problem document', async (context) => {
   const limits = { bodyBytes: 4096, headerBytes: 4096 };
   const { cluster, callers } = await startCluster(context, { limits });
   const large = await sendChat(callers, 'x'.repeat(8192), 1);
   assert.equal((await assertProblem(large, 413, 'bodyTooLarge')).ran, 'no');
   const headers = { authorization, 'x-large': 'x'.repeat(8192) };
-  const wide = await sendChat(callers, 'x', 1, { headers });
-  assert.equal((await assertProblem(wide, 431, 'headersTooLarge')).ran, 'no');
+  const wideHeaders = await sendChat(callers, 'x', 1, { headers });
+  assert.equal((await assertProblem(wideHeaders, 431, 'headersTooLarge')).ran, 'no');
   const text = await sendChat(callers, 'x', 1, { body: 'not JSON' });
   assert.equal((await assertProblem(text, 400, 'badRequest')).ran, 'no');
   const messages = [{ role: 'user', content: 'x' }];
@@ -269,17 +270,17 @@
   assert.equal(sumEngineCounts(cluster, 'runs'), 0);
 });
 
-// The caller of the poison gets an error and sends it again and again; its neighbours in the batch
-// see whole answers. The first crash makes suspects of all that ran there, which are then run apart;
-// a second crash names the poison, and from then on it is refused before it reaches an engine.
-test('a poison request takes down two engines at most', async (context) => {
+// Guards against a request that crashes every engine it is sent to. The requests in progress at the
+// first crash become suspects and run isolated; a second crash identifies the poison request, which
+// is refused from then on. The other requests must still be answered completely.
+test('a poison request crashes two engines at most', async (context) => {
   const { cluster, callers } = await startCluster(context);
   await cluster.addEngine('engine-3');
   await cluster.addEngine('engine-4');
   cluster.engines.forEach((engine) => engine.setPoison('arsenic'));
   const questions = Array.from({ length: 8 }, (_, index) => `What is for lunch on day ${index}?`);
   const responses = await Promise.all(questions.map((question) => sendChat(callers, question, 80)));
-  const whole = responses.map((response, index) =>
+  const pendingAssertions = responses.map((response, index) =>
     assertWholeAnswer(response, questions[index] ?? '', 80),
   );
   const countCrashes = () => cluster.engines.reduce((sum, { crashCount }) => sum + crashCount, 0);
@@ -289,25 +290,24 @@
     const body = await answer.clone().text();
     if (body.includes('"quarantined"')) refused = answer;
   }
-  await Promise.all(whole);
-  assert.ok(refused !== undefined, 'the poison was never refused');
+  await Promise.all(pendingAssertions);
+  assert.ok(refused !== undefined, 'the poison request was never refused');
   assert.ok(Number(refused.headers.get('retry-after')) >= 1);
   await assertProblem(refused, 503, 'quarantined');
   const again = await sendChat(callers, 'Is there arsenic in it?', 10);
   await assertProblem(again, 503, 'quarantined');
-  assert.ok(countCrashes() >= 1, 'the poison has run');
-  assert.ok(countCrashes() <= 2, `${countCrashes()} engines were taken down`);
+  assert.ok(countCrashes() >= 1, 'the poison request crashed no engine');
+  assert.ok(countCrashes() <= 2, `${countCrashes()} engines crashed`);
   assert.equal(sumEngineCounts(cluster, 'wrongResumes'), 0);
 });
 
-// The caller gets the start of its answer, then an error event that says how many tokens it has, so
-// that it can go on from there; never an end that looks whole. Its entry is told to stop, and the
-// answer is longer than the platform's limit lets it wait.
-test('an answer that outlasts the stop of its entry says how much was given', async (context) => {
+// Guards against an interrupted answer that looks complete: when the entry shuts down before the end
+// of the stream, the caller gets an error event with the number of tokens that it has received.
+test('an answer that is interrupted by the shutdown of its entry ends with the token count', async (context) => {
   const { cluster, callers } = await startCluster(context, { shutdownMilliseconds: 1000 });
   const response = await sendChat(callers, 'Is there no one left?', 400);
-  const busy = findBusyEngine(cluster);
-  await waitUntil('tokens', () => busy.counts.generatedTokens > 5);
+  const busyEngine = findBusyEngine(cluster);
+  await waitUntil('tokens', () => busyEngine.counts.generatedTokens > 5);
   const closing = cluster.close();
   const streamed = await response.text();
   await closing;
--- a/apps/dev/src/devTables.ts
+++ b/apps/dev/src/devTables.ts
@@ -1,9 +1,9 @@
-/** The tables that the embedded default starts with: one model route and one booking route. */
+/** The tables and keys of the development cluster: one model route and one booking route. */
 import type { Pool, Route } from '@hornbeampond/schema';
 
 export const DEV_DATA_CENTRE = 'laptop';
 
-/** Keys of the embedded default; it listens on loopback only. */
+/** Fixed keys; they are safe because the development cluster listens on loopback only. */
 export const devKeys = { workspace: 'dev-key', operator: 'dev-operator-key' } as const;
 
 export const devPools: readonly Pool[] = [
--- a/apps/dev/src/main.ts
+++ b/apps/dev/src/main.ts
@@ -1,4 +1,4 @@
-/** The binary `hornbeampond-dev`: everything in one process, for a laptop. */
+/** The binary `hornbeampond-dev`: runs the development cluster until it is interrupted. */
 import { parseArgs } from 'node:util';
 import { exitCodes, failWithBadInput, version } from '@hornbeampond/runtime';
 import { logLevels } from '@hornbeampond/schema';
@@ -7,12 +7,12 @@
 
 const NAME = 'hornbeampond-dev';
 
-const help = `${NAME}: all roles, and fakes of the world outside, in one process on loopback
+const help = `${NAME}: a complete cluster with fakes of all external systems, in one process on loopback
 
 Usage: ${NAME} [--port 8080] [--operator-port 9080] [--log-level warn]
 
-  --port NUMBER           where callers connect; 0 takes any free port
-  --operator-port NUMBER  where operators connect; 0 takes any free port
+  --port NUMBER           where callers connect; 0 selects any free port
+  --operator-port NUMBER  where operators connect; 0 selects any free port
   --log-level LEVEL       ${logLevels.join(', ')}
   --version               print the version
   --help                  print this text
