--- a/apps/controller/src/ControllerProcess.ts
+++ b/apps/controller/src/ControllerProcess.ts
@@ -122,7 +122,7 @@
       holder: `${instance}/${timers.wallNow().toString(36)}`,
       duration: settings.leaseMilliseconds,
       onHeld: (epoch, unfencedFrom) => this.dispatch({ type: 'leaseHeld', epoch, unfencedFrom }),
-      onLost: () => this.loseLease(),
+      onLost: () => this.clearLeaseState(),
     });
     this.watcher = new FleetWatcher({
       platform: this.platform,
@@ -182,7 +182,7 @@
   async shutDown(): Promise<void> {
     this.logger.write('shutdownStarted', {});
     this.stopTicks();
-    this.loseLease();
+    this.clearLeaseState();
     this.lease.release();
     await this.timers.wait(LEASE_RELEASE_WAIT_MILLISECONDS);
     await this.close();
@@ -219,7 +219,7 @@
     this.store.updateReport(this.makeInstanceReport(revision));
   }
 
-  private loseLease(): void {
+  private clearLeaseState(): void {
     this.drainedInstances.clear();
     this.dispatch({ type: 'leaseLost' });
   }
--- a/apps/controller/src/FleetExchange.ts
+++ b/apps/controller/src/FleetExchange.ts
@@ -1,7 +1,8 @@
 /**
- * Exchanges data with other processes once a second. Entries receive the drained instances and
- * answer with their demand; other controllers receive the report of this data centre. Drains and
- * reports are sent only while the lease is held. Also receives the reports of other controllers.
+ * Exchanges data with entries and other controllers once a second. Entries receive the drained
+ * instances and answer with their demand, which counts only from entries of this data centre. Other
+ * controllers receive the report of this data centre, and their reports are received here. Drains
+ * and reports are sent only while the lease is held.
  */
 import type { DataCentreReport } from '@hornbeampond/controller-core';
 import type { TimerService, Unsubscribe } from '@hornbeampond/runtime';
--- a/apps/controller/src/FleetWatcher.test.ts
+++ b/apps/controller/src/FleetWatcher.test.ts
@@ -46,23 +46,23 @@
     new Promise<void>((resolve) => {
       onPolled = resolve;
     });
-  return { engine, lost: lostInstances, nextPoll: waitForPoll };
+  return { engine, lostInstances, waitForPoll };
 }
 
 // Guards against a dead instance that is never replaced because the platform still lists it as live.
 test('an instance that is listed but dead is reported as lost', async (context) => {
-  const { engine, lost, nextPoll } = await startWatcher(context);
-  await nextPoll();
+  const { engine, lostInstances, waitForPoll } = await startWatcher(context);
+  await waitForPoll();
   await engine.die();
-  while (!lost.has('engine-1')) await nextPoll();
+  while (!lostInstances.has('engine-1')) await waitForPoll();
 });
 
 // Guards against replacing an engine whose open connections stall although it accepts new ones: the
 // work of its streams would be lost.
 test('an instance that answers new connections is not reported as lost', async (context) => {
-  const { engine, lost, nextPoll } = await startWatcher(context);
-  await nextPoll();
+  const { engine, lostInstances, waitForPoll } = await startWatcher(context);
+  await waitForPoll();
   engine.goSilent();
-  for (let polls = 0; polls < 12; polls += 1) await nextPoll();
-  assert.equal(lost.size, 0);
+  for (let polls = 0; polls < 12; polls += 1) await waitForPoll();
+  assert.equal(lostInstances.size, 0);
 });
--- a/apps/controller/src/LeaseClient.ts
+++ b/apps/controller/src/LeaseClient.ts
@@ -21,7 +21,7 @@
 } from '@hornbeampond/schema';
 import type { StoreClient } from '@hornbeampond/transport';
 
-/** An order expires after this long, also at an engine that received it late. */
+/** Timeout of an order; the lease reducer assumes that an order has no effect after it. */
 export const MAX_ORDER_DURATION_MILLISECONDS: Milliseconds = 5000;
 
 /** Renewals are sent at a third of the lease, so it survives two lost requests in a row. */
@@ -49,7 +49,7 @@
 
   private cancelExpiry: Unsubscribe = () => {};
 
-  private abandoned = false;
+  private isAbandoned = false;
 
   /** When each unanswered request was made, by its number. */
   private readonly requestTimesByWallClock = new Map<number, EpochMilliseconds>();
@@ -87,11 +87,11 @@
 
   /**
    * Stops renewing without releasing the lease, which expires by itself. Otherwise the timers of a
-   * closed controller would go on renewing it and keep other controllers out. The flag also makes
-   * this client ignore answers to pending requests.
+   * closed controller would go on renewing it and keep other controllers out. The `isAbandoned`
+   * flag also makes this client ignore the results of pending requests.
    */
   abandon(): void {
-    this.abandoned = true;
+    this.isAbandoned = true;
     this.cancelRenewal();
     this.cancelExpiry();
   }
@@ -108,7 +108,7 @@
   }
 
   private dispatch(event: LeaseEvent): void {
-    if (this.abandoned) return;
+    if (this.isAbandoned) return;
     reduceLease(this.lease, event).forEach((effect) => this.runEffect(effect));
   }
 
--- a/apps/controller/src/SingletonProcess.ts
+++ b/apps/controller/src/SingletonProcess.ts
@@ -32,7 +32,7 @@
 /** Interval at which the lease holder reads the platform's instance list. */
 const LIST_INTERVAL_MILLISECONDS: Milliseconds = 1000;
 
-/** Timeout of calls to the platform; a call has no effect once its connection is closed. */
+/** Timeout of calls to the platform; the lease reducer assumes that calls have no effect after it. */
 const PLATFORM_TIMEOUT_MILLISECONDS: Milliseconds = 900;
 
 const SETTLE_USAGE_TIMEOUT_MILLISECONDS: Milliseconds = 2000;
--- a/apps/ctl/src/OperatorClient.ts
+++ b/apps/ctl/src/OperatorClient.ts
@@ -28,9 +28,11 @@
     /** Missing if the pools table has no price for the backend server. */
     readonly eurosPerHour?: number;
   }[];
-  /** Counts since the entry started, by error kind; kinds with a count of zero are left out. */
+  /** Counts since the entry started, by error kind; zero counts are left out. */
   readonly refusals?: Readonly<Record<string, number>>;
+  /** The same by the reason of the retry. */
   readonly retries?: Readonly<Record<string, number>>;
+  /** The same by the reason of the recomputation. */
   readonly recomputedTokens?: Readonly<Record<string, number>>;
   readonly stores: readonly StoreStatus[];
 }
--- a/apps/dev/src/controller.test.ts
+++ b/apps/dev/src/controller.test.ts
@@ -70,7 +70,7 @@
   return answer.choices[0]?.message.content ?? '';
 }
 
-function isLoaded(cluster: DevCluster, instance: string): boolean {
+function hasReceivedLoadOrder(cluster: DevCluster, instance: string): boolean {
   const engine = cluster.engines.find((started) => started.instance === instance);
   return engine?.orders.some(({ action }) => action.type === 'load') ?? false;
 }
@@ -84,7 +84,7 @@
   await waitUntil('a purchase', () => cluster.platform.purchases.length > 0);
   assert.equal(cluster.platform.purchases[0]?.pool, 'assistants');
   const bought = 'assistants-laptop-1';
-  await waitUntil('a load', () => isLoaded(cluster, bought));
+  await waitUntil('a load', () => hasReceivedLoadOrder(cluster, bought));
   // Once the other engine is dead too, only the bought one can answer.
   const boughtEngine = cluster.engines.find(({ instance }) => instance === bought);
   assert.ok(boughtEngine !== undefined);
@@ -114,7 +114,7 @@
     platform.purchases.map(({ instanceClass }) => instanceClass),
     ['fake-engine-on-demand'],
   );
-  await waitUntil('a load', () => isLoaded(cluster, 'assistants-laptop-1'));
+  await waitUntil('a load', () => hasReceivedLoadOrder(cluster, 'assistants-laptop-1'));
 });
 
 // Guards against a data centre that is left without an active controller when the lease holder is
@@ -130,7 +130,7 @@
   await waitUntil('another holder', () => second?.epoch !== undefined);
   assert.ok((second?.epoch ?? 0) > 1);
   await cluster.platform.remove('engine-1');
-  await waitUntil('a load', () => isLoaded(cluster, 'assistants-laptop-1'));
+  await waitUntil('a load', () => hasReceivedLoadOrder(cluster, 'assistants-laptop-1'));
   const bought = cluster.engines.find(({ instance }) => instance === 'assistants-laptop-1');
   assert.equal(bought?.orders[0]?.epoch, second?.epoch);
   assert.equal(cluster.platform.purchases.length, 1);
--- a/apps/dev/src/dataPlane.test.ts
+++ b/apps/dev/src/dataPlane.test.ts
@@ -120,7 +120,8 @@
 }
 
 // Guards against lost or repeated text when streams migrate from an engine whose reclaim notice is
-// shorter than the streams. `wrongResumes` counts resumes from a text that the prompt does not give.
+// shorter than the streams. `wrongResumes` counts resumes with a text that the prompt does not
+// generate.
 test('streams on an engine with a reclaim notice migrate and stay complete', async (context) => {
   const { cluster, callers } = await startCluster(context);
   const questions = Array.from({ length: 6 }, (_, index) => `Which stop is number ${index}?`);
