--- a/apps/controller/src/FleetExchange.ts
+++ b/apps/controller/src/FleetExchange.ts
@@ -1,6 +1,8 @@
 /**
- * What a controller exchanges with others once a second: with entries demand against drains, and
- * with the controllers of the other data centres its report.
+ * Exchanges data with entries and other controllers once a second. Entries receive the drained
+ * instances and answer with their demand, which counts only from entries of this data centre. Other
+ * controllers receive the report of this data centre, and their reports are received here. Drains
+ * and reports are sent only while the lease is held.
  */
 import type { DataCentreReport } from '@hornbeampond/controller-core';
 import type { TimerService, Unsubscribe } from '@hornbeampond/runtime';
@@ -14,20 +16,20 @@
 } from '@hornbeampond/schema';
 import { PeerClient, PeerServer, type PeerContext } from '@hornbeampond/transport';
 
-const INTERVAL_MILLISECONDS = 1000;
-const REQUEST_MILLISECONDS = 900;
+const EXCHANGE_INTERVAL_MILLISECONDS = 1000;
+const REQUEST_TIMEOUT_MILLISECONDS = 900;
 
-/** Learnt days change slowly; they go with one report out of so many. */
-const REPORTS_PER_SHAPES = 60;
+/** Daily profiles change slowly, so only one in this many reports carries them. */
+const REPORTS_PER_DAILY_PROFILES = 60;
 
 export interface FleetExchangeOptions {
   readonly settings: ControllerSettings;
   readonly context: PeerContext;
   readonly timers: TimerService;
-  /** What entries are told, or nothing while no lease is held. */
+  /** The drains to send to entries; undefined while the lease is not held. */
   readDrains(): DrainedInstances | undefined;
-  /** What other controllers are told, or nothing while no lease is held. */
-  readReport(withShapes: boolean): DataCentreReport | undefined;
+  /** The report to send to other controllers; undefined while the lease is not held. */
+  readReport(withDailyProfiles: boolean): DataCentreReport | undefined;
   onDemand(entry: string, demand: readonly RouteDemandReport[]): void;
   onReport(report: DataCentreReport): void;
 }
@@ -46,7 +48,7 @@
 
   private stopExchange: Unsubscribe = () => {};
 
-  private reports = 0;
+  private reportCount = 0;
 
   constructor(private readonly options: FleetExchangeOptions) {
     const { settings, context } = options;
@@ -66,7 +68,9 @@
   }
 
   async start(): Promise<number> {
-    this.stopExchange = this.options.timers.every(INTERVAL_MILLISECONDS, () => this.exchangeNow());
+    this.stopExchange = this.options.timers.every(EXCHANGE_INTERVAL_MILLISECONDS, () =>
+      this.exchangeNow(),
+    );
     return this.server.listen(this.options.settings.peerListen);
   }
 
@@ -76,17 +80,17 @@
     await this.server.close();
   }
 
-  /** Tells entries of a drain at once, rather than at the next interval. */
+  /** Exchanges without waiting for the next interval, so that entries see a drain immediately. */
   exchangeNow(): void {
-    const report = this.options.readReport(this.reports % REPORTS_PER_SHAPES === 0);
-    this.reports += 1;
+    const report = this.options.readReport(this.reportCount % REPORTS_PER_DAILY_PROFILES === 0);
+    this.reportCount += 1;
     if (report !== undefined) this.controllers.forEach(({ client }) => client.push(report));
     this.entries.forEach((entry) => {
-      void this.askEntry(entry);
+      void this.exchangeWithEntry(entry);
     });
   }
 
-  private async askEntry({ address, client }: Peer): Promise<void> {
+  private async exchangeWithEntry({ address, client }: Peer): Promise<void> {
     if (!client.isOpen) return;
     const { readDrains, onDemand, settings } = this.options;
     const drains = readDrains();
@@ -95,11 +99,14 @@
       ...(drains === undefined ? {} : { drains }),
     };
     try {
-      const response = (await client.request(request, REQUEST_MILLISECONDS)) as EntryResponse;
+      const response = (await client.request(
+        request,
+        REQUEST_TIMEOUT_MILLISECONDS,
+      )) as EntryResponse;
       if (response.type !== 'demand' || address.dataCentre !== settings.dataCentre) return;
       onDemand(address.instance, response.demand);
     } catch {
-      // The next exchange carries the same; demand that is not told ages in the reducer.
+      // The next exchange sends the drains again; the reducer expires demand that is not renewed.
     }
   }
 }
--- a/apps/controller/src/FleetWatcher.test.ts
+++ b/apps/controller/src/FleetWatcher.test.ts
@@ -23,8 +23,8 @@
   const { host, port } = engine;
   const place = { dataCentre: 'wien-a', instanceClass: 'gpu', pool: pool.name };
   platform.add({ instance: 'engine-1', ...place, state: 'live', host, port });
-  const lost = new Set<string>();
-  let polled: () => void = () => {};
+  const lostInstances = new Set<string>();
+  let onPolled: () => void = () => {};
   const watcher = new FleetWatcher({
     platform: new HttpPlatformAdapter(platform.url),
     weightStore: undefined,
@@ -34,36 +34,35 @@
     pollMilliseconds: 50,
     maxUnansweredMilliseconds: 200,
     readConfiguration: () => ({ ...emptyConfiguration, pools: { revision: 1, rows: [pool] } }),
-    onListed: () => polled(),
+    onListed: () => onPolled(),
     onReclaimNotice: () => {},
     onLoad: () => {},
-    onLost: (instance) => lost.add(instance),
+    onLost: (instance) => lostInstances.add(instance),
     onLoadRate: () => {},
   });
   watcher.start();
   context.after(async () => Promise.all([watcher.close(), engine.close(), platform.close()]));
-  const nextPoll = async () =>
+  const waitForPoll = async () =>
     new Promise<void>((resolve) => {
-      polled = resolve;
+      onPolled = resolve;
     });
-  return { engine, lost, nextPoll };
+  return { engine, lostInstances, waitForPoll };
 }
 
-// Callers would be a server short for as long as the platform goes on listing a dead instance: its
-// list says live, nothing answers there, and nobody would replace it.
-test('an instance that is listed but dead is told as lost', async (context) => {
-  const { engine, lost, nextPoll } = await startWatcher(context);
-  await nextPoll();
+// Guards against a dead instance that is never replaced because the platform still lists it as live.
+test('an instance that is listed but dead is reported as lost', async (context) => {
+  const { engine, lostInstances, waitForPoll } = await startWatcher(context);
+  await waitForPoll();
   await engine.die();
-  while (!lost.has('engine-1')) await nextPoll();
+  while (!lostInstances.has('engine-1')) await waitForPoll();
 });
 
-// An engine's connections went silent, and new ones work. Were it taken for lost, its streams' work
-// would be thrown away with it.
-test('an instance that answers new connections is not lost', async (context) => {
-  const { engine, lost, nextPoll } = await startWatcher(context);
-  await nextPoll();
+// Guards against replacing an engine whose open connections stall although it accepts new ones: the
+// work of its streams would be lost.
+test('an instance that answers new connections is not reported as lost', async (context) => {
+  const { engine, lostInstances, waitForPoll } = await startWatcher(context);
+  await waitForPoll();
   engine.stallOpenConnections();
-  for (let polls = 0; polls < 12; polls += 1) await nextPoll();
-  assert.equal(lost.size, 0);
+  for (let polls = 0; polls < 12; polls += 1) await waitForPoll();
+  assert.equal(lostInstances.size, 0);
 });
--- a/apps/controller/src/LeaseClient.ts
+++ b/apps/controller/src/LeaseClient.ts
@@ -1,5 +1,7 @@
 /**
- * Keeps the lease of one data centre through the store, and tells when orders may be given.
+ * Acquires, renews and releases one lease through the store, and decides whether an order may be
+ * sent at this moment. Runs the effects of the lease reducer, which counts the lease by the
+ * monotonic clock, and checks its end by the wall clock as well.
  */
 import {
   MAX_CLOCK_DRIFT_FRACTION,
@@ -19,22 +21,22 @@
 } from '@hornbeampond/schema';
 import type { StoreClient } from '@hornbeampond/transport';
 
-/** An order is given up after this long, also by an engine that took it in late. */
+/** Timeout of an order; the lease reducer assumes that an order has no effect after it. */
 export const MAX_ORDER_DURATION_MILLISECONDS: Milliseconds = 5000;
 
-/** A third of the lease: two asks may be lost before it ends. */
+/** Renewals are sent at a third of the lease, so it survives two lost requests in a row. */
 const RENEWALS_PER_LEASE = 3;
 
 export interface LeaseClientOptions {
   readonly store: StoreClient;
   readonly timers: TimerService;
   readonly logger: Logger;
-  /** Name of the lease. */
+  /** Name of the lease, unique in the cluster. */
   readonly lease: string;
-  /** Unique to this process start. */
+  /** Unique to this start of the process. */
   readonly holder: string;
   readonly duration: Milliseconds;
-  /** Longest time from the decision to give an order until it can act no more. */
+  /** Longest time from the decision to send an order until it can no longer take effect. */
   readonly maxOrderDuration: Milliseconds;
   onHeld(epoch: number, unfencedFrom: number): void;
   onLost(): void;
@@ -43,16 +45,16 @@
 export class LeaseClient {
   private readonly lease: LeaseHolder;
 
-  private cancelAsk: Unsubscribe = () => {};
+  private cancelRenewal: Unsubscribe = () => {};
 
-  private cancelEnd: Unsubscribe = () => {};
+  private cancelExpiry: Unsubscribe = () => {};
 
-  private abandoned = false;
+  private isAbandoned = false;
 
-  /** When each open ask was made by the wall clock, and until when the lease is held by it. */
-  private readonly askedAtWall = new Map<number, EpochMilliseconds>();
+  /** When each unanswered request was made, by its number. */
+  private readonly requestTimesByWallClock = new Map<number, EpochMilliseconds>();
 
-  private heldUntilWall = Number.NEGATIVE_INFINITY;
+  private heldUntilByWallClock = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: LeaseClientOptions) {
     this.lease = makeLeaseHolder({
@@ -66,16 +68,16 @@
   }
 
   start(): void {
-    this.feed({ type: 'askDue', now: this.now });
+    this.dispatch({ type: 'askDue', now: this.now });
   }
 
   /**
-   * True if an order may leave at this very moment. The wall clock is asked besides: the monotonic
-   * one of a suspended instance stands still, and a holder that wakes after its lease has ended
-   * would go on giving orders beside its successor.
+   * True if an order may be sent now. The wall clock is checked as well, because the monotonic clock
+   * stops while an instance is suspended. A holder that resumes after the end of its lease would
+   * otherwise send orders at the same time as its successor.
    */
   maySendOrder(checksFencing: boolean): boolean {
-    if (this.options.timers.wallNow() >= this.heldUntilWall) return false;
+    if (this.options.timers.wallNow() >= this.heldUntilByWallClock) return false;
     return maySendOrder(this.lease, this.now, checksFencing);
   }
 
@@ -84,48 +86,48 @@
   }
 
   /**
-   * Asks no more and tells nobody; the lease runs out by itself. Without this a closed controller
-   * would go on asking: its timers keep the process alive, and where the store still answers, the
-   * other controller never gets its turn. The flag also covers an ask whose answer is on its way.
+   * Stops renewing without releasing the lease, which expires by itself. Otherwise the timers of a
+   * closed controller would go on renewing it and keep other controllers out. The `isAbandoned`
+   * flag also makes this client ignore the results of pending requests.
    */
   abandon(): void {
-    this.abandoned = true;
-    this.cancelAsk();
-    this.cancelEnd();
+    this.isAbandoned = true;
+    this.cancelRenewal();
+    this.cancelExpiry();
   }
 
-  /** Gives the lease back, so that a planned replacement need not wait for its end. */
+  /** Releases the lease, so that a successor need not wait for its end. */
   release(): void {
-    this.cancelAsk();
-    this.cancelEnd();
-    this.feed({ type: 'stop' });
+    this.cancelRenewal();
+    this.cancelExpiry();
+    this.dispatch({ type: 'stop' });
   }
 
   private get now(): number {
     return this.options.timers.monotonicNow();
   }
 
-  private feed(event: LeaseEvent): void {
-    if (this.abandoned) return;
-    reduceLease(this.lease, event).forEach((effect) => this.carryOut(effect));
+  private dispatch(event: LeaseEvent): void {
+    if (this.isAbandoned) return;
+    reduceLease(this.lease, event).forEach((effect) => this.runEffect(effect));
   }
 
-  private carryOut(effect: LeaseEffect): void {
+  private runEffect(effect: LeaseEffect): void {
     const { timers, logger, onHeld, onLost } = this.options;
     switch (effect.type) {
       case 'propose':
         void this.propose(effect);
         return;
       case 'startAskTimer':
-        this.cancelAsk();
-        this.cancelAsk = timers.after(effect.after, () =>
-          this.feed({ type: 'askDue', now: this.now }),
+        this.cancelRenewal();
+        this.cancelRenewal = timers.after(effect.after, () =>
+          this.dispatch({ type: 'askDue', now: this.now }),
         );
         return;
       case 'startEndTimer':
-        this.cancelEnd();
-        this.cancelEnd = timers.after(effect.after, () =>
-          this.feed({ type: 'endDue', now: this.now }),
+        this.cancelExpiry();
+        this.cancelExpiry = timers.after(effect.after, () =>
+          this.dispatch({ type: 'endDue', now: this.now }),
         );
         return;
       case 'leaseStarted':
@@ -142,23 +144,24 @@
   }
 
   private async propose({
-    requestNumber: ask,
+    requestNumber,
     command,
   }: Extract<LeaseEffect, { type: 'propose' }>): Promise<void> {
-    const { store, timers, duration: patience } = this.options;
-    this.askedAtWall.set(ask, timers.wallNow());
-    const outcome = await store.propose(command, patience);
-    const askedAtWall = this.askedAtWall.get(ask) ?? Number.NEGATIVE_INFINITY;
-    this.askedAtWall.delete(ask);
+    const { store, timers, duration: timeout } = this.options;
+    this.requestTimesByWallClock.set(requestNumber, timers.wallNow());
+    const outcome = await store.propose(command, timeout);
+    const requestedAtWall =
+      this.requestTimesByWallClock.get(requestNumber) ?? Number.NEGATIVE_INFINITY;
+    this.requestTimesByWallClock.delete(requestNumber);
     if (outcome.type !== 'result') return;
     const result = outcome.result as LeaseResult;
     if (result.type !== 'leaseHeld') return;
     const { epoch, duration, previousDuration } = result;
-    this.heldUntilWall = Math.max(this.heldUntilWall, askedAtWall + duration);
-    this.feed({
+    this.heldUntilByWallClock = Math.max(this.heldUntilByWallClock, requestedAtWall + duration);
+    this.dispatch({
       type: 'leaseHeld',
       now: this.now,
-      requestNumber: ask,
+      requestNumber,
       epoch,
       duration,
       previousDuration,
--- a/apps/controller/src/SingletonProcess.ts
+++ b/apps/controller/src/SingletonProcess.ts
@@ -1,6 +1,8 @@
 /**
- * The shell around the work of which one process in the whole cluster does all. It runs beside
- * each store; the lease decides which of them acts.
+ * Runs the singleton reducer, which reports usage and orders pool sizes for the whole cluster. An
+ * instance of this class runs next to each store, and only the holder of the singleton lease
+ * reports and orders. The holder also reads the platform's instance list and shares it through the
+ * store.
  */
 import type { PlatformAdapter, SingletonAdapter } from '@hornbeampond/adapters';
 import {
@@ -23,17 +25,17 @@
 import { StoreClient, toSharedInstances, type PeerContext } from '@hornbeampond/transport';
 import { LeaseClient } from './LeaseClient.js';
 
-const LEASE = 'singleton';
+const LEASE_NAME = 'singleton';
 
 const TICK_MILLISECONDS: Milliseconds = 250;
 
-/** The list is read by the holder alone, for all, and as often as the plan is made. */
-const LIST_MILLISECONDS: Milliseconds = 1000;
+/** Interval at which the lease holder reads the platform's instance list. */
+const LIST_INTERVAL_MILLISECONDS: Milliseconds = 1000;
 
-/** A call that has not come back by then is given up; it acts no more after its connection ends. */
-const CALL_MILLISECONDS: Milliseconds = 900;
+/** Timeout of calls to the platform; the lease reducer assumes that calls have no effect after it. */
+const PLATFORM_TIMEOUT_MILLISECONDS: Milliseconds = 900;
 
-const SETTLE_MILLISECONDS: Milliseconds = 2000;
+const SETTLE_USAGE_TIMEOUT_MILLISECONDS: Milliseconds = 2000;
 
 export interface SingletonProcessOptions extends SingletonOptions {
   readonly stores: readonly StoreAddress[];
@@ -63,7 +65,7 @@
     this.loop = new EventLoop(
       makeSingletonState(options),
       reduceSingleton,
-      (effect) => this.carryOut(effect),
+      (effect) => this.runEffect(effect),
       (error, event) => logger.write('unexpectedError', { at: event.type, reason: String(error) }),
     );
     this.store = new StoreClient(
@@ -76,17 +78,17 @@
         onUsage: (usage) => this.dispatch({ type: 'usageTold', usage }),
         onPersistedState: ({ usage }) => this.dispatch({ type: 'usageTold', usage }),
       },
-      this.makeReport(),
+      this.makeInstanceReport(),
       true,
     );
     this.lease = new LeaseClient({
       store: this.store,
       timers,
       logger,
-      lease: LEASE,
+      lease: LEASE_NAME,
       holder,
       duration: options.leaseMilliseconds,
-      maxOrderDuration: CALL_MILLISECONDS,
+      maxOrderDuration: PLATFORM_TIMEOUT_MILLISECONDS,
       onHeld: (epoch) => this.dispatch({ type: 'leaseHeld', epoch }),
       onLost: () => this.dispatch({ type: 'leaseLost' }),
     });
@@ -97,13 +99,13 @@
     this.lease.start();
     this.subscriptions = [
       timers.every(TICK_MILLISECONDS, () => this.dispatch({ type: 'tick' })),
-      timers.every(LIST_MILLISECONDS, () => {
-        void this.list();
+      timers.every(LIST_INTERVAL_MILLISECONDS, () => {
+        void this.listInstances();
       }),
     ];
   }
 
-  /** Acts no more and gives the lease back. */
+  /** Stops all work, releases the lease and allows the release one tick to reach the store. */
   async stop(): Promise<void> {
     this.subscriptions.forEach((unsubscribe) => unsubscribe());
     this.lease.release();
@@ -111,18 +113,18 @@
     this.store.close();
   }
 
-  private makeReport(): InstanceReport {
+  private makeInstanceReport(): InstanceReport {
     const { instance, dataCentre } = this.options.context.identity;
     return { instance, dataCentre, role: 'controller', revision: 0, cutOff: false };
   }
 
-  private dispatch(occurrence: SingletonEventPayload): void {
+  private dispatch(event: SingletonEventPayload): void {
     const { timers } = this.options;
     const clocks = { now: timers.monotonicNow(), wallNow: timers.wallNow() };
-    this.loop.dispatch({ ...occurrence, ...clocks });
+    this.loop.dispatch({ ...event, ...clocks });
   }
 
-  private carryOut(effect: SingletonEffect): void {
+  private runEffect(effect: SingletonEffect): void {
     switch (effect.type) {
       case 'log':
         this.options.logger.write(effect.event, effect.fields);
@@ -143,7 +145,7 @@
 
   private async settleUsage(window: number, counts: UsageCounts) {
     const command = { type: 'settleUsage', window, counts } as const;
-    const outcome = await this.store.propose(command, SETTLE_MILLISECONDS);
+    const outcome = await this.store.propose(command, SETTLE_USAGE_TIMEOUT_MILLISECONDS);
     if (outcome.type !== 'result' || outcome.result.type !== 'usageSettled') return;
     this.dispatch({ type: 'usageSettled', window, counts: outcome.result.counts });
   }
@@ -156,7 +158,7 @@
     if (!this.lease.maySendOrder(false)) return;
     const { adapter, holder, logger } = this.options;
     try {
-      const signal = AbortSignal.timeout(CALL_MILLISECONDS);
+      const signal = AbortSignal.timeout(PLATFORM_TIMEOUT_MILLISECONDS);
       await adapter.reportUsage(window, counts, { holder, epoch }, signal);
       logger.write('usageReported', { window, counts, epoch });
       this.dispatch({ type: 'usageReported', window });
@@ -172,7 +174,7 @@
     if (!this.lease.maySendOrder(false)) return;
     const { adapter, holder, logger } = this.options;
     try {
-      const signal = AbortSignal.timeout(CALL_MILLISECONDS);
+      const signal = AbortSignal.timeout(PLATFORM_TIMEOUT_MILLISECONDS);
       const outcome = await adapter.orderSize(order, { holder, epoch }, signal);
       this.dispatch({ type: 'sizeOrdered', order, outcome });
     } catch (error) {
@@ -181,12 +183,12 @@
     }
   }
 
-  private async list(): Promise<void> {
+  private async listInstances(): Promise<void> {
     const { platform, logger, timers } = this.options;
     if (this.isListing || this.lease.epoch === undefined) return;
     this.isListing = true;
     try {
-      const signal = AbortSignal.timeout(CALL_MILLISECONDS);
+      const signal = AbortSignal.timeout(PLATFORM_TIMEOUT_MILLISECONDS);
       const instances = await platform.listInstances(signal);
       this.store.shareInstances(toSharedInstances(instances, timers.wallNow()));
       this.dispatch({ type: 'instancesListed', instances });
--- a/apps/ctl/src/OperatorClient.ts
+++ b/apps/ctl/src/OperatorClient.ts
@@ -1,6 +1,6 @@
 /**
- * Talks to the operators' port of one entry. Changes are resent under the same change id when
- * their answer is lost, so that a change is never made twice.
+ * HTTP client of the operators' port of one entry, store or controller. A table change whose
+ * response is lost is sent again under the same change id, so that it is made at most once.
  */
 import { Client } from 'undici';
 import { SystemTimerService, type TimerService } from '@hornbeampond/runtime';
@@ -25,17 +25,19 @@
     readonly dataCentre: string;
     readonly state: string;
     readonly inProgress: number;
-    /** Missing if the tables have no price for it. */
+    /** Missing if the pools table has no price for the backend server. */
     readonly eurosPerHour?: number;
   }[];
-  /** Counts since the entry started, by error kind or reason; those at zero are left out. */
+  /** Counts since the entry started, by error kind; zero counts are left out. */
   readonly refusals?: Readonly<Record<string, number>>;
+  /** The same by the reason of the retry. */
   readonly retries?: Readonly<Record<string, number>>;
+  /** The same by the reason of the recomputation. */
   readonly recomputedTokens?: Readonly<Record<string, number>>;
   readonly stores: readonly StoreStatus[];
 }
 
-/** One place of a pool in a controller's plan. */
+/** A controller's plan for one pool, data centre and instance class. */
 export interface PlanRow {
   readonly pool: string;
   readonly dataCentre: string;
@@ -50,7 +52,7 @@
   readonly missingSlots: number;
 }
 
-/** A problem that the server answered with. */
+/** The server answered with a problem document. */
 export class ProblemError extends Error {
   constructor(readonly problem: ProblemDocument) {
     super(`${problem.title}: ${problem.detail}`);
@@ -68,12 +70,12 @@
   readonly rows: readonly unknown[];
 }
 
-/** Times that a change is sent while its answer stays away. */
-const MOST_SENDS = 5;
-const REQUEST_MILLISECONDS = 10_000;
-const PAUSE_MILLISECONDS = 500;
+/** How often a change is sent in total while no response arrives. */
+const MAX_SENDS = 5;
+const RESPONSE_TIMEOUT_MILLISECONDS = 10_000;
+const RESEND_DELAY_MILLISECONDS = 500;
 
-interface Answer {
+interface ResponseText {
   readonly status: number;
   readonly text: string;
 }
@@ -86,20 +88,20 @@
     private readonly key: string,
     private readonly timers: TimerService = new SystemTimerService(),
   ) {
-    this.client = new Client(url, { headersTimeout: REQUEST_MILLISECONDS });
+    this.client = new Client(url, { headersTimeout: RESPONSE_TIMEOUT_MILLISECONDS });
   }
 
   async getTable(table: TableName): Promise<VersionedTable> {
-    return this.readJson(await this.send('GET', `/tables/${table}`)) as VersionedTable;
+    return this.parseResponse(await this.send('GET', `/tables/${table}`)) as VersionedTable;
   }
 
   async getStatus(): Promise<EntryStatus> {
-    return this.readJson(await this.send('GET', '/status')) as EntryStatus;
+    return this.parseResponse(await this.send('GET', '/status')) as EntryStatus;
   }
 
-  /** The plan of a controller; entries and stores have none. */
+  /** The plan of a controller; fails at entries and stores, which have none. */
   async getPlan(): Promise<readonly PlanRow[]> {
-    const plan = this.readJson(await this.send('GET', '/plan'));
+    const plan = this.parseResponse(await this.send('GET', '/plan'));
     return (plan as { readonly rows: readonly PlanRow[] }).rows;
   }
 
@@ -107,32 +109,32 @@
   async putTable({ table, baseRevision, changeId, rows }: TableUpdate): Promise<number> {
     const headers = { 'if-match': `"${baseRevision}"`, 'idempotency-key': changeId };
     const body = JSON.stringify({ rows });
-    for (let sends = 1; ; sends += 1) {
+    for (let sendCount = 1; ; sendCount += 1) {
       try {
         const answer = await this.send('PUT', `/tables/${table}`, headers, body);
-        return (this.readJson(answer) as { readonly revision: number }).revision;
+        return (this.parseResponse(answer) as { readonly revision: number }).revision;
       } catch (error) {
-        if (sends >= MOST_SENDS || !this.mayResend(error)) throw error;
-        await this.timers.wait(PAUSE_MILLISECONDS);
+        if (sendCount >= MAX_SENDS || !this.canResend(error)) throw error;
+        await this.timers.wait(RESEND_DELAY_MILLISECONDS);
       }
     }
   }
 
   async post(path: string, body: unknown): Promise<unknown> {
-    return this.readJson(await this.send('POST', path, {}, JSON.stringify(body)));
+    return this.parseResponse(await this.send('POST', path, {}, JSON.stringify(body)));
   }
 
   async close(): Promise<void> {
     await this.client.close();
   }
 
-  /** A lost connection or an unsure change: the same change id makes a resend harmless. */
-  private mayResend(error: unknown): boolean {
+  /** True after a lost response or an unconfirmed change; the change id makes a resend harmless. */
+  private canResend(error: unknown): boolean {
     if (!(error instanceof ProblemError)) return true;
     return error.problem.kind === 'changeUnsure' || error.problem.kind === 'storeUnavailable';
   }
 
-  private readJson({ status, text }: Answer): unknown {
+  private parseResponse({ status, text }: ResponseText): unknown {
     const value: unknown = JSON.parse(text);
     if (status >= 400) throw new ProblemError(value as ProblemDocument);
     return value;
@@ -143,7 +145,7 @@
     path: string,
     headers: Readonly<Record<string, string>> = {},
     body?: string,
-  ): Promise<Answer> {
+  ): Promise<ResponseText> {
     const response = await this.client.request({
       method,
       path,
--- a/apps/ctl/src/commands/status.ts
+++ b/apps/ctl/src/commands/status.ts
@@ -1,16 +1,16 @@
-/** The verbs that show what the system does. */
+/** The commands that show the status of the system. */
 import { exitCodes } from '@hornbeampond/runtime';
 import { Command, UsageError, type CommandContext } from '../Command.js';
 import { describeStatus } from './describeStatus.js';
 
 const DEFAULT_WATCH_SECONDS = 2;
 
-export class Status extends Command {
+export class StatusCommand extends Command {
   override readonly name = 'status';
 
   override readonly usage = '';
 
-  override readonly purpose = 'shows the state of the system at a glance';
+  override readonly purpose = 'shows a summary of the state of the system';
 
   override readonly example = 'hornbeampondctl status --json';
 
@@ -22,18 +22,18 @@
   }
 }
 
-export class Watch extends Command {
+export class WatchCommand extends Command {
   override readonly name = 'watch';
 
   override readonly usage = '';
 
-  override readonly purpose = 'shows the status again and again until interrupted';
+  override readonly purpose = 'shows the status repeatedly until interrupted';
 
   override readonly example = 'hornbeampondctl watch --seconds 5';
 
   override readonly options = {
-    seconds: { type: 'string', purpose: `pause between two (${DEFAULT_WATCH_SECONDS})` },
-    times: { type: 'string', purpose: 'stop after so many' },
+    seconds: { type: 'string', purpose: `pause between two outputs (${DEFAULT_WATCH_SECONDS})` },
+    times: { type: 'string', purpose: 'number of outputs; unlimited by default' },
   } as const;
 
   override async run(context: CommandContext): Promise<number> {
@@ -43,14 +43,14 @@
     if (!(seconds > 0) || !(times > 0)) {
       throw new UsageError(['--seconds and --times take numbers above 0']);
     }
-    for (let shown = 0; shown < times; shown += 1) {
+    for (let printedCount = 0; printedCount < times; printedCount += 1) {
       const status = await client.getStatus();
       if (json) print(JSON.stringify(status));
       else {
         const time = new Date(timers.wallNow()).toISOString();
         [`-- ${time}`, ...describeStatus(status, paint)].forEach(print);
       }
-      if (shown + 1 < times) {
+      if (printedCount + 1 < times) {
         await timers.wait(seconds * 1000);
       }
     }
@@ -58,4 +58,4 @@
   }
 }
 
-export const statusCommands: readonly Command[] = [new Status(), new Watch()];
+export const statusCommands: readonly Command[] = [new StatusCommand(), new WatchCommand()];
--- a/apps/ctl/src/commands/stores.ts
+++ b/apps/ctl/src/commands/stores.ts
@@ -1,9 +1,9 @@
-/** The verbs on the stores: founding the cluster, and its voters. */
+/** The commands that found the cluster of stores, add and remove stores, and show their status. */
 import { exitCodes } from '@hornbeampond/runtime';
 import { Command, UsageError, type CommandContext } from '../Command.js';
 import { describeStores } from './describeStores.js';
 
-export class StoreFound extends Command {
+export class StoreFoundCommand extends Command {
   override readonly name = 'store found';
 
   override readonly usage = '';
@@ -20,26 +20,26 @@
   }
 }
 
-export class StoreRemove extends Command {
+export class StoreRemoveCommand extends Command {
   override readonly name = 'store remove';
 
   override readonly usage = 'INSTANCE';
 
   override readonly purpose =
-    'takes a store out of the voters for good; --entry names the leading store’s operators’ port';
+    'removes a store from the voters permanently; --entry names the leader’s operators’ port';
 
   override readonly example = 'hornbeampondctl store remove store-eisenstadt-1';
 
-  override async run({ client, positionals: words, print }: CommandContext): Promise<number> {
-    const [instance] = words;
+  override async run({ client, positionals, print }: CommandContext): Promise<number> {
+    const [instance] = positionals;
     if (instance === undefined) throw new UsageError(['name the instance to remove']);
     await client.post('/store/remove', { instance });
-    print(`${instance} is no voter any more`);
+    print(`${instance} is no longer a voter`);
     return exitCodes.done;
   }
 }
 
-export class StoreAdd extends Command {
+export class StoreAddCommand extends Command {
   override readonly name = 'store add';
 
   override readonly usage = '';
@@ -51,7 +51,7 @@
 
   override async run({ client, print }: CommandContext): Promise<number> {
     await client.post('/store/join', {});
-    print('the store has asked to join; "store status" shows when it votes');
+    print('the store has asked to join; "store status" shows when it is a voter');
     return exitCodes.done;
   }
 }
@@ -74,8 +74,8 @@
 }
 
 export const storeCommands: readonly Command[] = [
-  new StoreFound(),
-  new StoreAdd(),
-  new StoreRemove(),
+  new StoreFoundCommand(),
+  new StoreAddCommand(),
+  new StoreRemoveCommand(),
   new StoreStatusCommand(),
 ];
--- a/apps/ctl/src/readTableFile.ts
+++ b/apps/ctl/src/readTableFile.ts
@@ -1,4 +1,4 @@
-/** Reads a table from a TOML file and checks it, so that faults show before anything is sent. */
+/** Reads and checks a table from a TOML file, so that faults are found before it is sent. */
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import { checkPools, checkRoutes, tableNames, type TableName } from '@hornbeampond/schema';
@@ -19,8 +19,9 @@
   } catch (error) {
     throw new UsageError([`${file}: ${error instanceof Error ? error.message : String(error)}`]);
   }
-  const others = Object.keys(values).filter((key) => key !== table);
-  if (others.length > 0) throw new UsageError([`${file}: only [[${table}]] may stand here`]);
+  const unexpectedKeys = Object.keys(values).filter((key) => key !== table);
+  if (unexpectedKeys.length > 0)
+    throw new UsageError([`${file}: only [[${table}]] is allowed in this file`]);
   const rows = values[table] ?? [];
   const checked = table === 'routes' ? checkRoutes(rows) : checkPools(rows);
   if (checked.ok) return checked.rows;
