--- a/apps/entry/src/AdapterDirectory.ts
+++ b/apps/entry/src/AdapterDirectory.ts
@@ -32,24 +32,24 @@
   }
 
   getEngineAdapter(target: AttemptTarget): EngineAdapter {
-    const found = this.getOrCreate(target);
-    if (found.kind !== 'modelEngine')
+    const backendServerAdapter = this.getOrCreate(target);
+    if (backendServerAdapter.kind !== 'modelEngine')
       throw new TypeError(`${target.instance} is not a model engine`);
-    return found.adapter;
+    return backendServerAdapter.adapter;
   }
 
   getPlainServiceAdapter(target: AttemptTarget): PlainServiceAdapter {
-    const found = this.getOrCreate(target);
-    if (found.kind !== 'plainService')
+    const backendServerAdapter = this.getOrCreate(target);
+    if (backendServerAdapter.kind !== 'plainService')
       throw new TypeError(`${target.instance} is not a plain service`);
-    return found.adapter;
+    return backendServerAdapter.adapter;
   }
 
   getRelayAdapter(target: AttemptTarget): RelayAdapter {
-    const found = this.getOrCreate(target);
-    if (found.kind !== 'relay')
+    const backendServerAdapter = this.getOrCreate(target);
+    if (backendServerAdapter.kind !== 'relay')
       throw new TypeError(`${target.instance} does not accept opaque calls`);
-    return found.adapter;
+    return backendServerAdapter.adapter;
   }
 
   /**
--- a/apps/entry/src/AttemptRunner.ts
+++ b/apps/entry/src/AttemptRunner.ts
@@ -242,7 +242,7 @@
         return;
       }
       if (reportedAt === 0) dispatch({ type: 'firstTokenReceived', attemptId });
-      await answer.writeToken(chunk.text, chunk.tokens);
+      await answer.writeText(chunk.text, chunk.tokens);
       const now = timers.monotonicNow();
       if (now - reportedAt > MIN_PROGRESS_INTERVAL_MILLISECONDS) {
         reportedAt = now;
--- a/apps/entry/src/BackendServerWatcher.ts
+++ b/apps/entry/src/BackendServerWatcher.ts
@@ -147,13 +147,17 @@
     const { adapters, dispatch, pollMilliseconds } = this.options;
     try {
       const signal = AbortSignal.timeout(pollMilliseconds);
-      const found = adapters.getOrCreate(target);
+      const backendServerAdapter = adapters.getOrCreate(target);
       // Relayed answers carry the load report.
-      if (found.kind === 'relay') return;
-      const report = await found.adapter.readLoad(signal);
+      if (backendServerAdapter.kind === 'relay') return;
+      const report = await backendServerAdapter.adapter.readLoad(signal);
       dispatch({ type: 'loadReported', report: { ...report, instance: instance.instance } });
-      if (found.kind !== 'modelEngine') return;
-      const events = await this.cacheEventReader.read(instance.instance, found.adapter, signal);
+      if (backendServerAdapter.kind !== 'modelEngine') return;
+      const events = await this.cacheEventReader.read(
+        instance.instance,
+        backendServerAdapter.adapter,
+        signal,
+      );
       if (events.length > 0) dispatch({ type: 'cacheEventsReceived', events });
     } catch {
       // The reducer sees the age of the last report, and attempts report failures themselves.
--- a/apps/entry/src/CallerAnswer.test.ts
+++ b/apps/entry/src/CallerAnswer.test.ts
@@ -33,8 +33,8 @@
 test('an interrupted stream ends with an error event and without [DONE]', async (context) => {
   const response = await receive(context, async (serverResponse) => {
     const answer = new CompletionAnswer('request-1', serverResponse, options);
-    await answer.writeToken('near ', 1);
-    await answer.writeToken('mint', 1);
+    await answer.writeText('near ', 1);
+    await answer.writeText('mint', 1);
     answer.fail(serverLost);
   });
   const body = await text(response);
@@ -45,7 +45,7 @@
 test('a complete stream ends with a finish reason and [DONE]', async (context) => {
   const response = await receive(context, async (serverResponse) => {
     const answer = new CompletionAnswer('request-1', serverResponse, options);
-    await answer.writeToken('mint', 1);
+    await answer.writeText('mint', 1);
     answer.recordEnd('stop', undefined);
     answer.finish();
   });
--- a/apps/entry/src/CompletionAnswer.ts
+++ b/apps/entry/src/CompletionAnswer.ts
@@ -19,7 +19,7 @@
 export class CompletionAnswer extends CallerAnswer {
   private text = '';
 
-  private tokenCount = 0;
+  private generatedTokenCount = 0;
 
   private finishReason = 'stop';
 
@@ -38,20 +38,22 @@
   }
 
   get generatedTokens(): number {
-    return this.tokenCount;
+    return this.generatedTokenCount;
   }
 
   /** Undefined for an answer that is not streamed: the caller receives nothing before its end. */
   override get tokensGiven(): number | undefined {
-    return this.options.streamed && this.tokenCount > 0 ? this.tokenCount : undefined;
+    return this.options.streamed && this.generatedTokenCount > 0
+      ? this.generatedTokenCount
+      : undefined;
   }
 
-  async writeToken(text: string, tokenCount: number): Promise<void> {
+  async writeText(text: string, tokenCount: number): Promise<void> {
     if (this.text.length + text.length > this.options.maxCharacters) {
       throw new HornbeampondError('answerCut', 'The answer exceeds the size limit');
     }
     this.text += text;
-    this.tokenCount += tokenCount;
+    this.generatedTokenCount += tokenCount;
     if (!this.options.streamed) return;
     this.startStream();
     await this.write(this.formatChunk({ content: text }, null));
@@ -100,7 +102,7 @@
   private sendWholeAnswer(): void {
     const { model, created } = this.options;
     const message = { role: 'assistant', content: this.text };
-    const completionTokens = this.tokenCount;
+    const completionTokens = this.generatedTokenCount;
     const promptTokens = this.usage?.promptTokens ?? 0;
     const body = JSON.stringify({
       id: this.requestId,
--- a/apps/entry/src/EntryProcess.ts
+++ b/apps/entry/src/EntryProcess.ts
@@ -502,13 +502,13 @@
       configurationRevision: this.revision,
       openStreams: this.exchanges.size,
       backendServers: [...state.backendServers.values()].map(
-        ({ platformInstance: listed, goneAt, attemptIds }) => ({
-          instance: listed.instance,
-          pool: listed.pool,
-          dataCentre: listed.dataCentre,
-          state: goneAt === undefined ? listed.state : 'leaving',
+        ({ platformInstance, goneAt, attemptIds }) => ({
+          instance: platformInstance.instance,
+          pool: platformInstance.pool,
+          dataCentre: platformInstance.dataCentre,
+          state: goneAt === undefined ? platformInstance.state : 'leaving',
           inProgress: attemptIds.size,
-          eurosPerHour: this.findPrice(listed),
+          eurosPerHour: this.findPrice(platformInstance),
         }),
       ),
       refusals: await this.metrics.readCounter('refusals'),
