--- a/apps/entry/src/AttemptRunner.ts
+++ b/apps/entry/src/AttemptRunner.ts
@@ -27,7 +27,7 @@
 /** Shorter than for engines, because an opaque call's stream is paused during the move. */
 const RELAY_CACHE_MOVE_TIMEOUT_MILLISECONDS = 2000;
 
-/** Limits exporting and importing together. */
+/** Limit for the export and the import of a KV cache together. */
 const CACHE_MOVE_TIMEOUT_MILLISECONDS = 30_000;
 
 interface RunningAttempt {
--- a/apps/entry/src/BackendServerWatcher.ts
+++ b/apps/entry/src/BackendServerWatcher.ts
@@ -52,7 +52,7 @@
 
   private isPolling = false;
 
-  /** With `shareInstances`: when this entry polls, unless it receives a list before. */
+  /** Time of the next poll, unless a list is received before; used only with `shareInstances`. */
   private nextPollAt: MonotonicMilliseconds = 0;
 
   private readonly cacheEventReader = new CacheEventReader();
--- a/apps/entry/src/CallProtocol.ts
+++ b/apps/entry/src/CallProtocol.ts
@@ -1,7 +1,7 @@
 /**
  * Base class for the protocol of opaque calls: implementations interpret the head of a request and
- * write error answers. `RelayServer` reads the bytes and enforces the bounds, but does not interpret
- * headers.
+ * write error answers. `RelayServer` reads the bytes and enforces the size and time limits, but does
+ * not interpret headers.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { HeaderLine } from '@hornbeampond/adapters';
--- a/apps/entry/src/CallerListener.ts
+++ b/apps/entry/src/CallerListener.ts
@@ -5,7 +5,10 @@
   /** Starts to listen; returns the port. */
   listen(): Promise<number>;
 
-  /** Applies the bounds of a configuration that has just taken effect. */
+  /**
+   * Applies the time limits for callers (`callerBounds`) of the configuration that has just taken
+   * effect.
+   */
   applyBounds?(): void;
 
   /** Sends `connection: close` with the answers to new requests, so that callers reconnect. */
--- a/apps/entry/src/CallerServer.ts
+++ b/apps/entry/src/CallerServer.ts
@@ -195,6 +195,7 @@
       model: completion.model ?? '',
       streamed: completion.stream === true,
       created: Math.floor(this.options.timers.wallNow() / 1000),
+      // The limit in bytes is applied to the number of characters of the generated text.
       maxCharacters: answerBytes,
     });
     return { request, headers, body, completion, answer };
--- a/apps/entry/src/CompletionAnswer.ts
+++ b/apps/entry/src/CompletionAnswer.ts
@@ -12,7 +12,7 @@
   readonly streamed: boolean;
   /** Seconds since the epoch. */
   readonly created: number;
-  /** Limit of the generated text. */
+  /** Maximum length of the generated text, in UTF-16 code units. */
   readonly maxCharacters: number;
 }
 
--- a/apps/entry/src/EntryProcess.ts
+++ b/apps/entry/src/EntryProcess.ts
@@ -51,7 +51,10 @@
 
 const TICK_INTERVAL_MILLISECONDS = 50;
 
-/** A claim command without a result within this time counts as unavailable or unsure. */
+/**
+ * If a claim command has no result within this time, it is answered as `unavailable` (certainly not
+ * in the log) or `unsure` (may be in the log).
+ */
 const CLAIM_TIMEOUT_MILLISECONDS = 2000;
 
 /** How long a command is resent if no request waits for its result. */
@@ -59,7 +62,7 @@
 
 const PROBE_TIMEOUT_MILLISECONDS = 1000;
 
-/** Reserved for writing the last answers before the shutdown time limit. */
+/** Reserved before the shutdown time limit for writing the last answers. */
 const SHUTDOWN_MARGIN_MILLISECONDS = 500;
 
 /** After this time without a configuration from the stores, an entry asks its peers. */
@@ -262,14 +265,16 @@
     return this.eventLoop.state.configuration.revision;
   }
 
-  /** Replaces the store addresses from the settings. */
+  /** Uses `addresses` instead of the store addresses that the process was started with. */
   useStores(addresses: readonly StoreAddress[]): void {
     this.storeClient.setSeeds(addresses);
   }
 
   /**
    * Shuts down gracefully: becomes unready, accepts requests for the load balancer's delay, then
-   * stops listening. Closes when nothing is in progress any more or at the time limit.
+   * stops listening. The reducer ends what is still in progress `SHUTDOWN_MARGIN_MILLISECONDS` before
+   * the time limit. Closes once nothing is in progress; if the reducer does not report that, at the
+   * time limit.
    */
   async shutDown(): Promise<void> {
     const { balancerDelayMilliseconds, shutdownMilliseconds } = this.settings;
@@ -390,7 +395,7 @@
       case 'answerProblem': {
         const { kind, detail, requestId, retryAfterMilliseconds, ran } = effect;
         this.endExchange(requestId, ({ answer }) => {
-          // The reducer's count is as of its last event; the answer knows what has been sent.
+          // The effect's `tokensGiven` may be out of date; the answer's is exact.
           const { tokensGiven } = answer;
           const details = { retryAfterMilliseconds, ran, tokensGiven };
           answer.fail(new HornbeampondError(kind, detail, details));
--- a/apps/entry/src/RelayAnswer.ts
+++ b/apps/entry/src/RelayAnswer.ts
@@ -22,7 +22,7 @@
 }
 
 export class RelayAnswer extends CallerAnswer {
-  /** Id of the last event sent, at first of the event that the caller asks to resume after. */
+  /** Id of the last event sent; until one is sent, the id that the caller asks to resume after. */
   lastEventId: string | undefined;
 
   /** The longest time between two chunks received, over all attempts. */
--- a/apps/entry/src/RelayServer.ts
+++ b/apps/entry/src/RelayServer.ts
@@ -1,7 +1,7 @@
 /**
- * The HTTP server for opaque calls. It reads requests within the bounds of the current configuration
- * and passes them to `onRequest`. Requests that exceed the bounds or are malformed are refused here;
- * all further decisions are the reducer's.
+ * The HTTP server for opaque calls. It reads requests, enforces the size and time limits for callers
+ * (`callerBounds`) of the current configuration and passes the requests to `onRequest`. Requests that
+ * exceed the limits or are malformed are refused here; all further decisions are the reducer's.
  */
 import { createHash } from 'node:crypto';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
@@ -25,7 +25,7 @@
   readonly listen: ListenAddress;
   readonly protocol: CallProtocol;
   readonly timers: TimerService;
-  /** The configured bounds; undefined if the configuration has none. */
+  /** The configured limits for callers; undefined if the configuration has none. */
   readBounds(): CallerBounds | undefined;
   /** Returns a globally unique id, for requests without an id that can be used. */
   makeRequestId(): string;
@@ -37,10 +37,10 @@
   onRefused(error: unknown): void;
 }
 
-/** Limit for Node's parser. The configured bound is checked after the head has been parsed. */
+/** Limit for Node's parser. The configured `headerBytes` is checked after the head is parsed. */
 const MAX_HEAD_BYTES = 256 * 1024;
 
-/** Used if the configuration has no bounds. */
+/** Used if the configuration has no `callerBounds`. */
 const DEFAULT_BOUNDS: CallerBounds = {
   headerBytes: 16 * 1024,
   bodyBytes: 4 * 1024 * 1024,
@@ -48,7 +48,7 @@
   idleMilliseconds: 15_000,
 };
 
-/** Added to the idle bound, so that the server does not close a connection just as it is reused. */
+/** Added to `idleMilliseconds`, so that a connection is not closed just as the caller reuses it. */
 const KEEP_ALIVE_MARGIN_MILLISECONDS = 1000;
 
 const HEAD_TIMEOUT_CHECK_INTERVAL_MILLISECONDS = 1000;
--- a/apps/entry/src/TableApi.ts
+++ b/apps/entry/src/TableApi.ts
@@ -14,7 +14,10 @@
 } from '@hornbeampond/schema';
 import { authorizeOperator, readBody, writeJson, type StoreClient } from '@hornbeampond/transport';
 
-/** A change without a result within this time is reported as not made or as unsure. */
+/**
+ * If a change has no result within this time, it is answered with `storeUnavailable`
+ * (certainly not made) or `changeUnsure` (may have been made).
+ */
 const CHANGE_TIMEOUT_MILLISECONDS = 5000;
 const READ_TIMEOUT_MILLISECONDS = 3000;
 const MAX_TABLE_BYTES = 32 * 1024 * 1024;
