--- a/apps/entry/src/AttemptRunner.ts
+++ b/apps/entry/src/AttemptRunner.ts
@@ -114,10 +114,10 @@
     attempt.isCancelled = true;
     attempt.stopTimeout();
     attempt.abortController.abort();
-    const found = this.options.adapters.getOrCreate(attempt.effect.target);
+    const backendServerAdapter = this.options.adapters.getOrCreate(attempt.effect.target);
     // Other backend servers have no cancel request; the abort closes their connection.
-    if (found.kind !== 'modelEngine') return;
-    found.adapter
+    if (backendServerAdapter.kind !== 'modelEngine') return;
+    backendServerAdapter.adapter
       .cancel(attemptId, AbortSignal.timeout(CANCEL_TIMEOUT_MILLISECONDS))
       .catch(() => {});
   }
--- a/apps/entry/src/CacheEventReader.ts
+++ b/apps/entry/src/CacheEventReader.ts
@@ -31,9 +31,9 @@
 
   /** Removes the state of engines that are not listed. */
   retainOnly(instances: readonly string[]): void {
-    const listed = new Set(instances);
+    const listedInstances = new Set(instances);
     [...this.lastSequences.keys()].forEach((instance) => {
-      if (!listed.has(instance)) this.lastSequences.delete(instance);
+      if (!listedInstances.has(instance)) this.lastSequences.delete(instance);
     });
   }
 }
--- a/apps/entry/src/CallerAnswer.ts
+++ b/apps/entry/src/CallerAnswer.ts
@@ -47,8 +47,12 @@
   /** Sends the stored answer of an earlier run of the same call. */
   replay({ status, headers, body }: StoredAnswer): void {
     if (this.isClosed) return;
-    const replayed = { ...headers, 'x-request-id': this.requestId, 'idempotent-replay': 'true' };
-    this.response.writeHead(status, replayed);
+    const replayHeaders = {
+      ...headers,
+      'x-request-id': this.requestId,
+      'idempotent-replay': 'true',
+    };
+    this.response.writeHead(status, replayHeaders);
     this.response.end(body);
   }
 
--- a/apps/entry/src/EventStreamSplitter.ts
+++ b/apps/entry/src/EventStreamSplitter.ts
@@ -17,9 +17,9 @@
 /** Offset just after the empty line that ends the event at `from`; -1 if it is incomplete. */
 function findEventEnd(bytes: Buffer, from: number): number {
   for (let at = bytes.indexOf(LINE_FEED, from); at >= 0; at = bytes.indexOf(LINE_FEED, at + 1)) {
-    const next = bytes[at + 1];
-    if (next === LINE_FEED) return at + 2;
-    if (next === 0x0d && bytes[at + 2] === LINE_FEED) return at + 3;
+    const nextByte = bytes[at + 1];
+    if (nextByte === LINE_FEED) return at + 2;
+    if (nextByte === 0x0d && bytes[at + 2] === LINE_FEED) return at + 3;
   }
   return -1;
 }
@@ -41,9 +41,9 @@
     let end = 0;
     let count = 0;
     let lastId: string | undefined;
-    for (let next = findEventEnd(all, 0); next >= 0; next = findEventEnd(all, end)) {
-      lastId = findEventId(all.toString('latin1', end, next)) ?? lastId;
-      end = next;
+    for (let eventEnd = findEventEnd(all, 0); eventEnd >= 0; eventEnd = findEventEnd(all, end)) {
+      lastId = findEventId(all.toString('latin1', end, eventEnd)) ?? lastId;
+      end = eventEnd;
       count += 1;
     }
     this.rest = all.subarray(end);
--- a/apps/entry/src/RelayAnswer.ts
+++ b/apps/entry/src/RelayAnswer.ts
@@ -131,9 +131,9 @@
     this.bufferedBytes += bytes.length;
     if (this.bufferedBytes <= MAX_BUFFERED_BYTES) return;
     this.writeHead();
-    const buffered = Buffer.concat(this.bufferedChunks);
+    const bufferedBody = Buffer.concat(this.bufferedChunks);
     this.bufferedChunks = [];
-    await this.write(buffered);
+    await this.write(bufferedBody);
   }
 
   private writeCompleteAnswer({ status, headers, body }: CompleteAnswer): void {
