--- a/apps/entry/src/AttemptRunner.ts
+++ b/apps/entry/src/AttemptRunner.ts
@@ -27,7 +27,7 @@
 /** Shorter than for engines, because an opaque call's stream is paused during the move. */
 const RELAY_CACHE_MOVE_TIMEOUT_MILLISECONDS = 2000;
 
-/** Limits exporting and importing together. */
+/** Limit for the export and the import of a KV cache together. */
 const CACHE_MOVE_TIMEOUT_MILLISECONDS = 30_000;
 
 interface RunningAttempt {
@@ -114,10 +114,10 @@
     attempt.isCancelled = true;
     attempt.stopTimeout();
     attempt.abortController.abort();
-    const found = this.options.adapters.getOrCreate(attempt.effect.target);
+    const backendServerAdapter = this.options.adapters.getOrCreate(attempt.effect.target);
     // Other backend servers have no cancel request; the abort closes their connection.
-    if (found.kind !== 'modelEngine') return;
-    found.adapter
+    if (backendServerAdapter.kind !== 'modelEngine') return;
+    backendServerAdapter.adapter
       .cancel(attemptId, AbortSignal.timeout(CANCEL_TIMEOUT_MILLISECONDS))
       .catch(() => {});
   }
@@ -242,7 +242,7 @@
         return;
       }
       if (reportedAt === 0) dispatch({ type: 'firstTokenReceived', attemptId });
-      await answer.writeToken(chunk.text, chunk.tokens);
+      await answer.writeText(chunk.text, chunk.tokens);
       const now = timers.monotonicNow();
       if (now - reportedAt > MIN_PROGRESS_INTERVAL_MILLISECONDS) {
         reportedAt = now;
--- a/apps/entry/src/RelayAnswer.ts
+++ b/apps/entry/src/RelayAnswer.ts
@@ -22,7 +22,7 @@
 }
 
 export class RelayAnswer extends CallerAnswer {
-  /** Id of the last event sent, at first of the event that the caller asks to resume after. */
+  /** Id of the last event sent; until one is sent, the id that the caller asks to resume after. */
   lastEventId: string | undefined;
 
   /** The longest time between two chunks received, over all attempts. */
@@ -131,9 +131,9 @@
     this.bufferedBytes += bytes.length;
     if (this.bufferedBytes <= MAX_BUFFERED_BYTES) return;
     this.writeHead();
-    const buffered = Buffer.concat(this.bufferedChunks);
+    const bufferedBody = Buffer.concat(this.bufferedChunks);
     this.bufferedChunks = [];
-    await this.write(buffered);
+    await this.write(bufferedBody);
   }
 
   private writeCompleteAnswer({ status, headers, body }: CompleteAnswer): void {
