--- a/packages/schema/src/reference/describeLogEvents.ts
+++ b/packages/schema/src/reference/describeLogEvents.ts
@@ -1,7 +1,7 @@
 /** Generates the tables of docs/LOGS.md. */
 import { logEvents } from '../logEvents/logEvents.js';
 import { formatMarkdownTable } from './formatMarkdownTable.js';
-import { describeUnraisedNames } from './unraisedNames.js';
+import { describeUnusedNames } from './unraisedNames.js';
 
 /** First and last number of the events, by heading. */
 const numberRanges = {
@@ -21,5 +21,5 @@
       return [name, formatMarkdownTable(['number', 'event', 'level', 'what happened'], rows)];
     }),
   );
-  return { ...tables, 'events not written yet': describeUnraisedNames(Object.keys(logEvents)) };
+  return { ...tables, 'events not written yet': describeUnusedNames(Object.keys(logEvents)) };
 }
--- a/packages/schema/src/reference/describeMetrics.ts
+++ b/packages/schema/src/reference/describeMetrics.ts
@@ -1,7 +1,7 @@
 /** Generates the tables of docs/METRICS.md. */
 import { metricDefinitions, type MetricDefinition } from '../metrics.js';
 import { formatMarkdownTable } from './formatMarkdownTable.js';
-import { describeUnraisedNames } from './unraisedNames.js';
+import { describeUnusedNames } from './unraisedNames.js';
 
 function describeLabel({ label }: MetricDefinition): string {
   return label === undefined ? '' : `\`${label.name}\``;
@@ -25,7 +25,7 @@
   return {
     metrics: formatMarkdownTable(['name', 'kind', 'label', 'meaning'], metrics),
     'label values': formatMarkdownTable(['name', 'label', 'value'], values),
-    'values not counted yet': describeUnraisedNames(
+    'values not counted yet': describeUnusedNames(
       definitions.flatMap(({ label }) => label?.values ?? []),
     ),
   };
--- a/packages/schema/src/reference/reference.test.ts
+++ b/packages/schema/src/reference/reference.test.ts
@@ -13,7 +13,7 @@
 import { metricDefinitions, type MetricDefinition } from '../metrics.js';
 import { describeSchema } from './describeSettings.js';
 import { fillBlocks } from './generatedBlocks.js';
-import { unraisedNames } from './unraisedNames.js';
+import { unusedNames } from './unraisedNames.js';
 import { makeReferencePages } from './referencePages.js';
 
 const root = fileURLToPath(new URL('../../../../', import.meta.url));
@@ -94,7 +94,7 @@
     ...metrics.flatMap(({ label }) => label?.values ?? []),
   ];
   const unraised = [...new Set(names)].filter((name) => !sources.includes(`'${name}'`)).sort();
-  assert.deepEqual(unraised, [...unraisedNames], 'update unraisedNames.ts');
+  assert.deepEqual(unraised, [...unusedNames], 'update unraisedNames.ts');
 });
 
 // An alert on a renamed metric would never fire.
--- a/packages/schema/src/reference/unraisedNames.ts
+++ b/packages/schema/src/reference/unraisedNames.ts
@@ -3,7 +3,7 @@
  * pages list them, so that operators do not wait for an event that cannot occur. A test compares the
  * list with the sources.
  */
-export const unraisedNames: readonly string[] = [
+export const unusedNames: readonly string[] = [
   'duplicate',
   'logDamaged',
   'prefixMiss',
@@ -21,8 +21,8 @@
 };
 
 /** Returns a Markdown list of those of the given names that are not raised. */
-export function describeUnraisedNames(names: readonly string[]): string {
-  return unraisedNames
+export function describeUnusedNames(names: readonly string[]): string {
+  return unusedNames
     .filter((name) => names.includes(name))
     .map((name) => `- \`${name}\`: ${explanations[name] ?? 'not raised'}.`)
     .join('\n');
--- a/packages/schema/src/settings/settings.ts
+++ b/packages/schema/src/settings/settings.ts
@@ -14,7 +14,7 @@
 export const listenSchema = z.strictObject({ host: hostSchema, port: portSchema });
 
 /** Address of a store, entry or controller for its peers and clients. */
-export const storeAddressSchema = z.strictObject({
+export const processAddressSchema = z.strictObject({
   instance: nameSchema,
   dataCentre: nameSchema,
   host: hostSchema,
@@ -40,7 +40,7 @@
   operatorListen: listenSchema,
   operatorKeys: operatorKeysSchema,
   /** Initially known stores. */
-  stores: z.array(storeAddressSchema).min(1).max(16),
+  stores: z.array(processAddressSchema).min(1).max(16),
   /** Interval of heartbeats; a connection without data for more than four of them is closed. */
   peerHeartbeatMilliseconds: millisecondsSchema(50, 60_000).default(1000),
 };
@@ -83,7 +83,7 @@
   listen: listenSchema,
   /** Address for other entries and controllers. */
   peerListen: listenSchema,
-  entries: z.array(storeAddressSchema).max(1000).default([]),
+  entries: z.array(processAddressSchema).max(1000).default([]),
   workspaces: z.array(workspaceSchema).min(1).max(10_000),
   platform: platformSchema,
   limits: z
@@ -119,9 +119,9 @@
   ...commonShape,
   /** Address for other controllers. */
   peerListen: listenSchema,
-  controllers: z.array(storeAddressSchema).max(1000).default([]),
+  controllers: z.array(processAddressSchema).max(1000).default([]),
   /** All entries; the controller exchanges demand reports and drains with them. */
-  entries: z.array(storeAddressSchema).max(1000).default([]),
+  entries: z.array(processAddressSchema).max(1000).default([]),
   weightStore: z.strictObject({ url: z.url({ protocol: /^https?$/ }) }).optional(),
   platform: platformSchema,
   leaseMilliseconds: millisecondsSchema(500, 600_000).default(5000),
@@ -129,7 +129,7 @@
 
 export type OperatorKey = z.infer<typeof operatorKeysSchema>[number];
 export type ListenAddress = z.infer<typeof listenSchema>;
-export type StoreAddress = z.infer<typeof storeAddressSchema>;
+export type StoreAddress = z.infer<typeof processAddressSchema>;
 export type StoreSettings = z.infer<typeof storeSettingsSchema>;
 export type EntrySettings = z.infer<typeof entrySettingsSchema>;
 export type ControllerSettings = z.infer<typeof controllerSettingsSchema>;
