--- a/packages/runtime/src/LineWriter.ts
+++ b/packages/runtime/src/LineWriter.ts
@@ -1,7 +1,7 @@
 /**
  * Writes log lines in batches without blocking the process. Lines are buffered while the output is
  * slow, and dropped when the buffer is full or too many lines are written in one second. The number
- * of dropped lines is written before the next line that is accepted, so that the gap is visible.
+ * of dropped lines is written before the next line that is accepted, so that the loss is visible.
  */
 import { write } from 'node:fs';
 
--- a/packages/schema/src/describeIssue.ts
+++ b/packages/schema/src/describeIssue.ts
@@ -1,4 +1,4 @@
-/** Converts a validation issue of zod into the reason of a fault. */
+/** Formats a zod validation issue for the `reason` of a `Fault`. */
 import type { z } from 'zod';
 
 /** Returns the issue's message, or `is missing` for a value that is absent. */
--- a/packages/schema/src/messages/backendServers.ts
+++ b/packages/schema/src/messages/backendServers.ts
@@ -26,7 +26,7 @@
   readonly concurrency?: number;
 }
 
-/** A row of the platform's list, as the process that has read it sends it to the others. */
+/** A `PlatformInstance` in the form in which processes forward it to each other. */
 export type SharedInstance = Omit<PlatformInstance, 'goneAt'> & {
   /** Time until the platform reclaims the instance; relative, since clocks may differ. */
   readonly goneIn?: Milliseconds;
@@ -45,11 +45,11 @@
   readonly measuredAt: EpochMilliseconds;
   readonly running: number;
   readonly queued: number;
-  /** Tokens per second that the engine generates, summed over all streams. */
+  /** Tokens per second that the backend server generates, summed over all streams. */
   readonly tokensPerSecond?: number;
   /** Predicted time to the first token of a new request. */
   readonly firstTokenDelay?: Milliseconds;
-  /** Model that a model engine has loaded. */
+  /** Loaded model; only for backend servers that are model engines. */
   readonly model?: string;
   readonly adapter?: string;
   readonly version?: string;
@@ -79,11 +79,12 @@
 
 export type OrderResult = 'done' | 'refusedAsOld' | 'failed';
 
-/** An order to the platform for instances of a pool in one data centre. */
+/** Requests a target size of a pool in one data centre from the platform. */
 export interface SizeOrder {
   readonly pool: string;
   readonly dataCentre: string;
+  /** True for the reclaimable instances of the pool, false for its on-demand ones. */
   readonly reclaimable: boolean;
-  /** Target number; the platform starts or ends instances to reach it. */
+  /** Target number of these instances; the platform starts or ends instances to reach it. */
   readonly count: number;
 }
--- a/packages/schema/src/messages/entryMessages.ts
+++ b/packages/schema/src/messages/entryMessages.ts
@@ -36,7 +36,7 @@
   /** When it was reported. */
   readonly at: EpochMilliseconds;
   readonly windowSpent: SpendingBySecond;
-  /** For how long up to `at` the spending of all entries was known. */
+  /** Length of the period up to `at` for which the spending of all entries was known. */
   readonly windowReach: Milliseconds;
   /** Totals that each entry had reported by then, by name; later totals are compared with these. */
   readonly entries: Readonly<Record<string, EntrySpending>>;
@@ -61,7 +61,7 @@
 /** State of entries that stores persist and send to entries that start. */
 export interface PersistedEntryData {
   readonly spending?: PersistedSpending;
-  /** Requests that began to run in the last usage windows; entries do not use it. */
+  /** Requests that began to run in the last usage windows; not used by entries. */
   readonly usage: readonly EntryUsage[];
   /** Regression of the time to the first token on the prompt tokens to prefill, by pool. */
   readonly delays: Readonly<Record<string, DelayRegressionState>>;
@@ -97,10 +97,13 @@
   readonly spent?: Readonly<Record<string, number>>;
   /**
    * Known spending of each workspace at all entries in its last window. An entry that has just
-   * started takes it from its peers' reports.
+   * started initializes it from its peers' reports.
    */
   readonly windowSpent?: SpendingBySecond;
-  /** For how long up to the report the spending of all entries is known; may be less than a window. */
+  /**
+   * Length of the period up to the report for which the spending of all entries is known; may be
+   * less than a window.
+   */
   readonly windowReach?: Milliseconds;
   /** Regression of the time to the first token on the prompt tokens to prefill, by pool. */
   readonly delays?: Readonly<Record<string, DelayRegressionState>>;
@@ -117,11 +120,11 @@
 /** Work of one entry at one backend server. */
 export interface ServerWork {
   readonly inProgress: number;
-  /** Prompt tokens that the backend server still has to compute before the first token. */
+  /** Prompt tokens that the backend server still has to prefill before the first token. */
   readonly promptTokens: number;
 }
 
-/** Changes of one entry's work, sent soon so that other entries avoid busy backend servers. */
+/** Changes of one entry's work, sent between reports, so that others avoid busy backend servers. */
 export interface WorkReport {
   readonly type: 'workReport';
   readonly instance: string;
--- a/packages/schema/src/reference/describeErrors.ts
+++ b/packages/schema/src/reference/describeErrors.ts
@@ -1,4 +1,4 @@
-/** Generates the error table of docs/CALLERS.md. */
+/** Generates the block of docs/CALLERS.md, by block name. */
 import { errorAnswers, errorKinds } from '../errors/errorKinds.js';
 import { formatMarkdownTable } from './formatMarkdownTable.js';
 
--- a/packages/schema/src/reference/describeLogEvents.ts
+++ b/packages/schema/src/reference/describeLogEvents.ts
@@ -1,4 +1,4 @@
-/** Generates the tables of docs/LOGS.md. */
+/** Generates the blocks of docs/LOGS.md, by block name. */
 import { logEvents } from '../logEvents/logEvents.js';
 import { formatMarkdownTable } from './formatMarkdownTable.js';
 import { describeUnusedNames } from './unraisedNames.js';
--- a/packages/schema/src/reference/describeMetrics.ts
+++ b/packages/schema/src/reference/describeMetrics.ts
@@ -1,4 +1,4 @@
-/** Generates the tables of docs/METRICS.md. */
+/** Generates the blocks of docs/METRICS.md, by block name. */
 import { metricDefinitions, type MetricDefinition } from '../metrics.js';
 import { formatMarkdownTable } from './formatMarkdownTable.js';
 import { describeUnusedNames } from './unraisedNames.js';
--- a/packages/schema/src/reference/reference.test.ts
+++ b/packages/schema/src/reference/reference.test.ts
@@ -83,8 +83,8 @@
   assert.throws(() => describeSchema(schema, obsoleteMeanings), /no schema has gone/);
 });
 
-// An alert on an event or counter that no code raises would never fire.
-test('every name of the catalogues is used in the sources or listed as not raised', () => {
+// An alert on an event or counter that no code uses would never fire.
+test('every name of the catalogues is used in the sources or listed as unused', () => {
   const sources = readSources();
   const metrics: readonly MetricDefinition[] = Object.values(metricDefinitions);
   const names = [
@@ -93,8 +93,8 @@
     ...Object.keys(metricDefinitions),
     ...metrics.flatMap(({ label }) => label?.values ?? []),
   ];
-  const unraised = [...new Set(names)].filter((name) => !sources.includes(`'${name}'`)).sort();
-  assert.deepEqual(unraised, [...unusedNames], 'update unraisedNames.ts');
+  const unused = [...new Set(names)].filter((name) => !sources.includes(`'${name}'`)).sort();
+  assert.deepEqual(unused, [...unusedNames], 'update the list of unused names');
 });
 
 // An alert on a renamed metric would never fire.
--- a/packages/schema/src/reference/settingMeanings.ts
+++ b/packages/schema/src/reference/settingMeanings.ts
@@ -33,7 +33,7 @@
   'operatorKeys[].keySha256': keySha256Meaning,
   ...describeAddressKeys('stores', 'a store that is known initially'),
   peerHeartbeatMilliseconds:
-    'interval of heartbeats to another process; a connection without data for more than four is closed',
+    'interval of heartbeats on connections between processes; a connection that receives no data for more than four intervals is closed',
 };
 
 const platformMeanings = {
@@ -49,7 +49,7 @@
     'a store that receives nothing from a leader for this long campaigns for election',
   heartbeatMilliseconds: 'interval of messages from an idle leader',
   leastVoters:
-    'changes of tables are accepted only if at least this many stores are voters; while fewer voters are reachable, no unreachable one is removed',
+    'changes of tables are accepted only if at least this many stores are voters; an unreachable voter is removed only while at least this many voters, and at least 3, are reachable',
   silentStoreMilliseconds:
     'a store from which the leader receives no response for this long is removed; 0: never; a removed store can join again',
 };
@@ -75,7 +75,10 @@
   ...commonMeanings,
   ...describeListenKeys('peerListen', 'other controllers'),
   ...describeAddressKeys('controllers', 'another controller'),
-  ...describeAddressKeys('entries', 'an entry, which reports demand and receives drains'),
+  ...describeAddressKeys(
+    'entries',
+    'an entry, which reports demand to the controller and receives its list of drained servers',
+  ),
   'weightStore.url': 'base address of the weight store’s API',
   ...platformMeanings,
   leaseMilliseconds: 'duration of the lease of a data centre if it is not renewed',
--- a/packages/schema/src/reference/unraisedNames.ts
+++ b/packages/schema/src/reference/unraisedNames.ts
@@ -20,10 +20,10 @@
   streamStalled: 'a stalled stream is counted as `connectionSilent`',
 };
 
-/** Returns a Markdown list of those of the given names that are not raised. */
+/** Returns a Markdown list of those of the given names that no code uses. */
 export function describeUnusedNames(names: readonly string[]): string {
   return unusedNames
     .filter((name) => names.includes(name))
-    .map((name) => `- \`${name}\`: ${explanations[name] ?? 'not raised'}.`)
+    .map((name) => `- \`${name}\`: ${explanations[name] ?? 'not used'}.`)
     .join('\n');
 }
--- a/packages/schema/src/settings/settings.ts
+++ b/packages/schema/src/settings/settings.ts
@@ -41,7 +41,10 @@
   operatorKeys: operatorKeysSchema,
   /** Initially known stores. */
   stores: z.array(processAddressSchema).min(1).max(16),
-  /** Interval of heartbeats; a connection without data for more than four of them is closed. */
+  /**
+   * Interval of heartbeats on connections between processes; a connection that receives no data for
+   * more than four intervals is closed.
+   */
   peerHeartbeatMilliseconds: millisecondsSchema(50, 60_000).default(1000),
 };
 
@@ -71,8 +74,8 @@
    */
   silentStoreMilliseconds: millisecondsSchema(0, 86_400_000).default(10_000),
   /**
-   * Changes of tables are accepted only if at least this many stores are voters. No unreachable
-   * voter is removed while fewer voters are reachable.
+   * Changes of tables are accepted only if at least this many stores are voters. An unreachable
+   * voter is removed only while at least this many voters, and at least 3, are reachable.
    */
   leastVoters: z.number().int().min(1).max(16).default(1),
 });
@@ -120,7 +123,7 @@
   /** Address for other controllers. */
   peerListen: listenSchema,
   controllers: z.array(processAddressSchema).max(1000).default([]),
-  /** All entries; the controller exchanges demand reports and drains with them. */
+  /** All entries; they report demand to the controller and receive its list of drained servers. */
   entries: z.array(processAddressSchema).max(1000).default([]),
   weightStore: z.strictObject({ url: z.url({ protocol: /^https?$/ }) }).optional(),
   platform: platformSchema,
--- a/packages/schema/src/tables/checkTables.ts
+++ b/packages/schema/src/tables/checkTables.ts
@@ -10,7 +10,7 @@
 import { workspaceRowsSchema, type WorkspaceRow } from './workspaces.js';
 import type { TableName } from './Configuration.js';
 
-/** A fault in a table; `where` names table, row and key, such as `routes["offers"].pool`. */
+/** A validation error in a table; `where` is its path, such as `routes["offers"].pool`. */
 export interface Fault {
   readonly where: string;
   readonly reason: string;
