--- a/packages/schema/src/reference/unraisedNames.ts
+++ b/packages/schema/src/reference/unraisedNames.ts
@@ -3,7 +3,7 @@
  * pages list them, so that operators do not wait for an event that cannot occur. A test compares the
  * list with the sources.
  */
-export const unraisedNames: readonly string[] = [
+export const unusedNames: readonly string[] = [
   'duplicate',
   'logDamaged',
   'prefixMiss',
@@ -20,10 +20,10 @@
   streamStalled: 'a stalled stream is counted as `connectionSilent`',
 };
 
-/** Returns a Markdown list of those of the given names that are not raised. */
-export function describeUnraisedNames(names: readonly string[]): string {
-  return unraisedNames
+/** Returns a Markdown list of those of the given names that no code uses. */
+export function describeUnusedNames(names: readonly string[]): string {
+  return unusedNames
     .filter((name) => names.includes(name))
-    .map((name) => `- \`${name}\`: ${explanations[name] ?? 'not raised'}.`)
+    .map((name) => `- \`${name}\`: ${explanations[name] ?? 'not used'}.`)
     .join('\n');
 }
--- a/packages/schema/src/settings/settings.ts
+++ b/packages/schema/src/settings/settings.ts
@@ -14,7 +14,7 @@
 export const listenSchema = z.strictObject({ host: hostSchema, port: portSchema });
 
 /** Address of a store, entry or controller for its peers and clients. */
-export const storeAddressSchema = z.strictObject({
+export const processAddressSchema = z.strictObject({
   instance: nameSchema,
   dataCentre: nameSchema,
   host: hostSchema,
@@ -40,8 +40,11 @@
   operatorListen: listenSchema,
   operatorKeys: operatorKeysSchema,
   /** Initially known stores. */
-  stores: z.array(storeAddressSchema).min(1).max(16),
-  /** Interval of heartbeats; a connection without data for more than four of them is closed. */
+  stores: z.array(processAddressSchema).min(1).max(16),
+  /**
+   * Interval of heartbeats on connections between processes; a connection that receives no data for
+   * more than four intervals is closed.
+   */
   peerHeartbeatMilliseconds: millisecondsSchema(50, 60_000).default(1000),
 };
 
@@ -71,8 +74,8 @@
    */
   silentStoreMilliseconds: millisecondsSchema(0, 86_400_000).default(10_000),
   /**
-   * Changes of tables are accepted only if at least this many stores are voters. No unreachable
-   * voter is removed while fewer voters are reachable.
+   * Changes of tables are accepted only if at least this many stores are voters. An unreachable
+   * voter is removed only while at least this many voters, and at least 3, are reachable.
    */
   leastVoters: z.number().int().min(1).max(16).default(1),
 });
@@ -83,7 +86,7 @@
   listen: listenSchema,
   /** Address for other entries and controllers. */
   peerListen: listenSchema,
-  entries: z.array(storeAddressSchema).max(1000).default([]),
+  entries: z.array(processAddressSchema).max(1000).default([]),
   workspaces: z.array(workspaceSchema).min(1).max(10_000),
   platform: platformSchema,
   limits: z
@@ -119,9 +122,9 @@
   ...commonShape,
   /** Address for other controllers. */
   peerListen: listenSchema,
-  controllers: z.array(storeAddressSchema).max(1000).default([]),
-  /** All entries; the controller exchanges demand reports and drains with them. */
-  entries: z.array(storeAddressSchema).max(1000).default([]),
+  controllers: z.array(processAddressSchema).max(1000).default([]),
+  /** All entries; they report demand to the controller and receive its list of drained servers. */
+  entries: z.array(processAddressSchema).max(1000).default([]),
   weightStore: z.strictObject({ url: z.url({ protocol: /^https?$/ }) }).optional(),
   platform: platformSchema,
   leaseMilliseconds: millisecondsSchema(500, 600_000).default(5000),
@@ -129,7 +132,7 @@
 
 export type OperatorKey = z.infer<typeof operatorKeysSchema>[number];
 export type ListenAddress = z.infer<typeof listenSchema>;
-export type StoreAddress = z.infer<typeof storeAddressSchema>;
+export type StoreAddress = z.infer<typeof processAddressSchema>;
 export type StoreSettings = z.infer<typeof storeSettingsSchema>;
 export type EntrySettings = z.infer<typeof entrySettingsSchema>;
 export type ControllerSettings = z.infer<typeof controllerSettingsSchema>;
