--- a/packages/testing/src/VirtualTimeline.ts
+++ b/packages/testing/src/VirtualTimeline.ts
@@ -27,7 +27,7 @@
     this.siftUp(this.heap.length - 1);
   }
 
-  /** Calls `run` after each `span`, first one `span` from now, without end. */
+  /** Calls `run` every `span` indefinitely; the first call is one `span` from now. */
   every(span: Milliseconds, run: () => void): void {
     this.after(span, () => {
       run();
--- a/packages/testing/src/adapters/HttpPlatformAdapter.test.ts
+++ b/packages/testing/src/adapters/HttpPlatformAdapter.test.ts
@@ -43,7 +43,7 @@
   timers.advance(5000);
   await recordState('started');
   platform.giveNotice('appraisers-wien-a-1', 3000);
-  await recordState('on notice, not yet in the list');
+  await recordState('on notice, still listed as live');
   timers.advance(2000);
   await recordState('leaving');
   timers.advance(3000);
@@ -71,7 +71,7 @@
   assert.deepEqual([platform.refusedCount, platform.purchases.length], [1, 2]);
 });
 
-test('a notice that only one reader received is still carried out', async (t) => {
+test('an instance is removed on notice even if a later read omits the notice', async (t) => {
   // Only the first of two reads returns the notice; the instance is removed all the same.
   const engines: FakeEngine[] = [];
   const launch = async () => {
@@ -100,7 +100,7 @@
   assert.deepEqual(await adapter.listInstances(signal), []);
 });
 
-test('the weight store grants a burst, then loads at its rate', async (t) => {
+test('the weight store grants a burst of loads, then limits loads to its rate', async (t) => {
   const timers = new ManualTimerService();
   const store = await FakeWeightStore.start({ timers, loadsPerMinute: 6, burst: 1 });
   const adapter = new HttpWeightStoreAdapter(store.url);
--- a/packages/testing/src/fakes/FakeBackendServer.ts
+++ b/packages/testing/src/fakes/FakeBackendServer.ts
@@ -58,7 +58,7 @@
     this.busy = busy;
   }
 
-  /** Accepts each call immediately but starts work on it after `delay`. */
+  /** Delays each call that is not refused as busy by `delay` before it is processed. */
   setAnswerDelay(delay: Milliseconds): void {
     this.answerDelay = delay;
   }
--- a/packages/testing/src/fakes/FakeOrderHandler.ts
+++ b/packages/testing/src/fakes/FakeOrderHandler.ts
@@ -42,13 +42,16 @@
     this.checksFencing = options.checksFencing;
   }
 
-  /** Executes an order after `orderDelay`, unless the engine has died by then. */
-  async handleOrder(order: Order, hasDied: () => boolean): Promise<OrderResult> {
+  /**
+   * Executes an order after `orderDelay`, unless its connection has been closed by then, as it is
+   * when the engine dies.
+   */
+  async handleOrder(order: Order, isClosed: () => boolean): Promise<OrderResult> {
     const result = this.admitOrder(order);
     if (result !== 'done') return result;
     const { orderDelay, timers } = this.options;
     if (orderDelay > 0) await timers.wait(orderDelay);
-    if (hasDied()) return 'failed';
+    if (isClosed()) return 'failed';
     this.executeOrder(order);
     return 'done';
   }
@@ -58,6 +61,7 @@
     this.newestFencing = NO_FENCING;
   }
 
+  /** Checks the fencing number and injected failure; 'done' means that the order may be executed. */
   private admitOrder({ epoch, sequence }: Order): OrderResult {
     const { newestFencing } = this;
     const old =
