--- a/packages/testing/src/adapters/HttpEngineAdapter.test.ts
+++ b/packages/testing/src/adapters/HttpEngineAdapter.test.ts
@@ -281,7 +281,7 @@
   assert.equal((await adapter.readLoad(signal)).model, 'old');
 });
 
-test('load reports lag, and cache events are delayed and can be lost', async (t) => {
+test('load reports show an earlier state, and cache events are delayed and can be lost', async (t) => {
   const timers = new ManualTimerService();
   const { engine, adapter } = await startEngine(t, { timers, loadLag: 3000, cacheBlocks: 2 });
   engine.prefixCache.eventLag = 1000;
--- a/packages/testing/src/adapters/HttpPlatformAdapter.test.ts
+++ b/packages/testing/src/adapters/HttpPlatformAdapter.test.ts
@@ -72,7 +72,6 @@
 });
 
 test('an instance is removed on notice even if a later read omits the notice', async (t) => {
-  // Only the first of two reads returns the notice; the instance is removed all the same.
   const engines: FakeEngine[] = [];
   const launch = async () => {
     const engine = await FakeEngine.start();
--- a/packages/testing/src/exploreStates.ts
+++ b/packages/testing/src/exploreStates.ts
@@ -54,7 +54,7 @@
   return trace.reverse();
 }
 
-/** Explores a model until a violation is found, no state is left or a bound is reached. */
+/** Explores a model until a violation is found, no unexplored state is left or a bound is reached. */
 export function exploreStates<State>(model: Model<State>, bounds: ExploreBounds): Exploration {
   const seen = new Set([model.key(model.initial)]);
   let frontier: Visited<State>[] = [{ state: model.initial, label: '', from: undefined, depth: 0 }];
--- a/packages/testing/src/fakes/FakePlatform.ts
+++ b/packages/testing/src/fakes/FakePlatform.ts
@@ -95,7 +95,7 @@
     this.listLag = lag;
   }
 
-  /** Answers only the next `count` reads with notices; instances are removed all the same. */
+  /** Returns notices only in the next `count` reads; later reads omit them, without other effect. */
   limitNoticeReads(count: number): void {
     this.remainingNoticeReads = count;
   }
@@ -139,7 +139,7 @@
   ): Promise<void> {
     const [path, name] = (request.url ?? '').split('/').slice(1);
     const route = `${request.method} ${path}`;
-    if (route === 'GET instances') answerJson(response, 200, { instances: this.listLagging() });
+    if (route === 'GET instances') answerJson(response, 200, { instances: this.listWithLag() });
     else if (route === 'GET notices') answerJson(response, 200, { notices: this.listNotices() });
     else if (route === 'POST instances') await this.answerStart(request, response);
     else if (route === 'DELETE instances') await this.answerEnd(response, name);
@@ -152,7 +152,7 @@
     this.notifyWaiters();
   }
 
-  private listLagging(): readonly PlatformInstance[] {
+  private listWithLag(): readonly PlatformInstance[] {
     const asOf = this.timers.wallNow() - this.listLag;
     return this.lists.findLast(({ since }) => since <= asOf)?.instances ?? [];
   }
--- a/packages/testing/src/fakes/FakePrefixCache.ts
+++ b/packages/testing/src/fakes/FakePrefixCache.ts
@@ -15,7 +15,7 @@
 }
 
 export class FakePrefixCache {
-  /** One of this many events is lost; 0 means none. */
+  /** Events whose sequence is a multiple of this are lost; 0 loses none. */
   eventLossInterval = 0;
 
   /** Time from a change to the publication of its event. */
--- a/packages/testing/src/fakes/FakeServer.ts
+++ b/packages/testing/src/fakes/FakeServer.ts
@@ -101,8 +101,8 @@
   }
 
   /**
-   * Keeps all open connections open but carries nothing more over them; new connections work. This
-   * simulates a network device that has lost the state of the connections.
+   * Transfers nothing more over the open connections but does not close them; new connections work.
+   * This simulates a network device that has lost the state of the connections.
    */
   stallOpenConnections(): void {
     this.sockets.forEach((socket) => {
@@ -152,7 +152,7 @@
   }
 }
 
-/** Makes a socket accept writes, and its end, but send nothing and never complete them. */
+/** Makes a socket accept `write` and `end` but send nothing and never complete either. */
 function discardWrites(socket: Socket): void {
   const discard = () => {};
   Object.assign(socket, { _write: discard, _writev: discard, _final: discard });
--- a/packages/testing/src/fakes/FakeStream.ts
+++ b/packages/testing/src/fakes/FakeStream.ts
@@ -143,7 +143,7 @@
   private sendEnd(response: ServerResponse): void {
     const usage = { prompt_tokens: this.promptTokens, completion_tokens: this.position };
     this.sendChunk(response, [{ index: 0, delta: {}, finish_reason: 'stop' }], usage);
-    // Ends the body in a packet after the last event, as many servers do.
+    // Ends the body in a separate packet after the last event, as many servers do.
     response.write('data: [DONE]\n\n', () => response.end());
   }
 
