--- a/apps/controller/src/LeaseClient.ts
+++ b/apps/controller/src/LeaseClient.ts
@@ -72,13 +72,14 @@
   }
 
   /**
-   * True if an order may be sent now. The wall clock is checked as well, because the monotonic clock
-   * stops while an instance is suspended. A holder that resumes after the end of its lease would
-   * otherwise send orders at the same time as its successor.
+   * True if an order or a report may be sent now. If its receiver doesn't check fencing tokens, the
+   * previous holder's last orders must have ended as well. The wall clock is checked too, because
+   * the monotonic clock stops while an instance is suspended. A holder that resumes after the end of
+   * its lease would otherwise send orders at the same time as its successor.
    */
-  maySendOrder(checksFencing: boolean): boolean {
+  maySend(receiverChecksFencing: boolean): boolean {
     if (this.options.timers.wallNow() >= this.heldUntilByWallClock) return false;
-    return maySendOrder(this.lease, this.now, checksFencing);
+    return maySendOrder(this.lease, this.now, receiverChecksFencing);
   }
 
   get epoch(): number | undefined {
@@ -87,7 +88,7 @@
 
   /**
    * Stops renewing without releasing the lease, which expires by itself. Otherwise the timers of a
-   * closed controller would go on renewing it and keep other controllers out. The `isAbandoned`
+   * closed controller would go on renewing it, and no other could acquire it. The `isAbandoned`
    * flag also makes this client ignore the results of pending requests.
    */
   abandon(): void {
--- a/apps/controller/src/SingletonProcess.ts
+++ b/apps/controller/src/SingletonProcess.ts
@@ -42,7 +42,9 @@
   readonly context: PeerContext;
   readonly timers: TimerService;
   readonly logger: Logger;
+  /** Lists the instances. */
   readonly platform: PlatformAdapter;
+  /** Sends size orders and usage reports. */
   readonly adapter: SingletonAdapter;
   /** Unique to this start of the process. */
   readonly holder: string;
@@ -56,7 +58,7 @@
 
   private readonly lease: LeaseClient;
 
-  private subscriptions: Unsubscribe[] = [];
+  private timerSubscriptions: Unsubscribe[] = [];
 
   private isListing = false;
 
@@ -97,7 +99,7 @@
   start(): void {
     const { timers } = this.options;
     this.lease.start();
-    this.subscriptions = [
+    this.timerSubscriptions = [
       timers.every(TICK_MILLISECONDS, () => this.dispatch({ type: 'tick' })),
       timers.every(LIST_INTERVAL_MILLISECONDS, () => {
         void this.listInstances();
@@ -105,9 +107,12 @@
     ];
   }
 
-  /** Stops all work, releases the lease and allows the release one tick to reach the store. */
+  /**
+   * Stops the timers, releases the lease and waits one tick so that the release can reach the store.
+   * Platform calls in progress are not awaited.
+   */
   async stop(): Promise<void> {
-    this.subscriptions.forEach((unsubscribe) => unsubscribe());
+    this.timerSubscriptions.forEach((unsubscribe) => unsubscribe());
     this.lease.release();
     await this.options.timers.wait(TICK_MILLISECONDS);
     this.store.close();
@@ -155,7 +160,8 @@
     counts,
     epoch,
   }: Extract<SingletonEffect, { type: 'reportUsage' }>): Promise<void> {
-    if (!this.lease.maySendOrder(false)) return;
+    // The platform may not check the epoch.
+    if (!this.lease.maySend(false)) return;
     const { adapter, holder, logger } = this.options;
     try {
       const signal = AbortSignal.timeout(PLATFORM_TIMEOUT_MILLISECONDS);
@@ -171,7 +177,8 @@
     order,
     epoch,
   }: Extract<SingletonEffect, { type: 'orderSize' }>): Promise<void> {
-    if (!this.lease.maySendOrder(false)) return;
+    // The platform may not check the epoch.
+    if (!this.lease.maySend(false)) return;
     const { adapter, holder, logger } = this.options;
     try {
       const signal = AbortSignal.timeout(PLATFORM_TIMEOUT_MILLISECONDS);
--- a/apps/ctl/src/commands/tables.ts
+++ b/apps/ctl/src/commands/tables.ts
@@ -101,7 +101,9 @@
       return exitCodes.done;
     } catch (error) {
       if (!(error instanceof ProblemError) || error.problem.kind !== 'revisionStale') {
-        print(`change id ${changeId}; send the same file again with --change-id ${changeId}`);
+        print(
+          `change id ${changeId}: if no response was received, the change may have been made; sending the same file again with --change-id ${changeId} makes it at most once`,
+        );
         throw error;
       }
       print(
--- a/apps/ctl/src/testing/statusSamples.ts
+++ b/apps/ctl/src/testing/statusSamples.ts
@@ -52,7 +52,7 @@
       inProgress: 0,
       eurosPerHour: 0.2,
     },
-    { instance: 'stray-1', pool: 'bookings', dataCentre: 'a', state: 'live', inProgress: 0 },
+    { instance: 'unpriced-1', pool: 'bookings', dataCentre: 'a', state: 'live', inProgress: 0 },
   ],
   refusals: { limitReached: 2, deadlineUnreachable: 17 },
   retries: { backendServerLost: 1 },
