--- a/apps/controller/src/ControllerProcess.ts
+++ b/apps/controller/src/ControllerProcess.ts
@@ -302,7 +302,7 @@
       }
       const engine = this.watcher.findEngine(instance);
       // Checked last: the lease may have expired while the weight store's permission was pending.
-      const allowed = this.lease.maySend(this.watcher.checksFencing(instance));
+      const allowed = this.lease.maySend(this.watcher.serverChecksFencing(instance));
       if (engine === undefined || !allowed) return { type: 'lost' };
       const signal = AbortSignal.timeout(MAX_ORDER_DURATION_MILLISECONDS);
       return { type: await engine.sendOrder(order, signal) };
--- a/apps/controller/src/FleetWatcher.ts
+++ b/apps/controller/src/FleetWatcher.ts
@@ -80,7 +80,7 @@
   }
 
   /** True if the pools table says that the backend server refuses outdated fencing tokens. */
-  checksFencing(instance: string): boolean {
+  serverChecksFencing(instance: string): boolean {
     const pool = this.instances.find((row) => row.instance === instance)?.pool;
     const { rows } = this.options.readConfiguration().pools;
     return rows.find((row) => row.name === pool)?.checksFencing ?? false;
--- a/apps/ctl/src/commands/tables.ts
+++ b/apps/ctl/src/commands/tables.ts
@@ -93,8 +93,8 @@
         ? Number(options.revision)
         : (await client.getTable(table)).revision;
     if (!Number.isInteger(baseRevision)) throw new UsageError(['--revision takes a whole number']);
-    const given = options['change-id'];
-    const changeId = typeof given === 'string' ? given : randomUUID();
+    const changeIdOption = options['change-id'];
+    const changeId = typeof changeIdOption === 'string' ? changeIdOption : randomUUID();
     try {
       const revision = await client.putTable({ table, baseRevision, changeId, rows });
       print(json ? JSON.stringify({ table, revision }) : `${table} is at revision ${revision}`);
