--- a/apps/ctl/src/commands/tables.ts
+++ b/apps/ctl/src/commands/tables.ts
@@ -93,15 +93,17 @@
         ? Number(options.revision)
         : (await client.getTable(table)).revision;
     if (!Number.isInteger(baseRevision)) throw new UsageError(['--revision takes a whole number']);
-    const given = options['change-id'];
-    const changeId = typeof given === 'string' ? given : randomUUID();
+    const changeIdOption = options['change-id'];
+    const changeId = typeof changeIdOption === 'string' ? changeIdOption : randomUUID();
     try {
       const revision = await client.putTable({ table, baseRevision, changeId, rows });
       print(json ? JSON.stringify({ table, revision }) : `${table} is at revision ${revision}`);
       return exitCodes.done;
     } catch (error) {
       if (!(error instanceof ProblemError) || error.problem.kind !== 'revisionStale') {
-        print(`change id ${changeId}; send the same file again with --change-id ${changeId}`);
+        print(
+          `change id ${changeId}: if no response was received, the change may have been made; sending the same file again with --change-id ${changeId} makes it at most once`,
+        );
         throw error;
       }
       print(
