--- a/packages/store-core/src/consensus/testing/makeClusterModel.ts
+++ b/packages/store-core/src/consensus/testing/makeClusterModel.ts
@@ -1,7 +1,7 @@
 /**
  * A model of everything that can happen to a cluster within a budget of events, for
- * `exploreStates`. A state is a cluster with the remaining budget; its check is the `violation` of
- * the cluster.
+ * `exploreStates`. A state is a cluster with the remaining budget; `check` returns the
+ * `violation` of that cluster.
  */
 import type { Model, Step } from '@hornbeampond/testing';
 import {
@@ -52,8 +52,9 @@
 }
 
 function listMessageSteps({ cluster, budget }: BoundedCluster): Step<BoundedCluster>[] {
-  const messageByKey = new Map(cluster.network.map((message) => [message.key, message]));
-  return [...messageByKey.values()]
+  // Delivering either of two equal messages leads to the same state.
+  const distinctMessages = new Map(cluster.network.map((message) => [message.key, message]));
+  return [...distinctMessages.values()]
     .filter((message) => cluster.voters[message.instance]?.state !== undefined)
     .flatMap((message) => {
       const label = `deliver ${message.instance} ${message.envelope.message.type}`;
--- a/packages/store-core/src/consensus/testing/modelCluster.ts
+++ b/packages/store-core/src/consensus/testing/modelCluster.ts
@@ -31,7 +31,7 @@
   makeStateKey,
 } from './modelKeys.js';
 
-/** A fault in the shell, which carries out the reducer's effects; injected to test the checks. */
+/** A fault in the code that carries out the reducer's effects, injected to test the checks. */
 export type ShellMutation = 'acknowledgeBeforeSync' | 'voteForgotten' | 'lostDiskKeepsIdentity';
 
 type PendingWrite =
@@ -53,6 +53,7 @@
 }
 
 export interface ModelMessage {
+  /** The recipient. */
   readonly instance: string;
   readonly envelope: Envelope;
   readonly key: string;
--- a/packages/store-core/src/consensus/testing/modelDisk.ts
+++ b/packages/store-core/src/consensus/testing/modelDisk.ts
@@ -1,6 +1,6 @@
 /**
- * A model of the contents of a store's disk. The cluster model keeps its disks in it, and the tests
- * of the log store check that the store on a file system holds the same.
+ * A model of the contents of a store's disk. The cluster model uses it as the disk of each store,
+ * and the tests of LogStore compare LogStore's contents with it.
  */
 import type { PersistEffect } from '../consensusEvents.js';
 import type { LogEntry, SnapshotHeader } from '../consensusTypes.js';
@@ -23,8 +23,9 @@
 }
 
 /**
- * Saves a snapshot unless one at the same or a higher index is there. Of the log the entries after
- * it are kept, or none if the log has no entry with its index and term.
+ * Saves a snapshot unless the disk has one at the same or a higher index. If the log has the entry
+ * with the new snapshot's index and term, the entries after that one are kept; otherwise the log is
+ * emptied.
  */
 export function saveSnapshot(disk: ModelDisk, snapshot: SavedSnapshot): void {
   const { index, term } = snapshot.header;
--- a/packages/store-core/src/consensus/testing/scenario.ts
+++ b/packages/store-core/src/consensus/testing/scenario.ts
@@ -19,7 +19,9 @@
   type ShellMutation,
 } from './modelCluster.js';
 
-/** A safeguard that is turned off, or a fault of the shell. */
+/**
+ * A safeguard that is turned off, or a fault in the code that carries out the reducer's effects.
+ */
 export interface InjectedFault {
   readonly disabledSafeguard?: keyof Safeguards;
   readonly mutation?: ShellMutation;
@@ -120,11 +122,14 @@
   return cluster;
 }
 
-/** Highest counts in any explored state; they show whether the scenario reaches its subject. */
-interface ReachedMaxima {
+/**
+ * Highest counts in any explored state; they show whether the exploration covers the events that
+ * the scenario is about.
+ */
+interface MaximumCounts {
   committed: number;
   leaders: number;
-  restores: number;
+  installedSnapshots: number;
   reads: number;
 }
 
@@ -133,13 +138,13 @@
   scenario: Scenario,
   fault: InjectedFault,
 ): Exploration {
-  const reached: ReachedMaxima = { committed: 0, leaders: 0, restores: 0, reads: 0 };
+  const reached: MaximumCounts = { committed: 0, leaders: 0, installedSnapshots: 0, reads: 0 };
   const model = makeClusterModel(scenario.prepare(fault), scenario.budget);
   const check = (bounded: BoundedCluster) => {
     const { committed, leaderByTerm, restoreCount, answeredReadCount } = bounded.cluster;
     reached.committed = Math.max(reached.committed, committed.length);
     reached.leaders = Math.max(reached.leaders, Object.keys(leaderByTerm).length);
-    reached.restores = Math.max(reached.restores, restoreCount);
+    reached.installedSnapshots = Math.max(reached.installedSnapshots, restoreCount);
     reached.reads = Math.max(reached.reads, answeredReadCount);
     return model.check(bounded);
   };
--- a/packages/store-core/src/log/FileSystem.ts
+++ b/packages/store-core/src/log/FileSystem.ts
@@ -39,16 +39,16 @@
   }
 
   override async write(data: Uint8Array, position: number): Promise<void> {
-    let writtenBytes = 0;
-    while (writtenBytes < data.length) {
-      const remainingBytes = data.length - writtenBytes;
+    let totalWrittenBytes = 0;
+    while (totalWrittenBytes < data.length) {
+      const remainingBytes = data.length - totalWrittenBytes;
       const { bytesWritten } = await this.handle.write(
         data,
-        writtenBytes,
+        totalWrittenBytes,
         remainingBytes,
-        position + writtenBytes,
+        position + totalWrittenBytes,
       );
-      writtenBytes += bytesWritten;
+      totalWrittenBytes += bytesWritten;
     }
   }
 
--- a/packages/store-core/src/log/LogStore.test.ts
+++ b/packages/store-core/src/log/LogStore.test.ts
@@ -235,7 +235,7 @@
   await assert.rejects(LogStore.open(makeOptions(folder, { cluster: 'other' })), /of cluster test/);
   await assert.rejects(
     LogStore.open(makeOptions(folder, { instance: 'b' })),
-    /it belongs to instance a/,
+    /the file belongs to instance a/,
   );
   await renewIdentity(makeOptions(folder));
   const renewed = await LogStore.open(makeOptions(folder));
--- a/packages/store-core/src/log/LogStore.ts
+++ b/packages/store-core/src/log/LogStore.ts
@@ -23,7 +23,7 @@
   type ReplayedSegment,
 } from './replaySegments.js';
 
-/** An event for the operator; the shell logs it. */
+/** An event for the operator; the caller logs it. */
 export type LogNotice =
   | { readonly type: 'opened'; readonly entries: number; readonly snapshotIndex: number }
   | {
@@ -62,13 +62,17 @@
 interface Identity {
   readonly cluster: string;
   /**
-   * Checked on start: a copy of the folder on another instance would vote twice as one identity.
+   * Checked on start: if the folder were copied to another instance, both would vote under the same
+   * identity.
    */
   readonly instance: string;
   readonly identity: string;
 }
 
-/** Number of runs, term and vote, and the range of segments, by which a missing one is detected. */
+/**
+ * The run count, the term and the vote, and the first and last segment number, from which a missing
+ * segment is detected.
+ */
 interface DiskState {
   readonly runs: number;
   readonly term: number;
@@ -83,7 +87,7 @@
 
 const EMPTY_STATE: DiskState = { runs: 0, term: 0, firstSegment: 1, lastSegment: 0 };
 
-async function readIdentity(
+async function readOrCreateIdentity(
   fileSystem: FileSystem,
   { folder, cluster, instance }: LogStoreOptions,
 ): Promise<string> {
@@ -94,23 +98,27 @@
     throw makeDamagedLogError(
       IDENTITY_FILE,
       0,
-      `it belongs to instance ${storedInstance} of cluster ${storedCluster}`,
+      `the file belongs to instance ${storedInstance} of cluster ${storedCluster}`,
     );
   }
   // A new identity would hide that this disk has acknowledged entries and votes.
   const names = await fileSystem.list(folder);
   const existingName = names.find((name) => /^(state|snapshot|log)-/.test(name));
   if (existingName !== undefined)
-    throw makeDamagedLogError(IDENTITY_FILE, 0, `it is missing although ${existingName} exists`);
+    throw makeDamagedLogError(
+      IDENTITY_FILE,
+      0,
+      `the file is missing although ${existingName} exists`,
+    );
   const identity = randomUUID();
   await replaceFile(fileSystem, folder, IDENTITY_FILE, { cluster, instance, identity });
   return identity;
 }
 
 /**
- * Gives a folder a new identity, for a disk that a leader has refused as older than what it had
- * acknowledged. The old files are kept for inspection but not read again. Throws if a running
- * process has the folder open.
+ * Gives a folder a new identity, after peers have refused its disk because entries that the disk
+ * had acknowledged are missing, or refused its run as outdated. The old files are kept for
+ * inspection but not read again. Throws if a running process has the folder open.
  */
 export async function renewIdentity(options: LogStoreOptions): Promise<void> {
   const fileSystem = options.fileSystem ?? new NodeFileSystem();
@@ -143,7 +151,7 @@
 
   private snapshot: SnapshotHeader | undefined;
 
-  /** Index of the last entry in the segments. */
+  /** Index of the last entry in the segments, or of the snapshot if no entry follows it. */
   private lastIndex = 0;
 
   private restoredState!: RestoredState;
@@ -203,7 +211,7 @@
 
   /** Saves a snapshot of this store's state machine. */
   async saveSnapshot(snapshot: SavedSnapshot): Promise<void> {
-    await this.runInOrder(() => this.runWrite(() => this.storeOwnSnapshot(snapshot)));
+    await this.runInOrder(() => this.runWrite(() => this.saveLocalSnapshot(snapshot)));
   }
 
   async readSnapshot(): Promise<SavedSnapshot | undefined> {
@@ -253,7 +261,7 @@
     for (const { snapshot, truncateFrom, entries } of batches) {
       if (snapshot !== undefined) {
         await this.appendFrame(operations.splice(0));
-        await this.storeSnapshot(snapshot);
+        await this.replaceSnapshotFile(snapshot);
         operations.push({ reset: true, entries: [] });
       }
       if (truncateFrom !== undefined || entries.length > 0) {
@@ -288,7 +296,7 @@
   }
 
   private async loadAndCountRun(): Promise<void> {
-    this.identity = await readIdentity(this.fileSystem, this.options);
+    this.identity = await readOrCreateIdentity(this.fileSystem, this.options);
     const state = await readWholeFile(this.fileSystem, this.folder, this.fileNameOf('state'));
     if (state === undefined) await this.assertNoDataFiles();
     else this.state = state as DiskState;
@@ -317,8 +325,9 @@
   }
 
   /**
-   * True if the snapshot replaces all entries in the segments. A reset must then be written before
-   * new entries, because a replay would otherwise append them to the old ones.
+   * True if none of the entries in the segments is kept and the last of them is not the entry at
+   * which the snapshot ends. New entries would then not follow the old ones, so a reset is written
+   * before them.
    */
   private needsReset(
     lastEntry: LogEntry | undefined,
@@ -348,7 +357,7 @@
     throw makeDamagedLogError(
       this.fileNameOf('state'),
       0,
-      `it is missing although ${existingName} exists`,
+      `the file is missing although ${existingName} exists`,
     );
   }
 
@@ -367,12 +376,12 @@
       number: firstSegment + position,
     }));
     const last = this.segments.at(-1);
-    if (last !== undefined) await this.truncateTail(last, contents.at(-1)?.content.length ?? 0);
+    if (last !== undefined) await this.openLastSegment(last, contents.at(-1)?.content.length ?? 0);
     return replayed;
   }
 
   /** Opens the last segment for writing and truncates an incomplete frame at its end. */
-  private async truncateTail(
+  private async openLastSegment(
     last: { name: string; byteLength: number },
     fileLength: number,
   ): Promise<void> {
@@ -393,7 +402,7 @@
     this.state = state;
   }
 
-  private async storeSnapshot(snapshot: SavedSnapshot): Promise<void> {
+  private async replaceSnapshotFile(snapshot: SavedSnapshot): Promise<void> {
     // A snapshot taken here may be saved after a newer one from the leader, which has already
     // replaced the log below it.
     if (snapshot.header.index <= (this.snapshot?.index ?? 0)) return;
@@ -402,10 +411,11 @@
   }
 
   /**
-   * Saves a snapshot; if the log ends before it, a reset makes the next entry follow the snapshot.
+   * Saves a snapshot that this store took itself. If the log ends before it, a reset makes the next
+   * entry follow the snapshot.
    */
-  private async storeOwnSnapshot(snapshot: SavedSnapshot): Promise<void> {
-    await this.storeSnapshot(snapshot);
+  private async saveLocalSnapshot(snapshot: SavedSnapshot): Promise<void> {
+    await this.replaceSnapshotFile(snapshot);
     if (this.lastIndex >= snapshot.header.index) return;
     await this.appendFrame([{ reset: true, entries: [] }]);
   }
@@ -423,7 +433,7 @@
     const path = join(this.folder, name);
     await this.segmentFile?.close();
     this.segmentFile = undefined;
-    // A file of this name is left from a run that crashed before it listed the segment.
+    // A run that crashed before it listed this segment may have left a file of this name.
     await this.fileSystem.remove(path);
     this.segmentFile = await this.fileSystem.open(path);
     await this.fileSystem.syncFolder(this.folder);
