--- a/apps/controller/src/FleetExchange.ts
+++ b/apps/controller/src/FleetExchange.ts
@@ -12,7 +12,7 @@
   EntryResponse,
   DrainedInstances,
   RouteDemandReport,
-  StoreAddress,
+  ProcessAddress,
 } from '@hornbeampond/schema';
 import { PeerClient, PeerServer, type PeerContext } from '@hornbeampond/transport';
 
@@ -35,7 +35,7 @@
 }
 
 interface Peer {
-  readonly address: StoreAddress;
+  readonly address: ProcessAddress;
   readonly client: PeerClient;
 }
 
@@ -57,7 +57,7 @@
         if (session.peer.role === 'controller') options.onReport(body as DataCentreReport);
       },
     });
-    const connect = (address: StoreAddress): Peer => ({
+    const connect = (address: ProcessAddress): Peer => ({
       address,
       client: new PeerClient(address, context),
     });
--- a/apps/controller/src/SingletonProcess.ts
+++ b/apps/controller/src/SingletonProcess.ts
@@ -19,7 +19,7 @@
   assertNever,
   type InstanceReport,
   type Milliseconds,
-  type StoreAddress,
+  type ProcessAddress,
   type UsageCounts,
 } from '@hornbeampond/schema';
 import { StoreClient, toSharedInstances, type PeerContext } from '@hornbeampond/transport';
@@ -38,7 +38,7 @@
 const SETTLE_USAGE_TIMEOUT_MILLISECONDS: Milliseconds = 2000;
 
 export interface SingletonProcessOptions extends SingletonOptions {
-  readonly stores: readonly StoreAddress[];
+  readonly stores: readonly ProcessAddress[];
   readonly context: PeerContext;
   readonly timers: TimerService;
   readonly logger: Logger;
--- a/apps/entry/src/EntryProcess.ts
+++ b/apps/entry/src/EntryProcess.ts
@@ -30,7 +30,7 @@
   type Milliseconds,
   type PeerReport,
   type PlatformInstance,
-  type StoreAddress,
+  type ProcessAddress,
 } from '@hornbeampond/schema';
 import {
   fromSharedInstances,
@@ -266,7 +266,7 @@
   }
 
   /** Uses `addresses` instead of the store addresses that the process was started with. */
-  useStores(addresses: readonly StoreAddress[]): void {
+  useStores(addresses: readonly ProcessAddress[]): void {
     this.storeClient.setSeeds(addresses);
   }
 
--- a/apps/store/src/StorePeers.ts
+++ b/apps/store/src/StorePeers.ts
@@ -2,7 +2,7 @@
  * The connections from this store to the others: to the stores named in its settings and to the
  * members listed in the log.
  */
-import type { StoreAddress } from '@hornbeampond/schema';
+import type { ProcessAddress } from '@hornbeampond/schema';
 import type { Envelope } from '@hornbeampond/store-core';
 import { PeerClient, type PeerContext } from '@hornbeampond/transport';
 
@@ -11,7 +11,7 @@
 
   private configuredNames: ReadonlySet<string>;
 
-  private members: readonly StoreAddress[] = [];
+  private members: readonly ProcessAddress[] = [];
 
   /**
    * @param configured - Stores of the settings. Their addresses take precedence over those in the log,
@@ -20,7 +20,7 @@
   constructor(
     private readonly self: string,
     private readonly context: PeerContext,
-    private configured: readonly StoreAddress[],
+    private configured: readonly ProcessAddress[],
   ) {
     this.configuredNames = new Set(configured.map(({ instance }) => instance));
   }
@@ -35,7 +35,7 @@
   }
 
   /** Replaces the stores of the settings. */
-  setConfigured(addresses: readonly StoreAddress[]): void {
+  setConfigured(addresses: readonly ProcessAddress[]): void {
     this.configured = addresses;
     this.configuredNames = new Set(addresses.map(({ instance }) => instance));
     this.open();
@@ -43,7 +43,7 @@
   }
 
   /** Connects to each member; closes connections to stores that neither log nor settings name. */
-  updateMembers(addresses: readonly StoreAddress[]): void {
+  updateMembers(addresses: readonly ProcessAddress[]): void {
     this.members = addresses;
     const members = new Set(addresses.map(({ instance }) => instance));
     this.clients.forEach((client, instance) => {
@@ -56,7 +56,7 @@
       .forEach((address) => this.connect(address));
   }
 
-  private connect(address: StoreAddress): void {
+  private connect(address: ProcessAddress): void {
     if (address.instance === this.self) return;
     const existing = this.clients.get(address.instance);
     if (existing?.address.host === address.host && existing.address.port === address.port) return;
--- a/apps/store/src/StoreProcess.test.ts
+++ b/apps/store/src/StoreProcess.test.ts
@@ -3,7 +3,7 @@
 import { createConnection, createServer, type AddressInfo, type Socket } from 'node:net';
 import { test } from 'node:test';
 import { Logger, SystemTimerService } from '@hornbeampond/runtime';
-import type { StoreAddress, StoreSettings } from '@hornbeampond/schema';
+import type { ProcessAddress, StoreSettings } from '@hornbeampond/schema';
 import type { PersistEffect } from '@hornbeampond/store-core';
 import { StoreClient, type PeerContext } from '@hornbeampond/transport';
 import type { DiskContents } from './StoreDisk.js';
@@ -11,7 +11,7 @@
 import { MemoryDisk } from './testing/MemoryDisk.js';
 import { LOOPBACK } from './testing/StoreLinks.js';
 
-function makeSettings(stores: StoreAddress[]): StoreSettings {
+function makeSettings(stores: ProcessAddress[]): StoreSettings {
   return {
     instance: 'store-1',
     dataCentre: 'wien-a',
--- a/apps/store/src/StoreProcess.ts
+++ b/apps/store/src/StoreProcess.ts
@@ -18,7 +18,7 @@
   type CommandResult,
   type EntryReport,
   type StampedCommand,
-  type StoreAddress,
+  type ProcessAddress,
   type StoreCommand,
   type StoreRequest,
   type StoreSettings,
@@ -112,7 +112,7 @@
 
   private readonly requestHandler: StoreRequestHandler;
 
-  private address: StoreAddress;
+  private address: ProcessAddress;
 
   private cancelWake: Unsubscribe = () => {};
 
@@ -259,7 +259,7 @@
   }
 
   /** Connects to the stores that changed settings name, beside the members listed in the log. */
-  useStores(addresses: readonly StoreAddress[]): void {
+  useStores(addresses: readonly ProcessAddress[]): void {
     this.peers.setConfigured(addresses);
   }
 
--- a/apps/store/src/testing/StoreCluster.ts
+++ b/apps/store/src/testing/StoreCluster.ts
@@ -4,7 +4,7 @@
   Configuration,
   InstanceReport,
   Milliseconds,
-  StoreAddress,
+  ProcessAddress,
 } from '@hornbeampond/schema';
 import { StoreClient, type PeerContext } from '@hornbeampond/transport';
 import type { StoreDisk } from '../StoreDisk.js';
@@ -216,15 +216,15 @@
     return store;
   }
 
-  addressesOf(instances: readonly string[]): StoreAddress[] {
+  addressesOf(instances: readonly string[]): ProcessAddress[] {
     return instances.map((instance) => this.addressOf(this.findStore(instance)));
   }
 
-  private addressOf({ instance, dataCentre, port }: TestStore): StoreAddress {
+  private addressOf({ instance, dataCentre, port }: TestStore): ProcessAddress {
     return { instance, dataCentre, host: LOOPBACK, port };
   }
 
-  private async addressesSeenFrom(instance: string): Promise<StoreAddress[]> {
+  private async addressesSeenFrom(instance: string): Promise<ProcessAddress[]> {
     const others = this.stores.filter((store) => store.instance !== instance);
     return Promise.all(
       others.map(async (store) => ({
--- a/measure/src/processes/DataCentreLinks.ts
+++ b/measure/src/processes/DataCentreLinks.ts
@@ -10,7 +10,7 @@
   type Server,
   type Socket,
 } from 'node:net';
-import type { StoreAddress } from '@hornbeampond/schema';
+import type { ProcessAddress } from '@hornbeampond/schema';
 
 const HOST = '127.0.0.1';
 
@@ -27,7 +27,7 @@
   private readonly cutOff = new Set<string>();
 
   /** The address under which processes of `dataCentre` reach one elsewhere. */
-  async forward(dataCentre: string, target: StoreAddress): Promise<StoreAddress> {
+  async forward(dataCentre: string, target: ProcessAddress): Promise<ProcessAddress> {
     const between = [dataCentre, target.dataCentre] as const;
     const server = createServer();
     const link: Link = { between, server, pairs: new Set() };
@@ -60,7 +60,7 @@
     return between.some((dataCentre) => this.cutOff.has(dataCentre));
   }
 
-  private join(link: Link, inner: Socket, target: StoreAddress): void {
+  private join(link: Link, inner: Socket, target: ProcessAddress): void {
     const outer = createConnection({ host: target.host, port: target.port });
     const pair = [inner, outer] as const;
     link.pairs.add(pair);
--- a/measure/src/processes/ProcessCluster.ts
+++ b/measure/src/processes/ProcessCluster.ts
@@ -9,7 +9,7 @@
 import { fileURLToPath } from 'node:url';
 import { OperatorClient } from '@hornbeampond/ctl-app';
 import { Logger, SystemTimerService } from '@hornbeampond/runtime';
-import type { Pool, Route, StoreAddress } from '@hornbeampond/schema';
+import type { Pool, Route, ProcessAddress } from '@hornbeampond/schema';
 import type { FakeClusterInput } from '@hornbeampond/testing';
 import { digestKey, type PeerContext } from '@hornbeampond/transport';
 import { stringify } from 'smol-toml';
@@ -52,7 +52,7 @@
   readonly forwarded?: boolean;
 }
 
-interface EntryPorts extends StoreAddress {
+interface EntryPorts extends ProcessAddress {
   readonly callersPort: number;
   readonly operatorsPort: number;
 }
@@ -63,8 +63,8 @@
   readonly weightStore: string;
 }
 
-async function place(role: string, placed: readonly Placed[]): Promise<StoreAddress[]> {
-  const addresses: StoreAddress[] = [];
+async function place(role: string, placed: readonly Placed[]): Promise<ProcessAddress[]> {
+  const addresses: ProcessAddress[] = [];
   for (const { dataCentre } of placed) {
     const number = addresses.length + 1;
     const instance = `${role}-${number}`;
@@ -78,11 +78,11 @@
 
   private readonly folder = mkdtempSync(join(tmpdir(), 'hornbeampond-'));
 
-  private stores: StoreAddress[] = [];
+  private stores: ProcessAddress[] = [];
 
   private entries: EntryPorts[] = [];
 
-  private controllers: StoreAddress[] = [];
+  private controllers: ProcessAddress[] = [];
 
   private readonly operatorPorts = new Map<string, number>();
 
@@ -110,7 +110,7 @@
     return found;
   }
 
-  get storeAddresses(): readonly StoreAddress[] {
+  get storeAddresses(): readonly ProcessAddress[] {
     return this.stores;
   }
 
@@ -210,8 +210,8 @@
   /** Addresses as a process of one data centre has to use them. */
   private async seenFrom(
     dataCentre: string,
-    addresses: readonly StoreAddress[],
-  ): Promise<StoreAddress[]> {
+    addresses: readonly ProcessAddress[],
+  ): Promise<ProcessAddress[]> {
     return Promise.all(
       addresses.map(async (address) =>
         this.options.forwarded === true && address.dataCentre !== dataCentre
@@ -221,7 +221,7 @@
     );
   }
 
-  private async commonSettings({ instance, dataCentre }: StoreAddress, operatorsPort: number) {
+  private async commonSettings({ instance, dataCentre }: ProcessAddress, operatorsPort: number) {
     this.operatorPorts.set(instance, operatorsPort);
     return {
       instance,
@@ -235,7 +235,7 @@
     };
   }
 
-  private async startStore(address: StoreAddress): Promise<void> {
+  private async startStore(address: ProcessAddress): Promise<void> {
     const { instance, port } = address;
     this.writeSettings(instance, {
       ...(await this.commonSettings(address, await findFreePort())),
@@ -280,7 +280,7 @@
     await this.find(rest.instance).waitForEvent('processReady');
   }
 
-  private entryAddresses(): StoreAddress[] {
+  private entryAddresses(): ProcessAddress[] {
     return this.entries.map(({ instance, dataCentre, host, port }) => ({
       instance,
       dataCentre,
@@ -289,7 +289,7 @@
     }));
   }
 
-  private async startController(address: StoreAddress): Promise<void> {
+  private async startController(address: ProcessAddress): Promise<void> {
     const { instance, port } = address;
     this.writeSettings(instance, {
       ...(await this.commonSettings(address, await findFreePort())),
--- a/packages/controller-core/src/demand/demand.test.ts
+++ b/packages/controller-core/src/demand/demand.test.ts
@@ -42,11 +42,11 @@
   harness.acquireLease();
   const early = estimatePoolNeed(harness.state, harness.pool);
   harness.advance(52 * 60_000);
-  const { currentEstimate: figures, peakAhead: ahead } = estimatePoolNeed(
+  const { currentEstimate: figures, peakNeed: ahead } = estimatePoolNeed(
     harness.state,
     harness.pool,
   );
-  assert.ok(early.peakAhead.normal < 15);
+  assert.ok(early.peakNeed.normal < 15);
   assert.ok(figures.normal < 15, 'demand itself has not risen yet');
   assert.ok(ahead.normal >= 20, `planned for ${ahead.normal} slots`);
 });
--- a/packages/controller-core/src/fleet/FleetInstance.ts
+++ b/packages/controller-core/src/fleet/FleetInstance.ts
@@ -53,7 +53,7 @@
   /** No load is ordered and no reload starts before this time. */
   orderRetryAt: MonotonicMilliseconds;
   /** When the platform was last asked to end the instance. */
-  endSentAt?: MonotonicMilliseconds;
+  endRequestedAt?: MonotonicMilliseconds;
   /** True once its start duration was recorded, or if its start was not observed. */
   startMeasured: boolean;
 }
--- a/packages/controller-core/src/planning/estimatePoolNeed.ts
+++ b/packages/controller-core/src/planning/estimatePoolNeed.ts
@@ -101,7 +101,7 @@
   /** The need for the current rates with headroom. */
   readonly currentEstimate: NeedEstimate;
   /** The highest need between now and the end of the start lead time. */
-  readonly peakAhead: SlotNeed;
+  readonly peakNeed: SlotNeed;
 }
 
 export function estimatePoolNeed(state: ControllerState, pool: Pool): PoolNeed {
@@ -143,5 +143,5 @@
       Number.MAX_SAFE_INTEGER,
     ),
   };
-  return { currentEstimate, peakAhead: peakNeed };
+  return { currentEstimate, peakNeed: peakNeed };
 }
--- a/packages/controller-core/src/planning/scaleIn.ts
+++ b/packages/controller-core/src/planning/scaleIn.ts
@@ -127,13 +127,13 @@
     (instance) =>
       instance.dataCentre === state.dataCentre &&
       instance.phase === 'draining' &&
-      (instance.endSentAt === undefined ||
-        state.now - instance.endSentAt >= END_RESEND_DELAY_MILLISECONDS) &&
+      (instance.endRequestedAt === undefined ||
+        state.now - instance.endRequestedAt >= END_RESEND_DELAY_MILLISECONDS) &&
       canEndInstance(state, instance),
   );
   return endable.flatMap((instance): ControllerEffect[] => {
-    const resent = instance.endSentAt !== undefined;
-    instance.endSentAt = state.now;
+    const resent = instance.endRequestedAt !== undefined;
+    instance.endRequestedAt = state.now;
     const { instance: name, pool } = instance;
     const retryMetricEffects: ControllerEffect[] = resent
       ? [{ type: 'count', metric: 'fleetRetries', label: 'endAnswerLost' }]
--- a/packages/controller-core/src/reduceLeaseOwnership.ts
+++ b/packages/controller-core/src/reduceLeaseOwnership.ts
@@ -28,7 +28,7 @@
     .map((instance) => {
       instance.phaseSince = state.now;
       instance.phaseSinceWall = state.wallNow;
-      instance.endSentAt = undefined;
+      instance.endRequestedAt = undefined;
       return { type: 'drainInstance', instance: instance.instance, reason: 'scaleIn' };
     });
 }
--- a/packages/schema/src/reference/describeLogEvents.ts
+++ b/packages/schema/src/reference/describeLogEvents.ts
@@ -1,7 +1,7 @@
 /** Generates the blocks of docs/LOGS.md, by block name. */
 import { logEvents } from '../logEvents/logEvents.js';
 import { formatMarkdownTable } from './formatMarkdownTable.js';
-import { describeUnusedNames } from './unraisedNames.js';
+import { describeUnusedNames } from './unusedNames.js';
 
 /** First and last number of the events, by heading. */
 const numberRanges = {
--- a/packages/schema/src/reference/describeMetrics.ts
+++ b/packages/schema/src/reference/describeMetrics.ts
@@ -1,7 +1,7 @@
 /** Generates the blocks of docs/METRICS.md, by block name. */
 import { metricDefinitions, type MetricDefinition } from '../metrics.js';
 import { formatMarkdownTable } from './formatMarkdownTable.js';
-import { describeUnusedNames } from './unraisedNames.js';
+import { describeUnusedNames } from './unusedNames.js';
 
 function describeLabel({ label }: MetricDefinition): string {
   return label === undefined ? '' : `\`${label.name}\``;
--- a/packages/schema/src/reference/reference.test.ts
+++ b/packages/schema/src/reference/reference.test.ts
@@ -13,7 +13,7 @@
 import { metricDefinitions, type MetricDefinition } from '../metrics.js';
 import { describeSchema } from './describeSettings.js';
 import { fillBlocks } from './generatedBlocks.js';
-import { unusedNames } from './unraisedNames.js';
+import { unusedNames } from './unusedNames.js';
 import { makeReferencePages } from './referencePages.js';
 
 const root = fileURLToPath(new URL('../../../../', import.meta.url));
--- a/packages/schema/src/settings/settings.ts
+++ b/packages/schema/src/settings/settings.ts
@@ -132,7 +132,7 @@
 
 export type OperatorKey = z.infer<typeof operatorKeysSchema>[number];
 export type ListenAddress = z.infer<typeof listenSchema>;
-export type StoreAddress = z.infer<typeof processAddressSchema>;
+export type ProcessAddress = z.infer<typeof processAddressSchema>;
 export type StoreSettings = z.infer<typeof storeSettingsSchema>;
 export type EntrySettings = z.infer<typeof entrySettingsSchema>;
 export type ControllerSettings = z.infer<typeof controllerSettingsSchema>;
--- a/packages/store-core/src/consensus/replication.ts
+++ b/packages/store-core/src/consensus/replication.ts
@@ -23,7 +23,7 @@
 import { sendNow } from './persistence.js';
 import { confirmReads, startReadRound } from './reads.js';
 import { becomeFollower } from './roles.js';
-import { removeUnreachableMember } from './silentMembers.js';
+import { removeUnreachableMember } from './removeUnreachableMember.js';
 import { handlePartResponse } from './snapshots.js';
 import type { StepContext } from './StepContext.js';
 
--- a/packages/transport/src/StoreClient.ts
+++ b/packages/transport/src/StoreClient.ts
@@ -12,7 +12,7 @@
   Milliseconds,
   SharedInstance,
   SpendingReport,
-  StoreAddress,
+  ProcessAddress,
   StoreCommand,
   StorePush,
   StoreRequest,
@@ -45,7 +45,7 @@
 export class StoreClient {
   private stores: StorePeer[];
 
-  private seeds: readonly StoreAddress[];
+  private seeds: readonly ProcessAddress[];
 
   /** Members of the log as last received from a store; empty before that. */
   private members: readonly VoterAddress[] = [];
@@ -59,7 +59,7 @@
   private isClosed = false;
 
   constructor(
-    addresses: readonly StoreAddress[],
+    addresses: readonly ProcessAddress[],
     private readonly context: PeerContext,
     handlers: StoreClientHandlers = {},
     report?: InstanceReport,
@@ -164,7 +164,7 @@
   }
 
   /** Replaces the configured store addresses after a change of settings. */
-  setSeeds(addresses: readonly StoreAddress[]): void {
+  setSeeds(addresses: readonly ProcessAddress[]): void {
     this.seeds = addresses;
     this.updateConnections();
   }
@@ -216,7 +216,7 @@
       .forEach(({ client }) => client.close());
   }
 
-  private connect(address: StoreAddress): PeerClient {
+  private connect(address: ProcessAddress): PeerClient {
     return new PeerClient(address, this.context, {
       onOpen: () => this.subscription.subscribeIfNeeded(),
       onPush: (body) => this.subscription.receivePush(address, body as StorePush),
--- a/packages/transport/src/StoreSubscription.ts
+++ b/packages/transport/src/StoreSubscription.ts
@@ -16,7 +16,7 @@
   SpendingReport,
   InstanceReport,
   QuarantineRecord,
-  StoreAddress,
+  ProcessAddress,
   StorePush,
   StoreResponse,
   VoterAddress,
@@ -41,7 +41,7 @@
 }
 
 export interface StorePeer {
-  readonly address: StoreAddress;
+  readonly address: ProcessAddress;
   readonly client: Pick<PeerClient, 'isOpen' | 'request' | 'close'>;
 }
 
@@ -119,7 +119,7 @@
   }
 
   /** Handles a push of the store at this address, if it is subscribed to. */
-  receivePush(address: StoreAddress, push: StorePush): void {
+  receivePush(address: ProcessAddress, push: StorePush): void {
     const { subscription } = this;
     if (subscription?.store.address !== address) return;
     if (subscription.isAnswered) this.handlePush(push);
@@ -127,7 +127,7 @@
   }
 
   /** Ends the subscription if it was to the store at this address, and subscribes again. */
-  handleDisconnect(address: StoreAddress): void {
+  handleDisconnect(address: ProcessAddress): void {
     if (this.subscription?.store.address !== address) return;
     this.subscription = undefined;
     this.subscribeIfNeeded();
