--- a/packages/controller-core/src/planning/estimatePoolNeed.ts
+++ b/packages/controller-core/src/planning/estimatePoolNeed.ts
@@ -143,5 +143,5 @@
       Number.MAX_SAFE_INTEGER,
     ),
   };
-  return { currentEstimate, peakNeed: peakNeed };
+  return { currentEstimate, peakNeed };
 }
--- a/packages/controller-core/src/planning/planPools.ts
+++ b/packages/controller-core/src/planning/planPools.ts
@@ -83,7 +83,7 @@
 }
 
 function planPool(state: ControllerState, pool: Pool): PoolPlan {
-  const { currentEstimate, peakNeed: peakNeed } = estimatePoolNeed(state, pool);
+  const { currentEstimate, peakNeed } = estimatePoolNeed(state, pool);
   const previousPlan = state.plans.get(pool.name);
   const recentNeeds = addRecentNeed(state, previousPlan?.recentNeeds ?? [], peakNeed);
   const need = findHighestNeed(recentNeeds);
