--- a/apps/controller/src/ControllerProcess.ts
+++ b/apps/controller/src/ControllerProcess.ts
@@ -1,6 +1,7 @@
 /**
- * One running controller: it feeds the reducer with events and carries out its effects. While it
- * holds no lease the reducer asks for nothing that would change the fleet.
+ * One running controller: passes events to the reducer and runs the effects that it returns.
+ * Serves the status and the plan on the operators' port. Without the lease of its data centre, the
+ * reducer returns no effect that changes the fleet.
  */
 import {
   HttpPlatformAdapter,
@@ -11,7 +12,7 @@
 import {
   createControllerState,
   explainPlan,
-  makeReport,
+  makeDataCentreReport,
   reduceController,
   type ControllerEffect,
   type ControllerEvent,
@@ -33,17 +34,17 @@
 import { OperatorServer, StoreClient, writeJson, type PeerContext } from '@hornbeampond/transport';
 import { FleetExchange } from './FleetExchange.js';
 import { FleetWatcher } from './FleetWatcher.js';
-import { LeaseKeeper, LONGEST_ORDER_MILLISECONDS } from './LeaseKeeper.js';
+import { LeaseClient, MAX_ORDER_DURATION_MILLISECONDS } from './LeaseClient.js';
 
 const TICK_MILLISECONDS = 250;
 
-/** The platform and the weight store are given up on after this long; a resend is harmless. */
-const PLATFORM_MILLISECONDS = 5000;
+/** Timeout of calls to the platform and the weight store; repeating a call is harmless. */
+const PLATFORM_TIMEOUT_MILLISECONDS = 5000;
 
-/** Time for the release of the lease to reach the store. */
-const RELEASE_MILLISECONDS = 200;
+/** Time allowed for the release of the lease to reach the store. */
+const LEASE_RELEASE_WAIT_MILLISECONDS = 200;
 
-type Occurrence = ControllerEvent extends infer Event
+type EventWithoutClocks = ControllerEvent extends infer Event
   ? Event extends { now: number; wallNow: number }
     ? Omit<Event, 'now' | 'wallNow'>
     : never
@@ -69,7 +70,7 @@
 
   private readonly weightStore: WeightStoreAdapter | undefined;
 
-  private readonly lease: LeaseKeeper;
+  private readonly lease: LeaseClient;
 
   private readonly watcher: FleetWatcher;
 
@@ -77,7 +78,7 @@
 
   private readonly operators: OperatorServer;
 
-  private readonly drained = new Set<string>();
+  private readonly drainedInstances = new Set<string>();
 
   private stopTicks: Unsubscribe = () => {};
 
@@ -91,7 +92,7 @@
     this.loop = new EventLoop(
       createControllerState({ dataCentre, seed: Math.trunc(timers.wallNow()), policy }),
       reduceController,
-      (effect) => this.carryOut(effect),
+      (effect) => this.runEffect(effect),
       (error, event) => this.reportError(error, event.type),
     );
     const context: PeerContext = {
@@ -112,16 +113,16 @@
       settings.weightStore === undefined
         ? undefined
         : new HttpWeightStoreAdapter(settings.weightStore.url);
-    this.lease = new LeaseKeeper({
+    this.lease = new LeaseClient({
       store: this.store,
       timers,
       logger: this.logger,
       lease: `controller/${dataCentre}`,
-      longestOrder: LONGEST_ORDER_MILLISECONDS,
+      maxOrderDuration: MAX_ORDER_DURATION_MILLISECONDS,
       holder: `${instance}/${timers.wallNow().toString(36)}`,
       duration: settings.leaseMilliseconds,
       onHeld: (epoch, unfencedFrom) => this.dispatch({ type: 'leaseHeld', epoch, unfencedFrom }),
-      onLost: () => this.loseLease(),
+      onLost: () => this.clearLeaseState(),
     });
     this.watcher = new FleetWatcher({
       platform: this.platform,
@@ -132,7 +133,7 @@
       pollMilliseconds: settings.platform.pollMilliseconds,
       readConfiguration: () => this.loop.state.configuration,
       onListed: (instances) => this.dispatch({ type: 'platformListed', instances }),
-      onNotice: (noticed, goneAt) =>
+      onReclaimNotice: (noticed, goneAt) =>
         this.dispatch({ type: 'reclaimNoticed', instance: noticed, goneAt }),
       onLoad: (report) => this.dispatch({ type: 'loadReported', report }),
       onLost: (lost) => this.dispatch({ type: 'instanceLost', instance: lost }),
@@ -143,8 +144,10 @@
       context,
       timers,
       readDrains: () => this.readDrains(),
-      readReport: (withShapes) =>
-        this.lease.epoch === undefined ? undefined : makeReport(this.loop.state, withShapes),
+      readReport: (withDailyProfiles) =>
+        this.lease.epoch === undefined
+          ? undefined
+          : makeDataCentreReport(this.loop.state, withDailyProfiles),
       onDemand: (entry, demand) => this.dispatch({ type: 'demandReported', entry, demand }),
       onReport: (report) => this.dispatch({ type: 'peerReported', report }),
     });
@@ -160,7 +163,7 @@
     });
   }
 
-  /** The epoch of the lease that is held, if any. */
+  /** The epoch of the lease while this controller holds it, else undefined. */
   get epoch(): number | undefined {
     return this.lease.epoch;
   }
@@ -175,18 +178,18 @@
     return { operators, peers };
   }
 
-  /** Gives the lease back, so that the other controller of the data centre goes on at once. */
+  /** Releases the lease, so that another controller of the data centre can take it immediately. */
   async shutDown(): Promise<void> {
     this.logger.write('shutdownStarted', {});
     this.stopTicks();
-    this.loseLease();
-    this.lease.stop();
-    await this.timers.wait(RELEASE_MILLISECONDS);
+    this.clearLeaseState();
+    this.lease.release();
+    await this.timers.wait(LEASE_RELEASE_WAIT_MILLISECONDS);
     await this.close();
     this.logger.write('shutdownFinished', {});
   }
 
-  /** Stops without a goodbye, as a killed process does: the lease runs out by itself. */
+  /** Stops like a killed process, without releasing the lease, which then expires by itself. */
   async close(): Promise<void> {
     this.stopTicks();
     this.lease.abandon();
@@ -194,9 +197,9 @@
     await Promise.all([this.watcher.close(), this.exchange.close(), this.operators.close()]);
   }
 
-  private dispatch(occurrence: Occurrence): void {
+  private dispatch(event: EventWithoutClocks): void {
     const clocks = { now: this.timers.monotonicNow(), wallNow: this.timers.wallNow() };
-    this.loop.dispatch({ ...occurrence, ...clocks });
+    this.loop.dispatch({ ...event, ...clocks });
   }
 
   private makeInstanceReport(revision: number) {
@@ -216,30 +219,30 @@
     this.store.updateReport(this.makeInstanceReport(revision));
   }
 
-  private loseLease(): void {
-    this.drained.clear();
+  private clearLeaseState(): void {
+    this.drainedInstances.clear();
     this.dispatch({ type: 'leaseLost' });
   }
 
   private readDrains() {
     const { epoch } = this.lease;
     if (epoch === undefined) return undefined;
-    return { dataCentre: this.settings.dataCentre, epoch, instances: [...this.drained] };
+    return { dataCentre: this.settings.dataCentre, epoch, instances: [...this.drainedInstances] };
   }
 
-  private carryOut(effect: ControllerEffect): void {
+  private runEffect(effect: ControllerEffect): void {
     if (runCommonEffect(effect, this.logger, this.metrics)) return;
     switch (effect.type) {
       case 'startInstance':
         void this.startInstance(effect);
         return;
       case 'drainInstance':
-        this.drained.add(effect.instance);
-        this.exchange.exchange();
+        this.drainedInstances.add(effect.instance);
+        this.exchange.exchangeNow();
         return;
       case 'restoreInstance':
-        this.drained.delete(effect.instance);
-        this.exchange.exchange();
+        this.drainedInstances.delete(effect.instance);
+        this.exchange.exchangeNow();
         return;
       case 'endInstance':
         void this.endInstance(effect.instance);
@@ -257,7 +260,7 @@
     const { startToken } = start;
     let outcome: StartOutcome;
     try {
-      const signal = AbortSignal.timeout(PLATFORM_MILLISECONDS);
+      const signal = AbortSignal.timeout(PLATFORM_TIMEOUT_MILLISECONDS);
       outcome = await this.platform.startInstance(start, signal);
     } catch {
       outcome = { type: 'lost' };
@@ -268,21 +271,21 @@
   private async endInstance(instance: string): Promise<void> {
     let ok = true;
     try {
-      await this.platform.endInstance(instance, AbortSignal.timeout(PLATFORM_MILLISECONDS));
+      await this.platform.endInstance(instance, AbortSignal.timeout(PLATFORM_TIMEOUT_MILLISECONDS));
     } catch {
       ok = false;
     }
-    if (ok) this.drained.delete(instance);
+    if (ok) this.drainedInstances.delete(instance);
     this.dispatch({ type: 'endAnswered', instance, ok });
   }
 
   private async sendOrder({ instance, order }: EffectOf<'sendOrder'>): Promise<void> {
-    const outcome = await this.giveOrder(instance, order);
+    const outcome = await this.requestPermissionAndSend(instance, order);
     const { epoch, sequence } = order;
     this.dispatch({ type: 'orderAnswered', instance, epoch, sequence, outcome });
   }
 
-  private async giveOrder(
+  private async requestPermissionAndSend(
     instance: string,
     order: EffectOf<'sendOrder'>['order'],
   ): Promise<OrderOutcome> {
@@ -290,7 +293,7 @@
       const { action } = order;
       if (action.type === 'load' && this.weightStore !== undefined) {
         const { model, adapter, version } = action;
-        const signal = AbortSignal.timeout(PLATFORM_MILLISECONDS);
+        const signal = AbortSignal.timeout(PLATFORM_TIMEOUT_MILLISECONDS);
         const load = { instance, model, adapter, version };
         const permission = await this.weightStore.requestLoad(load, signal);
         if (permission.type === 'refused') {
@@ -298,10 +301,10 @@
         }
       }
       const engine = this.watcher.findEngine(instance);
-      // Asked at the last moment: the permission above may have taken longer than the lease.
-      const allowed = this.lease.mayGiveOrder(this.watcher.checksFencing(instance));
+      // Checked last: the lease may have expired while the weight store's permission was pending.
+      const allowed = this.lease.maySend(this.watcher.serverChecksFencing(instance));
       if (engine === undefined || !allowed) return { type: 'lost' };
-      const signal = AbortSignal.timeout(LONGEST_ORDER_MILLISECONDS);
+      const signal = AbortSignal.timeout(MAX_ORDER_DURATION_MILLISECONDS);
       return { type: await engine.sendOrder(order, signal) };
     } catch {
       return { type: 'lost' };
@@ -315,7 +318,7 @@
       dataCentre: this.settings.dataCentre,
       epoch: this.lease.epoch ?? null,
       configurationRevision: state.configuration.revision,
-      drained: [...this.drained],
+      drained: [...this.drainedInstances],
       plan: explainPlan(state),
     };
   }
--- a/apps/controller/src/FleetWatcher.ts
+++ b/apps/controller/src/FleetWatcher.ts
@@ -1,6 +1,8 @@
 /**
- * Reads, at steady intervals, what a controller decides from: the platform's list and notices,
- * the load of its own data centre's backend servers, and the weight store's rate.
+ * Polls the inputs of a controller's decisions: the platform's instance list and reclaim notices,
+ * the load of the backend servers in its own data centre, and the weight store's load rate. Reports
+ * an instance as lost only if both its polls and a probe over a new connection fail. Also provides
+ * the adapters to engines.
  */
 import {
   HttpEngineAdapter,
@@ -26,24 +28,24 @@
   readonly logger: Logger;
   readonly dataCentre: string;
   readonly pollMilliseconds: Milliseconds;
-  /** How long an instance may answer nothing; 30 s unless given. */
-  readonly lostMilliseconds?: Milliseconds;
+  /** How long an instance may leave polls unanswered before it is probed; 30 s by default. */
+  readonly maxUnansweredMilliseconds?: Milliseconds;
   readConfiguration(): Configuration;
   onListed(instances: readonly PlatformInstance[]): void;
-  onNotice(instance: string, goneAt: EpochMilliseconds): void;
+  onReclaimNotice(instance: string, goneAt: EpochMilliseconds): void;
   onLoad(report: LoadReport): void;
-  /** The instance is dead beyond doubt. */
+  /** Called at each poll at which the instance is found unreachable, so possibly repeatedly. */
   onLost(instance: string): void;
   onLoadRate(loadsPerMinute: number): void;
 }
 
 /**
- * An instance that has answered no poll for so long is probed. A server process that crashed and is
- * started again on its instance is back before that, and must not be replaced.
+ * An instance that has left polls unanswered for this long is probed. The time is long enough for a
+ * crashed server process to restart on its instance, which must not be replaced then.
  */
-const LOST_MILLISECONDS = 30_000;
+const MAX_UNANSWERED_MILLISECONDS = 30_000;
 
-const PROBE_MILLISECONDS = 2000;
+const PROBE_TIMEOUT_MILLISECONDS = 2000;
 
 type Adapter = EngineAdapter | PlainServiceAdapter;
 
@@ -54,9 +56,9 @@
 
   private stopPolling: Unsubscribe = () => {};
 
-  private polling = false;
+  private isPolling = false;
 
-  /** Since when an instance has answered no poll. */
+  /** Time of the first of the consecutive unanswered polls, by instance. */
   private readonly unansweredSince = new Map<string, number>();
 
   constructor(private readonly options: FleetWatcherOptions) {}
@@ -69,16 +71,16 @@
     void this.poll();
   }
 
-  /** The adapter to a model engine of this data centre, if it is listed. */
+  /** The adapter to a model engine, if the platform lists the instance. */
   findEngine(instance: string): EngineAdapter | undefined {
     const listed = this.instances.find((row) => row.instance === instance);
     if (listed === undefined) return undefined;
-    const adapter = this.adapterOf(listed);
+    const adapter = this.getOrCreateAdapter(listed);
     return adapter !== undefined && 'sendOrder' in adapter ? adapter : undefined;
   }
 
-  /** The pools table's word on whether a backend server refuses old fencing numbers. */
-  checksFencing(instance: string): boolean {
+  /** True if the pools table says that the backend server refuses outdated fencing tokens. */
+  serverChecksFencing(instance: string): boolean {
     const pool = this.instances.find((row) => row.instance === instance)?.pool;
     const { rows } = this.options.readConfiguration().pools;
     return rows.find((row) => row.name === pool)?.checksFencing ?? false;
@@ -92,19 +94,19 @@
   }
 
   private async poll(): Promise<void> {
-    if (this.polling) return;
-    this.polling = true;
+    if (this.isPolling) return;
+    this.isPolling = true;
     try {
       await this.pollPlatform();
       await Promise.all(this.instances.map(async (instance) => this.pollLoad(instance)));
-      await this.pollRate();
+      await this.pollLoadRate();
     } finally {
-      this.polling = false;
+      this.isPolling = false;
     }
   }
 
   private async pollPlatform(): Promise<void> {
-    const { platform, pollMilliseconds, onListed, onNotice, logger } = this.options;
+    const { platform, pollMilliseconds, onListed, onReclaimNotice, logger } = this.options;
     const signal = AbortSignal.timeout(pollMilliseconds * 2);
     try {
       const [instances, notices] = await Promise.all([
@@ -112,9 +114,9 @@
         platform.readNotices(signal),
       ]);
       this.instances = instances;
-      this.forgetUnlisted();
+      this.pruneUnlisted();
       onListed(instances);
-      notices.forEach(({ instance, goneAt }) => onNotice(instance, goneAt));
+      notices.forEach(({ instance, goneAt }) => onReclaimNotice(instance, goneAt));
     } catch (error) {
       logger.write('platformUnreachable', { reason: String(error) });
     }
@@ -126,50 +128,50 @@
     const { instance } = listed;
     try {
       const signal = AbortSignal.timeout(pollMilliseconds);
-      const report = await this.adapterOf(listed)?.readLoad(signal);
+      const report = await this.getOrCreateAdapter(listed)?.readLoad(signal);
       if (report !== undefined) onLoad({ ...report, instance });
       this.unansweredSince.delete(instance);
     } catch {
-      // An instance that does not answer keeps its last report, whose age says so.
+      // The last load report stays; its age shows that the instance has not answered since.
       const now = this.options.timers.monotonicNow();
       const since = this.unansweredSince.get(instance) ?? now;
       this.unansweredSince.set(instance, since);
-      const patience = this.options.lostMilliseconds ?? LOST_MILLISECONDS;
-      if (now - since >= patience) await this.checkLost(listed);
+      const maxUnanswered = this.options.maxUnansweredMilliseconds ?? MAX_UNANSWERED_MILLISECONDS;
+      if (now - since >= maxUnanswered) await this.reportLostUnlessReachable(listed);
     }
   }
 
   /**
-   * The platform may list a dead instance for long, and it would never be replaced. It is taken for
-   * lost only if a new connection to it fails as well: one that is merely slow still answers that.
+   * The platform may go on listing a dead instance, which would then never be replaced. The probe
+   * uses a new connection, which a slow instance still answers.
    */
-  private async checkLost(listed: PlatformInstance): Promise<void> {
+  private async reportLostUnlessReachable(listed: PlatformInstance): Promise<void> {
     try {
-      await this.adapterOf(listed)?.probe(AbortSignal.timeout(PROBE_MILLISECONDS));
+      await this.getOrCreateAdapter(listed)?.probe(AbortSignal.timeout(PROBE_TIMEOUT_MILLISECONDS));
     } catch {
       this.options.onLost(listed.instance);
     }
   }
 
-  private forgetUnlisted(): void {
+  private pruneUnlisted(): void {
     const listed = new Set(this.instances.map(({ instance }) => instance));
     [...this.unansweredSince.keys()].forEach((instance) => {
       if (!listed.has(instance)) this.unansweredSince.delete(instance);
     });
   }
 
-  private async pollRate(): Promise<void> {
+  private async pollLoadRate(): Promise<void> {
     const { weightStore, pollMilliseconds, onLoadRate } = this.options;
     if (weightStore === undefined) return;
     try {
       const rate = await weightStore.readRate(AbortSignal.timeout(pollMilliseconds));
       onLoadRate(rate.loadsPerMinute);
     } catch {
-      // The last known rate stays in force.
+      // The last known rate stays in use.
     }
   }
 
-  private adapterOf({ pool, host, port }: PlatformInstance): Adapter | undefined {
+  private getOrCreateAdapter({ pool, host, port }: PlatformInstance): Adapter | undefined {
     const { rows } = this.options.readConfiguration().pools;
     const kind = rows.find((row) => row.name === pool)?.kind;
     if (kind === undefined) return undefined;
--- a/apps/controller/src/SingletonProcess.ts
+++ b/apps/controller/src/SingletonProcess.ts
@@ -1,6 +1,8 @@
 /**
- * The shell around the work of which one process in the whole cluster does all. It runs beside
- * each store; the lease decides which of them acts.
+ * Runs the singleton reducer, which reports usage and orders pool sizes for the whole cluster. An
+ * instance of this class runs next to each store, and only the holder of the singleton lease
+ * reports and orders. The holder also reads the platform's instance list and shares it through the
+ * store.
  */
 import type { PlatformAdapter, SingletonAdapter } from '@hornbeampond/adapters';
 import {
@@ -8,7 +10,7 @@
   reduceSingleton,
   type SingletonEffect,
   type SingletonEvent,
-  type SingletonOccurrence,
+  type SingletonEventPayload,
   type SingletonOptions,
   type SingletonState,
 } from '@hornbeampond/controller-core';
@@ -17,30 +19,32 @@
   assertNever,
   type InstanceReport,
   type Milliseconds,
-  type StoreAddress,
+  type ProcessAddress,
   type UsageCounts,
 } from '@hornbeampond/schema';
-import { StoreClient, toShared, type PeerContext } from '@hornbeampond/transport';
-import { LeaseKeeper } from './LeaseKeeper.js';
+import { StoreClient, toSharedInstances, type PeerContext } from '@hornbeampond/transport';
+import { LeaseClient } from './LeaseClient.js';
 
-const LEASE = 'singleton';
+const LEASE_NAME = 'singleton';
 
 const TICK_MILLISECONDS: Milliseconds = 250;
 
-/** The list is read by the holder alone, for all, and as often as the plan is made. */
-const LIST_MILLISECONDS: Milliseconds = 1000;
+/** Interval at which the lease holder reads the platform's instance list. */
+const LIST_INTERVAL_MILLISECONDS: Milliseconds = 1000;
 
-/** A call that has not come back by then is given up; it acts no more after its connection ends. */
-const CALL_MILLISECONDS: Milliseconds = 900;
+/** Timeout of calls to the platform; the lease reducer assumes that calls have no effect after it. */
+const PLATFORM_TIMEOUT_MILLISECONDS: Milliseconds = 900;
 
-const SETTLE_MILLISECONDS: Milliseconds = 2000;
+const SETTLE_USAGE_TIMEOUT_MILLISECONDS: Milliseconds = 2000;
 
 export interface SingletonProcessOptions extends SingletonOptions {
-  readonly stores: readonly StoreAddress[];
+  readonly stores: readonly ProcessAddress[];
   readonly context: PeerContext;
   readonly timers: TimerService;
   readonly logger: Logger;
+  /** Lists the instances. */
   readonly platform: PlatformAdapter;
+  /** Sends size orders and usage reports. */
   readonly adapter: SingletonAdapter;
   /** Unique to this start of the process. */
   readonly holder: string;
@@ -52,9 +56,9 @@
 
   private readonly loop: EventLoop<SingletonState, SingletonEvent, SingletonEffect>;
 
-  private readonly lease: LeaseKeeper;
+  private readonly lease: LeaseClient;
 
-  private subscriptions: Unsubscribe[] = [];
+  private timerSubscriptions: Unsubscribe[] = [];
 
   private isListing = false;
 
@@ -63,7 +67,7 @@
     this.loop = new EventLoop(
       makeSingletonState(options),
       reduceSingleton,
-      (effect) => this.carryOut(effect),
+      (effect) => this.runEffect(effect),
       (error, event) => logger.write('unexpectedError', { at: event.type, reason: String(error) }),
     );
     this.store = new StoreClient(
@@ -74,19 +78,19 @@
           this.dispatch({ type: 'configurationReceived', configuration }),
         onEntryReport: (report) => this.dispatch({ type: 'entryReported', report }),
         onUsage: (usage) => this.dispatch({ type: 'usageTold', usage }),
-        onRemembered: ({ usage }) => this.dispatch({ type: 'usageTold', usage }),
+        onPersistedState: ({ usage }) => this.dispatch({ type: 'usageTold', usage }),
       },
-      this.makeReport(),
+      this.makeInstanceReport(),
       true,
     );
-    this.lease = new LeaseKeeper({
+    this.lease = new LeaseClient({
       store: this.store,
       timers,
       logger,
-      lease: LEASE,
+      lease: LEASE_NAME,
       holder,
       duration: options.leaseMilliseconds,
-      longestOrder: CALL_MILLISECONDS,
+      maxOrderDuration: PLATFORM_TIMEOUT_MILLISECONDS,
       onHeld: (epoch) => this.dispatch({ type: 'leaseHeld', epoch }),
       onLost: () => this.dispatch({ type: 'leaseLost' }),
     });
@@ -95,34 +99,37 @@
   start(): void {
     const { timers } = this.options;
     this.lease.start();
-    this.subscriptions = [
+    this.timerSubscriptions = [
       timers.every(TICK_MILLISECONDS, () => this.dispatch({ type: 'tick' })),
-      timers.every(LIST_MILLISECONDS, () => {
-        void this.list();
+      timers.every(LIST_INTERVAL_MILLISECONDS, () => {
+        void this.listInstances();
       }),
     ];
   }
 
-  /** Acts no more and gives the lease back. */
+  /**
+   * Stops the timers, releases the lease and waits one tick so that the release can reach the store.
+   * Platform calls in progress are not awaited.
+   */
   async stop(): Promise<void> {
-    this.subscriptions.forEach((unsubscribe) => unsubscribe());
-    this.lease.stop();
+    this.timerSubscriptions.forEach((unsubscribe) => unsubscribe());
+    this.lease.release();
     await this.options.timers.wait(TICK_MILLISECONDS);
     this.store.close();
   }
 
-  private makeReport(): InstanceReport {
+  private makeInstanceReport(): InstanceReport {
     const { instance, dataCentre } = this.options.context.identity;
     return { instance, dataCentre, role: 'controller', revision: 0, cutOff: false };
   }
 
-  private dispatch(occurrence: SingletonOccurrence): void {
+  private dispatch(event: SingletonEventPayload): void {
     const { timers } = this.options;
     const clocks = { now: timers.monotonicNow(), wallNow: timers.wallNow() };
-    this.loop.dispatch({ ...occurrence, ...clocks });
+    this.loop.dispatch({ ...event, ...clocks });
   }
 
-  private carryOut(effect: SingletonEffect): void {
+  private runEffect(effect: SingletonEffect): void {
     switch (effect.type) {
       case 'log':
         this.options.logger.write(effect.event, effect.fields);
@@ -143,7 +150,7 @@
 
   private async settleUsage(window: number, counts: UsageCounts) {
     const command = { type: 'settleUsage', window, counts } as const;
-    const outcome = await this.store.propose(command, SETTLE_MILLISECONDS);
+    const outcome = await this.store.propose(command, SETTLE_USAGE_TIMEOUT_MILLISECONDS);
     if (outcome.type !== 'result' || outcome.result.type !== 'usageSettled') return;
     this.dispatch({ type: 'usageSettled', window, counts: outcome.result.counts });
   }
@@ -153,10 +160,11 @@
     counts,
     epoch,
   }: Extract<SingletonEffect, { type: 'reportUsage' }>): Promise<void> {
-    if (!this.lease.mayGiveOrder(false)) return;
+    // The platform may not check the epoch.
+    if (!this.lease.maySend(false)) return;
     const { adapter, holder, logger } = this.options;
     try {
-      const signal = AbortSignal.timeout(CALL_MILLISECONDS);
+      const signal = AbortSignal.timeout(PLATFORM_TIMEOUT_MILLISECONDS);
       await adapter.reportUsage(window, counts, { holder, epoch }, signal);
       logger.write('usageReported', { window, counts, epoch });
       this.dispatch({ type: 'usageReported', window });
@@ -169,10 +177,11 @@
     order,
     epoch,
   }: Extract<SingletonEffect, { type: 'orderSize' }>): Promise<void> {
-    if (!this.lease.mayGiveOrder(false)) return;
+    // The platform may not check the epoch.
+    if (!this.lease.maySend(false)) return;
     const { adapter, holder, logger } = this.options;
     try {
-      const signal = AbortSignal.timeout(CALL_MILLISECONDS);
+      const signal = AbortSignal.timeout(PLATFORM_TIMEOUT_MILLISECONDS);
       const outcome = await adapter.orderSize(order, { holder, epoch }, signal);
       this.dispatch({ type: 'sizeOrdered', order, outcome });
     } catch (error) {
@@ -181,14 +190,14 @@
     }
   }
 
-  private async list(): Promise<void> {
+  private async listInstances(): Promise<void> {
     const { platform, logger, timers } = this.options;
     if (this.isListing || this.lease.epoch === undefined) return;
     this.isListing = true;
     try {
-      const signal = AbortSignal.timeout(CALL_MILLISECONDS);
+      const signal = AbortSignal.timeout(PLATFORM_TIMEOUT_MILLISECONDS);
       const instances = await platform.listInstances(signal);
-      this.store.shareInstances(toShared(instances, timers.wallNow()));
+      this.store.shareInstances(toSharedInstances(instances, timers.wallNow()));
       this.dispatch({ type: 'instancesListed', instances });
     } catch (error) {
       logger.write('platformUnreachable', { reason: String(error) });
--- a/apps/ctl/src/commands/plan.ts
+++ b/apps/ctl/src/commands/plan.ts
@@ -1,9 +1,9 @@
-/** The verb that shows what a controller plans, and from which figures. */
+/** The command that shows a controller's plan. */
 import { exitCodes } from '@hornbeampond/runtime';
 import { Command, type CommandContext } from '../Command.js';
 import type { PlanRow } from '../OperatorClient.js';
 import type { Colour } from '../paint.js';
-import { printTable } from '../printTable.js';
+import { formatTable } from '../formatTable.js';
 
 const colourOfAction: Readonly<Record<string, Colour>> = {
   buy: 'green',
@@ -32,28 +32,28 @@
     row.serving,
     `${row.action}: ${row.reason}`,
   ]);
-  return printTable(titles, cells);
+  return formatTable(titles, cells);
 }
 
-/** Pools that cannot have what their deadlines need; each row of a pool carries the same figure. */
+/** Pools that lack slots for their deadlines; all rows of a pool have the same `missingSlots`. */
 function describeShortfalls(rows: readonly PlanRow[]): string[] {
   const missing = new Map(rows.map((row) => [row.pool, row.missingSlots]));
   return [...missing]
     .filter(([, slots]) => slots > 0)
-    .map(([pool, slots]) => `${pool} lacks ${slots} slots that no place can give`);
+    .map(([pool, slots]) => `${pool} lacks ${slots} slots that are not available anywhere`);
 }
 
-function sumPresent(rows: readonly PlanRow[]): string {
+function formatPresentCost(rows: readonly PlanRow[]): string {
   const euros = rows.reduce((sum, { present, eurosPerHour }) => sum + present * eurosPerHour, 0);
   return euros.toFixed(2);
 }
 
-export class Plan extends Command {
+export class PlanCommand extends Command {
   override readonly name = 'plan';
 
   override readonly usage = '';
 
-  override readonly purpose = 'shows what a controller wants; --entry names its operators’ port';
+  override readonly purpose = 'shows the plan of a controller; --entry names its operators’ port';
 
   override readonly example = 'hornbeampondctl plan --entry http://127.0.0.1:9092';
 
@@ -74,9 +74,9 @@
       print(colour === undefined ? line : paint(colour, line));
     });
     describeShortfalls(rows).forEach((line) => print(paint('red', line)));
-    print(`cost of what is present: ${sumPresent(rows)} euros an hour`);
+    print(`cost of the present instances: ${formatPresentCost(rows)} euros an hour`);
     return exitCodes.done;
   }
 }
 
-export const planCommands: readonly Command[] = [new Plan()];
+export const planCommands: readonly Command[] = [new PlanCommand()];
--- a/apps/ctl/src/testing/statusSamples.ts
+++ b/apps/ctl/src/testing/statusSamples.ts
@@ -1,4 +1,4 @@
-/** Documents of the operators' port as tests of the command line read them. */
+/** Sample documents of the operators' port for tests of the command line. */
 import type { EntryStatus, PlanRow } from '../OperatorClient.js';
 
 const store = {
@@ -52,7 +52,7 @@
       inProgress: 0,
       eurosPerHour: 0.2,
     },
-    { instance: 'stray-1', pool: 'bookings', dataCentre: 'a', state: 'live', inProgress: 0 },
+    { instance: 'unpriced-1', pool: 'bookings', dataCentre: 'a', state: 'live', inProgress: 0 },
   ],
   refusals: { limitReached: 2, deadlineUnreachable: 17 },
   retries: { backendServerLost: 1 },
@@ -71,7 +71,7 @@
   ],
 };
 
-const place = {
+const planRow = {
   pool: 'assistants',
   dataCentre: 'a',
   instanceClass: 'small',
@@ -82,7 +82,7 @@
 
 export const samplePlan: readonly PlanRow[] = [
   {
-    ...place,
+    ...planRow,
     wanted: 3,
     present: 2,
     serving: 2,
@@ -90,7 +90,7 @@
     reason: 'the cheapest safe place for what is lacking',
   },
   {
-    ...place,
+    ...planRow,
     dataCentre: 'b',
     wanted: 0,
     present: 1,
@@ -99,7 +99,7 @@
     reason: 'not needed, or cheaper elsewhere; drained once safe',
   },
   {
-    ...place,
+    ...planRow,
     pool: 'bookings',
     reclaimable: false,
     eurosPerHour: 2,
--- a/apps/dev/src/DevCluster.ts
+++ b/apps/dev/src/DevCluster.ts
@@ -1,10 +1,11 @@
 /**
- * The embedded default: every role and its outside world in one process on loopback. It serves
- * for a first look and for tests; nothing it stores outlives it.
+ * A complete cluster in one process on loopback, for development and tests: one store, one entry,
+ * one or more controllers, and fakes of the platform, the weight store and the backend servers.
+ * All data is kept in memory only.
  */
 import { HttpEngineAdapter, type InstanceStart } from '@hornbeampond/adapters';
 import { ControllerProcess, type ControllerPolicy } from '@hornbeampond/controller-app';
-import { EntryProcess, makeOwnBoundary, type EntryPorts } from '@hornbeampond/entry-app';
+import { EntryProcess, makeHttpDependencies, type EntryPorts } from '@hornbeampond/entry-app';
 import { SystemTimerService, checkSettings, type TimerService } from '@hornbeampond/runtime';
 import {
   HornbeampondError,
@@ -29,52 +30,53 @@
 import { DEV_DATA_CENTRE, devKeys, devPools, devRoutes } from './devTables.js';
 
 const HOST = '127.0.0.1';
-const POLL_MILLISECONDS = 100;
+const PLATFORM_POLL_MILLISECONDS = 100;
 const TOKEN_DELAY_MILLISECONDS = 20;
-const READY_MILLISECONDS = 10_000;
-const LOOK_MILLISECONDS = 20;
+const READY_TIMEOUT_MILLISECONDS = 10_000;
+const READY_CHECK_MILLISECONDS = 20;
 
-/** Plenty for a handful of fakes, so that a first look never waits for the weight store. */
-const LOADS = { loadsPerMinute: 600, burst: 10 } as const;
+/** High enough that the few fake engines never wait for the weight store. */
+const WEIGHT_STORE_LIMITS = { loadsPerMinute: 600, burst: 10 } as const;
 
 export interface DevOptions {
-  /** 0 takes any free port. */
+  /** 0 selects any free port. */
   readonly callersPort: number;
   readonly operatorsPort: number;
   readonly logLevel: LogLevel;
-  /** Changes how the fake model engines behave, the bought ones too. */
-  readonly engine?: Omit<FakeEngineOptions, 'instance' | 'model'>;
-  /** Number of controllers, of which one acts; 1 unless given. */
-  readonly controllers?: number;
+  /** Options of all fake model engines, including those that a controller starts. */
+  readonly engineOptions?: Omit<FakeEngineOptions, 'instance' | 'model'>;
+  /** Number of controllers, of which only the lease holder acts; 1 by default. */
+  readonly controllerCount?: number;
   readonly leaseMilliseconds?: number;
-  /** Changes what the controllers' decisions are steered by. */
+  /** Overrides tuning parameters of the controllers' decisions. */
   readonly policy?: Partial<ControllerPolicy>;
-  /** How long the entry may take to stop. */
+  /** How long the entry may take to shut down. */
   readonly shutdownMilliseconds?: number;
-  /** Changes limits of the entry. */
+  /** Overrides limits of the entry. */
   readonly limits?: Partial<EntrySettings['limits']>;
 }
 
-/** What an instance that is bought or listed is called and what runs there. */
-interface Launching {
+/** The name of an instance to launch, and the pool that determines which server it runs. */
+interface InstanceLaunch {
   readonly instance: string;
   readonly pool: string;
 }
 
-function requireSettings<Schema extends z.ZodType>(
-  schema: Schema,
-  values: unknown,
-): z.infer<Schema> {
+function parseSettings<Schema extends z.ZodType>(schema: Schema, values: unknown): z.infer<Schema> {
   const checked = checkSettings(schema, values);
   if (checked.ok) return checked.settings;
-  throw new HornbeampondError('internalError', 'The embedded settings have faults', {
-    faults: checked.faults,
-  });
+  throw new HornbeampondError(
+    'internalError',
+    'The settings of the development cluster are invalid',
+    {
+      faults: checked.faults,
+    },
+  );
 }
 
 /**
- * Loads what the pools table says, as an earlier controller would have: an engine without the
- * version would be drained and loaded anew right after the start. Epoch 0 is older than any lease.
+ * Loads the model that the pools table specifies; otherwise a controller would drain and reload the
+ * engine right after the start. Epoch 0 is older than that of any lease.
  */
 async function loadModel({ host, port }: FakeBackendServer): Promise<void> {
   const { model = '', version } = devPools[0] ?? {};
@@ -82,7 +84,7 @@
   const action = { type: 'load', model, ...(version === undefined ? {} : { version }) } as const;
   await adapter.sendOrder(
     { epoch: 0, sequence: 0, action },
-    AbortSignal.timeout(READY_MILLISECONDS),
+    AbortSignal.timeout(READY_TIMEOUT_MILLISECONDS),
   );
   await adapter.close();
 }
@@ -94,9 +96,9 @@
     launch: async ({ pool }: InstanceStart, instance) => this.launch({ instance, pool }),
   });
 
-  readonly weightStore = new FakeWeightStore(LOADS);
+  readonly weightStore = new FakeWeightStore(WEIGHT_STORE_LIMITS);
 
-  /** All that were started, in that order; those that are gone stay in the list. */
+  /** All engines in the order in which they were started, including stopped ones. */
   readonly engines: FakeEngine[] = [];
 
   readonly services: FakePlainService[] = [];
@@ -105,53 +107,53 @@
 
   private store: StoreProcess | undefined;
 
-  private readonly closers: (() => Promise<void>)[] = [];
+  private readonly closeCallbacks: (() => Promise<void>)[] = [];
 
   constructor(private readonly options: DevOptions) {}
 
   /** Starts everything; resolves once a caller's request can be served. */
   async start(): Promise<EntryPorts> {
-    await this.startOutside();
+    await this.startExternalFakes();
     const storePort = await this.startStore();
     const ports = await this.startEntry(storePort);
-    await this.putTables(ports.operators);
-    const { controllers = 1 } = this.options;
-    for (let number = 1; number <= controllers; number += 1) {
+    await this.putTablesAndWait(ports.operators);
+    const { controllerCount = 1 } = this.options;
+    for (let number = 1; number <= controllerCount; number += 1) {
       await this.startController(`controller-${number}`, storePort, ports.peers);
     }
     return ports;
   }
 
   async close(): Promise<void> {
-    for (const close of this.closers.splice(0).reverse()) await close();
+    for (const close of this.closeCallbacks.splice(0).reverse()) await close();
   }
 
-  /** Ends the only store, as its loss would; entries and controllers go on without. */
+  /** Stops the only store; the entry and the controllers keep running without it. */
   async closeStore(): Promise<void> {
     await this.store?.close();
     this.store = undefined;
   }
 
-  private async startOutside(): Promise<void> {
+  private async startExternalFakes(): Promise<void> {
     await this.platform.restart();
-    this.closers.push(async () => this.platform.close());
+    this.closeCallbacks.push(async () => this.platform.close());
     await this.weightStore.restart();
-    this.closers.push(async () => this.weightStore.close());
+    this.closeCallbacks.push(async () => this.weightStore.close());
     for (const number of [1, 2]) {
       await this.addEngine(`engine-${number}`);
       const service = await this.launch({ instance: `service-${number}`, pool: 'bookings' });
-      this.list(service, 'bookings', 'fake-service');
+      this.addToPlatform(service, 'bookings', 'fake-service');
     }
   }
 
-  /** Adds a loaded engine that nobody bought. */
+  /** Adds a live engine with its model loaded, without a start by a controller. */
   async addEngine(instance: string): Promise<void> {
     const engine = await this.launch({ instance, pool: 'assistants' });
     await loadModel(engine);
-    this.list(engine, 'assistants', 'fake-engine');
+    this.addToPlatform(engine, 'assistants', 'fake-engine');
   }
 
-  private async launch({ instance, pool }: Launching): Promise<FakeBackendServer> {
+  private async launch({ instance, pool }: InstanceLaunch): Promise<FakeBackendServer> {
     if (devPools.find(({ name }) => name === pool)?.kind === 'plainService') {
       const service = await FakePlainService.start({ instance });
       this.services.push(service);
@@ -159,14 +161,14 @@
     }
     const engine = await FakeEngine.start({
       tokenDelay: TOKEN_DELAY_MILLISECONDS,
-      ...this.options.engine,
+      ...this.options.engineOptions,
       instance,
     });
     this.engines.push(engine);
     return engine;
   }
 
-  private list(server: FakeBackendServer, pool: string, instanceClass: string): void {
+  private addToPlatform(server: FakeBackendServer, pool: string, instanceClass: string): void {
     const { instance, host, port } = server;
     const listed = { instance, dataCentre: DEV_DATA_CENTRE, instanceClass, pool, host, port };
     this.platform.add({ ...listed, state: 'live' }, server);
@@ -186,7 +188,7 @@
   }
 
   private async startStore(): Promise<number> {
-    const settings = requireSettings(storeSettingsSchema, {
+    const settings = parseSettings(storeSettingsSchema, {
       ...this.commonSettings('store-1', 1, 0),
       listen: { host: HOST, port: 0 },
       dataFolder: '(memory)',
@@ -194,29 +196,29 @@
     const store = new StoreProcess(settings, this.timers, new MemoryDisk());
     const { peers } = await store.start();
     this.store = store;
-    this.closers.push(async () => this.closeStore());
-    store.found();
+    this.closeCallbacks.push(async () => this.closeStore());
+    store.foundCluster();
     return peers;
   }
 
   private async startEntry(storePort: number): Promise<EntryPorts> {
     const { callersPort, operatorsPort, shutdownMilliseconds } = this.options;
-    const settings = requireSettings(entrySettingsSchema, {
+    const settings = parseSettings(entrySettingsSchema, {
       ...this.commonSettings('entry-1', storePort, operatorsPort),
       listen: { host: HOST, port: callersPort },
       peerListen: { host: HOST, port: 0 },
       workspaces: [{ name: 'dev', keySha256: digestKey(devKeys.workspace) }],
       platform: {
         url: `http://${HOST}:${this.platform.port}`,
-        pollMilliseconds: POLL_MILLISECONDS,
+        pollMilliseconds: PLATFORM_POLL_MILLISECONDS,
       },
       balancerDelayMilliseconds: 0,
       limits: this.options.limits ?? {},
       ...(shutdownMilliseconds === undefined ? {} : { shutdownMilliseconds }),
     });
-    const entry = new EntryProcess(settings, this.timers, makeOwnBoundary(settings));
+    const entry = new EntryProcess(settings, this.timers, makeHttpDependencies(settings));
     const ports = await entry.start();
-    this.closers.push(async () => entry.shutDown());
+    this.closeCallbacks.push(async () => entry.shutDown());
     return ports;
   }
 
@@ -226,35 +228,38 @@
     entryPort: number,
   ): Promise<void> {
     const { leaseMilliseconds } = this.options;
-    const settings = requireSettings(controllerSettingsSchema, {
+    const settings = parseSettings(controllerSettingsSchema, {
       ...this.commonSettings(instance, storePort, 0),
       peerListen: { host: HOST, port: 0 },
       entries: [{ instance: 'entry-1', dataCentre: DEV_DATA_CENTRE, host: HOST, port: entryPort }],
       weightStore: { url: this.weightStore.url },
       platform: {
         url: this.platform.url,
-        pollMilliseconds: POLL_MILLISECONDS,
+        pollMilliseconds: PLATFORM_POLL_MILLISECONDS,
       },
       ...(leaseMilliseconds === undefined ? {} : { leaseMilliseconds }),
     });
     const controller = new ControllerProcess(settings, this.timers, this.options.policy);
     await controller.start();
     this.controllers.push(controller);
-    this.closers.push(async () => controller.close());
+    this.closeCallbacks.push(async () => controller.close());
   }
 
-  private async putTables(operatorsPort: number): Promise<void> {
+  private async putTablesAndWait(operatorsPort: number): Promise<void> {
     const client = new OperatorClient(`http://${HOST}:${operatorsPort}`, devKeys.operator);
     const put = async (table: 'pools' | 'routes', rows: readonly unknown[]) =>
       client.putTable({ table, baseRevision: 0, changeId: `dev-${table}`, rows });
     await put('pools', devPools);
     const revision = await put('routes', devRoutes);
-    const endsAt = this.timers.monotonicNow() + READY_MILLISECONDS;
+    const endsAt = this.timers.monotonicNow() + READY_TIMEOUT_MILLISECONDS;
     while (!(await this.isServing(client, revision))) {
       if (this.timers.monotonicNow() > endsAt) {
-        throw new HornbeampondError('internalError', 'The embedded default did not get ready');
+        throw new HornbeampondError(
+          'internalError',
+          'The development cluster was not ready in time',
+        );
       }
-      await this.timers.wait(LOOK_MILLISECONDS);
+      await this.timers.wait(READY_CHECK_MILLISECONDS);
     }
     await client.close();
   }
--- a/apps/entry/src/AdapterDirectory.ts
+++ b/apps/entry/src/AdapterDirectory.ts
@@ -1,6 +1,6 @@
 /**
- * The adapters to backend servers, one for each that the platform lists. The rest of the shell
- * meets backend servers only through them.
+ * Creates and holds one adapter per backend server address. The entry app communicates with backend
+ * servers only through these adapters. Adapters of servers that are no longer listed are dropped.
  */
 import type { EngineAdapter, PlainServiceAdapter, RelayAdapter } from '@hornbeampond/adapters';
 import type { AttemptTarget } from '@hornbeampond/entry-core';
@@ -10,50 +10,56 @@
   | { readonly kind: 'plainService'; readonly adapter: PlainServiceAdapter }
   | { readonly kind: 'relay'; readonly adapter: RelayAdapter };
 
-/** Makes the adapter to a backend server. */
+/** Creates the adapter for a backend server. */
 export type MakeAdapter = (target: AttemptTarget) => BackendServerAdapter;
 
 export class AdapterDirectory {
   private readonly adapters = new Map<string, BackendServerAdapter>();
 
-  constructor(private readonly make: MakeAdapter) {}
+  constructor(private readonly makeAdapter: MakeAdapter) {}
 
-  /** The adapter to a backend server; the same one while its address stays the same. */
-  find(target: AttemptTarget): BackendServerAdapter {
-    const key = this.keyOf(target);
-    const known = this.adapters.get(key);
-    if (known !== undefined) return known;
-    const made = this.make(target);
-    this.adapters.set(key, made);
-    return made;
+  /**
+   * Returns the adapter for a backend server; creates one if none exists for its instance, kind,
+   * host and port.
+   */
+  getOrCreate(target: AttemptTarget): BackendServerAdapter {
+    const key = this.makeKey(target);
+    const existing = this.adapters.get(key);
+    if (existing !== undefined) return existing;
+    const created = this.makeAdapter(target);
+    this.adapters.set(key, created);
+    return created;
   }
 
-  engine(target: AttemptTarget): EngineAdapter {
-    const found = this.find(target);
-    if (found.kind !== 'modelEngine') throw new TypeError(`${target.instance} is no model engine`);
-    return found.adapter;
+  getEngineAdapter(target: AttemptTarget): EngineAdapter {
+    const backendServerAdapter = this.getOrCreate(target);
+    if (backendServerAdapter.kind !== 'modelEngine')
+      throw new TypeError(`${target.instance} is not a model engine`);
+    return backendServerAdapter.adapter;
   }
 
-  plainService(target: AttemptTarget): PlainServiceAdapter {
-    const found = this.find(target);
-    if (found.kind !== 'plainService') throw new TypeError(`${target.instance} is a model engine`);
-    return found.adapter;
+  getPlainServiceAdapter(target: AttemptTarget): PlainServiceAdapter {
+    const backendServerAdapter = this.getOrCreate(target);
+    if (backendServerAdapter.kind !== 'plainService')
+      throw new TypeError(`${target.instance} is not a plain service`);
+    return backendServerAdapter.adapter;
   }
 
-  relay(target: AttemptTarget): RelayAdapter {
-    const found = this.find(target);
-    if (found.kind !== 'relay') throw new TypeError(`${target.instance} takes no opaque calls`);
-    return found.adapter;
+  getRelayAdapter(target: AttemptTarget): RelayAdapter {
+    const backendServerAdapter = this.getOrCreate(target);
+    if (backendServerAdapter.kind !== 'relay')
+      throw new TypeError(`${target.instance} does not accept opaque calls`);
+    return backendServerAdapter.adapter;
   }
 
   /**
-   * Drops the adapters of backend servers that are no longer listed. The list lags and can miss
-   * one for a moment, so streams that still run there are left to end by themselves.
+   * Drops the adapters of backend servers that are not listed. The list lags and can briefly omit a
+   * running server, so streams that are still open are not interrupted.
    */
-  keepOnly(targets: readonly AttemptTarget[]): void {
-    const kept = new Set(targets.map((target) => this.keyOf(target)));
+  retainOnly(targets: readonly AttemptTarget[]): void {
+    const listedKeys = new Set(targets.map((target) => this.makeKey(target)));
     [...this.adapters].forEach(([key, { adapter }]) => {
-      if (kept.has(key)) return;
+      if (listedKeys.has(key)) return;
       this.adapters.delete(key);
       adapter.renewConnections();
     });
@@ -65,7 +71,7 @@
     await Promise.all(adapters.map(async ({ adapter }) => adapter.close()));
   }
 
-  private keyOf({ instance, kind, host, port }: AttemptTarget): string {
+  private makeKey({ instance, kind, host, port }: AttemptTarget): string {
     return `${instance} ${kind} ${host} ${port}`;
   }
 }
--- a/apps/entry/src/EntryPeers.ts
+++ b/apps/entry/src/EntryPeers.ts
@@ -1,6 +1,8 @@
 /**
- * The connections between entries: each sends its whole report to all others, and tells a
- * starting one which configuration it knows.
+ * The connections from other entries and controllers to this entry, and from it to other entries. It
+ * sends reports to all entries, receives theirs, reads their configurations and answers requests for
+ * this entry's configuration and demand. It accepts reports only from entries and drains only from
+ * controllers.
  */
 import {
   PeerClient,
@@ -13,7 +15,7 @@
   EntryRequest,
   EntryResponse,
   EntrySettings,
-  FleetDrains,
+  DrainedInstances,
   PeerReport,
   RouteDemandReport,
 } from '@hornbeampond/schema';
@@ -24,10 +26,10 @@
   readConfiguration(): Configuration;
   readDemand(): readonly RouteDemandReport[];
   onReport(report: PeerReport): void;
-  onDrains(drains: FleetDrains): void;
+  onDrains(drains: DrainedInstances): void;
 }
 
-const PEEK_MILLISECONDS = 500;
+const PEEK_TIMEOUT_MILLISECONDS = 500;
 
 export class EntryPeers {
   private readonly server: PeerServer;
@@ -40,14 +42,15 @@
       onPush: ({ peer }, body) => {
         if (peer.role === 'entry') options.onReport(body as PeerReport);
       },
-      onRequest: ({ peer }, body, respond) => respond(this.answer(body as EntryRequest, peer.role)),
+      onRequest: ({ peer }, body, respond) =>
+        respond(this.handleRequest(body as EntryRequest, peer.role)),
     });
     this.clients = settings.entries
       .filter((entry) => entry.instance !== settings.instance)
       .map((entry) => new PeerClient(entry, context));
   }
 
-  private answer(request: EntryRequest, role: PeerIdentity['role']): EntryResponse {
+  private handleRequest(request: EntryRequest, role: PeerIdentity['role']): EntryResponse {
     if (request.type === 'peekConfiguration') {
       return { type: 'configuration', configuration: this.options.readConfiguration() };
     }
@@ -61,24 +64,27 @@
     return this.server.listen(this.options.settings.peerListen);
   }
 
-  report(report: PeerReport): void {
+  sendReport(report: PeerReport): void {
     this.clients.forEach((client) => client.push(report));
   }
 
-  /** The configurations that the reachable entries have in force. */
+  /** Reads the current configurations of the entries that respond in time. */
   async peekConfigurations(): Promise<Configuration[]> {
-    const answers = await Promise.all(
+    const configurations = await Promise.all(
       this.clients.map(async (client) => {
         try {
           const request: EntryRequest = { type: 'peekConfiguration' };
-          const response = (await client.request(request, PEEK_MILLISECONDS)) as EntryResponse;
+          const response = (await client.request(
+            request,
+            PEEK_TIMEOUT_MILLISECONDS,
+          )) as EntryResponse;
           return response.type === 'configuration' ? [response.configuration] : [];
         } catch {
           return [];
         }
       }),
     );
-    return answers.flat();
+    return configurations.flat();
   }
 
   async close(): Promise<void> {
--- /dev/null
+++ b/apps/entry/src/EventStreamSplitter.ts
@@ -0,0 +1,52 @@
+/**
+ * Splits a stream of server-sent events into complete events. Bytes after the last complete event are
+ * retained: if a backend server fails in the middle of an event, the server that resumes the stream
+ * sends that event from its beginning.
+ */
+
+const LINE_FEED = 0x0a;
+
+/** The events, possibly none, that a call of `push` completes. */
+export interface CompleteEvents {
+  readonly bytes: Buffer;
+  /** The last id among the events; undefined if none has an id. */
+  readonly lastId: string | undefined;
+  readonly count: number;
+}
+
+/** Offset just after the empty line that ends the event at `from`; -1 if it is incomplete. */
+function findEventEnd(bytes: Buffer, from: number): number {
+  for (let at = bytes.indexOf(LINE_FEED, from); at >= 0; at = bytes.indexOf(LINE_FEED, at + 1)) {
+    const nextByte = bytes[at + 1];
+    if (nextByte === LINE_FEED) return at + 2;
+    if (nextByte === 0x0d && bytes[at + 2] === LINE_FEED) return at + 3;
+  }
+  return -1;
+}
+
+function findEventId(event: string): string | undefined {
+  return /^id:[ ]?(.*?)\r?$/m.exec(event)?.[1];
+}
+
+export class EventStreamSplitter {
+  private rest: Buffer = Buffer.alloc(0);
+
+  /** Bytes of the event that is still incomplete. */
+  get pendingBytes(): Buffer {
+    return this.rest;
+  }
+
+  push(bytes: Uint8Array): CompleteEvents {
+    const all = this.rest.length === 0 ? Buffer.from(bytes) : Buffer.concat([this.rest, bytes]);
+    let end = 0;
+    let count = 0;
+    let lastId: string | undefined;
+    for (let eventEnd = findEventEnd(all, 0); eventEnd >= 0; eventEnd = findEventEnd(all, end)) {
+      lastId = findEventId(all.toString('latin1', end, eventEnd)) ?? lastId;
+      end = eventEnd;
+      count += 1;
+    }
+    this.rest = all.subarray(end);
+    return { bytes: all.subarray(0, end), lastId, count };
+  }
+}
--- a/apps/entry/src/PlainAnswer.ts
+++ b/apps/entry/src/PlainAnswer.ts
@@ -1,84 +1,88 @@
 /**
- * A plain service's answer, passed on as it is. The answer to a call that may not be repeated is
- * held until it is whole, so that it can be stored for callers who send the call again.
+ * The answer of a plain service, relayed with its status and without its hop-by-hop headers. The
+ * answer to a call that must not be repeated is buffered until it is complete, so that it can be
+ * stored for callers that resend the call.
  */
 import type { ServerResponse } from 'node:http';
 import { HornbeampondError, type StoredAnswer } from '@hornbeampond/schema';
 import type { HeaderFields } from '@hornbeampond/adapters';
 import { CallerAnswer } from './CallerAnswer.js';
 
-export interface PlainShape {
-  /** True if the answer is held until it is whole. */
-  readonly held: boolean;
-  /** Most bytes of an answer that is held. */
-  readonly mostBytes: number;
+export interface PlainAnswerOptions {
+  /** True if nothing is sent before the answer is complete. */
+  readonly isBuffered: boolean;
+  /** Size limit of a buffered answer. */
+  readonly maxBytes: number;
 }
 
-/** Headers of a backend server's answer that speak of its connection, not of the answer. */
-const droppedHeaders = new Set(['connection', 'keep-alive', 'transfer-encoding']);
+/** Headers that apply to the connection to the backend server, not to the answer. */
+const hopByHopHeaders = new Set(['connection', 'keep-alive', 'transfer-encoding']);
 
 export class PlainAnswer extends CallerAnswer {
   private status = 200;
 
   private headers: Record<string, string | string[]> = {};
 
-  private held: Uint8Array[] = [];
+  private bufferedChunks: Uint8Array[] = [];
 
-  private heldBytes = 0;
+  private bufferedBytes = 0;
 
   constructor(
     requestId: string,
     response: ServerResponse,
-    private readonly shape: PlainShape,
+    private readonly options: PlainAnswerOptions,
   ) {
     super(requestId, response);
   }
 
-  /** Takes in the head of the backend server's answer. */
-  begin(status: number, headers: HeaderFields): void {
+  /** Handles the head of an attempt's answer; discards what an earlier attempt has buffered. */
+  receiveHead(status: number, headers: HeaderFields): void {
     this.status = status;
-    this.held = [];
-    this.heldBytes = 0;
+    this.bufferedChunks = [];
+    this.bufferedBytes = 0;
     this.headers = Object.fromEntries(
       Object.entries(headers)
-        .filter(([name]) => !droppedHeaders.has(name))
+        .filter(([name]) => !hopByHopHeaders.has(name))
         .map(([name, value]) => [name, typeof value === 'string' ? value : [...value]]),
     );
   }
 
   async writeBytes(bytes: Uint8Array): Promise<void> {
-    if (!this.shape.held) {
+    if (!this.options.isBuffered) {
       this.writeHead();
       await this.write(bytes);
       return;
     }
-    this.heldBytes += bytes.length;
-    if (this.heldBytes > this.shape.mostBytes) {
-      throw new HornbeampondError('answerCut', `The answer is above ${this.shape.mostBytes} bytes`);
+    this.bufferedBytes += bytes.length;
+    if (this.bufferedBytes > this.options.maxBytes) {
+      throw new HornbeampondError(
+        'answerCut',
+        `The answer is larger than ${this.options.maxBytes} bytes`,
+      );
     }
-    this.held.push(bytes);
+    this.bufferedChunks.push(bytes);
   }
 
-  /** The whole answer, if it was held. */
+  /** The complete answer, if it was buffered. */
   get storedAnswer(): StoredAnswer | undefined {
-    if (!this.shape.held) return undefined;
-    // A stored answer names each header once; only cookies cannot be joined, and are left out.
+    if (!this.options.isBuffered) return undefined;
+    // A stored answer has one value per header. Cookies cannot be joined, so they are omitted.
     const headers = Object.fromEntries(
       Object.entries(this.headers)
         .filter(([name]) => name !== 'set-cookie')
         .map(([name, value]) => [name, typeof value === 'string' ? value : value.join(', ')]),
     );
-    return { status: this.status, headers, body: Buffer.concat(this.held) };
+    return { status: this.status, headers, body: Buffer.concat(this.bufferedChunks) };
   }
 
   override finish(): void {
-    if (this.gone) return;
+    if (this.isClosed) return;
     this.writeHead();
-    this.response.end(this.shape.held ? Buffer.concat(this.held) : undefined);
+    this.response.end(this.options.isBuffered ? Buffer.concat(this.bufferedChunks) : undefined);
   }
 
-  protected override cut(): void {
-    // Without its last chunk a chunked body is known to be cut, whatever the caller reads it with.
+  protected override abort(): void {
+    // Closing the connection before the last chunk marks a chunked body as incomplete.
     this.response.destroy();
   }
 
--- a/apps/entry/src/RelayAnswer.ts
+++ b/apps/entry/src/RelayAnswer.ts
@@ -1,49 +1,47 @@
 /**
- * The answer to an opaque call, passed on as the backend server gave it.
- *
- * A whole answer is held until its last byte has come, up to a bound: one that is cut on the way
- * has then not begun for the caller, and the call can be tried elsewhere. A stream of events goes
- * out event by event and remembers the last one, so that another backend server can go on with it.
- * The last failure that a backend server answered is kept: if nothing better comes, the caller is
- * told in the backend server's own words.
+ * The answer to an opaque call, relayed with the backend server's status and headers. An answer that
+ * is not an event stream is buffered up to a size limit; until the limit is exceeded, the call can be
+ * retried on another server. An event stream is sent event by event, and another server can resume it
+ * after the last event id. If the call fails before anything is sent, the caller receives the last
+ * failure answer of a backend server, if one was saved.
  */
 import type { ServerResponse } from 'node:http';
 import type { HeaderLine, RelayResponse } from '@hornbeampond/adapters';
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import { CallerAnswer } from './CallerAnswer.js';
 import type { CallProtocol } from './CallProtocol.js';
-import { EventStreamCutter } from './EventStreamCutter.js';
+import { EventStreamSplitter } from './EventStreamSplitter.js';
 
-/** Larger answers are passed on as they come; holding many of them would cost too much memory. */
-const MOST_HELD_BYTES = 256 * 1024;
+/** Larger answers are sent as they arrive, to limit the memory that buffers use. */
+const MAX_BUFFERED_BYTES = 256 * 1024;
 
-interface KeptAnswer {
+interface CompleteAnswer {
   readonly status: number;
   readonly headers: readonly HeaderLine[];
   readonly body: Buffer;
 }
 
 export class RelayAnswer extends CallerAnswer {
-  /** The last event that the caller has. */
+  /** Id of the last event sent; until one is sent, the id that the caller asks to resume after. */
   lastEventId: string | undefined;
 
-  /** The longest time between two pieces of the answer, over all attempts. */
+  /** The longest time between two chunks received, over all attempts. */
   longestPause: Milliseconds = 0;
 
-  private pieceAt: MonotonicMilliseconds | undefined;
+  private lastBytesAt: MonotonicMilliseconds | undefined;
 
-  /** Whole events that have gone to the caller. */
-  eventsGiven = 0;
+  /** Number of complete events sent to the caller. */
+  eventsSent = 0;
 
   private head: Pick<RelayResponse, 'status' | 'headers' | 'isStream'> | undefined;
 
-  private cutter = new EventStreamCutter();
+  private splitter = new EventStreamSplitter();
 
-  private held: Uint8Array[] = [];
+  private bufferedChunks: Uint8Array[] = [];
 
-  private heldBytes = 0;
+  private bufferedBytes = 0;
 
-  private kept: KeptAnswer | undefined;
+  private lastFailureAnswer: CompleteAnswer | undefined;
 
   constructor(
     requestId: string,
@@ -55,54 +53,58 @@
     this.lastEventId = resumeAfter;
   }
 
+  /** Counts events, not tokens. */
   override get tokensGiven(): number | undefined {
-    return this.eventsGiven > 0 ? this.eventsGiven : undefined;
+    return this.eventsSent > 0 ? this.eventsSent : undefined;
   }
 
-  /** True while the backend server is in the middle of an event. */
-  get isInEvent(): boolean {
-    return this.head?.isStream === true && this.cutter.pending.length > 0;
+  /** True if the bytes received end in the middle of an event. */
+  get hasPartialEvent(): boolean {
+    return this.head?.isStream === true && this.splitter.pendingBytes.length > 0;
   }
 
-  /** Takes note that a piece of the answer has come. */
-  notePiece(now: MonotonicMilliseconds): void {
-    this.longestPause = Math.max(this.longestPause, now - (this.pieceAt ?? now));
-    this.pieceAt = now;
+  /** Records that a chunk was received at `now`, for `longestPause`. */
+  recordBytesReceived(now: MonotonicMilliseconds): void {
+    this.longestPause = Math.max(this.longestPause, now - (this.lastBytesAt ?? now));
+    this.lastBytesAt = now;
   }
 
-  /** Takes in the head of a backend server's answer; a stream that goes on keeps its first head. */
-  begin({ status, headers, isStream }: RelayResponse): void {
-    this.cutter = new EventStreamCutter();
-    this.held = [];
-    this.heldBytes = 0;
+  /**
+   * Handles the head of an attempt's answer and discards what earlier attempts have buffered. A
+   * started answer keeps its first head.
+   */
+  receiveHead({ status, headers, isStream }: RelayResponse): void {
+    this.splitter = new EventStreamSplitter();
+    this.bufferedChunks = [];
+    this.bufferedBytes = 0;
     if (!this.started) this.head = { status, headers, isStream };
   }
 
-  /** Passes on what is whole; resolves once the caller can take more. */
-  async relay(bytes: Uint8Array): Promise<void> {
+  /** Sends or buffers received bytes; resolves once the caller can receive more. */
+  async writeBytes(bytes: Uint8Array): Promise<void> {
     if (this.head?.isStream !== true) {
-      await this.hold(bytes);
+      await this.bufferOrWrite(bytes);
       return;
     }
-    const events = this.cutter.push(bytes);
+    const events = this.splitter.push(bytes);
     if (events.count === 0) return;
     this.writeHead();
     this.lastEventId = events.lastId ?? this.lastEventId;
-    this.eventsGiven += events.count;
+    this.eventsSent += events.count;
     await this.write(events.bytes);
   }
 
-  /** Keeps an answer that tells of a failure, for the case that no attempt does better. */
-  keepFailure(body: Buffer): void {
+  /** Saves a failure answer, which is sent if the call fails before anything else is sent. */
+  saveFailureAnswer(body: Buffer): void {
     if (this.head === undefined || this.started) return;
-    this.kept = { ...this.head, body };
+    this.lastFailureAnswer = { ...this.head, body };
   }
 
   override finish(): void {
-    if (this.gone) return;
-    const body = Buffer.concat(this.held);
+    if (this.isClosed) return;
+    const body = Buffer.concat(this.bufferedChunks);
     if (!this.started && this.head?.isStream === false) {
-      this.writeWhole({ ...this.head, body });
+      this.writeCompleteAnswer({ ...this.head, body });
       return;
     }
     this.writeHead();
@@ -110,31 +112,31 @@
   }
 
   override fail(error: unknown): void {
-    if (this.gone) return;
-    if (this.started) this.cut();
-    else if (this.kept !== undefined) this.writeWhole(this.kept);
+    if (this.isClosed) return;
+    if (this.started) this.abort();
+    else if (this.lastFailureAnswer !== undefined) this.writeCompleteAnswer(this.lastFailureAnswer);
     else this.protocol.writeProblem(this.response, error, this.requestId);
   }
 
-  protected override cut(): void {
+  protected override abort(): void {
     this.response.destroy();
   }
 
-  private async hold(bytes: Uint8Array): Promise<void> {
+  private async bufferOrWrite(bytes: Uint8Array): Promise<void> {
     if (this.started) {
       await this.write(bytes);
       return;
     }
-    this.held.push(bytes);
-    this.heldBytes += bytes.length;
-    if (this.heldBytes <= MOST_HELD_BYTES) return;
+    this.bufferedChunks.push(bytes);
+    this.bufferedBytes += bytes.length;
+    if (this.bufferedBytes <= MAX_BUFFERED_BYTES) return;
     this.writeHead();
-    const held = Buffer.concat(this.held);
-    this.held = [];
-    await this.write(held);
+    const bufferedBody = Buffer.concat(this.bufferedChunks);
+    this.bufferedChunks = [];
+    await this.write(bufferedBody);
   }
 
-  private writeWhole({ status, headers, body }: KeptAnswer): void {
+  private writeCompleteAnswer({ status, headers, body }: CompleteAnswer): void {
     const lines = headers.filter(([name]) => name.toLowerCase() !== 'content-length');
     this.response.writeHead(status, [...lines, ['content-length', String(body.length)]].flat());
     this.response.end(body);
--- a/apps/entry/src/RelayServer.ts
+++ b/apps/entry/src/RelayServer.ts
@@ -1,6 +1,7 @@
 /**
- * Where callers of opaque calls connect. It reads requests within the bounds of the configuration
- * in force and hands them to the reducer; everything after that is decided there.
+ * The HTTP server for opaque calls. It reads requests, enforces the size and time limits for callers
+ * (`callerBounds`) of the current configuration and passes the requests to `onRequest`. Requests that
+ * exceed the limits or are malformed are refused here; all further decisions are the reducer's.
  */
 import { createHash } from 'node:crypto';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
@@ -15,7 +16,7 @@
 } from '@hornbeampond/schema';
 import { readBody } from '@hornbeampond/transport';
 import type { CallerExchange } from './CallerServer.js';
-import { CallerHttpServer } from './CallerHttpServer.js';
+import { HttpServerLifecycle } from './HttpServerLifecycle.js';
 import type { CallerListener } from './CallerListener.js';
 import type { CallProtocol } from './CallProtocol.js';
 import { RelayAnswer } from './RelayAnswer.js';
@@ -24,22 +25,22 @@
   readonly listen: ListenAddress;
   readonly protocol: CallProtocol;
   readonly timers: TimerService;
-  /** The bounds in force; undefined before a configuration names any. */
+  /** The configured limits for callers; undefined if the configuration has none. */
   readBounds(): CallerBounds | undefined;
-  /** Names requests whose caller gave no name; unique for all time. */
-  nameRequest(): string;
-  /** True if a request of this name is in progress. */
-  isKnown(requestId: string): boolean;
+  /** Returns a globally unique id, for requests without an id that can be used. */
+  makeRequestId(): string;
+  /** True if a request with this id is in progress. */
+  isInProgress(requestId: string): boolean;
   onRequest(exchange: CallerExchange): void;
-  onGone(requestId: string): void;
-  /** Counts a refusal that the reducer does not see. */
+  onCallerDisconnect(requestId: string): void;
+  /** Called for requests that are refused before they reach the reducer. */
   onRefused(error: unknown): void;
 }
 
-/** Largest head that is read at all; the configuration's bound, checked after, is lower. */
-const MOST_HEAD_BYTES = 256 * 1024;
+/** Limit for Node's parser. The configured `headerBytes` is checked after the head is parsed. */
+const MAX_HEAD_BYTES = 256 * 1024;
 
-/** In force until a configuration says more. */
+/** Used if the configuration has no `callerBounds`. */
 const DEFAULT_BOUNDS: CallerBounds = {
   headerBytes: 16 * 1024,
   bodyBytes: 4 * 1024 * 1024,
@@ -47,86 +48,89 @@
   idleMilliseconds: 15_000,
 };
 
-/** A caller may use an idle connection until its bound; closing it then would cross a request. */
-const IDLE_MARGIN_MILLISECONDS = 1000;
+/** Added to `idleMilliseconds`, so that a connection is not closed just as the caller reuses it. */
+const KEEP_ALIVE_MARGIN_MILLISECONDS = 1000;
 
-/** How often Node looks for heads that take too long. */
-const HEAD_CHECK_MILLISECONDS = 1000;
+const HEAD_TIMEOUT_CHECK_INTERVAL_MILLISECONDS = 1000;
 
 const statusLines = {
   badRequest: '400 Bad Request',
   headersTooLarge: '431 Request Header Fields Too Large',
 } as const;
 
-function headBytes({ rawHeaders, url = '' }: IncomingMessage): number {
-  // Each line has a colon, a space and an end of two bytes.
+/** Size of the URL and the header lines. */
+function countHeadBytes({ rawHeaders, url = '' }: IncomingMessage): number {
+  // Each name is followed by a colon and a space, each value by CRLF.
   return rawHeaders.reduce((sum, text) => sum + text.length + 2, url.length);
 }
 
 export class RelayServer implements CallerListener {
   private readonly server: Server;
 
-  private readonly life: CallerHttpServer;
+  private readonly lifecycle: HttpServerLifecycle;
 
-  private isClosing = false;
+  private isKeepAliveDisabled = false;
 
   constructor(private readonly options: RelayServerOptions) {
     this.server = createServer(
-      { maxHeaderSize: MOST_HEAD_BYTES, connectionsCheckingInterval: HEAD_CHECK_MILLISECONDS },
+      {
+        maxHeaderSize: MAX_HEAD_BYTES,
+        connectionsCheckingInterval: HEAD_TIMEOUT_CHECK_INTERVAL_MILLISECONDS,
+      },
       (request, response) => {
-        this.take(request, response).catch((error: unknown) => this.refuse(response, error));
+        this.handleRequest(request, response).catch((error: unknown) =>
+          this.refuseRequest(response, error),
+        );
       },
     );
-    this.life = new CallerHttpServer(this.server, options.timers);
+    this.lifecycle = new HttpServerLifecycle(this.server, options.timers);
     this.server.requestTimeout = 0;
     this.server.on('clientError', (error: NodeJS.ErrnoException, socket: Socket) =>
-      this.refuseUnread(error, socket),
+      this.refuseUnparsedRequest(error, socket),
     );
     this.applyBounds();
   }
 
-  /** Takes the bounds of the configuration in force. */
   applyBounds(): void {
     const { headerMilliseconds, idleMilliseconds } = this.bounds;
     this.server.headersTimeout = headerMilliseconds;
-    this.server.keepAliveTimeout = idleMilliseconds + IDLE_MARGIN_MILLISECONDS;
+    this.server.keepAliveTimeout = idleMilliseconds + KEEP_ALIVE_MARGIN_MILLISECONDS;
   }
 
   async listen(): Promise<number> {
-    return this.life.listen(this.options.listen);
+    return this.lifecycle.listen(this.options.listen);
   }
 
-  /** Asks callers to connect elsewhere next time, with each answer from now on. */
-  startClosing(): void {
-    this.isClosing = true;
+  disableKeepAlive(): void {
+    this.isKeepAliveDisabled = true;
   }
 
   stopListening(): void {
-    this.isClosing = true;
-    this.life.stopListening();
+    this.isKeepAliveDisabled = true;
+    this.lifecycle.stopListening();
   }
 
-  async close(patience: Milliseconds): Promise<void> {
-    await this.life.close(patience);
+  async close(timeout: Milliseconds): Promise<void> {
+    await this.lifecycle.close(timeout);
   }
 
   private get bounds(): CallerBounds {
     return this.options.readBounds() ?? DEFAULT_BOUNDS;
   }
 
-  private refuse(response: ServerResponse, error: unknown): void {
+  private refuseRequest(response: ServerResponse, error: unknown): void {
     this.options.onRefused(error);
     if (response.headersSent) {
       response.destroy();
       return;
     }
-    // A body that was not read to its end would be taken for the next request.
+    // The unread rest of a body would be parsed as the next request on the connection.
     response.setHeader('connection', 'close');
     this.options.protocol.writeProblem(response, error);
   }
 
-  /** Answers bytes that Node could not read as a request, so that there is no response object. */
-  private refuseUnread(error: NodeJS.ErrnoException, socket: Socket): void {
+  /** Refuses a request that Node could not parse, which has no response object. */
+  private refuseUnparsedRequest(error: NodeJS.ErrnoException, socket: Socket): void {
     const kind = error.code === 'HPE_HEADER_OVERFLOW' ? 'headersTooLarge' : 'badRequest';
     const problem = new HornbeampondError(kind, 'The request could not be read');
     this.options.onRefused(problem);
@@ -137,34 +141,45 @@
     socket.end(`${head}\r\n\r\n${body}`);
   }
 
-  private async take(message: IncomingMessage, response: ServerResponse): Promise<void> {
-    const { protocol, onRequest, onGone } = this.options;
-    if (this.isClosing) response.setHeader('connection', 'close');
+  private async handleRequest(message: IncomingMessage, response: ServerResponse): Promise<void> {
+    const { protocol, onRequest, onCallerDisconnect } = this.options;
+    if (this.isKeepAliveDisabled) response.setHeader('connection', 'close');
     const { headerBytes, bodyBytes } = this.bounds;
-    if (headBytes(message) > headerBytes) {
-      throw new HornbeampondError('headersTooLarge', `The head is above ${headerBytes} bytes`);
+    if (countHeadBytes(message) > headerBytes) {
+      throw new HornbeampondError(
+        'headersTooLarge',
+        `The request head is larger than ${headerBytes} bytes`,
+      );
     }
-    const call = protocol.readCall(message);
+    const call = protocol.parseCall(message);
     const body = await readBody(message, bodyBytes);
-    // The caller may have left while its body was read.
+    // The caller may have disconnected while its body was read.
     if (response.destroyed) return;
-    const requestId = this.nameOf(call.name);
+    const requestId = this.chooseRequestId(call.name);
     const answer = new RelayAnswer(requestId, response, protocol, call.resumeAfter);
     const { method = 'GET', url: path = '/' } = message;
     const digest = createHash('sha256')
-      .update(`${method}\n${path}\n${call.facts.keySha256 ?? ''}\n`)
+      .update(`${method}\n${path}\n${call.requestFields.keySha256 ?? ''}\n`)
       .update(body)
       .digest('hex');
-    const request = { requestId, workspace: '', method, path, digest, ...call.facts };
+    const request = { requestId, workspace: '', method, path, digest, ...call.requestFields };
     response.on('close', () => {
-      if (!response.writableEnded) onGone(requestId);
+      if (!response.writableEnded) onCallerDisconnect(requestId);
     });
     const { headers } = message;
-    onRequest({ request, headers, relayed: call.headers, body, completion: undefined, answer });
+    onRequest({
+      request,
+      headers,
+      forwardedHeaders: call.forwardedHeaders,
+      body,
+      completion: undefined,
+      answer,
+    });
   }
 
-  private nameOf(name: string | undefined): string {
-    const { isKnown, nameRequest } = this.options;
-    return name === undefined || isKnown(name) ? nameRequest() : name;
+  /** Returns the caller's id for the request, or a new id if that is missing or in use. */
+  private chooseRequestId(name: string | undefined): string {
+    const { isInProgress, makeRequestId } = this.options;
+    return name === undefined || isInProgress(name) ? makeRequestId() : name;
   }
 }
--- a/apps/entry/src/ownBoundary.ts
+++ b/apps/entry/src/makeHttpDependencies.ts
@@ -1,4 +1,7 @@
-/** What is outside an entry where it is spoken to by this project's own interface, over HTTP. */
+/**
+ * Creates the dependencies of an entry whose platform and backend servers use this project's own
+ * HTTP APIs.
+ */
 import {
   HttpEngineAdapter,
   HttpPlainServiceAdapter,
@@ -7,7 +10,7 @@
 import type { AttemptTarget } from '@hornbeampond/entry-core';
 import type { EntrySettings } from '@hornbeampond/schema';
 import type { BackendServerAdapter } from './AdapterDirectory.js';
-import type { EntryBoundary } from './EntryProcess.js';
+import type { EntryDependencies } from './EntryProcess.js';
 
 function makeHttpAdapter(target: AttemptTarget): BackendServerAdapter {
   return target.kind === 'modelEngine'
@@ -15,8 +18,7 @@
     : { kind: 'plainService', adapter: new HttpPlainServiceAdapter(target) };
 }
 
-/** The platform at the address of the settings, and backend servers at theirs. */
-export function makeOwnBoundary(settings: EntrySettings): EntryBoundary {
+export function makeHttpDependencies(settings: EntrySettings): EntryDependencies {
   return {
     platform: new HttpPlatformAdapter(settings.platform.url),
     makeAdapter: makeHttpAdapter,
--- a/apps/entry/src/relayBody.ts
+++ b/apps/entry/src/relayBody.ts
@@ -1,33 +1,35 @@
 /**
- * Moves the body of an opaque answer to its caller. An answer of 5xx is a failure of the backend
- * server: it is read whole, kept for the caller, and told as a failure, so that the reducer can
- * try elsewhere first.
+ * Relays the body of an opaque answer to its caller. An answer with a 5xx status is not relayed but
+ * saved, unless it is too large, and a `BackendServerFailure` is thrown, so that the reducer can
+ * retry the call before the caller receives the answer.
  */
 import { BackendServerFailure, type RelayResponse } from '@hornbeampond/adapters';
 import type { RelayAnswer } from './RelayAnswer.js';
 
-const STATUS_OK = 200;
-const FIRST_SERVER_ERROR = 500;
+const OK_STATUS = 200;
+const MIN_SERVER_ERROR_STATUS = 500;
 
-/** Larger answers that tell of a failure are cut short. */
-const MOST_FAILURE_BYTES = 64 * 1024;
+/** Larger failure answers are not saved. */
+const MAX_SAVED_FAILURE_BYTES = 64 * 1024;
 
-export interface RelayEdges {
+export interface RelayCallbacks {
   isCancelled(): boolean;
-  /** Bytes have come. */
-  onBytes(): void;
-  /** The caller has taken them. */
-  onTaken(): void;
+  onBytesReceived(): void;
+  /** Called once the caller can receive more. */
+  onBytesWritten(): void;
 }
 
-async function readFailure({ status, body }: RelayResponse, answer: RelayAnswer): Promise<never> {
+async function saveFailureAndThrow(
+  { status, body }: RelayResponse,
+  answer: RelayAnswer,
+): Promise<never> {
   const chunks: Uint8Array[] = [];
   let bytes = 0;
   for await (const chunk of body) {
     bytes += chunk.length;
-    if (bytes <= MOST_FAILURE_BYTES) chunks.push(chunk);
+    if (bytes <= MAX_SAVED_FAILURE_BYTES) chunks.push(chunk);
   }
-  if (bytes <= MOST_FAILURE_BYTES) answer.keepFailure(Buffer.concat(chunks));
+  if (bytes <= MAX_SAVED_FAILURE_BYTES) answer.saveFailureAnswer(Buffer.concat(chunks));
   throw new BackendServerFailure(`the answer has status ${status}`, {
     failure: 'serverError',
     status,
@@ -37,22 +39,22 @@
 export async function relayBody(
   response: RelayResponse,
   answer: RelayAnswer,
-  edges: RelayEdges,
+  callbacks: RelayCallbacks,
 ): Promise<void> {
-  if (answer.started && !(response.isStream && response.status === STATUS_OK)) {
-    throw new BackendServerFailure('a stream cannot go on with this', {
+  if (answer.started && !(response.isStream && response.status === OK_STATUS)) {
+    throw new BackendServerFailure('the answer cannot continue the one already started', {
       failure: 'malformed',
       status: response.status,
     });
   }
-  answer.begin(response);
-  if (response.status >= FIRST_SERVER_ERROR) await readFailure(response, answer);
+  answer.receiveHead(response);
+  if (response.status >= MIN_SERVER_ERROR_STATUS) await saveFailureAndThrow(response, answer);
   for await (const bytes of response.body) {
-    if (edges.isCancelled()) return;
-    edges.onBytes();
-    await answer.relay(bytes);
-    edges.onTaken();
+    if (callbacks.isCancelled()) return;
+    callbacks.onBytesReceived();
+    await answer.writeBytes(bytes);
+    callbacks.onBytesWritten();
   }
-  // The connection ended cleanly, yet in the middle of an event: the stream was cut.
-  if (answer.isInEvent) throw new BackendServerFailure('the stream ended inside an event');
+  // A connection that ends cleanly can still end in the middle of an event.
+  if (answer.hasPartialEvent) throw new BackendServerFailure('the stream ended inside an event');
 }
--- a/apps/store/src/FolderDisk.ts
+++ b/apps/store/src/FolderDisk.ts
@@ -1,4 +1,4 @@
-/** The disk of a store process: the data folder that its settings name. */
+/** A store's disk in the data folder that its settings name. */
 
 import {
   LogStore,
@@ -9,10 +9,10 @@
   type LogNotice,
   type PersistEffect,
 } from '@hornbeampond/store-core';
-import type { RememberedEntries } from '@hornbeampond/schema';
+import type { PersistedEntryData } from '@hornbeampond/schema';
 import { StoreDisk, type DiskContents, type SavedSnapshot } from './StoreDisk.js';
 
-const MEMORY_FILE = 'entries';
+const ENTRY_STATE_FILE = 'entries';
 
 export interface FolderDiskOptions {
   readonly folder: string;
@@ -34,34 +34,34 @@
     return { restored, isNew, snapshot: await this.log.readSnapshot() };
   }
 
-  override async write(batch: PersistEffect): Promise<void> {
-    await this.opened.write(batch);
+  override async write(effect: PersistEffect): Promise<void> {
+    await this.openedLog.write(effect);
   }
 
   override async saveSnapshot(snapshot: SavedSnapshot): Promise<void> {
-    await this.opened.saveSnapshot(snapshot);
+    await this.openedLog.saveSnapshot(snapshot);
   }
 
   override async readSnapshot(): Promise<SavedSnapshot | undefined> {
-    return this.opened.readSnapshot();
+    return this.openedLog.readSnapshot();
   }
 
   override async discardLog(throughIndex: number): Promise<void> {
-    await this.opened.discardLog(throughIndex);
+    await this.openedLog.discardLog(throughIndex);
   }
 
-  override async readMemory(): Promise<RememberedEntries | undefined> {
+  override async readPersistedEntryState(): Promise<PersistedEntryData | undefined> {
     const { folder } = this.options;
-    const read = await readWholeFile(new NodeFileSystem(), folder, MEMORY_FILE);
-    return read as RememberedEntries | undefined;
+    const read = await readWholeFile(new NodeFileSystem(), folder, ENTRY_STATE_FILE);
+    return read as PersistedEntryData | undefined;
   }
 
-  override async saveMemory(memory: RememberedEntries): Promise<void> {
-    await replaceFile(new NodeFileSystem(), this.options.folder, MEMORY_FILE, memory);
+  override async savePersistedEntryState(state: PersistedEntryData): Promise<void> {
+    await replaceFile(new NodeFileSystem(), this.options.folder, ENTRY_STATE_FILE, state);
   }
 
-  /** Gives the folder a new identity, as that of an empty disk. It must be closed. */
-  async renew(): Promise<void> {
+  /** Gives the folder a new identity, as if it were empty. The disk must be closed. */
+  async resetIdentity(): Promise<void> {
     await renewIdentity(this.options);
   }
 
@@ -69,7 +69,7 @@
     await this.log?.close();
   }
 
-  private get opened(): LogStore {
+  private get openedLog(): LogStore {
     if (this.log === undefined) throw new TypeError('the disk is not open');
     return this.log;
   }
--- a/apps/store/src/JoinRequests.ts
+++ b/apps/store/src/JoinRequests.ts
@@ -1,46 +1,47 @@
 /**
- * A store whose disk is new, or that was taken out while it was away, asks the others to be let in,
- * until it is a member and hears of a leader. It votes and counts as a copy only once it has caught
- * up; the leader sees to that.
+ * Asks the other stores at regular intervals to add this one to the cluster, until `isNeeded` returns
+ * false. This serves stores with a new disk and stores that were removed while they were unreachable.
  */
 import type { TimerService, Unsubscribe } from '@hornbeampond/runtime';
 import type { JoiningVoter, StoreRequest } from '@hornbeampond/schema';
 import type { StorePeers } from './StorePeers.js';
 
-const INTERVAL_MILLISECONDS = 250;
-const REQUEST_MILLISECONDS = 2000;
+const REQUEST_INTERVAL_MILLISECONDS = 250;
+const REQUEST_TIMEOUT_MILLISECONDS = 2000;
 
 export interface JoinRequestsOptions {
   readonly timers: TimerService;
   readonly peers: StorePeers;
-  /** False once this store is a member that follows a leader, or is one. */
+  /** False once this store is a member and knows a leader, or cannot join. */
   isNeeded(): boolean;
-  describe(): JoiningVoter;
+  describeSelf(): JoiningVoter;
 }
 
 export class JoinRequests {
-  private unsubscribe: Unsubscribe = () => {};
+  private cancelTimer: Unsubscribe = () => {};
 
   constructor(private readonly options: JoinRequestsOptions) {}
 
   start(): void {
     this.stop();
-    this.unsubscribe = this.options.timers.every(INTERVAL_MILLISECONDS, () => this.ask());
+    this.cancelTimer = this.options.timers.every(REQUEST_INTERVAL_MILLISECONDS, () =>
+      this.sendRequests(),
+    );
   }
 
   stop(): void {
-    this.unsubscribe();
+    this.cancelTimer();
   }
 
-  private ask(): void {
+  private sendRequests(): void {
     if (!this.options.isNeeded()) {
       this.stop();
       return;
     }
-    const request: StoreRequest = { type: 'addVoter', voter: this.options.describe() };
+    const request: StoreRequest = { type: 'addVoter', voter: this.options.describeSelf() };
     this.options.peers.all.forEach((client) => {
-      // Only the leader carries it out; the answers of all others say nothing new.
-      if (client.isOpen) client.request(request, REQUEST_MILLISECONDS).catch(() => {});
+      // Only the leader can add this store. Failures need no handling, since the request is repeated.
+      if (client.isOpen) client.request(request, REQUEST_TIMEOUT_MILLISECONDS).catch(() => {});
     });
   }
 }
--- a/apps/store/src/StoreOperations.ts
+++ b/apps/store/src/OperatorRequestHandler.ts
@@ -1,18 +1,18 @@
-/** What operators can tell one store on its operators' port. */
+/** Handles operators' HTTP requests that make a store found or join a cluster or remove a member. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { HornbeampondError, type OperatorKey, type StoreResponse } from '@hornbeampond/schema';
 import { authorizeOperator, readBody, writeJson } from '@hornbeampond/transport';
 
-const MOST_BODY_BYTES = 4096;
+const MAX_BODY_BYTES = 4096;
 
-export interface StoreOperationsOptions {
+export interface OperatorRequestHandlerOptions {
   readonly operatorKeys: readonly OperatorKey[];
-  found(): void;
-  join(): void;
-  remove(instance: string): Promise<StoreResponse>;
+  foundCluster(): void;
+  requestJoin(): void;
+  removeStore(instance: string): Promise<StoreResponse>;
 }
 
-function readInstance(body: Buffer): string {
+function parseInstance(body: Buffer): string {
   const value: unknown = JSON.parse(body.toString('utf8'));
   if (typeof value === 'object' && value !== null && 'instance' in value) {
     if (typeof value.instance === 'string') return value.instance;
@@ -20,24 +20,24 @@
   throw new HornbeampondError('badRequest', 'The body must name the "instance"');
 }
 
-export class StoreOperations {
-  constructor(private readonly options: StoreOperationsOptions) {}
+export class OperatorRequestHandler {
+  constructor(private readonly options: OperatorRequestHandlerOptions) {}
 
   async handle(request: IncomingMessage, response: ServerResponse, url: URL): Promise<boolean> {
     const [, folder, operation] = url.pathname.split('/');
     if (folder !== 'store') return false;
     if (request.method !== 'POST') throw new HornbeampondError('methodNotAllowed', 'Use POST');
     authorizeOperator(request, this.options.operatorKeys);
-    const body = await readBody(request, MOST_BODY_BYTES);
+    const body = await readBody(request, MAX_BODY_BYTES);
     switch (operation) {
       case 'found':
-        this.options.found();
+        this.options.foundCluster();
         break;
       case 'join':
-        this.options.join();
+        this.options.requestJoin();
         break;
       case 'remove': {
-        const removed = await this.options.remove(readInstance(body));
+        const removed = await this.options.removeStore(parseInstance(body));
         if (removed.type !== 'accepted') {
           const detail = `The store was not removed: ${removed.type}`;
           throw new HornbeampondError('storeUnavailable', detail);
--- /dev/null
+++ b/apps/store/src/PersistedEntryState.test.ts
@@ -0,0 +1,94 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { Logger } from '@hornbeampond/runtime';
+import type { EntryReport, Milliseconds, PersistedEntryData } from '@hornbeampond/schema';
+import { ManualTimerService } from '@hornbeampond/testing';
+import { PersistedEntryState } from './PersistedEntryState.js';
+import { MemoryDisk } from './testing/MemoryDisk.js';
+
+/** A report of an entry that had spent 1000 before the window. */
+function report(spentInWindow: number, windowReach: Milliseconds): EntryReport {
+  return {
+    type: 'entryReport',
+    instance: 'entry-1',
+    dataCentre: 'a',
+    incarnation: 1,
+    sequence: 1,
+    leaving: false,
+    revision: 1,
+    inProgress: {},
+    leavingBackendServers: {},
+    suspects: [],
+    spent: { workspace1: spentInWindow + 1000 },
+    windowSpent: { workspace1: [spentInWindow] },
+    windowReach,
+  };
+}
+
+/** Lets pending promises settle. */
+async function flushPromises(): Promise<void> {
+  await new Promise((resolve) => {
+    setImmediate(resolve);
+  });
+}
+
+function makeState(disk: MemoryDisk, lines: string[] = []) {
+  const timers = new ManualTimerService();
+  const write = (line: string) => {
+    lines.push(line);
+  };
+  const logger = new Logger({ process: 'test', instance: 'store-1' }, 'info', write);
+  return { timers, state: new PersistedEntryState({ disk, timers, logger }) };
+}
+
+// All processes lose power shortly after an entry has reported spending. Guards against entries that
+// start with an unspent allowance.
+test('spending that entries reported is restored after a power loss', async () => {
+  const disk = new MemoryDisk();
+  const before = makeState(disk);
+  await before.state.open();
+  before.state.recordReport(report(500, 8000));
+  before.timers.advance(250);
+  await flushPromises();
+  const after = makeState(disk);
+  await after.state.open();
+  assert.deepEqual(after.state.contents.spending?.windowSpent, { workspace1: [500] });
+  assert.deepEqual(after.state.contents.spending?.entries, {
+    'entry-1': { incarnation: 1, spent: { workspace1: 1500 } },
+  });
+});
+
+test('spending totals with a shorter reach replace stored totals only once those are 2 seconds old', async () => {
+  const { timers, state } = makeState(new MemoryDisk());
+  await state.open();
+  state.recordReport(report(500, 8000));
+  state.recordReport(report(20, 100));
+  assert.deepEqual(state.contents.spending?.windowSpent, { workspace1: [500] });
+  timers.advance(2000);
+  state.recordReport(report(30, 2100));
+  assert.deepEqual(state.contents.spending?.windowSpent, { workspace1: [30] });
+});
+
+class FailingDisk extends MemoryDisk {
+  override async savePersistedEntryState(): Promise<void> {
+    throw new Error('ENOSPC');
+  }
+
+  override async readPersistedEntryState(): Promise<PersistedEntryData | undefined> {
+    throw new Error('the checksum does not match');
+  }
+}
+
+// The disk is full and the saved state is damaged. Guards against a store that stops, or logs nothing,
+// because of state that is only best effort.
+test('a store whose disk fails logs it and keeps the entry state in memory', async () => {
+  const lines: string[] = [];
+  const { timers, state } = makeState(new FailingDisk(), lines);
+  await state.open();
+  state.recordReport(report(500, 8000));
+  timers.advance(250);
+  await flushPromises();
+  const events = lines.map((line) => (JSON.parse(line) as { event: string }).event);
+  assert.deepEqual(events, ['memoryUnreadable', 'memoryNotKept']);
+  assert.deepEqual(state.contents.spending?.windowSpent, { workspace1: [500] });
+});
--- /dev/null
+++ b/apps/store/src/PersistedEntryState.ts
@@ -0,0 +1,128 @@
+/**
+ * Saves to the store's disk what entries hold in memory only and need after all of them have lost
+ * power: spent allowances, computed prompt prefixes, estimated delays and counts of started requests.
+ * Without this state allowances would be spent twice, prompts computed again and usage undercounted.
+ *
+ * Saving is best effort: the state is written a few times a second and not replicated, and a store
+ * that cannot read or write the state continues without it.
+ */
+import type { Logger, TimerService, Unsubscribe } from '@hornbeampond/runtime';
+import type {
+  EntryReport,
+  EntrySpending,
+  Milliseconds,
+  PersistedEntryData,
+  WorkReport,
+} from '@hornbeampond/schema';
+import { RecentPrefixes } from './RecentPrefixes.js';
+import type { StoreDisk } from './StoreDisk.js';
+import { RecentEntryUsage } from './RecentEntryUsage.js';
+
+/** What entries reported within this time before a power loss may be lost. */
+const WRITE_INTERVAL_MILLISECONDS: Milliseconds = 250;
+
+/** Age that stored totals must have before totals with a shorter reach replace them. */
+const SPENDING_REPLACEMENT_AGE_MILLISECONDS: Milliseconds = 2000;
+
+export interface PersistedEntryStateOptions {
+  readonly disk: StoreDisk;
+  readonly timers: TimerService;
+  readonly logger: Logger;
+}
+
+export class PersistedEntryState {
+  private spending: PersistedEntryData['spending'];
+
+  private delays: PersistedEntryData['delays'] = {};
+
+  private readonly prefixes = new RecentPrefixes();
+
+  private readonly usage = new RecentEntryUsage();
+
+  /** The latest reported spending of each entry, by instance. */
+  private readonly spendingByEntry = new Map<string, EntrySpending>();
+
+  private hasChanged = false;
+
+  private isWriting = false;
+
+  private cancelTimer: Unsubscribe = () => {};
+
+  constructor(private readonly options: PersistedEntryStateOptions) {}
+
+  get contents(): PersistedEntryData {
+    const { spending, delays } = this;
+    return {
+      ...(spending === undefined ? {} : { spending }),
+      usage: this.usage.reports,
+      delays,
+      computed: this.prefixes.computed,
+    };
+  }
+
+  async open(): Promise<void> {
+    const { disk, timers, logger } = this.options;
+    try {
+      const saved = await disk.readPersistedEntryState();
+      this.spending = saved?.spending;
+      this.delays = saved?.delays ?? {};
+      this.prefixes.record(saved?.computed ?? {});
+      saved?.usage.forEach((usage) => this.usage.record(usage));
+    } catch (error) {
+      logger.write('memoryUnreadable', { reason: String(error) });
+    }
+    this.cancelTimer = timers.every(WRITE_INTERVAL_MILLISECONDS, () => {
+      void this.write();
+    });
+  }
+
+  recordReport(report: EntryReport): void {
+    const { windowSpent, windowReach = 0, spent = {}, delays, begun = {} } = report;
+    this.hasChanged = true;
+    this.usage.record({ ...report, begun });
+    if (delays !== undefined) this.delays = { ...this.delays, ...delays };
+    if (windowSpent === undefined) return;
+    this.recordSpending({ ...report, spent });
+    const at = this.options.timers.wallNow();
+    const known = this.spending;
+    const isStale = known === undefined || at - known.at >= SPENDING_REPLACEMENT_AGE_MILLISECONDS;
+    if (!isStale && windowReach < known.windowReach) return;
+    const entries = Object.fromEntries(this.spendingByEntry);
+    this.spending = { at, windowSpent, windowReach, entries };
+  }
+
+  /** Records an entry's spending, from a spending report or as part of an entry report. */
+  recordSpending({ instance, incarnation, spent }: EntrySpending & { instance: string }): void {
+    const known = this.spendingByEntry.get(instance);
+    const before = known?.incarnation === incarnation ? known.spent : {};
+    this.spendingByEntry.set(instance, { incarnation, spent: { ...before, ...spent } });
+  }
+
+  recordWork({ instance, incarnation, computed, begun }: WorkReport): void {
+    this.hasChanged = true;
+    this.prefixes.record(computed);
+    if (begun !== undefined) this.usage.record({ instance, incarnation, begun });
+  }
+
+  /** Removes the prefixes of backend servers that are not among the listed instances. */
+  removeUnlistedInstances(instances: readonly string[]): void {
+    this.prefixes.retainOnly(instances);
+  }
+
+  close(): void {
+    this.cancelTimer();
+  }
+
+  private async write(): Promise<void> {
+    if (!this.hasChanged || this.isWriting) return;
+    this.isWriting = true;
+    this.hasChanged = false;
+    try {
+      await this.options.disk.savePersistedEntryState(this.contents);
+    } catch (error) {
+      this.options.logger.write('memoryNotKept', { reason: String(error) });
+    } finally {
+      this.isWriting = false;
+    }
+  }
+}
--- a/apps/store/src/StoreProcess.ts
+++ b/apps/store/src/StoreProcess.ts
@@ -1,6 +1,7 @@
 /**
- * One running store: it drives the reducer of the agreement, keeps its disk, applies what is
- * agreed to the tables, claims and leases, and answers clients.
+ * A running store. It drives the consensus reducer, carries out its effects on disk and network,
+ * applies committed commands to the state machine, and serves clients, peers and operators. After an
+ * unexpected error it carries out no further effect.
  */
 import { Encoder } from 'cbor-x';
 import {
@@ -17,7 +18,7 @@
   type CommandResult,
   type EntryReport,
   type StampedCommand,
-  type StoreAddress,
+  type ProcessAddress,
   type StoreCommand,
   type StoreRequest,
   type StoreSettings,
@@ -33,7 +34,7 @@
   memberAddresses,
   reduceConsensus,
   restoreSnapshot,
-  seedOf,
+  makeElectionSeed,
   takeSnapshot,
   type ConsensusEffect,
   type ConsensusEvent,
@@ -48,33 +49,33 @@
   type PeerSession,
 } from '@hornbeampond/transport';
 import { ConfigurationPublisher } from './ConfigurationPublisher.js';
-import { DiskWork } from './DiskWork.js';
+import { DiskOperations } from './DiskOperations.js';
 import { describeMembers, describeStore } from './describeStore.js';
-import { InstanceBoard } from './InstanceBoard.js';
+import { InstanceListCache } from './InstanceListCache.js';
 import { JoinRequests } from './JoinRequests.js';
 import { LeaderWatch } from './LeaderWatch.js';
-import { RequestDesk } from './RequestDesk.js';
-import { EntryMemory } from './EntryMemory.js';
-import { StoreOperations } from './StoreOperations.js';
-import { WorkBoard } from './WorkBoard.js';
+import { PendingRequests } from './PendingRequests.js';
+import { PersistedEntryState } from './PersistedEntryState.js';
+import { OperatorRequestHandler } from './OperatorRequestHandler.js';
+import { WorkReportBatcher } from './WorkReportBatcher.js';
 import { StorePeers } from './StorePeers.js';
-import { StoreRequests } from './StoreRequests.js';
+import { StoreRequestHandler } from './StoreRequestHandler.js';
 import { Subscribers } from './Subscribers.js';
 import type { DiskContents, StoreDisk } from './StoreDisk.js';
 
 const codec = new Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false });
 
-/** What happens to a store, without the clocks. */
-export type StoreOccurrence = ConsensusEvent extends infer Event
+/** A consensus event without the clock readings, which `dispatch` adds. */
+export type ConsensusEventPayload = ConsensusEvent extends infer Event
   ? Event extends { now: number; wallNow: number }
     ? Omit<Event, 'now' | 'wallNow'>
     : never
   : never;
 
 /**
- * Why a store cannot go on. `diskRefused`: a peer has shown that the disk is older than what it
- * promised; it needs a new identity. `unexpectedError`: a step was not carried out to its end, and
- * going on could give callers two histories.
+ * Why a store cannot continue. `diskRefused`: a peer has shown that the disk lacks data that this
+ * store acknowledged, so it needs a new identity. `unexpectedError`: an event was not handled
+ * completely, so the state may differ from that of the other stores.
  */
 export type StoreFailure = 'diskRefused' | 'unexpectedError';
 
@@ -88,13 +89,13 @@
 
   readonly metrics = new Metrics({ withProcessMetrics: true });
 
-  private readonly server: PeerServer;
+  private readonly peerServer: PeerServer;
 
-  private readonly operators: OperatorServer;
+  private readonly operatorServer: OperatorServer;
 
   private readonly peers: StorePeers;
 
-  private readonly desk = new RequestDesk();
+  private readonly pendingRequests = new PendingRequests();
 
   private readonly subscribers = new Subscribers();
 
@@ -102,16 +103,16 @@
 
   private machine = new MachineState();
 
-  /** Results of commands of this step, until their replies have been sent. */
-  private readonly results = new Map<number, CommandResult>();
+  /** The result of the last applied command, by its log index. */
+  private readonly resultsByIndex = new Map<number, CommandResult>();
 
-  private readonly disk: DiskWork;
+  private readonly diskOperations: DiskOperations;
 
-  private readonly joining: JoinRequests;
+  private readonly joinRequests: JoinRequests;
 
-  private readonly requests: StoreRequests;
+  private readonly requestHandler: StoreRequestHandler;
 
-  private address: StoreAddress;
+  private address: ProcessAddress;
 
   private cancelWake: Unsubscribe = () => {};
 
@@ -119,19 +120,19 @@
 
   private readonly publisher: ConfigurationPublisher;
 
-  private readonly memory: EntryMemory;
+  private readonly persistedEntryState: PersistedEntryState;
 
-  private readonly work: WorkBoard;
+  private readonly workReportBatcher: WorkReportBatcher;
 
   private closed = false;
 
-  /** True once a step was not carried out to its end. */
+  /** True once an event was not handled completely. */
   private failed = false;
 
   constructor(
     private readonly settings: StoreSettings,
     private readonly timers: TimerService,
-    private readonly storage: StoreDisk,
+    private readonly disk: StoreDisk,
     private readonly onFailure: (store: StoreProcess, failure: StoreFailure) => void = () => {},
     onEntryReport: (report: EntryReport) => void = () => {},
   ) {
@@ -149,9 +150,9 @@
     this.leaderWatch = new LeaderWatch({
       timers,
       electionTimeout: settings.electionTimeoutMilliseconds,
-      onOutOfTouch: () => {
+      onLeaderTimeout: () => {
         this.subscribers.push({ type: 'outOfTouch' });
-        this.joining.start();
+        this.joinRequests.start();
       },
     });
     this.publisher = new ConfigurationPublisher({
@@ -160,78 +161,82 @@
       subscribers: this.subscribers,
       readMachine: () => this.machine,
     });
-    this.work = new WorkBoard(timers, this.subscribers);
-    this.memory = new EntryMemory({ disk: storage, timers, logger: this.logger });
+    this.workReportBatcher = new WorkReportBatcher(timers, this.subscribers);
+    this.persistedEntryState = new PersistedEntryState({
+      disk,
+      timers,
+      logger: this.logger,
+    });
     this.peers = new StorePeers(instance, context, settings.stores);
-    this.disk = new DiskWork({
-      disk: storage,
+    this.diskOperations = new DiskOperations({
+      disk,
       timers,
       logger: this.logger,
-      dispatch: (occurrence) => this.dispatch(occurrence),
+      dispatch: (event) => this.dispatch(event),
       send: (store, envelope) => this.peers.send(store, envelope),
     });
-    this.joining = new JoinRequests({
+    this.joinRequests = new JoinRequests({
       timers,
       peers: this.peers,
-      isNeeded: () => this.needsLetIn(),
-      describe: () => ({ ...this.address, identity: this.loop.state.self.identity }),
+      isNeeded: () => this.needsToJoin(),
+      describeSelf: () => ({ ...this.address, identity: this.loop.state.self.identity }),
     });
-    this.requests = new StoreRequests({
+    this.requestHandler = new StoreRequestHandler({
       timers,
-      desk: this.desk,
+      pendingRequests: this.pendingRequests,
       subscribers: this.subscribers,
       readState: () => this.loop.state,
       readMachine: () => this.machine,
       readStatus: () => this.readStatus(),
-      dispatch: (occurrence) => this.dispatch(occurrence),
+      dispatch: (event) => this.dispatch(event),
       onEntryReport: (report) => {
-        this.memory.note(report);
+        this.persistedEntryState.recordReport(report);
         onEntryReport(report);
       },
-      instances: new InstanceBoard(timers),
-      onWork: (work) => {
-        this.memory.noteWork(work);
-        this.work.add(work);
+      instanceList: new InstanceListCache(timers),
+      onWorkReport: (work) => {
+        this.persistedEntryState.recordWork(work);
+        this.workReportBatcher.add(work);
       },
-      onSpending: (spending) => this.memory.noteSpending(spending),
-      onInstances: (instances) => this.memory.keepInstances(instances),
-      readMemory: () => this.memory.remembered,
+      onSpendingReport: (spending) => this.persistedEntryState.recordSpending(spending),
+      onInstanceList: (instances) => this.persistedEntryState.removeUnlistedInstances(instances),
+      readPersistedEntryState: () => this.persistedEntryState.contents,
       leastVoters: settings.leastVoters,
     });
-    this.server = new PeerServer(context, {
-      onOpen: ({ peer }) => this.peers.greet(peer.instance),
+    this.peerServer = new PeerServer(context, {
+      onOpen: ({ peer }) => this.peers.reconnectNow(peer.instance),
       onPush: (session, body) => this.receive(session, body as Envelope),
       onRequest: (session, body, respond) =>
-        this.requests.answer(session, body as StoreRequest, respond),
-      onClose: (session) => this.requests.forget(session),
+        this.requestHandler.handle(session, body as StoreRequest, respond),
+      onClose: (session) => this.requestHandler.removeSession(session),
     });
-    const operations = new StoreOperations({
+    const operatorRequests = new OperatorRequestHandler({
       operatorKeys: settings.operatorKeys,
-      found: () => this.found(),
-      join: () => this.joining.start(),
-      remove: async (removed) => this.requests.removeVoter(removed),
+      foundCluster: () => this.foundCluster(),
+      requestJoin: () => this.joinRequests.start(),
+      removeStore: async (removed) => this.requestHandler.removeVoter(removed),
     });
-    this.operators = new OperatorServer({
+    this.operatorServer = new OperatorServer({
       metrics: this.metrics,
       isReady: () => leaderHint(this.loop.state) !== undefined,
       readStatus: async () => ({ stores: [this.readStatus()] }),
-      handle: async (request, response, url) => operations.handle(request, response, url),
+      handle: async (request, response, url) => operatorRequests.handle(request, response, url),
     });
   }
 
-  /** Reads the disk and starts to serve. */
+  /** Reads the disk, listens and connects to the other stores. */
   async start(): Promise<StorePorts> {
-    const contents = await this.storage.open(this.settings.instance);
+    const contents = await this.disk.open(this.settings.instance);
     this.isNew = contents.isNew;
-    this.loop = this.makeLoop(contents);
-    await this.memory.open();
-    const peers = await this.server.listen(this.settings.listen);
+    this.loop = this.makeEventLoop(contents);
+    await this.persistedEntryState.open();
+    const peers = await this.peerServer.listen(this.settings.listen);
     this.address = { ...this.address, port: peers };
-    const operators = await this.operators.listen(this.settings.operatorListen);
+    const operators = await this.operatorServer.listen(this.settings.operatorListen);
     this.peers.open();
-    this.peers.keep(memberAddresses(this.loop.state));
+    this.peers.updateMembers(memberAddresses(this.loop.state));
     this.dispatch({ type: 'started' });
-    if (contents.isNew) this.joining.start();
+    if (contents.isNew) this.joinRequests.start();
     this.logger.write('processReady', { peers, operators });
     return { peers, operators };
   }
@@ -239,23 +244,23 @@
   /** True if the disk was empty at start. */
   isNew = false;
 
-  /** Founds a cluster on this disk; refused unless the disk is empty. */
-  found(): void {
+  /** Founds a cluster with this store as its only member; throws if it has been part of a cluster. */
+  foundCluster(): void {
     const { state } = this.loop;
     if (state.term > 0 || this.isMember()) {
       const detail = 'This store is part of a cluster already';
       throw new HornbeampondError('badRequest', detail);
     }
-    this.joining.stop();
+    this.joinRequests.stop();
     this.dispatch({
       type: 'found',
       member: { identity: state.self.identity, address: this.address },
     });
   }
 
-  /** Seeks the stores that changed settings name, beside the members of the log. */
-  useStores(addresses: readonly StoreAddress[]): void {
-    this.peers.useConfigured(addresses);
+  /** Connects to the stores that changed settings name, beside the members listed in the log. */
+  useStores(addresses: readonly ProcessAddress[]): void {
+    this.peers.setConfigured(addresses);
   }
 
   async shutDown(): Promise<void> {
@@ -269,17 +274,17 @@
     this.cancelWake();
     this.leaderWatch.stop();
     this.publisher.stop();
-    this.memory.close();
-    this.work.close();
-    this.joining.stop();
-    this.disk.stop();
+    this.persistedEntryState.close();
+    this.workReportBatcher.close();
+    this.joinRequests.stop();
+    this.diskOperations.stop();
     this.peers.close();
-    await Promise.all([this.server.close(), this.operators.close()]);
-    await this.disk.finish();
-    await this.storage.close();
+    await Promise.all([this.peerServer.close(), this.operatorServer.close()]);
+    await this.diskOperations.finish();
+    await this.disk.close();
   }
 
-  private makeLoop({ restored, snapshot }: DiskContents) {
+  private makeEventLoop({ restored, snapshot }: DiskContents) {
     if (snapshot !== undefined) this.machine = restoreSnapshot(codec.decode(snapshot.data));
     const { cluster, electionTimeoutMilliseconds, heartbeatMilliseconds } = this.settings;
     const { silentStoreMilliseconds, leastVoters } = this.settings;
@@ -289,25 +294,25 @@
         cluster,
         electionTimeout: electionTimeoutMilliseconds,
         heartbeatInterval: heartbeatMilliseconds,
-        silentMemberTimeout: silentStoreMilliseconds,
+        unreachableMemberTimeout: silentStoreMilliseconds,
         leastVoters,
       },
       restored,
-      seedOf(restored.self),
+      makeElectionSeed(restored.self),
     );
     return new EventLoop<ConsensusState, ConsensusEvent, ConsensusEffect>(
       state,
       reduceConsensus,
-      (effect) => this.carryOut(effect),
+      (effect) => this.applyEffect(effect),
       (error, event) => this.reportError(error, event.type),
     );
   }
 
-  private dispatch(occurrence: StoreOccurrence): void {
+  private dispatch(event: ConsensusEventPayload): void {
     if (this.closed || this.failed) return;
     const clocks = { now: this.timers.monotonicNow(), wallNow: this.timers.wallNow() };
-    this.loop.dispatch({ ...occurrence, ...clocks });
-    this.requests.advance();
+    this.loop.dispatch({ ...event, ...clocks });
+    this.requestHandler.answerEarlySubscriptions();
   }
 
   private receive(session: PeerSession, envelope: Envelope): void {
@@ -322,32 +327,32 @@
   }
 
   /**
-   * True if no leader counts on this store. One that was cut off for long was taken out meanwhile, and
-   * its own log does not say so: it would stand for election for ever. A disk that takes no writes is
-   * not offered again.
+   * True if this store is not a member or knows no leader. A store that was unreachable for long may
+   * have been removed; its own log does not say so, and it would campaign for ever. A store whose disk
+   * is read-only or was refused does not join.
    */
-  private needsLetIn(): boolean {
+  private needsToJoin(): boolean {
     const { state } = this.loop;
     if (state.readOnly || state.diskRefused) return false;
     return !this.isMember() || leaderHint(state) === undefined;
   }
 
-  private carryOut(effect: ConsensusEffect): void {
-    // After an entry that was applied in part, replies to later ones would rest on a state that
-    // no other store has. The process ends; nothing more leaves it until then.
+  private applyEffect(effect: ConsensusEffect): void {
+    // A partly applied log entry leaves a state that no other store has, so nothing that depends on it
+    // may be sent or written before the process ends.
     if (this.failed) return;
     switch (effect.type) {
       case 'persist':
-        this.disk.persist(effect);
+        this.diskOperations.persist(effect);
         return;
       case 'send':
         this.peers.send(effect.instance, effect.envelope);
         return;
       case 'sendSnapshot':
-        this.disk.sendSnapshot(effect);
+        this.diskOperations.sendSnapshot(effect);
         return;
       case 'apply':
-        this.apply(effect.entry);
+        this.applyEntry(effect.entry);
         return;
       case 'restore': {
         const { revision } = this.machine.configuration;
@@ -356,18 +361,18 @@
         return;
       }
       case 'takeSnapshot':
-        this.disk.saveSnapshot({
+        this.diskOperations.saveSnapshot({
           header: effect.header,
           data: codec.encode(takeSnapshot(this.machine)),
         });
         return;
       case 'discardLog':
-        this.disk.discardLog(effect.throughIndex);
+        this.diskOperations.discardLog(effect.throughIndex);
         return;
       case 'reply': {
         const index = effect.outcome.type === 'committed' ? effect.outcome.index : undefined;
-        const result = index === undefined ? undefined : this.results.get(index);
-        this.desk.settle(effect.requestId, effect.outcome, result);
+        const result = index === undefined ? undefined : this.resultsByIndex.get(index);
+        this.pendingRequests.complete(effect.requestId, effect.outcome, result);
         return;
       }
       case 'wake':
@@ -378,13 +383,13 @@
         );
         return;
       case 'membershipChanged':
-        this.peers.keep(effect.membership.members.map((member) => member.address));
+        this.peers.updateMembers(effect.membership.members.map((member) => member.address));
         this.subscribers.push({ type: 'stores', stores: memberAddresses(this.loop.state) });
         this.logger.write('storeMembersChanged', { ...describeMembers(this.loop.state) });
         return;
       case 'roleChanged':
         this.logger.write('storeRoleChanged', { ...effect });
-        this.leaderWatch.note(effect.leader);
+        this.leaderWatch.recordLeader(effect.leader);
         return;
       case 'electionFailed':
         this.logger.write('storeElectionFailed', { ...effect });
@@ -409,7 +414,7 @@
     }
   }
 
-  private apply(entry: LogEntry): void {
+  private applyEntry(entry: LogEntry): void {
     if (entry.body.type !== 'command') return;
     const stamped: StampedCommand = {
       at: entry.at,
@@ -417,8 +422,8 @@
     };
     const { revision } = this.machine.configuration;
     const result = applyCommand(this.machine, stamped);
-    this.results.clear();
-    this.results.set(entry.index, result);
+    this.resultsByIndex.clear();
+    this.resultsByIndex.set(entry.index, result);
     if (this.machine.configuration.revision > revision) this.publisher.publishSince(revision);
     if (result.type === 'crashCounted') this.publisher.publishQuarantine();
   }
--- a/apps/store/src/describeStore.ts
+++ b/apps/store/src/describeStore.ts
@@ -1,9 +1,9 @@
-/** A store's own view of the log and of what it keeps, for operators. */
+/** Describes a store for operators: its role, its view of the log and its state machine. */
 import type { EpochMilliseconds, InstanceReport, StoreStatus } from '@hornbeampond/schema';
 import {
   currentMembership,
   leaderHint,
-  publicRole,
+  describeRole,
   quarantineAt,
   type ConsensusState,
   type MachineState,
@@ -13,17 +13,17 @@
   readonly instance: string;
   readonly state: ConsensusState;
   readonly machine: MachineState;
-  /** What its subscribers last said of themselves. */
+  /** The latest reports of connected instances. */
   readonly instances: readonly InstanceReport[];
   readonly wallNow: EpochMilliseconds;
 }
 
-/** Who votes, and who is still catching up, by instance. */
+/** Instance names of the voters and of the learners, which are still catching up. */
 export function describeMembers(state: ConsensusState): Pick<StoreStatus, 'voters' | 'learners'> {
   const { members } = currentMembership(state);
-  const named = (role: 'voter' | 'learner') =>
+  const listInstances = (role: 'voter' | 'learner') =>
     members.filter((member) => member.role === role).map((member) => member.address.instance);
-  return { voters: named('voter'), learners: named('learner') };
+  return { voters: listInstances('voter'), learners: listInstances('learner') };
 }
 
 export function describeStore(view: StoreView): StoreStatus {
@@ -31,7 +31,7 @@
   const leader = leaderHint(state);
   return {
     instance,
-    role: publicRole(state),
+    role: describeRole(state),
     term: state.term,
     ...(leader === undefined ? {} : { leader }),
     commitIndex: state.commitIndex,
--- a/apps/store/src/testing/MemoryDisk.ts
+++ b/apps/store/src/testing/MemoryDisk.ts
@@ -1,9 +1,9 @@
 /**
- * A disk in memory that outlives the process on it, for tests of several stores in one process.
+ * A disk in memory that outlives the store that uses it, for running several stores in one process.
  */
 import { randomUUID } from 'node:crypto';
 import type { LogEntry, PersistEffect } from '@hornbeampond/store-core';
-import type { RememberedEntries } from '@hornbeampond/schema';
+import type { PersistedEntryData } from '@hornbeampond/schema';
 import { StoreDisk, type DiskContents, type SavedSnapshot } from '../StoreDisk.js';
 
 export class MemoryDisk extends StoreDisk {
@@ -19,7 +19,7 @@
 
   private snapshot: SavedSnapshot | undefined;
 
-  private memory: RememberedEntries | undefined;
+  private persistedEntryState: PersistedEntryData | undefined;
 
   override async open(instance: string): Promise<DiskContents> {
     this.runs += 1;
@@ -68,11 +68,11 @@
     // Nothing is open.
   }
 
-  override async readMemory(): Promise<RememberedEntries | undefined> {
-    return this.memory;
+  override async readPersistedEntryState(): Promise<PersistedEntryData | undefined> {
+    return this.persistedEntryState;
   }
 
-  override async saveMemory(memory: RememberedEntries): Promise<void> {
-    this.memory = memory;
+  override async savePersistedEntryState(state: PersistedEntryData): Promise<void> {
+    this.persistedEntryState = state;
   }
 }
--- a/measure/src/streams.ts
+++ b/measure/src/streams.ts
@@ -4,11 +4,11 @@
  */
 import { fullRecoveryPolicy, type RecoveryPolicy } from '@hornbeampond/entry-core';
 import {
-  refusedInnocents,
+  findFailedHarmlessCallers,
   runPoisonBatch,
   runRetryStorm,
-  runWaves,
-  type WaveOutcome,
+  runFaultScenario,
+  type FaultScenarioOutcome,
 } from '@hornbeampond/entry-core/driver';
 
 const SEEDS = [1, 2, 3, 4, 5, 6];
@@ -23,19 +23,27 @@
 
 const wavePolicies: Readonly<Record<string, RecoveryPolicy>> = {
   full: fullRecoveryPolicy,
-  'resume, no move': { ...fullRecoveryPolicy, moves: false },
-  'resume, notices ignored': { ...fullRecoveryPolicy, moves: false, handOn: false },
-  'redo from the start': { ...fullRecoveryPolicy, moves: false, handOn: false, resume: false },
+  'resume, no move': { ...fullRecoveryPolicy, moveCaches: false },
+  'resume, notices ignored': { ...fullRecoveryPolicy, moveCaches: false, migrateOnNotice: false },
+  'redo from the start': {
+    ...fullRecoveryPolicy,
+    moveCaches: false,
+    migrateOnNotice: false,
+    resumeFromOffset: false,
+  },
   'redo, no budget': {
-    budgets: false,
-    handOn: false,
-    moves: false,
-    resume: false,
-    suspectsApart: false,
+    limitRetries: false,
+    migrateOnNotice: false,
+    moveCaches: false,
+    resumeFromOffset: false,
+    isolateSuspects: false,
   },
 };
 
-function total(outcomes: readonly WaveOutcome[], of: (outcome: WaveOutcome) => number): number {
+function total(
+  outcomes: readonly FaultScenarioOutcome[],
+  of: (outcome: FaultScenarioOutcome) => number,
+): number {
   return outcomes.reduce((sum, outcome) => sum + of(outcome), 0);
 }
 
@@ -44,22 +52,25 @@
 }
 
 function measureWaves(policy: string, recovery: RecoveryPolicy, vanish: boolean): StreamsRow {
-  const outcomes = SEEDS.map((seed) => runWaves(recovery, seed, vanish));
+  const outcomes = SEEDS.map((seed) => runFaultScenario(recovery, seed, vanish));
   const requests = total(outcomes, (outcome) => outcome.requests);
-  const recomputed = total(outcomes, (outcome) => outcome.prefilledAgain + outcome.decodedAgain);
-  const shares = outcomes.map((outcome) => outcome.whole / outcome.requests);
+  const recomputed = total(
+    outcomes,
+    (outcome) => outcome.extraPrefilledTokens + outcome.extraDecodedTokens,
+  );
+  const shares = outcomes.map((outcome) => outcome.completed / outcome.requests);
   return {
     scenario: vanish ? 'waves, hosts vanish' : 'waves',
     policy,
     figures: {
       requests,
-      wholeOnTimeShare: round(total(outcomes, (outcome) => outcome.whole) / requests),
+      wholeOnTimeShare: round(total(outcomes, (outcome) => outcome.completed) / requests),
       worstSeedShare: round(Math.min(...shares)),
-      prefilledAgain: total(outcomes, (outcome) => outcome.prefilledAgain),
-      decodedAgain: total(outcomes, (outcome) => outcome.decodedAgain),
-      recomputedShare: round(recomputed / total(outcomes, (outcome) => outcome.needed)),
+      prefilledAgain: total(outcomes, (outcome) => outcome.extraPrefilledTokens),
+      decodedAgain: total(outcomes, (outcome) => outcome.extraDecodedTokens),
+      recomputedShare: round(recomputed / total(outcomes, (outcome) => outcome.requiredTokens)),
       meanWholeMilliseconds: Math.round(
-        total(outcomes, (outcome) => outcome.meanWholeAnswer) / SEEDS.length,
+        total(outcomes, (outcome) => outcome.meanCompletionMilliseconds) / SEEDS.length,
       ),
       violations: total(outcomes, (outcome) => outcome.violations),
     },
@@ -67,14 +78,14 @@
 }
 
 function measurePoison(engines: number, suspectsApart: boolean): StreamsRow {
-  const world = runPoisonBatch({ engines, suspectsApart });
+  const world = runPoisonBatch({ engines, isolateSuspects: suspectsApart });
   return {
     scenario: 'poison',
     policy: `suspects ${suspectsApart ? 'apart' : 'together'}, ${engines} engines`,
     figures: {
-      enginesLost: world.lostEngines(),
-      innocentsRefused: refusedInnocents(world).length,
-      violations: world.violations().length,
+      enginesLost: world.countLostEngines(),
+      innocentsRefused: findFailedHarmlessCallers(world).length,
+      violations: world.findViolations().length,
     },
   };
 }
--- a/packages/adapters/src/http/HttpConnections.ts
+++ b/packages/adapters/src/http/HttpConnections.ts
@@ -1,36 +1,33 @@
 /**
- * The connections to one HTTP server, and the one place where a call goes out.
- *
- * What is assumed of the wire: HTTP/1.1 over plain TCP, by IP number. There is no pipelining, no
- * redirect is followed, and nothing is sent again by itself. The caller's `AbortSignal` is the only
- * timeout, but for one on connecting, which bounds the attempts that nobody waits for any more.
- *
- * A kept-alive connection can be dead without a sign (its server went away, or something between
- * the two ends lost track of it). A call on it then fails with bytes written and an unknown
- * outcome. `sendFresh` therefore opens a connection for one call alone. The socket counts what
- * was written to it, so after a failure `bytesWritten === 0` proves that the call cannot have
- * run: the socket is destroyed before the count is read, and the client may not connect again.
+ * Sends calls to one HTTP server over HTTP/1.1 and plain TCP, without pipelining, redirects or
+ * retries. Apart from a limit on connecting, the caller's `AbortSignal` is the only timeout. A
+ * kept-alive connection may be closed by the server just as a call is written to it, so a failure
+ * does not show whether the call ran. `sendOnNewConnection` opens a connection for one call, which
+ * provably did not run if no byte was written to the socket.
  */
 import type { Socket } from 'node:net';
 import { buildConnector, Client, Pool, type Dispatcher } from 'undici';
 import {
   BackendServerFailure,
   type BackendServerFailureKind,
-  type Sent,
+  type SentState,
 } from '../BackendServerFailure.js';
 
-/** Idle connections are closed this soon, since an old one is likelier to be dead. */
-const KEEP_ALIVE_MILLISECONDS = 4000;
+/** Idle connections are closed early, since an old one is more likely to be dead. */
+const KEEP_ALIVE_TIMEOUT_MILLISECONDS = 4000;
 
-/** Without a bound, each call into a cut-off data centre would leave a socket for minutes. */
-const CONNECT_MILLISECONDS = 10_000;
+/** Without this limit, each call to a partitioned data centre would hold a socket for minutes. */
+const CONNECT_TIMEOUT_MILLISECONDS = 10_000;
 
-/** Time for a connection to come free after its answer's own end; then it is dropped. */
-const DRAIN_MILLISECONDS = 1000;
+/**
+ * Limit on receiving the rest of a body whose reader stopped after `markComplete`; then the
+ * connection is dropped.
+ */
+const DRAIN_TIMEOUT_MILLISECONDS = 1000;
 
 const noTimeouts = { headersTimeout: 0, bodyTimeout: 0 } as const;
 
-/** An error out of the connector proves that the call had no connection to be written to. */
+/** Error of the connector; it proves that the call had no connection to be written to. */
 class ConnectError extends Error {
   readonly code = 'CONNECT_FAILED';
 }
@@ -46,13 +43,17 @@
 export interface HttpAnswer {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
-  /** Read once. Throws `BackendServerFailure`; leaving it early drops the connection. */
+  /**
+   * Can be read once; throws `BackendServerFailure`. Ending the iteration early drops the
+   * connection, unless `markComplete` was called.
+   */
   readonly body: AsyncIterable<Uint8Array>;
   /**
-   * Says that the answer is whole by its own word, whatever is left of the body. Leaving the body
-   * then keeps the connection, once the rest has come.
+   * Call this when the content shows that the answer is complete (for example a final event),
+   * although the body has not ended. If the reader then stops, a pooled connection is reused once
+   * the rest of the body has been received.
    */
-  markWhole(): void;
+  markComplete(): void;
 }
 
 function describeError(error: unknown): string {
@@ -62,72 +63,72 @@
   return error instanceof Error ? error.message : String(error);
 }
 
-function classify(error: unknown): BackendServerFailureKind {
+function classifyError(error: unknown): BackendServerFailureKind {
   if (!(error instanceof Error)) return 'connectionLost';
   const code = 'code' in error ? error.code : undefined;
   if (code === 'UND_ERR_INVALID_ARG') return 'clientError';
-  const broken = error.name === 'HTTPParserError' || code === 'UND_ERR_HEADERS_OVERFLOW';
-  return broken ? 'malformed' : 'connectionLost';
+  const isMalformed = error.name === 'HTTPParserError' || code === 'UND_ERR_HEADERS_OVERFLOW';
+  return isMalformed ? 'malformed' : 'connectionLost';
 }
 
-function toFailure(cause: unknown, signal: AbortSignal, sent: Sent): BackendServerFailure {
+function toFailure(cause: unknown, signal: AbortSignal, sent: SentState): BackendServerFailure {
   if (cause instanceof BackendServerFailure) return cause;
   const message = describeError(cause);
   if (cause instanceof ConnectError) {
     return new BackendServerFailure(message, { failure: 'connectFailed', sent: 'nothing', cause });
   }
   if (signal.aborted) {
-    return new BackendServerFailure('the caller ended the call', {
+    return new BackendServerFailure('the caller aborted the call', {
       failure: 'silent',
       sent,
       cause,
     });
   }
-  return new BackendServerFailure(message, { failure: classify(cause), sent, cause });
+  return new BackendServerFailure(message, { failure: classifyError(cause), sent, cause });
 }
 
 type ResponseBody = Dispatcher.ResponseData['body'];
 
-/** Reads a body; `leave` decides what becomes of one that is not read to its end. */
+/** Reads a body and calls `onUnfinished` if the reader stops or fails before its end. */
 async function* readBody(
   body: ResponseBody,
   signal: AbortSignal,
-  leave: () => void,
+  onUnfinished: () => void,
 ): AsyncGenerator<Uint8Array> {
   try {
     for await (const bytes of body.iterator({ destroyOnReturn: false })) yield bytes as Uint8Array;
   } catch (error) {
     throw toFailure(error, signal, 'maybe');
   } finally {
-    if (!body.readableEnded) leave();
+    if (!body.readableEnded) onUnfinished();
   }
 }
 
-/** Lets the rest of an answer come and go, so that its connection can be used again. */
+/** Discards the rest of a body, so that its connection can be used again. */
 function drain(body: ResponseBody): void {
-  const signal = AbortSignal.timeout(DRAIN_MILLISECONDS);
+  const signal = AbortSignal.timeout(DRAIN_TIMEOUT_MILLISECONDS);
   body.dump({ limit: Infinity, signal }).catch(() => {});
 }
 
 function makeAnswer(data: Dispatcher.ResponseData, signal: AbortSignal): HttpAnswer {
   const { statusCode: status, headers, body } = data;
-  // A body that breaks before its reader comes would otherwise end the process; the reader
-  // still gets the error.
+  // Without a listener, an error before the body is read would end the process. The reader still
+  // receives the error.
   body.on('error', () => {});
-  let whole = false;
-  const leave = () => {
-    if (whole) drain(body);
+  let isComplete = false;
+  const onUnfinished = () => {
+    if (isComplete) drain(body);
     else body.destroy();
   };
-  const markWhole = () => {
-    whole = true;
+  const markComplete = () => {
+    isComplete = true;
   };
-  return { status, headers, body: readBody(body, signal, leave), markWhole };
+  return { status, headers, body: readBody(body, signal, onUnfinished), markComplete };
 }
 
-/** Wraps undici's connector; `onSocket` sees each socket before anything is written to it. */
+/** Wraps the connector of undici; `onSocket` gets each socket before anything is written to it. */
 function makeConnector(onSocket: (socket: Socket) => void): buildConnector.connector {
-  const connect = buildConnector({ timeout: CONNECT_MILLISECONDS, keepAlive: true });
+  const connect = buildConnector({ timeout: CONNECT_TIMEOUT_MILLISECONDS, keepAlive: true });
   return (options, callback) => {
     connect(options, (...outcome) => {
       const [error, socket] = outcome;
@@ -141,21 +142,21 @@
   };
 }
 
-/** A connector that serves once, so that no second send can happen whatever the client does. */
-function makeSingleConnector(onSocket: (socket: Socket) => void): buildConnector.connector {
+/** Makes a connector that connects only once, so that the client cannot resend the call. */
+function makeSingleUseConnector(onSocket: (socket: Socket) => void): buildConnector.connector {
   const connect = makeConnector(onSocket);
-  let used = false;
+  let isUsed = false;
   return (options, callback) => {
-    if (used) {
-      callback(new Error('the one connection of this call is used up'), null);
+    if (isUsed) {
+      callback(new Error('this call has already used its only connection'), null);
       return;
     }
-    used = true;
+    isUsed = true;
     connect(options, callback);
   };
 }
 
-/** Writes an IPv6 number as URLs want it. */
+/** Formats an HTTP origin, with brackets around an IPv6 address. */
 export function formatOrigin(host: string, port: number): string {
   return `http://${host.includes(':') ? `[${host}]` : host}:${port}`;
 }
@@ -163,14 +164,17 @@
 export class HttpConnections {
   private pool: Pool;
 
-  private readonly freshClients = new Set<Client>();
+  private readonly singleCallClients = new Set<Client>();
 
-  /** @param origin - Such as `http://127.0.0.1:8080`. */
+  /** @param origin - For example `http://127.0.0.1:8080`. */
   constructor(private readonly origin: string) {
     this.pool = this.openPool();
   }
 
-  /** Sends a call that may be repeated, on a kept connection if one is free. */
+  /**
+   * Sends a call on a kept-alive connection if one is free. The call must be safe to repeat, since
+   * a failure does not show whether it ran.
+   */
   async send(call: HttpCall): Promise<HttpAnswer> {
     try {
       call.signal.throwIfAborted();
@@ -184,50 +188,54 @@
     }
   }
 
-  /** Sends a call once, on a connection opened for it alone. */
-  async sendFresh(call: HttpCall): Promise<HttpAnswer> {
+  /** Sends a call at most once, on a connection opened for it alone. */
+  async sendOnNewConnection(call: HttpCall): Promise<HttpAnswer> {
     let socket: Socket | undefined;
-    const connect = makeSingleConnector((opened) => {
+    const connect = makeSingleUseConnector((opened) => {
       socket = opened;
     });
     const client = new Client(this.origin, { ...noTimeouts, pipelining: 1, connect });
-    this.freshClients.add(client);
+    this.singleCallClients.add(client);
     try {
       call.signal.throwIfAborted();
       const data = await client.request({ ...call, reset: true });
       data.body.once('close', () => {
-        this.freshClients.delete(client);
+        this.singleCallClients.delete(client);
         void client.destroy();
       });
       return makeAnswer(data, call.signal);
     } catch (error) {
-      this.freshClients.delete(client);
+      this.singleCallClients.delete(client);
       await client.destroy();
+      // Destroyed before `bytesWritten` is read, so that nothing is written afterwards.
       socket?.destroy();
       const sent = socket === undefined || socket.bytesWritten === 0 ? 'nothing' : 'maybe';
       throw toFailure(error, call.signal, sent);
     }
   }
 
-  /** Leaves running calls their connections; later calls open new ones. */
+  /** Makes later calls open new connections; running calls finish on their current ones. */
   renew(): void {
-    const old = this.pool;
+    const previousPool = this.pool;
     this.pool = this.openPool();
-    void old.close();
+    void previousPool.close();
   }
 
-  /** Ends all connections at once; calls in progress fail with `connectionLost`. */
+  /**
+   * Closes the connections of the current pool and of single calls immediately; their calls fail
+   * with `connectionLost`. Calls on a pool replaced by `renew` still finish.
+   */
   async close(): Promise<void> {
-    const fresh = [...this.freshClients];
-    this.freshClients.clear();
-    await Promise.all([this.pool.destroy(), ...fresh.map((client) => client.destroy())]);
+    const clients = [...this.singleCallClients];
+    this.singleCallClients.clear();
+    await Promise.all([this.pool.destroy(), ...clients.map((client) => client.destroy())]);
   }
 
   private openPool(): Pool {
     return new Pool(this.origin, {
       ...noTimeouts,
       pipelining: 1,
-      keepAliveTimeout: KEEP_ALIVE_MILLISECONDS,
+      keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MILLISECONDS,
       connect: makeConnector(() => {}),
     });
   }
--- a/packages/adapters/src/http/HttpPlainServiceAdapter.ts
+++ b/packages/adapters/src/http/HttpPlainServiceAdapter.ts
@@ -1,6 +1,7 @@
 /**
- * Meets a plain service over HTTP. What is assumed of it, besides its own calls:
- * `GET /load` gives a load report as JSON, and `GET /health` answers 2xx.
+ * Connects to a plain service over HTTP. Calls and answers are forwarded without hop-by-hop
+ * headers, and answers are limited in size. Besides its own calls, the service is expected to
+ * return a load report as JSON for `GET /load` and a 2xx status for `GET /health`.
  */
 import type { LoadReport } from '@hornbeampond/schema';
 import { BackendServerFailure } from '../BackendServerFailure.js';
@@ -11,46 +12,46 @@
   type PlainServiceRequest,
 } from '../PlainServiceAdapter.js';
 import { formatOrigin, HttpConnections, type HttpAnswer } from './HttpConnections.js';
-import type { SignOfLife } from '../SignOfLife.js';
+import type { ProbeResponse } from '../ProbeResponse.js';
 import { connectionHeaders } from './connectionHeaders.js';
 import { probeHealth } from './probeHealth.js';
 import { readJson } from './readAnswer.js';
 import { loadReportSchema } from './wireSchemas.js';
 
-/** Bound of one answer, if the owner sets none. */
-const MOST_ANSWER_BYTES = 64 * 1024 * 1024;
+const DEFAULT_MAX_ANSWER_BYTES = 64 * 1024 * 1024;
 
-/** Headers of a request that undici sets by itself. */
-const ownRequestHeaders = new Set(['content-length', 'expect', 'host']);
+/** Request headers that undici sets or does not accept. */
+const headersSetByClient = new Set(['content-length', 'expect', 'host']);
 
 function toHeaderList(value: string | readonly string[]): string | string[] {
   return typeof value === 'string' ? value : [...value];
 }
 
-/** Leaves out the headers of one connection, also those that `connection` names. */
+/** Removes hop-by-hop headers, including those named by the `connection` header. */
 function withoutConnectionHeaders(
   headers: Readonly<Record<string, string | readonly string[] | undefined>>,
 ): Record<string, string | string[]> {
-  const named = [headers.connection ?? []].flat().flatMap((value) => value.split(','));
-  const dropped = new Set(named.map((name) => name.trim().toLowerCase()));
+  const connectionOptions = [headers.connection ?? []].flat().flatMap((value) => value.split(','));
+  const dropped = new Set(connectionOptions.map((name) => name.trim().toLowerCase()));
   const kept: Record<string, string | string[]> = {};
   Object.entries(headers).forEach(([name, value]) => {
-    const lower = name.toLowerCase();
-    if (value === undefined || connectionHeaders.has(lower) || dropped.has(lower)) return;
-    kept[lower] = toHeaderList(value);
+    const lowerCaseName = name.toLowerCase();
+    if (value === undefined || connectionHeaders.has(lowerCaseName) || dropped.has(lowerCaseName))
+      return;
+    kept[lowerCaseName] = toHeaderList(value);
   });
   return kept;
 }
 
 async function* limitBytes(
   body: AsyncIterable<Uint8Array>,
-  mostBytes: number,
+  maxBytes: number,
 ): AsyncGenerator<Uint8Array> {
   let size = 0;
   for await (const bytes of body) {
     size += bytes.byteLength;
-    if (size > mostBytes) {
-      throw new BackendServerFailure(`answer above ${mostBytes} bytes`, {
+    if (size > maxBytes) {
+      throw new BackendServerFailure(`answer exceeds ${maxBytes} bytes`, {
         failure: 'malformed',
         sent: 'maybe',
       });
@@ -62,27 +63,30 @@
 export interface HttpPlainServiceOptions {
   readonly host: string;
   readonly port: number;
-  /** Bound of one answer in bytes. */
-  readonly mostAnswerBytes?: number;
+  readonly maxAnswerBytes?: number;
 }
 
 export class HttpPlainServiceAdapter extends PlainServiceAdapter {
   private readonly connections: HttpConnections;
 
-  private readonly mostAnswerBytes: number;
+  private readonly maxAnswerBytes: number;
 
-  constructor({ host, port, mostAnswerBytes = MOST_ANSWER_BYTES }: HttpPlainServiceOptions) {
+  constructor({ host, port, maxAnswerBytes = DEFAULT_MAX_ANSWER_BYTES }: HttpPlainServiceOptions) {
     super();
     this.connections = new HttpConnections(formatOrigin(host, port));
-    this.mostAnswerBytes = mostAnswerBytes;
+    this.maxAnswerBytes = maxAnswerBytes;
   }
 
   override async send(request: PlainServiceRequest): Promise<PlainServiceAnswer> {
-    const { method, path, body, fresh, signal } = request;
-    const passedOn = Object.entries(withoutConnectionHeaders(request.headers));
-    const headers = Object.fromEntries(passedOn.filter(([name]) => !ownRequestHeaders.has(name)));
+    const { method, path, body, requiresNewConnection, signal } = request;
+    const forwardedHeaders = Object.entries(withoutConnectionHeaders(request.headers));
+    const headers = Object.fromEntries(
+      forwardedHeaders.filter(([name]) => !headersSetByClient.has(name)),
+    );
     const call = { method, path, headers, body, signal };
-    const answer = await (fresh ? this.connections.sendFresh(call) : this.connections.send(call));
+    const answer = await (requiresNewConnection
+      ? this.connections.sendOnNewConnection(call)
+      : this.connections.send(call));
     return this.toServiceAnswer(answer);
   }
 
@@ -91,7 +95,7 @@
     return readJson(loadReportSchema, await this.connections.send(call));
   }
 
-  override async probe(signal: AbortSignal): Promise<SignOfLife> {
+  override async probe(signal: AbortSignal): Promise<ProbeResponse> {
     return probeHealth(this.connections, signal);
   }
 
@@ -105,7 +109,7 @@
 
   private toServiceAnswer(answer: HttpAnswer): PlainServiceAnswer {
     const headers: HeaderFields = withoutConnectionHeaders(answer.headers);
-    const body = limitBytes(answer.body, this.mostAnswerBytes);
+    const body = limitBytes(answer.body, this.maxAnswerBytes);
     return { status: answer.status, headers, body };
   }
 }
--- a/packages/adapters/src/http/probeHealth.ts
+++ b/packages/adapters/src/http/probeHealth.ts
@@ -1,20 +1,21 @@
 /**
- * Asks a server for a sign of life over a new connection. A kept one would tell nothing: it may
- * be the very connection that went silent.
+ * Sends a health probe to a server over a new connection. On a kept-alive connection, a probe
+ * could fail only because that connection has stalled, although the server is healthy.
  */
 import type { HttpConnections } from './HttpConnections.js';
-import type { SignOfLife } from '../SignOfLife.js';
-import { MOST_JSON_BYTES, readBytes, requireSuccess } from './readAnswer.js';
+import type { ProbeResponse } from '../ProbeResponse.js';
+import { MAX_JSON_BYTES, readBytes, requireSuccess } from './readAnswer.js';
 
-/** Longest name of an incarnation that is taken; anything longer is no name. */
-const MOST_CHARACTERS = 200;
+/** A longer incarnation is ignored. */
+const MAX_INCARNATION_CHARACTERS = 200;
 
-/** A server that answers in another shape is alive all the same: it only tells no incarnation. */
+/** Returns undefined if there is no valid incarnation; the server is healthy nevertheless. */
 function readIncarnation(text: string): string | undefined {
   try {
     const value = (JSON.parse(text) as { readonly incarnation?: unknown } | null)?.incarnation;
-    const named = typeof value === 'string' && value !== '' && value.length <= MOST_CHARACTERS;
-    return named ? value : undefined;
+    const isValid =
+      typeof value === 'string' && value !== '' && value.length <= MAX_INCARNATION_CHARACTERS;
+    return isValid ? value : undefined;
   } catch {
     return undefined;
   }
@@ -23,9 +24,9 @@
 export async function probeHealth(
   connections: HttpConnections,
   signal: AbortSignal,
-): Promise<SignOfLife> {
-  const answer = await connections.sendFresh({ method: 'GET', path: '/health', signal });
+): Promise<ProbeResponse> {
+  const answer = await connections.sendOnNewConnection({ method: 'GET', path: '/health', signal });
   await requireSuccess(answer);
-  const incarnation = readIncarnation((await readBytes(answer, MOST_JSON_BYTES)).toString('utf8'));
+  const incarnation = readIncarnation((await readBytes(answer, MAX_JSON_BYTES)).toString('utf8'));
   return incarnation === undefined ? {} : { incarnation };
 }
--- a/packages/adapters/src/http/readAnswer.ts
+++ b/packages/adapters/src/http/readAnswer.ts
@@ -1,30 +1,30 @@
-/** Reads whole answers within bounds and turns statuses into failures. */
+/** Reads complete answers up to a size limit, and turns error statuses into failures. */
 import type { Milliseconds } from '@hornbeampond/schema';
 import type { z } from 'zod';
 import { BackendServerFailure } from '../BackendServerFailure.js';
 import type { HttpAnswer } from './HttpConnections.js';
 
-/** Bound of an answer that is read whole as JSON. */
-export const MOST_JSON_BYTES = 4 * 1024 * 1024;
+/** Size limit of a JSON, error or discarded answer. */
+export const MAX_JSON_BYTES = 4 * 1024 * 1024;
 
-/** What is kept of an error answer's text. */
-const MOST_ERROR_CHARACTERS = 300;
+/** Length of the excerpt of an error answer in the message of the failure. */
+const MAX_ERROR_TEXT_CHARACTERS = 300;
 
-/** Reads an answer whole; one above `mostBytes` is `malformed` and its connection dropped. */
-export async function readBytes(answer: HttpAnswer, mostBytes: number): Promise<Buffer> {
-  const parts: Uint8Array[] = [];
+/** Reads a complete answer; above `maxBytes` it is `malformed` and its connection is dropped. */
+export async function readBytes(answer: HttpAnswer, maxBytes: number): Promise<Buffer> {
+  const chunks: Uint8Array[] = [];
   let size = 0;
-  for await (const part of answer.body) {
-    size += part.byteLength;
-    if (size > mostBytes) {
-      throw new BackendServerFailure(`answer above ${mostBytes} bytes`, {
+  for await (const chunk of answer.body) {
+    size += chunk.byteLength;
+    if (size > maxBytes) {
+      throw new BackendServerFailure(`answer exceeds ${maxBytes} bytes`, {
         failure: 'malformed',
         sent: 'maybe',
       });
     }
-    parts.push(part);
+    chunks.push(chunk);
   }
-  return Buffer.concat(parts);
+  return Buffer.concat(chunks);
 }
 
 function readRetryAfter(answer: HttpAnswer): Milliseconds | undefined {
@@ -32,27 +32,27 @@
   return Number.isFinite(seconds) && seconds >= 0 ? seconds * 1000 : undefined;
 }
 
-function failureOfStatus(status: number): 'busy' | 'serverError' | 'clientError' | 'malformed' {
+function classifyStatus(status: number): 'busy' | 'serverError' | 'clientError' | 'malformed' {
   if (status === 429 || status === 503) return 'busy';
   if (status >= 500) return 'serverError';
   return status >= 400 ? 'clientError' : 'malformed';
 }
 
-/** Passes answers with a 2xx status; any other is read and thrown. */
+/** Returns for a 2xx status; for any other, reads the answer and throws a failure. */
 export async function requireSuccess(answer: HttpAnswer): Promise<void> {
   const { status } = answer;
   if (status >= 200 && status < 300) return;
-  const text = (await readBytes(answer, MOST_JSON_BYTES)).toString('utf8');
-  const message = `status ${status}: ${text.slice(0, MOST_ERROR_CHARACTERS)}`;
+  const text = (await readBytes(answer, MAX_JSON_BYTES)).toString('utf8');
+  const message = `status ${status}: ${text.slice(0, MAX_ERROR_TEXT_CHARACTERS)}`;
   throw new BackendServerFailure(message, {
-    failure: failureOfStatus(status),
+    failure: classifyStatus(status),
     sent: 'maybe',
     status,
     retryAfter: readRetryAfter(answer),
   });
 }
 
-/** Parses JSON text by a schema; anything else is `malformed`. */
+/** Parses JSON text by a schema; a mismatch is a `malformed` failure. */
 export function parseJson<Schema extends z.ZodType>(schema: Schema, text: string): z.infer<Schema> {
   let value: unknown;
   try {
@@ -67,24 +67,24 @@
   const parsed = schema.safeParse(value);
   if (parsed.success) return parsed.data;
   const reason = parsed.error.issues[0]?.message ?? 'unknown';
-  throw new BackendServerFailure(`answer of another shape: ${reason}`, {
+  throw new BackendServerFailure(`answer does not match its schema: ${reason}`, {
     failure: 'malformed',
     sent: 'maybe',
     cause: parsed.error,
   });
 }
 
-/** Reads a 2xx answer as JSON of the given shape. */
+/** Reads a 2xx answer as JSON that matches the schema. */
 export async function readJson<Schema extends z.ZodType>(
   schema: Schema,
   answer: HttpAnswer,
 ): Promise<z.infer<Schema>> {
   await requireSuccess(answer);
-  return parseJson(schema, (await readBytes(answer, MOST_JSON_BYTES)).toString('utf8'));
+  return parseJson(schema, (await readBytes(answer, MAX_JSON_BYTES)).toString('utf8'));
 }
 
-/** Reads a 2xx answer whose body means nothing, so that its connection can be used again. */
-export async function readNothing(answer: HttpAnswer): Promise<void> {
+/** Requires a 2xx status and discards the body, so that the connection can be used again. */
+export async function discardSuccessfulAnswer(answer: HttpAnswer): Promise<void> {
   await requireSuccess(answer);
-  await readBytes(answer, MOST_JSON_BYTES);
+  await readBytes(answer, MAX_JSON_BYTES);
 }
--- a/packages/controller-core/src/buying/buyInstances.ts
+++ b/packages/controller-core/src/buying/buyInstances.ts
@@ -1,22 +1,26 @@
 /**
- * Buys what the plan wants in the own data centre and is not there or on its way.
+ * Buys the instances that the plan wants in the controller's data centre beyond those kept or
+ * pending. Resends unanswered starts, and closes places where starts stay unanswered.
  *
- * A start token names one purchase for all time: the lease's epoch is in it, so that no two
- * holders ever use the same. A start without an answer is resent under its token, for the platform
- * may have sold the instance and only its answer was lost; a new token would buy a second one.
+ * A start is a request to buy one instance. Its token identifies the purchase: it contains the
+ * lease's epoch, so no two holders use the same one. An unanswered start is resent under its token,
+ * because the platform might have sold the instance and a new token would buy a second one.
  */
 import type { Pool } from '@hornbeampond/schema';
 import type { ControllerEffect, StartInstanceEffect } from '../effects.js';
 import { instancesOf, isKept } from '../fleet/FleetInstance.js';
-import { countPending, isClosed } from '../planning/offers.js';
+import { countPendingStarts, isClosed } from '../planning/offers.js';
 import type { PlannedPlace, PoolPlan } from '../planning/PoolPlan.js';
 import type { ControllerState, HeldLease, PendingStart } from '../state.js';
-import { closeAfterRefusal } from './closures.js';
+import { closeAfterFailedStart } from './placeClosures.js';
 
-/** A start that was never answered is given up after so long; if it bought, the list shows it. */
-const FORGET_AFTER = 10 * 60_000;
+/**
+ * A start is dropped after this long without an answer. If the start did buy an instance, the
+ * platform's list shows that instance.
+ */
+const MAX_PENDING_START_AGE_MILLISECONDS = 10 * 60_000;
 
-function effectOf(state: ControllerState, pending: PendingStart): StartInstanceEffect {
+function makeStartEffect(state: ControllerState, pending: PendingStart): StartInstanceEffect {
   const { pool, instanceClass, startToken } = pending;
   return {
     type: 'startInstance',
@@ -27,7 +31,8 @@
   };
 }
 
-function buy(
+/** Records a pending start under a new token and returns the effects that request it. */
+function requestStart(
   state: ControllerState,
   lease: HeldLease,
   plan: PoolPlan,
@@ -38,13 +43,13 @@
     startToken: `${state.dataCentre}-${lease.epoch}-${state.startSequence}`,
     pool: plan.pool,
     instanceClass: place.instanceClass,
-    askedAt: state.now,
+    requestedAt: state.now,
     resendAt: state.now + state.policy.startAnswerTimeout,
     resends: 0,
   };
   state.pendingStarts.set(pending.startToken, pending);
   return [
-    effectOf(state, pending),
+    makeStartEffect(state, pending),
     {
       type: 'log',
       event: 'startAsked',
@@ -64,14 +69,14 @@
   ];
 }
 
-function countThere(state: ControllerState, pool: Pool, place: PlannedPlace): number {
-  const there = instancesOf(state, pool).filter(
+function countKeptAndPending(state: ControllerState, pool: Pool, place: PlannedPlace): number {
+  const kept = instancesOf(state, pool).filter(
     (instance) =>
       instance.dataCentre === state.dataCentre &&
       instance.instanceClass === place.instanceClass &&
       isKept(instance),
   );
-  return there.length + countPending(state, pool, state.dataCentre, place.instanceClass);
+  return kept.length + countPendingStarts(state, pool, state.dataCentre, place.instanceClass);
 }
 
 function buyForPool(state: ControllerState, lease: HeldLease, pool: Pool): ControllerEffect[] {
@@ -81,15 +86,17 @@
     .filter((place) => place.dataCentre === state.dataCentre)
     .filter((place) => !isClosed(state, place.dataCentre, place.instanceClass))
     .flatMap((place) => {
-      const lacking = Math.max(0, place.wanted - countThere(state, pool, place));
-      return Array.from({ length: lacking }, () => buy(state, lease, plan, place)).flat();
+      const missingCount = Math.max(0, place.wanted - countKeptAndPending(state, pool, place));
+      return Array.from({ length: missingCount }, () =>
+        requestStart(state, lease, plan, place),
+      ).flat();
     });
 }
 
-/** Sends unanswered starts again, under the same tokens. */
+/** Resends unanswered starts with exponential backoff, and drops those that are too old. */
 function resendStarts(state: ControllerState): ControllerEffect[] {
   return [...state.pendingStarts.values()].flatMap((pending): ControllerEffect[] => {
-    if (state.now - pending.askedAt > FORGET_AFTER) {
+    if (state.now - pending.requestedAt > MAX_PENDING_START_AGE_MILLISECONDS) {
       state.pendingStarts.delete(pending.startToken);
       const { startToken, pool, instanceClass, resends } = pending;
       const fields = { startToken, pool, instanceClass, resends };
@@ -100,22 +107,22 @@
     pending.resendAt =
       state.now + state.policy.startAnswerTimeout * 2 ** Math.min(pending.resends, 3);
     return [
-      effectOf(state, pending),
+      makeStartEffect(state, pending),
       { type: 'count', metric: 'fleetRetries', label: 'startAnswerLost' },
     ];
   });
 }
 
-/** Purchases that went unanswered too long no longer hold the next cheapest place back. */
-function closeUnanswered(state: ControllerState): ControllerEffect[] {
+/** Closes the places of long unanswered starts, so that the next plan uses other places. */
+function closePlacesOfUnansweredStarts(state: ControllerState): ControllerEffect[] {
   return [...state.pendingStarts.values()]
     .filter(
       (pending) =>
-        state.now - pending.askedAt > state.policy.startGiveUp &&
+        state.now - pending.requestedAt > state.policy.pendingStartTimeout &&
         !isClosed(state, state.dataCentre, pending.instanceClass),
     )
     .map((pending) => {
-      const closure = closeAfterRefusal(state, pending.instanceClass, 'unanswered');
+      const closure = closeAfterFailedStart(state, pending.instanceClass, 'unanswered');
       return {
         type: 'log',
         event: 'startUnanswered',
@@ -130,10 +137,13 @@
     });
 }
 
-/** Buys, unless the lease is so fresh that the last holder's purchases may not be listed yet. */
+/**
+ * Handles unanswered starts and buys missing instances. Nothing is bought right after a takeover,
+ * because the platform's list might not show the predecessor's purchases yet.
+ */
 export function buyInstances(state: ControllerState, lease: HeldLease): ControllerEffect[] {
-  const effects = [...closeUnanswered(state), ...resendStarts(state)];
-  if (state.now - lease.since < state.policy.takeoverPause) return effects;
+  const effects = [...closePlacesOfUnansweredStarts(state), ...resendStarts(state)];
+  if (state.now - lease.since < state.policy.takeoverPurchaseDelay) return effects;
   return [
     ...effects,
     ...state.configuration.pools.rows.flatMap((pool) => buyForPool(state, lease, pool)),
--- a/packages/controller-core/src/buying/reduceBuying.ts
+++ b/packages/controller-core/src/buying/reduceBuying.ts
@@ -1,19 +1,20 @@
-/** Takes in what the platform answers to purchases and ends. */
+/** Handles the platform's answers to requests that buy or end instances. */
 import type { ControllerEffect } from '../effects.js';
 import type { ControllerEvent, StartOutcome } from '../events.js';
-import { addInstance, forgetInstance } from '../fleet/fleet.js';
+import { addInstance, removeInstance } from '../fleet/fleet.js';
 import type { ControllerState, PendingStart } from '../state.js';
-import { closeAfterRefusal, openPlace } from './closures.js';
+import { closeAfterFailedStart, reopenPlace } from './placeClosures.js';
 
-function takeStarted(
+function handleStarted(
   state: ControllerState,
   pending: PendingStart,
   outcome: StartOutcome & { readonly type: 'started' },
 ): ControllerEffect[] {
   state.pendingStarts.delete(pending.startToken);
-  openPlace(state, pending.instanceClass);
+  reopenPlace(state, pending.instanceClass);
   const { instance } = outcome.instance;
-  if (!state.fleet.has(instance) && !state.gone.has(instance)) addInstance(state, outcome.instance);
+  if (!state.fleet.has(instance) && !state.removedInstances.has(instance))
+    addInstance(state, outcome.instance);
   return [
     {
       type: 'log',
@@ -31,13 +32,13 @@
   ];
 }
 
-function takeRefused(
+function handleRefused(
   state: ControllerState,
   pending: PendingStart,
   reason: string,
 ): ControllerEffect[] {
   state.pendingStarts.delete(pending.startToken);
-  const closure = closeAfterRefusal(state, pending.instanceClass, 'refused');
+  const closure = closeAfterFailedStart(state, pending.instanceClass, 'refused');
   return [
     {
       type: 'log',
@@ -48,7 +49,7 @@
         dataCentre: state.dataCentre,
         instanceClass: pending.instanceClass,
         reason,
-        refusalsInRow: closure.refusals,
+        refusalsInRow: closure.consecutiveFailedStarts,
         closedMilliseconds: closure.until - state.now,
       },
     },
@@ -56,7 +57,7 @@
   ];
 }
 
-function takeStartAnswer(
+function handleStartAnswer(
   state: ControllerState,
   startToken: string,
   outcome: StartOutcome,
@@ -65,11 +66,11 @@
   if (pending === undefined) return [];
   switch (outcome.type) {
     case 'started':
-      return takeStarted(state, pending, outcome);
+      return handleStarted(state, pending, outcome);
     case 'refused':
-      return takeRefused(state, pending, outcome.reason);
+      return handleRefused(state, pending, outcome.reason);
     default:
-      // Lost: it stays pending, and is resent under its token when its timeout has passed.
+      // Lost: the start stays pending and is resent under its token after the answer timeout.
       return [];
   }
 }
@@ -77,9 +78,9 @@
 export function reduceBuying(state: ControllerState, event: ControllerEvent): ControllerEffect[] {
   switch (event.type) {
     case 'startAnswered':
-      return takeStartAnswer(state, event.startToken, event.outcome);
+      return handleStartAnswer(state, event.startToken, event.outcome);
     case 'endAnswered':
-      if (event.ok) forgetInstance(state, event.instance);
+      if (event.ok) removeInstance(state, event.instance);
       return [];
     default:
       return [];
--- a/packages/controller-core/src/explainPlan.ts
+++ b/packages/controller-core/src/explainPlan.ts
@@ -1,9 +1,12 @@
-/** The plan in rows, for `hornbeampondctl plan`: what would be done, and from which figures. */
+/**
+ * Explains the current plans for `hornbeampondctl plan`: the action at each place, its reason, and
+ * the figures it was planned from. A place is one instance class in one data centre.
+ */
 import type { Euros, Milliseconds } from '@hornbeampond/schema';
 import { instancesOf, isKept, isServing, poolOf } from './fleet/FleetInstance.js';
-import { countPending, isClosed } from './planning/offers.js';
+import { countPendingStarts, isClosed } from './planning/offers.js';
 import type { PlannedPlace, PoolPlan } from './planning/PoolPlan.js';
-import { placeOf, type ControllerState } from './state.js';
+import { placeKey, type ControllerState } from './state.js';
 
 export type PlanAction = 'keep' | 'buy' | 'drain' | 'wait';
 
@@ -14,7 +17,7 @@
   readonly reclaimable: boolean;
   readonly eurosPerHour: Euros;
   readonly wanted: number;
-  /** Kept or on their way. */
+  /** Instances that are kept, plus starts that were not answered yet. */
   readonly present: number;
   readonly serving: number;
   readonly action: PlanAction;
@@ -27,13 +30,13 @@
   readonly patienceMilliseconds: Milliseconds;
 }
 
-function decide(
+function explainPlace(
   state: ControllerState,
   place: PlannedPlace,
   present: number,
 ): { readonly action: PlanAction; readonly reason: string } {
   const { dataCentre, instanceClass, wanted } = place;
-  const closure = state.closures.get(placeOf(dataCentre, instanceClass));
+  const closure = state.placeClosures.get(placeKey(dataCentre, instanceClass));
   const closed = isClosed(state, dataCentre, instanceClass);
   if (wanted > present) {
     if (closed) return { action: 'wait', reason: 'nothing is sold here for now' };
@@ -51,13 +54,13 @@
 
 function toRow(state: ControllerState, plan: PoolPlan, place: PlannedPlace): PlanRow {
   const pool = poolOf(state, plan.pool);
-  const there = (pool === undefined ? [] : instancesOf(state, pool)).filter(
+  const instances = (pool === undefined ? [] : instancesOf(state, pool)).filter(
     (instance) =>
       instance.dataCentre === place.dataCentre && instance.instanceClass === place.instanceClass,
   );
   const pending =
-    pool === undefined ? 0 : countPending(state, pool, place.dataCentre, place.instanceClass);
-  const present = there.filter(isKept).length + pending;
+    pool === undefined ? 0 : countPendingStarts(state, pool, place.dataCentre, place.instanceClass);
+  const present = instances.filter(isKept).length + pending;
   return {
     pool: plan.pool,
     dataCentre: place.dataCentre,
@@ -66,18 +69,18 @@
     eurosPerHour: place.eurosPerHour,
     wanted: place.wanted,
     present,
-    serving: there.filter((instance) => pool !== undefined && isServing(pool, instance)).length,
-    ...decide(state, place, present),
+    serving: instances.filter((instance) => pool !== undefined && isServing(pool, instance)).length,
+    ...explainPlace(state, place, present),
     slotsNeeded: plan.need.normal,
     slotsNeededAfterLoss: plan.need.afterLoss,
     missingSlots: plan.missingSlots,
-    requestsPerSecond: plan.figures.requestsPerSecond,
-    forecastPerSecond: plan.figures.forecastPerSecond,
-    patienceMilliseconds: plan.figures.patience,
+    requestsPerSecond: plan.currentEstimate.requestsPerSecond,
+    forecastPerSecond: plan.currentEstimate.forecastPerSecond,
+    patienceMilliseconds: plan.currentEstimate.shortestAllowedWait,
   };
 }
 
-/** One row for each place of each pool, as last planned. */
+/** Returns one row for each place of each pool, from the latest plan. */
 export function explainPlan(state: ControllerState): PlanRow[] {
   return [...state.plans.values()].flatMap((plan) =>
     plan.places.map((place) => toRow(state, plan, place)),
--- a/packages/controller-core/src/fleet/FleetInstance.ts
+++ b/packages/controller-core/src/fleet/FleetInstance.ts
@@ -1,4 +1,4 @@
-/** One instance as a controller knows it, and what can be said of it. */
+/** One instance in the controller's view of the fleet, and queries on its state. */
 import type {
   EpochMilliseconds,
   InstanceClass,
@@ -10,9 +10,9 @@
 import type { ControllerState } from '../state.js';
 
 /**
- * `reloading`: drained of streams so that an order can change what it has loaded. `draining`: will
- * be ended once idle. `leaving`: the platform takes it away. Phases only go forward, but for
- * `reloading`, which goes back to `live`.
+ * `reloading`: drained so that its model can be changed. `draining`: will be ended once idle.
+ * `leaving`: the platform is reclaiming it. Phases only move forward, except that `reloading`
+ * returns to `live`.
  */
 export type InstancePhase = 'starting' | 'live' | 'reloading' | 'draining' | 'leaving';
 
@@ -23,7 +23,8 @@
   readonly version?: string;
 }
 
-export interface InstanceOrder {
+/** An order that the model engine has not answered yet. */
+export interface PendingOrder {
   readonly order: Order;
   readonly sentAt: MonotonicMilliseconds;
   readonly sentAtWall: EpochMilliseconds;
@@ -36,22 +37,28 @@
   readonly pool: string;
   readonly firstSeenAt: MonotonicMilliseconds;
   phase: InstancePhase;
+  /** When `enterPhase` last changed the phase, or a new lease was gained during a drain. */
   phaseSince: MonotonicMilliseconds;
+  /** The same time by the wall clock, to compare with times in load reports. */
   phaseSinceWall: EpochMilliseconds;
   lastListedAt: MonotonicMilliseconds;
+  /** When the platform will take it away; set once a reclaim notice has arrived. */
   goneAt?: EpochMilliseconds;
-  load?: LoadReport;
-  loadReceivedAt?: MonotonicMilliseconds;
+  loadReport?: LoadReport;
+  loadReportReceivedAt?: MonotonicMilliseconds;
+  /** From the latest load report or completed order; empty until one of them names a model. */
   loaded: LoadedModel;
-  /** The one order whose answer is open. */
-  order?: InstanceOrder;
+  /** The order whose answer is pending; there is at most one. */
+  pendingOrder?: PendingOrder;
+  /** No load is ordered and no reload starts before this time. */
   orderRetryAt: MonotonicMilliseconds;
-  endSentAt?: MonotonicMilliseconds;
-  /** True once it has served: its time to start has been measured. */
+  /** When the platform was last asked to end the instance. */
+  endRequestedAt?: MonotonicMilliseconds;
+  /** True once its start duration was recorded, or if its start was not observed. */
   startMeasured: boolean;
 }
 
-/** Moves an instance to another phase. */
+/** Moves an instance to another phase, and records the time if the phase changes. */
 export function enterPhase(
   state: ControllerState,
   instance: FleetInstance,
@@ -63,12 +70,12 @@
   instance.phaseSinceWall = state.wallNow;
 }
 
-/** True if requests of the pool can be answered there, with whatever version. */
+/** True if it has the pool's model in any version; a plain service needs none. */
 export function hasModel(pool: Pool, instance: FleetInstance): boolean {
   return pool.kind === 'plainService' || instance.loaded.model === pool.model;
 }
 
-/** True if it has loaded just what the pools table says. */
+/** True if its model, adapter and version are those of the pools table. */
 export function isUpToDate(pool: Pool, { loaded }: FleetInstance): boolean {
   if (pool.kind === 'plainService') return true;
   return (
@@ -78,30 +85,30 @@
   );
 }
 
-/** True if it takes requests now. */
+/** True if entries may send it the pool's requests now. */
 export function isServing(pool: Pool, instance: FleetInstance): boolean {
   return instance.phase === 'live' && hasModel(pool, instance);
 }
 
-/** True if it serves now or will without being bought. */
+/** True unless it is draining or leaving. Includes instances that do not serve yet. */
 export function isKept(instance: FleetInstance): boolean {
   return instance.phase !== 'draining' && instance.phase !== 'leaving';
 }
 
 /**
- * True if its own report, made after the entries have stopped sending, shows no call. The report
- * carries the clock of its own instance: one that is ahead would date a report from before the
- * drain after it, so the bound on how far clocks differ is added.
+ * For a draining or reloading instance: true if a load report measured after entries stopped
+ * sending shows no call. The report carries the instance's own clock, which can be ahead: the bound
+ * on clock skew is added, so that no report measured before that time counts.
  */
 export function isIdle(state: ControllerState, instance: FleetInstance): boolean {
-  const { load } = instance;
-  if (load === undefined) return false;
-  const { entriesStop, clockBound } = state.policy;
-  const stoppedAt = instance.phaseSinceWall + entriesStop + clockBound;
-  return load.measuredAt > stoppedAt && load.running + load.queued === 0;
+  const { loadReport } = instance;
+  if (loadReport === undefined) return false;
+  const { drainPropagationTime, maxClockSkew } = state.policy;
+  const trafficStoppedAt = instance.phaseSinceWall + drainPropagationTime + maxClockSkew;
+  return loadReport.measuredAt > trafficStoppedAt && loadReport.running + loadReport.queued === 0;
 }
 
-export function classOf(pool: Pool, instance: FleetInstance): InstanceClass | undefined {
+export function instanceClassOf(pool: Pool, instance: FleetInstance): InstanceClass | undefined {
   return pool.instanceClasses.find(({ name }) => name === instance.instanceClass);
 }
 
--- a/packages/controller-core/src/orders/orders.test.ts
+++ b/packages/controller-core/src/orders/orders.test.ts
@@ -2,119 +2,120 @@
 import { test } from 'node:test';
 import type { ControllerEffect } from '../effects.js';
 import {
-  configure,
+  makeConfiguration,
   ControllerHarness,
-  logged,
+  listLogEvents,
   modelPool,
-  pick,
-  row,
+  effectsOfType,
+  makePlatformInstance,
 } from '../testing/ControllerHarness.js';
 
 const oneDataCentre = { dataCentres: ['wien-a'], least: 4, most: 6 };
 const firm = { instanceClass: 'firm' };
 
-/** Four on-demand engines of one data centre with version 1, and demand for three of them. */
-function serving(least = 4): ControllerHarness {
+/** Four on-demand engines with version 1 in one data centre, and demand for three of them. */
+function makeServingHarness(least = 4): ControllerHarness {
   const pool = { ...oneDataCentre, least, instanceClasses: modelPool.instanceClasses.slice(1) };
   const harness = new ControllerHarness({ pool });
-  harness.rate = 8;
-  harness.rows = ['a', 'b', 'c', 'd'].map((name) => row(name, 'wien-a', firm));
-  harness.rows.forEach(({ instance }) => {
-    harness.loaded.set(instance, { model: 'appraiser', version: '1' });
-    harness.running.set(instance, 2);
+  harness.requestsPerSecond = 8;
+  harness.listedInstances = ['a', 'b', 'c', 'd'].map((name) =>
+    makePlatformInstance(name, 'wien-a', firm),
+  );
+  harness.listedInstances.forEach(({ instance }) => {
+    harness.loadedModels.set(instance, { model: 'appraiser', version: '1' });
+    harness.runningCalls.set(instance, 2);
   });
-  harness.hold();
+  harness.acquireLease();
   return harness;
 }
 
-function putVersion(harness: ControllerHarness, version: string): ControllerEffect[] {
-  const configuration = configure({ ...harness.pool, version }, 2);
-  return harness.tell({ type: 'configurationApplied', configuration });
+function setVersion(harness: ControllerHarness, version: string): ControllerEffect[] {
+  const configuration = makeConfiguration({ ...harness.pool, version }, 2);
+  return harness.dispatch({ type: 'configurationApplied', configuration });
 }
 
-// An operator puts a new version while callers' streams run on every engine. An engine is ordered
-// to load only after its entries have stopped sending and it has reported no running stream, so no
-// stream sees two versions; and only one at a time is out, so the deadline's capacity stays.
-test('a rollout reloads one idle engine after another and keeps the capacity', () => {
-  const harness = serving();
-  const outNow = new Set<string>();
+// Guards against streams that see two versions, and against too little capacity for the deadlines,
+// while a new version is rolled out to engines in use.
+test('a rollout reloads one idle engine at a time', () => {
+  const harness = makeServingHarness();
+  const outOfService = new Set<string>();
   const reloaded = new Set<string>();
-  const carryOut = (effect: ControllerEffect): void => {
-    if (effect.type === 'drainInstance') outNow.add(effect.instance);
-    if (effect.type === 'restoreInstance') outNow.delete(effect.instance);
-    assert.ok(outNow.size <= 1, `out of service: ${[...outNow].join()}`);
+  const applyEffect = (effect: ControllerEffect): void => {
+    if (effect.type === 'drainInstance') outOfService.add(effect.instance);
+    if (effect.type === 'restoreInstance') outOfService.delete(effect.instance);
+    assert.ok(outOfService.size <= 1, `out of service: ${[...outOfService].join()}`);
     if (effect.type !== 'sendOrder') return;
-    assert.equal(harness.running.get(effect.instance), 0, 'a stream would see two versions');
-    harness.loaded.set(effect.instance, { model: 'appraiser', version: '2' });
+    assert.equal(harness.runningCalls.get(effect.instance), 0, 'a stream would see two versions');
+    harness.loadedModels.set(effect.instance, { model: 'appraiser', version: '2' });
     reloaded.add(effect.instance);
-    harness.answerOrder(effect, { type: 'done' }).forEach(carryOut);
+    harness.answerOrder(effect, { type: 'done' }).forEach(applyEffect);
   };
-  putVersion(harness, '2').forEach(carryOut);
+  setVersion(harness, '2').forEach(applyEffect);
   for (let second = 1; second < 900 && reloaded.size < 4; second += 1) {
-    harness.advance(1000).forEach(carryOut);
-    // Streams of an engine that is out take up to ten more seconds to end.
-    if (second % 10 === 0) outNow.forEach((instance) => harness.running.set(instance, 0));
+    harness.advance(1000).forEach(applyEffect);
+    // Streams of an engine out of service end after up to ten seconds.
+    if (second % 10 === 0)
+      outOfService.forEach((instance) => harness.runningCalls.set(instance, 0));
   }
   assert.equal(reloaded.size, 4);
-  assert.equal(outNow.size, 0);
+  assert.equal(outOfService.size, 0);
 });
 
-// The engine carried the load out but its answer was lost. The controller does not guess: after
-// the timeout it takes the order for lost, and the engine's own report shows that it was done, so
-// nothing is sent again.
-test('a lost answer to a done order sends nothing twice', () => {
-  const harness = serving(5);
-  harness.rows?.push(row('fresh', 'wien-a', firm));
-  const [order] = pick(harness.advance(2000), 'sendOrder');
+// Guards against loading a model twice when only the answer to the first order was lost; the
+// engine's load report shows that the order was carried out.
+test('an order that was carried out is not resent when its answer is lost', () => {
+  const harness = makeServingHarness(5);
+  harness.listedInstances?.push(makePlatformInstance('fresh', 'wien-a', firm));
+  const [order] = effectsOfType(harness.advance(2000), 'sendOrder');
   assert.equal(order?.instance, 'fresh');
-  harness.loaded.set('fresh', { model: 'appraiser', version: '1' });
+  harness.loadedModels.set('fresh', { model: 'appraiser', version: '1' });
   const later = harness.advance(6 * 60_000);
-  assert.ok(logged(later).includes('orderFailed'));
-  assert.deepEqual(pick(later, 'sendOrder'), []);
+  assert.ok(listLogEvents(later).includes('orderFailed'));
+  assert.deepEqual(effectsOfType(later, 'sendOrder'), []);
 });
 
-// A holder drains an engine for a reload, orders the load and dies; the engine may have loaded or
-// not. Its successor has no memory of this. It puts every engine back into service (else this one
-// would stand idle for ever), sees what is loaded from reports, and goes on under its own epoch,
-// so that a late order of the dead holder is refused.
-test("a dead holder's half-done reload is finished under the next epoch", () => {
-  const first = serving();
-  const started = [...putVersion(first, '2'), ...first.advance(90_000)];
-  const drained = pick(started, 'drainInstance')[0]?.instance ?? '';
+// Guards against an engine that stays drained because the holder crashed during its reload, and
+// against late orders of that holder: the successor restores the engine and uses its own epoch.
+test('a reload interrupted by a crash of the holder is finished under the next epoch', () => {
+  const first = makeServingHarness();
+  const started = [...setVersion(first, '2'), ...first.advance(90_000)];
+  const drained = effectsOfType(started, 'drainInstance')[0]?.instance ?? '';
   assert.notEqual(drained, '');
 
-  const next = serving();
-  putVersion(next, '2');
-  next.tell({ type: 'leaseLost' });
-  const taken = next.tell({ type: 'leaseHeld', epoch: 2, unfencedFrom: next.now });
-  const restored = pick(taken, 'restoreInstance').map(({ instance }) => instance);
+  const next = makeServingHarness();
+  setVersion(next, '2');
+  next.dispatch({ type: 'leaseLost' });
+  const takeoverEffects = next.dispatch({ type: 'leaseHeld', epoch: 2, unfencedFrom: next.now });
+  const restored = effectsOfType(takeoverEffects, 'restoreInstance').map(
+    ({ instance }) => instance,
+  );
   assert.ok(restored.includes(drained));
-  next.rows?.forEach(({ instance }) => next.running.set(instance, 0));
-  const [order] = pick(next.advance(60_000), 'sendOrder');
+  next.listedInstances?.forEach(({ instance }) => next.runningCalls.set(instance, 0));
+  const [order] = effectsOfType(next.advance(60_000), 'sendOrder');
   assert.equal(order?.order.epoch, 2);
 });
 
-// Engines that ignore fencing numbers would also carry out the last holder's late orders. Until
-// the lease part says that the last of those must have arrived, they get no order at all.
-test('engines that check no fencing get no order before the wait is over', () => {
+// Guards against late orders of the previous holder, which engines that do not check fencing tokens
+// would carry out as well.
+test('engines that do not check fencing get no order before the takeover wait has passed', () => {
   const pool = { ...oneDataCentre, checksFencing: false };
   const harness = new ControllerHarness({ pool });
-  harness.rows = ['a', 'b', 'c', 'd'].map((name) => row(name));
-  const early = harness.hold(2, 30_000);
-  assert.deepEqual(pick([...early, ...harness.advance(19_000)], 'sendOrder'), []);
-  assert.ok(pick(harness.advance(3000), 'sendOrder').length > 0);
+  harness.listedInstances = ['a', 'b', 'c', 'd'].map((name) => makePlatformInstance(name));
+  const early = harness.acquireLease(2, 30_000);
+  assert.deepEqual(effectsOfType([...early, ...harness.advance(19_000)], 'sendOrder'), []);
+  assert.ok(effectsOfType(harness.advance(3000), 'sendOrder').length > 0);
 });
 
-// A partition hid a change of holder from this controller, and an engine refuses its order as
-// old. Whatever it believes of its lease, another one acts: it sends nothing more at all.
-test('an order refused as old silences the controller', () => {
-  const harness = serving(5);
-  harness.rows?.push(row('fresh', 'wien-a', firm));
-  const [order] = pick(harness.advance(2000), 'sendOrder');
+// Guards against two controllers that change the fleet after a partition hid the takeover from the
+// old holder.
+test('a controller whose order is refused as old no longer changes the fleet', () => {
+  const harness = makeServingHarness(5);
+  harness.listedInstances?.push(makePlatformInstance('fresh', 'wien-a', firm));
+  const [order] = effectsOfType(harness.advance(2000), 'sendOrder');
   assert.ok(order !== undefined);
   harness.answerOrder(order, { type: 'refusedAsOld' });
-  putVersion(harness, '2');
-  harness.rows = [];
+  setVersion(harness, '2');
+  harness.listedInstances = [];
   const effects = harness.advance(10 * 60_000);
   assert.deepEqual(
     effects.filter(({ type }) => type !== 'log' && type !== 'count'),
@@ -122,60 +123,58 @@
   );
 });
 
-// Twelve engines start at once and the weight store allows eight loads a minute for one data
-// centre. More would queue there and all become slow; the loads are spread over the minutes.
-test('loads keep within the rate of the weight store', () => {
+// Guards against overloading the weight store, which would slow all loads down.
+test('loads stay within the rate limit of the weight store', () => {
   const pool = { dataCentres: ['wien-a'], least: 12, most: 12 };
-  const harness = new ControllerHarness({ pool, policy: { loadsAtOnce: 12 } });
-  harness.tell({ type: 'loadRateRead', loadsPerMinute: 8 });
-  harness.rows = Array.from({ length: 12 }, (_, number) => row(`engine-${number}`));
-  const first = [...harness.hold(), ...harness.advance(20_000)];
-  assert.equal(pick(first, 'sendOrder').length, 8);
-  assert.equal(pick(harness.advance(60_000), 'sendOrder').length, 4);
+  const harness = new ControllerHarness({ pool, policy: { maxConcurrentLoads: 12 } });
+  harness.dispatch({ type: 'loadRateRead', loadsPerMinute: 8 });
+  harness.listedInstances = Array.from({ length: 12 }, (_, number) =>
+    makePlatformInstance(`engine-${number}`),
+  );
+  const first = [...harness.acquireLease(), ...harness.advance(20_000)];
+  assert.equal(effectsOfType(first, 'sendOrder').length, 8);
+  assert.equal(effectsOfType(harness.advance(60_000), 'sendOrder').length, 4);
 });
 
-// The weight store refuses a load for now. The order was not sent; it is tried again after the
-// span that the store named, not before.
-test('a busy weight store is asked again when it says', () => {
-  const harness = serving(5);
-  harness.rows?.push(row('fresh', 'wien-a', firm));
-  const [order] = pick(harness.advance(2000), 'sendOrder');
+// Guards against retrying a load before the time that the busy weight store gave.
+test('a load refused by a busy weight store is retried after the given delay', () => {
+  const harness = makeServingHarness(5);
+  harness.listedInstances?.push(makePlatformInstance('fresh', 'wien-a', firm));
+  const [order] = effectsOfType(harness.advance(2000), 'sendOrder');
   assert.ok(order !== undefined);
   harness.answerOrder(order, { type: 'weightStoreBusy', retryAfter: 20_000 });
-  assert.deepEqual(pick(harness.advance(19_000), 'sendOrder'), []);
-  assert.equal(pick(harness.advance(5000), 'sendOrder').length, 1);
+  assert.deepEqual(effectsOfType(harness.advance(19_000), 'sendOrder'), []);
+  assert.equal(effectsOfType(harness.advance(5000), 'sendOrder').length, 1);
 });
 
-// A new holder hears of an engine from the platform's list before the engine's first load report.
-// Callers' streams of the old version may run there. It gets no order on the guess that it is
-// empty; once it has reported its version, it is drained first.
-test('an engine that has not reported yet gets no order', () => {
-  const harness = serving();
+// Guards against changing the version under running streams when a new holder sees an engine in
+// the platform's list before the engine's first load report.
+test('an engine without a load report gets no order, and is drained once it reports', () => {
+  const harness = makeServingHarness();
   const next = new ControllerHarness({ pool: { ...harness.pool, version: '2' } });
-  next.rate = 8;
-  next.rows = harness.rows;
-  next.reporting = false;
-  const unknown = [...next.hold(2), ...next.advance(60_000)];
-  assert.deepEqual(pick(unknown, 'sendOrder'), []);
-  harness.loaded.forEach((loaded, instance) => {
-    next.loaded.set(instance, loaded);
-    next.running.set(instance, 2);
+  next.requestsPerSecond = 8;
+  next.listedInstances = harness.listedInstances;
+  next.deliversLoadReports = false;
+  const effectsBeforeReports = [...next.acquireLease(2), ...next.advance(60_000)];
+  assert.deepEqual(effectsOfType(effectsBeforeReports, 'sendOrder'), []);
+  harness.loadedModels.forEach((loaded, instance) => {
+    next.loadedModels.set(instance, loaded);
+    next.runningCalls.set(instance, 2);
   });
-  next.reporting = true;
-  const known = next.advance(90_000);
-  assert.deepEqual(pick(known, 'sendOrder'), []);
-  assert.equal(pick(known, 'drainInstance').length, 1);
+  next.deliversLoadReports = true;
+  const effectsAfterReports = next.advance(90_000);
+  assert.deepEqual(effectsOfType(effectsAfterReports, 'sendOrder'), []);
+  assert.equal(effectsOfType(effectsAfterReports, 'drainInstance').length, 1);
 });
 
-// An engine's clock is two seconds ahead, and between two calls it reports itself idle just after
-// its drain began. Its entries may still send for five seconds, so a report that only looks newer
-// must not start the reload: the next call would see the version change.
-test('an engine whose clock is ahead is not taken for idle too early', () => {
-  const harness = serving();
-  harness.clockAhead = 2000;
-  harness.rows?.forEach(({ instance }) => harness.running.set(instance, 0));
-  const [drained] = pick(putVersion(harness, '2'), 'drainInstance');
+// Guards against reloading while entries may still send: a clock that is ahead makes an idle report
+// look as if it was measured after they stopped.
+test('an engine whose clock is ahead is not considered idle too early', () => {
+  const harness = makeServingHarness();
+  harness.serverClockOffset = 2000;
+  harness.listedInstances?.forEach(({ instance }) => harness.runningCalls.set(instance, 0));
+  const [drained] = effectsOfType(setVersion(harness, '2'), 'drainInstance');
   assert.ok(drained !== undefined);
-  assert.deepEqual(pick(harness.advance(5000), 'sendOrder'), []);
-  assert.equal(pick(harness.advance(5000), 'sendOrder').length, 1);
+  assert.deepEqual(effectsOfType(harness.advance(5000), 'sendOrder'), []);
+  assert.equal(effectsOfType(harness.advance(5000), 'sendOrder').length, 1);
 });
--- a/packages/controller-core/src/planning/chooseMix.test.ts
+++ b/packages/controller-core/src/planning/chooseMix.test.ts
@@ -2,9 +2,12 @@
 import { test } from 'node:test';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { chooseMix, measureMix, type MixRequest, type Offer } from './chooseMix.js';
+import { chooseMix, countMixSlots, type MixRequest, type Offer } from './chooseMix.js';
 
-/** Three data centres with a reclaimable class each, and one on-demand offer. */
+/**
+ * Returns a request with a reclaimable offer in each of a, b and c, and an on-demand offer in a
+ * (from 'd' in the list below).
+ */
 function randomRequest(seed: number): MixRequest {
   const generator = xoroshiro128plus(seed);
   const pick = (from: number, to: number) => uniformInt(generator, from, to);
@@ -15,77 +18,105 @@
       dataCentre: reclaimable ? dataCentre : 'a',
       instanceClass: reclaimable ? 'spot' : 'firm',
       reclaimable,
-      slotsEach: 4,
+      slotsPerInstance: 4,
       eurosPerHour: price,
-      comparedPrice: price,
-      kept: pick(0, 2),
+      riskAdjustedEurosPerHour: price,
+      presentCount: pick(0, 2),
       closed: pick(0, 4) === 0,
     };
   });
   const normal = pick(1, 20);
   const need = { normal, afterLoss: pick(1, normal) };
-  return { offers, need, waveShare: pick(0, 3) === 0 ? 0.5 : 0, least: 0, most: 12, stickiness: 0 };
+  return {
+    offers,
+    need,
+    waveLossFraction: pick(0, 3) === 0 ? 0.5 : 0,
+    minInstances: 0,
+    maxInstances: 12,
+    retentionDiscount: 0,
+  };
 }
 
-function missing(request: MixRequest, counts: readonly number[]): number {
-  const { total, largestLoss } = measureMix(request.offers, counts, request.waveShare);
-  const lackingAfterLoss = Math.max(0, request.need.afterLoss - (total - largestLoss));
-  return Math.max(0, request.need.normal - total) + lackingAfterLoss;
+function countMissingSlots(request: MixRequest, counts: readonly number[]): number {
+  const { totalSlots, maxLostSlots } = countMixSlots(
+    request.offers,
+    counts,
+    request.waveLossFraction,
+  );
+  const missingAfterLoss = Math.max(0, request.need.afterLoss - (totalSlots - maxLostSlots));
+  return Math.max(0, request.need.normal - totalSlots) + missingAfterLoss;
 }
 
-/** Cost of the cheapest mix that lacks the fewest slots, by trying all. */
-function cheapestByTrying(request: MixRequest): { readonly cost: number; readonly lacks: number } {
-  const highest = request.offers.map((offer) => (offer.closed ? offer.kept : 8));
-  let best = { cost: Infinity, lacks: Infinity };
+/**
+ * Returns the lowest comparison price among the mixes with the fewest missing slots, of all mixes
+ * with at most 8 instances of each open offer.
+ */
+function findCheapestByExhaustiveSearch(request: MixRequest): {
+  readonly comparisonEurosPerHour: number;
+  readonly missingSlots: number;
+} {
+  const maxCounts = request.offers.map((offer) => (offer.closed ? offer.presentCount : 8));
+  let best = { comparisonEurosPerHour: Infinity, missingSlots: Infinity };
   const visit = (counts: readonly number[]): void => {
-    if (counts.length < highest.length) {
-      const most = highest[counts.length] ?? 0;
-      for (let count = 0; count <= most; count += 1) visit([...counts, count]);
+    if (counts.length < maxCounts.length) {
+      const maxCount = maxCounts[counts.length] ?? 0;
+      for (let count = 0; count <= maxCount; count += 1) visit([...counts, count]);
       return;
     }
-    if (counts.reduce((sum, count) => sum + count, 0) > request.most) return;
-    const lacks = missing(request, counts);
-    const cost = request.offers.reduce(
-      (sum, offer, position) => sum + offer.comparedPrice * (counts[position] ?? 0),
+    if (counts.reduce((sum, count) => sum + count, 0) > request.maxInstances) return;
+    const missingSlots = countMissingSlots(request, counts);
+    const comparisonEurosPerHour = request.offers.reduce(
+      (sum, offer, position) => sum + offer.riskAdjustedEurosPerHour * (counts[position] ?? 0),
       0,
     );
-    if (lacks < best.lacks || (lacks === best.lacks && cost < best.cost)) best = { cost, lacks };
+    if (
+      missingSlots < best.missingSlots ||
+      (missingSlots === best.missingSlots && comparisonEurosPerHour < best.comparisonEurosPerHour)
+    )
+      best = { comparisonEurosPerHour, missingSlots };
   };
   visit([]);
   return best;
 }
 
-test('the mix lacks as little as any, and is nearly always the cheapest of those', () => {
-  let dearer = 0;
+test('the mix has the fewest missing slots possible and is nearly always the cheapest such mix', () => {
+  let moreExpensiveCount = 0;
   for (let seed = 1; seed <= 60; seed += 1) {
     const request = randomRequest(seed);
     const mix = chooseMix(request);
-    const best = cheapestByTrying(request);
-    assert.equal(mix.missingSlots, best.lacks, `seed ${seed} lacks slots`);
-    assert.ok(mix.comparedCost <= best.cost * 1.25, `seed ${seed}: ${mix.comparedCost}`);
-    if (mix.comparedCost > best.cost) dearer += 1;
+    const best = findCheapestByExhaustiveSearch(request);
+    assert.equal(
+      mix.missingSlots,
+      best.missingSlots,
+      `seed ${seed}: more slots are missing than necessary`,
+    );
+    assert.ok(
+      mix.comparisonEurosPerHour <= best.comparisonEurosPerHour * 1.25,
+      `seed ${seed}: ${mix.comparisonEurosPerHour} is too expensive`,
+    );
+    if (mix.comparisonEurosPerHour > best.comparisonEurosPerHour) moreExpensiveCount += 1;
   }
-  assert.ok(dearer <= 6, `${dearer} of 60 were dearer than the best`);
+  assert.ok(moreExpensiveCount <= 6, `${moreExpensiveCount} of 60 cost more than the cheapest mix`);
 });
 
-test('an instance that is there is kept unless another place is much cheaper', () => {
+test('a present instance is kept unless another place is much cheaper', () => {
   const offer = (dataCentre: string, price: number, kept: number): Offer => ({
     dataCentre,
     instanceClass: 'firm',
     reclaimable: false,
-    slotsEach: 4,
+    slotsPerInstance: 4,
     eurosPerHour: price,
-    comparedPrice: price,
-    kept,
+    riskAdjustedEurosPerHour: price,
+    presentCount: kept,
     closed: false,
   });
   const request = (price: number): MixRequest => ({
     offers: [offer('a', 100, 1), offer('b', price, 0)],
     need: { normal: 4, afterLoss: 4 },
-    waveShare: 0,
-    least: 1,
-    most: 4,
-    stickiness: 0.2,
+    waveLossFraction: 0,
+    minInstances: 1,
+    maxInstances: 4,
+    retentionDiscount: 0.2,
   });
   assert.deepEqual(chooseMix(request(85)).counts, [1, 0]);
   assert.deepEqual(chooseMix(request(75)).counts, [0, 1]);
