--- a/packages/controller-core/src/planning/planPools.ts
+++ b/packages/controller-core/src/planning/planPools.ts
@@ -1,7 +1,8 @@
 /**
- * Plans every pool over all its data centres. Each active controller makes the same plan from the
- * tables, the platform's list and the other controllers' reports, and acts on the part of its own
- * data centre only; so nothing has to be agreed by messages, and no two buy the same instance.
+ * Plans the instances of every pool over all its data centres. Each active controller plans from
+ * the tables, the platform's list and the other controllers' reports, and acts only in its own data
+ * centre. Controllers with the same inputs make the same plan, so no messages are needed to agree
+ * on it, and no two controllers buy in the same data centre.
  */
 import type { Pool } from '@hornbeampond/schema';
 import type { ControllerEffect } from '../effects.js';
@@ -10,27 +11,36 @@
 import { chooseMix, type Mix, type Offer } from './chooseMix.js';
 import { listOffers } from './offers.js';
 import type { PlannedPlace, PoolPlan, SlotNeed } from './PoolPlan.js';
-import { wantedSlots } from './wantedSlots.js';
+import { estimatePoolNeed } from './estimatePoolNeed.js';
 
-const MINUTE = 60_000;
+const MINUTE_MILLISECONDS = 60_000;
 
 type RecentNeeds = PoolPlan['recentNeeds'];
 
-/** Keeps the highest need of each of the last minutes. */
-function remember(state: ControllerState, recent: RecentNeeds, need: SlotNeed): RecentNeeds {
-  const at = Math.floor(state.now / MINUTE) * MINUTE;
-  const last = recent.at(-1);
-  const kept = recent.filter((past) => past.at > state.now - state.policy.scaleInDelay);
-  if (last?.at !== at) return [...kept, { ...need, at }];
+/**
+ * Returns the recent needs with the new one. Keeps the highest need of each minute, and none older
+ * than `scaleInDelay`.
+ */
+function addRecentNeed(
+  state: ControllerState,
+  recentNeeds: RecentNeeds,
+  need: SlotNeed,
+): RecentNeeds {
+  const at = Math.floor(state.now / MINUTE_MILLISECONDS) * MINUTE_MILLISECONDS;
+  const lastNeed = recentNeeds.at(-1);
+  const retainedNeeds = recentNeeds.filter(
+    (past) => past.at > state.now - state.policy.scaleInDelay,
+  );
+  if (lastNeed?.at !== at) return [...retainedNeeds, { ...need, at }];
   const merged = {
     at,
-    normal: Math.max(last.normal, need.normal),
-    afterLoss: Math.max(last.afterLoss, need.afterLoss),
+    normal: Math.max(lastNeed.normal, need.normal),
+    afterLoss: Math.max(lastNeed.afterLoss, need.afterLoss),
   };
-  return [...kept.filter((past) => past.at !== at), merged];
+  return [...retainedNeeds.filter((past) => past.at !== at), merged];
 }
 
-function highestOf(needs: readonly SlotNeed[]): SlotNeed {
+function findHighestNeed(needs: readonly SlotNeed[]): SlotNeed {
   return {
     normal: Math.max(0, ...needs.map((need) => need.normal)),
     afterLoss: Math.max(0, ...needs.map((need) => need.afterLoss)),
@@ -38,71 +48,84 @@
 }
 
 /**
- * Share of the pool's reclaimable slots that the largest remembered wave took. A wave inside one
- * data centre can take no more than what is there, and that loss is planned for anyway; so only
- * waves over several of them count.
+ * Returns the largest fraction of the pool's reclaimable slots that a recent wave took. Waves
+ * within one data centre are left out, because the loss of any one data centre is planned for
+ * anyway.
  */
-function largestWave(state: ControllerState, pool: Pool): number {
-  const shares = state.waves
+function findMaxWaveLossFraction(state: ControllerState, pool: Pool): number {
+  const lossFractions = state.waves
     .filter((wave) => wave.pool === pool.name && wave.dataCentres.size > 1)
-    .map((wave) => Math.min(1, wave.slots / Math.max(1, wave.slotsBefore)));
-  return Math.max(0, ...shares);
+    .map((wave) => Math.min(1, wave.lostSlots / Math.max(1, wave.reclaimableSlotsBefore)));
+  return Math.max(0, ...lossFractions);
 }
 
 /**
- * While instances wait for another version, one more is kept: each of them is out of service for
- * a while, and the deadline has to be met without it.
+ * Returns the slots of one instance of the smallest class while instances wait to load another
+ * version, else 0: an instance is out of service while it loads.
  */
-function rolloutSlots(state: ControllerState, pool: Pool): number {
-  const waits = instancesOf(state, pool).some(
+function countRolloutSlots(state: ControllerState, pool: Pool): number {
+  const isRolloutPending = instancesOf(state, pool).some(
     (instance) => isKept(instance) && hasModel(pool, instance) && !isUpToDate(pool, instance),
   );
-  if (!waits) return 0;
+  if (!isRolloutPending) return 0;
   return Math.min(...pool.instanceClasses.map(({ concurrency }) => concurrency));
 }
 
-function toPlaces(offers: readonly Offer[], mix: Mix): PlannedPlace[] {
+function makePlannedPlaces(offers: readonly Offer[], mix: Mix): PlannedPlace[] {
   return offers.map((offer, position) => ({
     dataCentre: offer.dataCentre,
     instanceClass: offer.instanceClass,
     reclaimable: offer.reclaimable,
-    slotsEach: offer.slotsEach,
+    slotsPerInstance: offer.slotsPerInstance,
     eurosPerHour: offer.eurosPerHour,
     wanted: mix.counts[position] ?? 0,
   }));
 }
 
 function planPool(state: ControllerState, pool: Pool): PoolPlan {
-  const { figures, ahead } = wantedSlots(state, pool);
-  const before = state.plans.get(pool.name);
-  const recentNeeds = remember(state, before?.recentNeeds ?? [], ahead);
-  const need = highestOf(recentNeeds);
-  const waveShare = largestWave(state, pool);
+  const { currentEstimate, peakNeed } = estimatePoolNeed(state, pool);
+  const previousPlan = state.plans.get(pool.name);
+  const recentNeeds = addRecentNeed(state, previousPlan?.recentNeeds ?? [], peakNeed);
+  const need = findHighestNeed(recentNeeds);
+  const waveLossFraction = findMaxWaveLossFraction(state, pool);
   const offers = listOffers(state, pool);
-  const { least, most } = pool;
-  const { stickiness } = state.policy;
-  const extra = rolloutSlots(state, pool);
-  const needed = { normal: need.normal + extra, afterLoss: need.afterLoss + extra };
-  const request = { offers, need: needed, waveShare, least, most, stickiness };
-  const question = JSON.stringify(request);
-  const mix = before?.choice.question === question ? before.choice.mix : chooseMix(request);
-  const places = toPlaces(offers, mix);
+  const { least: minInstances, most: maxInstances } = pool;
+  const { retentionDiscount } = state.policy;
+  const rolloutSlots = countRolloutSlots(state, pool);
+  const needWithRollout = {
+    normal: need.normal + rolloutSlots,
+    afterLoss: need.afterLoss + rolloutSlots,
+  };
+  const request = {
+    offers,
+    need: needWithRollout,
+    waveLossFraction,
+    minInstances,
+    maxInstances,
+    retentionDiscount,
+  };
+  const requestJson = JSON.stringify(request);
+  const mix =
+    previousPlan?.cachedChoice.requestJson === requestJson
+      ? previousPlan.cachedChoice.mix
+      : chooseMix(request);
+  const places = makePlannedPlaces(offers, mix);
   const eurosPerHour = places.reduce((sum, place) => sum + place.eurosPerHour * place.wanted, 0);
   return {
     pool: pool.name,
     places,
-    figures,
+    currentEstimate,
     need,
-    rolloutSlots: extra,
-    waveShare,
+    rolloutSlots,
+    waveLossFraction,
     missingSlots: mix.missingSlots,
     eurosPerHour,
-    choice: { question, mix },
+    cachedChoice: { requestJson, mix },
     recentNeeds,
   };
 }
 
-function wantedByPlace(plan: PoolPlan): Record<string, number> {
+function countWantedByPlace(plan: PoolPlan): Record<string, number> {
   return Object.fromEntries(
     plan.places
       .filter((place) => place.wanted > 0)
@@ -110,37 +133,41 @@
   );
 }
 
-function describe(plan: PoolPlan): Record<string, unknown> {
-  const { figures, need } = plan;
+function makePlanLogFields(plan: PoolPlan): Record<string, unknown> {
+  const { currentEstimate, need } = plan;
   return {
     pool: plan.pool,
-    wanted: wantedByPlace(plan),
+    wanted: countWantedByPlace(plan),
     slotsNeeded: need.normal,
     slotsNeededAfterLoss: need.afterLoss,
     rolloutSlots: plan.rolloutSlots,
-    waveShare: plan.waveShare,
+    waveShare: plan.waveLossFraction,
     missingSlots: plan.missingSlots,
-    requestsPerSecond: figures.requestsPerSecond,
-    forecastPerSecond: figures.forecastPerSecond,
-    serviceMilliseconds: figures.serviceMilliseconds,
-    patienceMilliseconds: figures.patience,
+    requestsPerSecond: currentEstimate.requestsPerSecond,
+    forecastPerSecond: currentEstimate.forecastPerSecond,
+    serviceMilliseconds: currentEstimate.serviceMilliseconds,
+    patienceMilliseconds: currentEstimate.shortestAllowedWait,
     eurosPerHour: plan.eurosPerHour,
   };
 }
 
-function logChange(before: PoolPlan | undefined, plan: PoolPlan): ControllerEffect[] {
+function logChange(previousPlan: PoolPlan | undefined, plan: PoolPlan): ControllerEffect[] {
   const effects: ControllerEffect[] = [];
-  const old = before === undefined ? '' : JSON.stringify(wantedByPlace(before));
-  if (old !== JSON.stringify(wantedByPlace(plan))) {
-    effects.push({ type: 'log', event: 'planChanged', fields: describe(plan) });
+  const previousWanted =
+    previousPlan === undefined ? '' : JSON.stringify(countWantedByPlace(previousPlan));
+  if (previousWanted !== JSON.stringify(countWantedByPlace(plan))) {
+    effects.push({ type: 'log', event: 'planChanged', fields: makePlanLogFields(plan) });
   }
-  if (plan.missingSlots > 0 && (before?.missingSlots ?? 0) === 0) {
-    effects.push({ type: 'log', event: 'planFallsShort', fields: describe(plan) });
+  if (plan.missingSlots > 0 && (previousPlan?.missingSlots ?? 0) === 0) {
+    effects.push({ type: 'log', event: 'planFallsShort', fields: makePlanLogFields(plan) });
   }
   return effects;
 }
 
-/** Makes the plans anew; says so where what is wanted has changed. */
+/**
+ * Plans all pools and removes the plans of pools that no longer exist. Logs a plan that wants other
+ * instances than before, and one that starts to fall short of the need.
+ */
 export function planPools(state: ControllerState): ControllerEffect[] {
   const pools = state.configuration.pools.rows;
   const names = new Set(pools.map((pool) => pool.name));
@@ -150,9 +177,9 @@
       state.plans.delete(name);
     });
   return pools.flatMap((pool) => {
-    const before = state.plans.get(pool.name);
+    const previousPlan = state.plans.get(pool.name);
     const plan = planPool(state, pool);
     state.plans.set(pool.name, plan);
-    return logChange(before, plan);
+    return logChange(previousPlan, plan);
   });
 }
--- a/packages/controller-core/src/policy.ts
+++ b/packages/controller-core/src/policy.ts
@@ -1,93 +1,94 @@
 /**
- * The figures that steer a controller's decisions. The defaults were weighed in
- * `docs/design/fleet.md`; nothing here is a promise to callers.
+ * Tuning parameters of the controller's decisions, and their defaults. No setting exposes them. A
+ * place is one instance class in one data centre; a start is a request to buy one instance.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 
 export interface ControllerPolicy {
-  /** Share of requests that should meet the deadline while all capacity stands. */
-  readonly onTimeShare: number;
-  /** Share that should meet it just after a data centre's reclaimable instances are gone. */
-  readonly onTimeShareAfterLoss: number;
-  /** Demand that is planned for beyond what was measured or foretold, as a share of it. */
+  /** Fraction of requests to serve within the deadline while all capacity is available. */
+  readonly onTimeTarget: number;
+  /** The same fraction right after one data centre's reclaimable instances were reclaimed. */
+  readonly onTimeTargetAfterLoss: number;
+  /** Extra demand to plan for, as a fraction of the measured or forecast demand. */
   readonly headroom: number;
-  /** The same where no daily shape has been learnt yet. */
-  readonly headroomWithoutShape: number;
-  /** An instance that is there is left for another place only if that is cheaper by this share. */
-  readonly stickiness: number;
-  /** Each recent wave at a place makes its reclaimable instances look dearer by this share. */
-  readonly waveHandicap: number;
-  /** How long a wave is remembered for. */
-  readonly waveMemory: Milliseconds;
-  /** No reclaimable instance is bought where one was reclaimed so lately. */
+  /** The same fraction for routes without a daily profile to forecast from. */
+  readonly headroomWithoutProfile: number;
+  /** Discount on existing instances in price comparisons, so small differences cause no moves. */
+  readonly retentionDiscount: number;
+  /** Fraction added to a place's reclaimable price, when compared, for each recent reclaim wave. */
+  readonly wavePricePenalty: number;
+  /** How long a reclaim wave counts as recent. */
+  readonly waveRetention: Milliseconds;
+  /** How long purchases at a place are suspended after a reclaim there. */
   readonly reclaimCooldown: Milliseconds;
-  /** Wanted capacity falls only after it was lower for so long. */
+  /** Planned capacity falls only after the need has been lower for this long. */
   readonly scaleInDelay: Milliseconds;
-  /** From a start to a backend server that serves, until one has been measured. */
-  readonly startDuration: Milliseconds;
-  /** Bounds on the platform's lag: how long a new instance may be unlisted, a gone one listed. */
-  readonly listLag: Milliseconds;
-  /** How long a gone instance's rows are ignored. */
-  readonly goneMemory: Milliseconds;
-  /** A start without an answer for so long is resent under its token. */
+  /** Assumed time from a start to a serving backend server, until one is measured. */
+  readonly defaultStartDuration: Milliseconds;
+  /** An instance that the platform's list has not shown for this long is considered lost. */
+  readonly maxListLag: Milliseconds;
+  /** How long rows of the platform's list are ignored if they name a removed instance. */
+  readonly removedInstanceRetention: Milliseconds;
+  /** An unanswered start is first resent after this long; the waits between resends grow. */
   readonly startAnswerTimeout: Milliseconds;
-  /** A start unanswered for so long no longer counts as capacity to come. */
-  readonly startGiveUp: Milliseconds;
-  readonly firstBackoff: Milliseconds;
-  readonly longestBackoff: Milliseconds;
-  /** A new holder buys nothing for so long: its predecessor's last purchases are still unlisted. */
-  readonly takeoverPause: Milliseconds;
-  /** An instance of no pool is drained after so long. */
-  readonly strayGrace: Milliseconds;
-  /** An instance that has not served so long after its purchase is drained. */
-  readonly neverServedAfter: Milliseconds;
-  /** After a drain, entries may send for so long. */
-  readonly entriesStop: Milliseconds;
-  /** Wall clocks of instances are taken to differ by no more than this. */
-  readonly clockBound: Milliseconds;
-  /** Each data centre may take capacity out of service only in its own turn of this length. */
+  /** An unanswered start counts as upcoming capacity for this long; then its place is closed. */
+  readonly pendingStartTimeout: Milliseconds;
+  /** Upper bound of the random wait after a failed start; doubles with each consecutive one. */
+  readonly initialStartBackoff: Milliseconds;
+  readonly maxStartBackoff: Milliseconds;
+  /** Nothing is bought for this long after a takeover, until earlier purchases are listed. */
+  readonly takeoverPurchaseDelay: Milliseconds;
+  /** Time since first sight after which an instance without a row in the pools table is drained. */
+  readonly strayGracePeriod: Milliseconds;
+  /** Time since first sight after which an instance that has never served is drained. */
+  readonly startupTimeout: Milliseconds;
+  /** Longest time for which entries can still send new calls to an instance after its drain. */
+  readonly drainPropagationTime: Milliseconds;
+  /** Assumed bound on the difference between the wall clocks of two instances. */
+  readonly maxClockSkew: Milliseconds;
+  /** Data centres take turns of this length to take capacity out of service. */
   readonly turnDuration: Milliseconds;
-  /** An order without an answer for so long is taken for lost. */
+  /** An order without an answer for this long is considered lost. */
   readonly orderTimeout: Milliseconds;
-  /** A data centre whose controller has been silent for so long is planned around. */
-  readonly peerSilence: Milliseconds;
-  /** Demand of a silent data centre that seems not to be cut off counts for so long. */
-  readonly silentDemandMemory: Milliseconds;
-  /** Demand of an entry that has been silent for so long counts no longer. */
-  readonly entrySilence: Milliseconds;
-  /** Loads that may run at a time in this data centre. */
-  readonly loadsAtOnce: number;
+  /** A data centre without a controller report for this long is considered unreachable. */
+  readonly peerTimeout: Milliseconds;
+  /** How long an unreachable data centre's demand counts while the fleet holds its instances. */
+  readonly unreachableDemandRetention: Milliseconds;
+  /** An entry's demand is dropped after this long without a report. */
+  readonly entryTimeout: Milliseconds;
+  /** Limit on model loads in progress at the same time in one data centre. */
+  readonly maxConcurrentLoads: number;
 }
 
 const SECOND = 1000;
 const MINUTE = 60 * SECOND;
 
 export const defaultPolicy: ControllerPolicy = {
-  onTimeShare: 0.998,
-  onTimeShareAfterLoss: 0.9,
+  onTimeTarget: 0.998,
+  onTimeTargetAfterLoss: 0.9,
   headroom: 0.02,
-  headroomWithoutShape: 0.25,
-  stickiness: 0.2,
-  waveHandicap: 0.05,
-  waveMemory: 60 * MINUTE,
+  headroomWithoutProfile: 0.25,
+  retentionDiscount: 0.2,
+  wavePricePenalty: 0.05,
+  waveRetention: 60 * MINUTE,
   reclaimCooldown: 15 * MINUTE,
   scaleInDelay: 5 * MINUTE,
-  startDuration: 4 * MINUTE,
-  listLag: MINUTE,
-  goneMemory: 10 * MINUTE,
+  defaultStartDuration: 4 * MINUTE,
+  maxListLag: MINUTE,
+  removedInstanceRetention: 10 * MINUTE,
   startAnswerTimeout: 10 * SECOND,
-  startGiveUp: MINUTE,
-  firstBackoff: 30 * SECOND,
-  longestBackoff: 10 * MINUTE,
-  takeoverPause: 10 * SECOND,
-  strayGrace: MINUTE,
-  neverServedAfter: 30 * MINUTE,
-  entriesStop: 5 * SECOND,
-  clockBound: 2 * SECOND,
+  pendingStartTimeout: MINUTE,
+  initialStartBackoff: 30 * SECOND,
+  maxStartBackoff: 10 * MINUTE,
+  takeoverPurchaseDelay: 10 * SECOND,
+  strayGracePeriod: MINUTE,
+  startupTimeout: 30 * MINUTE,
+  drainPropagationTime: 5 * SECOND,
+  maxClockSkew: 2 * SECOND,
   turnDuration: 20 * SECOND,
   orderTimeout: 5 * MINUTE,
-  peerSilence: 30 * SECOND,
-  silentDemandMemory: 60 * MINUTE,
-  entrySilence: 30 * SECOND,
-  loadsAtOnce: 4,
+  peerTimeout: 30 * SECOND,
+  unreachableDemandRetention: 60 * MINUTE,
+  entryTimeout: 30 * SECOND,
+  maxConcurrentLoads: 4,
 };
--- a/packages/controller-core/src/reclaims/reclaims.ts
+++ b/packages/controller-core/src/reclaims/reclaims.ts
@@ -1,77 +1,90 @@
 /**
- * Reclaims: what they take from the fleet, how large the waves are that they come in, and where
- * replacements are not bought for a while.
+ * Records reclaims: marks instances under notice as leaving, groups reclaims of a pool that come
+ * close together into waves, and suspends purchases at their places (one instance class in one
+ * data centre) for a while.
  *
- * The replacement itself needs no code of its own. An instance under notice counts no longer, so
- * the plan that follows the very same event lacks its slots; its place is closed for a while and
- * the spread over data centres holds, so the plan takes the next cheapest safe places.
+ * Nothing here buys replacements: an instance under notice no longer counts as capacity, so the
+ * next plan makes up for its slots at other places.
  */
 import type { EpochMilliseconds } from '@hornbeampond/schema';
-import { closeAfterReclaim } from '../buying/closures.js';
+import { closeAfterReclaim } from '../buying/placeClosures.js';
 import type { ControllerEffect } from '../effects.js';
 import {
-  classOf,
+  instanceClassOf,
   enterPhase,
   instancesOf,
   isKept,
   poolOf,
   type FleetInstance,
 } from '../fleet/FleetInstance.js';
-import { placeOf, type ControllerState, type Wave } from '../state.js';
+import { placeKey, type ControllerState, type ReclaimWave } from '../state.js';
 
-/** Reclaims that come within this of a wave's first belong to it. */
-const WAVE_SPAN = 90_000;
+/** A reclaim belongs to a wave if it comes within this time after the first reclaim of the wave. */
+const MAX_WAVE_DURATION_MILLISECONDS = 90_000;
 
-function reclaimableSlots(state: ControllerState, name: string): number {
+function countReclaimableSlots(state: ControllerState, name: string): number {
   const pool = poolOf(state, name);
   if (pool === undefined) return 0;
   return instancesOf(state, pool)
     .filter((instance) => isKept(instance) || instance.goneAt === undefined)
-    .map((instance) => classOf(pool, instance))
-    .reduce((sum, found) => sum + (found?.reclaimable === true ? found.concurrency : 0), 0);
+    .map((instance) => instanceClassOf(pool, instance))
+    .reduce(
+      (sum, instanceClass) =>
+        sum + (instanceClass?.reclaimable === true ? instanceClass.concurrency : 0),
+      0,
+    );
 }
 
-function waveFor(state: ControllerState, pool: string): Wave {
+function getOrStartWave(state: ControllerState, pool: string): ReclaimWave {
   const current = state.waves.find(
-    (wave) => wave.pool === pool && state.now - wave.startedAt <= WAVE_SPAN,
+    (wave) => wave.pool === pool && state.now - wave.startedAt <= MAX_WAVE_DURATION_MILLISECONDS,
   );
   if (current !== undefined) return current;
-  const wave: Wave = {
+  const wave: ReclaimWave = {
     startedAt: state.now,
     pool,
     places: new Set(),
     dataCentres: new Set(),
-    slotsBefore: reclaimableSlots(state, pool),
-    slots: 0,
-    instances: 0,
+    reclaimableSlotsBefore: countReclaimableSlots(state, pool),
+    lostSlots: 0,
+    lostInstances: 0,
   };
   state.waves.push(wave);
   return wave;
 }
 
-/** Adds one lost reclaimable instance to the wave in progress and closes its place. */
-export function recordReclaim(state: ControllerState, instance: FleetInstance): Wave | undefined {
+/**
+ * Adds a reclaimed instance to the pool's current wave, or starts one, and closes the instance's
+ * place. Does nothing for an instance that is not reclaimable.
+ */
+export function recordReclaim(
+  state: ControllerState,
+  instance: FleetInstance,
+): ReclaimWave | undefined {
   const pool = poolOf(state, instance.pool);
-  const instanceClass = pool === undefined ? undefined : classOf(pool, instance);
+  const instanceClass = pool === undefined ? undefined : instanceClassOf(pool, instance);
   if (instanceClass?.reclaimable !== true) return undefined;
-  const wave = waveFor(state, instance.pool);
-  wave.places.add(placeOf(instance.dataCentre, instance.instanceClass));
+  const wave = getOrStartWave(state, instance.pool);
+  wave.places.add(placeKey(instance.dataCentre, instance.instanceClass));
   wave.dataCentres.add(instance.dataCentre);
-  wave.slots += instanceClass.concurrency;
-  wave.instances += 1;
+  wave.lostSlots += instanceClass.concurrency;
+  wave.lostInstances += 1;
   closeAfterReclaim(state, instance.dataCentre, instance.instanceClass);
   return wave;
 }
 
-/** An instance is under notice: it counts as capacity no longer. */
-export function noticeReclaim(
+/**
+ * Marks an instance as leaving at the first notice for it. Records the reclaim unless the instance
+ * was already draining.
+ */
+export function recordReclaimNotice(
   state: ControllerState,
   instance: FleetInstance,
   goneAt: EpochMilliseconds,
 ): ControllerEffect[] {
   if (instance.goneAt !== undefined) return [];
   const wasKept = instance.phase !== 'draining';
-  // Recorded first: the wave's share is taken of what stood before it.
+  // Recorded before the phase changes, so that `reclaimableSlotsBefore` includes this instance.
   const wave = wasKept ? recordReclaim(state, instance) : undefined;
   instance.goneAt = goneAt;
   enterPhase(state, instance, 'leaving');
@@ -87,18 +100,18 @@
         dataCentre,
         instanceClass,
         noticeMilliseconds: goneAt - state.wallNow,
-        waveInstances: wave?.instances,
-        waveSlots: wave?.slots,
+        waveInstances: wave?.lostInstances,
+        waveSlots: wave?.lostSlots,
       },
     },
     { type: 'count', metric: 'instancesReclaimed' },
   ];
 }
 
-/** Drops waves that are too long ago to plan for. */
-export function forgetOldWaves(state: ControllerState): void {
+/** Removes waves that began too long ago to affect the plan. */
+export function removeExpiredWaves(state: ControllerState): void {
   const recent = state.waves.filter(
-    (wave) => state.now - wave.startedAt <= state.policy.waveMemory,
+    (wave) => state.now - wave.startedAt <= state.policy.waveRetention,
   );
   state.waves.splice(0, state.waves.length, ...recent);
 }
--- a/packages/controller-core/src/reduceController.test.ts
+++ b/packages/controller-core/src/reduceController.test.ts
@@ -4,67 +4,72 @@
 import { isFleetEffect } from './effects.js';
 import { explainPlan } from './explainPlan.js';
 import {
-  configure,
+  makeConfiguration,
   ControllerHarness,
   modelPool,
-  pick,
-  placesOf,
-  row,
+  effectsOfType,
+  listStartPlaces,
+  makePlatformInstance,
 } from './testing/ControllerHarness.js';
 
-// A partition cuts a controller off and its lease ends; a successor acts elsewhere. Whatever the
-// cut-off one still hears (demand, notices, tables, late answers) it must buy, drain and order
-// nothing, else two controllers would undo each other's work.
-test('a controller without the lease changes nothing, whatever it hears', () => {
+// Guards against two controllers that undo each other's changes when a partitioned one still
+// receives events after its lease has ended.
+test('a controller without the lease changes nothing in the fleet, whatever events arrive', () => {
   const harness = new ControllerHarness();
-  harness.rate = 60;
-  harness.rows = [row('a'), row('b', 'wien-b'), row('stray', 'wien-a', { pool: 'gone' })];
-  const [start] = pick(harness.hold(), 'startInstance');
+  harness.requestsPerSecond = 60;
+  harness.listedInstances = [
+    makePlatformInstance('a'),
+    makePlatformInstance('b', 'wien-b'),
+    makePlatformInstance('stray', 'wien-a', { pool: 'gone' }),
+  ];
+  const [start] = effectsOfType(harness.acquireLease(), 'startInstance');
   assert.ok(start !== undefined);
-  harness.tell({ type: 'leaseLost' });
-  const configuration = configure({ ...harness.pool, version: '2' }, 2);
+  harness.dispatch({ type: 'leaseLost' });
+  const configuration = makeConfiguration({ ...harness.pool, version: '2' }, 2);
   const effects = [
-    ...harness.tell({ type: 'configurationApplied', configuration }),
+    ...harness.dispatch({ type: 'configurationApplied', configuration }),
     ...harness.answerStart(start.startToken, { type: 'refused', reason: 'none left' }),
-    ...harness.tell({ type: 'reclaimNoticed', instance: 'a', goneAt: harness.wallNow + 30_000 }),
+    ...harness.dispatch({
+      type: 'reclaimNoticed',
+      instance: 'a',
+      goneAt: harness.wallNow + 30_000,
+    }),
     ...harness.advance(20 * 60_000),
   ];
   assert.deepEqual(effects.filter(isFleetEffect), []);
 });
 
-// The other data centres are not heard for a while; they may be cut off, or only their controllers
-// may be dead. As long as their instances are listed, their demand and their capacity both stay
-// in the plan: this controller neither buys the whole fleet a second time nor drains its part.
-test('a data centre that is not heard keeps its part of the plan', () => {
+// Guards against buying the fleet a second time, or draining it, when the controllers of the other
+// data centres are unreachable but their instances are still listed.
+test('an unreachable data centre stays in the plan while its instances are listed', () => {
   const harness = new ControllerHarness();
-  harness.rate = 5;
-  harness.peerRate = 5;
-  harness.furnish();
+  harness.requestsPerSecond = 5;
+  harness.peerRequestsPerSecond = 5;
+  harness.provisionPlan();
   const before = harness.state.plans.get('models');
-  harness.peersHeard = false;
+  harness.peersReachable = false;
   const effects = harness.advance(15 * 60_000);
-  assert.deepEqual(placesOf(effects), []);
-  assert.deepEqual(pick(effects, 'drainInstance'), []);
+  assert.deepEqual(listStartPlaces(effects), []);
+  assert.deepEqual(effectsOfType(effects, 'drainInstance'), []);
   const after = harness.state.plans.get('models');
   const [expected = 0, counted = 0] = [before, after].map(
-    (plan) => plan?.figures.requestsPerSecond,
+    (plan) => plan?.currentEstimate.requestsPerSecond,
   );
   assert.ok(Math.abs(counted - expected) < 0.01, `${counted} requests a second`);
 });
 
-// Demand falls and each data centre has an instance too many. Were all to drain one at the same
-// moment, each trusting the others' capacity, the pool would fall below its need; so a controller
-// drains only in its data centre's turn by the wall clock.
+// Guards against a pool that falls below its need because all data centres drain at the same time,
+// each relying on the capacity of the others.
 test('a controller scales in only in the turn of its data centre', () => {
   const harness = new ControllerHarness();
-  harness.rate = 80;
-  harness.furnish();
-  harness.rate = 4;
+  harness.requestsPerSecond = 80;
+  harness.provisionPlan();
+  harness.requestsPerSecond = 4;
   const position = [...harness.pool.dataCentres].sort().indexOf(harness.state.dataCentre);
   const { turnDuration } = harness.state.policy;
   let drained = 0;
   for (let second = 0; second < 1200; second += 1) {
-    const drains = pick(harness.advance(1000), 'drainInstance');
+    const drains = effectsOfType(harness.advance(1000), 'drainInstance');
     if (drains.length === 0) continue;
     drained += drains.length;
     assert.equal(Math.floor(harness.wallNow / turnDuration) % 4, position);
@@ -72,15 +77,15 @@
   assert.ok(drained >= 2);
 });
 
-// All controllers plan for all data centres, each from its own state. Given the same figures
-// their plans are the same, so their purchases add up to it with no message about the split.
-test('the controllers of all data centres make the same plan and buy its parts', () => {
+// Guards against missing or duplicate purchases: each controller plans for all data centres and
+// buys only in its own, without negotiation.
+test('controllers with the same input make the same plan and together buy all of it', () => {
   const harnesses = ['wien-a', 'wien-b', 'stpoelten', 'eisenstadt'].map(
     (dataCentre, position) => new ControllerHarness({ dataCentre, seed: position }),
   );
   const bought = harnesses.flatMap((harness) => {
-    harness.rate = 20;
-    return placesOf(harness.hold());
+    harness.requestsPerSecond = 20;
+    return listStartPlaces(harness.acquireLease());
   });
   const [plan] = harnesses.map((harness) => harness.state.plans.get('models'));
   harnesses.forEach((harness) => {
@@ -92,57 +97,61 @@
   assert.deepEqual(bought.sort(), wanted.sort());
 });
 
-// Demand falls. Instances leave by drain only, one data centre's turn after another, and are
-// ended once idle; none is drained on the strength of a short dip.
-test('scale-in waits, drains, and ends only what is idle', () => {
+// Guards against draining for a short dip in demand, and against ending an instance with calls in
+// progress.
+test('scale-in waits, then drains, and ends only idle instances', () => {
   const instanceClasses = modelPool.instanceClasses.slice(1);
   const pool = { dataCentres: ['wien-a'], instanceClasses, least: 1, most: 8 };
   const harness = new ControllerHarness({ pool });
-  harness.rate = 20;
-  harness.furnish();
-  harness.rows?.forEach(({ instance }) => harness.running.set(instance, 1));
+  harness.requestsPerSecond = 20;
+  harness.provisionPlan();
+  harness.listedInstances?.forEach(({ instance }) => harness.runningCalls.set(instance, 1));
   harness.advance(5 * 60_000);
-  harness.rate = 4;
-  assert.deepEqual(pick(harness.advance(4 * 60_000), 'drainInstance'), []);
+  harness.requestsPerSecond = 4;
+  assert.deepEqual(effectsOfType(harness.advance(4 * 60_000), 'drainInstance'), []);
   const effects = harness.advance(10 * 60_000);
-  const drained = pick(effects, 'drainInstance');
+  const drained = effectsOfType(effects, 'drainInstance');
   assert.ok(drained.length > 0);
-  assert.deepEqual(pick(effects, 'endInstance'), []);
-  drained.forEach(({ instance }) => harness.running.set(instance, 0));
-  const ended = pick(harness.advance(20_000), 'endInstance').map(({ instance }) => instance);
+  assert.deepEqual(effectsOfType(effects, 'endInstance'), []);
+  drained.forEach(({ instance }) => harness.runningCalls.set(instance, 0));
+  const ended = effectsOfType(harness.advance(20_000), 'endInstance').map(
+    ({ instance }) => instance,
+  );
   assert.deepEqual(ended.sort(), drained.map(({ instance }) => instance).sort());
 });
 
-// An operator takes a class out of a pool's row while all its instances are of that class and
-// serve the rush. They stay until instances of the other class serve in their place; drained at
-// once, they would leave callers without any backend server for minutes.
-test('a class taken out of the table serves until it is replaced', () => {
+// Guards against draining all instances of a pool at once when an operator removes their class from
+// the pools table.
+test('instances of a removed class serve until instances of another class replace them', () => {
   const harness = new ControllerHarness({ pool: { dataCentres: ['wien-a'], least: 1, most: 12 } });
-  harness.rate = 20;
-  harness.furnish();
+  harness.requestsPerSecond = 20;
+  harness.provisionPlan();
   const instanceClasses = modelPool.instanceClasses.map((known) => ({ ...known, name: 'new' }));
-  const configuration = configure(
+  const configuration = makeConfiguration(
     { ...harness.pool, instanceClasses: instanceClasses.slice(1) },
     2,
   );
-  const changed = harness.tell({ type: 'configurationApplied', configuration });
+  const changed = harness.dispatch({ type: 'configurationApplied', configuration });
   const waiting = [...changed, ...harness.advance(120_000)];
-  assert.deepEqual(pick(waiting, 'drainInstance'), []);
-  const old = harness.rows?.length ?? 0;
-  assert.ok(old > 0);
+  assert.deepEqual(effectsOfType(waiting, 'drainInstance'), []);
+  const oldInstanceCount = harness.listedInstances?.length ?? 0;
+  assert.ok(oldInstanceCount > 0);
   [...harness.state.pendingStarts.values()].forEach(({ startToken }) => {
-    const instance = row(startToken, 'wien-a', { instanceClass: 'new', startToken });
-    harness.rows?.push(instance);
-    harness.loaded.set(startToken, { model: 'appraiser', version: '1' });
+    const instance = makePlatformInstance(startToken, 'wien-a', {
+      instanceClass: 'new',
+      startToken,
+    });
+    harness.listedInstances?.push(instance);
+    harness.loadedModels.set(startToken, { model: 'appraiser', version: '1' });
   });
   const replaced = harness.advance(120_000);
-  assert.equal(pick(replaced, 'drainInstance').length, old);
+  assert.equal(effectsOfType(replaced, 'drainInstance').length, oldInstanceCount);
 });
 
-test('the plan explains itself in rows', async () => {
+test('the plan is explained in rows', async () => {
   const harness = new ControllerHarness();
-  harness.rate = 12;
-  const effects = harness.hold();
+  harness.requestsPerSecond = 12;
+  const effects = harness.acquireLease();
   await matchSnapshot(import.meta.url, 'rows of a plan', explainPlan(harness.state));
   await matchSnapshot(import.meta.url, 'effects of a takeover', effects);
 });
--- a/packages/controller-core/src/reduceController.ts
+++ b/packages/controller-core/src/reduceController.ts
@@ -1,6 +1,7 @@
 /**
- * The controller: one reducer over all events. The concerns take in the event one after another;
- * then, where the event can change what is wanted, the fleet is planned anew and acted on.
+ * The controller's main reducer. It applies an event to each part of the state in turn, then plans
+ * the fleet again if the event calls for it and returns the effects that bring the fleet closer to
+ * the plan. Without the lease it returns no effect that changes the fleet.
  */
 import type { Reducer } from '@hornbeampond/schema';
 import { buyInstances } from './buying/buyInstances.js';
@@ -9,16 +10,16 @@
 import { isFleetEffect, type ControllerEffect } from './effects.js';
 import type { ControllerEvent, ControllerEventType } from './events.js';
 import { reduceFleet } from './fleet/reduceFleet.js';
-import { giveOrders } from './orders/giveOrders.js';
+import { reconcileModels } from './orders/reconcileModels.js';
 import { reduceOrders } from './orders/reduceOrders.js';
 import { planPools } from './planning/planPools.js';
 import { scaleIn } from './planning/scaleIn.js';
 import { reduceReclaims } from './reclaims/reduceReclaims.js';
-import { reduceLease } from './reduceLease.js';
+import { reduceLeaseOwnership } from './reduceLeaseOwnership.js';
 import type { ControllerState, HeldLease } from './state.js';
 
-const concerns: readonly Reducer<ControllerState, ControllerEvent, ControllerEffect>[] = [
-  reduceLease,
+const reducers: readonly Reducer<ControllerState, ControllerEvent, ControllerEffect>[] = [
+  reduceLeaseOwnership,
   reduceFleet,
   reduceReclaims,
   reduceDemand,
@@ -26,8 +27,8 @@
   reduceOrders,
 ];
 
-/** Events after which waiting for the next tick would cost capacity in time. */
-const urgentEvents: ReadonlySet<ControllerEventType> = new Set([
+/** Ticks, and events after which capacity could be missing if planning waited for the next tick. */
+const replanningEvents: ReadonlySet<ControllerEventType> = new Set([
   'tick',
   'configurationApplied',
   'reclaimNoticed',
@@ -36,16 +37,16 @@
   'orderAnswered',
 ]);
 
-function act(state: ControllerState, lease: HeldLease): ControllerEffect[] {
+function planAndAct(state: ControllerState, lease: HeldLease): ControllerEffect[] {
   return [
     ...planPools(state),
     ...buyInstances(state, lease),
-    ...giveOrders(state, lease),
+    ...reconcileModels(state, lease),
     ...scaleIn(state),
   ];
 }
 
-/** Decides what one event means for the fleet of this controller's data centre. */
+/** Handles one event for the fleet of this controller's data centre; changes `state` in place. */
 export const reduceController: Reducer<ControllerState, ControllerEvent, ControllerEffect> = (
   state,
   event,
@@ -53,15 +54,16 @@
   state.now = event.now;
   state.wallNow = event.wallNow;
   if (event.type === 'configurationApplied') {
-    const newer = event.configuration.revision >= state.configuration.revision;
-    if (newer) state.configuration = event.configuration;
+    const isCurrent = event.configuration.revision >= state.configuration.revision;
+    if (isCurrent) state.configuration = event.configuration;
   }
-  const effects = concerns.flatMap((reduce) => reduce(state, event));
+  const effects = reducers.flatMap((reduce) => reduce(state, event));
   const { lease } = state;
   if (lease !== undefined && !state.newerEpochSeen) {
-    return urgentEvents.has(event.type) ? [...effects, ...act(state, lease)] : effects;
+    return replanningEvents.has(event.type) ? [...effects, ...planAndAct(state, lease)] : effects;
   }
-  // Without the lease another controller may act: two would buy twice and undo each other's work.
+  // Without the lease another controller may be active: two would buy twice and undo each other's
+  // changes. The plan is still kept up to date for operators to read.
   if (event.type === 'tick') planPools(state);
   return effects.filter((effect) => !isFleetEffect(effect));
 };
--- a/packages/controller-core/src/singleton/advanceSizes.ts
+++ b/packages/controller-core/src/singleton/advanceSizes.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the sizes of the pools: measures what is needed, plans, and tells the platform what has
- * changed. Capacity follows a rise at once; it falls only after the need was lower for a while, so
- * that a lull between two rushes costs no starts.
+ * Sizes the pools: estimates the need, plans the number of instances, and sends orders for the
+ * counts that differ from the platform's. Capacity follows an increase of the need immediately, but
+ * a decrease only after a delay, so that a lull between two peaks costs no starts.
  */
 import type {
   Milliseconds,
@@ -10,64 +10,74 @@
   RouteDemandReport,
   SizeOrder,
 } from '@hornbeampond/schema';
-import { measureLoad, needFor, type PoolLoad } from '../sizing/measureNeed.js';
-import { planSizes, type PlaceSize, type PlaceState, type SizeNeed } from '../sizing/planSizes.js';
+import { measureLoad, computeInstanceNeed, type PoolLoad } from '../sizing/computeInstanceNeed.js';
+import {
+  planSizes,
+  type DataCentreSize,
+  type DataCentreState,
+  type InstanceNeed,
+} from '../sizing/planSizes.js';
 import type { SingletonEffect } from './singletonEvents.js';
-import type { OrderedSize, SingletonState, SizedPool } from './SingletonState.js';
+import type { AcceptedSize, SingletonState, PoolSizingState } from './SingletonState.js';
 
-/** What was needed or planned is kept for so long before capacity may fall below it. */
-const FALL_AFTER_MILLISECONDS: Milliseconds = 20_000;
+/** Reclaimable capacity falls only after the need and the plan have been lower for this long. */
+const SCALE_IN_DELAY_MILLISECONDS: Milliseconds = 20_000;
 
 /**
- * The same for on-demand instances, which cost five to seven times as much: a start and a second
- * reading of the list, so that none is let go while it starts.
+ * The same for on-demand instances. Shorter because they cost several times as much; covers a start
+ * of a few seconds and the listing delay, so that none is removed while it starts.
  */
-const ON_DEMAND_FALL_AFTER_MILLISECONDS: Milliseconds = 8000;
+const ON_DEMAND_SCALE_IN_DELAY_MILLISECONDS: Milliseconds = 8000;
 
-/** Rates are taken over ten seconds; before, they say less than what is there already. */
-const MEASURED_AFTER_MILLISECONDS: Milliseconds = 12_000;
+/** Rates cover ten seconds; before they do, the existing instances are the better estimate. */
+const MIN_MEASUREMENT_MILLISECONDS: Milliseconds = 12_000;
 
 /**
- * An instance that was ordered serves after its start and is listed up to this much later: the
- * list lags by most of a second and is read once a second.
+ * How much later than its start duration a new instance may be listed: the list lags by most of a
+ * second and is read once a second.
  */
-const LISTED_LATE_MILLISECONDS: Milliseconds = 2000;
+const MAX_LISTING_DELAY_MILLISECONDS: Milliseconds = 2000;
 
-/** An entry that was not heard for so long has no demand. */
-const ENTRY_SILENCE_MILLISECONDS: Milliseconds = 5000;
+/** The demand of an entry is dropped after this long without a report. */
+const ENTRY_TIMEOUT_MILLISECONDS: Milliseconds = 5000;
 
-/** Waves count as following each other within the time of so many starts. */
-const STARTS_LOOKED_BACK = 2;
+/** Reclaim waves are counted over this multiple of the start duration. */
+const WAVE_WINDOW_IN_START_DURATIONS = 2;
 
-/** After a refusal the platform is asked again this much later. */
-const CLOSED_MILLISECONDS: Milliseconds = 3000;
+/** After a refusal, no reclaimable instances are ordered in the data centre for this long. */
+const REFUSAL_CLOSURE_MILLISECONDS: Milliseconds = 3000;
 
 const DEFAULT_CONCURRENCY = 8;
 
-function poolStateOf(state: SingletonState, name: string): SizedPool {
-  const known = state.pools.get(name);
-  if (known !== undefined) return known;
-  const made: SizedPool = {
-    needs: [],
-    plans: [],
-    found: 0,
-    waves: [],
-    reclaimableBefore: new Map(),
-    ordered: new Map(),
+function getPoolSizingState(state: SingletonState, name: string): PoolSizingState {
+  const existing = state.pools.get(name);
+  if (existing !== undefined) return existing;
+  const created: PoolSizingState = {
+    recentNeeds: [],
+    recentPlans: [],
+    initialCount: 0,
+    waveTimes: [],
+    previousReclaimable: new Map(),
+    acceptedSizes: new Map(),
     closedUntil: new Map(),
   };
-  state.pools.set(name, made);
-  return made;
+  state.pools.set(name, created);
+  return created;
 }
 
-function demandFor(state: SingletonState, pool: Pool): RouteDemandReport[] {
-  return [...state.entries.values()]
-    .filter(({ heardAt }) => state.now - heardAt <= ENTRY_SILENCE_MILLISECONDS)
+function listPoolDemand(state: SingletonState, pool: Pool): RouteDemandReport[] {
+  return [...state.entryReports.values()]
+    .filter(({ receivedAt }) => state.now - receivedAt <= ENTRY_TIMEOUT_MILLISECONDS)
     .flatMap(({ report }) => report.demand ?? [])
     .filter((demand) => demand.pool === pool.name);
 }
 
-function countThere(state: SingletonState, pool: Pool, dataCentre: string, reclaimable: boolean) {
+function countLiveInstances(
+  state: SingletonState,
+  pool: Pool,
+  dataCentre: string,
+  reclaimable: boolean,
+) {
   return state.instances.filter(
     (instance) =>
       instance.pool === pool.name &&
@@ -77,62 +87,85 @@
   ).length;
 }
 
-function placesOf(state: SingletonState, pool: Pool, sized: SizedPool): PlaceState[] {
+function listDataCentreStates(
+  state: SingletonState,
+  pool: Pool,
+  sizingState: PoolSizingState,
+): DataCentreState[] {
   return pool.dataCentres.map((dataCentre) => {
-    const onDemand = countThere(state, pool, dataCentre, false);
+    const onDemand = countLiveInstances(state, pool, dataCentre, false);
     return {
       dataCentre,
-      reclaimable: countThere(state, pool, dataCentre, true),
+      reclaimable: countLiveInstances(state, pool, dataCentre, true),
       onDemand,
-      isClosed: (sized.closedUntil.get(dataCentre) ?? Number.NEGATIVE_INFINITY) > state.now,
-      plannedOnDemand: sized.ordered.get(dataCentre)?.onDemand?.count ?? onDemand,
+      isClosed: (sizingState.closedUntil.get(dataCentre) ?? Number.NEGATIVE_INFINITY) > state.now,
+      orderedOnDemand: sizingState.acceptedSizes.get(dataCentre)?.onDemand?.count ?? onDemand,
     };
   });
 }
 
 /**
- * Until demand has been measured, what was found is taken for what is needed: not what is there, as
- * that holds what was ordered by this very measure. While one kind takes over from the other both
- * are there, and only the larger number counts.
+ * Returns the measured need. Until demand has been measured long enough, the result is at least the
+ * initial instance count, and half of it after a loss.
+ *
+ * Takes that count from the platform's list of instances until the list is stable and the count is
+ * above 0, and keeps it from then on: later lists include instances ordered to meet the count.
+ * While reclaimable instances replace on-demand ones both are listed, so only the larger number
+ * counts.
  */
-function needNow(
+function updateNeedEstimate(
   state: SingletonState,
-  sized: SizedPool,
+  sizingState: PoolSizingState,
   load: PoolLoad,
-  places: readonly PlaceState[],
-): SizeNeed {
-  const { demandSince } = state;
-  const measured = needFor(load);
-  const isMeasured =
-    demandSince !== undefined && state.now - demandSince >= MEASURED_AFTER_MILLISECONDS;
-  if (isMeasured) return measured;
-  const reclaimable = places.reduce((sum, place) => sum + place.reclaimable, 0);
-  const onDemand = places.reduce((sum, place) => sum + place.onDemand, 0);
-  if (!state.isListFilled || sized.found === 0) sized.found = Math.max(reclaimable, onDemand);
+  dataCentres: readonly DataCentreState[],
+): InstanceNeed {
+  const { firstDemandAt } = state;
+  const measuredNeed = computeInstanceNeed(load);
+  const isDemandMeasured =
+    firstDemandAt !== undefined && state.now - firstDemandAt >= MIN_MEASUREMENT_MILLISECONDS;
+  if (isDemandMeasured) return measuredNeed;
+  const reclaimable = dataCentres.reduce((sum, listed) => sum + listed.reclaimable, 0);
+  const onDemand = dataCentres.reduce((sum, listed) => sum + listed.onDemand, 0);
+  if (!state.isListStable || sizingState.initialCount === 0)
+    sizingState.initialCount = Math.max(reclaimable, onDemand);
   return {
-    normal: Math.max(sized.found, measured.normal),
-    afterLoss: Math.max(Math.ceil(sized.found / 2), measured.afterLoss),
+    normal: Math.max(sizingState.initialCount, measuredNeed.normal),
+    afterLoss: Math.max(Math.ceil(sizingState.initialCount / 2), measuredNeed.afterLoss),
   };
 }
 
-function highestOf(needs: readonly { readonly need: SizeNeed }[]): SizeNeed {
+function findHighestNeed(needs: readonly { readonly need: InstanceNeed }[]): InstanceNeed {
   return {
     normal: Math.max(1, ...needs.map(({ need }) => need.normal)),
     afterLoss: Math.max(1, ...needs.map(({ need }) => need.afterLoss)),
   };
 }
 
-/** Keeps the highest reclaimable plan of the last while: starting and ending them is no saving. */
-function steady(state: SingletonState, sized: SizedPool, plan: readonly PlaceSize[]): PlaceSize[] {
-  sized.plans = sized.plans.filter(({ at }) => state.now - at < FALL_AFTER_MILLISECONDS);
-  sized.plans.push({ at: state.now, sizes: plan });
+/**
+ * Records the plan, and returns it with the highest reclaimable counts of the recent plans: ending
+ * instances and starting them again saves nothing.
+ */
+function recordPlanAndDelayScaleIn(
+  state: SingletonState,
+  sizingState: PoolSizingState,
+  plan: readonly DataCentreSize[],
+): DataCentreSize[] {
+  sizingState.recentPlans = sizingState.recentPlans.filter(
+    ({ at }) => state.now - at < SCALE_IN_DELAY_MILLISECONDS,
+  );
+  sizingState.recentPlans.push({ at: state.now, sizes: plan });
   return plan.map((size, position) => ({
     ...size,
-    reclaimable: Math.max(...sized.plans.map(({ sizes }) => sizes[position]?.reclaimable ?? 0)),
+    reclaimable: Math.max(
+      ...sizingState.recentPlans.map(({ sizes }) => sizes[position]?.reclaimable ?? 0),
+    ),
   }));
 }
 
-function ordersFor(pool: Pool, { dataCentre, reclaimable, onDemand }: PlaceSize): SizeOrder[] {
+function makeOrders(
+  pool: Pool,
+  { dataCentre, reclaimable, onDemand }: DataCentreSize,
+): SizeOrder[] {
   return [
     { pool: pool.name, dataCentre, reclaimable: true, count: reclaimable },
     { pool: pool.name, dataCentre, reclaimable: false, count: onDemand },
@@ -140,78 +173,107 @@
 }
 
 /**
- * True if the platform was told this already and has it, or has it without being told. It does not
- * replace what a wave or a crash has taken: an order that has come to nothing is given again, or
- * the pool would stay as small, and on-demand instances stand in for the rest of the day.
+ * True if the order need not be sent: it was accepted before and is fulfilled or may still be, or
+ * no order was accepted and the listed count is already right. The platform does not replace
+ * instances lost to a wave or a crash, so an order that is unfulfilled after the start duration and
+ * the listing delay is sent again.
  */
-function isInForce(
+function isFulfilledOrPending(
   state: SingletonState,
   sizing: PoolSizing,
-  ordered: OrderedSize | undefined,
-  place: PlaceState,
+  acceptedSize: AcceptedSize | undefined,
+  dataCentre: DataCentreState,
   order: SizeOrder,
 ): boolean {
-  const told = order.reclaimable ? ordered?.reclaimable : ordered?.onDemand;
-  const there = order.reclaimable ? place.reclaimable : place.onDemand;
-  if (told === undefined) return there === order.count;
-  if (told.count !== order.count) return false;
-  const patience = sizing.startMilliseconds + LISTED_LATE_MILLISECONDS;
-  return there >= order.count || state.now - told.at < patience;
+  const accepted = order.reclaimable ? acceptedSize?.reclaimable : acceptedSize?.onDemand;
+  const liveCount = order.reclaimable ? dataCentre.reclaimable : dataCentre.onDemand;
+  if (accepted === undefined) return liveCount === order.count;
+  if (accepted.count !== order.count) return false;
+  const fulfilmentTimeout = sizing.startMilliseconds + MAX_LISTING_DELAY_MILLISECONDS;
+  return liveCount >= order.count || state.now - accepted.acceptedAt < fulfilmentTimeout;
 }
 
-function measure(state: SingletonState, pool: Pool): PoolLoad {
+function measurePoolLoad(state: SingletonState, pool: Pool): PoolLoad {
   const concurrency = pool.instanceClasses[0]?.concurrency ?? DEFAULT_CONCURRENCY;
-  return measureLoad(demandFor(state, pool), concurrency);
+  return measureLoad(listPoolDemand(state, pool), concurrency);
 }
 
-/** Takes note of the data centres that were to have reclaimable instances, and have lost all of them. */
-function countWaves(
+/**
+ * Records a wave for each data centre that lost all its reclaimable instances without an accepted
+ * order for 0, and returns the number of recent waves.
+ */
+function recordAndCountWaves(
   state: SingletonState,
-  sized: SizedPool,
-  places: readonly PlaceState[],
+  sizingState: PoolSizingState,
+  dataCentres: readonly DataCentreState[],
   { startMilliseconds }: PoolSizing,
 ): number {
-  const { ordered, reclaimableBefore } = sized;
-  const hit = places.filter(
+  const { acceptedSizes, previousReclaimable } = sizingState;
+  const reclaimedDataCentres = dataCentres.filter(
     ({ dataCentre, reclaimable }) =>
       reclaimable === 0 &&
-      (reclaimableBefore.get(dataCentre) ?? 0) > 0 &&
-      ordered.get(dataCentre)?.reclaimable?.count !== 0,
+      (previousReclaimable.get(dataCentre) ?? 0) > 0 &&
+      acceptedSizes.get(dataCentre)?.reclaimable?.count !== 0,
+  );
+  dataCentres.forEach(({ dataCentre, reclaimable }) =>
+    previousReclaimable.set(dataCentre, reclaimable),
   );
-  places.forEach(({ dataCentre, reclaimable }) => reclaimableBefore.set(dataCentre, reclaimable));
-  const since = state.now - STARTS_LOOKED_BACK * startMilliseconds;
-  sized.waves = [...sized.waves, ...hit.map(() => state.now)].filter((at) => at > since);
-  return sized.waves.length;
+  const waveWindowStart = state.now - WAVE_WINDOW_IN_START_DURATIONS * startMilliseconds;
+  sizingState.waveTimes = [
+    ...sizingState.waveTimes,
+    ...reclaimedDataCentres.map(() => state.now),
+  ].filter((at) => at > waveWindowStart);
+  return sizingState.waveTimes.length;
 }
 
 function sizePool(state: SingletonState, pool: Pool, sizing: PoolSizing, epoch: number) {
-  const sized = poolStateOf(state, pool.name);
-  const places = placesOf(state, pool, sized);
-  const load = measure(state, pool);
-  sized.needs = sized.needs.filter(({ at }) => state.now - at < FALL_AFTER_MILLISECONDS);
-  sized.needs.push({ at: state.now, need: needNow(state, sized, load, places) });
-  const recent = sized.needs.filter(({ at }) => state.now - at < ON_DEMAND_FALL_AFTER_MILLISECONDS);
-  const need = highestOf(sized.needs);
-  const needs = { lately: need, now: highestOf(recent) };
-  const wavesLately = countWaves(state, sized, places, sizing);
-  const plan = steady(state, sized, planSizes({ sizing, needs, places, wavesLately }));
+  const sizingState = getPoolSizingState(state, pool.name);
+  const dataCentres = listDataCentreStates(state, pool, sizingState);
+  const load = measurePoolLoad(state, pool);
+  sizingState.recentNeeds = sizingState.recentNeeds.filter(
+    ({ at }) => state.now - at < SCALE_IN_DELAY_MILLISECONDS,
+  );
+  sizingState.recentNeeds.push({
+    at: state.now,
+    need: updateNeedEstimate(state, sizingState, load, dataCentres),
+  });
+  const shortWindowNeeds = sizingState.recentNeeds.filter(
+    ({ at }) => state.now - at < ON_DEMAND_SCALE_IN_DELAY_MILLISECONDS,
+  );
+  const longWindowNeed = findHighestNeed(sizingState.recentNeeds);
+  const needWindows = {
+    longWindow: longWindowNeed,
+    shortWindow: findHighestNeed(shortWindowNeeds),
+  };
+  const recentWaveCount = recordAndCountWaves(state, sizingState, dataCentres, sizing);
+  const plan = recordPlanAndDelayScaleIn(
+    state,
+    sizingState,
+    planSizes({ sizing, needWindows, dataCentres, recentWaveCount }),
+  );
   return plan.flatMap((size, position): SingletonEffect[] => {
-    const place = places[position];
-    if (place === undefined) return [];
-    const ordered = sized.ordered.get(size.dataCentre);
-    // By a list that still fills, on-demand instances would be let go that only are not listed yet.
-    return ordersFor(pool, size)
-      .filter((order) => order.reclaimable || state.isListFilled)
-      .filter((order) => !isInForce(state, sizing, ordered, place, order))
-      .filter((order) => !(order.reclaimable && place.isClosed))
-      .flatMap((order): SingletonEffect[] => [
-        { type: 'log', event: 'sizeOrdered', fields: { ...order, ...need, ...load } },
-        { type: 'orderSize', order, epoch },
-      ]);
+    const dataCentre = dataCentres[position];
+    if (dataCentre === undefined) return [];
+    const acceptedSize = sizingState.acceptedSizes.get(size.dataCentre);
+    return (
+      makeOrders(pool, size)
+        // Until the list is stable, the planned on-demand count may be based on an incomplete list,
+        // and the order would end instances that are not listed yet.
+        .filter((order) => order.reclaimable || state.isListStable)
+        .filter((order) => !isFulfilledOrPending(state, sizing, acceptedSize, dataCentre, order))
+        .filter((order) => !(order.reclaimable && dataCentre.isClosed))
+        .flatMap((order): SingletonEffect[] => [
+          { type: 'log', event: 'sizeOrdered', fields: { ...order, ...longWindowNeed, ...load } },
+          { type: 'orderSize', order, epoch },
+        ])
+    );
   });
 }
 
-/** To be called with each new list: a wave that it shows is answered at once. */
+/**
+ * Plans and orders the sizes of all pools. Called for each new list, so that a wave is handled as
+ * soon as it is listed.
+ */
 export function advanceSizes(state: SingletonState): SingletonEffect[] {
   const { epoch } = state;
   if (!state.options.ordersInstances || epoch === undefined) return [];
@@ -220,25 +282,28 @@
   );
 }
 
-/** Remembers what the platform was told, or that it has none to give there for now. */
-export function takeOrdered(
+/**
+ * Records an accepted order. After a refusal, closes the data centre to orders of reclaimable
+ * instances for a while.
+ */
+export function handleSizeOrderOutcome(
   state: SingletonState,
   order: SizeOrder,
   outcome: 'done' | 'refused' | 'failed',
 ): SingletonEffect[] {
-  const sized = poolStateOf(state, order.pool);
+  const sizingState = getPoolSizingState(state, order.pool);
   const { dataCentre, reclaimable, count } = order;
   if (outcome === 'refused') {
-    sized.closedUntil.set(dataCentre, state.now + CLOSED_MILLISECONDS);
+    sizingState.closedUntil.set(dataCentre, state.now + REFUSAL_CLOSURE_MILLISECONDS);
     return [{ type: 'log', event: 'sizeRefused', fields: { ...order } }];
   }
-  // What became of a failed order is not known; it is given again with the next plan.
+  // It is unknown whether a failed order took effect; the next plan orders again.
   if (outcome === 'failed') return [];
-  const before = sized.ordered.get(dataCentre);
-  const told = { count, at: state.now };
-  sized.ordered.set(dataCentre, {
-    ...before,
-    ...(reclaimable ? { reclaimable: told } : { onDemand: told }),
+  const previous = sizingState.acceptedSizes.get(dataCentre);
+  const accepted = { count, acceptedAt: state.now };
+  sizingState.acceptedSizes.set(dataCentre, {
+    ...previous,
+    ...(reclaimable ? { reclaimable: accepted } : { onDemand: accepted }),
   });
   return [];
 }
--- a/packages/controller-core/src/singleton/reduceSingleton.test.ts
+++ b/packages/controller-core/src/singleton/reduceSingleton.test.ts
@@ -7,10 +7,10 @@
   type Pool,
 } from '@hornbeampond/schema';
 import { reduceSingleton } from './reduceSingleton.js';
-import type { SingletonEffect, SingletonOccurrence } from './singletonEvents.js';
+import type { SingletonEffect, SingletonEventPayload } from './singletonEvents.js';
 import { makeSingletonState } from './SingletonState.js';
 
-const WINDOW = 5000;
+const WINDOW_MILLISECONDS = 5000;
 
 const pool: Pool = {
   name: 'engines',
@@ -52,33 +52,40 @@
   };
 }
 
-/** A process whose clock the test sets; `feed` returns the effects without the log lines. */
-function makeProcess() {
-  const state = makeSingletonState({ usageWindow: WINDOW, ordersInstances: true });
-  return (at: number, occurrence: SingletonOccurrence): SingletonEffect[] =>
-    reduceSingleton(state, { ...occurrence, now: at, wallNow: at }).filter(
+/**
+ * Makes the state of one process, and returns a function that passes it an event at a given time
+ * and returns the effects without log lines.
+ */
+function makeEventFeed() {
+  const state = makeSingletonState({ usageWindow: WINDOW_MILLISECONDS, ordersInstances: true });
+  return (at: number, payload: SingletonEventPayload): SingletonEffect[] =>
+    reduceSingleton(state, { ...payload, now: at, wallNow: at }).filter(
       ({ type }) => type !== 'log',
     );
 }
 
-test('a window is settled in the log once its reports have come, then reported as settled', () => {
-  const feed = makeProcess();
+test('the usage counts of a window are settled after a delay, and the settled counts are reported to the platform', () => {
+  const feed = makeEventFeed();
   feed(0, { type: 'configurationReceived', configuration });
   feed(0, { type: 'leaseHeld', epoch: 3 });
-  feed(4900, { type: 'entryReported', report: makeReport({ laden: 4 }) });
+  feed(4900, { type: 'entryReported', report: makeReport({ workspaceA: 4 }) });
   assert.deepEqual(
     feed(6000, { type: 'tick' }).filter(({ type }) => type === 'reportUsage'),
     [],
   );
-  const settles = feed(8300, { type: 'tick' });
+  // The window has ended at 5000; the settle delay is 3200.
+  const effects = feed(8300, { type: 'tick' });
   assert.ok(
-    settles.some(
-      (effect) => effect.type === 'settleUsage' && effect.window === 0 && effect.counts.laden === 4,
+    effects.some(
+      (effect) =>
+        effect.type === 'settleUsage' && effect.window === 0 && effect.counts.workspaceA === 4,
     ),
   );
-  // Another holder had proposed other counts before: those of the log are reported.
-  const reports = feed(8400, { type: 'usageSettled', window: 0, counts: { laden: 5 } });
-  assert.deepEqual(reports, [{ type: 'reportUsage', window: 0, counts: { laden: 5 }, epoch: 3 }]);
+  // Another holder has settled 5 before, so 5 is reported.
+  const reports = feed(8400, { type: 'usageSettled', window: 0, counts: { workspaceA: 5 } });
+  assert.deepEqual(reports, [
+    { type: 'reportUsage', window: 0, counts: { workspaceA: 5 }, epoch: 3 },
+  ]);
   feed(8500, { type: 'usageReported', window: 0 });
   assert.equal(
     feed(9600, { type: 'tick' }).some((effect) => 'window' in effect && effect.window === 0),
@@ -86,19 +93,20 @@
   );
 });
 
-test('a report that failed is made again with the same counts', () => {
-  const feed = makeProcess();
+test('an unanswered usage report is repeated with the same counts', () => {
+  const feed = makeEventFeed();
   feed(0, { type: 'configurationReceived', configuration });
   feed(0, { type: 'leaseHeld', epoch: 3 });
-  feed(8300, { type: 'usageSettled', window: 0, counts: { laden: 5 } });
-  const again = feed(9400, { type: 'tick' }).filter(({ type }) => type === 'reportUsage');
-  assert.deepEqual(again, [{ type: 'reportUsage', window: 0, counts: { laden: 5 }, epoch: 3 }]);
+  feed(8300, { type: 'usageSettled', window: 0, counts: { workspaceA: 5 } });
+  const retries = feed(9400, { type: 'tick' }).filter(({ type }) => type === 'reportUsage');
+  assert.deepEqual(retries, [
+    { type: 'reportUsage', window: 0, counts: { workspaceA: 5 }, epoch: 3 },
+  ]);
 });
 
-// The platform would hear two holders at once. A process that has lost its lease, or never had it,
-// asks for nothing, whatever it hears.
-test('nothing is asked for without the lease', () => {
-  const feed = makeProcess();
+// Guards against orders and reports from two holders at the same time.
+test('nothing is ordered or reported without the lease', () => {
+  const feed = makeEventFeed();
   const instances = [
     {
       instance: 'i-1',
@@ -122,8 +130,8 @@
   assert.ok(orders.length > 0);
 });
 
-test('an order that was refused is given again after a while, one that was taken is not', () => {
-  const feed = makeProcess();
+test('reclaimable instances are ordered again some time after a refusal, but not before', () => {
+  const feed = makeEventFeed();
   const instances = [0, 1].map((number) => ({
     instance: `i-${number}`,
     dataCentre: 'a',
@@ -136,24 +144,40 @@
   feed(0, { type: 'configurationReceived', configuration });
   feed(0, { type: 'leaseHeld', epoch: 1 });
   feed(0, { type: 'instancesListed', instances });
-  const first = feed(3000, { type: 'instancesListed', instances });
-  first.forEach((effect) => {
+  const ordersFromStableList = feed(3000, { type: 'instancesListed', instances });
+  ordersFromStableList.forEach((effect) => {
     if (effect.type !== 'orderSize') return;
     const outcome = effect.order.reclaimable ? 'refused' : 'done';
     feed(3010, { type: 'sizeOrdered', order: effect.order, outcome });
   });
-  const soon = feed(4000, { type: 'instancesListed', instances });
-  assert.ok(soon.every((effect) => effect.type === 'orderSize' && !effect.order.reclaimable));
-  const later = feed(7000, { type: 'instancesListed', instances });
-  assert.ok(later.some((effect) => effect.type === 'orderSize' && effect.order.reclaimable));
+  const ordersSoonAfterRefusal = feed(4000, { type: 'instancesListed', instances });
+  assert.ok(
+    ordersSoonAfterRefusal.every(
+      (effect) => effect.type === 'orderSize' && !effect.order.reclaimable,
+    ),
+  );
+  const ordersLongAfterRefusal = feed(7000, { type: 'instancesListed', instances });
+  assert.ok(
+    ordersLongAfterRefusal.some(
+      (effect) => effect.type === 'orderSize' && effect.order.reclaimable,
+    ),
+  );
 });
 
-/** A process that holds the lease, and whose orders all succeed; `list` returns the new ones. */
-function makeBuyer() {
-  const feed = makeProcess();
+/**
+ * Returns functions that pass events to a process that holds the lease and whose orders are all
+ * accepted. `feedInstanceList` takes the counts of listed instances, reclaimable and on-demand, by
+ * data centre and returns the new orders.
+ */
+function makeLeaseHolder() {
+  const feed = makeEventFeed();
   feed(0, { type: 'configurationReceived', configuration });
   feed(0, { type: 'leaseHeld', epoch: 1 });
-  const list = (at: number, reclaimable: Record<string, number>, onDemand = {}): string[] => {
+  const feedInstanceList = (
+    at: number,
+    reclaimable: Record<string, number>,
+    onDemand = {},
+  ): string[] => {
     const instances = [
       ...makeInstances('reclaimable', reclaimable),
       ...makeInstances('on-demand', onDemand),
@@ -167,7 +191,7 @@
       ];
     });
   };
-  return { feed, list };
+  return { feed, feedInstanceList };
 }
 
 function makeInstances(instanceClass: string, counts: Record<string, number>): PlatformInstance[] {
@@ -184,47 +208,46 @@
   );
 }
 
-// Callers are late and refused for the rest of a rush. A wave takes the reclaimable engines of a
-// data centre; the platform starts no others for an order that it carried out before. So once
-// those ordered should have come and have not, the order is given again.
-test('what a wave has taken is ordered again', () => {
-  const { list } = makeBuyer();
-  const first = list(0, {}, { a: 1, b: 1 });
-  list(1000, {}, { a: 1, b: 1 });
-  assert.ok(first.includes('a reclaimable 1') && first.includes('b reclaimable 1'));
-  list(6000, { a: 1, b: 1 });
-  assert.deepEqual(list(20_000, { a: 1, b: 1 }), []);
+// Guards against a lasting shortage: the platform does not replace instances lost to a wave, so
+// an unfulfilled order is sent again unless it was accepted so recently that its instances may
+// still be starting.
+test('instances lost to a wave are ordered again', () => {
+  const { feedInstanceList } = makeLeaseHolder();
+  const firstOrders = feedInstanceList(0, {}, { a: 1, b: 1 });
+  feedInstanceList(1000, {}, { a: 1, b: 1 });
+  assert.ok(firstOrders.includes('a reclaimable 1') && firstOrders.includes('b reclaimable 1'));
+  feedInstanceList(6000, { a: 1, b: 1 });
+  assert.deepEqual(feedInstanceList(20_000, { a: 1, b: 1 }), []);
   assert.deepEqual(
-    list(21_000, { a: 1 }).filter((order) => order.startsWith('b reclaimable')),
+    feedInstanceList(21_000, { a: 1 }).filter((order) => order.startsWith('b reclaimable')),
     ['b reclaimable 1'],
   );
   assert.deepEqual(
-    list(24_000, { a: 1 }).filter((order) => order.startsWith('b reclaimable')),
+    feedInstanceList(24_000, { a: 1 }).filter((order) => order.startsWith('b reclaimable')),
     [],
   );
 });
 
-// Reclaimable engines take over from on-demand ones before any demand is known. For a moment both
-// are there; taken for twice the need, twice as many would be ordered and paid for.
-test('both kinds that are there during a change are not added up', () => {
-  const { list } = makeBuyer();
-  list(0, {}, { a: 2, b: 2 });
-  list(1000, {}, { a: 2, b: 2 });
-  const orders = list(7000, { a: 2, b: 2 }, { a: 1, b: 1 });
+// Guards against ordering too much: until demand is measured, the need is estimated from the
+// first stable list. Later lists include instances that were ordered as replacements.
+test('instances ordered as replacements do not raise the estimated need', () => {
+  const { feedInstanceList } = makeLeaseHolder();
+  feedInstanceList(0, {}, { a: 2, b: 2 });
+  feedInstanceList(1000, {}, { a: 2, b: 2 });
+  const orders = feedInstanceList(7000, { a: 2, b: 2 }, { a: 1, b: 1 });
   assert.deepEqual(
     orders.filter((order) => order.includes('reclaimable')),
     [],
   );
 });
 
-// The list grows while the engines of a system that starts come up. The cheap ones that are to take
-// over are ordered at once; by the first few that are listed, the others would be let go too early,
-// and the first callers find too few engines.
-test('no on-demand instance is let go by a list that still grows', () => {
-  const { list } = makeBuyer();
-  const first = list(0, {}, { a: 1 });
-  assert.ok(first.length > 0 && first.every((order) => order.includes('reclaimable')));
-  assert.ok(list(1000, {}, { a: 2 }).every((order) => order.includes('reclaimable')));
-  list(2000, {}, { a: 2, b: 1 });
-  assert.ok(list(3000, {}, { a: 2, b: 1 }).some((order) => order.includes('onDemand')));
+// Guards against ending instances that are not listed yet, by an on-demand order that is based on
+// an incomplete list.
+test('no on-demand count is ordered while the list still grows', () => {
+  const { feedInstanceList } = makeLeaseHolder();
+  const firstOrders = feedInstanceList(0, {}, { a: 1 });
+  assert.ok(firstOrders.length > 0 && firstOrders.every((order) => order.includes('reclaimable')));
+  assert.ok(feedInstanceList(1000, {}, { a: 2 }).every((order) => order.includes('reclaimable')));
+  feedInstanceList(2000, {}, { a: 2, b: 1 });
+  assert.ok(feedInstanceList(3000, {}, { a: 2, b: 1 }).some((order) => order.includes('onDemand')));
 });
--- a/packages/controller-core/src/testing/ControllerHarness.ts
+++ b/packages/controller-core/src/testing/ControllerHarness.ts
@@ -1,6 +1,7 @@
 /**
- * Drives one controller in virtual time for tests: a clock, the tables, and short ways to tell it
- * things. It answers no purchase and no order by itself, so each test decides what gets lost.
+ * Drives one controller in virtual time for tests: it holds the clock, the tables and the simulated
+ * surroundings, and turns them into events. It does not answer purchases and orders by itself,
+ * except in `provisionPlan`, so a test decides which answers are lost.
  */
 import type {
   Configuration,
@@ -19,7 +20,7 @@
 type EventFields<Event> = Event extends ControllerEvent ? Omit<Event, 'now' | 'wallNow'> : never;
 
 /** 11:00 in Vienna, in winter. */
-const STARTED_AT = Date.UTC(2026, 0, 15, 10);
+const START_WALL_TIME = Date.UTC(2026, 0, 15, 10);
 
 export const dataCentres = ['wien-a', 'wien-b', 'stpoelten', 'eisenstadt'];
 
@@ -50,7 +51,8 @@
   checksFencing: true,
 };
 
-export function configure(pool: Pool, revision = 1): Configuration {
+/** Returns a configuration with the given pool and one route to it. */
+export function makeConfiguration(pool: Pool, revision = 1): Configuration {
   return {
     revision,
     routes: { revision, rows: [appraisalRoute] },
@@ -72,138 +74,158 @@
 
   now = 0;
 
-  /** Requests a second that the one entry reports. */
-  rate = 0;
+  /** Request rate that the only entry of the own data centre reports. */
+  requestsPerSecond = 0;
 
-  /** Requests a second that each other data centre reports. */
-  peerRate = 0;
+  /** Request rate that the controller of each data centre in the pool reports. */
+  peerRequestsPerSecond = 0;
 
-  /** What the platform lists; undefined while its list cannot be read. */
-  rows: PlatformInstance[] | undefined = [];
+  /** The platform's list; undefined while it cannot be read. */
+  listedInstances: PlatformInstance[] | undefined = [];
 
-  /** What engines of the own data centre report to have loaded; the others report nothing. */
-  readonly loaded = new Map<string, LoadedModel>();
+  /**
+   * Models that engines of the own data centre report as loaded, by instance. Engines that are
+   * missing here report none.
+   */
+  readonly loadedModels = new Map<string, LoadedModel>();
 
-  /** Calls that run at an instance; one that is not named runs none. */
-  readonly running = new Map<string, number>();
+  /** Number of running calls by instance; 0 if missing. */
+  readonly runningCalls = new Map<string, number>();
 
-  /** How far the clocks of the backend servers are ahead. */
-  clockAhead: Milliseconds = 0;
+  /** How far the clocks of the backend servers are ahead of the controller's. */
+  serverClockOffset: Milliseconds = 0;
 
-  /** False while no load report comes in. */
-  reporting = true;
+  /** False while load reports are lost. */
+  deliversLoadReports = true;
 
-  /** False while the other data centres are cut off. */
-  peersHeard = true;
+  /** False while the other data centres are partitioned. */
+  peersReachable = true;
 
   constructor(options: HarnessOptions = {}) {
     const { dataCentre = 'wien-a', seed = 7, policy } = options;
     this.state = createControllerState({ dataCentre, seed, policy });
     this.pool = { ...modelPool, ...options.pool };
-    this.tell({ type: 'configurationApplied', configuration: configure(this.pool) });
+    this.dispatch({ type: 'configurationApplied', configuration: makeConfiguration(this.pool) });
   }
 
   get wallNow(): number {
-    return STARTED_AT + this.now;
+    return START_WALL_TIME + this.now;
   }
 
-  tell(fields: EventFields<ControllerEvent>): ControllerEffect[] {
+  dispatch(fields: EventFields<ControllerEvent>): ControllerEffect[] {
     const event = { ...fields, now: this.now, wallNow: this.wallNow } as ControllerEvent;
     return reduceController(this.state, event);
   }
 
-  /** Moves time on by whole seconds; in each, everybody reports and then a tick comes. */
-  advance(span: Milliseconds): ControllerEffect[] {
+  /** Advances the clock in steps of a second; each step delivers all reports and then a tick. */
+  advance(duration: Milliseconds): ControllerEffect[] {
     const effects: ControllerEffect[] = [];
-    for (const end = this.now + span; this.now < end;) {
+    for (const end = this.now + duration; this.now < end;) {
       this.now += 1000;
-      effects.push(...this.hearAll(), ...this.tell({ type: 'tick' }));
+      effects.push(...this.deliverReports(), ...this.dispatch({ type: 'tick' }));
     }
     return effects;
   }
 
-  /** Takes the lease and waits until a new holder may buy; returns what it did meanwhile. */
-  hold(epoch = 1, unfencedFrom = this.now): ControllerEffect[] {
-    this.hearAll();
-    const effects = this.tell({ type: 'leaseHeld', epoch, unfencedFrom });
-    return [...effects, ...this.advance(this.state.policy.takeoverPause)];
+  /** Acquires the lease and waits until a new holder may buy; returns the effects since then. */
+  acquireLease(epoch = 1, unfencedFrom = this.now): ControllerEffect[] {
+    this.deliverReports();
+    const effects = this.dispatch({ type: 'leaseHeld', epoch, unfencedFrom });
+    return [...effects, ...this.advance(this.state.policy.takeoverPurchaseDelay)];
   }
 
   /**
-   * Takes the lease and lets the platform list, live and loaded, just what the plan wants; the
-   * own purchases are answered.
+   * Acquires the lease, then lets the platform list exactly the instances that the plan wants, live
+   * and with the model loaded, and answers the own purchases with them.
    */
-  furnish(): void {
-    this.hold();
+  provisionPlan(): void {
+    this.acquireLease();
     const places = this.state.plans.get(this.pool.name)?.places ?? [];
-    this.rows = places.flatMap(({ dataCentre, instanceClass, wanted }) =>
+    this.listedInstances = places.flatMap(({ dataCentre, instanceClass, wanted }) =>
       Array.from({ length: wanted }, (_, number) =>
-        row(`${dataCentre}-${instanceClass}-${number}`, dataCentre, { instanceClass }),
+        makePlatformInstance(`${dataCentre}-${instanceClass}-${number}`, dataCentre, {
+          instanceClass,
+        }),
       ),
     );
     const { model, version } = this.pool;
-    this.rows.forEach(({ instance }) => this.loaded.set(instance, { model, version }));
-    const own = this.rows.filter(({ dataCentre }) => dataCentre === this.state.dataCentre);
+    this.listedInstances.forEach(({ instance }) =>
+      this.loadedModels.set(instance, { model, version }),
+    );
+    const ownInstances = this.listedInstances.filter(
+      ({ dataCentre }) => dataCentre === this.state.dataCentre,
+    );
     [...this.state.pendingStarts.values()].forEach(({ startToken, instanceClass }) => {
-      const position = own.findIndex((listed) => listed.instanceClass === instanceClass);
-      const [instance] = position < 0 ? [] : own.splice(position, 1);
+      const index = ownInstances.findIndex((listed) => listed.instanceClass === instanceClass);
+      const [instance] = index < 0 ? [] : ownInstances.splice(index, 1);
       if (instance !== undefined) this.answerStart(startToken, { type: 'started', instance });
     });
     this.advance(60_000);
   }
 
   answerStart(startToken: string, outcome: StartOutcome): ControllerEffect[] {
-    return this.tell({ type: 'startAnswered', startToken, outcome });
+    return this.dispatch({ type: 'startAnswered', startToken, outcome });
   }
 
   answerOrder(effect: SendOrderEffect, outcome: OrderOutcome): ControllerEffect[] {
     const { epoch, sequence } = effect.order;
     const { instance } = effect;
-    return this.tell({ type: 'orderAnswered', instance, epoch, sequence, outcome });
+    return this.dispatch({ type: 'orderAnswered', instance, epoch, sequence, outcome });
   }
 
-  private hearAll(): ControllerEffect[] {
+  private deliverReports(): ControllerEffect[] {
     const demand = [
-      { route: 'appraisals', requestsPerSecond: this.rate, serviceMilliseconds: 1000 },
+      { route: 'appraisals', requestsPerSecond: this.requestsPerSecond, serviceMilliseconds: 1000 },
     ];
-    if (this.rate > 0) this.tell({ type: 'demandReported', entry: 'entry-1', demand });
-    if (this.peersHeard) this.hearPeers();
-    const { rows } = this;
-    if (rows === undefined) return [];
-    const effects = this.tell({ type: 'platformListed', instances: rows });
-    if (!this.reporting) return effects;
-    rows
+    if (this.requestsPerSecond > 0)
+      this.dispatch({ type: 'demandReported', entry: 'entry-1', demand });
+    if (this.peersReachable) this.deliverPeerReports();
+    const { listedInstances } = this;
+    if (listedInstances === undefined) return [];
+    const effects = this.dispatch({ type: 'platformListed', instances: listedInstances });
+    if (!this.deliversLoadReports) return effects;
+    listedInstances
       .filter(({ dataCentre }) => dataCentre === this.state.dataCentre)
-      .forEach(({ instance }) => this.report(instance));
+      .forEach(({ instance }) => this.deliverLoadReport(instance));
     return effects;
   }
 
-  /** The other controllers report their demand and what the list shows as live. */
-  private hearPeers(): void {
+  /** Delivers a report for each data centre, with its demand and its live instances in the list. */
+  private deliverPeerReports(): void {
     this.pool.dataCentres.forEach((dataCentre) => {
-      const instances = (this.rows ?? []).filter(
+      const instances = (this.listedInstances ?? []).filter(
         (listed) => listed.dataCentre === dataCentre && listed.state === 'live',
       ).length;
       const slots = 8 * instances;
       const serving = [{ pool: this.pool.name, instances, slots, reclaimableSlots: slots }];
       const demand = [
-        { route: 'appraisals', requestsPerSecond: this.peerRate, serviceMilliseconds: 1000 },
+        {
+          route: 'appraisals',
+          requestsPerSecond: this.peerRequestsPerSecond,
+          serviceMilliseconds: 1000,
+        },
       ];
       const report = { dataCentre, demand, closedOffers: [], serving };
-      this.tell({ type: 'peerReported', report });
+      this.dispatch({ type: 'peerReported', report });
     });
   }
 
-  private report(instance: string): void {
-    const running = this.running.get(instance) ?? 0;
-    const measuredAt = this.wallNow + this.clockAhead;
-    const report = { instance, measuredAt, running, queued: 0, ...this.loaded.get(instance) };
-    this.tell({ type: 'loadReported', report });
+  private deliverLoadReport(instance: string): void {
+    const callCount = this.runningCalls.get(instance) ?? 0;
+    const measuredAt = this.wallNow + this.serverClockOffset;
+    const report = {
+      instance,
+      measuredAt,
+      running: callCount,
+      queued: 0,
+      ...this.loadedModels.get(instance),
+    };
+    this.dispatch({ type: 'loadReported', report });
   }
 }
 
-/** A live row of the platform's list. */
-export function row(
+/** Returns a live instance as the platform lists it. */
+export function makePlatformInstance(
   instance: string,
   dataCentre = 'wien-a',
   fields: Partial<PlatformInstance> = {},
@@ -220,8 +242,8 @@
   };
 }
 
-/** The effects of one type. */
-export function pick<Type extends ControllerEffect['type']>(
+/** Returns the effects of one type. */
+export function effectsOfType<Type extends ControllerEffect['type']>(
   effects: readonly ControllerEffect[],
   type: Type,
 ): (ControllerEffect & { readonly type: Type })[] {
@@ -230,14 +252,14 @@
   );
 }
 
-/** Names of the log events among the effects. */
-export function logged(effects: readonly ControllerEffect[]): string[] {
-  return pick(effects, 'log').map(({ event }) => event);
+/** Returns the names of the log events among the effects. */
+export function listLogEvents(effects: readonly ControllerEffect[]): string[] {
+  return effectsOfType(effects, 'log').map(({ event }) => event);
 }
 
-/** The start effects' places, such as `wien-a/spot`, sorted. */
-export function placesOf(effects: readonly ControllerEffect[]): string[] {
-  return pick(effects, 'startInstance')
+/** Returns the places of the start effects, such as `wien-a/spot`, sorted. */
+export function listStartPlaces(effects: readonly ControllerEffect[]): string[] {
+  return effectsOfType(effects, 'startInstance')
     .map(({ dataCentre, instanceClass }) => `${dataCentre}/${instanceClass}`)
     .sort();
 }
--- a/packages/controller-core/src/usage/UsageLedger.ts
+++ b/packages/controller-core/src/usage/UsageLedger.ts
@@ -1,42 +1,45 @@
 /**
- * Adds up, by window of the wall clock, what all entries began to run. An entry repeats its whole
- * counts in each report, so the newest report of each start of an entry replaces its earlier ones;
- * counts of an entry that has restarted since stay.
+ * Sums the requests that all entries have begun, by window of the wall clock. An entry sends its
+ * complete counts each time, so the highest count of each run of an entry is kept. Counts from
+ * before an entry's restart remain in the sum.
  */
 import type { EntryReport, EntryUsage, UsageCounts } from '@hornbeampond/schema';
 
-/** Windows that are kept; older ones have been settled or are too late to be of use. */
-const KEPT_WINDOWS = 12;
+/** Number of windows kept, the newest included: more than are settled and reported. */
+const RETAINED_WINDOWS = 12;
 
-/** Words that came by two ways may overtake each other. */
-function largerOf(known: UsageCounts, told: UsageCounts): UsageCounts {
-  const larger: Record<string, number> = { ...known };
-  Object.entries(told).forEach(([workspace, count]) => {
-    larger[workspace] = Math.max(count, larger[workspace] ?? 0);
+/**
+ * Merges counts of one run. Counts never decrease, so of two that arrive in either order the higher
+ * one is newer.
+ */
+function mergeHighest(previous: UsageCounts, received: UsageCounts): UsageCounts {
+  const merged: Record<string, number> = { ...previous };
+  Object.entries(received).forEach(([workspace, count]) => {
+    merged[workspace] = Math.max(count, merged[workspace] ?? 0);
   });
-  return larger;
+  return merged;
 }
 
 export class UsageLedger {
-  /** Counts by window, then by start of an entry. */
-  private readonly windows = new Map<number, Map<string, UsageCounts>>();
+  /** Counts by window number, then by run of an entry. */
+  private readonly countsByWindow = new Map<number, Map<string, UsageCounts>>();
 
-  /** Takes in counts, of which a later word never tells less. */
+  /** Merges the counts of an entry, in any order of arrival, and removes old windows. */
   receive({ instance, incarnation, begun = {} }: EntryUsage | EntryReport): void {
-    const start = `${instance}/${incarnation}`;
+    const entryRun = `${instance}/${incarnation}`;
     Object.entries(begun).forEach(([number, counts]) => {
       const window = Number(number);
-      const starts = this.windows.get(window) ?? new Map<string, UsageCounts>();
-      starts.set(start, largerOf(starts.get(start) ?? {}, counts));
-      this.windows.set(window, starts);
+      const countsByRun = this.countsByWindow.get(window) ?? new Map<string, UsageCounts>();
+      countsByRun.set(entryRun, mergeHighest(countsByRun.get(entryRun) ?? {}, counts));
+      this.countsByWindow.set(window, countsByRun);
     });
-    this.forgetOld();
+    this.removeOldWindows();
   }
 
-  /** What all entries are known to have begun in a window, by workspace in order of name. */
+  /** Returns the requests begun in a window, by workspace in the order of their names. */
   total(window: number): UsageCounts {
     const sums = new Map<string, number>();
-    this.windows.get(window)?.forEach((counts) => {
+    this.countsByWindow.get(window)?.forEach((counts) => {
       Object.entries(counts).forEach(([workspace, count]) => {
         sums.set(workspace, (sums.get(workspace) ?? 0) + count);
       });
@@ -44,10 +47,10 @@
     return Object.fromEntries([...sums].sort(([a], [b]) => (a < b ? -1 : 1)));
   }
 
-  private forgetOld(): void {
-    const newest = Math.max(...this.windows.keys());
-    [...this.windows.keys()]
-      .filter((window) => window <= newest - KEPT_WINDOWS)
-      .forEach((window) => this.windows.delete(window));
+  private removeOldWindows(): void {
+    const newest = Math.max(...this.countsByWindow.keys());
+    [...this.countsByWindow.keys()]
+      .filter((window) => window <= newest - RETAINED_WINDOWS)
+      .forEach((window) => this.countsByWindow.delete(window));
   }
 }
--- a/packages/entry-core/src/EntryState.ts
+++ b/packages/entry-core/src/EntryState.ts
@@ -1,21 +1,23 @@
-/**
- * All that an entry knows and decides from. The reducer changes it in place; nothing else does.
- */
+/** The in-memory state of an entry. Only the reducer modifies it. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
-import { emptyConfiguration, type Configuration, type FleetDrains } from '@hornbeampond/schema';
-import type { UnconfiguredRequest } from './admission/awaitConfiguration.js';
+import {
+  emptyConfiguration,
+  type Configuration,
+  type DrainedInstances,
+} from '@hornbeampond/schema';
+import type { RequestAwaitingConfiguration } from './admission/awaitConfiguration.js';
 import { makeAdmissionState, type AdmissionState } from './admission/AdmissionState.js';
 import type { AttemptState } from './attempts/AttemptState.js';
 import { makeRetryState, type RetryState } from './attempts/RetryState.js';
 import type { BackendServerState } from './backendServers/BackendServerState.js';
-import type { PoolBalance } from './backendServers/PoolBalance.js';
-import type { CallClaim } from './claims/CallClaim.js';
+import type { PoolState } from './backendServers/PoolState.js';
+import type { RequestClaim } from './claims/RequestClaim.js';
 import { DemandMeter } from './demand/DemandMeter.js';
 import { UsageMeter } from './demand/UsageMeter.js';
-import type { Timed } from './entryEvents.js';
+import type { Timestamps } from './entryEvents.js';
 import { makeLimitState, type LimitState } from './limits/LimitState.js';
-import { PeerWork } from './backendServers/PeerWork.js';
+import { WorkReports } from './backendServers/WorkReports.js';
 import { RouteIndex } from './routing/RouteIndex.js';
 import { makeMembershipState, type MembershipState } from './membership/MembershipState.js';
 import { makeQuarantineState, type QuarantineState } from './quarantine/QuarantineState.js';
@@ -23,15 +25,15 @@
 import type { RequestState } from './requests/RequestState.js';
 import { makeShutdownState, type ShutdownState } from './shutdown/ShutdownState.js';
 
-/** What an entry is told at start. */
+/** Settings that stay fixed for the lifetime of an entry process. */
 export interface EntryIdentity {
   readonly instance: string;
   readonly dataCentre: string;
   /** Wall clock at process start, in epoch milliseconds. */
   readonly incarnation: number;
-  /** Most requests that may wait for a backend server. */
-  readonly queuedRequests: number;
-  /** Length of the windows in which requests are counted for the usage report, if there is one. */
+  /** Maximum number of requests that may be queued for backend servers. */
+  readonly maxQueuedRequests: number;
+  /** Length of one window of the usage report; undefined if usage is not reported. */
   readonly usageWindow?: number;
 }
 
@@ -40,42 +42,44 @@
   configuration: Configuration;
   /** By instance. */
   readonly backendServers: Map<string, BackendServerState>;
-  /** Requests that came before the configuration, by request id. */
-  readonly unconfigured: Map<string, UnconfiguredRequest>;
-  /** Requests without a final answer, by request id. */
+  /** Requests that arrived before the first configuration, by request id. */
+  readonly requestsAwaitingConfiguration: Map<string, RequestAwaitingConfiguration>;
+  /** Accepted requests without a final answer, by request id. */
   readonly requests: Map<string, RequestState>;
-  /** Attempts without an end, by attempt id. */
+  /** Attempts that have not ended, by attempt id. */
   readonly attempts: Map<string, AttemptState>;
-  /** Claimed calls whose end is not in the log yet, by request id. */
-  readonly claims: Map<string, CallClaim>;
+  /** Claimed calls whose outcome the stores have not recorded yet, by request id. */
+  readonly claims: Map<string, RequestClaim>;
   readonly demand: DemandMeter;
   readonly usage: UsageMeter;
-  /** By data centre. */
-  readonly drains: Map<string, FleetDrains>;
+  /** Backend servers that controllers have taken out of service, by data centre. */
+  readonly drains: Map<string, DrainedInstances>;
   readonly retries: RetryState;
   readonly quarantine: QuarantineState;
   readonly reclaims: ReclaimState;
   readonly membership: MembershipState;
-  readonly peerWork: PeerWork;
-  /** Prompt prefixes that a store remembers of backend servers that are not listed here yet. */
-  readonly rememberedPrefixes: Map<string, readonly string[]>;
+  readonly workReports: WorkReports;
+  /** Prompt prefixes restored from a store for backend servers that are not listed yet. */
+  readonly persistedPrefixes: Map<string, readonly string[]>;
   readonly shutdown: ShutdownState;
-  /** True once no new request is accepted; see `shutdown`. */
-  shuttingDown: boolean;
-  /** The clocks at the event that is being handled. */
-  clocks: Timed;
-  /** Advances with each draw; two entries that start together draw differently. */
+  /** False until `shutdown.acceptUntil` of a started shutdown. */
+  refusesNewRequests: boolean;
+  /** Timestamps of the event being handled. */
+  clocks: Timestamps;
+  /**
+   * Seeded by instance and incarnation, so that entries that start together draw different values.
+   */
   readonly random: RandomGenerator;
   routeIndex: RouteIndex;
   /** By pool. */
-  readonly poolBalances: Map<string, PoolBalance>;
+  readonly poolStates: Map<string, PoolState>;
   readonly admission: AdmissionState;
   readonly limits: LimitState;
 }
 
 const SEED_FACTOR = 31;
 
-function seedOf({ instance, incarnation }: EntryIdentity): number {
+function makeSeed({ instance, incarnation }: EntryIdentity): number {
   let seed = Math.trunc(incarnation);
   for (const character of instance) {
     seed = Math.imul(seed, SEED_FACTOR) + (character.codePointAt(0) ?? 0);
@@ -88,7 +92,7 @@
     identity,
     configuration: emptyConfiguration,
     backendServers: new Map(),
-    unconfigured: new Map(),
+    requestsAwaitingConfiguration: new Map(),
     requests: new Map(),
     attempts: new Map(),
     claims: new Map(),
@@ -99,14 +103,14 @@
     quarantine: makeQuarantineState(),
     reclaims: makeReclaimState(),
     membership: makeMembershipState(),
-    peerWork: new PeerWork(),
-    rememberedPrefixes: new Map(),
+    workReports: new WorkReports(),
+    persistedPrefixes: new Map(),
     shutdown: makeShutdownState(),
-    shuttingDown: false,
+    refusesNewRequests: false,
     clocks: { now: 0, wallNow: 0 },
-    random: xoroshiro128plus(seedOf(identity)),
+    random: xoroshiro128plus(makeSeed(identity)),
     routeIndex: new RouteIndex(emptyConfiguration),
-    poolBalances: new Map(),
+    poolStates: new Map(),
     admission: makeAdmissionState(),
     limits: makeLimitState(),
   };
--- a/packages/entry-core/src/admission/FairQueue.ts
+++ b/packages/entry-core/src/admission/FairQueue.ts
@@ -1,41 +1,41 @@
 /**
- * The requests of one pool and one priority that wait for a backend server: earliest deadline
- * first, as far as fair shares between workspaces allow. Each workspace has a virtual time, the
- * work it has been served so far; only workspaces within one quantum of the least served one may
- * be served next, and among these the earliest deadline wins. So a workspace that floods the
- * queue delays another by a quantum at most, and an urgent request passes a patient one as long as
- * its workspace has not had more than its share. A workspace that comes back from idleness starts
- * at the virtual time of the queue and has no claim on the past.
+ * A fair queue over workspaces for one pool and priority, with the earliest deadline first. The
+ * virtual time of a workspace is the work it has been served. Only workspaces at most one quantum
+ * ahead of the least served one are eligible, so one that floods the queue delays another by no
+ * more than a quantum. A workspace does not earn credit while it is idle.
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { RequestState } from '../requests/RequestState.js';
 
-/** Workspaces may run ahead of the least served one by so many requests of usual cost. */
+/** How far a workspace may be ahead of the least served one, in requests like its next one. */
 const QUANTUM_REQUESTS = 2;
 
-/** One waiting request. */
-export interface Waiting {
-  readonly accepted: RequestState;
-  /** When its next token is due; the queue's order. */
+/** A request in the queue. */
+export interface QueuedRequest {
+  readonly requestState: RequestState;
+  /** When its next token is due. The queue is ordered by it. */
   readonly dueAt: MonotonicMilliseconds;
-  /** When an answer is of no more use: a stream that has begun outlasts a pause that is too long. */
-  readonly endsAt: MonotonicMilliseconds;
-  /** How long it is expected to keep one place of a backend server busy. */
+  /** When an answer stops being useful. A started stream stays useful after a missed `dueAt`. */
+  readonly expiresAt: MonotonicMilliseconds;
+  /** How long it is expected to occupy one slot of a backend server. */
   readonly cost: Milliseconds;
 }
 
-/** What waits of one workspace. */
+/** The queued requests of one workspace. */
 export interface WorkspaceQueue {
   readonly workspace: string;
   /** Earliest deadline first. */
-  readonly waiting: Waiting[];
-  /** Sum of the costs of all that wait. */
+  readonly waiting: QueuedRequest[];
+  /** Sum of the costs of all queued requests. */
   backlog: Milliseconds;
-  /** Work that this workspace has been served, as far as it counts for fairness. */
+  /** Work served to this workspace, as counted for fairness. */
   virtualTime: Milliseconds;
 }
 
-function placeOf(waiting: readonly Waiting[], dueAt: MonotonicMilliseconds): number {
+function findInsertionIndex(
+  waiting: readonly QueuedRequest[],
+  dueAt: MonotonicMilliseconds,
+): number {
   let low = 0;
   let high = waiting.length;
   while (low < high) {
@@ -49,10 +49,10 @@
 export class FairQueue {
   private readonly workspaces = new Map<string, WorkspaceQueue>();
 
-  /** Virtual times of workspaces that wait for nothing now but have had more than others. */
-  private readonly aheadWhenIdle = new Map<string, Milliseconds>();
+  /** Virtual times of idle workspaces that are ahead of the queue's. */
+  private readonly idleVirtualTimes = new Map<string, Milliseconds>();
 
-  /** Virtual time of the least served workspace. */
+  /** The highest virtual time that the least served workspace has had. */
   private virtualTime: Milliseconds = 0;
 
   get backlogged(): Iterable<WorkspaceQueue> {
@@ -73,102 +73,103 @@
     return this.workspaces.get(workspace);
   }
 
-  add(waiting: Waiting): void {
-    const { workspace } = waiting.accepted.request;
+  add(queued: QueuedRequest): void {
+    const { workspace } = queued.requestState.request;
     const queue = this.workspaces.get(workspace) ?? {
       workspace,
       waiting: [],
       backlog: 0,
-      virtualTime: this.startOf(workspace),
+      virtualTime: this.getStartVirtualTime(workspace),
     };
-    queue.waiting.splice(placeOf(queue.waiting, waiting.dueAt), 0, waiting);
-    queue.backlog += waiting.cost;
+    queue.waiting.splice(findInsertionIndex(queue.waiting, queued.dueAt), 0, queued);
+    queue.backlog += queued.cost;
     this.workspaces.set(workspace, queue);
   }
 
-  /** Takes a request out without counting it as served. */
-  remove(waiting: Waiting): void {
-    const queue = this.workspaces.get(waiting.accepted.request.workspace);
-    const index = queue?.waiting.indexOf(waiting) ?? -1;
+  /** Removes a request without charging its workspace. */
+  remove(queued: QueuedRequest): void {
+    const queue = this.workspaces.get(queued.requestState.request.workspace);
+    const index = queue?.waiting.indexOf(queued) ?? -1;
     if (queue === undefined || index < 0) return;
     queue.waiting.splice(index, 1);
-    queue.backlog -= waiting.cost;
-    if (queue.waiting.length === 0) this.becomeIdle(queue);
+    queue.backlog -= queued.cost;
+    if (queue.waiting.length === 0) this.recordIdle(queue);
   }
 
-  /** The request to be served next. */
-  peek(): Waiting | undefined {
-    let next: Waiting | undefined;
-    for (const { waiting } of this.eligible()) {
+  /** The request to serve next. */
+  peek(): QueuedRequest | undefined {
+    let next: QueuedRequest | undefined;
+    for (const { waiting } of this.eligibleWorkspaces()) {
       const [first] = waiting;
       if (first !== undefined && (next === undefined || first.dueAt < next.dueAt)) next = first;
     }
     return next;
   }
 
-  /** The first few requests of each workspace that may be served next. */
-  *peekFew(mostOfEach: number): Generator<Waiting> {
-    for (const { waiting } of this.eligible()) yield* waiting.slice(0, mostOfEach);
+  /** The first requests of each eligible workspace. */
+  *peekPerWorkspace(maxPerWorkspace: number): Generator<QueuedRequest> {
+    for (const { waiting } of this.eligibleWorkspaces()) yield* waiting.slice(0, maxPerWorkspace);
   }
 
-  /** Takes a request out as served and charges its workspace. */
-  serve(waiting: Waiting): void {
-    const queue = this.workspaces.get(waiting.accepted.request.workspace);
+  /** Removes a request as served and charges its workspace. */
+  serve(queued: QueuedRequest): void {
+    const queue = this.workspaces.get(queued.requestState.request.workspace);
     if (queue === undefined) return;
-    this.virtualTime = Math.max(this.virtualTime, this.findLeastServed());
-    queue.virtualTime += waiting.cost;
-    this.remove(waiting);
-  }
-
-  /** Work that is served before this request, which may wait already or not yet. */
-  workAhead({ accepted, dueAt, cost }: Waiting): Milliseconds {
-    const { workspace } = accepted.request;
-    let own = 0;
-    for (const waiting of this.workspaces.get(workspace)?.waiting ?? []) {
-      if (waiting.dueAt > dueAt) break;
-      if (waiting.accepted !== accepted) own += waiting.cost;
+    this.virtualTime = Math.max(this.virtualTime, this.findMinVirtualTime());
+    queue.virtualTime += queued.cost;
+    this.remove(queued);
+  }
+
+  /** Work that will be served before this request, whether it is queued already or not. */
+  workAhead({ requestState, dueAt, cost }: QueuedRequest): Milliseconds {
+    const { workspace } = requestState.request;
+    let ownWork = 0;
+    for (const queued of this.workspaces.get(workspace)?.waiting ?? []) {
+      if (queued.dueAt > dueAt) break;
+      if (queued.requestState !== requestState) ownWork += queued.cost;
     }
-    return own + this.workOfOthers(workspace, own + cost);
+    return ownWork + this.workOfOtherWorkspaces(workspace, ownWork + cost);
   }
 
-  /** What others are served while this workspace is served `own`. */
-  workOfOthers(workspace: string, own: Milliseconds): Milliseconds {
-    const virtualTime = this.workspaces.get(workspace)?.virtualTime ?? this.startOf(workspace);
-    let others = 0;
+  /** Work of other workspaces that will be served while this one is served `ownWork`. */
+  workOfOtherWorkspaces(workspace: string, ownWork: Milliseconds): Milliseconds {
+    const virtualTime =
+      this.workspaces.get(workspace)?.virtualTime ?? this.getStartVirtualTime(workspace);
+    let otherWork = 0;
     for (const queue of this.workspaces.values()) {
       if (queue.workspace !== workspace) {
-        const share = Math.max(0, virtualTime + own - queue.virtualTime);
-        others += Math.min(queue.backlog, share);
+        const lag = Math.max(0, virtualTime + ownWork - queue.virtualTime);
+        otherWork += Math.min(queue.backlog, lag);
       }
     }
-    return others;
+    return otherWork;
   }
 
-  /** Workspaces that are not too far ahead of the least served one. */
-  private *eligible(): Generator<WorkspaceQueue> {
-    const leastServed = this.findLeastServed();
+  /** Workspaces that are at most one quantum ahead of the least served one. */
+  private *eligibleWorkspaces(): Generator<WorkspaceQueue> {
+    const minVirtualTime = this.findMinVirtualTime();
     for (const queue of this.workspaces.values()) {
       const quantum = QUANTUM_REQUESTS * (queue.waiting[0]?.cost ?? 0);
-      if (queue.virtualTime - leastServed <= quantum) yield queue;
+      if (queue.virtualTime - minVirtualTime <= quantum) yield queue;
     }
   }
 
-  private findLeastServed(): Milliseconds {
-    let least = Number.POSITIVE_INFINITY;
-    for (const { virtualTime } of this.workspaces.values()) least = Math.min(least, virtualTime);
-    return Number.isFinite(least) ? least : this.virtualTime;
+  private findMinVirtualTime(): Milliseconds {
+    let min = Number.POSITIVE_INFINITY;
+    for (const { virtualTime } of this.workspaces.values()) min = Math.min(min, virtualTime);
+    return Number.isFinite(min) ? min : this.virtualTime;
   }
 
-  /** The virtual time that an idle workspace would come back with. */
-  private startOf(workspace: string): Milliseconds {
-    return Math.max(this.virtualTime, this.aheadWhenIdle.get(workspace) ?? 0);
+  /** The virtual time at which an idle workspace resumes. */
+  private getStartVirtualTime(workspace: string): Milliseconds {
+    return Math.max(this.virtualTime, this.idleVirtualTimes.get(workspace) ?? 0);
   }
 
-  private becomeIdle({ workspace, virtualTime }: WorkspaceQueue): void {
+  private recordIdle({ workspace, virtualTime }: WorkspaceQueue): void {
     this.workspaces.delete(workspace);
-    this.aheadWhenIdle.set(workspace, virtualTime);
-    for (const [idle, ahead] of this.aheadWhenIdle) {
-      if (ahead <= this.virtualTime) this.aheadWhenIdle.delete(idle);
+    this.idleVirtualTimes.set(workspace, virtualTime);
+    for (const [idle, idleVirtualTime] of this.idleVirtualTimes) {
+      if (idleVirtualTime <= this.virtualTime) this.idleVirtualTimes.delete(idle);
     }
   }
 }
--- a/packages/entry-core/src/admission/PoolQueue.ts
+++ b/packages/entry-core/src/admission/PoolQueue.ts
@@ -1,66 +1,66 @@
 /**
- * Everything that waits for the backend servers of one pool: one fair queue for each priority, and one
- * behind all of them for requests that will be late. Served by their deadlines those would go first,
- * after an outage, and everyone who has just come would be late as well.
+ * The queue of one pool: a fair queue for each priority, and a last one for requests that will miss
+ * their deadline. If those were ordered by deadline, they would be served first after an outage and
+ * make the newer requests late too.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
-import { FairQueue, type Waiting } from './FairQueue.js';
+import { FairQueue, type QueuedRequest } from './FairQueue.js';
 
-/** 0 is served first, 9 last. */
-const PRIORITIES = 10;
+/** Priorities run from 0, the most urgent, to 9. */
+const PRIORITY_COUNT = 10;
 
-const LATE_LEVEL = PRIORITIES;
+const LATE_LEVEL = PRIORITY_COUNT;
 
-/** Levels with a lower number are served first. */
-export function levelNumber({ accepted }: Pick<Waiting, 'accepted'>): number {
-  return accepted.isLate === true ? LATE_LEVEL : accepted.route.priority;
+/** The index of the level a request belongs to; lower levels are served first. */
+export function getLevelIndex({ requestState }: Pick<QueuedRequest, 'requestState'>): number {
+  return requestState.isLate === true ? LATE_LEVEL : requestState.route.priority;
 }
 
 export class PoolQueue {
   readonly levels: readonly FairQueue[] = Array.from(
-    { length: PRIORITIES + 1 },
+    { length: PRIORITY_COUNT + 1 },
     () => new FairQueue(),
   );
 
-  /** Requests that wait, by request id. */
-  readonly waiting = new Map<string, Waiting>();
+  /** Queued requests by request id. */
+  readonly waiting = new Map<string, QueuedRequest>();
 
   get size(): number {
     return this.waiting.size;
   }
 
-  add(waiting: Waiting): void {
-    this.waiting.set(waiting.accepted.request.requestId, waiting);
-    this.levelOf(waiting)?.add(waiting);
+  add(queued: QueuedRequest): void {
+    this.waiting.set(queued.requestState.request.requestId, queued);
+    this.getLevel(queued)?.add(queued);
   }
 
-  remove(waiting: Waiting): void {
-    this.waiting.delete(waiting.accepted.request.requestId);
-    this.levelOf(waiting)?.remove(waiting);
+  remove(queued: QueuedRequest): void {
+    this.waiting.delete(queued.requestState.request.requestId);
+    this.getLevel(queued)?.remove(queued);
   }
 
-  serve(waiting: Waiting): void {
-    this.waiting.delete(waiting.accepted.request.requestId);
-    this.levelOf(waiting)?.serve(waiting);
+  serve(queued: QueuedRequest): void {
+    this.waiting.delete(queued.requestState.request.requestId);
+    this.getLevel(queued)?.serve(queued);
   }
 
-  peek(): Waiting | undefined {
+  peek(): QueuedRequest | undefined {
     return this.levels.find((level) => !level.isEmpty)?.peek();
   }
 
-  /** The first few requests of each workspace that may be served next. */
-  peekFew(mostOfEach: number): Iterable<Waiting> {
-    return this.levels.find((level) => !level.isEmpty)?.peekFew(mostOfEach) ?? [];
+  /** The first requests of each eligible workspace, at the most urgent level that is not empty. */
+  peekPerWorkspace(maxPerWorkspace: number): Iterable<QueuedRequest> {
+    return this.levels.find((level) => !level.isEmpty)?.peekPerWorkspace(maxPerWorkspace) ?? [];
   }
 
-  /** Requests of one workspace that wait, over all priorities. */
-  countOf(workspace: string): number {
+  /** Number of queued requests of one workspace, over all levels. */
+  countForWorkspace(workspace: string): number {
     let count = 0;
     for (const level of this.levels) count += level.workspaceQueue(workspace)?.waiting.length ?? 0;
     return count;
   }
 
-  /** Workspaces that have anything waiting. */
+  /** Number of workspaces with queued requests. */
   countWorkspaces(): number {
     const names = new Set<string>();
     for (const level of this.levels) {
@@ -69,21 +69,21 @@
     return names.size;
   }
 
-  /** Work that is served before this request. */
-  workAhead(waiting: Waiting): Milliseconds {
-    let ahead = this.levelOf(waiting)?.workAhead(waiting) ?? 0;
-    for (const level of this.levels.slice(0, levelNumber(waiting))) ahead += level.backlog;
+  /** Work that will be served before this request. */
+  workAhead(queued: QueuedRequest): Milliseconds {
+    let ahead = this.getLevel(queued)?.workAhead(queued) ?? 0;
+    for (const level of this.levels.slice(0, getLevelIndex(queued))) ahead += level.backlog;
     return ahead;
   }
 
-  /** Requests that wait although they will be late. */
+  /** Number of queued requests that will be late. */
   get lateCount(): number {
     let count = 0;
     for (const { waiting } of this.levels[LATE_LEVEL]?.backlogged ?? []) count += waiting.length;
     return count;
   }
 
-  private levelOf(waiting: Waiting): FairQueue | undefined {
-    return this.levels[levelNumber(waiting)];
+  private getLevel(queued: QueuedRequest): FairQueue | undefined {
+    return this.levels[getLevelIndex(queued)];
   }
 }
--- a/packages/entry-core/src/admission/admission.test.ts
+++ b/packages/entry-core/src/admission/admission.test.ts
@@ -8,12 +8,12 @@
   examplePool,
   exampleRequest,
   exampleRoute,
-  firstTokenWithin,
+  makeDeadlineFields,
 } from '../testing/examples.js';
 
 const CONCURRENCY = 8;
 
-/** One request of 40 tokens takes 0.4 s alone and 1.2 s in a full batch. */
+/** An answer of 40 tokens takes 0.5 s alone and 1.2 s in a full batch. */
 const speed: EngineSpeed = {
   concurrency: CONCURRENCY,
   prefillMillisecondsPerToken: 0.2,
@@ -26,15 +26,15 @@
   return new EntryHarness({
     servers: 4,
     speed,
-    routes: [exampleRoute(firstTokenWithin(1000))],
+    routes: [exampleRoute(makeDeadlineFields(1000))],
     pool: examplePool(CONCURRENCY),
-    loadLag: 1000,
+    loadReportInterval: 1000,
     reportInterval: 500,
     ...options,
   });
 }
 
-/** Has a workspace send so many requests a second for a while, at seeded random times. */
+/** Sends requests of a workspace at a mean rate, at seeded random times. */
 function sendSteadily(
   harness: EntryHarness,
   workspace: string,
@@ -48,11 +48,12 @@
     const entry = number % harness.entries.length;
     const at = uniformInt(random, from, to - 1);
     harness.timeline.after(at - harness.timeline.now, () => {
-      harness.arrive(request, ANSWER_TOKENS, entry);
+      harness.submitRequest(request, ANSWER_TOKENS, entry);
     });
   }
 }
 
+/** The outcomes of one workspace; `exampleRequest` uses `kartenwerk-a` if none is given. */
 function outcomesOf(harness: EntryHarness, workspace: string): CallerOutcome[] {
   return [...harness.outcomes.values()].filter(({ request }) => request.workspace === workspace);
 }
@@ -61,20 +62,18 @@
   return problem === undefined && firstTokenAt !== undefined && firstTokenAt - arrivedAt <= 1000;
 }
 
-function shareOf(outcomes: readonly CallerOutcome[], is: (outcome: CallerOutcome) => boolean) {
+function fractionOf(outcomes: readonly CallerOutcome[], is: (outcome: CallerOutcome) => boolean) {
   return outcomes.filter(is).length / outcomes.length;
 }
 
-function accepted(outcomes: readonly CallerOutcome[]): CallerOutcome[] {
+function excludeNeverSent(outcomes: readonly CallerOutcome[]): CallerOutcome[] {
   return outcomes.filter(({ problem }) => problem?.ran !== 'no');
 }
 
-// The counters rush at once while every load report is five seconds old and shows idle engines.
-// Two entries send for ten seconds at 1.5 times what six engines can do. Who is accepted gets the
-// first token in time, because each entry counts what it has sent itself and lowers an engine's
-// limit at the first slow answer; the rest is told at once, truthfully, that it was not run.
-test('with load reports 5 s old, a rush is admitted only as far as it can be in time', () => {
-  const harness = makeHarness({ servers: 6, entries: 2, loadLag: 5000 });
+// Overload before the first load report arrives: entries must rely on their own counts and on the
+// first slow answers, and refuse the rest immediately.
+test('without load reports, only requests that can be in time are admitted', () => {
+  const harness = makeHarness({ servers: 6, entries: 2, loadReportInterval: 5000 });
   sendSteadily(harness, 'kartenwerk-a', 60, [0, 10_000]);
   let longestEngineQueue = 0;
   harness.timeline.every(100, () => {
@@ -83,62 +82,62 @@
   });
   harness.timeline.runUntil(20_000);
   const all = outcomesOf(harness, 'kartenwerk-a');
-  const admitted = accepted(all);
-  assert.ok(shareOf(admitted, isOnTime) >= 0.95, `${shareOf(admitted, isOnTime)} in time`);
-  assert.ok(admitted.length >= 0.55 * all.length, `${admitted.length} of ${all.length} admitted`);
+  const sent = excludeNeverSent(all);
+  assert.ok(fractionOf(sent, isOnTime) >= 0.95, `${fractionOf(sent, isOnTime)} in time`);
+  assert.ok(sent.length >= 0.55 * all.length, `${sent.length} of ${all.length} sent`);
   assert.ok(longestEngineQueue <= CONCURRENCY, `${longestEngineQueue} wait in one engine`);
-  const refused = all.filter(({ problem }) => problem !== undefined);
-  assert.ok(refused.every(({ arrivedAt, problem }) => (problem?.at ?? 0) - arrivedAt <= 1050));
+  const failed = all.filter(({ problem }) => problem !== undefined);
+  assert.ok(failed.every(({ arrivedAt, problem }) => (problem?.at ?? 0) - arrivedAt <= 1050));
 });
 
-// One large workspace sends four times what the engines can do, a small one a request a second.
-// Every caller of the small one gets its first token in time: the large one's own queue grows, is
-// refused at its share, and a place that comes free goes to who has had less.
+// One workspace sends four times what the engines can serve; a second workspace sends one request
+// per second. Requests of the second must not be refused or late because of the first.
 test('a workspace that floods does not starve a small one', () => {
-  const harness = makeHarness({ queuedRequests: 60 });
+  const harness = makeHarness({ maxQueuedRequests: 60 });
   sendSteadily(harness, 'flood', 100, [0, 20_000]);
   sendSteadily(harness, 'small', 1, [2000, 20_000]);
   harness.timeline.runUntil(30_000);
   const small = outcomesOf(harness, 'small');
-  assert.ok(shareOf(small, isOnTime) === 1, `small: ${shareOf(small, isOnTime)} in time`);
+  assert.ok(fractionOf(small, isOnTime) === 1, `small: ${fractionOf(small, isOnTime)} in time`);
   const flood = outcomesOf(harness, 'flood');
-  assert.ok(shareOf(accepted(flood), isOnTime) >= 0.95);
+  assert.ok(fractionOf(excludeNeverSent(flood), isOnTime) >= 0.95);
   assert.ok(flood.filter(isOnTime).length >= 18 * 20, `${flood.filter(isOnTime).length} served`);
 });
 
-// A patient workspace sends two hundred requests at once to a queue of sixty, which no deadline
-// keeps short. Its callers fill two thirds and the rest are refused; a caller of another workspace
-// still finds a place, is served before most of those, and is in time.
+// The deadlines are too long to limit the queue. A workspace that sends too much may fill only two
+// thirds of it, and a request of another workspace must be served before most of its requests.
 test('one workspace cannot fill the queue', () => {
   const harness = makeHarness({
     servers: 1,
-    queuedRequests: 60,
+    maxQueuedRequests: 60,
     routes: [
-      exampleRoute({ name: 'patient', match: { pathPrefix: '/v1' }, ...firstTokenWithin(60_000) }),
+      exampleRoute({
+        name: 'patient',
+        match: { pathPrefix: '/v1' },
+        ...makeDeadlineFields(60_000),
+      }),
     ],
   });
   for (let number = 0; number < 200; number += 1) {
     const request = exampleRequest(`flood-${number}`, { workspace: 'flood' });
-    harness.arrive(request, ANSWER_TOKENS);
+    harness.submitRequest(request, ANSWER_TOKENS);
   }
   const refused = outcomesOf(harness, 'flood').filter(({ problem }) => problem !== undefined);
   assert.ok(refused.every(({ problem }) => problem?.kind === 'overloaded'));
   assert.ok(refused.every(({ problem }) => (problem?.retryAfterMilliseconds ?? 0) > 0));
   assert.equal(refused.length, 200 - CONCURRENCY - 40);
-  const small = harness.arrive(exampleRequest('one', { workspace: 'small' }), ANSWER_TOKENS);
+  const small = harness.submitRequest(exampleRequest('one', { workspace: 'small' }), ANSWER_TOKENS);
   harness.timeline.runUntil(60_000);
   assert.ok((small.firstTokenAt ?? Infinity) <= 3000, JSON.stringify(small));
 });
 
-// Four entries get the same burst within one moment, and no load report tells them of each other's
-// work yet. They know of each other, though, and take it that the others have sent as much as they
-// have: the one engine gets about what it can run, and the rest waits where deadlines and fair
-// shares hold.
-test('entries leave room for what the others have sent meanwhile', () => {
+// Four entries receive a burst before any load report shows the others' work. Each must assume that
+// the others have sent as much as itself, or the engine would be overloaded fourfold.
+test('entries leave capacity for what other entries send at the same time', () => {
   const harness = makeHarness({ servers: 1, entries: 4 });
   harness.timeline.runUntil(3000);
   for (let number = 0; number < 4 * CONCURRENCY; number += 1) {
-    harness.arrive(exampleRequest(`burst-${number}`), ANSWER_TOKENS, number % 4);
+    harness.submitRequest(exampleRequest(`burst-${number}`), ANSWER_TOKENS, number % 4);
     harness.timeline.runUntil(harness.timeline.now + 5);
   }
   const engine = harness.engines.get('engine-0');
@@ -147,168 +146,181 @@
   assert.ok(sent >= CONCURRENCY - 4, `only ${sent} sent`);
 });
 
-// A burst fills the queue until the next caller's predicted wait is above its patience. It is
-// refused at once, with `ran: no` and a time. It comes back at that very time, as no one else
-// does, and gets its first token in time: the time was honest, neither early nor far too late.
+// A Retry-After that is too short would get the caller refused again; one that is too long would
+// make it wait for nothing.
 test('a caller that is refused for a long queue is admitted after its Retry-After', () => {
   const harness = makeHarness();
   harness.timeline.runUntil(100);
-  sendSteadily(harness, 'teacher', 10, [100, 5000]);
+  sendSteadily(harness, 'warm-up', 10, [100, 5000]);
   harness.timeline.runUntil(6000);
   for (let number = 0; number < 100; number += 1) {
-    harness.arrive(exampleRequest(`burst-${number}`), ANSWER_TOKENS);
+    harness.submitRequest(exampleRequest(`burst-${number}`), ANSWER_TOKENS);
   }
-  const refused = harness.arrive(exampleRequest('first-try'), ANSWER_TOKENS);
+  const refused = harness.submitRequest(exampleRequest('first-try'), ANSWER_TOKENS);
   const { problem } = refused;
   assert.equal(problem?.kind, 'deadlineUnreachable');
   assert.equal(problem.ran, 'no');
   assert.equal(problem.at, refused.arrivedAt);
   const wait = problem.retryAfterMilliseconds ?? 0;
-  assert.ok(wait > 0 && wait < 10_000, `asked to come back in ${wait} ms`);
+  assert.ok(wait > 0 && wait < 10_000, `asked to retry in ${wait} ms`);
   harness.timeline.runUntil(6000 + wait);
-  const again = harness.arrive(exampleRequest('second-try'), ANSWER_TOKENS);
+  const again = harness.submitRequest(exampleRequest('second-try'), ANSWER_TOKENS);
   harness.timeline.runUntil(30_000);
   assert.ok(isOnTime(again), JSON.stringify(again));
 });
 
-// Three hundred callers come in one moment after a quiet time, when answers were quick, to engines
-// that serve about 27 a second when full. Each refused one comes back when it was told to. Nine in
-// ten find a place then, since each was given a time of its own, and hardly any that were let in
-// are given up later, since waits are predicted by what answers take in a full batch.
-test('refused callers find a place when they come back as told', () => {
+// Many callers arrive together after a quiet period with fast answers. If refused callers were all
+// given the same time, or if waits were predicted from answers in small batches, most retries would
+// be refused again or be late.
+test('refused callers are admitted when they retry at their assigned time', () => {
   const harness = makeHarness();
   sendSteadily(harness, 'quiet', 10, [0, 5000]);
   harness.timeline.runUntil(6000);
-  let returned = 0;
-  let refusedAgain = 0;
-  const come = (caller: number, attempt: number) => {
+  let retries = 0;
+  let refusedRetries = 0;
+  const trySending = (caller: number, attempt: number) => {
     const request = exampleRequest(`caller-${caller}-${attempt}`);
-    const { problem } = harness.arrive(request, ANSWER_TOKENS);
-    if (attempt > 0) returned += 1;
+    const { problem } = harness.submitRequest(request, ANSWER_TOKENS);
+    if (attempt > 0) retries += 1;
     if (problem === undefined) return;
-    if (attempt > 0) refusedAgain += 1;
-    harness.timeline.after(problem.retryAfterMilliseconds ?? 0, () => come(caller, attempt + 1));
+    if (attempt > 0) refusedRetries += 1;
+    harness.timeline.after(problem.retryAfterMilliseconds ?? 0, () =>
+      trySending(caller, attempt + 1),
+    );
   };
-  for (let caller = 0; caller < 300; caller += 1) come(caller, 0);
+  for (let caller = 0; caller < 300; caller += 1) trySending(caller, 0);
   harness.timeline.runUntil(60_000);
-  assert.ok(refusedAgain <= 0.1 * returned, `${refusedAgain} of ${returned} refused again`);
+  assert.ok(refusedRetries <= 0.1 * retries, `${refusedRetries} of ${retries} refused again`);
   const served = outcomesOf(harness, 'kartenwerk-a').filter(isOnTime);
   assert.ok(served.length >= 0.95 * 300, `${served.length} of 300 in time`);
 });
 
-// Requests wait for two engines when one of them vanishes from the list. Those that can no longer
-// be in time are told within a tick, 800 ms and more before their deadline, so that their callers
-// can ask elsewhere; they were never sent, and the answer says so.
-test('a waiting request whose deadline has become unreachable is told at once', () => {
-  const harness = makeHarness({ servers: 2, routes: [exampleRoute(firstTokenWithin(1500))] });
-  sendSteadily(harness, 'teacher', 8, [100, 4000]);
+// One of two engines disappears while requests are queued. Requests that can no longer be in time
+// must be ended on one of the next two ticks, and the problem must say that they did not run.
+test('a queued request whose deadline becomes unreachable is ended immediately', () => {
+  const harness = makeHarness({ servers: 2, routes: [exampleRoute(makeDeadlineFields(1500))] });
+  sendSteadily(harness, 'warm-up', 8, [100, 4000]);
   harness.timeline.runUntil(6000);
   for (let number = 0; number < 80; number += 1) {
-    harness.arrive(exampleRequest(`burst-${number}`), ANSWER_TOKENS);
+    harness.submitRequest(exampleRequest(`burst-${number}`), ANSWER_TOKENS);
   }
-  const before = accepted(outcomesOf(harness, 'kartenwerk-a')).length;
+  const before = excludeNeverSent(outcomesOf(harness, 'kartenwerk-a')).length;
   harness.listEngines(1);
   harness.timeline.runUntil(6110);
-  const told = outcomesOf(harness, 'kartenwerk-a').filter(({ problem }) => problem?.at !== 6000);
-  const given = told.filter(({ problem }) => problem !== undefined);
-  assert.ok(given.length > 0, `none of ${before} was told`);
-  for (const { problem, arrivedAt } of given) {
+  const admitted = outcomesOf(harness, 'kartenwerk-a').filter(
+    ({ problem }) => problem?.at !== 6000,
+  );
+  const failed = admitted.filter(({ problem }) => problem !== undefined);
+  assert.ok(failed.length > 0, `none of ${before} was ended`);
+  for (const { problem, arrivedAt } of failed) {
     assert.equal(problem?.kind, 'deadlineUnreachable');
     assert.equal(problem.ran, 'no');
     assert.ok(problem.at - arrivedAt <= 700);
   }
 });
 
-// A patient planner's requests wait for the one engine when a counter's request with a short
-// deadline arrives last. The counter is served first of them, and the planner loses nothing but
-// that one turn.
+// A request with a short deadline arrives after queued requests with long ones. It must be served
+// first, and the others must still finish.
 test('the earliest deadline is served first', () => {
   const routes = [
-    exampleRoute({ name: 'plans', match: { pathPrefix: '/plans' }, ...firstTokenWithin(60_000) }),
-    exampleRoute({ name: 'counter', match: { pathPrefix: '/counter' }, ...firstTokenWithin(4000) }),
+    exampleRoute({
+      name: 'patient',
+      match: { pathPrefix: '/patient' },
+      ...makeDeadlineFields(60_000),
+    }),
+    exampleRoute({ name: 'urgent', match: { pathPrefix: '/urgent' }, ...makeDeadlineFields(4000) }),
   ];
   const harness = makeHarness({ servers: 1, routes });
-  const plans = Array.from({ length: 16 }, (_, number) =>
-    harness.arrive(exampleRequest(`plan-${number}`, { path: '/plans' }), ANSWER_TOKENS),
+  const patient = Array.from({ length: 16 }, (_, number) =>
+    harness.submitRequest(exampleRequest(`patient-${number}`, { path: '/patient' }), ANSWER_TOKENS),
+  );
+  const urgent = harness.submitRequest(
+    exampleRequest('urgent', { path: '/urgent' }),
+    ANSWER_TOKENS,
   );
-  const counter = harness.arrive(exampleRequest('counter', { path: '/counter' }), ANSWER_TOKENS);
   harness.timeline.runUntil(60_000);
-  const waited = plans.slice(CONCURRENCY);
-  assert.ok(waited.every((plan) => (plan.firstTokenAt ?? 0) > (counter.firstTokenAt ?? Infinity)));
-  assert.ok(plans.every((plan) => plan.finishedAt !== undefined));
+  const waited = patient.slice(CONCURRENCY);
+  assert.ok(
+    waited.every((request) => (request.firstTokenAt ?? 0) > (urgent.firstTokenAt ?? Infinity)),
+  );
+  assert.ok(patient.every((request) => request.finishedAt !== undefined));
 });
 
-// A planner sends ten long prompts to an engine that computes one after the other and has places
-// for all of them in its batch. A counter's short prompt comes right after. It is in time, because
-// most long prompts still wait here, where the counter goes first, and not inside the engine.
+// The engine has slots for ten long prompts but prefills one after the other. Most of them must
+// stay in the entry's queue, where a short prompt with an earlier deadline can overtake them.
 test('long prompts do not queue inside an engine', () => {
   const routes = [
-    exampleRoute({ name: 'plans', match: { pathPrefix: '/plans' }, ...firstTokenWithin(60_000) }),
-    exampleRoute({ name: 'counter', match: { pathPrefix: '/counter' }, ...firstTokenWithin(1500) }),
+    exampleRoute({
+      name: 'patient',
+      match: { pathPrefix: '/patient' },
+      ...makeDeadlineFields(60_000),
+    }),
+    exampleRoute({ name: 'urgent', match: { pathPrefix: '/urgent' }, ...makeDeadlineFields(1500) }),
   ];
   const harness = makeHarness({ servers: 1, routes, speed: { ...speed, concurrency: 16 } });
   for (let number = 0; number < 10; number += 1) {
-    const request = exampleRequest(`plan-${number}`, { path: '/plans', promptTokens: 2000 });
-    harness.arrive(request, ANSWER_TOKENS);
+    const request = exampleRequest(`patient-${number}`, { path: '/patient', promptTokens: 2000 });
+    harness.submitRequest(request, ANSWER_TOKENS);
   }
   harness.timeline.runUntil(10);
-  const counter = harness.arrive(exampleRequest('counter', { path: '/counter' }), ANSWER_TOKENS);
+  const urgent = harness.submitRequest(
+    exampleRequest('urgent', { path: '/urgent' }),
+    ANSWER_TOKENS,
+  );
   harness.timeline.runUntil(30_000);
-  assert.equal(counter.problem, undefined);
-  assert.ok((counter.firstTokenAt ?? Infinity) - counter.arrivedAt <= 1500);
+  assert.equal(urgent.problem, undefined);
+  assert.ok((urgent.firstTokenAt ?? Infinity) - urgent.arrivedAt <= 1500);
   assert.ok([...harness.outcomes.values()].every(({ finishedAt }) => finishedAt !== undefined));
 });
 
-// Two callers ask for an engine that runs one request at a time. The second one's request is sent
-// at the very moment the first answer ends, not with the next tick.
-test('a waiting request is sent on when an attempt ends', () => {
+// The queued request must not wait for the next tick.
+test('a queued request is started immediately when an attempt ends', () => {
   const harness = makeHarness({
     servers: 1,
     speed: { ...speed, concurrency: 1 },
     pool: examplePool(1),
-    routes: [exampleRoute(firstTokenWithin(5000))],
+    routes: [exampleRoute(makeDeadlineFields(5000))],
   });
   harness.timeline.runUntil(7);
-  const first = harness.arrive(exampleRequest('first'), ANSWER_TOKENS);
-  const second = harness.arrive(exampleRequest('second'), ANSWER_TOKENS);
+  const first = harness.submitRequest(exampleRequest('first'), ANSWER_TOKENS);
+  const second = harness.submitRequest(exampleRequest('second'), ANSWER_TOKENS);
   harness.timeline.runUntil(5000);
   const prefillAndNetwork = 21;
   assert.equal((second.firstTokenAt ?? 0) - (first.finishedAt ?? 0), prefillAndNetwork);
 });
 
-// A workspace may have two requests in progress in the data centre and sends a third. The third
-// caller is refused with the reason and a time; when one of the two has ended, it is let in.
-test('a limit refuses what is above it and lets in what comes after an end', () => {
+// A limit of two requests in progress must refuse a third, and admit others once requests have
+// ended.
+test('a limit refuses requests above it and admits them again after others end', () => {
   const routes = [exampleRoute({ limits: { inProgressPerWorkspace: 2 } })];
   const harness = makeHarness({ routes });
-  const tries = ['one', 'two', 'three'].map((id) => harness.arrive(exampleRequest(id), 40));
+  const tries = ['one', 'two', 'three'].map((id) => harness.submitRequest(exampleRequest(id), 40));
   assert.deepEqual(
     tries.map(({ problem }) => problem?.kind),
     [undefined, undefined, 'limitReached'],
   );
   harness.timeline.runUntil(tries[2]?.problem?.retryAfterMilliseconds ?? 0);
   harness.timeline.runUntil(2000);
-  assert.equal(harness.arrive(exampleRequest('four'), 40).problem, undefined);
+  assert.equal(harness.submitRequest(exampleRequest('four'), 40).problem, undefined);
   harness.send({ type: 'callerGone', requestId: 'four' });
-  harness.arrive(exampleRequest('five'), 40);
-  assert.equal(harness.arrive(exampleRequest('six'), 40).problem, undefined);
+  harness.submitRequest(exampleRequest('five'), 40);
+  assert.equal(harness.submitRequest(exampleRequest('six'), 40).problem, undefined);
 });
 
-// The own data centre's engine is full with long answers when a counter's request comes that
-// cannot wait for it. The other data centre's engine has room and gets it in time; it gets nothing
-// while there is room at home.
-test('other data centres are used only when the own one cannot be in time', () => {
+// The remote engine must get nothing while the local one has capacity, and must get requests that
+// could not be in time locally.
+test('other data centres are used only when the local one cannot be in time', () => {
   const harness = makeHarness({
     servers: 2,
     dataCentreOf: (server) => (server === 0 ? 'dc-a' : 'dc-b'),
   });
   for (let number = 0; number < CONCURRENCY; number += 1) {
-    harness.arrive(exampleRequest(`long-${number}`), 1000);
+    harness.submitRequest(exampleRequest(`long-${number}`), 1000);
   }
   harness.timeline.runUntil(500);
   assert.equal(harness.engines.get('engine-1')?.running, 0);
   for (let number = 0; number < CONCURRENCY; number += 1) {
-    harness.arrive(exampleRequest(`counter-${number}`), ANSWER_TOKENS);
+    harness.submitRequest(exampleRequest(`urgent-${number}`), ANSWER_TOKENS);
   }
   harness.timeline.runUntil(1500);
   const outcomes = [...harness.outcomes.values()];
--- a/packages/entry-core/src/admission/admitRequest.ts
+++ b/packages/entry-core/src/admission/admitRequest.ts
@@ -1,9 +1,9 @@
 /**
- * Decides on a request that has just arrived: refuse it at once with the reason, or accept it
- * and try it.
+ * Handles an arriving request: refuses it immediately with a reason, or accepts it and starts or
+ * queues its first attempt.
  */
 import {
-  isClaimed,
+  requiresClaim,
   type EpochMilliseconds,
   type Milliseconds,
   type MonotonicMilliseconds,
@@ -11,55 +11,58 @@
   type Route,
 } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
-import type { CallerRequest, Timed } from '../entryEvents.js';
+import type { CallerRequest, Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import { startAttempt } from '../attempts/startAttempt.js';
 import { beginClaim } from '../claims/beginClaim.js';
-import { refuse } from '../requests/endRequest.js';
+import { refuseRequest } from '../requests/endRequest.js';
 import type { RequestState } from '../requests/RequestState.js';
 import { choosePool } from '../routing/choosePool.js';
 import { deadlineAt } from '../routing/deadlineAt.js';
 import { findRoute } from '../routing/findRoute.js';
-import { routeIndexOf } from '../routing/routeIndexOf.js';
-import { acquire } from '../limits/releaseEnded.js';
-import { spendAllowance } from '../limits/refuseOverAllowance.js';
+import { getRouteIndex } from '../routing/getRouteIndex.js';
+import { acquireConcurrencySlot } from '../limits/releaseEndedRequests.js';
+import { spendAllowance } from '../limits/checkAllowance.js';
 import { awaitConfiguration } from './awaitConfiguration.js';
-import { makeLate } from './serveLate.js';
-import { decideAdmission, type Admission } from './refuseEarly.js';
+import { markLate } from './serveLate.js';
+import { decideAdmission, type AdmissionDecision } from './decideAdmission.js';
 
-/** Where a route does not say which pause its callers take for none. */
-const DEFAULT_PAUSE_MILLISECONDS: Milliseconds = 1000;
+/** The longest acceptable pause between two tokens, for routes that do not set one. */
+const DEFAULT_MAX_PAUSE_MILLISECONDS: Milliseconds = 1000;
 
-/** The route and the workspace that a request has the right to use it as, or the refusal. */
-type Resolved =
+/** The route that the request may use, with the request's workspace filled in, or the refusal. */
+type Resolution =
   | { readonly type: 'found'; readonly route: Route; readonly request: CallerRequest }
   | { readonly type: 'refused'; readonly effects: EntryEffect[] };
 
-/** Finds who calls, where the configuration and not the settings names the workspaces. */
+/** Fills in the workspace from the caller's key, if the configuration defines the workspaces. */
 function resolveWorkspace(state: EntryState, request: CallerRequest): CallerRequest {
   if (state.configuration.whole === undefined || request.keySha256 === undefined) return request;
-  const workspace = routeIndexOf(state).workspaceOfKey(request.keySha256) ?? '';
+  const workspace = getRouteIndex(state).workspaceOfKey(request.keySha256) ?? '';
   return { ...request, workspace };
 }
 
-function resolve(state: EntryState, arrived: CallerRequest): Resolved {
+function resolveRoute(state: EntryState, arrived: CallerRequest): Resolution {
   const request = resolveWorkspace(state, arrived);
-  const found = findRoute(routeIndexOf(state), request);
+  const found = findRoute(getRouteIndex(state), request);
   if (found.type === 'found') {
     const { route } = found;
-    const isKnown = route.public === true || request.workspace !== '';
-    if (isKnown) return { type: 'found', route, request };
-    return { type: 'refused', effects: refuse(request, 'unauthorized', 'The key is not known') };
+    const isAuthorized = route.public === true || request.workspace !== '';
+    if (isAuthorized) return { type: 'found', route, request };
+    return {
+      type: 'refused',
+      effects: refuseRequest(request, 'unauthorized', 'The key is not known'),
+    };
   }
   const detail =
     found.type === 'forbidden'
       ? `Workspace "${request.workspace}" may not use this route`
       : `No route matches ${request.path}`;
-  return { type: 'refused', effects: refuse(request, found.type, detail) };
+  return { type: 'refused', effects: refuseRequest(request, found.type, detail) };
 }
 
-/** Bounds the route's deadline by what the caller says of its patience. */
-function accept(
+/** Sets the deadlines of an accepted request: the route's, or the caller's if it is shorter. */
+function makeRequestState(
   state: EntryState,
   request: CallerRequest,
   route: Route,
@@ -67,7 +70,7 @@
   arrivedAt: MonotonicMilliseconds,
   wallNow: EpochMilliseconds,
 ): RequestState {
-  const index = routeIndexOf(state);
+  const index = getRouteIndex(state);
   const deadline = deadlineAt(route, wallNow, index.clock);
   const patience = request.patience ?? Infinity;
   const { firstTokenMilliseconds } = deadline;
@@ -79,9 +82,9 @@
     pool,
     arrivedAt,
     firstTokenDueAt: arrivedAt + Math.min(firstTokenMilliseconds, patience),
-    lateUntil: arrivedAt + Math.min(lateFirstTokenMilliseconds, patience),
+    lateFirstTokenDueAt: arrivedAt + Math.min(lateFirstTokenMilliseconds, patience),
     wholeAnswerDueAt: arrivedAt + Math.min(deadline.wholeAnswerMilliseconds, patience),
-    longestPause: deadline.pauseMilliseconds ?? DEFAULT_PAUSE_MILLISECONDS,
+    maxPause: deadline.pauseMilliseconds ?? DEFAULT_MAX_PAUSE_MILLISECONDS,
     attemptId: undefined,
     attemptsStarted: 0,
     triedInstances: new Set(),
@@ -91,51 +94,60 @@
 }
 
 /**
- * Counts what the fleet has to be large enough for: refused requests too, but not those beyond a
- * workspace's allowance. Those are refused whatever the size, and one workspace that sends six times
- * its usual would have engines bought for it that nobody may use.
+ * Counts the request as demand that the fleet is sized for, even if it is refused. Requests over a
+ * workspace's allowance do not count: they would be refused by a larger fleet too, and instances
+ * would be bought that nobody may use.
  */
-function noteDemand(state: EntryState, route: Route, admission: Admission, { now }: Timed): void {
-  const isBeyond = admission.type === 'refused' && admission.refusal.kind === 'allowanceSpent';
-  if (!isBeyond) state.demand.note(route.name, now);
+function recordDemand(
+  state: EntryState,
+  route: Route,
+  decision: AdmissionDecision,
+  { now }: Timestamps,
+): void {
+  const isOverAllowance = decision.type === 'refused' && decision.refusal.kind === 'allowanceSpent';
+  if (!isOverAllowance) state.demand.record(route.name, now);
 }
 
 export function admitRequest(
   state: EntryState,
   arrived: CallerRequest,
-  timed: Timed,
-  arrivedAt = timed.now,
+  timestamps: Timestamps,
+  arrivedAt = timestamps.now,
 ): EntryEffect[] {
-  if (state.shuttingDown) {
-    return refuse(arrived, 'draining', 'This instance is shutting down');
+  if (state.refusesNewRequests) {
+    return refuseRequest(arrived, 'draining', 'This instance is shutting down');
   }
-  if (state.configuration.revision === 0) return awaitConfiguration(state, arrived, timed);
-  const resolved = resolve(state, arrived);
+  if (state.configuration.revision === 0) return awaitConfiguration(state, arrived, timestamps);
+  const resolved = resolveRoute(state, arrived);
   if (resolved.type === 'refused') return resolved.effects;
   const { route, request } = resolved;
   const poolName = choosePool(route, state.random);
-  const pool = routeIndexOf(state).pool(poolName);
+  const pool = getRouteIndex(state).pool(poolName);
   if (pool === undefined) {
-    return refuse(request, 'noBackendServer', `Pool "${poolName}" is not there`);
+    return refuseRequest(request, 'noBackendServer', `Pool "${poolName}" does not exist`);
   }
-  if (isClaimed(route) && request.idempotencyKey === undefined) {
-    return refuse(request, 'idempotencyKeyMissing', `Route "${route.name}" needs the header`);
+  if (requiresClaim(route) && request.idempotencyKey === undefined) {
+    return refuseRequest(
+      request,
+      'idempotencyKeyMissing',
+      `Route "${route.name}" requires an idempotency key`,
+    );
   }
-  const accepted = accept(state, request, route, pool, arrivedAt, timed.wallNow);
-  const admission = decideAdmission(state, accepted, timed.now);
-  noteDemand(state, route, admission, timed);
-  if (admission.type === 'refused') {
-    const { kind, detail, retryAfterMilliseconds, facts } = admission.refusal;
-    const known = { route: route.name, retryAfterMilliseconds, ...facts };
-    return refuse(request, kind, detail, { ran: 'no', retryAfterMilliseconds }, known);
+  const accepted = makeRequestState(state, request, route, pool, arrivedAt, timestamps.wallNow);
+  const decision = decideAdmission(state, accepted, timestamps.now);
+  recordDemand(state, route, decision, timestamps);
+  if (decision.type === 'refused') {
+    const { kind, detail, retryAfterMilliseconds, facts } = decision.refusal;
+    const logFields = { route: route.name, retryAfterMilliseconds, ...facts };
+    return refuseRequest(request, kind, detail, { ran: 'no', retryAfterMilliseconds }, logFields);
   }
-  const late = admission.type === 'late' ? makeLate(accepted) : [];
-  const server = admission.type === 'admitted' ? admission.server : undefined;
+  const lateEffects = decision.type === 'late' ? markLate(accepted) : [];
+  const server = decision.type === 'admitted' ? decision.server : undefined;
   state.requests.set(request.requestId, accepted);
-  acquire(state, request.requestId, route.name, request.workspace);
+  acquireConcurrencySlot(state, request.requestId, route.name, request.workspace);
   return [
     ...spendAllowance(state, accepted),
-    ...late,
+    ...lateEffects,
     { type: 'count', metric: 'requestsAccepted', label: route.name },
     {
       type: 'log',
@@ -148,8 +160,8 @@
         tokens: request.countedTokens,
       },
     },
-    ...(isClaimed(route)
-      ? beginClaim(state, accepted, timed)
-      : startAttempt(state, accepted, timed.now, server)),
+    ...(requiresClaim(route)
+      ? beginClaim(state, accepted, timestamps)
+      : startAttempt(state, accepted, timestamps.now, server)),
   ];
 }
--- a/packages/entry-core/src/admission/awaitConfiguration.ts
+++ b/packages/entry-core/src/admission/awaitConfiguration.ts
@@ -1,75 +1,78 @@
 /**
- * Requests that reach an entry before its configuration does. After a loss of power entries and
- * stores start together, and the stores need a moment to elect a leader. A caller that is refused
- * then has often used up its one retry on the fault itself, and is lost for the sake of a few
- * hundred milliseconds. So a young entry keeps such requests for that long; one that is cut off
- * from the stores gets no configuration however long it waits, and refuses at once.
+ * Holds requests that arrive before the first configuration. After a power loss, entries and stores
+ * start together, and the stores first elect a leader. Callers have often used up their retries by
+ * then, so an entry that has just started holds requests for a short time instead of refusing them.
+ * Later it refuses them immediately: it is probably partitioned from the stores.
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
-import type { CallerRequest, Timed } from '../entryEvents.js';
+import type { CallerRequest, Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
-import { refuse } from '../requests/endRequest.js';
-
-/** An entry waits for stores that start with it; these serve within two seconds of their start. */
-const STARTING_MILLISECONDS: Milliseconds = 2000;
+import { refuseRequest } from '../requests/endRequest.js';
 
 /**
- * Longest wait of one request. Callers that wait three seconds in all are still served in time
- * after it, and those that wait longer in good time.
+ * How long after its start an entry holds requests; stores that start with it are ready by then.
  */
-const LONGEST_WAIT_MILLISECONDS: Milliseconds = 700;
+const STARTUP_PERIOD_MILLISECONDS: Milliseconds = 2000;
+
+/** A caller with a timeout of three seconds still has enough time to be served after this wait. */
+const MAX_WAIT_MILLISECONDS: Milliseconds = 700;
 
-/** Of the caller's patience, the share that may be spent waiting. */
-const WAIT_SHARE = 1 / 3;
+const MAX_WAIT_FRACTION_OF_PATIENCE = 1 / 3;
 
-/** When a caller may come back to an entry that has not been told a configuration yet. */
-const NOT_CONFIGURED_RETRY_MILLISECONDS: Milliseconds = 500;
+const NOT_CONFIGURED_RETRY_AFTER_MILLISECONDS: Milliseconds = 500;
 
-/** A request that waits for the configuration. */
-export interface UnconfiguredRequest {
+export interface RequestAwaitingConfiguration {
   readonly request: CallerRequest;
   readonly arrivedAt: MonotonicMilliseconds;
   readonly waitsUntil: MonotonicMilliseconds;
 }
 
-function refuseUnconfigured(request: CallerRequest): EntryEffect[] {
-  const problem = { retryAfterMilliseconds: NOT_CONFIGURED_RETRY_MILLISECONDS };
-  return refuse(request, 'notConfigured', 'No configuration is known here yet', problem);
+function refuseNotConfigured(request: CallerRequest): EntryEffect[] {
+  const problem = { retryAfterMilliseconds: NOT_CONFIGURED_RETRY_AFTER_MILLISECONDS };
+  return refuseRequest(
+    request,
+    'notConfigured',
+    'This entry has not received a configuration yet',
+    problem,
+  );
 }
 
-/** Keeps the request for a while, or refuses it. */
+/** Holds the request for a limited time, or refuses it. */
 export function awaitConfiguration(
   state: EntryState,
   request: CallerRequest,
-  { now, wallNow }: Timed,
+  { now, wallNow }: Timestamps,
 ): EntryEffect[] {
-  const { unconfigured, identity } = state;
-  const startingFor = STARTING_MILLISECONDS - (wallNow - identity.incarnation);
-  const patience = (request.patience ?? Infinity) * WAIT_SHARE;
-  const wait = Math.min(startingFor, LONGEST_WAIT_MILLISECONDS, patience);
-  const hasRoom = unconfigured.size < identity.queuedRequests;
-  if (wait <= 0 || !hasRoom) return refuseUnconfigured(request);
+  const { requestsAwaitingConfiguration: pending, identity } = state;
+  const startupTimeLeft = STARTUP_PERIOD_MILLISECONDS - (wallNow - identity.incarnation);
+  const maxWaitForCaller = (request.patience ?? Infinity) * MAX_WAIT_FRACTION_OF_PATIENCE;
+  const wait = Math.min(startupTimeLeft, MAX_WAIT_MILLISECONDS, maxWaitForCaller);
+  const hasCapacity = pending.size < identity.maxQueuedRequests;
+  if (wait <= 0 || !hasCapacity) return refuseNotConfigured(request);
   const { requestId } = request;
-  unconfigured.set(requestId, { request, arrivedAt: now, waitsUntil: now + wait });
+  pending.set(requestId, { request, arrivedAt: now, waitsUntil: now + wait });
   return [{ type: 'log', event: 'requestAwaitsConfiguration', fields: { requestId, wait } }];
 }
 
-/** Refuses those that have waited long enough, and all of them once the entry shuts down. */
-export function advanceUnconfigured(state: EntryState, now: MonotonicMilliseconds): EntryEffect[] {
-  const { unconfigured, shuttingDown } = state;
-  const over = [...unconfigured.values()].filter(
-    ({ waitsUntil }) => shuttingDown || waitsUntil <= now,
+/** Refuses the requests held for too long, or all of them once the entry refuses new requests. */
+export function expireAwaitingConfiguration(
+  state: EntryState,
+  now: MonotonicMilliseconds,
+): EntryEffect[] {
+  const { requestsAwaitingConfiguration: pending, refusesNewRequests } = state;
+  const expired = [...pending.values()].filter(
+    ({ waitsUntil }) => refusesNewRequests || waitsUntil <= now,
   );
-  return over.flatMap(({ request }) => {
-    unconfigured.delete(request.requestId);
-    return refuseUnconfigured(request);
+  return expired.flatMap(({ request }) => {
+    pending.delete(request.requestId);
+    return refuseNotConfigured(request);
   });
 }
 
-/** Takes out all that wait, in order of arrival, now that there is a configuration. */
-export function takeUnconfigured(state: EntryState): UnconfiguredRequest[] {
-  const waiting = [...state.unconfigured.values()];
-  state.unconfigured.clear();
-  return waiting;
+/** Removes and returns all held requests, in order of arrival. */
+export function takeAwaitingConfiguration(state: EntryState): RequestAwaitingConfiguration[] {
+  const pending = [...state.requestsAwaitingConfiguration.values()];
+  state.requestsAwaitingConfiguration.clear();
+  return pending;
 }
--- a/packages/entry-core/src/admission/enqueue.ts
+++ b/packages/entry-core/src/admission/enqueue.ts
@@ -1,23 +1,23 @@
-/** Lets an accepted request wait until a backend server has room for it. */
+/** Queues an accepted request until a backend server has capacity for it. */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { countWaiting, poolQueueOf } from './AdmissionState.js';
-import { makeWaiting } from './predictWait.js';
+import { countQueuedRequests, getPoolQueue } from './AdmissionState.js';
+import { makeQueuedRequest } from './predictWait.js';
 
 export function enqueue(
   state: EntryState,
   accepted: RequestState,
   now: MonotonicMilliseconds,
 ): EntryEffect[] {
-  const queue = poolQueueOf(state, accepted.pool.name);
+  const queue = getPoolQueue(state, accepted.pool.name);
   const { requestId } = accepted.request;
-  const waiting = makeWaiting(state, accepted);
-  if (!queue.waiting.has(requestId)) queue.add(waiting);
-  const dueInMilliseconds = Math.round(waiting.dueAt - now);
+  const queued = makeQueuedRequest(state, accepted);
+  if (!queue.waiting.has(requestId)) queue.add(queued);
+  const dueInMilliseconds = Math.round(queued.dueAt - now);
   return [
-    { type: 'setGauge', metric: 'queuedRequests', value: countWaiting(state) },
+    { type: 'setGauge', metric: 'queuedRequests', value: countQueuedRequests(state) },
     {
       type: 'log',
       event: 'requestQueued',
--- a/packages/entry-core/src/admission/interruptedStreams.test.ts
+++ b/packages/entry-core/src/admission/interruptedStreams.test.ts
@@ -1,23 +1,25 @@
-/**
- * Streams that have lost their backend server in the middle, beside callers who have just come.
- */
+/** The order and expiry of interrupted streams in the queue, compared with new requests. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { makeRequest, World } from '../driver/index.js';
+import { makeRequest, SimulatedCluster } from '../driver/index.js';
 import { nextTokenDueAt } from '../backendServers/chooseBackendServer.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { isLateAfter } from './dropUnreachable.js';
+import { missesDeadlineAfter } from './failUnreachableDeadlines.js';
 import { FairQueue } from './FairQueue.js';
-import { makeWaiting } from './predictWait.js';
+import { makeQueuedRequest } from './predictWait.js';
 
 const FIRST_TOKEN_MILLISECONDS = 5000;
 const WHOLE_ANSWER_MILLISECONDS = 25_000;
 
-function makeWorld(): World {
-  return new World({ engines: { 'wien-a': 1 } });
+function makeWorld(): SimulatedCluster {
+  return new SimulatedCluster({ engines: { 'wien-a': 1 } });
 }
 
-function accepted(world: World, name: string, fields: Partial<RequestState>): RequestState {
+function makeAccepted(
+  world: SimulatedCluster,
+  name: string,
+  fields: Partial<RequestState>,
+): RequestState {
   const { configuration } = world.entry.state;
   const [route] = configuration.routes.rows;
   const [pool] = configuration.pools.rows;
@@ -29,8 +31,8 @@
     arrivedAt: 0,
     firstTokenDueAt: FIRST_TOKEN_MILLISECONDS,
     wholeAnswerDueAt: WHOLE_ANSWER_MILLISECONDS,
-    lateUntil: FIRST_TOKEN_MILLISECONDS,
-    longestPause: 500,
+    lateFirstTokenDueAt: FIRST_TOKEN_MILLISECONDS,
+    maxPause: 500,
     attemptId: undefined,
     attemptsStarted: 0,
     triedInstances: new Set(),
@@ -40,35 +42,35 @@
   };
 }
 
-const begun: Partial<RequestState> = {
+const interrupted: Partial<RequestState> = {
   attemptsStarted: 1,
   tokens: 40,
   firstTokenAt: 800,
   interruptedAt: 3000,
 };
 
-// An engine dies with streams on it while new callers wait. Ordered by the deadline of its whole answer,
-// a stream waited behind everyone who came after it, and its caller saw it stand still for ten seconds.
-test('a stream that was interrupted goes before callers who have just come', () => {
+// Ordered by the deadline of its whole answer, a stream would wait behind all new requests, and its
+// caller would see a long pause.
+test('an interrupted stream is served before new requests', () => {
   const world = makeWorld();
   const { state } = world.entry;
   const queue = new FairQueue();
-  queue.add(makeWaiting(state, accepted(world, 'new', {})));
-  queue.add(makeWaiting(state, accepted(world, 'stream', begun)));
-  assert.equal(queue.peek()?.accepted.request.requestId, 'stream');
+  queue.add(makeQueuedRequest(state, makeAccepted(world, 'new', {})));
+  queue.add(makeQueuedRequest(state, makeAccepted(world, 'stream', interrupted)));
+  assert.equal(queue.peek()?.requestState.request.requestId, 'stream');
 });
 
-// Its pause is longer than its caller takes for none already. Its answer is late, but still awaited.
-test('a stream whose pause is too long is not given up before its deadline', () => {
+// The answer of a stream whose pause exceeds the limit is late but still useful to its caller.
+test('a stream with too long a pause is not ended before the deadline of its whole answer', () => {
   const world = makeWorld();
   const { state } = world.entry;
-  const stream = accepted(world, 'stream', begun);
+  const stream = makeAccepted(world, 'stream', interrupted);
   assert.equal(nextTokenDueAt(stream), 3500);
-  assert.equal(isLateAfter(state, makeWaiting(state, stream), 0, 6000), false);
+  assert.equal(missesDeadlineAfter(state, makeQueuedRequest(state, stream), 0, 6000), false);
   assert.equal(
-    isLateAfter(state, makeWaiting(state, stream), 0, WHOLE_ANSWER_MILLISECONDS + 1),
+    missesDeadlineAfter(state, makeQueuedRequest(state, stream), 0, WHOLE_ANSWER_MILLISECONDS + 1),
     true,
   );
-  const fresh = accepted(world, 'new', {});
-  assert.equal(isLateAfter(state, makeWaiting(state, fresh), 0, 6000), true);
+  const fresh = makeAccepted(world, 'new', {});
+  assert.equal(missesDeadlineAfter(state, makeQueuedRequest(state, fresh), 0, 6000), true);
 });
--- a/packages/entry-core/src/admission/placeRequest.ts
+++ b/packages/entry-core/src/admission/placeRequest.ts
@@ -1,45 +1,49 @@
 /**
- * Finds out whether a request can be sent to a backend server now, has to wait, or has nowhere to
- * go. Nobody passes those who wait: while there is a queue of its priority or a more urgent one,
- * a request joins it, unless the own data centre is full and another one has room in time.
+ * Determines whether a request can be sent to a backend server now, has to be queued, or has no
+ * server left to try. It does not overtake queued requests of its own or a more urgent priority,
+ * unless it goes to another data centre because the local servers are full.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
 import {
   chooseBackendServer,
-  hasUntried,
+  hasUntriedServer,
   nextTokenDueAt,
 } from '../backendServers/chooseBackendServer.js';
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { poolQueueOf } from './AdmissionState.js';
-import { isWorthHolding } from './isWorthHolding.js';
-import { levelNumber } from './PoolQueue.js';
-import { makeWaiting, predictWait, usualDelay } from './predictWait.js';
+import { getPoolQueue } from './AdmissionState.js';
+import { shouldWaitForCache } from './shouldWaitForCache.js';
+import { getLevelIndex } from './PoolQueue.js';
+import { makeQueuedRequest, predictWait, expectedFirstTokenDelay } from './predictWait.js';
 
 export type Placement =
   | { readonly type: 'start'; readonly server: BackendServerState }
-  /** `room`: a server that could take the request now, were it not for those that wait already. */
-  | { readonly type: 'wait'; readonly room: BackendServerState | undefined }
+  /**
+   * `availableServer` has capacity, but the request waits for queued ones or for a cached prefix.
+   */
+  | { readonly type: 'wait'; readonly availableServer: BackendServerState | undefined }
   | { readonly type: 'none' };
 
-/** Other data centres are used when the wait at home would take so much of the patience left. */
-const HOME_PATIENCE_SHARE = 0.5;
+/** A longer predicted wait for local servers allows the use of other data centres. */
+const MAX_LOCAL_WAIT_FRACTION_OF_TIME_LEFT = 0.5;
 
 function isQueueAhead(state: EntryState, accepted: RequestState): boolean {
-  const { levels } = poolQueueOf(state, accepted.pool.name);
-  return levels.slice(0, levelNumber({ accepted }) + 1).some((level) => !level.isEmpty);
+  const { levels } = getPoolQueue(state, accepted.pool.name);
+  return levels
+    .slice(0, getLevelIndex({ requestState: accepted }) + 1)
+    .some((level) => !level.isEmpty);
 }
 
-/** True if the wait at home endangers the deadline, so that other data centres are worth it. */
-export function isLateAtHome(
+/** True if the wait for local servers endangers the deadline. */
+export function isLocalWaitTooLong(
   state: EntryState,
   accepted: RequestState,
   now: MonotonicMilliseconds,
 ): boolean {
-  const wait = predictWait(state, makeWaiting(state, accepted));
-  const patience = nextTokenDueAt(accepted) - now - usualDelay(state, accepted);
-  return wait > patience * HOME_PATIENCE_SHARE;
+  const wait = predictWait(state, makeQueuedRequest(state, accepted));
+  const timeLeft = nextTokenDueAt(accepted) - now - expectedFirstTokenDelay(state, accepted);
+  return wait > timeLeft * MAX_LOCAL_WAIT_FRACTION_OF_TIME_LEFT;
 }
 
 export function placeRequest(
@@ -47,16 +51,17 @@
   accepted: RequestState,
   now: MonotonicMilliseconds,
 ): Placement {
-  if (!hasUntried(state, accepted)) return { type: 'none' };
-  const local = chooseBackendServer(state, accepted);
-  if (local !== undefined) {
-    const waits = isQueueAhead(state, accepted) || isWorthHolding(state, accepted, local, now);
-    return waits ? { type: 'wait', room: local } : { type: 'start', server: local };
+  if (!hasUntriedServer(state, accepted)) return { type: 'none' };
+  const nearest = chooseBackendServer(state, accepted);
+  if (nearest !== undefined) {
+    const waits =
+      isQueueAhead(state, accepted) || shouldWaitForCache(state, accepted, nearest, now);
+    return waits ? { type: 'wait', availableServer: nearest } : { type: 'start', server: nearest };
   }
-  const remote = isLateAtHome(state, accepted, now)
+  const remote = isLocalWaitTooLong(state, accepted, now)
     ? chooseBackendServer(state, accepted, { where: 'remote' })
     : undefined;
   return remote === undefined
-    ? { type: 'wait', room: undefined }
+    ? { type: 'wait', availableServer: undefined }
     : { type: 'start', server: remote };
 }
--- a/packages/entry-core/src/admission/predictWait.ts
+++ b/packages/entry-core/src/admission/predictWait.ts
@@ -1,48 +1,51 @@
 /**
- * Predicts how long a request waits in the queue: the work that is served before it, divided by
- * the places of backend servers that serve this entry. In a rush all places that this entry can use
- * are in use, so its own requests in progress count them, whatever keeps the servers from taking
- * more, be it their batch, their prompts or other entries. Their late peak is taken, since a
- * request may wait for one server while others have room.
+ * Predicts how long a request will be queued: the work ahead of it, divided by the number of slots
+ * that backend servers have for this entry. While requests are queued, all these slots are in use,
+ * so the entry's own requests in progress measure them, whatever limits the servers. Their recent
+ * peak is used, because some servers may have capacity while requests wait for others.
  */
 import type { Milliseconds } from '@hornbeampond/schema';
 import { nextTokenDueAt } from '../backendServers/chooseBackendServer.js';
-import { poolBalanceOf } from '../backendServers/poolBalanceOf.js';
+import { getPoolState } from '../backendServers/getPoolState.js';
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { poolQueueOf } from './AdmissionState.js';
-import type { Waiting } from './FairQueue.js';
+import { getPoolQueue } from './AdmissionState.js';
+import type { QueuedRequest } from './FairQueue.js';
 
-/** Places of backend servers that serve this entry while requests wait. */
-export function countPlaces(state: EntryState, pool: string): number {
-  const { local, remote, peak } = poolBalanceOf(state, pool);
-  // Attempts at servers that are lost but not yet known to be are no places any more.
-  const most = (local.limitSum + remote.limitSum) / state.limits.ledger.entries;
-  return Math.max(1, Math.min(peak.value(state.clocks.now), most));
+/** Number of slots of backend servers that serve this entry while requests are queued. */
+export function estimateSlots(state: EntryState, pool: string): number {
+  const { local, remote, peakInProgress } = getPoolState(state, pool);
+  // Bounded, because the peak may still include attempts at servers that are lost by now.
+  const maxSlots = (local.limitSum + remote.limitSum) / state.limits.concurrencyLimiter.entryCount;
+  return Math.max(1, Math.min(peakInProgress.valueAt(state.clocks.now), maxSlots));
 }
 
-export function makeWaiting(state: EntryState, accepted: RequestState): Waiting {
-  const cost = poolBalanceOf(state, accepted.pool.name).serviceTime(accepted.route.name);
+export function makeQueuedRequest(state: EntryState, accepted: RequestState): QueuedRequest {
+  const cost = getPoolState(state, accepted.pool.name).estimateBusyServiceTime(accepted.route.name);
   const dueAt = nextTokenDueAt(accepted);
-  const endsAt = accepted.firstTokenAt === undefined ? dueAt : accepted.wholeAnswerDueAt;
-  return { accepted, dueAt, endsAt, cost };
+  const expiresAt = accepted.firstTokenAt === undefined ? dueAt : accepted.wholeAnswerDueAt;
+  return { requestState: accepted, dueAt, expiresAt, cost };
 }
 
-/** Wait in the queue until a backend server can be given the request. */
-export function predictWait(state: EntryState, waiting: Waiting): Milliseconds {
-  const pool = waiting.accepted.pool.name;
-  const ahead = poolQueueOf(state, pool).workAhead(waiting);
-  return (ahead + waiting.cost) / countPlaces(state, pool);
+/** Predicted time until the request can be sent to a backend server. */
+export function predictWait(state: EntryState, queued: QueuedRequest): Milliseconds {
+  const pool = queued.requestState.pool.name;
+  const ahead = getPoolQueue(state, pool).workAhead(queued);
+  return (ahead + queued.cost) / estimateSlots(state, pool);
 }
 
 /**
- * Time from being sent to the first token when no other prompt is in front, where most of the prompt
- * is cached. Until that is known none is counted on, or the first callers would be given up by guess.
+ * Expected time from sending a request to its first token, at the server with the longest cached
+ * prefix and without other prompts ahead. It is 0 while the estimate is not reliable, because
+ * callers would otherwise be refused on a guess.
  */
-export function usualDelay(state: EntryState, { pool, request }: RequestState): Milliseconds {
+export function expectedFirstTokenDelay(
+  state: EntryState,
+  { pool, request }: RequestState,
+): Milliseconds {
   const { now } = state.clocks;
-  const { beliefs, firstToken } = poolBalanceOf(state, pool.name);
-  if (!firstToken.isTrusted(now)) return 0;
-  const [holder] = beliefs.find(request, now);
-  return firstToken.predict(request.promptTokens * (1 - (holder?.share ?? 0)));
+  const { prefixCacheIndex, firstTokenRegression } = getPoolState(state, pool.name);
+  if (!firstTokenRegression.isTrusted(now)) return 0;
+  const [holder] = prefixCacheIndex.findHolders(request, now);
+  return firstTokenRegression.predict(request.promptTokens * (1 - (holder?.cachedFraction ?? 0)));
 }
--- a/packages/entry-core/src/admission/serveLate.test.ts
+++ b/packages/entry-core/src/admission/serveLate.test.ts
@@ -1,6 +1,6 @@
 /**
- * An outage has ended: those who have waited for it come at once, more than engines can begin in time,
- * while others go on to come as usual.
+ * Late service after an outage: the waiting callers all return together, more than the engines can
+ * start in time, while others keep arriving at the usual rate.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -29,8 +29,11 @@
   return firstTokenAt !== undefined && firstTokenAt - arrivedAt <= FIRST_TOKEN_MILLISECONDS;
 }
 
-/** Forty callers at once, then twelve a second before two engines that can begin twenty. */
-function play(lateFirstTokenMilliseconds?: number): Outcome {
+/**
+ * Sends forty requests together, then twelve a second, to two engines that can start twenty a
+ * second.
+ */
+function runScenario(lateFirstTokenMilliseconds?: number): Outcome {
   const deadline = {
     firstTokenMilliseconds: FIRST_TOKEN_MILLISECONDS,
     wholeAnswerMilliseconds: 30_000,
@@ -44,9 +47,9 @@
   });
   const arrive = (number: number, at: number) => {
     const request = exampleRequest(`request-${number}`, { promptTokens: 1000 });
-    harness.timeline.after(at, () => harness.arrive(request, 10));
+    harness.timeline.after(at, () => harness.submitRequest(request, 10));
   };
-  // Before the outage, so that the entry knows how long prompts take.
+  // Requests before the outage, from which the entry estimates how long prompts take.
   for (let number = 0; number < 40; number += 1) arrive(number, number * 80);
   for (let number = 40; number < 80; number += 1) arrive(number, 4000);
   for (let number = 80; number < 140; number += 1) arrive(number, 4000 + (number - 80) * 83);
@@ -57,14 +60,14 @@
   return { inTime, refused, late: after.length - inTime - refused };
 }
 
-// Those who cannot be in time are refused, come again when they are later still, and are refused again.
-// Served by their deadlines they would go first, and make late everyone who has just come.
-test('those who cannot be in time are served behind those who can', () => {
-  const refusing = play();
-  const serving = play(4000);
-  const shown = JSON.stringify({ refusing, serving });
-  assert.ok(refusing.refused >= 20, shown);
-  assert.ok(serving.refused <= refusing.refused * 0.8, shown);
-  assert.ok(serving.inTime >= refusing.inTime * 0.95, shown);
-  assert.equal(serving.inTime + serving.late + serving.refused, 100);
+// Refused callers would retry and be even later. If late requests were ordered by deadline, they
+// would be served first and make the new requests late too.
+test('requests that cannot be in time are served after those that can', () => {
+  const withoutLateService = runScenario();
+  const withLateService = runScenario(4000);
+  const shown = JSON.stringify({ withoutLateService, withLateService });
+  assert.ok(withoutLateService.refused >= 20, shown);
+  assert.ok(withLateService.refused <= withoutLateService.refused * 0.8, shown);
+  assert.ok(withLateService.inTime >= withoutLateService.inTime * 0.95, shown);
+  assert.equal(withLateService.inTime + withLateService.late + withLateService.refused, 100);
 });
--- a/packages/entry-core/src/admission/serveLate.ts
+++ b/packages/entry-core/src/admission/serveLate.ts
@@ -1,41 +1,40 @@
 /**
- * Requests whose first token can no longer be in time, but is still of use to their callers. They wait
- * behind all that can be in time, and are sent to engines that have nothing else to begin. Refused
- * instead, their callers would come again, even later, and long prompts would hardly ever be served.
+ * Late service: requests that cannot meet their first-token deadline but are still useful to their
+ * callers are queued behind all that can. If they were refused, their callers would retry and be
+ * later still, and long prompts would hardly ever be served after an outage.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
-import { poolBalanceOf } from '../backendServers/poolBalanceOf.js';
+import { getPoolState } from '../backendServers/getPoolState.js';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { poolQueueOf } from './AdmissionState.js';
-import type { Waiting } from './FairQueue.js';
-import { makeWaiting, predictWait, usualDelay } from './predictWait.js';
+import { getPoolQueue } from './AdmissionState.js';
+import type { QueuedRequest } from './FairQueue.js';
+import { makeQueuedRequest, predictWait, expectedFirstTokenDelay } from './predictWait.js';
 
-/** Late requests that may wait at this entry, for each backend server of the pool. */
-const MOST_LATE_FOR_EACH = 4;
+const MAX_LATE_REQUESTS_PER_SERVER = 4;
 
-/** Of the time that is left, the most that a late request is predicted to wait: some wait longer. */
-const WAIT_SHARE = 0.5;
+/** Leaves a margin, because some late requests wait longer than predicted. */
+const MAX_WAIT_FRACTION_OF_TIME_LEFT = 0.5;
 
-/** True if a request that will be late can still be of use. */
-export function isWorthServingLate(
+/** True if a request that will miss its deadline can still be served while that is useful. */
+export function canServeLate(
   state: EntryState,
   accepted: RequestState,
   now: MonotonicMilliseconds,
 ): boolean {
   if (accepted.isLate === true || accepted.firstTokenAt !== undefined) return false;
-  const { pool, lateUntil } = accepted;
-  const left = lateUntil - now - usualDelay(state, accepted);
-  const waiting = makeWaiting(state, { ...accepted, isLate: true });
-  if (predictWait(state, waiting) > left * WAIT_SHARE) return false;
-  const { local, remote } = poolBalanceOf(state, pool.name);
+  const { pool, lateFirstTokenDueAt } = accepted;
+  const timeLeft = lateFirstTokenDueAt - now - expectedFirstTokenDelay(state, accepted);
+  const queued = makeQueuedRequest(state, { ...accepted, isLate: true });
+  if (predictWait(state, queued) > timeLeft * MAX_WAIT_FRACTION_OF_TIME_LEFT) return false;
+  const { local, remote } = getPoolState(state, pool.name);
   const servers = local.candidates.length + remote.candidates.length;
-  return poolQueueOf(state, pool.name).lateCount < servers * MOST_LATE_FOR_EACH;
+  return getPoolQueue(state, pool.name).lateCount < servers * MAX_LATE_REQUESTS_PER_SERVER;
 }
 
-/** Puts a request behind all that can be in time. */
-export function makeLate(accepted: RequestState): EntryEffect[] {
+/** Marks a request to be served after all that can meet their deadline. */
+export function markLate(accepted: RequestState): EntryEffect[] {
   accepted.isLate = true;
   const { request, route } = accepted;
   const { requestId, workspace } = request;
@@ -44,12 +43,12 @@
   ];
 }
 
-/** The same for one that waits already. */
-export function moveBehind(state: EntryState, waiting: Waiting): EntryEffect[] {
-  const { accepted } = waiting;
-  const queue = poolQueueOf(state, accepted.pool.name);
-  queue.remove(waiting);
-  const effects = makeLate(accepted);
-  queue.add(makeWaiting(state, accepted));
+/** Marks a queued request as late and moves it to the end of the queue. */
+export function requeueAsLate(state: EntryState, queued: QueuedRequest): EntryEffect[] {
+  const { requestState } = queued;
+  const queue = getPoolQueue(state, requestState.pool.name);
+  queue.remove(queued);
+  const effects = markLate(requestState);
+  queue.add(makeQueuedRequest(state, requestState));
   return effects;
 }
--- a/packages/entry-core/src/advanceEntry.ts
+++ b/packages/entry-core/src/advanceEntry.ts
@@ -1,37 +1,37 @@
 /**
- * Looks at everything that waits for time to pass. Deadlines go first, so that nothing is started
- * for a request that is out of time; what was lost is judged before work is placed anew.
+ * Handles a tick: runs every check that depends on elapsed time. Deadlines are enforced first, so
+ * that no attempt starts for an expired request, and losses are classified before retries start.
  */
-import { advanceUnconfigured } from './admission/awaitConfiguration.js';
+import { expireAwaitingConfiguration } from './admission/awaitConfiguration.js';
 import { advanceRetries } from './attempts/advanceRetries.js';
 import type { EntryEffect } from './entryEffects.js';
-import type { Timed } from './entryEvents.js';
+import type { Timestamps } from './entryEvents.js';
 import type { EntryState } from './EntryState.js';
-import { advanceWork } from './backendServers/shareWork.js';
-import { markSilentPeers } from './membership/livePeers.js';
-import { advanceReports } from './membership/reportToEntries.js';
+import { advanceWorkReports } from './backendServers/shareWork.js';
+import { updatePeerReachability } from './membership/livePeers.js';
+import { advanceReports } from './membership/advanceReports.js';
 import { advanceSuspects } from './quarantine/advanceSuspects.js';
-import { advanceLosses } from './quarantine/judgeLoss.js';
-import { probeStalled } from './quarantine/probeStalled.js';
-import { advanceMoves } from './reclaims/moveCache.js';
-import { advanceReclaims } from './reclaims/noticeReclaim.js';
+import { advanceLosses } from './quarantine/classifyLoss.js';
+import { probeStalledServers } from './quarantine/probeStalledServers.js';
+import { advanceCacheMoves } from './reclaims/moveCache.js';
+import { advanceReclaims } from './reclaims/recordReclaimNotice.js';
 import { enforceDeadlines } from './requests/enforceDeadlines.js';
 import { advanceShutdown } from './shutdown/advanceShutdown.js';
 
-export function advanceEntry(state: EntryState, timed: Timed): EntryEffect[] {
-  state.membership.wallOffset = timed.wallNow - timed.now;
-  markSilentPeers(state, timed.now);
-  advanceSuspects(state, timed.now);
+export function advanceEntry(state: EntryState, timestamps: Timestamps): EntryEffect[] {
+  state.membership.wallOffset = timestamps.wallNow - timestamps.now;
+  updatePeerReachability(state, timestamps.now);
+  advanceSuspects(state, timestamps.now);
   return [
-    ...enforceDeadlines(state, timed.now),
-    ...advanceUnconfigured(state, timed.now),
-    ...advanceLosses(state, timed),
-    ...probeStalled(state, timed.now),
-    ...advanceMoves(state, timed),
-    ...advanceReclaims(state, timed),
-    ...advanceRetries(state, timed.now),
-    ...advanceReports(state, timed),
-    ...advanceWork(state, timed.now),
-    ...advanceShutdown(state, timed),
+    ...enforceDeadlines(state, timestamps.now),
+    ...expireAwaitingConfiguration(state, timestamps.now),
+    ...advanceLosses(state, timestamps),
+    ...probeStalledServers(state, timestamps.now),
+    ...advanceCacheMoves(state, timestamps),
+    ...advanceReclaims(state, timestamps),
+    ...advanceRetries(state, timestamps.now),
+    ...advanceReports(state, timestamps),
+    ...advanceWorkReports(state, timestamps.now),
+    ...advanceShutdown(state, timestamps),
   ];
 }
--- a/packages/entry-core/src/attempts/RetryState.ts
+++ b/packages/entry-core/src/attempts/RetryState.ts
@@ -1,67 +1,75 @@
-/** What an entry keeps to bound its retries. */
+/**
+ * The part of an entry's state that concerns retries: the budgets that limit them, the requests
+ * that wait for an attempt, the random generator for back-off delays, and the switches of the
+ * recovery mechanisms.
+ */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator';
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 
-/** Retries that one route, or one backend server, may still cause. */
+/** Retries that are still allowed for one route, or after failures of one backend server. */
 export interface RetryBudget {
-  tokens: number;
+  remainingRetries: number;
 }
 
-/** A request between two attempts: it backs off, or waits for a backend server that it may go to. */
-export interface WaitingRetry {
+/**
+ * A request that waits to start its next attempt, possibly its first: for its back-off to end or
+ * for a backend server.
+ */
+export interface WaitingRequest {
   readonly requestId: string;
   readonly waitsFor: 'backOff' | 'backendServer';
+  /** When the back-off ends, or when a request that waits for a backend server checks again. */
   readonly dueAt: MonotonicMilliseconds;
 }
 
-/** Switches that only measurements and mutation tests turn. */
+/** Switches of the recovery mechanisms; only measurements and tests turn any of them off. */
 export interface RecoveryPolicy {
-  /** Retries are bounded by the budgets. */
-  readonly budgets: boolean;
-  /** Streams on notice are handed on before their backend server is gone. */
-  readonly handOn: boolean;
-  /** Streams on notice may be moved with their cache. */
-  readonly moves: boolean;
-  /** Streams go on from their offset instead of from the start. */
-  readonly resume: boolean;
-  /** Suspects of a crash are kept apart. */
-  readonly suspectsApart: boolean;
+  /** Retries consume the retry budgets. */
+  readonly limitRetries: boolean;
+  /** Streams are migrated off a backend server that has a reclaim notice, before it is removed. */
+  readonly migrateOnNotice: boolean;
+  /** A stream may be migrated together with its KV cache. */
+  readonly moveCaches: boolean;
+  /** A retried stream resumes at its token offset instead of starting over. */
+  readonly resumeFromOffset: boolean;
+  /** Requests suspected of causing a crash never share a backend server. */
+  readonly isolateSuspects: boolean;
 }
 
 export const fullRecoveryPolicy: RecoveryPolicy = {
-  budgets: true,
-  handOn: true,
-  moves: true,
-  resume: true,
-  suspectsApart: true,
+  limitRetries: true,
+  migrateOnNotice: true,
+  moveCaches: true,
+  resumeFromOffset: true,
+  isolateSuspects: true,
 };
 
 export interface RetryState {
   policy: RecoveryPolicy;
   readonly generator: RandomGenerator;
-  readonly byRoute: Map<string, RetryBudget>;
-  readonly byInstance: Map<string, RetryBudget>;
+  readonly budgetsByRoute: Map<string, RetryBudget>;
+  readonly budgetsByInstance: Map<string, RetryBudget>;
   /** By request id. */
-  readonly waiting: Map<string, WaitingRetry>;
+  readonly waiting: Map<string, WaitingRequest>;
 }
 
-/** FNV-1a over the name, so that two entries never jitter in step. */
-function seedOf(name: string): number {
+/** Hashes the seed text with FNV-1a, so that each entry process draws its own back-off delays. */
+function hashSeedText(seedText: string): number {
   let hash = 0x811c9dc5;
-  for (let position = 0; position < name.length; position += 1) {
+  for (let position = 0; position < seedText.length; position += 1) {
     // eslint-disable-next-line no-bitwise
-    hash = Math.imul(hash ^ name.charCodeAt(position), 0x01000193);
+    hash = Math.imul(hash ^ seedText.charCodeAt(position), 0x01000193);
   }
   return hash;
 }
 
-export function makeRetryState(seedName: string): RetryState {
+export function makeRetryState(seedText: string): RetryState {
   return {
     policy: fullRecoveryPolicy,
-    generator: xoroshiro128plus(seedOf(seedName)),
-    byRoute: new Map(),
-    byInstance: new Map(),
+    generator: xoroshiro128plus(hashSeedText(seedText)),
+    budgetsByRoute: new Map(),
+    budgetsByInstance: new Map(),
     waiting: new Map(),
   };
 }
--- a/packages/entry-core/src/attempts/failAttempt.ts
+++ b/packages/entry-core/src/attempts/failAttempt.ts
@@ -1,22 +1,23 @@
 /**
- * What a failed attempt means for its request.
+ * Handles the failure of an attempt: removes it, or keeps it if it only timed out, then retries or
+ * fails its request.
  */
 import type { RecomputeReason, RetryReason } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
 import type { AttemptFailure, EntryEvent } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
-import { noteLoss } from '../quarantine/noteLoss.js';
+import { recordLoss } from '../quarantine/recordLoss.js';
 import { failRequest } from '../requests/endRequest.js';
-import { ranOf } from '../requests/ranOf.js';
+import { determineRan } from '../requests/determineRan.js';
 import type { RequestState } from '../requests/RequestState.js';
 import type { AttemptState } from './AttemptState.js';
-import { forgetAttempt, forgetMove } from './releaseAttempts.js';
-import { refuseCutAnswer, retryRequest } from './retryRequest.js';
+import { removeAttempt, removeCacheMove } from './releaseAttempts.js';
+import { failInterruptedAnswer, retryRequest } from './retryRequest.js';
 
-export type AttemptFailed = Extract<EntryEvent, { type: 'attemptFailed' }>;
+export type AttemptFailedEvent = Extract<EntryEvent, { type: 'attemptFailed' }>;
 
-/** Losses of one request that are made good without spending from the budget. */
-const MOST_FREE_RECOVERIES = 2;
+/** Lost streams that one request may recover from without using the retry budget. */
+const MAX_RECOVERIES_EXEMPT_FROM_BUDGET = 2;
 
 const retryReasonByFailure: Readonly<Record<AttemptFailure, RetryReason>> = {
   connectFailed: 'connectFailed',
@@ -28,8 +29,8 @@
   malformed: 'backendServerError',
 };
 
-/** Failures after which tokens that the engine has computed are lost. */
-const recomputeByFailure: Readonly<Partial<Record<AttemptFailure, RecomputeReason>>> = {
+/** Why tokens are recomputed, by the failures that lose what the engine has computed. */
+const recomputeReasonByFailure: Readonly<Partial<Record<AttemptFailure, RecomputeReason>>> = {
   serverError: 'lossResume',
   malformed: 'lossResume',
   connectionLost: 'lossResume',
@@ -37,43 +38,50 @@
 };
 
 /**
- * A stream that lost its backend server is made good without asking the budget, a few times.
- * Otherwise the loss of one busy server would spend the budget of its route, and callers whose
- * requests were accepted would be refused. It cannot become a storm: it needs a lost server or
- * connection each time, and each request has a bound.
+ * Counts a lost stream; true if its retry is exempt from the retry budget. Without the exemption,
+ * the loss of one server with many streams would exhaust the budget of its route and fail requests.
+ * It cannot cause a retry storm, since the number of exempt retries per request is limited.
  */
-function isFreeRecovery(accepted: RequestState, { failure, tokens }: AttemptFailed): boolean {
+function countLossAndCheckExemption(
+  requestState: RequestState,
+  { failure, tokens }: AttemptFailedEvent,
+): boolean {
   if (failure !== 'connectionLost' && failure !== 'silent') return false;
   if (failure === 'silent' && tokens === 0) return false;
-  accepted.losses = (accepted.losses ?? 0) + 1;
-  return accepted.losses <= MOST_FREE_RECOVERIES;
+  requestState.lossCount = (requestState.lossCount ?? 0) + 1;
+  return requestState.lossCount <= MAX_RECOVERIES_EXEMPT_FROM_BUDGET;
 }
 
 /**
- * A silent attempt that has given nothing yet may still bring the first whole answer, late; it is
- * kept beside the next one. One that has given tokens is not: its answer is being spliced.
+ * Keeps an attempt that timed out before its first token running alongside the next one, as its
+ * answer may still arrive first. Only for idempotent routes. An attempt that has produced tokens is
+ * dropped, since the next one resumes after them.
  */
-function keepGivenUp(
+function keepTimedOutAttempt(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   attempt: AttemptState,
-  event: AttemptFailed,
+  event: AttemptFailedEvent,
 ): void {
-  if (event.failure !== 'silent' || accepted.tokens > 0 || event.answerStarted) return;
-  if (!accepted.route.idempotent) return;
-  attempt.givenUp = true;
+  if (event.failure !== 'silent' || requestState.tokens > 0 || event.answerStarted) return;
+  if (!requestState.route.idempotent) return;
+  attempt.timedOut = true;
   state.attempts.set(attempt.attemptId, attempt);
-  (accepted.givenUpAttemptIds ??= []).push(attempt.attemptId);
+  (requestState.timedOutAttemptIds ??= []).push(attempt.attemptId);
 }
 
-function unbind(accepted: RequestState, attempt: AttemptState, event: AttemptFailed): void {
-  accepted.attemptId = undefined;
-  accepted.tokens = Math.max(accepted.tokens, event.tokens);
-  if (accepted.firstTokenAt !== undefined) accepted.interruptedAt = event.now;
-  if (event.sent === 'maybe' || attempt.sent) accepted.maybeSent = true;
+function recordFailureInRequest(
+  requestState: RequestState,
+  attempt: AttemptState,
+  event: AttemptFailedEvent,
+): void {
+  requestState.attemptId = undefined;
+  requestState.tokens = Math.max(requestState.tokens, event.tokens);
+  if (requestState.firstTokenAt !== undefined) requestState.interruptedAt = event.now;
+  if (event.sent === 'maybe' || attempt.maybeSent) requestState.maybeSent = true;
 }
 
-function logFailure(attempt: AttemptState, event: AttemptFailed): EntryEffect {
+function logFailure(attempt: AttemptState, event: AttemptFailedEvent): EntryEffect {
   const { requestId, instance, attemptId } = attempt;
   const { failure, sent } = event;
   return {
@@ -83,42 +91,48 @@
   };
 }
 
-/** Goes on with a request whose attempt has just ended in failure. */
-function decide(
+function retryOrFail(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   attempt: AttemptState,
-  event: AttemptFailed,
+  event: AttemptFailedEvent,
 ): EntryEffect[] {
   if (event.failure === 'clientError') {
-    const detail = 'The backend server refused the request';
-    return failRequest(state, accepted, 'backendServerFailed', detail, { ran: ranOf(accepted) });
+    const detail = 'The backend server rejected the request';
+    return failRequest(state, requestState, 'backendServerFailed', detail, {
+      ran: determineRan(requestState),
+    });
   }
-  if (event.answerStarted) return refuseCutAnswer(state, accepted);
-  keepGivenUp(state, accepted, attempt, event);
+  if (event.answerStarted) return failInterruptedAnswer(state, requestState);
+  keepTimedOutAttempt(state, requestState, attempt, event);
   const cause = {
     reason: retryReasonByFailure[event.failure],
     instance: attempt.instance,
-    free: isFreeRecovery(accepted, event),
+    exemptFromBudget: countLossAndCheckExemption(requestState, event),
     retryAfter: event.retryAfter,
-    recompute: accepted.maybeSent === true ? recomputeByFailure[event.failure] : undefined,
+    recompute:
+      requestState.maybeSent === true ? recomputeReasonByFailure[event.failure] : undefined,
   };
-  return retryRequest(state, accepted, cause, event.now);
+  return retryRequest(state, requestState, cause, event.now);
 }
 
 export function failAttempt(
   state: EntryState,
   attempt: AttemptState,
-  event: AttemptFailed,
+  event: AttemptFailedEvent,
 ): EntryEffect[] {
-  const accepted = state.requests.get(attempt.requestId);
-  if (accepted === undefined || accepted.attemptId !== attempt.attemptId) {
-    forgetAttempt(state, attempt);
+  const requestState = state.requests.get(attempt.requestId);
+  if (requestState === undefined || requestState.attemptId !== attempt.attemptId) {
+    removeAttempt(state, attempt);
     return [];
   }
-  const lossEffects = noteLoss(state, accepted, attempt, event);
-  forgetAttempt(state, attempt);
-  forgetMove(state, attempt.requestId);
-  unbind(accepted, attempt, event);
-  return [logFailure(attempt, event), ...lossEffects, ...decide(state, accepted, attempt, event)];
+  const lossEffects = recordLoss(state, requestState, attempt, event);
+  removeAttempt(state, attempt);
+  removeCacheMove(state, attempt.requestId);
+  recordFailureInRequest(requestState, attempt, event);
+  return [
+    logFailure(attempt, event),
+    ...lossEffects,
+    ...retryOrFail(state, requestState, attempt, event),
+  ];
 }
--- /dev/null
+++ b/packages/entry-core/src/attempts/findExcludedInstances.ts
@@ -0,0 +1,37 @@
+/**
+ * Lists the backend servers that a request must not be sent to: those that failed or whose loss is
+ * not classified yet, those taken out of service, and for suspects of a crash those where another
+ * suspect runs or may be started by a peer.
+ */
+import type { MonotonicMilliseconds } from '@hornbeampond/schema';
+import type { EntryState } from '../EntryState.js';
+import { isSuspect, listInstancesRunningSuspects } from '../quarantine/suspects.js';
+import { listInstancesOutsideSlot } from '../quarantine/listInstancesOutsideSlot.js';
+import type { RequestState } from '../requests/RequestState.js';
+
+/** Backend servers that are excluded for a short time and may take the request soon. */
+export function findTemporarilyExcludedInstances(
+  state: EntryState,
+  requestState: RequestState,
+  now: MonotonicMilliseconds,
+): Set<string> {
+  const instances = new Set(state.quarantine.unresolvedLosses.keys());
+  const { digest, requestId } = requestState.request;
+  if (state.retries.policy.isolateSuspects && isSuspect(state, digest)) {
+    listInstancesRunningSuspects(state, requestId).forEach((instance) => instances.add(instance));
+    listInstancesOutsideSlot(state, now).forEach((instance) => instances.add(instance));
+  }
+  return instances;
+}
+
+/** All excluded backend servers, including those that are down or taken out of service. */
+export function findExcludedInstances(
+  state: EntryState,
+  requestState: RequestState,
+  now: MonotonicMilliseconds,
+): Set<string> {
+  const instances = findTemporarilyExcludedInstances(state, requestState, now);
+  state.quarantine.down.forEach((_, instance) => instances.add(instance));
+  state.drains.forEach((drains) => drains.instances.forEach((instance) => instances.add(instance)));
+  return instances;
+}
