--- a/packages/entry-core/src/attempts/interleavings.test.ts
+++ b/packages/entry-core/src/attempts/interleavings.test.ts
@@ -1,107 +1,121 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { makeRequest, World } from '../driver/index.js';
+import { makeRequest, SimulatedCluster } from '../driver/index.js';
 
 const engineNames = ['wien-a-engine-1', 'wien-a-engine-2', 'wien-b-engine-1', 'wien-b-engine-2'];
 
-/** One thing that goes wrong, or one request, and how long after it the next one comes. */
-const actions = fc.array(
+/**
+ * Generates lists of faults and requests, each with the delay before the next one. `magnitude` is
+ * the `maxTokens` of a request, or the notice of a reclaim in units of 20 ms.
+ */
+const actionLists = fc.array(
   fc.record({
     kind: fc.constantFrom(
-      ...(['arrive', 'arrive', 'arrive', 'die', 'vanish', 'revive', 'silence', 'reclaim'] as const),
-      ...(['busy', 'free', 'gone', 'duplicate', 'failMoves', 'bad'] as const),
+      ...(['submit', 'submit', 'submit', 'die', 'loseHost', 'revive', 'stall', 'reclaim'] as const),
+      ...(['busy', 'free', 'disconnect', 'unknownEvents', 'failMoves', 'submitCrashing'] as const),
     ),
     engine: fc.constantFrom(...engineNames),
-    tokens: fc.integer({ min: 1, max: 120 }),
-    span: fc.integer({ min: 0, max: 60 }),
+    magnitude: fc.integer({ min: 1, max: 120 }),
+    delaySteps: fc.integer({ min: 0, max: 60 }),
   }),
   { minLength: 5, maxLength: 40 },
 );
 
-type Action = typeof actions extends fc.Arbitrary<readonly (infer One)[]> ? One : never;
+type Action = typeof actionLists extends fc.Arbitrary<readonly (infer One)[]> ? One : never;
 
-/** Sends edges of attempts again that have ended long ago, as a confused network would. */
-function duplicateEdges(world: World): void {
-  world.callers().forEach(({ request: { requestId } }) => {
-    ['1', '2', '3'].forEach((number) => {
-      const attemptId = `${requestId}.${number}`;
-      if (world.entry.state.attempts.has(attemptId)) return;
-      world.entry.send({ type: 'firstTokenReceived', attemptId });
-      world.entry.send({ type: 'attemptFinished', attemptId, tokens: 7 });
+/**
+ * Sends stream events for attempts that have ended or never started; the entry must ignore them.
+ */
+function sendEventsOfUnknownAttempts(cluster: SimulatedCluster): void {
+  cluster.callers().forEach(({ request: { requestId } }) => {
+    ['1', '2', '3'].forEach((attemptNumber) => {
+      const attemptId = `${requestId}.${attemptNumber}`;
+      if (cluster.entry.state.attempts.has(attemptId)) return;
+      cluster.entry.send({ type: 'firstTokenReceived', attemptId });
+      cluster.entry.send({ type: 'attemptFinished', attemptId, tokens: 7 });
     });
   });
 }
 
-function takeAction(world: World, { kind, engine: name, tokens }: Action, number: number): void {
-  const engine = world.engine(name);
-  const digest = kind === 'bad' ? 'digest-bad' : `digest-${number}`;
+function applyAction(
+  cluster: SimulatedCluster,
+  { kind, engine: name, magnitude }: Action,
+  actionIndex: number,
+): void {
+  const engine = cluster.engine(name);
+  const digest = kind === 'submitCrashing' ? 'digest-crashing' : `digest-${actionIndex}`;
   switch (kind) {
-    case 'arrive':
-    case 'bad':
-      world.entry.arrive(makeRequest(`request-${number}`, { mostTokens: tokens, digest }));
+    case 'submit':
+    case 'submitCrashing':
+      cluster.entry.submitRequest(
+        makeRequest(`request-${actionIndex}`, { maxTokens: magnitude, digest }),
+      );
       return;
     case 'die':
       engine.die();
       return;
-    case 'vanish':
-      engine.vanishes = true;
-      engine.unreachable = true;
+    case 'loseHost':
+      engine.omitsReset = true;
+      engine.unreachableWhenDead = true;
       engine.die();
       return;
     case 'revive':
-      engine.vanishes = false;
-      engine.unreachable = false;
+      engine.omitsReset = false;
+      engine.unreachableWhenDead = false;
       engine.alive = true;
       return;
-    case 'silence':
+    case 'stall':
       engine.streams.forEach((stream) => {
-        stream.silent = true;
+        stream.stalled = true;
       });
       return;
     case 'reclaim':
-      world.reclaim([name], tokens * 20);
+      cluster.reclaim([name], magnitude * 20);
       return;
     case 'busy':
     case 'free':
       engine.busy = kind === 'busy';
       return;
     case 'failMoves':
-      world.movesFail = !world.movesFail;
+      cluster.movesFail = !cluster.movesFail;
       return;
-    case 'duplicate':
-      duplicateEdges(world);
+    case 'unknownEvents':
+      sendEventsOfUnknownAttempts(cluster);
       return;
     default:
-      world.callerGone(0);
+      cluster.disconnectCaller(0);
   }
 }
 
-function play(steps: readonly Action[]): World {
-  const poison = new Map([['digest-bad', 3]]);
+function runActions(actions: readonly Action[]): SimulatedCluster {
+  const crashTokenByDigest = new Map([['digest-crashing', 3]]);
   const engines = { 'wien-a': 2, 'wien-b': 2 };
-  const world = new World({ engines, poison, wholeAnswerMilliseconds: 8000 });
-  steps.forEach((action, number) => {
-    takeAction(world, action, number);
-    world.advance(action.span * 10);
+  const cluster = new SimulatedCluster({
+    engines,
+    crashTokenByDigest,
+    wholeAnswerMilliseconds: 8000,
   });
-  world.settle(10_000);
-  return world;
+  actions.forEach((action, actionIndex) => {
+    applyAction(cluster, action, actionIndex);
+    cluster.advance(action.delaySteps * 10);
+  });
+  cluster.runUntilAnswered(10_000);
+  return cluster;
 }
 
-// Whatever goes wrong and in whatever order, each caller sees exactly one final answer, never a
-// mixed one, never another's, and `ran: no` only if no engine was given its request. At the
-// end the entry holds nothing: a leak would hold the stop of the entry back for ever.
-test('random interleavings of failures keep what callers are promised', () => {
+// Each caller must get exactly one final answer, with only its own tokens, and `ran: no` only if no
+// engine received its request. No state may remain, since a leak would block the entry's shutdown.
+test('random interleavings of failures never break the guarantees given to callers', () => {
   fc.assert(
-    fc.property(actions, (steps) => {
-      const world = play(steps);
-      assert.deepEqual(world.violations(), []);
-      assert.equal(world.entry.state.requests.size, 0);
-      assert.equal(world.entry.state.attempts.size, 0);
-      assert.equal(world.entry.state.retries.waiting.size, 0);
-      assert.equal(world.entry.state.reclaims.moves.size, 0);
-      world.entry.state.backendServers.forEach((server) => {
+    fc.property(actionLists, (actions) => {
+      const cluster = runActions(actions);
+      assert.deepEqual(cluster.findViolations(), []);
+      assert.equal(cluster.entry.state.requests.size, 0);
+      assert.equal(cluster.entry.state.attempts.size, 0);
+      assert.equal(cluster.entry.state.retries.waiting.size, 0);
+      assert.equal(cluster.entry.state.reclaims.moves.size, 0);
+      cluster.entry.state.backendServers.forEach((server) => {
         assert.deepEqual([...server.attemptIds], []);
       });
     }),
@@ -109,12 +123,11 @@
   );
 });
 
-// Shows that the check above can fail: a reducer that takes the edges of an attempt for those of
-// another, as if answers were not bound to attempts, gives callers wrong answers.
-test('a shell that confuses attempts is found out', () => {
-  const world = new World({ engines: { 'wien-a': 2 } });
-  world.entry.arrive(makeRequest('one'));
-  world.advance(1000);
-  world.entry.send({ type: 'attemptFinished', attemptId: 'one.1', tokens: 20 });
-  assert.equal(world.violations().length > 0, true);
+// Guards against a `findViolations` that never reports anything.
+test('findViolations reports an answer that was finished before its last token', () => {
+  const cluster = new SimulatedCluster({ engines: { 'wien-a': 2 } });
+  cluster.entry.submitRequest(makeRequest('one'));
+  cluster.advance(1000);
+  cluster.entry.send({ type: 'attemptFinished', attemptId: 'one.1', tokens: 20 });
+  assert.equal(cluster.findViolations().length > 0, true);
 });
--- a/packages/entry-core/src/attempts/launchAttempt.ts
+++ b/packages/entry-core/src/attempts/launchAttempt.ts
@@ -1,55 +1,63 @@
 /**
- * Starts an attempt of a request at a given backend server.
+ * Starts an attempt of a request at a given backend server. Whether and where a request is tried is
+ * decided by `startAttempt`.
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
-import { reportSoon } from '../membership/reportToEntries.js';
-import { poolBalanceOf } from '../backendServers/poolBalanceOf.js';
-import { describePrediction } from '../backendServers/predictFirstToken.js';
-import { targetAt } from '../backendServers/targetAt.js';
+import { reportSoon } from '../membership/advanceReports.js';
+import { getPoolState } from '../backendServers/getPoolState.js';
+import { describePrediction } from '../backendServers/predictFirstTokenDelay.js';
+import { makeAttemptTarget } from '../backendServers/makeAttemptTarget.js';
 import { attemptIdOf } from './AttemptState.js';
 import { isSuspect } from '../quarantine/suspects.js';
-import { prefillDuration } from '../reclaims/costs.js';
+import { estimatePrefillDuration } from '../reclaims/recoveryCosts.js';
 import type { RequestState } from '../requests/RequestState.js';
 import { earnRetries } from './retryBudget.js';
 
-/** The last of the priorities: an engine begins all others first. */
-const LEAST_URGENT = 9;
+/** Engines start requests of any other priority first. */
+const LOWEST_PRIORITY = 9;
 
-/** A stream that pauses for so long is taken for lost. */
-const SILENCE_TIMEOUT_MILLISECONDS = 5000;
+/** A stream without data for this long is considered lost. */
+const STREAM_IDLE_TIMEOUT_MILLISECONDS = 5000;
 
-/** Least wait for a first byte. */
-const LEAST_FIRST_BYTE_MILLISECONDS = 1000;
+const MIN_FIRST_BYTE_TIMEOUT_MILLISECONDS = 1000;
 
-/** Share of the time to the first token's deadline that one attempt may stay silent. */
-const FIRST_BYTE_SHARE = 0.6;
+/**
+ * Fraction of the time until the first token is due after which an attempt without data times out.
+ */
+const MAX_FIRST_BYTE_FRACTION_OF_TIME_LEFT = 0.6;
 
-/** An engine may be this many times slower at a prompt than the stated rate before it is given up. */
-const PREFILL_PATIENCE = 3;
+/** How many times longer than estimated a prefill may take before the attempt times out. */
+const MAX_PREFILL_SLOWDOWN = 3;
 
 /**
- * How long to wait for the first byte. A call that may not be sent again gains nothing from an early
- * end; any other keeps time for a second attempt before its first token is due. In any case the
- * engine gets the time to compute the prompt, and on a resume the tokens generated so far.
+ * How long to wait for the first byte. An attempt that no other can follow may use all the time
+ * until the deadline. Any other leaves time for another attempt before the first token is due, but
+ * allows for the prefill of the prompt and, on a resume, of the tokens generated so far.
  */
-function firstByteTimeout(accepted: RequestState, now: MonotonicMilliseconds): Milliseconds {
-  const wholeAnswer = Math.max(1, accepted.wholeAnswerDueAt - now);
-  const isLast = accepted.attemptsStarted >= (accepted.route.mostAttempts ?? Infinity);
-  if (!accepted.route.idempotent || isLast) return wholeAnswer;
-  const share = (accepted.firstTokenDueAt - now) * FIRST_BYTE_SHARE;
-  const least = LEAST_FIRST_BYTE_MILLISECONDS + prefillDuration(accepted) * PREFILL_PATIENCE;
-  return Math.min(wholeAnswer, Math.max(least, share));
+function computeFirstByteTimeout(
+  requestState: RequestState,
+  now: MonotonicMilliseconds,
+): Milliseconds {
+  const timeUntilDeadline = Math.max(1, requestState.wholeAnswerDueAt - now);
+  const isLastAttempt =
+    requestState.attemptsStarted >= (requestState.route.mostAttempts ?? Infinity);
+  if (!requestState.route.idempotent || isLastAttempt) return timeUntilDeadline;
+  const allowedWait = (requestState.firstTokenDueAt - now) * MAX_FIRST_BYTE_FRACTION_OF_TIME_LEFT;
+  const minTimeout =
+    MIN_FIRST_BYTE_TIMEOUT_MILLISECONDS +
+    estimatePrefillDuration(requestState) * MAX_PREFILL_SLOWDOWN;
+  return Math.min(timeUntilDeadline, Math.max(minTimeout, allowedWait));
 }
 
-/** Counts what the engine has to compute again for this attempt. */
-function countRecomputed(accepted: RequestState): EntryEffect[] {
-  const { recompute } = accepted;
-  accepted.recompute = undefined;
+/** Counts the tokens that the engine has to recompute for this attempt. */
+function countRecomputed(requestState: RequestState): EntryEffect[] {
+  const { recompute } = requestState;
+  requestState.recompute = undefined;
   if (recompute === undefined || recompute.tokens === 0) return [];
-  const { workspace } = accepted.request;
+  const { workspace } = requestState.request;
   const { reason, tokens } = recompute;
   return [
     { type: 'count', metric: 'recomputedTokens', label: reason, amount: tokens },
@@ -59,24 +67,25 @@
 
 export function launchAttempt(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   server: BackendServerState,
   now: MonotonicMilliseconds,
 ): EntryEffect[] {
-  const { requestId } = accepted.request;
-  const { instance } = server.listed;
-  const pool = poolBalanceOf(state, accepted.pool.name);
-  if (accepted.attemptsStarted === 0) earnRetries(state.retries, accepted.route.name, instance);
-  accepted.attemptsStarted += 1;
-  const attemptId = attemptIdOf(requestId, accepted.attemptsStarted);
-  const resumeFromTokens = state.retries.policy.resume ? accepted.tokens : 0;
-  accepted.attemptId = attemptId;
-  accepted.waitsSince = undefined;
-  // Peers must know where a suspect runs before they place their own.
-  if (isSuspect(state, accepted.request.digest)) reportSoon(state);
-  // Kept in the order of trying, so that the last one tried is known.
-  accepted.triedInstances.delete(instance);
-  accepted.triedInstances.add(instance);
+  const { requestId } = requestState.request;
+  const { instance } = server.platformInstance;
+  const pool = getPoolState(state, requestState.pool.name);
+  if (requestState.attemptsStarted === 0)
+    earnRetries(state.retries, requestState.route.name, instance);
+  requestState.attemptsStarted += 1;
+  const attemptId = attemptIdOf(requestId, requestState.attemptsStarted);
+  const resumeFromTokens = state.retries.policy.resumeFromOffset ? requestState.tokens : 0;
+  requestState.attemptId = attemptId;
+  requestState.waitingForServerSince = undefined;
+  // Peers must know where a suspect runs before they place their own suspects.
+  if (isSuspect(state, requestState.request.digest)) reportSoon(state);
+  // Deleted first, so that the server tried last is always the last element.
+  requestState.triedInstances.delete(instance);
+  requestState.triedInstances.add(instance);
   state.retries.waiting.delete(requestId);
   server.attemptIds.add(attemptId);
   state.attempts.set(attemptId, {
@@ -85,31 +94,31 @@
     instance,
     startedAt: now,
     resumedFromTokens: resumeFromTokens,
-    sent: false,
+    maybeSent: false,
     firstTokenAt: undefined,
     tokens: resumeFromTokens,
-    tokensAt: undefined,
-    givenUp: false,
+    tokensUpdatedAt: undefined,
+    timedOut: false,
   });
   return [
-    ...countRecomputed(accepted),
+    ...countRecomputed(requestState),
     {
       type: 'startAttempt',
       requestId,
       attemptId,
-      target: targetAt(server, accepted.pool),
-      workspace: accepted.request.workspace,
-      timeLeft: Math.max(1, accepted.wholeAnswerDueAt - now),
+      target: makeAttemptTarget(server, requestState.pool),
+      workspace: requestState.request.workspace,
+      timeLeft: Math.max(1, requestState.wholeAnswerDueAt - now),
       resumeFromTokens,
-      priority: accepted.isLate === true ? LEAST_URGENT : accepted.route.priority,
-      sendOnce: !accepted.route.idempotent,
-      firstByteTimeout: firstByteTimeout(accepted, now),
-      silenceTimeout: SILENCE_TIMEOUT_MILLISECONDS,
+      priority: requestState.isLate === true ? LOWEST_PRIORITY : requestState.route.priority,
+      sendOnce: !requestState.route.idempotent,
+      firstByteTimeout: computeFirstByteTimeout(requestState, now),
+      streamIdleTimeout: STREAM_IDLE_TIMEOUT_MILLISECONDS,
     },
     {
       type: 'log',
       event: 'attemptStarted',
-      fields: { requestId, attemptId, ...describePrediction(state, pool, server, accepted) },
+      fields: { requestId, attemptId, ...describePrediction(state, pool, server, requestState) },
     },
   ];
 }
--- a/packages/entry-core/src/attempts/reduceAttempts.ts
+++ b/packages/entry-core/src/attempts/reduceAttempts.ts
@@ -1,7 +1,8 @@
 /**
- * What the edges of an attempt's stream mean for its request. Every edge names its attempt, and
- * only the attempt that the request is bound to speaks for it. An answer that came by another
- * would otherwise be given twice, or be spliced into the wrong place.
+ * Applies the events of an attempt's stream to its request. Every event names its attempt, and only
+ * the attempt that the request is currently bound to changes the request; events of other attempts
+ * could otherwise duplicate the answer or splice two answers together. One exception: an
+ * attempt that timed out may still deliver the answer while the caller has received nothing.
  */
 import { assertNever } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -11,9 +12,9 @@
 import type { RequestState } from '../requests/RequestState.js';
 import type { AttemptState } from './AttemptState.js';
 import { failAttempt } from './failAttempt.js';
-import { forgetAttempt } from './releaseAttempts.js';
+import { removeAttempt } from './releaseAttempts.js';
 
-export { forgetAttempt } from './releaseAttempts.js';
+export { removeAttempt } from './releaseAttempts.js';
 
 type AttemptEvent = Extract<
   EntryEvent,
@@ -28,94 +29,100 @@
   }
 >;
 
-type AttemptFinished = Extract<EntryEvent, { type: 'attemptFinished' }>;
+type AttemptFinishedEvent = Extract<EntryEvent, { type: 'attemptFinished' }>;
 
-/** Counts an answer from an attempt that its request no longer waits for. */
-function dropLate(): EntryEffect[] {
+/** Counts an answer that is dropped because its request no longer waits for that attempt. */
+function countLateAnswer(): EntryEffect[] {
   return [{ type: 'count', metric: 'lateAnswers', label: 'attemptGivenUp' }];
 }
 
-function noteFirstToken(
+function recordFirstToken(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   attempt: AttemptState,
   { now, wallNow }: EntryEvent,
 ): EntryEffect[] {
-  if (attempt.firstTokenAt === undefined) state.usage.note(accepted.request.workspace, wallNow);
+  if (attempt.firstTokenAt === undefined)
+    state.usage.record(requestState.request.workspace, wallNow);
   attempt.firstTokenAt ??= now;
-  if (accepted.firstTokenAt !== undefined) return [];
-  accepted.firstTokenAt = now;
+  if (requestState.firstTokenAt !== undefined) return [];
+  requestState.firstTokenAt = now;
   return [
     {
       type: 'observe',
       metric: 'firstTokenSeconds',
-      value: (now - accepted.arrivedAt) / 1000,
-      label: accepted.route.name,
+      value: (now - requestState.arrivedAt) / 1000,
+      label: requestState.route.name,
     },
   ];
 }
 
-function noteProgress(
-  accepted: RequestState,
+function recordProgress(
+  requestState: RequestState,
   attempt: AttemptState,
   event: Extract<EntryEvent, { type: 'attemptProgressed' }>,
 ): void {
   attempt.firstTokenAt ??= event.now;
   attempt.tokens = Math.max(attempt.tokens, event.tokens);
-  attempt.tokensAt = event.now;
-  accepted.tokens = Math.max(accepted.tokens, event.tokens);
+  attempt.tokensUpdatedAt = event.now;
+  requestState.tokens = Math.max(requestState.tokens, event.tokens);
 }
 
 /**
- * The whole answer of an attempt that fell silent has come after all. It is used if the caller has
- * been given nothing yet: it is then the first whole answer, and the other attempt is cancelled.
+ * Handles the complete answer of an attempt that had timed out. If the caller has received nothing
+ * yet, the answer is used and the newer attempt is cancelled.
  */
-function finishGivenUp(
+function finishTimedOutAttempt(
   state: EntryState,
-  accepted: RequestState | undefined,
-  { attemptId, longestPause }: AttemptFinished,
+  requestState: RequestState | undefined,
+  { attemptId, longestPause }: AttemptFinishedEvent,
 ): EntryEffect[] {
   state.attempts.delete(attemptId);
-  if (accepted === undefined || accepted.firstTokenAt !== undefined || accepted.tokens > 0) {
-    return dropLate();
+  if (
+    requestState === undefined ||
+    requestState.firstTokenAt !== undefined ||
+    requestState.tokens > 0
+  ) {
+    return countLateAnswer();
   }
-  return finishRequest(state, accepted, attemptId, longestPause);
+  return finishRequest(state, requestState, attemptId, longestPause);
 }
 
 function finishAttempt(
   state: EntryState,
   attempt: AttemptState,
-  event: AttemptFinished,
+  event: AttemptFinishedEvent,
 ): EntryEffect[] {
-  const accepted = state.requests.get(attempt.requestId);
-  if (attempt.givenUp) return finishGivenUp(state, accepted, event);
-  forgetAttempt(state, attempt);
-  if (accepted === undefined || accepted.attemptId !== attempt.attemptId) return dropLate();
-  accepted.attemptId = undefined;
-  accepted.maybeSent = true;
-  return finishRequest(state, accepted, attempt.attemptId, event.longestPause);
+  const requestState = state.requests.get(attempt.requestId);
+  if (attempt.timedOut) return finishTimedOutAttempt(state, requestState, event);
+  removeAttempt(state, attempt);
+  if (requestState === undefined || requestState.attemptId !== attempt.attemptId)
+    return countLateAnswer();
+  requestState.attemptId = undefined;
+  requestState.maybeSent = true;
+  return finishRequest(state, requestState, attempt.attemptId, event.longestPause);
 }
 
 export function reduceAttempts(state: EntryState, event: AttemptEvent): EntryEffect[] {
   const attempt = state.attempts.get(event.attemptId);
-  if (attempt === undefined) return event.type === 'attemptFinished' ? dropLate() : [];
+  if (attempt === undefined) return event.type === 'attemptFinished' ? countLateAnswer() : [];
   if (event.type === 'attemptFinished') return finishAttempt(state, attempt, event);
   if (event.type === 'attemptFailed') return failAttempt(state, attempt, event);
-  const accepted = state.requests.get(attempt.requestId);
-  if (accepted === undefined || accepted.attemptId !== attempt.attemptId) return [];
+  const requestState = state.requests.get(attempt.requestId);
+  if (requestState === undefined || requestState.attemptId !== attempt.attemptId) return [];
   switch (event.type) {
     case 'attemptSent':
-      attempt.sent = true;
-      accepted.maybeSent = true;
+      attempt.maybeSent = true;
+      requestState.maybeSent = true;
       return [];
     case 'firstTokenReceived':
-      return noteFirstToken(state, accepted, attempt, event);
+      return recordFirstToken(state, requestState, attempt, event);
     case 'attemptProgressed':
-      noteProgress(accepted, attempt, event);
+      recordProgress(requestState, attempt, event);
       return [];
     case 'attemptHeld':
-      attempt.heldByCaller = event.held;
-      if (!event.held) attempt.tokensAt = event.now;
+      attempt.pausedByCaller = event.held;
+      if (!event.held) attempt.tokensUpdatedAt = event.now;
       return [];
     default:
       return assertNever(event);
--- a/packages/entry-core/src/attempts/retryRequest.ts
+++ b/packages/entry-core/src/attempts/retryRequest.ts
@@ -1,8 +1,8 @@
 /**
- * Decides whether a request whose attempt failed is tried again, and when. Each refusal is counted
- * by its reason and ends the request at once.
+ * Decides whether and when a request whose attempt failed is retried. If it is not, the refusal is
+ * counted by its reason and the request fails immediately.
  */
-import { isClaimed } from '@hornbeampond/schema';
+import { requiresClaim } from '@hornbeampond/schema';
 import type {
   ErrorKind,
   Milliseconds,
@@ -14,13 +14,13 @@
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
 import { failRequest } from '../requests/endRequest.js';
-import { ranOf } from '../requests/ranOf.js';
+import { determineRan } from '../requests/determineRan.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { drawBackOff } from './backOff.js';
+import { drawBackOff } from './drawBackOff.js';
 import { spendRetry } from './retryBudget.js';
 import { startAttempt } from './startAttempt.js';
 
-/** When to come back after a retry was refused for want of budget. */
+/** Retry delay reported to the caller when a retry is refused. */
 const REFUSED_RETRY_AFTER_MILLISECONDS = 1000;
 
 /** Why a request needs another attempt. */
@@ -28,70 +28,78 @@
   readonly reason: RetryReason;
   /** Where the attempt failed. */
   readonly instance: string;
-  /** True if the retry needs no budget and no wait: see `isFreeRecovery`. */
-  readonly free: boolean;
-  /** What the backend server asked to wait. */
+  /** True if the retry uses no budget and starts without a back-off; see `failAttempt`. */
+  readonly exemptFromBudget: boolean;
+  /** Delay that the backend server asked for. */
   readonly retryAfter?: Milliseconds;
-  /** Set if tokens were computed and are lost. */
+  /** Set if computed tokens were lost and have to be recomputed. */
   readonly recompute?: RecomputeReason;
 }
 
 function refuseRetry(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   reason: RetryRefusalReason,
   kind: ErrorKind,
   detail: string,
 ): EntryEffect[] {
   return [
     { type: 'count', metric: 'retriesRefused', label: reason },
-    ...failRequest(state, accepted, kind, detail, {
-      ran: ranOf(accepted),
+    ...failRequest(state, requestState, kind, detail, {
+      ran: determineRan(requestState),
       retryAfterMilliseconds: REFUSED_RETRY_AFTER_MILLISECONDS,
     }),
   ];
 }
 
-export function refuseCutAnswer(state: EntryState, accepted: RequestState): EntryEffect[] {
-  const detail = 'The backend server was lost in the middle of the answer';
-  return refuseRetry(state, accepted, 'answerStarted', 'answerCut', detail);
+export function failInterruptedAnswer(
+  state: EntryState,
+  requestState: RequestState,
+): EntryEffect[] {
+  const detail = 'The backend server failed after part of the answer was sent';
+  return refuseRetry(state, requestState, 'answerStarted', 'answerCut', detail);
 }
 
-function noteRecompute(accepted: RequestState, cause: RetryCause): void {
+function recordRecompute(requestState: RequestState, cause: RetryCause): void {
   if (cause.recompute === undefined) return;
-  const tokens = accepted.request.promptTokens + accepted.tokens;
-  accepted.recompute = { reason: cause.recompute, tokens };
+  const tokens = requestState.request.promptTokens + requestState.tokens;
+  requestState.recompute = { reason: cause.recompute, tokens };
 }
 
 export function retryRequest(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   cause: RetryCause,
   now: MonotonicMilliseconds,
 ): EntryEffect[] {
-  if (!accepted.route.idempotent && accepted.maybeSent === true) {
-    const detail = 'The call may have run and is not sent again';
-    const kind = isClaimed(accepted.route) ? 'outcomeUnknown' : 'backendServerFailed';
-    return refuseRetry(state, accepted, 'notIdempotent', kind, detail);
+  if (!requestState.route.idempotent && requestState.maybeSent === true) {
+    const detail = 'The call may have run and is not idempotent, so it is not retried';
+    const kind = requiresClaim(requestState.route) ? 'outcomeUnknown' : 'backendServerFailed';
+    return refuseRetry(state, requestState, 'notIdempotent', kind, detail);
   }
-  if (accepted.attemptsStarted >= (accepted.route.mostAttempts ?? Infinity)) {
-    const detail = `The route allows ${accepted.attemptsStarted} attempts`;
-    return refuseRetry(state, accepted, 'attemptsUsedUp', 'backendServerFailed', detail);
+  if (requestState.attemptsStarted >= (requestState.route.mostAttempts ?? Infinity)) {
+    const detail = `The route allows at most ${requestState.attemptsStarted} attempts`;
+    return refuseRetry(state, requestState, 'attemptsUsedUp', 'backendServerFailed', detail);
   }
-  const backOff = cause.free ? 0 : drawBackOff(state.retries, accepted.attemptsStarted);
+  const backOff = cause.exemptFromBudget
+    ? 0
+    : drawBackOff(state.retries, requestState.attemptsStarted);
   const delay = Math.max(backOff, cause.retryAfter ?? 0);
-  if (now + delay >= accepted.wholeAnswerDueAt) {
-    const detail = 'No attempt can be made before the deadline';
-    return refuseRetry(state, accepted, 'deadlineTooNear', 'deadlineExceeded', detail);
+  if (now + delay >= requestState.wholeAnswerDueAt) {
+    const detail = 'The deadline is too near for another attempt';
+    return refuseRetry(state, requestState, 'deadlineTooNear', 'deadlineExceeded', detail);
   }
-  if (!cause.free && !spendRetry(state.retries, accepted.route.name, cause.instance)) {
-    const detail = 'The backend server failed and the retry budget is spent';
-    return refuseRetry(state, accepted, 'budgetSpent', 'backendServerFailed', detail);
+  if (
+    !cause.exemptFromBudget &&
+    !spendRetry(state.retries, requestState.route.name, cause.instance)
+  ) {
+    const detail = 'The backend server failed and the retry budget is exhausted';
+    return refuseRetry(state, requestState, 'budgetSpent', 'backendServerFailed', detail);
   }
-  noteRecompute(accepted, cause);
-  const counted: EntryEffect = { type: 'count', metric: 'retries', label: cause.reason };
-  if (delay === 0) return [counted, ...startAttempt(state, accepted, now)];
-  const { requestId } = accepted.request;
+  recordRecompute(requestState, cause);
+  const countEffect: EntryEffect = { type: 'count', metric: 'retries', label: cause.reason };
+  if (delay === 0) return [countEffect, ...startAttempt(state, requestState, now)];
+  const { requestId } = requestState.request;
   state.retries.waiting.set(requestId, { requestId, waitsFor: 'backOff', dueAt: now + delay });
-  return [counted];
+  return [countEffect];
 }
--- a/packages/entry-core/src/attempts/startAttempt.ts
+++ b/packages/entry-core/src/attempts/startAttempt.ts
@@ -1,6 +1,6 @@
 /**
- * Starts the next attempt of a request, lets it wait for a backend server, or ends it if there is
- * nowhere to try it.
+ * Starts the next attempt of a request. If no backend server can take it now, the request is
+ * queued, waits until one becomes usable, or fails.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -8,84 +8,88 @@
 import { enqueue } from '../admission/enqueue.js';
 import { placeRequest } from '../admission/placeRequest.js';
 import type { BackendServerState } from '../backendServers/BackendServerState.js';
-import { isHeld } from '../quarantine/suspects.js';
+import { mustDelaySuspect } from '../quarantine/suspects.js';
 import { failRequest } from '../requests/endRequest.js';
-import { ranOf } from '../requests/ranOf.js';
+import { determineRan } from '../requests/determineRan.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { chooseForAttempt, isWorthWaiting } from './chooseForAttempt.js';
+import { chooseServerForAttempt, canWaitForBackendServer } from './chooseServerForAttempt.js';
 import { launchAttempt } from './launchAttempt.js';
 
-/** How soon a request that waits for a backend server looks again. */
-const WAIT_MILLISECONDS = 50;
+/** Interval at which a request that waits for a backend server tries again. */
+const SERVER_RECHECK_MILLISECONDS = 50;
 
-/** When to come back to a pool that has no backend server left. */
+/** Retry delay reported to the caller when no backend server is usable. */
 const NO_SERVER_RETRY_AFTER_MILLISECONDS = 2000;
 
 function refuseQuarantined(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   now: MonotonicMilliseconds,
 ): EntryEffect[] | undefined {
-  const quarantined = state.quarantine.quarantined.get(accepted.request.digest);
+  const quarantined = state.quarantine.quarantined.get(requestState.request.digest);
   if (quarantined === undefined || quarantined.endsAt <= now) return undefined;
-  const detail = 'This request crashed backend servers and is kept from them for a while';
+  const detail = 'The request is quarantined because it crashed backend servers';
   return [
-    ...(accepted.attemptsStarted === 0 ? [] : countRefusal('quarantined')),
-    ...failRequest(state, accepted, 'quarantined', detail, {
-      ran: ranOf(accepted),
+    ...(requestState.attemptsStarted === 0 ? [] : countRefusedRetry('quarantined')),
+    ...failRequest(state, requestState, 'quarantined', detail, {
+      ran: determineRan(requestState),
       retryAfterMilliseconds: quarantined.endsAt - now,
     }),
   ];
 }
 
-function countRefusal(label: string): EntryEffect[] {
+function countRefusedRetry(label: string): EntryEffect[] {
   return [{ type: 'count', metric: 'retriesRefused', label }];
 }
 
-function failWithoutServer(state: EntryState, accepted: RequestState): EntryEffect[] {
-  const detail = `Pool "${accepted.pool.name}" has no backend server left to try`;
+function failWithoutServer(state: EntryState, requestState: RequestState): EntryEffect[] {
+  const detail = `Pool "${requestState.pool.name}" has no backend server that can take the request`;
   return [
-    ...(accepted.attemptsStarted === 0 ? [] : countRefusal('noOtherBackendServer')),
-    ...failRequest(state, accepted, 'noBackendServer', detail, {
-      ran: ranOf(accepted),
+    ...(requestState.attemptsStarted === 0 ? [] : countRefusedRetry('noOtherBackendServer')),
+    ...failRequest(state, requestState, 'noBackendServer', detail, {
+      ran: determineRan(requestState),
       retryAfterMilliseconds: NO_SERVER_RETRY_AFTER_MILLISECONDS,
     }),
   ];
 }
 
-/** Has a request try again with a later tick, or as soon as a loss has been judged. */
+/** Schedules another try after the recheck interval; a classified loss triggers it earlier. */
 function waitForBackendServer(
   state: EntryState,
   { request }: RequestState,
   now: MonotonicMilliseconds,
 ): void {
   const { requestId } = request;
-  const dueAt = now + WAIT_MILLISECONDS;
+  const dueAt = now + SERVER_RECHECK_MILLISECONDS;
   state.retries.waiting.set(requestId, { requestId, waitsFor: 'backendServer', dueAt });
 }
 
 /**
- * @param chosen - The backend server, where admission has chosen it already.
+ * @param chosenServer - The backend server, if admission has already chosen one.
  */
 export function startAttempt(
   state: EntryState,
-  accepted: RequestState,
+  requestState: RequestState,
   now: MonotonicMilliseconds,
-  chosen?: BackendServerState,
+  chosenServer?: BackendServerState,
 ): EntryEffect[] {
-  const refused = refuseQuarantined(state, accepted, now);
-  if (refused !== undefined) return refused;
-  if (state.retries.policy.suspectsApart && isHeld(state, accepted.request.digest, now)) {
-    waitForBackendServer(state, accepted, now);
+  const refusal = refuseQuarantined(state, requestState, now);
+  if (refusal !== undefined) return refusal;
+  if (
+    state.retries.policy.isolateSuspects &&
+    mustDelaySuspect(state, requestState.request.digest, now)
+  ) {
+    waitForBackendServer(state, requestState, now);
     return [];
   }
-  if (chosen !== undefined) return launchAttempt(state, accepted, chosen, now);
-  const placement = placeRequest(state, accepted, now);
-  if (placement.type === 'start') return launchAttempt(state, accepted, placement.server, now);
-  if (placement.type === 'wait') return enqueue(state, accepted, now);
-  const again = chooseForAttempt(state, accepted);
-  if (again !== undefined) return launchAttempt(state, accepted, again, now);
-  if (!isWorthWaiting(state, accepted, now)) return failWithoutServer(state, accepted);
-  waitForBackendServer(state, accepted, now);
+  if (chosenServer !== undefined) return launchAttempt(state, requestState, chosenServer, now);
+  const placement = placeRequest(state, requestState, now);
+  if (placement.type === 'start') return launchAttempt(state, requestState, placement.server, now);
+  if (placement.type === 'wait') return enqueue(state, requestState, now);
+  const server = chooseServerForAttempt(state, requestState);
+  if (server !== undefined) return launchAttempt(state, requestState, server, now);
+  if (!canWaitForBackendServer(state, requestState, now))
+    return failWithoutServer(state, requestState);
+  waitForBackendServer(state, requestState, now);
   return [];
 }
--- a/packages/entry-core/src/backendServers/BackendServerState.ts
+++ b/packages/entry-core/src/backendServers/BackendServerState.ts
@@ -1,26 +1,26 @@
-/** What an entry knows of one backend server. */
+/** State that an entry keeps for one backend server. */
 import type {
   EpochMilliseconds,
   LoadReport,
   MonotonicMilliseconds,
   PlatformInstance,
 } from '@hornbeampond/schema';
-import type { ServerBalance } from './ServerBalance.js';
+import type { BalancingState } from './BalancingState.js';
 
 export interface BackendServerState {
-  /** The platform's newest word on it. */
-  listed: PlatformInstance;
-  /** When it will be gone; from notice on it gets no new work. */
+  /** The platform's latest record of the instance. */
+  platformInstance: PlatformInstance;
+  /** When the instance goes away. It gets no new work from the reclaim notice on. */
   goneAt: EpochMilliseconds | undefined;
-  /** Attempts of this entry that are in progress there. */
+  /** Attempts of this entry in progress at the server. */
   readonly attemptIds: Set<string>;
   load: LoadReport | undefined;
   loadReceivedAt: MonotonicMilliseconds | undefined;
-  /** What the choice of a backend server is made from. */
-  readonly balance: ServerBalance;
+  /** What the choice among the servers of a pool is based on. */
+  readonly balancing: BalancingState;
 }
 
-/** True if the platform and the reclaim notices let it have new work. */
-export function takesNewWork(server: BackendServerState): boolean {
-  return server.listed.state === 'live' && server.goneAt === undefined;
+/** True if the instance is live and no reclaim notice has been received for it. */
+export function acceptsNewWork(server: BackendServerState): boolean {
+  return server.platformInstance.state === 'live' && server.goneAt === undefined;
 }
--- a/packages/entry-core/src/backendServers/backendServers.test.ts
+++ b/packages/entry-core/src/backendServers/backendServers.test.ts
@@ -8,17 +8,17 @@
   examplePool,
   exampleRequest,
   exampleRoute,
-  firstTokenWithin,
+  makeDeadlineFields,
 } from '../testing/examples.js';
 import { chooseBackendServer } from './chooseBackendServer.js';
-import { noteFailure } from './ejectOutliers.js';
-import type { PoolBalance } from './PoolBalance.js';
-import type { Prompt } from './PrefixBeliefs.js';
+import { recordFailure } from './ejectOutliers.js';
+import type { PoolState } from './PoolState.js';
+import type { PromptPrefixes } from './PrefixCacheIndex.js';
 
 const CONCURRENCY = 8;
 const SECOND = 1000;
 
-const slowAnswers = {
+const slowDecodeSpeed = {
   concurrency: CONCURRENCY,
   prefillMillisecondsPerToken: 0.2,
   decodeMillisecondsPerToken: 100,
@@ -34,25 +34,25 @@
       decodeMillisecondsPerToken: 10,
       cachedPrefixes: 100,
     },
-    routes: [exampleRoute(firstTokenWithin(2000))],
+    routes: [exampleRoute(makeDeadlineFields(2000))],
     pool: examplePool(CONCURRENCY),
     ...options,
   });
 }
 
-function poolOf(harness: EntryHarness): PoolBalance {
-  const pool = harness.entries[0]?.poolBalances.get('engines');
+function getPool(harness: EntryHarness): PoolState {
+  const pool = harness.entries[0]?.poolStates.get('engines');
   assert.ok(pool);
   return pool;
 }
 
-/** Sends one request every so often. */
-function sendEvery(harness: EntryHarness, span: number, until: number): void {
+/** Sends a request every `interval` milliseconds of virtual time, up to the time `until`. */
+function sendEvery(harness: EntryHarness, interval: number, until: number): void {
   let number = 0;
-  harness.timeline.every(span, () => {
+  harness.timeline.every(interval, () => {
     if (harness.timeline.now > until) return;
     number += 1;
-    harness.arrive(exampleRequest(`steady-${number}`), 20);
+    harness.submitRequest(exampleRequest(`steady-${number}`), 20);
   });
 }
 
@@ -60,144 +60,161 @@
   return harness.entries[0]?.backendServers.get(instance)?.attemptIds.size ?? 0;
 }
 
-function askFor(harness: EntryHarness, requestId: string, prefixDigests: string[]): string {
+/**
+ * Sends a request, advances the timeline by 5 seconds, in which it is answered, and returns the
+ * instance that it was sent to.
+ */
+function sendAndAwaitAnswer(
+  harness: EntryHarness,
+  requestId: string,
+  prefixDigests: string[],
+): string {
   const [state] = harness.entries;
   assert.ok(state);
-  harness.arrive(exampleRequest(requestId, { prefixDigests, promptTokens: 4000 }), 20);
+  harness.submitRequest(exampleRequest(requestId, { prefixDigests, promptTokens: 4000 }), 20);
   const attempt = state.attempts.get(`${requestId}.1`);
   assert.ok(attempt, `${requestId} was not sent`);
   harness.timeline.runUntil(harness.timeline.now + 5 * SECOND);
   return attempt.instance;
 }
 
-// One of four engines answers every request with an error at once, so it always looks idle.
-// Callers see their answers all the same, since each failed request is tried elsewhere; after
-// three failures in a row the engine is let rest, and is asked again only now and then.
-test('an outlier that fails fast does not draw the work', () => {
+// An engine that answers every request with an error looks idle. It must be ejected and tried again
+// only now and then, and each failed request must be retried on another engine.
+test('an outlier that fails fast does not attract the work', () => {
   const harness = makeHarness();
-  harness.failing.set('engine-2', 'serverError');
+  harness.failureByInstance.set('engine-2', 'serverError');
   sendEvery(harness, 50, 20 * SECOND);
   harness.timeline.runUntil(30 * SECOND);
   const outcomes = [...harness.outcomes.values()];
   assert.ok(outcomes.every(({ finishedAt }) => finishedAt !== undefined));
-  const wasted = harness.counted.get('retries/backendServerError') ?? 0;
-  assert.ok(wasted <= 0.05 * outcomes.length, `${wasted} of ${outcomes.length} failed first`);
-  assert.ok(wasted > 3, 'it is asked again after a while');
+  const failedFirstAttempts = harness.counts.get('retries/backendServerError') ?? 0;
+  assert.ok(
+    failedFirstAttempts <= 0.05 * outcomes.length,
+    `${failedFirstAttempts} of ${outcomes.length} requests failed at their first attempt`,
+  );
+  assert.ok(failedFirstAttempts > 3, 'engine-2 was not tried again after its ejection');
 });
 
-// The outlier is mended after ten seconds. Its callers see nothing of it; it gets its share of
-// the work again once its rest is over.
-test('a mended outlier gets work again', () => {
+// After the engine recovers and its ejection has expired, it must get requests again.
+test('a recovered outlier gets work again', () => {
   const harness = makeHarness();
-  // Failed connections are probed, and keep work away before they could make an outlier.
-  harness.failing.set('engine-2', 'serverError');
+  // 'connectFailed' would start a probe, during which the engine gets no requests, so it would not
+  // fail often enough to be ejected.
+  harness.failureByInstance.set('engine-2', 'serverError');
   sendEvery(harness, 50, 60 * SECOND);
   harness.timeline.runUntil(10 * SECOND);
-  assert.equal(poolOf(harness).local.ejected.size, 1);
-  harness.failing.clear();
+  assert.equal(getPool(harness).local.ejected.size, 1);
+  harness.failureByInstance.clear();
   harness.timeline.runUntil(59 * SECOND);
-  assert.equal(poolOf(harness).local.ejected.size, 0);
+  assert.equal(getPool(harness).local.ejected.size, 0);
   assert.ok(inProgressAt(harness, 'engine-2') > 0);
 });
 
-// Whatever fails and however often, callers never find a pool emptied by ejection: at least half
-// of the engines of each group of data centres stay in use, also when others leave meanwhile.
-test('ejection never goes below the floor', () => {
-  const failure = fc.record({
-    server: fc.nat({ max: 9 }),
+// However many engines fail, ejection must leave at least half of each group in use, also after
+// other engines have left the list.
+test('ejection always leaves half of a group in use', () => {
+  const failureArbitrary = fc.record({
+    serverNumber: fc.nat({ max: 9 }),
     failure: fc.constantFrom<AttemptFailure>(...attemptFailures),
   });
   fc.assert(
     fc.property(
       fc.integer({ min: 1, max: 10 }),
-      fc.array(failure, { maxLength: 120 }),
+      fc.array(failureArbitrary, { maxLength: 120 }),
       fc.integer({ min: 1, max: 10 }),
-      (servers, failures, left) => {
-        const harness = makeHarness({ servers });
-        const pool = poolOf(harness);
-        const checkFloor = (live: number) => {
-          const used = pool.local.candidates.length;
-          assert.ok(used >= Math.max(1, Math.ceil(live / 2)), `${used} of ${live} in use`);
+      (serverCount, failures, remainingCount) => {
+        const harness = makeHarness({ servers: serverCount });
+        const pool = getPool(harness);
+        const checkMinInUse = (listedCount: number) => {
+          const inUse = pool.local.candidates.length;
+          assert.ok(
+            inUse >= Math.max(1, Math.ceil(listedCount / 2)),
+            `${inUse} of ${listedCount} in use`,
+          );
         };
-        for (const { server } of failures) {
-          const found = harness.entries[0]?.backendServers.get(`engine-${server % servers}`);
-          if (found !== undefined) noteFailure(pool, found, harness.timeline.now);
-          checkFloor(servers);
+        for (const { serverNumber } of failures) {
+          const server = harness.entries[0]?.backendServers.get(
+            `engine-${serverNumber % serverCount}`,
+          );
+          if (server !== undefined) recordFailure(pool, server, harness.timeline.now);
+          checkMinInUse(serverCount);
         }
-        harness.listEngines(Math.min(left, servers));
-        checkFloor(Math.min(left, servers));
+        harness.listEngines(Math.min(remainingCount, serverCount));
+        checkMinInUse(Math.min(remainingCount, serverCount));
       },
     ),
     { seed: 7, numRuns: 200 },
   );
 });
 
-function prompt(...prefixDigests: string[]): Prompt {
+function makePrompt(...prefixDigests: string[]): PromptPrefixes {
   return { prefixDigests, promptTokens: 0 };
 }
 
-// A seller's long prompt has been computed on one engine, and later turns of it follow. They go to
-// the same engine while its cache events are whole. Then an event is lost: it may have said that
-// the prefix was evicted, so the next turn is placed as if nothing were known of that engine.
-test('a gap in the cache events drops what was believed of the engine', () => {
+// Later requests of a conversation must go to the engine that has cached its prompt, until a cache
+// event is missing (it may have been an eviction) or the cache was cleared.
+test('affinity ends when a cache event is missing or the cache is cleared', () => {
   const harness = makeHarness();
-  const home = askFor(harness, 'turn-1', ['a', 'b']);
+  const cachedAt = sendAndAwaitAnswer(harness, 'turn-1', ['a', 'b']);
   for (const turn of [2, 3, 4]) {
-    assert.equal(askFor(harness, `turn-${turn}`, ['a', 'b', `c${turn}`]), home);
+    assert.equal(sendAndAwaitAnswer(harness, `turn-${turn}`, ['a', 'b', `c${turn}`]), cachedAt);
   }
-  const tell = (sequence: number) => {
+  const sendStored = (sequence: number) => {
     const change = 'stored' as const;
-    const event = { instance: home, sequence, change, prefixDigests: ['x'] };
+    const event = { instance: cachedAt, sequence, change, prefixDigests: ['x'] };
     harness.send({ type: 'cacheEventsReceived', events: [event] });
   };
-  const isBelieved = () =>
-    poolOf(harness).beliefs.find(prompt('a', 'b'), harness.timeline.now).length > 0;
-  tell(1);
-  tell(2);
-  assert.ok(isBelieved(), 'events without a gap keep it');
-  tell(4);
-  assert.ok(!isBelieved(), 'a gap drops it');
-  const next = askFor(harness, 'turn-5', ['a', 'b']);
-  assert.ok(isBelieved());
+  const isCached = () =>
+    getPool(harness).prefixCacheIndex.findHolders(makePrompt('a', 'b'), harness.timeline.now)
+      .length > 0;
+  sendStored(1);
+  sendStored(2);
+  assert.ok(isCached(), 'the prefix was lost after consecutive events');
+  sendStored(4);
+  assert.ok(!isCached(), 'the prefix still counts as cached after a missing event');
+  const next = sendAndAwaitAnswer(harness, 'turn-5', ['a', 'b']);
+  assert.ok(isCached());
   const cleared = { instance: next, sequence: 5, change: 'cleared' as const, prefixDigests: [] };
   harness.send({ type: 'cacheEventsReceived', events: [cleared] });
-  assert.ok(!isBelieved(), 'a cleared cache drops it');
+  assert.ok(!isCached(), 'the prefix still counts as cached after the cache was cleared');
 });
 
-// A workspace's system prompt is short and a conversation long. By the number of parts the engine
-// that has only the system prompt would be taken to have half of what the other one has.
-test('a cached prefix counts by its tokens', () => {
+// If the fraction were computed from the number of digests, a cached system prompt alone would
+// count half as much as a cached conversation, although it is much shorter.
+test('the cached fraction of a prompt is computed from tokens', () => {
   const harness = makeHarness();
-  const home = askFor(harness, 'turn-1', ['system', 'conversation']);
-  const { beliefs } = poolOf(harness);
-  const share = (prefixDigests: string[]) =>
-    beliefs.find(
+  const cachedAt = sendAndAwaitAnswer(harness, 'turn-1', ['system', 'conversation']);
+  const { prefixCacheIndex } = getPool(harness);
+  const findHolder = (prefixDigests: string[]) =>
+    prefixCacheIndex.findHolders(
       { prefixDigests, prefixTokens: [500, 5500, 12_000], promptTokens: 12_000 },
       harness.timeline.now,
     )[0];
-  assert.equal(share(['system', 'conversation', 'turn-2'])?.server.listed.instance, home);
-  assert.equal(share(['system', 'conversation', 'turn-2'])?.share, 5500 / 12_000);
-  assert.equal(share(['system', 'another', 'turn-3'])?.share, 500 / 12_000);
+  assert.equal(
+    findHolder(['system', 'conversation', 'turn-2'])?.server.platformInstance.instance,
+    cachedAt,
+  );
+  assert.equal(findHolder(['system', 'conversation', 'turn-2'])?.cachedFraction, 5500 / 12_000);
+  assert.equal(findHolder(['system', 'another', 'turn-3'])?.cachedFraction, 500 / 12_000);
 });
 
-// Callers of two data centres take turns in one conversation. Its long prompt has been computed in
-// the other data centre. Computing it again at home would delay this answer and all that run beside
-// it; the way there and back is far shorter. A prompt that saves less than that way stays at home.
-test('a long prompt goes to the data centre that has computed it', () => {
+// A remote engine that has cached a long prompt must be preferred, because prefilling it again
+// takes longer than the round trip. A short prompt must stay in the local data centre.
+test('a long prompt goes to the data centre that has cached it', () => {
   const harness = makeHarness({
     servers: 2,
     dataCentreOf: (server) => (server === 0 ? 'dc-a' : 'dc-b'),
   });
-  const far = harness.entries[0]?.backendServers.get('engine-1');
-  assert.ok(far);
-  const { beliefs } = poolOf(harness);
-  beliefs.believe(far, ['long'], harness.timeline.now);
-  beliefs.believe(far, ['short'], harness.timeline.now);
-  harness.arrive(
+  const remoteServer = harness.entries[0]?.backendServers.get('engine-1');
+  assert.ok(remoteServer);
+  const { prefixCacheIndex } = getPool(harness);
+  prefixCacheIndex.recordCached(remoteServer, ['long'], harness.timeline.now);
+  prefixCacheIndex.recordCached(remoteServer, ['short'], harness.timeline.now);
+  harness.submitRequest(
     exampleRequest('first', { prefixDigests: ['long', 'own'], promptTokens: 4000 }),
     5,
   );
-  harness.arrive(
+  harness.submitRequest(
     exampleRequest('second', { prefixDigests: ['short', 'own'], promptTokens: 40 }),
     5,
   );
@@ -206,69 +223,71 @@
   assert.equal(instanceOf('second.1'), 'engine-0');
 });
 
-// Two entries that know nothing of each other's requests get the first turns of one conversation
-// at the same moment. Begun at two engines its prompt would be computed twice, and lie in two caches.
-test('entries begin the same conversation at the same engine', () => {
+// Entries must choose the same engine for requests of one conversation, or its prompt is prefilled
+// and cached at several engines.
+test('all entries start a conversation at the same engine', () => {
   const harness = makeHarness({ entries: 3 });
-  const homes = ['one', 'two', 'three', 'four'].map((conversation) => {
+  const chosenInstances = ['one', 'two', 'three', 'four'].map((conversation) => {
     const request = {
       prefixDigests: ['system', conversation, `${conversation}/own`],
       prefixTokens: [500, 3500, 4000],
       promptTokens: 4000,
     };
-    const places = [0, 1, 2].map((entry) => {
+    const instances = [0, 1, 2].map((entry) => {
       const requestId = `${conversation}-${entry}`;
-      harness.arrive(exampleRequest(requestId, request), 20, entry);
+      harness.submitRequest(exampleRequest(requestId, request), 20, entry);
       const attempt = harness.entries[entry]?.attempts.get(`${requestId}.1`);
       harness.timeline.runUntil(harness.timeline.now + 5 * SECOND);
       return attempt?.instance;
     });
-    assert.equal(new Set(places).size, 1, `${places}`);
-    return places[0];
+    assert.equal(new Set(instances).size, 1, `${instances}`);
+    return instances[0];
   });
-  assert.ok(new Set(homes).size > 1, 'not all at one engine');
+  assert.ok(new Set(chosenInstances).size > 1, 'all conversations started at one engine');
 });
 
-// A belief that nothing has confirmed for two minutes is let go, as an engine that reports nothing
-// will have evicted the prefix by then.
-test('a belief expires', () => {
+// A prefix must no longer count as cached when nothing has confirmed it for two minutes: an engine
+// that sends no cache events may have evicted it.
+test('a cached prefix expires', () => {
   const harness = makeHarness();
-  askFor(harness, 'turn-1', ['a']);
-  const believedAt = (now: number) => poolOf(harness).beliefs.find(prompt('a'), now).length > 0;
-  assert.ok(believedAt(100 * SECOND));
-  assert.ok(!believedAt(130 * SECOND));
+  sendAndAwaitAnswer(harness, 'turn-1', ['a']);
+  const isCachedAt = (now: number) =>
+    getPool(harness).prefixCacheIndex.findHolders(makePrompt('a'), now).length > 0;
+  assert.ok(isCachedAt(100 * SECOND));
+  assert.ok(!isCachedAt(130 * SECOND));
 });
 
-// The engine that has the prefix is full. The caller's next turn waits for it a third of its
-// patience and no longer: then it goes to another engine and pays for the prompt again, and is
-// still in time.
-test('affinity gives way to a full engine', () => {
+// A request waits for the full engine that has cached its prefix only for a fraction of its
+// first-token deadline. Then it must go to another engine and still meet the deadline.
+test('a request goes to another engine if the one with its prefix stays full', () => {
   const harness = makeHarness({ servers: 2 });
-  const home = askFor(harness, 'turn-1', ['a']);
-  const other = home === 'engine-0' ? 'engine-1' : 'engine-0';
+  const cachedAt = sendAndAwaitAnswer(harness, 'turn-1', ['a']);
+  const otherInstance = cachedAt === 'engine-0' ? 'engine-1' : 'engine-0';
   for (let number = 0; number < CONCURRENCY; number += 1) {
     const request = exampleRequest(`full-${number}`, { prefixDigests: ['a'], promptTokens: 4000 });
-    harness.arrive(request, 4000);
+    harness.submitRequest(request, 4000);
     harness.timeline.runUntil(harness.timeline.now + 100);
   }
-  assert.equal(inProgressAt(harness, home), CONCURRENCY);
+  assert.equal(inProgressAt(harness, cachedAt), CONCURRENCY);
   const request = exampleRequest('turn-2', { prefixDigests: ['a'], promptTokens: 4000 });
-  const turn = harness.arrive(request, 20);
-  assert.equal(inProgressAt(harness, other), 0);
-  harness.timeline.runUntil(turn.arrivedAt + 700);
-  assert.equal(inProgressAt(harness, other), 1);
-  harness.timeline.runUntil(turn.arrivedAt + 5 * SECOND);
-  assert.ok((turn.firstTokenAt ?? Infinity) - turn.arrivedAt <= 2000);
+  const outcome = harness.submitRequest(request, 20);
+  assert.equal(inProgressAt(harness, otherInstance), 0);
+  harness.timeline.runUntil(outcome.arrivedAt + 700);
+  assert.equal(inProgressAt(harness, otherInstance), 1);
+  harness.timeline.runUntil(outcome.arrivedAt + 5 * SECOND);
+  assert.ok((outcome.firstTokenAt ?? Infinity) - outcome.arrivedAt <= 2000);
 });
 
-// Twelve sellers begin conversations that share one system prompt, and their answers are long. The
-// engine that has computed the system prompt first does not get them all: what the shared prefix
-// saves is less than a fuller batch costs, so a rush later finds all engines with work and caches.
+// Conversations that share one system prompt must not all go to the engine that has cached it: the
+// shared prefix saves less than a fuller batch costs.
 test('new conversations spread although they share a prefix', () => {
   const harness = makeHarness();
   for (let number = 0; number < 12; number += 1) {
     const prefixDigests = ['system', `seller-${number}`];
-    harness.arrive(exampleRequest(`turn-${number}`, { prefixDigests, promptTokens: 500 }), 1000);
+    harness.submitRequest(
+      exampleRequest(`turn-${number}`, { prefixDigests, promptTokens: 500 }),
+      1000,
+    );
     harness.timeline.runUntil(harness.timeline.now + 300);
   }
   const loads = [...harness.engines.keys()].map((instance) => inProgressAt(harness, instance));
@@ -276,92 +295,95 @@
   assert.ok(Math.min(...loads) >= 1, loads.join());
 });
 
-// A fifth engine comes up in a rush. It gets a little work at once and its full share after ten
-// seconds; callers of the rush are not all sent to an engine that is still warming up.
-test('a new engine starts slowly', () => {
-  const harness = makeHarness({ servers: 5, speed: slowAnswers });
+// A new engine looks idle. It must not get a whole burst of requests while its slow start lasts,
+// and must fill up to its limit afterwards.
+test('a new engine gets little work at first and its full share after the slow start', () => {
+  const harness = makeHarness({ servers: 5, speed: slowDecodeSpeed });
   harness.listEngines(4);
   harness.timeline.runUntil(SECOND);
   harness.listEngines(5);
   for (let number = 0; number < 40; number += 1) {
-    harness.arrive(exampleRequest(`rush-${number}`), 1000);
+    harness.submitRequest(exampleRequest(`rush-${number}`), 1000);
   }
   assert.ok(inProgressAt(harness, 'engine-4') <= 2);
   assert.ok(inProgressAt(harness, 'engine-4') >= 1);
   harness.timeline.runUntil(11 * SECOND + 100);
   for (let number = 40; number < 80; number += 1) {
-    harness.arrive(exampleRequest(`rush-${number}`), 1000);
+    harness.submitRequest(exampleRequest(`rush-${number}`), 1000);
   }
   assert.equal(inProgressAt(harness, 'engine-4'), CONCURRENCY);
 });
 
-// One engine computes prompts 25 times slower than its class says, in a rush that needs it. Its
-// first slow answers lower its limit, so later callers are not kept waiting inside it, where no
-// deadline is looked at; when it is well again it gets its share back.
-test('the concurrency of a slow engine is lowered and comes back', () => {
+// No deadline applies to requests that queue inside an engine. The limit of an engine that has
+// become slow must drop while it is slow, and recover with the engine.
+test('the concurrency limit of a slow engine is lowered and recovers', () => {
   const harness = makeHarness();
-  const slow = harness.engines.get('engine-1');
-  assert.ok(slow);
-  const usual = slow.speed;
+  const slowEngine = harness.engines.get('engine-1');
+  assert.ok(slowEngine);
+  const normalSpeed = slowEngine.speed;
   sendEvery(harness, 16, 60 * SECOND);
   harness.timeline.runUntil(5 * SECOND);
-  slow.speed = { ...usual, prefillMillisecondsPerToken: 5 };
+  slowEngine.speed = { ...normalSpeed, prefillMillisecondsPerToken: 5 };
   harness.timeline.runUntil(20 * SECOND);
-  const balance = harness.entries[0]?.backendServers.get('engine-1')?.balance;
-  assert.ok((balance?.limit ?? 0) < 0.5 * CONCURRENCY, `limit ${balance?.limit}`);
-  slow.speed = usual;
+  const balancing = harness.entries[0]?.backendServers.get('engine-1')?.balancing;
+  assert.ok((balancing?.limit ?? 0) < 0.5 * CONCURRENCY, `limit ${balancing?.limit}`);
+  slowEngine.speed = normalSpeed;
   harness.timeline.runUntil(59 * SECOND);
-  assert.ok((balance?.limit ?? 0) > 0.9 * CONCURRENCY, `limit ${balance?.limit}`);
+  assert.ok((balancing?.limit ?? 0) > 0.9 * CONCURRENCY, `limit ${balancing?.limit}`);
 });
 
-// One of four engines is slow while the others have room. After its first slow answers callers go
-// elsewhere; what is known of it fades, so once it is well it gets work again although nothing
-// forced anyone to ask it.
-test('a slow engine is passed over and then asked again', () => {
+// A slow engine must get less work while others have capacity. Because the estimated slowness
+// decays, the engine must get work again after it has recovered.
+test('a slow engine gets less work and is tried again later', () => {
   const harness = makeHarness();
-  const slow = harness.engines.get('engine-1');
-  assert.ok(slow);
-  const usual = slow.speed;
+  const slowEngine = harness.engines.get('engine-1');
+  assert.ok(slowEngine);
+  const normalSpeed = slowEngine.speed;
   sendEvery(harness, 40, 60 * SECOND);
   harness.timeline.runUntil(5 * SECOND);
-  slow.speed = { ...usual, prefillMillisecondsPerToken: 5 };
+  slowEngine.speed = { ...normalSpeed, prefillMillisecondsPerToken: 5 };
   harness.timeline.runUntil(20 * SECOND);
-  const late = [...harness.outcomes.values()].filter(
+  const slowOutcomes = [...harness.outcomes.values()].filter(
     ({ arrivedAt, firstTokenAt = 0 }) => firstTokenAt - arrivedAt > 400,
   );
-  assert.ok(late.length <= 0.05 * 15 * 25, `${late.length} were slow`);
-  slow.speed = usual;
+  // 5 % of 25 requests per second, over the 15 seconds in which the engine is slow.
+  assert.ok(slowOutcomes.length <= 0.05 * 15 * 25, `${slowOutcomes.length} were slow`);
+  slowEngine.speed = normalSpeed;
   harness.timeline.runUntil(59 * SECOND);
-  assert.ok(slow.running > 0);
+  assert.ok(slowEngine.running > 0);
 });
 
-// Two entries choose among a thousand engines with the same old reports. Two random choices keep
-// the fullest engine near the mean, where one random choice would pile up several on one.
-test('two choices keep a thousand engines even', () => {
+// With one random choice per request, some engines would get several times the mean load; with two,
+// the busiest must stay near the mean.
+test('two random choices keep the load of a thousand engines even', () => {
   const harness = makeHarness({ servers: 1000 });
   for (let number = 0; number < 2000; number += 1) {
-    harness.arrive(exampleRequest(`request-${number}`), 1000);
+    harness.submitRequest(exampleRequest(`request-${number}`), 1000);
   }
   const loads = [...harness.engines.keys()].map((instance) => inProgressAt(harness, instance));
   assert.ok(Math.max(...loads) <= 4, `${Math.max(...loads)} on one engine`);
 });
 
-/** A notice that is in force in every test; one long past is not believed. */
-const NEXT_CENTURY = Date.UTC(2100, 0, 1);
+/** Later than the virtual time of the test: notices that have expired are ignored. */
+const FUTURE_GONE_AT = Date.UTC(2100, 0, 1);
 
-// A reclaim notice has come another way and only the flag on the server is set. The next choice
-// must pass it over and take it out of the candidates, without waiting for the platform's list.
-test('a server on notice gets no new work', () => {
+// With notices for all but one server, a request must still be answered; servers with a notice that
+// are drawn are removed from the candidates before the next list of instances.
+test('a server with a reclaim notice gets no new work', () => {
   const harness = makeHarness({ servers: 20 });
   const [state] = harness.entries;
   assert.ok(state);
-  for (let server = 0; server < 19; server += 1) {
-    harness.send({ type: 'reclaimNoticed', instance: `engine-${server}`, goneAt: NEXT_CENTURY });
+  for (let serverNumber = 0; serverNumber < 19; serverNumber += 1) {
+    harness.send({
+      type: 'reclaimNoticed',
+      instance: `engine-${serverNumber}`,
+      goneAt: FUTURE_GONE_AT,
+    });
   }
-  harness.arrive(exampleRequest('one'), 20);
+  harness.submitRequest(exampleRequest('one'), 20);
   harness.timeline.runUntil(SECOND);
   assert.ok(harness.outcomes.get('one')?.finishedAt !== undefined);
   const [accepted] = state.requests.values();
   assert.equal(accepted && chooseBackendServer(state, accepted), undefined);
-  assert.ok(poolOf(harness).local.candidates.length < 20);
+  assert.ok(getPool(harness).local.candidates.length < 20);
 });
--- a/packages/entry-core/src/backendServers/ejectOutliers.ts
+++ b/packages/entry-core/src/backendServers/ejectOutliers.ts
@@ -1,41 +1,42 @@
 /**
- * Keeps new work from backend servers that fail far more than their pool, for a while. A server
- * that fails fast looks idle, so without this it would draw most of the work and fail it. Yet
- * when many fail at once the cause is seldom the servers: ejection stops at a floor of half of
- * each group, so that a fault of the network or of the requests never empties a pool.
+ * Outlier ejection: a backend server that fails often gets no new work for a while. A server that
+ * fails fast looks idle, so without ejection it would attract most of the work. At least half of
+ * each group stays in use: when many servers fail at once, the cause is more likely the network or
+ * the requests, and ejection must not empty the pool.
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { BackendServerState } from './BackendServerState.js';
-import type { CandidateGroup, PoolBalance } from './PoolBalance.js';
+import type { CandidateGroup, PoolState } from './PoolState.js';
 
-const MOST_CONSECUTIVE_FAILURES = 3;
-const MOST_ERROR_SHARE = 0.5;
-const LEAST_OUTCOMES = 10;
-/** Outcomes after which all are halved, so that the error share is of late ones. */
-const MOST_OUTCOMES = 40;
-const FIRST_EJECTION_MILLISECONDS: Milliseconds = 5000;
-const LONGEST_EJECTION_MILLISECONDS: Milliseconds = 60_000;
-/** Share of a group that always stays in use. */
-const FLOOR_SHARE = 0.5;
+const MAX_CONSECUTIVE_FAILURES = 3;
+const MAX_FAILED_FRACTION_OF_OUTCOMES = 0.5;
+const MIN_OUTCOMES = 10;
+/** A server with this many outcomes has its counts halved, so that recent outcomes weigh more. */
+const MAX_OUTCOMES = 40;
+const MIN_EJECTION_MILLISECONDS: Milliseconds = 5000;
+const MAX_EJECTION_MILLISECONDS: Milliseconds = 60_000;
+const MIN_IN_USE_FRACTION_OF_GROUP = 0.5;
 
-function floorOf(group: CandidateGroup): number {
-  return Math.ceil((group.candidates.length + group.ejected.size) * FLOOR_SHARE);
+function countMinServersInUse(group: CandidateGroup): number {
+  return Math.ceil((group.candidates.length + group.ejected.size) * MIN_IN_USE_FRACTION_OF_GROUP);
 }
 
-function mayEject(group: CandidateGroup): boolean {
-  return group.candidates.length - 1 >= Math.max(1, floorOf(group));
+function canEject(group: CandidateGroup): boolean {
+  return group.candidates.length - 1 >= Math.max(1, countMinServersInUse(group));
 }
 
-function isOutlier({ balance }: BackendServerState): boolean {
-  if (balance.consecutiveFailures >= MOST_CONSECUTIVE_FAILURES) return true;
-  const outcomes = balance.successes + balance.failures;
-  return outcomes >= LEAST_OUTCOMES && balance.failures / outcomes > MOST_ERROR_SHARE;
+function isOutlier({ balancing }: BackendServerState): boolean {
+  if (balancing.consecutiveFailures >= MAX_CONSECUTIVE_FAILURES) return true;
+  const outcomes = balancing.successes + balancing.failures;
+  return (
+    outcomes >= MIN_OUTCOMES && balancing.failures / outcomes > MAX_FAILED_FRACTION_OF_OUTCOMES
+  );
 }
 
-function forgetOutcomes({ balance }: BackendServerState): void {
-  balance.consecutiveFailures = 0;
-  balance.successes = 0;
-  balance.failures = 0;
+function resetOutcomes({ balancing }: BackendServerState): void {
+  balancing.consecutiveFailures = 0;
+  balancing.successes = 0;
+  balancing.failures = 0;
 }
 
 function reinstate(
@@ -44,60 +45,61 @@
   now: MonotonicMilliseconds | undefined,
 ): void {
   group.ejected.delete(server);
-  server.balance.ejectedUntil = undefined;
-  if (now !== undefined) server.balance.slowStartAt = now;
-  forgetOutcomes(server);
-  group.add(server);
+  server.balancing.ejectedUntil = undefined;
+  if (now !== undefined) server.balancing.slowStartAt = now;
+  resetOutcomes(server);
+  group.addCandidate(server);
 }
 
-/** Brings ejected servers back while fewer than the floor are in use, as when others have left. */
-export function keepFloor(group: CandidateGroup): void {
+/** Reinstates ejected servers while too few are in use, for example after others have left. */
+export function enforceMinServersInUse(group: CandidateGroup): void {
   for (const server of group.ejected) {
-    if (group.candidates.length >= floorOf(group)) return;
+    if (group.candidates.length >= countMinServersInUse(group)) return;
     reinstate(group, server, undefined);
   }
 }
 
-/** Brings back those whose time is over; they start slowly. */
-export function endEjections(pool: PoolBalance, now: MonotonicMilliseconds): void {
+/** Reinstates servers whose ejection has expired; they begin with slow start. */
+export function endExpiredEjections(pool: PoolState, now: MonotonicMilliseconds): void {
   for (const group of pool.groups) {
     for (const server of group.ejected) {
-      if ((server.balance.ejectedUntil ?? 0) <= now) reinstate(group, server, now);
+      if ((server.balancing.ejectedUntil ?? 0) <= now) reinstate(group, server, now);
     }
-    keepFloor(group);
+    enforceMinServersInUse(group);
   }
 }
 
-function halveOldOutcomes({ balance }: BackendServerState): void {
-  if (balance.successes + balance.failures < MOST_OUTCOMES) return;
-  balance.successes /= 2;
-  balance.failures /= 2;
+function decayOutcomes({ balancing }: BackendServerState): void {
+  if (balancing.successes + balancing.failures < MAX_OUTCOMES) return;
+  balancing.successes /= 2;
+  balancing.failures /= 2;
 }
 
-export function noteSuccess(server: BackendServerState): void {
-  const { balance } = server;
-  halveOldOutcomes(server);
-  balance.consecutiveFailures = 0;
-  balance.successes += 1;
-  if (balance.successes >= LEAST_OUTCOMES) balance.ejections = 0;
+export function recordSuccess(server: BackendServerState): void {
+  const { balancing } = server;
+  decayOutcomes(server);
+  balancing.consecutiveFailures = 0;
+  balancing.successes += 1;
+  if (balancing.successes >= MIN_OUTCOMES) balancing.consecutiveEjections = 0;
 }
 
-/** Counts a failure; true if the server was ejected for it. */
-export function noteFailure(
-  pool: PoolBalance,
+/** Counts a failure; returns true if the server was ejected for it. */
+export function recordFailure(
+  pool: PoolState,
   server: BackendServerState,
   now: MonotonicMilliseconds,
 ): boolean {
-  const { balance } = server;
-  halveOldOutcomes(server);
-  balance.consecutiveFailures += 1;
-  balance.failures += 1;
+  const { balancing } = server;
+  decayOutcomes(server);
+  balancing.consecutiveFailures += 1;
+  balancing.failures += 1;
   const group = pool.groupOf(server);
-  if (balance.candidateIndex === undefined || !isOutlier(server) || !mayEject(group)) return false;
-  const span = FIRST_EJECTION_MILLISECONDS * 2 ** balance.ejections;
-  balance.ejections += 1;
-  balance.ejectedUntil = now + Math.min(span, LONGEST_EJECTION_MILLISECONDS);
-  group.remove(server);
+  if (balancing.candidateIndex === undefined || !isOutlier(server) || !canEject(group))
+    return false;
+  const duration = MIN_EJECTION_MILLISECONDS * 2 ** balancing.consecutiveEjections;
+  balancing.consecutiveEjections += 1;
+  balancing.ejectedUntil = now + Math.min(duration, MAX_EJECTION_MILLISECONDS);
+  group.removeCandidate(server);
   group.ejected.add(server);
   return true;
 }
--- /dev/null
+++ b/packages/entry-core/src/backendServers/hasCapacity.ts
@@ -0,0 +1,30 @@
+/**
+ * Whether a request fits under a backend server's concurrency limit and into its prefill queue now.
+ * Does not check whether the server accepts new work.
+ */
+import type { EntryState } from '../EntryState.js';
+import type { RequestState } from '../requests/RequestState.js';
+import type { BackendServerState } from './BackendServerState.js';
+import { estimateInProgress } from './estimateInProgress.js';
+import type { PoolState } from './PoolState.js';
+import { isPrefillQueueFull } from './predictFirstTokenDelay.js';
+import { currentLimit } from './BalancingState.js';
+
+/**
+ * A request that will miss its first-token deadline is sent only to a server whose requests in
+ * progress, of all kinds, are below this fraction of its limit: a fuller batch slows every answer.
+ */
+const MAX_UTILIZATION_FOR_LATE_REQUESTS = 0.5;
+
+export function hasCapacity(
+  state: EntryState,
+  pool: PoolState,
+  server: BackendServerState,
+  accepted: RequestState,
+): boolean {
+  const limit = currentLimit(server.balancing, state.clocks.now);
+  const maxUtilization = accepted.isLate === true ? MAX_UTILIZATION_FOR_LATE_REQUESTS : 1;
+  const maxInProgress = Math.max(1, Math.floor(limit * maxUtilization));
+  if (estimateInProgress(state, server) >= maxInProgress) return false;
+  return !isPrefillQueueFull(state, pool, server, accepted);
+}
--- a/packages/entry-core/src/backendServers/targetAt.ts
+++ b/packages/entry-core/src/backendServers/makeAttemptTarget.ts
@@ -1,10 +1,13 @@
-/** A backend server as effects name it to the shell. */
+/** Builds the address and protocol options of a backend server that effects pass to the shell. */
 import type { Pool } from '@hornbeampond/schema';
 import type { AttemptTarget } from '../entryEffects.js';
 import type { BackendServerState } from './BackendServerState.js';
 
-export function targetAt({ listed }: BackendServerState, pool: Pool | undefined): AttemptTarget {
-  const { instance, host, port } = listed;
+export function makeAttemptTarget(
+  { platformInstance }: BackendServerState,
+  pool: Pool | undefined,
+): AttemptTarget {
+  const { instance, host, port } = platformInstance;
   return {
     instance,
     host,
--- a/packages/entry-core/src/backendServers/observeAttempt.ts
+++ b/packages/entry-core/src/backendServers/observeAttempt.ts
@@ -1,6 +1,6 @@
 /**
- * Learns from the edges of this entry's own attempts, before the attempt's own part of the
- * reducer handles them: delays, service times, failures, and which prompt prefixes are now where.
+ * Updates the load-balancing state from the events of this entry's own attempts, before the attempt
+ * handlers process them: delays, service times, failures and cached prefixes.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
@@ -8,26 +8,30 @@
 import type { EntryState } from '../EntryState.js';
 import type { AttemptState } from '../attempts/AttemptState.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { adaptConcurrency, lowerConcurrency, TOLERATED_SLOWNESS } from './adaptConcurrency.js';
+import {
+  adaptConcurrency,
+  lowerConcurrency,
+  TOLERATED_SLOWDOWN_FACTOR,
+} from './adaptConcurrency.js';
 import type { BackendServerState } from './BackendServerState.js';
-import { noteFailure, noteSuccess } from './ejectOutliers.js';
-import { estimateInProgress, rememberEnded } from './estimateInProgress.js';
-import type { PoolBalance } from './PoolBalance.js';
-import { poolBalanceOf } from './poolBalanceOf.js';
-import { pendingTokens, uncachedTokens } from './predictFirstToken.js';
-import { limitNow } from './ServerBalance.js';
+import { recordFailure, recordSuccess } from './ejectOutliers.js';
+import { estimateInProgress, recordEndedAttempt } from './estimateInProgress.js';
+import type { PoolState } from './PoolState.js';
+import { getPoolState } from './getPoolState.js';
+import { countPendingTokens, estimateUncachedTokens } from './predictFirstTokenDelay.js';
+import { currentLimit } from './BalancingState.js';
 
-/** All that one edge of an attempt is about. */
-interface Observed {
+/** The attempt of an event, and the state that belongs to it. */
+interface AttemptContext {
   readonly attempt: AttemptState;
   readonly accepted: RequestState;
   readonly server: BackendServerState;
-  readonly pool: PoolBalance;
+  readonly pool: PoolState;
   readonly now: MonotonicMilliseconds;
 }
 
-/** Failures that are the backend server's own, and neither the request's nor a full server's. */
-const serversOwnFailures: readonly AttemptFailure[] = [
+/** Failures caused by the backend server itself, not by the request or by a full server. */
+const serverFailures: readonly AttemptFailure[] = [
   'connectFailed',
   'serverError',
   'connectionLost',
@@ -35,85 +39,97 @@
   'malformed',
 ];
 
-function observed(
+function findAttemptContext(
   state: EntryState,
   attemptId: string,
   now: MonotonicMilliseconds,
-): Observed | undefined {
+): AttemptContext | undefined {
   const attempt = state.attempts.get(attemptId);
   const accepted = attempt && state.requests.get(attempt.requestId);
   const server = attempt && state.backendServers.get(attempt.instance);
   if (attempt === undefined || accepted === undefined || server === undefined) return undefined;
-  return { attempt, accepted, server, pool: poolBalanceOf(state, server.listed.pool), now };
+  return {
+    attempt,
+    accepted,
+    server,
+    pool: getPoolState(state, server.platformInstance.pool),
+    now,
+  };
 }
 
 /**
- * Weight of a first-token delay that shows a crowded server rather than what is usual. It is not
- * zero: when all servers of a pool have become slower, that is the usual then.
+ * Weight of a first-token delay far above the expected one. It is not zero, so that the regression
+ * adapts when all servers of a pool have become slower.
  */
-const CROWDED_WEIGHT = 0.1;
+const OVERLOADED_SAMPLE_WEIGHT = 0.1;
 
 function observeFirstToken(
   state: EntryState,
-  { attempt, accepted, server, pool, now }: Observed,
+  { attempt, accepted, server, pool, now }: AttemptContext,
 ): void {
-  const pending = server.balance.pendingPrompts.get(attempt.attemptId);
+  const pending = server.balancing.pendingPrompts.get(attempt.attemptId);
   if (pending === undefined) return;
-  server.balance.pendingPrompts.delete(attempt.attemptId);
+  server.balancing.pendingPrompts.delete(attempt.attemptId);
   const delay = now - attempt.startedAt;
-  const usual = pool.firstToken.predict(pending.tokensUntilFirst);
-  const isUsual = adaptConcurrency(pool, server, delay, usual, now);
-  const weight = isUsual ? 1 : CROWDED_WEIGHT;
-  const learnt = Math.min(delay, TOLERATED_SLOWNESS * usual);
-  pool.firstToken.learn(pending.tokensUntilFirst, learnt, now, weight);
-  // The prompt has been computed here, so its prefixes are cached here; the engine's own event
-  // will say so only later.
+  const expectedDelay = pool.firstTokenRegression.predict(pending.tokensUntilFirstToken);
+  const isTypical = adaptConcurrency(pool, server, delay, expectedDelay, now);
+  const weight = isTypical ? 1 : OVERLOADED_SAMPLE_WEIGHT;
+  const cappedDelay = Math.min(delay, TOLERATED_SLOWDOWN_FACTOR * expectedDelay);
+  pool.firstTokenRegression.addSample(pending.tokensUntilFirstToken, cappedDelay, now, weight);
+  // The server has just prefilled the prompt, so its prefixes are cached there; the server's own
+  // cache event arrives later.
   const { prefixDigests } = accepted.request;
-  pool.beliefs.believe(server, prefixDigests, now);
-  state.peerWork.noteChange(server.listed.instance);
-  // The last part of a prompt is its own; no other entry is asked for it.
-  state.peerWork.noteComputed(server.listed.instance, prefixDigests.slice(0, -1));
+  pool.prefixCacheIndex.recordCached(server, prefixDigests, now);
+  state.workReports.markOwnWorkChanged(server.platformInstance.instance);
+  // The last part of a prompt is specific to the request, so other entries have no use for it.
+  state.workReports.recordPrefilledPrefixes(
+    server.platformInstance.instance,
+    prefixDigests.slice(0, -1),
+  );
 }
 
 function observeStart(state: EntryState, attemptId: string, now: MonotonicMilliseconds): void {
-  const edge = observed(state, attemptId, now);
-  if (edge === undefined || edge.server.balance.pendingPrompts.has(attemptId)) return;
-  const { accepted, server, pool } = edge;
+  const context = findAttemptContext(state, attemptId, now);
+  if (context === undefined || context.server.balancing.pendingPrompts.has(attemptId)) return;
+  const { accepted, server, pool } = context;
   pool.attemptIds.add(attemptId);
-  pool.peak.see(pool.attemptIds.size, now);
-  const tokens = uncachedTokens(pool, server, accepted.request, now);
-  const tokensUntilFirst = pendingTokens(state, server) + tokens;
-  pool.learnPrompt(accepted.route.name, tokens);
-  server.balance.pendingPrompts.set(attemptId, { tokens, tokensUntilFirst });
-  state.peerWork.noteChange(server.listed.instance);
+  pool.peakInProgress.record(pool.attemptIds.size, now);
+  const uncachedTokens = estimateUncachedTokens(pool, server, accepted.request, now);
+  const tokensUntilFirstToken = countPendingTokens(state, server) + uncachedTokens;
+  pool.recordUncachedTokens(accepted.route.name, uncachedTokens);
+  server.balancing.pendingPrompts.set(attemptId, {
+    uncachedTokens,
+    tokensUntilFirstToken,
+  });
+  state.workReports.markOwnWorkChanged(server.platformInstance.instance);
 }
 
-function observeEnd({ attempt, server, pool, now }: Observed): void {
+function observeEnd({ attempt, server, pool, now }: AttemptContext): void {
   pool.attemptIds.delete(attempt.attemptId);
-  server.balance.pendingPrompts.delete(attempt.attemptId);
-  rememberEnded(server, { startedAt: attempt.startedAt, endedAt: now });
+  server.balancing.pendingPrompts.delete(attempt.attemptId);
+  recordEndedAttempt(server, { startedAt: attempt.startedAt, endedAt: now });
 }
 
-/** A server with this share of its limit in progress is nearly as slow as in a rush. */
-const FILLED_SHARE = 0.8;
+/** A server counts as busy from this utilization on: it is nearly as slow as at its limit. */
+const BUSY_FRACTION_OF_LIMIT = 0.8;
 
-function observeFinish(state: EntryState, edge: Observed): void {
-  const { attempt, accepted, server, pool, now } = edge;
-  observeEnd(edge);
-  noteSuccess(server);
-  const fullness = estimateInProgress(state, server) / limitNow(server.balance, now);
-  const isFilled = fullness >= FILLED_SHARE;
-  pool.learnServiceTime(accepted.route.name, now - attempt.startedAt, isFilled);
+function observeFinish(state: EntryState, context: AttemptContext): void {
+  const { attempt, accepted, server, pool, now } = context;
+  observeEnd(context);
+  recordSuccess(server);
+  const utilization = estimateInProgress(state, server) / currentLimit(server.balancing, now);
+  const isBusy = utilization >= BUSY_FRACTION_OF_LIMIT;
+  pool.recordServiceTime(accepted.route.name, now - attempt.startedAt, isBusy);
 }
 
-function observeFailure(edge: Observed, failure: AttemptFailure): EntryEffect[] {
-  const { server, pool, now } = edge;
-  observeEnd(edge);
+function observeFailure(context: AttemptContext, failure: AttemptFailure): EntryEffect[] {
+  const { server, pool, now } = context;
+  observeEnd(context);
   if (failure === 'busy') lowerConcurrency(pool, server, now);
-  if (!serversOwnFailures.includes(failure)) return [];
-  if (!noteFailure(pool, server, now)) return [];
-  const { instance } = server.listed;
-  const { ejectedUntil } = server.balance;
+  if (!serverFailures.includes(failure)) return [];
+  if (!recordFailure(pool, server, now)) return [];
+  const { instance } = server.platformInstance;
+  const { ejectedUntil } = server.balancing;
   return [
     { type: 'count', metric: 'ejections', label: failure },
     {
@@ -126,16 +142,16 @@
 
 export function observeAttempt(state: EntryState, event: EntryEvent): EntryEffect[] {
   if (!('attemptId' in event) || event.attemptId === undefined) return [];
-  const edge = observed(state, event.attemptId, event.now);
-  if (edge === undefined) return [];
-  if (event.type === 'firstTokenReceived') observeFirstToken(state, edge);
-  if (event.type === 'attemptFinished') observeFinish(state, edge);
-  if (event.type === 'attemptFailed') return observeFailure(edge, event.failure);
+  const context = findAttemptContext(state, event.attemptId, event.now);
+  if (context === undefined) return [];
+  if (event.type === 'firstTokenReceived') observeFirstToken(state, context);
+  if (event.type === 'attemptFinished') observeFinish(state, context);
+  if (event.type === 'attemptFailed') return observeFailure(context, event.failure);
   return [];
 }
 
-/** Takes note of the attempts that the reducer has just started. */
-export function observeStarts(
+/** Records the attempts that the reducer has just started. */
+export function observeAttemptStarts(
   state: EntryState,
   effects: readonly EntryEffect[],
   now: MonotonicMilliseconds,
@@ -145,9 +161,9 @@
   }
 }
 
-/** Lets go of attempts that ended without an edge of their own, as when they were cancelled. */
-export function forgetEnded(state: EntryState): void {
-  for (const pool of state.poolBalances.values()) {
+/** Removes attempts that ended without an event of their own, such as cancelled ones. */
+export function pruneEndedAttempts(state: EntryState): void {
+  for (const pool of state.poolStates.values()) {
     for (const attemptId of pool.attemptIds) {
       if (!state.attempts.has(attemptId)) pool.attemptIds.delete(attemptId);
     }
--- a/packages/entry-core/src/backendServers/receiveDrains.ts
+++ b/packages/entry-core/src/backendServers/receiveDrains.ts
@@ -1,15 +1,15 @@
 /**
- * Takes in which backend servers a data centre's controller has taken out of service. They get no
- * new work; what runs there runs on.
- *
- * Only the word of the newest epoch counts: a controller that lost its lease without knowing could
- * otherwise give a server back that its successor is about to end.
+ * Records the backend servers that a data centre's controller has taken out of service; each
+ * message replaces the previous list of that data centre. Listed servers get no new work, and their
+ * requests in progress continue. A message with an earlier lease epoch is ignored: otherwise a
+ * controller that has lost its lease without noticing could put a server back into service while
+ * its successor is about to stop that server.
  */
-import type { FleetDrains } from '@hornbeampond/schema';
+import type { DrainedInstances } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 
-export function receiveDrains(state: EntryState, drains: FleetDrains): void {
-  const known = state.drains.get(drains.dataCentre);
-  if (known !== undefined && known.epoch > drains.epoch) return;
+export function receiveDrains(state: EntryState, drains: DrainedInstances): void {
+  const previous = state.drains.get(drains.dataCentre);
+  if (previous !== undefined && previous.epoch > drains.epoch) return;
   state.drains.set(drains.dataCentre, drains);
 }
--- a/packages/entry-core/src/backendServers/shareWork.ts
+++ b/packages/entry-core/src/backendServers/shareWork.ts
@@ -1,42 +1,51 @@
-/** Tells the other entries of this one's work at backend servers, and takes in theirs. */
+/**
+ * Exchanges work reports with the other entries: the requests and pending prompt tokens of each
+ * entry at backend servers, and the prefixes that were prefilled for it.
+ */
 import type { MonotonicMilliseconds, ServerWork, WorkReport } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
 import type { EntryState } from '../EntryState.js';
-import { poolBalanceOf } from './poolBalanceOf.js';
-import { ownPendingTokens } from './predictFirstToken.js';
+import { getPoolState } from './getPoolState.js';
+import { countOwnPendingTokens } from './predictFirstTokenDelay.js';
 
-function readOwn(state: EntryState, instance: string): ServerWork {
-  const server = state.backendServers.get(instance);
+function readOwnWork(state: EntryState, backendServer: string): ServerWork {
+  const server = state.backendServers.get(backendServer);
   if (server === undefined) return { inProgress: 0, promptTokens: 0 };
   return {
     inProgress: server.attemptIds.size,
-    promptTokens: Math.round(ownPendingTokens(server)),
+    promptTokens: Math.round(countOwnPendingTokens(server)),
   };
 }
 
-export function advanceWork(state: EntryState, now: MonotonicMilliseconds): EntryEffect[] {
+export function advanceWorkReports(state: EntryState, now: MonotonicMilliseconds): EntryEffect[] {
   const { instance, incarnation } = state.identity;
-  state.membership.peers.forEach(({ live }, name) => {
-    if (!live) state.peerWork.forget(name);
+  state.membership.peers.forEach(({ isReachable: live }, peer) => {
+    if (!live) state.workReports.removePeerWork(peer);
   });
-  const entries = state.membership.peers.size + 1;
-  const due = state.peerWork.takeDue(entries, now, (name) => readOwn(state, name));
-  if (due === undefined) return [];
+  const entryCount = state.membership.peers.size + 1;
+  const dueReport = state.workReports.takeDueReport(entryCount, now, (backendServer) =>
+    readOwnWork(state, backendServer),
+  );
+  if (dueReport === undefined) return [];
   const begun = state.usage.takeChanged();
-  const work = { type: 'workReport', instance, incarnation, ...due } as const;
+  const work = { type: 'workReport', instance, incarnation, ...dueReport } as const;
   return [{ type: 'tellWork', work: begun === undefined ? work : { ...work, begun } }];
 }
 
-export function receiveWork(
+export function receiveWorkReport(
   state: EntryState,
   report: WorkReport,
   now: MonotonicMilliseconds,
 ): void {
   if (report.instance === state.identity.instance) return;
-  state.peerWork.receive(report);
+  state.workReports.applyReport(report);
   Object.entries(report.computed).forEach(([instance, digests]) => {
     const server = state.backendServers.get(instance);
     if (server === undefined) return;
-    poolBalanceOf(state, server.listed.pool).beliefs.believe(server, digests, now);
+    getPoolState(state, server.platformInstance.pool).prefixCacheIndex.recordCached(
+      server,
+      digests,
+      now,
+    );
   });
 }
--- a/packages/entry-core/src/claims/reduceClaimedCall.ts
+++ b/packages/entry-core/src/claims/reduceClaimedCall.ts
@@ -1,71 +1,71 @@
 /**
- * The sender's side of a claim. It keeps three promises together with the log: a call is sent at
- * most once, `ran: no` is only said of a call that was not sent and cannot be, and an attempt given
- * up never stands in the way of the caller's resend.
+ * The state machine of a claim: one request for a call that may run at most once. Together with the
+ * log it guarantees that the call is sent at most once, that `ran: no` is reported only if this
+ * request did not and will not send it, and that a request that failed unsent does not block the
+ * caller from sending the call again.
  */
 import {
-  LARGEST_STORED_ANSWER_BYTES,
+  MAX_STORED_ANSWER_BYTES,
   type ErrorKind,
   type Milliseconds,
   type MonotonicMilliseconds,
-  type Ran,
+  type RanStatus,
   type StoredAnswer,
 } from '@hornbeampond/schema';
 import type {
   AfterRelease,
   ClaimCommand,
-  ClaimedCall,
+  ClaimedCallState,
   ClaimedCallEffect,
   ClaimedCallEvent,
-  ClaimIntent,
-} from './ClaimedCall.js';
+  ClaimSubject,
+} from './ClaimedCallState.js';
 
-/**
- * Copies of `openClaim` that are sent before the attempt is given up: 2.8 seconds with the waits
- * below, in which the stores can elect another leader.
- */
-export const MOST_OPEN_TRIES = 3;
+/** Times that `openClaim` is sent before the request fails; leaves time to elect a new leader. */
+export const MAX_OPEN_TRIES = 3;
 
-/** Wait before the first resend; it doubles with each. */
-export const FIRST_RESEND_AFTER: Milliseconds = 400;
+/** Doubles with each resend. */
+export const FIRST_RESEND_DELAY_MILLISECONDS: Milliseconds = 400;
 
-/** Waits before the log is asked again for the outcome of another attempt's run. */
-export const FIRST_OUTCOME_AFTER: Milliseconds = 50;
-export const MOST_OUTCOME_AFTER: Milliseconds = 1000;
+/** Bounds of the delay before the log is asked again for the outcome of another request. */
+export const MIN_OUTCOME_POLL_DELAY_MILLISECONDS: Milliseconds = 50;
+export const MAX_OUTCOME_POLL_DELAY_MILLISECONDS: Milliseconds = 1000;
 
-/** Longest wait between resends. */
-export const MOST_RESEND_AFTER: Milliseconds = 5000;
+export const MAX_RESEND_DELAY_MILLISECONDS: Milliseconds = 5000;
 
-/** How long after its claim's expiry a settlement is still resent, so that a resend learns it. */
-export const SETTLE_AFTER_EXPIRY: Milliseconds = 10 * 60 * 1000;
+/** How long after the expiry of the claim an outcome is still resent to the log. */
+export const SETTLE_RESEND_AFTER_EXPIRY_MILLISECONDS: Milliseconds = 10 * 60 * 1000;
 
 type EventOf<Type extends ClaimedCallEvent['type']> = Extract<ClaimedCallEvent, { type: Type }>;
 
-/** Starts an attempt: the first effect asks the log for the claim. */
+/** Creates the state of a claim, with the effects that ask the log for it. */
 export function startClaimedCall(
-  intent: ClaimIntent,
+  intent: ClaimSubject,
   attemptId: string,
   now: MonotonicMilliseconds,
   expiresAfter: Milliseconds,
-): { readonly call: ClaimedCall; readonly effects: ClaimedCallEffect[] } {
-  const call: ClaimedCall = {
+): { readonly call: ClaimedCallState; readonly effects: ClaimedCallEffect[] } {
+  const call: ClaimedCallState = {
     intent,
     attemptId,
     startedAt: now,
     expiresAfter,
     phase: 'opening',
     pending: undefined,
-    tries: 0,
-    heldElsewhere: false,
-    answered: false,
+    sendCount: 0,
+    heldByOtherRequest: false,
+    resolved: false,
     afterRelease: 'nothing',
   };
   const effects = propose(call, { type: 'openClaim', ...intent, attemptId, expiresAfter });
   return { call, effects };
 }
 
-/** Decides what one event means for the attempt; changes `call` in place. */
-export function reduceClaimedCall(call: ClaimedCall, event: ClaimedCallEvent): ClaimedCallEffect[] {
+/** Applies one event to the claim, changing `call` in place. */
+export function reduceClaimedCall(
+  call: ClaimedCallState,
+  event: ClaimedCallEvent,
+): ClaimedCallEffect[] {
   switch (event.type) {
     case 'claimResult':
       return onResult(call, event);
@@ -84,41 +84,44 @@
   }
 }
 
-function resendAfter(tries: number): Milliseconds {
-  return Math.min(FIRST_RESEND_AFTER * 2 ** (tries - 1), MOST_RESEND_AFTER);
+function computeResendDelay(tries: number): Milliseconds {
+  return Math.min(
+    FIRST_RESEND_DELAY_MILLISECONDS * 2 ** (tries - 1),
+    MAX_RESEND_DELAY_MILLISECONDS,
+  );
 }
 
-function propose(call: ClaimedCall, command: ClaimCommand): ClaimedCallEffect[] {
+function propose(call: ClaimedCallState, command: ClaimCommand): ClaimedCallEffect[] {
   call.pending = command;
-  call.tries = 1;
+  call.sendCount = 1;
   return resend(call, command);
 }
 
-function resend(call: ClaimedCall, command: ClaimCommand): ClaimedCallEffect[] {
+function resend(call: ClaimedCallState, command: ClaimCommand): ClaimedCallEffect[] {
   return [
     { type: 'propose', command },
-    { type: 'startResendTimer', after: resendAfter(call.tries) },
+    { type: 'startResendTimer', after: computeResendDelay(call.sendCount) },
   ];
 }
 
-function finish(call: ClaimedCall): ClaimedCallEffect[] {
+function finish(call: ClaimedCallState): ClaimedCallEffect[] {
   call.phase = 'finished';
   call.pending = undefined;
   return [{ type: 'finished' }];
 }
 
-/** Refuses unless the caller has its answer already. */
-function refuse(call: ClaimedCall, kind: ErrorKind, ran: Ran): ClaimedCallEffect[] {
-  if (call.answered) return [];
-  call.answered = true;
+/** Fails the request unless the caller already has its final answer. */
+function refuse(call: ClaimedCallState, kind: ErrorKind, ran: RanStatus): ClaimedCallEffect[] {
+  if (call.resolved) return [];
+  call.resolved = true;
   return [{ type: 'refuse', kind, ran }];
 }
 
 /**
- * Gives the attempt up for good. From here on no event makes it send, and the log is told until it
- * acknowledges, because an `openClaim` still on its way would otherwise open the claim later.
+ * Releases the claim of a request that will never send the call. The release is resent until the
+ * log acknowledges it, because a delayed `openClaim` could otherwise open the claim later.
  */
-function release(call: ClaimedCall, afterRelease: AfterRelease): ClaimedCallEffect[] {
+function release(call: ClaimedCallState, afterRelease: AfterRelease): ClaimedCallEffect[] {
   const { attemptId } = call;
   const { workspace, key } = call.intent;
   call.phase = 'releasing';
@@ -127,39 +130,41 @@
 }
 
 /**
- * Gives up an attempt that was not sent. The caller is told at once: `ran: no` is true by the sender
- * alone, and to wait for the log would hold the answer back for as long as no quorum answers. Where
- * another attempt was seen to hold the claim, the caller's call may have run all the same.
+ * Fails a request that has not sent the call, without waiting for the log, which may lack a quorum
+ * for a long time. If another request held the claim, the call may have run for that one.
  */
-function giveUp(call: ClaimedCall, kind: ErrorKind): ClaimedCallEffect[] {
-  const refusal = call.heldElsewhere
+function refuseAndRelease(call: ClaimedCallState, kind: ErrorKind): ClaimedCallEffect[] {
+  const refusal = call.heldByOtherRequest
     ? refuse(call, 'claimRunning', 'unknown')
     : refuse(call, kind, 'no');
   return [...refusal, ...release(call, 'nothing')];
 }
 
 /**
- * Waits for the outcome of the attempt that holds the claim, half as long again as it has waited so
- * far. The holder answers its caller before the log has the outcome, so a caller that sends its call
- * again at once finds the claim open; refused then, it would never learn an answer that is there.
+ * Waits for the outcome of the request that holds the claim. That request is answered before its
+ * outcome is in the log, so a caller that sends the call again immediately still finds the claim
+ * open. Refusing it then would keep an existing answer from the caller.
  */
-function awaitOutcome(call: ClaimedCall, now: MonotonicMilliseconds): ClaimedCallEffect[] {
-  call.heldElsewhere = true;
-  call.tries = 0;
-  const waited = now - call.startedAt;
-  const after = Math.min(MOST_OUTCOME_AFTER, Math.max(FIRST_OUTCOME_AFTER, waited / 2));
+function awaitOutcome(call: ClaimedCallState, now: MonotonicMilliseconds): ClaimedCallEffect[] {
+  call.heldByOtherRequest = true;
+  call.sendCount = 0;
+  const elapsed = now - call.startedAt;
+  const after = Math.min(
+    MAX_OUTCOME_POLL_DELAY_MILLISECONDS,
+    Math.max(MIN_OUTCOME_POLL_DELAY_MILLISECONDS, elapsed / 2),
+  );
   return [{ type: 'startResendTimer', after }];
 }
 
-function onResult(call: ClaimedCall, event: EventOf<'claimResult'>): ClaimedCallEffect[] {
-  // A late or repeated result of a command that is done with decides nothing any more.
+function onResult(call: ClaimedCallState, event: EventOf<'claimResult'>): ClaimedCallEffect[] {
+  // Ignores a late or repeated result of a command that is no longer pending.
   if (call.pending?.type !== event.command) return [];
   if (call.phase === 'opening') return onOpenResult(call, event);
   if (call.phase === 'releasing') return onReleaseResult(call, event);
   return finish(call);
 }
 
-function onOpenResult(call: ClaimedCall, event: EventOf<'claimResult'>): ClaimedCallEffect[] {
+function onOpenResult(call: ClaimedCallState, event: EventOf<'claimResult'>): ClaimedCallEffect[] {
   const { result, now } = event;
   switch (result.type) {
     case 'claimOpened':
@@ -171,113 +176,116 @@
     case 'claimRunning':
       return awaitOutcome(call, now);
     case 'claimKeyReused':
-      return giveUp(call, 'idempotencyKeyReused');
+      return refuseAndRelease(call, 'idempotencyKeyReused');
     default:
-      return giveUp(call, 'claimsUnavailable');
+      return refuseAndRelease(call, 'claimsUnavailable');
   }
 }
 
 /**
- * Sends, unless the grant comes so late that the claim has expired: others were told `unknown`
- * by then, and past its retention the log would let another attempt open it.
+ * Sends the call, unless the claim has expired: the log reports an unknown outcome for an expired
+ * claim, and later lets another request open it.
  */
-function onOpened(call: ClaimedCall, now: MonotonicMilliseconds): ClaimedCallEffect[] {
-  if (now - call.startedAt >= call.expiresAfter) return giveUp(call, 'claimsUnavailable');
+function onOpened(call: ClaimedCallState, now: MonotonicMilliseconds): ClaimedCallEffect[] {
+  if (now - call.startedAt >= call.expiresAfter) return refuseAndRelease(call, 'claimsUnavailable');
   call.phase = 'sending';
   call.pending = undefined;
-  call.heldElsewhere = false;
+  call.heldByOtherRequest = false;
   return [{ type: 'sendCall', attemptId: call.attemptId }];
 }
 
-function replay(call: ClaimedCall, answer: StoredAnswer | undefined): ClaimedCallEffect[] {
+function replay(call: ClaimedCallState, answer: StoredAnswer | undefined): ClaimedCallEffect[] {
   if (answer?.body === undefined) return refuse(call, 'answerTooLargeToReplay', 'unknown');
-  if (call.answered) return [];
-  call.answered = true;
+  if (call.resolved) return [];
+  call.resolved = true;
   return [{ type: 'answer', answer, replayed: true }];
 }
 
-function onReleaseResult(call: ClaimedCall, event: EventOf<'claimResult'>): ClaimedCallEffect[] {
+function onReleaseResult(
+  call: ClaimedCallState,
+  event: EventOf<'claimResult'>,
+): ClaimedCallEffect[] {
   if (event.result.type !== 'claimReleased') {
     return [...refuse(call, 'outcomeUnknown', 'unknown'), ...finish(call)];
   }
   const { afterRelease } = call;
-  if (afterRelease === 'tryElsewhere' && !call.answered) {
-    call.answered = true;
+  if (afterRelease === 'tryElsewhere' && !call.resolved) {
+    call.resolved = true;
     return [{ type: 'tryElsewhere' }, ...finish(call)];
   }
   return finish(call);
 }
 
 /**
- * Only the store's word that nothing was and will be done spares the release. If an earlier copy of
- * the same open was sent, it may still be run.
+ * Skips the release only if the store guarantees that this `openClaim` is never applied, and if no
+ * earlier copy was sent, which could still be applied.
  */
-function onStoreFailed(call: ClaimedCall, event: EventOf<'storeFailed'>): ClaimedCallEffect[] {
-  const isFirstOpen = call.phase === 'opening' && call.tries === 1 && !call.heldElsewhere;
+function onStoreFailed(call: ClaimedCallState, event: EventOf<'storeFailed'>): ClaimedCallEffect[] {
+  const isFirstOpen = call.phase === 'opening' && call.sendCount === 1 && !call.heldByOtherRequest;
   if (!event.nothingDone || !isFirstOpen || event.command !== 'openClaim') return [];
   return [...refuse(call, 'claimsUnavailable', 'no'), ...finish(call)];
 }
 
-function onResendDue(call: ClaimedCall, now: MonotonicMilliseconds): ClaimedCallEffect[] {
+function onResendDue(call: ClaimedCallState, now: MonotonicMilliseconds): ClaimedCallEffect[] {
   const { pending } = call;
   if (pending === undefined) return [];
-  if (pending.type === 'openClaim' && call.tries >= MOST_OPEN_TRIES) {
-    return giveUp(call, 'claimsUnavailable');
+  if (pending.type === 'openClaim' && call.sendCount >= MAX_OPEN_TRIES) {
+    return refuseAndRelease(call, 'claimsUnavailable');
   }
-  if (now - call.startedAt >= resendSpan(call)) {
+  if (now - call.startedAt >= getMaxResendDuration(call)) {
     return [...refuse(call, 'outcomeUnknown', 'unknown'), ...finish(call)];
   }
-  call.tries += 1;
+  call.sendCount += 1;
   return resend(call, pending);
 }
 
 /**
- * How long a command is sent again. A release goes on until it is acknowledged: its caller was told
- * `ran: no`, and a copy of the open that the log runs late would stand against the caller's resends.
+ * How long after the start a command is still resent. A release is resent until it is acknowledged,
+ * since a delayed `openClaim` would otherwise block the caller from sending the call again.
  */
-function resendSpan(call: ClaimedCall): Milliseconds {
+function getMaxResendDuration(call: ClaimedCallState): Milliseconds {
   if (call.phase === 'releasing') return Number.POSITIVE_INFINITY;
-  if (call.phase === 'settling') return call.expiresAfter + SETTLE_AFTER_EXPIRY;
+  if (call.phase === 'settling') return call.expiresAfter + SETTLE_RESEND_AFTER_EXPIRY_MILLISECONDS;
   return call.expiresAfter;
 }
 
-/** Only a failure provably before the first byte lets the call be tried elsewhere. */
-function onSendFailed(call: ClaimedCall, beforeFirstByte: boolean): ClaimedCallEffect[] {
+/** Allows another backend server only if provably no byte was sent. */
+function onSendFailed(call: ClaimedCallState, beforeFirstByte: boolean): ClaimedCallEffect[] {
   if (call.phase !== 'sending') return [];
-  if (beforeFirstByte) return release(call, call.answered ? 'nothing' : 'tryElsewhere');
+  if (beforeFirstByte) return release(call, call.resolved ? 'nothing' : 'tryElsewhere');
   return [...refuse(call, 'outcomeUnknown', 'unknown'), ...settle(call, { outcome: 'unknown' })];
 }
 
-function onAnswered(call: ClaimedCall, { answer }: EventOf<'answered'>): ClaimedCallEffect[] {
+function onAnswered(call: ClaimedCallState, { answer }: EventOf<'answered'>): ClaimedCallEffect[] {
   if (call.phase !== 'sending') return [];
-  const isLate = call.answered;
-  call.answered = true;
-  const settling = settle(call, { outcome: 'done', answer: storable(answer) });
+  const isLate = call.resolved;
+  call.resolved = true;
+  const settling = settle(call, { outcome: 'done', answer: omitOversizedBody(answer) });
   return isLate ? settling : [{ type: 'answer', answer, replayed: false }, ...settling];
 }
 
-/** Leaves a body out that the log would not keep; resends are then told that the call ran. */
-function storable(answer: StoredAnswer): StoredAnswer {
+/** Drops a body too large for the log. Later requests are told only that the call ran. */
+function omitOversizedBody(answer: StoredAnswer): StoredAnswer {
   const bytes = answer.body?.byteLength ?? 0;
-  if (bytes <= LARGEST_STORED_ANSWER_BYTES) return answer;
+  if (bytes <= MAX_STORED_ANSWER_BYTES) return answer;
   return { status: answer.status, headers: answer.headers };
 }
 
 function settle(
-  call: ClaimedCall,
-  end: Pick<Extract<ClaimCommand, { type: 'settleClaim' }>, 'outcome' | 'answer'>,
+  call: ClaimedCallState,
+  settlement: Pick<Extract<ClaimCommand, { type: 'settleClaim' }>, 'outcome' | 'answer'>,
 ): ClaimedCallEffect[] {
   const { attemptId } = call;
   const { workspace, key } = call.intent;
   call.phase = 'settling';
-  return propose(call, { type: 'settleClaim', workspace, key, attemptId, ...end });
+  return propose(call, { type: 'settleClaim', workspace, key, attemptId, ...settlement });
 }
 
 /**
- * The caller is answered now, `unknown` since no release is acknowledged yet. An attempt that was
- * sent is not recalled: its late answer is still stored for the caller's resend.
+ * Fails the request with `ran: unknown`, since no release is acknowledged yet. A call that was sent
+ * keeps running, and its late answer is stored in case the caller sends the call again.
  */
-function onDeadline(call: ClaimedCall): ClaimedCallEffect[] {
+function onDeadline(call: ClaimedCallState): ClaimedCallEffect[] {
   const refusal = refuse(call, 'deadlineExceeded', 'unknown');
   if (call.phase === 'opening') return [...refusal, ...release(call, 'nothing')];
   return refusal;
--- /dev/null
+++ b/packages/entry-core/src/driver/SimulatedCluster.ts
@@ -0,0 +1,303 @@
+/**
+ * Runs simulated entries and engines together in virtual time. Time advances in fixed steps, and
+ * due tasks run by due time and then in the order in which they were scheduled, so runs are
+ * deterministic.
+ */
+import type {
+  EntryReport,
+  PlatformInstance,
+  ReportCrashCommand,
+  WorkReport,
+} from '@hornbeampond/schema';
+import type { CallerRequest, Timestamps } from '../entryEvents.js';
+import { SimulatedEntry, type CallerRecord } from './SimulatedEntry.js';
+import {
+  SimulatedEngine,
+  expectedAnswer,
+  type EngineRates,
+  type CrashTokenByDigest,
+} from './SimulatedEngine.js';
+import { makeConfiguration, defaultEngineRates } from './fixtures.js';
+
+const STEP_MILLISECONDS = 10;
+const TICK_MILLISECONDS = 50;
+
+export interface SimulatedClusterOptions {
+  /** Number of engines in each data centre. */
+  readonly engines: Readonly<Record<string, number>>;
+  /** Number of entries, distributed over the data centres in turn; 1 by default. */
+  readonly entries?: number;
+  readonly crashTokenByDigest?: CrashTokenByDigest;
+  readonly rates?: Partial<EngineRates>;
+  /** Whole-answer deadline of all routes; one minute by default. */
+  readonly wholeAnswerMilliseconds?: number;
+  /** Pool of the engines; those of `bookings` act as plain services. */
+  readonly pool?: 'engines' | 'bookings';
+  /** True if hosts disappear with their engines: connections are not reset, and probes time out. */
+  readonly enginesDieWithoutReset?: boolean;
+}
+
+interface Task {
+  readonly dueAt: number;
+  readonly run: () => void;
+}
+
+export class SimulatedCluster {
+  readonly engines = new Map<string, SimulatedEngine>();
+
+  readonly entries: SimulatedEntry[] = [];
+
+  /** True makes every cache move fail. */
+  movesFail = false;
+
+  /** False leaves every probe unanswered. */
+  probesAnswered = true;
+
+  /** False makes the store unreachable for all entries. */
+  storeReachable = true;
+
+  private readonly rates: EngineRates;
+
+  private readonly crashTokenByDigest: CrashTokenByDigest;
+
+  private readonly pool: string;
+
+  private readonly losesHost: boolean;
+
+  private now = 0;
+
+  private readonly startedAt = Date.UTC(2026, 0, 15, 11);
+
+  private tasks: Task[] = [];
+
+  private platformInstances: PlatformInstance[] = [];
+
+  private readonly crashIdsByDigest = new Map<string, Set<string>>();
+
+  constructor(options: SimulatedClusterOptions) {
+    this.rates = { ...defaultEngineRates, ...options.rates };
+    this.crashTokenByDigest = options.crashTokenByDigest ?? new Map();
+    this.pool = options.pool ?? 'engines';
+    this.losesHost = options.enginesDieWithoutReset ?? false;
+    Object.entries(options.engines).forEach(([dataCentre, count]) => {
+      for (let number = 1; number <= count; number += 1) {
+        this.addEngine(`${dataCentre}-engine-${number}`, dataCentre);
+      }
+    });
+    const dataCentres = Object.keys(options.engines);
+    const configuration = makeConfiguration(options.wholeAnswerMilliseconds ?? 60_000);
+    for (let number = 1; number <= (options.entries ?? 1); number += 1) {
+      const dataCentre = dataCentres[(number - 1) % dataCentres.length] ?? '';
+      const entry = new SimulatedEntry(this, `entry-${number}`, dataCentre);
+      this.entries.push(entry);
+      entry.send({ type: 'configurationReceived', configuration });
+      entry.send({ type: 'instancesListed', instances: this.platformInstances });
+    }
+  }
+
+  /** Adds an engine and lists it on the platform. */
+  addEngine(instance: string, dataCentre: string): void {
+    const engine = new SimulatedEngine(instance, dataCentre, this.rates, this.crashTokenByDigest);
+    engine.omitsReset = this.losesHost;
+    engine.unreachableWhenDead = this.losesHost;
+    this.engines.set(instance, engine);
+    this.platformInstances.push(this.describeInstance(engine));
+    this.publishAliveEngines();
+  }
+
+  /** Removes dead engines from the list of the platform and sends the list to all entries. */
+  publishAliveEngines(): void {
+    this.platformInstances = this.platformInstances.filter(
+      (platformInstance) => this.engines.get(platformInstance.instance)?.alive,
+    );
+    this.entries.forEach((entry) =>
+      entry.send({ type: 'instancesListed', instances: this.platformInstances }),
+    );
+  }
+
+  get entry(): SimulatedEntry {
+    return this.entryAt(0);
+  }
+
+  entryAt(position: number): SimulatedEntry {
+    const entry = this.entries[position];
+    if (entry === undefined) throw new Error(`no entry ${position}`);
+    return entry;
+  }
+
+  engine(instance: string): SimulatedEngine {
+    const engine = this.engines.get(instance);
+    if (engine === undefined) throw new Error(`no engine ${instance}`);
+    return engine;
+  }
+
+  clock(): Timestamps {
+    return { now: this.now, wallNow: this.startedAt + this.now };
+  }
+
+  /** Runs a task after a delay in virtual time. */
+  schedule(delayMilliseconds: number, run: () => void): void {
+    this.tasks.push({ dueAt: this.now + delayMilliseconds, run });
+  }
+
+  advance(durationMilliseconds: number): void {
+    const end = this.now + durationMilliseconds;
+    while (this.now < end) this.step();
+  }
+
+  /** Runs until every caller has a final answer or the time-out has passed. */
+  runUntilAnswered(timeoutMilliseconds = 120_000): void {
+    const end = this.now + timeoutMilliseconds;
+    while (this.now < end && this.callers().some(({ finalAnswers }) => finalAnswers.length === 0))
+      this.step();
+    this.advance(STEP_MILLISECONDS);
+  }
+
+  callers(): CallerRecord[] {
+    return this.entries.flatMap((entry) => [...entry.callers.values()]);
+  }
+
+  /** Sends one entry a reclaim notice for these engines, which die when the notice ends. */
+  reclaim(
+    instances: readonly string[],
+    noticeMilliseconds: number,
+    entry: SimulatedEntry = this.entry,
+  ): void {
+    const goneAt = this.clock().wallNow + noticeMilliseconds;
+    instances.forEach((instance) => {
+      entry.send({ type: 'reclaimNoticed', instance, goneAt });
+      this.schedule(noticeMilliseconds, () => this.engine(instance).die());
+    });
+  }
+
+  /**
+   * Marks these engines as leaving in one update of the platform list; they die when the notice
+   * ends.
+   */
+  reclaimByPlatformList(instances: readonly string[], noticeMilliseconds: number): void {
+    const goneAt = this.clock().wallNow + noticeMilliseconds;
+    const leaving = new Set(instances);
+    this.platformInstances = this.platformInstances.map((platformInstance) =>
+      leaving.has(platformInstance.instance)
+        ? { ...platformInstance, state: 'leaving', goneAt }
+        : platformInstance,
+    );
+    this.entries.forEach((entry) =>
+      entry.send({ type: 'instancesListed', instances: this.platformInstances }),
+    );
+    instances.forEach((instance) =>
+      this.schedule(noticeMilliseconds, () => this.engine(instance).die()),
+    );
+  }
+
+  countLostEngines(): number {
+    return [...this.engines.values()].filter(({ alive }) => !alive).length;
+  }
+
+  /** Disconnects the caller at this position among those without a final answer. */
+  disconnectCaller(position: number): void {
+    const caller = this.callers().filter(({ finalAnswers }) => finalAnswers.length === 0)[position];
+    if (caller === undefined) return;
+    caller.finalAnswers.push({ type: 'gone', at: this.now });
+    const { requestId } = caller.request;
+    this.entries.forEach((entry) => entry.send({ type: 'callerGone', requestId }));
+  }
+
+  /** Returns how many milliseconds it takes to move a KV cache of this size. */
+  moveDuration(tokens: number): number {
+    return 50 + tokens / 8;
+  }
+
+  deliverReport(from: SimulatedEntry, report: EntryReport): void {
+    this.entries
+      .filter((entry) => entry !== from)
+      .forEach((entry) => this.schedule(1, () => entry.send({ type: 'entryReported', report })));
+  }
+
+  deliverWorkReport(from: SimulatedEntry, work: WorkReport): void {
+    this.entries
+      .filter((entry) => entry !== from)
+      .forEach((entry) => this.schedule(1, () => entry.send({ type: 'workReported', work })));
+  }
+
+  /** Simulates a store that quarantines a digest at the second different crash reported for it. */
+  applyCrashReport({ crashId, digests }: ReportCrashCommand): void {
+    if (!this.storeReachable) return;
+    const until = this.clock().wallNow + 600_000;
+    const quarantine = digests
+      .filter((digest) => {
+        const crashIds = this.crashIdsByDigest.get(digest) ?? new Set();
+        this.crashIdsByDigest.set(digest, crashIds.add(crashId));
+        return crashIds.size > 1;
+      })
+      .map((digest) => ({ digest, until }));
+    if (quarantine.length === 0) return;
+    this.entries.forEach((entry) =>
+      this.schedule(20, () => entry.send({ type: 'quarantineReceived', quarantine })),
+    );
+  }
+
+  /** Returns the violated guarantees of all callers; empty if there are none. */
+  findViolations(): string[] {
+    return this.callers().flatMap((caller) => this.findViolationsOf(caller));
+  }
+
+  private findViolationsOf({ request, finalAnswers, tokens }: CallerRecord): string[] {
+    const violations: string[] = [];
+    const expected = expectedAnswer(request);
+    const name = request.requestId;
+    if (finalAnswers.length !== 1)
+      violations.push(`${name} got ${finalAnswers.length} final answers`);
+    if (!expected.startsWith(tokens.join('')))
+      violations.push(`${name} got tokens of another answer`);
+    finalAnswers.forEach((finalAnswer) => {
+      if (finalAnswer.type === 'whole' && finalAnswer.text !== expected) {
+        violations.push(`${name} got an incorrect complete answer`);
+      }
+      const received = [...this.engines.values()].some((engine) => engine.received.has(name));
+      if (finalAnswer.type === 'problem' && finalAnswer.ran !== 'unknown' && received) {
+        violations.push(`${name} reached an engine but was reported as not run`);
+      }
+    });
+    return violations;
+  }
+
+  private describeInstance(engine: SimulatedEngine): PlatformInstance {
+    const { instance, dataCentre } = engine;
+    const common = { instance, dataCentre, instanceClass: 'gpu', pool: this.pool };
+    return { ...common, state: 'live', host: '127.0.0.1', port: 1 };
+  }
+
+  private step(): void {
+    this.now += STEP_MILLISECONDS;
+    this.runDueTasks();
+    this.engines.forEach((engine) => engine.advance(STEP_MILLISECONDS));
+    this.entries.forEach((entry) => entry.failStalledConnections());
+    this.runDueTasks();
+    if (this.now % TICK_MILLISECONDS !== 0) return;
+    this.entries.forEach((entry) => entry.send({ type: 'tick' }));
+  }
+
+  private runDueTasks(): void {
+    for (;;) {
+      const due = this.tasks.filter(({ dueAt }) => dueAt <= this.now);
+      if (due.length === 0) return;
+      this.tasks = this.tasks.filter(({ dueAt }) => dueAt > this.now);
+      due.sort((a, b) => a.dueAt - b.dueAt).forEach(({ run }) => run());
+    }
+  }
+}
+
+export function makeRequest(name: string, fields: Partial<CallerRequest> = {}): CallerRequest {
+  return {
+    requestId: name,
+    workspace: 'wien-shops',
+    method: 'POST',
+    path: '/v1/chat/completions',
+    digest: `digest-${name}`,
+    prefixDigests: [],
+    promptTokens: 400,
+    maxTokens: 200,
+    ...fields,
+  };
+}
--- /dev/null
+++ b/packages/entry-core/src/driver/SimulatedEngine.ts
@@ -0,0 +1,136 @@
+/**
+ * Simulates a model engine in virtual time. Its tokens depend only on the digest and the position,
+ * so the answer of a resumed stream can be compared with the expected one.
+ */
+import type { CallerRequest } from '../entryEvents.js';
+
+/** Receives the events of one stream. */
+export interface EngineListener {
+  token(position: number, token: string): void;
+  finished(): void;
+  lost(): void;
+}
+
+export interface EngineStream {
+  readonly attemptId: string;
+  readonly request: CallerRequest;
+  readonly listener: EngineListener;
+  position: number;
+  remainingPrefillMilliseconds: number;
+  /** Fraction of the next token that has been generated. */
+  nextTokenProgress: number;
+  /** True if the connection is open but delivers nothing in either direction. */
+  stalled: boolean;
+}
+
+export interface EngineRates {
+  readonly tokensPerMillisecond: number;
+  readonly prefillTokensPerMillisecond: number;
+  /** Number of streams that run at full speed concurrently. */
+  readonly concurrency: number;
+}
+
+/** Token position at which a request crashes its engine, by digest. */
+export type CrashTokenByDigest = ReadonlyMap<string, number>;
+
+/**
+ * Returns the number of answer tokens: `maxTokens`, or half of it if the digest ends in `early`.
+ */
+export function answerLength({ maxTokens, digest }: CallerRequest): number {
+  const lengthDivisor = digest.endsWith('early') ? 2 : 1;
+  return Math.ceil(maxTokens / lengthDivisor);
+}
+
+export function tokenAt(digest: string, position: number): string {
+  return `${digest}#${position} `;
+}
+
+/** Returns the complete answer that an uninterrupted stream would deliver. */
+export function expectedAnswer(request: CallerRequest): string {
+  return Array.from({ length: answerLength(request) }, (_, position) =>
+    tokenAt(request.digest, position),
+  ).join('');
+}
+
+export class SimulatedEngine {
+  alive = true;
+
+  /** Rejects all new streams as busy. */
+  busy = false;
+
+  /** True if the process restarts immediately when it dies. */
+  restartsImmediately = false;
+
+  deaths = 0;
+
+  /** True if the death of the engine resets no connections, as when its host disappears. */
+  omitsReset = false;
+
+  /** True if probes of the dead engine time out instead of being refused. */
+  unreachableWhenDead = false;
+
+  readonly streams = new Map<string, EngineStream>();
+
+  /** How often each request was received, by request id. */
+  readonly received = new Map<string, number>();
+
+  decodedTokens = 0;
+
+  prefilledTokens = 0;
+
+  constructor(
+    readonly instance: string,
+    readonly dataCentre: string,
+    private readonly rates: EngineRates,
+    private readonly crashTokenByDigest: CrashTokenByDigest,
+  ) {}
+
+  /** Starts a stream whose first `cachedTokens` tokens of context are already in the KV cache. */
+  open(stream: EngineStream, cachedTokens: number): void {
+    const context = stream.request.promptTokens + stream.position;
+    const prefill = Math.max(0, context - cachedTokens);
+    this.prefilledTokens += prefill;
+    stream.remainingPrefillMilliseconds = prefill / this.rates.prefillTokensPerMillisecond;
+    const { requestId } = stream.request;
+    this.received.set(requestId, (this.received.get(requestId) ?? 0) + 1);
+    this.streams.set(stream.attemptId, stream);
+  }
+
+  die(): void {
+    this.deaths += 1;
+    this.alive = this.restartsImmediately;
+    const lost = [...this.streams.values()];
+    this.streams.clear();
+    if (this.omitsReset) return;
+    lost.filter(({ stalled }) => !stalled).forEach(({ listener }) => listener.lost());
+  }
+
+  advance(durationMilliseconds: number): void {
+    const slowdown = Math.max(1, this.streams.size / this.rates.concurrency);
+    [...this.streams.values()].forEach((stream) => {
+      if (!this.alive) return;
+      if (stream.remainingPrefillMilliseconds > 0)
+        stream.remainingPrefillMilliseconds -= durationMilliseconds / slowdown;
+      else this.decode(stream, (durationMilliseconds * this.rates.tokensPerMillisecond) / slowdown);
+    });
+  }
+
+  private decode(stream: EngineStream, tokens: number): void {
+    const { request, listener } = stream;
+    stream.nextTokenProgress += tokens;
+    while (stream.nextTokenProgress >= 1 && stream.position < answerLength(request)) {
+      if (stream.position >= (this.crashTokenByDigest.get(request.digest) ?? Infinity)) {
+        this.die();
+        return;
+      }
+      stream.nextTokenProgress -= 1;
+      this.decodedTokens += 1;
+      if (!stream.stalled)
+        listener.token(stream.position, tokenAt(request.digest, stream.position));
+      stream.position += 1;
+    }
+    if (stream.position < answerLength(request)) return;
+    this.streams.delete(stream.attemptId);
+    if (!stream.stalled) listener.finished();
+  }
+}
--- /dev/null
+++ b/packages/entry-core/src/driver/SimulatedEntry.ts
@@ -0,0 +1,336 @@
+/**
+ * Simulates the process around the reducer of one entry: it performs the effects of the reducer on
+ * simulated engines and sends it the resulting events.
+ */
+import type { ReportCrashCommand } from '@hornbeampond/schema';
+import type { EntryEffect } from '../entryEffects.js';
+import type { CallerRequest, EntryEventPayload, Timestamps } from '../entryEvents.js';
+import { makeEntryState, type EntryState } from '../EntryState.js';
+import { reduceEntry } from '../reduceEntry.js';
+import type { EngineListener } from './SimulatedEngine.js';
+import type { SimulatedCluster } from './SimulatedCluster.js';
+
+type Effect<Type extends EntryEffect['type']> = Extract<EntryEffect, { type: Type }>;
+
+/** Final answer of a request, as its caller sees it. */
+export type FinalAnswer =
+  | { readonly type: 'whole'; readonly at: number; readonly text: string }
+  /** The caller closed its connection. */
+  | { readonly type: 'gone'; readonly at: number }
+  | {
+      readonly type: 'problem';
+      readonly at: number;
+      readonly kind: string;
+      readonly ran?: string;
+      readonly retryAfterMilliseconds?: number;
+    };
+
+/** Everything that one caller has received. */
+export interface CallerRecord {
+  readonly request: CallerRequest;
+  readonly arrivedAt: number;
+  readonly tokens: string[];
+  readonly finalAnswers: FinalAnswer[];
+  firstTokenAt?: number;
+}
+
+interface Connection {
+  readonly attemptId: string;
+  readonly caller: CallerRecord;
+  readonly instance: string;
+  /** True if a partial answer cannot be resumed. */
+  readonly isPlainService: boolean;
+  /** Tokens received over this connection. */
+  readonly ownTokens: string[];
+  lastActivityAt: number;
+  currentTimeout: number;
+  readonly idleTimeout: number;
+  hasFirstToken: boolean;
+  lastProgressAt: number;
+  timedOut: boolean;
+}
+
+const PROGRESS_INTERVAL_MILLISECONDS = 100;
+
+export class SimulatedEntry {
+  readonly state: EntryState;
+
+  readonly callers = new Map<string, CallerRecord>();
+
+  /** Sums of `count` effects, with `metric/label` as the key. */
+  readonly counts = new Map<string, number>();
+
+  readonly log: string[] = [];
+
+  /** False simulates a stopped process: no event reaches the entry. */
+  alive = true;
+
+  private readonly connections = new Map<string, Connection>();
+
+  /** Attempt whose tokens are relayed to the caller, by request. */
+  private readonly currentAttemptIds = new Map<string, string>();
+
+  /** Number of tokens in a moved KV cache, keyed by request and instance. */
+  private readonly movedTokens = new Map<string, number>();
+
+  constructor(
+    private readonly cluster: SimulatedCluster,
+    readonly instance: string,
+    dataCentre: string,
+  ) {
+    const incarnation = cluster.clock().wallNow;
+    this.state = makeEntryState({ instance, dataCentre, incarnation, maxQueuedRequests: 1000 });
+  }
+
+  send(event: EntryEventPayload): void {
+    if (!this.alive) return;
+    const timestamps: Timestamps = this.cluster.clock();
+    reduceEntry(this.state, { ...event, ...timestamps }).forEach((effect) =>
+      this.performEffect(effect),
+    );
+  }
+
+  submitRequest(request: CallerRequest): CallerRecord {
+    const caller = { request, arrivedAt: this.cluster.clock().now, tokens: [], finalAnswers: [] };
+    this.callers.set(request.requestId, caller);
+    this.send({ type: 'requestArrived', request });
+    return caller;
+  }
+
+  /** Fails connections that were idle for longer than their time-out. */
+  failStalledConnections(): void {
+    const { now } = this.cluster.clock();
+    [...this.connections.values()]
+      .filter(
+        ({ timedOut, lastActivityAt, currentTimeout }) =>
+          !timedOut && now - lastActivityAt >= currentTimeout,
+      )
+      .forEach((connection) => {
+        connection.timedOut = true;
+        this.failAttempt(connection, 'silent', 'maybe');
+      });
+  }
+
+  count(key: string): number {
+    return this.counts.get(key) ?? 0;
+  }
+
+  private performEffect(effect: EntryEffect): void {
+    switch (effect.type) {
+      case 'startAttempt':
+        this.startAttempt(effect);
+        return;
+      case 'cancelAttempt':
+        this.closeConnection(effect.attemptId);
+        return;
+      case 'moveCache':
+        this.moveCache(effect);
+        return;
+      case 'finishAnswer':
+        this.finishAnswer(effect);
+        return;
+      case 'answerProblem':
+        this.answerProblem(effect);
+        return;
+      case 'probe':
+        this.probe(effect.target.instance);
+        return;
+      case 'reportToEntries':
+        this.cluster.deliverReport(this, effect.report);
+        return;
+      case 'tellWork':
+        this.cluster.deliverWorkReport(this, effect.work);
+        return;
+      case 'proposeCommand':
+        this.cluster.applyCrashReport(effect.command as ReportCrashCommand);
+        return;
+      case 'proposeClaim':
+        this.grantClaim(effect);
+        return;
+      case 'count':
+        this.addCount(effect);
+        return;
+      case 'log':
+        this.log.push(
+          `${this.cluster.clock().now} ${effect.event} ${JSON.stringify(effect.fields)}`,
+        );
+        return;
+      default:
+        this.logShutdownReady(effect);
+    }
+  }
+
+  private logShutdownReady(effect: { type: string }): void {
+    if (effect.type === 'shutdownReady') this.log.push(`${this.cluster.clock().now} shutdownReady`);
+  }
+
+  /** Simulates a store that grants every claim command. */
+  private grantClaim({ requestId, command }: Effect<'proposeClaim'>): void {
+    const types = {
+      openClaim: 'claimOpened',
+      releaseClaim: 'claimReleased',
+      settleClaim: 'claimSettled',
+    } as const;
+    const type = types[command.type];
+    const answer = { type: 'result', result: { type } } as const;
+    this.cluster.schedule(1, () => {
+      this.send({ type: 'claimAnswered', requestId, command: command.type, answer });
+    });
+  }
+
+  private addCount({ metric, label = '', amount = 1 }: Effect<'count'>): void {
+    const key = `${metric}/${label}`;
+    this.counts.set(key, (this.counts.get(key) ?? 0) + amount);
+  }
+
+  private startAttempt(effect: Effect<'startAttempt'>): void {
+    const caller = this.callers.get(effect.requestId);
+    if (caller === undefined) throw new Error(`no caller for ${effect.requestId}`);
+    const { instance } = effect.target;
+    const connection: Connection = {
+      attemptId: effect.attemptId,
+      caller,
+      instance,
+      isPlainService: effect.target.kind === 'plainService',
+      ownTokens: [],
+      lastActivityAt: this.cluster.clock().now,
+      currentTimeout: effect.firstByteTimeout,
+      idleTimeout: effect.streamIdleTimeout,
+      hasFirstToken: false,
+      lastProgressAt: 0,
+      timedOut: false,
+    };
+    this.connections.set(effect.attemptId, connection);
+    this.currentAttemptIds.set(effect.requestId, effect.attemptId);
+    this.cluster.schedule(1, () => this.connect(connection, effect));
+  }
+
+  private connect(connection: Connection, effect: Effect<'startAttempt'>): void {
+    const { attemptId, caller } = connection;
+    if (this.connections.get(attemptId) !== connection) return;
+    const engine = this.cluster.engines.get(connection.instance);
+    if (engine === undefined || !engine.alive) {
+      this.failAttempt(connection, 'connectFailed', 'nothing');
+      return;
+    }
+    this.send({ type: 'attemptSent', attemptId });
+    if (engine.busy) {
+      this.failAttempt(connection, 'busy', 'maybe');
+      return;
+    }
+    const { request } = caller;
+    const isResumed = effect.resumeFromTokens > 0;
+    const position = isResumed ? caller.tokens.length : 0;
+    const cached = this.movedTokens.get(`${request.requestId}@${connection.instance}`) ?? 0;
+    const listener = this.listen(connection);
+    const streamFields = {
+      attemptId,
+      request,
+      listener,
+      position,
+      remainingPrefillMilliseconds: 0,
+      nextTokenProgress: 0,
+    };
+    engine.open({ ...streamFields, stalled: false }, cached);
+  }
+
+  private listen(connection: Connection): EngineListener {
+    return {
+      token: (position, token) => this.handleToken(connection, position, token),
+      finished: () => this.handleFinished(connection),
+      lost: () =>
+        this.cluster.schedule(1, () => this.failAttempt(connection, 'connectionLost', 'maybe')),
+    };
+  }
+
+  private handleToken(connection: Connection, position: number, token: string): void {
+    const { attemptId, caller } = connection;
+    const { now } = this.cluster.clock();
+    if (this.connections.get(attemptId) !== connection) return;
+    connection.lastActivityAt = now;
+    connection.currentTimeout = connection.idleTimeout;
+    connection.ownTokens.push(token);
+    if (this.currentAttemptIds.get(caller.request.requestId) !== attemptId) return;
+    if (!connection.hasFirstToken) {
+      connection.hasFirstToken = true;
+      caller.firstTokenAt ??= now;
+      this.send({ type: 'firstTokenReceived', attemptId });
+    }
+    if (position >= caller.tokens.length && caller.finalAnswers.length === 0)
+      caller.tokens.push(token);
+    if (now - connection.lastProgressAt < PROGRESS_INTERVAL_MILLISECONDS) return;
+    connection.lastProgressAt = now;
+    this.send({ type: 'attemptProgressed', attemptId, tokens: caller.tokens.length });
+  }
+
+  private handleFinished(connection: Connection): void {
+    const { attemptId, caller } = connection;
+    if (this.connections.get(attemptId) !== connection) return;
+    this.send({ type: 'attemptFinished', attemptId, tokens: caller.tokens.length });
+    this.connections.delete(attemptId);
+  }
+
+  private failAttempt(
+    connection: Connection,
+    failure: 'connectFailed' | 'connectionLost' | 'silent' | 'busy',
+    sent: 'nothing' | 'maybe',
+  ): void {
+    const { attemptId, caller } = connection;
+    if (this.connections.get(attemptId) !== connection) return;
+    const tokens = caller.tokens.length;
+    const mayStillAnswer = failure === 'silent' && tokens === 0;
+    if (!mayStillAnswer) this.closeConnection(attemptId);
+    const answerStarted = connection.isPlainService && tokens > 0;
+    this.send({ type: 'attemptFailed', attemptId, failure, sent, tokens, answerStarted });
+  }
+
+  private closeConnection(attemptId: string): void {
+    const connection = this.connections.get(attemptId);
+    if (connection === undefined) return;
+    this.connections.delete(attemptId);
+    const { streams } = this.cluster.engines.get(connection.instance) ?? {};
+    // The engine does not see a cancel on a stalled connection and continues to generate.
+    if (streams?.get(attemptId)?.stalled !== true) streams?.delete(attemptId);
+  }
+
+  private moveCache({ requestId, attemptId, from, to }: Effect<'moveCache'>): void {
+    const caller = this.callers.get(requestId);
+    if (caller === undefined) return;
+    const tokens = caller.tokens.length;
+    const cachedTokens = caller.request.promptTokens + tokens;
+    this.cluster.schedule(this.cluster.moveDuration(cachedTokens), () => {
+      const alive = (instance: string) => this.cluster.engines.get(instance)?.alive === true;
+      const moved = !this.cluster.movesFail && alive(from.instance) && alive(to.instance);
+      if (moved) this.movedTokens.set(`${requestId}@${to.instance}`, cachedTokens);
+      this.send({ type: 'cacheMoved', requestId, attemptId, moved, tokens });
+    });
+  }
+
+  private probe(instance: string): void {
+    const engine = this.cluster.engines.get(instance);
+    if (!this.cluster.probesAnswered) return;
+    if (engine !== undefined && !engine.alive && engine.unreachableWhenDead) return;
+    this.cluster.schedule(2, () => {
+      this.send({ type: 'probeAnswered', instance, answered: engine?.alive === true });
+    });
+  }
+
+  private finishAnswer({ requestId, attemptId = '' }: Effect<'finishAnswer'>): void {
+    const caller = this.callers.get(requestId);
+    if (caller === undefined) throw new Error(`no caller for ${requestId}`);
+    const isCurrent = this.currentAttemptIds.get(requestId) === attemptId;
+    const tokens = isCurrent ? caller.tokens : (this.connections.get(attemptId)?.ownTokens ?? []);
+    caller.finalAnswers.push({
+      type: 'whole',
+      at: this.cluster.clock().now,
+      text: tokens.join(''),
+    });
+  }
+
+  private answerProblem(effect: Effect<'answerProblem'>): void {
+    const { kind, ran, retryAfterMilliseconds } = effect;
+    const at = this.cluster.clock().now;
+    const finalAnswer = { type: 'problem', at, kind, ran, retryAfterMilliseconds } as const;
+    this.callers.get(effect.requestId)?.finalAnswers.push(finalAnswer);
+  }
+}
--- a/packages/entry-core/src/driver/fixtures.ts
+++ b/packages/entry-core/src/driver/fixtures.ts
@@ -1,13 +1,13 @@
-/** The tables and rates that failure tests and measurements share. */
+/** Configuration tables and engine rates that failure tests and measurements share. */
 import {
   poolRowsSchema,
   routeRowsSchema,
   type Configuration,
   type Milliseconds,
 } from '@hornbeampond/schema';
-import type { EngineRates } from './FakeEngine.js';
+import type { EngineRates } from './SimulatedEngine.js';
 
-export const standardRates: EngineRates = {
+export const defaultEngineRates: EngineRates = {
   tokensPerMillisecond: 0.05,
   prefillTokensPerMillisecond: 4,
   concurrency: 32,
--- /dev/null
+++ b/packages/entry-core/src/limits/AllowanceLimiter.test.ts
@@ -0,0 +1,120 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import type { Allowance, EntryReport } from '@hornbeampond/schema';
+import { AllowanceLimiter } from './AllowanceLimiter.js';
+
+const allowance: Allowance = {
+  unit: 'tokens',
+  perSecond: 100,
+  burst: 200,
+  windowMilliseconds: 8000,
+  tolerated: 0,
+  plainTokens: 0,
+};
+
+/** What may be spent in any window. */
+const MAX_IN_WINDOW = 1000;
+
+function report(instance: string, spent: number, incarnation = 1): EntryReport {
+  return {
+    type: 'entryReport',
+    instance,
+    dataCentre: 'a',
+    incarnation,
+    sequence: 1,
+    leaving: false,
+    revision: 1,
+    inProgress: {},
+    leavingBackendServers: {},
+    suspects: [],
+    spent: { laden: spent },
+  };
+}
+
+/** The limiter of an entry that was started a while ago. */
+function makeRunningLimiter(): AllowanceLimiter {
+  const limiter = new AllowanceLimiter();
+  limiter.check('laden', allowance, 1, -10_000);
+  return limiter;
+}
+
+/** Spends in steps of 10 as long as that is allowed, and returns how much was spent. */
+function spendAll(limiter: AllowanceLimiter, now: number): number {
+  let spent = 0;
+  while (
+    spent < 10 * MAX_IN_WINDOW &&
+    limiter.check('laden', allowance, 10, now).type === 'allowed'
+  ) {
+    if (limiter.spendAndCheckReportDue('laden', allowance, 10, now)) limiter.reportTotal('laden');
+    spent += 10;
+  }
+  return spent;
+}
+
+test('spending in any window stays within the rate and the burst', () => {
+  const limiter = makeRunningLimiter();
+  const spentAt: [number, number][] = [];
+  for (let now = 0; now < 40_000; now += 100) spentAt.push([now, spendAll(limiter, now)]);
+  spentAt.forEach(([from]) => {
+    const inWindow = spentAt
+      .filter(([at]) => at >= from && at < from + allowance.windowMilliseconds)
+      .reduce((sum, [, spent]) => sum + spent, 0);
+    assert.ok(inWindow <= MAX_IN_WINDOW, `${inWindow} from ${from}`);
+  });
+});
+
+test('a caller that retries after the returned delay is allowed', () => {
+  const limiter = makeRunningLimiter();
+  spendAll(limiter, 0);
+  const refused = limiter.check('laden', allowance, 10, 500);
+  assert.ok(refused.type === 'exceeded');
+  const later = 500 + refused.retryAfterMilliseconds;
+  assert.equal(limiter.check('laden', allowance, 10, later - 300).type, 'exceeded');
+  assert.equal(limiter.check('laden', allowance, 10, later + 1).type, 'allowed');
+});
+
+test('spending of other entries counts once, also after they restart', () => {
+  const limiter = makeRunningLimiter();
+  limiter.receive(report('entry-2', 5000), 0);
+  limiter.receive(report('entry-2', 5600), 100);
+  limiter.receive(report('entry-2', 5600), 200);
+  limiter.receive(report('entry-2', 100, 2), 300);
+  assert.equal(limiter.check('laden', allowance, MAX_IN_WINDOW - 700, 400).type, 'allowed');
+  assert.equal(limiter.check('laden', allowance, MAX_IN_WINDOW - 699, 400).type, 'exceeded');
+});
+
+// Guards against restarted entries that start with an empty window and let it be spent again.
+test('an entry that has just started takes the spending of the window from its peers', () => {
+  const running = makeRunningLimiter();
+  spendAll(running, 0);
+  const limiter = new AllowanceLimiter();
+  assert.ok(spendAll(limiter, 900) <= MAX_IN_WINDOW / 10);
+  const windowSpent = running.windowSpent(1000);
+  limiter.receive({ ...report('entry-2', MAX_IN_WINDOW), windowSpent }, 1000);
+  assert.equal(limiter.check('laden', allowance, 10, 1100).type, 'exceeded');
+  assert.equal(limiter.check('laden', allowance, 10, 9500).type, 'allowed');
+});
+
+// Guards against a reduced limit at an entry whose peers know the spending of the whole window.
+test('an entry that restarts among running peers may use the burst', () => {
+  const running = makeRunningLimiter();
+  const limiter = new AllowanceLimiter();
+  const windowReach = running.historyLength(0);
+  limiter.receive({ ...report('entry-2', 0), windowSpent: {}, windowReach }, 0);
+  assert.equal(limiter.check('laden', allowance, MAX_IN_WINDOW / 2, 100).type, 'allowed');
+});
+
+// Guards against both sides of a network partition spending the whole allowance.
+test('an entry that reaches half of all entries spends half of the allowance', () => {
+  const limiter = makeRunningLimiter();
+  ['entry-2', 'entry-3', 'entry-4'].forEach((name) => limiter.receive(report(name, 0), 0));
+  limiter.receive(report('entry-2', 0), 20_000);
+  assert.equal(spendAll(limiter, 20_100), MAX_IN_WINDOW / 2);
+});
+
+test('a request above the whole allowance is allowed while nothing is spent in the window', () => {
+  const limiter = makeRunningLimiter();
+  assert.equal(limiter.check('laden', allowance, 5 * MAX_IN_WINDOW, 0).type, 'allowed');
+  limiter.spendAndCheckReportDue('laden', allowance, 5 * MAX_IN_WINDOW, 0);
+  assert.equal(limiter.check('laden', allowance, 1, 0).type, 'exceeded');
+});
--- /dev/null
+++ b/packages/entry-core/src/limits/checkAllowance.ts
@@ -0,0 +1,69 @@
+/** Checks and charges the allowance of a workspace during admission. */
+import type { Allowance, Milliseconds } from '@hornbeampond/schema';
+import type { EntryEffect } from '../entryEffects.js';
+import type { EntryState } from '../EntryState.js';
+import type { RequestState } from '../requests/RequestState.js';
+import { getRouteIndex } from '../routing/getRouteIndex.js';
+import type { SpendingFacts } from './AllowanceLimiter.js';
+
+/** Upper bound of the retry delay, also if enough spending expires only later. */
+const MAX_ALLOWANCE_RETRY_AFTER_MILLISECONDS: Milliseconds = 10_000;
+
+/** The allowance to enforce; undefined without one, or if its rate is 0, which means unlimited. */
+function enforcedAllowanceOf(state: EntryState, workspace: string): Allowance | undefined {
+  const allowance = getRouteIndex(state).workspace(workspace)?.allowance;
+  return allowance === undefined || allowance.perSecond <= 0 ? undefined : allowance;
+}
+
+function amountOf({ request }: RequestState, { unit, plainTokens }: Allowance): number {
+  return unit === 'tokens' ? (request.countedTokens ?? plainTokens) : 1;
+}
+
+/** Why a request exceeds its workspace's allowance, and when to retry. */
+export interface AllowanceExceeded {
+  readonly retryAfterMilliseconds: Milliseconds;
+  readonly facts: SpendingFacts;
+}
+
+/** Returns undefined if the request is within its workspace's allowance. */
+export function checkAllowance(
+  state: EntryState,
+  candidate: RequestState,
+): AllowanceExceeded | undefined {
+  const { workspace } = candidate.request;
+  const allowance = enforcedAllowanceOf(state, workspace);
+  if (allowance === undefined) return undefined;
+  const amount = amountOf(candidate, allowance);
+  const decision = state.limits.allowanceLimiter.check(
+    workspace,
+    allowance,
+    amount,
+    state.clocks.now,
+  );
+  if (decision.type === 'allowed') return undefined;
+  const { facts } = decision;
+  const retryAfterMilliseconds = Math.min(
+    decision.retryAfterMilliseconds,
+    MAX_ALLOWANCE_RETRY_AFTER_MILLISECONDS,
+  );
+  return { retryAfterMilliseconds, facts };
+}
+
+/**
+ * Charges an admitted request to its workspace's allowance. Returns a report to the other entries
+ * if too much spending is unreported.
+ */
+export function spendAllowance(state: EntryState, accepted: RequestState): EntryEffect[] {
+  const { workspace } = accepted.request;
+  const allowance = enforcedAllowanceOf(state, workspace);
+  if (allowance === undefined) return [];
+  const { allowanceLimiter } = state.limits;
+  const amount = amountOf(accepted, allowance);
+  if (!allowanceLimiter.spendAndCheckReportDue(workspace, allowance, amount, state.clocks.now))
+    return [];
+  const { instance, incarnation } = state.identity;
+  const spent = allowanceLimiter.reportTotal(workspace);
+  const leaving = state.shutdown.started;
+  const spending = { type: 'spendingReport', instance, incarnation, spent, leaving } as const;
+  return [{ type: 'tellSpending', spending }];
+}
--- a/packages/entry-core/src/limits/receiveEntryReport.ts
+++ b/packages/entry-core/src/limits/updateLimitersFromReport.ts
@@ -1,17 +1,20 @@
-/** Takes in what another entry has in progress; only those of the own data centre share limits. */
+/**
+ * Updates the limiters with the reports of other entries. Allowances apply across all entries,
+ * concurrency limits across the entries of one data centre.
+ */
 import type { EntryReport, MonotonicMilliseconds, SpendingReport } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 
-export function receiveEntryReport(
+export function updateLimitersFromReport(
   state: EntryState,
   report: EntryReport,
   now: MonotonicMilliseconds,
 ): void {
   const { dataCentre, instance } = state.identity;
   if (report.instance === instance) return;
-  state.limits.allowances.receive(report, now);
+  state.limits.allowanceLimiter.receive(report, now);
   if (report.dataCentre !== dataCentre) return;
-  state.limits.ledger.receive(report, now);
+  state.limits.concurrencyLimiter.receive(report, now);
 }
 
 export function receiveSpendingReport(
@@ -20,5 +23,5 @@
   now: MonotonicMilliseconds,
 ): void {
   if (spending.instance === state.identity.instance) return;
-  state.limits.allowances.receiveSpending(spending, now);
+  state.limits.allowanceLimiter.receiveSpending(spending, now);
 }
--- /dev/null
+++ b/packages/entry-core/src/membership/advanceReports.ts
@@ -0,0 +1,121 @@
+/**
+ * Sends this entry's report to its peers: once a second, and with the next tick when there is
+ * something that cannot wait, such as a reclaim notice.
+ */
+import type { EntryReport, DelayRegressionState, PeerSuspect } from '@hornbeampond/schema';
+import type { EntryEffect } from '../entryEffects.js';
+import type { Timestamps } from '../entryEvents.js';
+import { buildDemandReports } from '../demand/buildDemandReports.js';
+import type { EntryState } from '../EntryState.js';
+import type { Suspect } from '../quarantine/QuarantineState.js';
+
+export const REPORT_INTERVAL_MILLISECONDS = 1000;
+
+/** Crash count reported for a quarantined digest, whose crashes are no longer counted here. */
+const QUARANTINED_DIGEST_CRASHES = 2;
+
+function countInProgress(state: EntryState): Record<string, number> {
+  const counts: Record<string, number> = {};
+  state.requests.forEach(({ route, request }) => {
+    const key = `${route.name}/${request.workspace}`;
+    counts[key] = (counts[key] ?? 0) + 1;
+  });
+  return counts;
+}
+
+function findInstanceRunning(state: EntryState, digest: string): string | undefined {
+  return [...state.attempts.values()].find(
+    ({ requestId, timedOut: givenUp }) =>
+      !givenUp && state.requests.get(requestId)?.request.digest === digest,
+  )?.instance;
+}
+
+function listQuarantined(state: EntryState): PeerSuspect[] {
+  return [...state.quarantine.quarantined].map(([digest, { until }]) => ({
+    digest,
+    crashes: QUARANTINED_DIGEST_CRASHES,
+    crashIds: [],
+    quarantinedUntil: until,
+  }));
+}
+
+function isIsolationRequired({ isolationLifted }: Suspect): boolean {
+  return isolationLifted !== true;
+}
+
+function listSuspects(state: EntryState): PeerSuspect[] {
+  const suspects = [...state.quarantine.suspects.values()];
+  return suspects
+    .filter(isIsolationRequired)
+    .map(({ digest, crashIds, exposure, tokens, lossInstance }) => ({
+      digest,
+      crashes: crashIds.size,
+      crashIds: [...crashIds],
+      judging: lossInstance !== undefined,
+      exposure,
+      tokens,
+      runningAt: findInstanceRunning(state, digest),
+      pending: [...state.requests.values()].some(({ request }) => request.digest === digest),
+    }));
+}
+
+/** Learnt time to the first token, by pool; pools with too few samples are left out. */
+function collectFirstTokenDelays(state: EntryState): Record<string, DelayRegressionState> {
+  const delays: Record<string, DelayRegressionState> = {};
+  state.poolStates.forEach(({ firstTokenRegression }, pool) => {
+    const delay = firstTokenRegression.toRegressionState();
+    if (delay !== undefined) delays[pool] = delay;
+  });
+  return delays;
+}
+
+/**
+ * Builds the fields that are reported only where operators replace all tables at once
+ * (`configuration.whole`). Marks the spending as reported.
+ */
+function buildWholeConfigurationFields(
+  state: EntryState,
+): Pick<
+  EntryReport,
+  'spent' | 'windowSpent' | 'windowReach' | 'entries' | 'delays' | 'begun' | 'demand'
+> {
+  return {
+    spent: state.limits.allowanceLimiter.reportTotals(),
+    windowSpent: state.limits.allowanceLimiter.windowSpent(state.clocks.now),
+    windowReach: state.limits.allowanceLimiter.historyLength(state.clocks.now),
+    entries: state.limits.allowanceLimiter.entryCount,
+    delays: collectFirstTokenDelays(state),
+    begun: state.usage.read(),
+    demand: buildDemandReports(state, state.clocks.now),
+  };
+}
+
+function makeReport(state: EntryState): EntryReport {
+  const { instance, dataCentre, incarnation } = state.identity;
+  state.membership.sequence += 1;
+  return {
+    type: 'entryReport',
+    instance,
+    dataCentre,
+    incarnation,
+    sequence: state.membership.sequence,
+    leaving: state.shutdown.started,
+    revision: state.configuration.revision,
+    inProgress: countInProgress(state),
+    ...(state.configuration.whole === undefined ? {} : buildWholeConfigurationFields(state)),
+    leavingBackendServers: Object.fromEntries(state.reclaims.leaving),
+    suspects: [...listSuspects(state), ...listQuarantined(state)],
+  };
+}
+
+/** Makes the next tick send a report instead of waiting for the interval to pass. */
+export function reportSoon(state: EntryState): void {
+  state.membership.reportDueAt = 0;
+}
+
+/** Tick handler: sends the report if it is due. */
+export function advanceReports(state: EntryState, { now }: Timestamps): EntryEffect[] {
+  if (state.membership.reportDueAt > now) return [];
+  state.membership.reportDueAt = now + REPORT_INTERVAL_MILLISECONDS;
+  return [{ type: 'reportToEntries', report: makeReport(state) }];
+}
--- a/packages/entry-core/src/membership/livePeers.ts
+++ b/packages/entry-core/src/membership/livePeers.ts
@@ -1,24 +1,28 @@
 /**
- * Which other entries count as live: heard from lately, and not leaving.
+ * Determines which other entries are live: reachable, which means that their reports have not timed
+ * out, and not leaving.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 import type { PeerState } from './MembershipState.js';
 
-/** A peer that was silent for so long is not counted live: three reports were lost. */
-export const PEER_SILENCE_MILLISECONDS = 3000;
+/** A peer is no longer reachable after three missed reports. */
+export const PEER_TIMEOUT_MILLISECONDS = 3000;
 
-/** What a silent peer told is forgotten after this. */
-const PEER_FORGOTTEN_MILLISECONDS = 600_000;
+/** How long the last report of a peer is kept. */
+const PEER_REPORT_EXPIRY_MILLISECONDS = 600_000;
 
 export function livePeers(state: EntryState): PeerState[] {
-  return [...state.membership.peers.values()].filter(({ live, report }) => live && !report.leaving);
+  return [...state.membership.peers.values()].filter(
+    ({ isReachable: live, report }) => live && !report.leaving,
+  );
 }
 
-export function markSilentPeers(state: EntryState, now: MonotonicMilliseconds): void {
+/** Updates which peers are reachable, and removes expired ones. */
+export function updatePeerReachability(state: EntryState, now: MonotonicMilliseconds): void {
   state.membership.peers.forEach((peer, instance) => {
-    const silence = now - peer.receivedAt;
-    peer.live = silence < PEER_SILENCE_MILLISECONDS;
-    if (silence >= PEER_FORGOTTEN_MILLISECONDS) state.membership.peers.delete(instance);
+    const sinceLastReport = now - peer.receivedAt;
+    peer.isReachable = sinceLastReport < PEER_TIMEOUT_MILLISECONDS;
+    if (sinceLastReport >= PEER_REPORT_EXPIRY_MILLISECONDS) state.membership.peers.delete(instance);
   });
 }
--- a/packages/entry-core/src/membership/receiveReport.ts
+++ b/packages/entry-core/src/membership/receivePeerReport.ts
@@ -1,13 +1,13 @@
 /**
- * Takes in a peer's report. Reports can be lost, repeated and overtake each other; only one that is
- * newer by incarnation and sequence counts.
+ * Handles the report of another entry. Reports can be lost, repeated and reordered; only one that
+ * is newer by incarnation and sequence is applied.
  */
 import type { EntryReport } from '@hornbeampond/schema';
 import type { EntryEffect } from '../entryEffects.js';
-import type { Timed } from '../entryEvents.js';
+import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import { receiveQuarantine } from '../quarantine/quarantineDigest.js';
-import { noticeReclaim } from '../reclaims/noticeReclaim.js';
+import { recordReclaimNotice } from '../reclaims/recordReclaimNotice.js';
 
 function isNewer(report: EntryReport, known: EntryReport | undefined): boolean {
   if (known === undefined) return true;
@@ -17,16 +17,24 @@
   );
 }
 
-export function receiveReport(state: EntryState, report: EntryReport, timed: Timed): EntryEffect[] {
+export function receivePeerReport(
+  state: EntryState,
+  report: EntryReport,
+  timestamps: Timestamps,
+): EntryEffect[] {
   if (report.instance === state.identity.instance) return [];
   const known = state.membership.peers.get(report.instance);
   if (!isNewer(report, known?.report)) return [];
-  state.membership.peers.set(report.instance, { report, receivedAt: timed.now, live: true });
+  state.membership.peers.set(report.instance, {
+    report,
+    receivedAt: timestamps.now,
+    isReachable: true,
+  });
   const quarantine = report.suspects.flatMap(({ digest, quarantinedUntil: until }) =>
     until === undefined ? [] : [{ digest, until }],
   );
   const leaving = Object.entries(report.leavingBackendServers).flatMap(([instance, goneAt]) =>
-    noticeReclaim(state, instance, goneAt, timed),
+    recordReclaimNotice(state, instance, goneAt, timestamps),
   );
-  return [...leaving, ...receiveQuarantine(state, quarantine, timed)];
+  return [...leaving, ...receiveQuarantine(state, quarantine, timestamps)];
 }
--- a/packages/entry-core/src/quarantine/QuarantineState.ts
+++ b/packages/entry-core/src/quarantine/QuarantineState.ts
@@ -1,69 +1,82 @@
-/** What an entry knows of losses of backend servers and of the requests that may cause them. */
+/**
+ * State for finding requests that crash backend servers. A connection loss is unresolved until its
+ * probe is answered or times out. Requests that lost their connection, and all that were in
+ * progress at a crash, are suspects. The digest of a request that is identified as the cause is
+ * quarantined.
+ */
 import type { EpochMilliseconds, Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 
-/** A request that ran on a backend server when it was lost. */
+/**
+ * A request that may have crashed a backend server, as seen by this entry or reported by a peer.
+ */
 export interface Suspect {
   readonly digest: string;
-  /** Crashes that it was in; empty while the loss is still being probed. */
+  /** Confirmed crashes at which the request was in progress. */
   readonly crashIds: Set<string>;
-  /** The loss that is still being probed, by instance. */
-  lossOf: string | undefined;
-  /** How long it had run on the backend server that was lost. */
+  /** Backend server at which a loss of this request is being probed, if any. */
+  lossInstance: string | undefined;
+  /** Running time of the request until the loss was recorded. */
   exposure: Milliseconds;
-  /** Tokens of its answer when the backend server was lost. */
+  /** Number of answer tokens until the loss was recorded. */
   tokens: number;
-  /** Forgotten after this. */
+  /** Expires at this time. */
   until: MonotonicMilliseconds;
-  /** Not run before this, so that peers can learn first that it is pending here. */
+  /** Earliest time to start the request, so that peers receive the report that lists it first. */
   readonly heldUntil?: MonotonicMilliseconds;
-  /** True once it has run past the point of its crash elsewhere; see `advanceSuspects`. */
-  paroled?: boolean;
-  /** True if its connection was reset once before, at a backend server that answered its probe. */
+  /**
+   * True if the request may run alongside other suspects again; set by `advanceSuspects` and
+   * `recordResetsWithoutCrash`.
+   */
+  isolationLifted?: boolean;
+  /** True if its connection was reset earlier although the backend server did not crash. */
   resetBefore?: boolean;
 }
 
-/** The loss of a connection to a backend server, until a probe tells what was lost. */
-export interface Loss {
+/** A lost, refused or stalled connection to a backend server, whose cause a probe is to show. */
+export interface ConnectionLoss {
   readonly instance: string;
   readonly openedAt: MonotonicMilliseconds;
-  /** Digests in progress there when the loss was seen. */
-  readonly members: Map<string, { readonly exposure: Milliseconds; readonly tokens: number }>;
-  /** Those of them whose own connection was reset. */
-  readonly reset: Set<string>;
+  /** Requests in progress on the server when the loss was recorded, by digest. */
+  readonly requestsInProgress: Map<
+    string,
+    { readonly exposure: Milliseconds; readonly tokens: number }
+  >;
+  /** Digests of requests whose own connection was reset. */
+  readonly resetDigests: Set<string>;
 }
 
-/** A backend server that did not answer its probe. */
+/** A backend server that is considered crashed or unreachable until it answers a probe. */
 export interface DownServer {
   readonly since: MonotonicMilliseconds;
   probeDueAt: MonotonicMilliseconds;
-  /** Digests that were in progress there. */
+  /** Digests of requests that were in progress on it. */
   readonly digests: ReadonlySet<string>;
   readonly crashId: string;
 }
 
-/** How long one digest is kept from backend servers, by both clocks. */
+/** When the quarantine of one digest ends, by wall clock and by monotonic clock. */
 export interface QuarantinedDigest {
   readonly until: EpochMilliseconds;
   readonly endsAt: MonotonicMilliseconds;
 }
 
 export interface QuarantineState {
-  /** Digests that no backend server may be given. */
+  /** Digests whose requests may not be sent to any backend server. */
   readonly quarantined: Map<string, QuarantinedDigest>;
   /** By digest. */
   readonly suspects: Map<string, Suspect>;
   /** Losses being probed, by instance. */
-  readonly losses: Map<string, Loss>;
-  /** Backend servers that did not answer a probe, by instance. */
+  readonly unresolvedLosses: Map<string, ConnectionLoss>;
+  /** Backend servers considered crashed or unreachable, by instance. */
   readonly down: Map<string, DownServer>;
-  /** The last crash of each backend server, by instance. */
+  /** Most recent crash, or part in a mass loss, of each backend server, by instance. */
   readonly lastCrashes: Map<
     string,
-    { readonly crashId: string; readonly judgedAt: MonotonicMilliseconds }
+    { readonly crashId: string; readonly confirmedAt: MonotonicMilliseconds }
   >;
-  /** Digests that were in a mass loss, until when that is remembered. */
-  readonly massLost: Map<string, MonotonicMilliseconds>;
-  /** What backend servers last called themselves, where their probe tells. */
+  /** Digests of requests that were in progress at a mass loss, with their expiry time. */
+  readonly massLossDigests: Map<string, MonotonicMilliseconds>;
+  /** Incarnation that each backend server last reported in a probe answer, by instance. */
   readonly incarnations: Map<string, string>;
 }
 
@@ -71,10 +84,10 @@
   return {
     quarantined: new Map(),
     suspects: new Map(),
-    losses: new Map(),
+    unresolvedLosses: new Map(),
     down: new Map(),
     lastCrashes: new Map(),
-    massLost: new Map(),
+    massLossDigests: new Map(),
     incarnations: new Map(),
   };
 }
--- a/packages/entry-core/src/quarantine/advanceSuspects.ts
+++ b/packages/entry-core/src/quarantine/advanceSuspects.ts
@@ -1,53 +1,52 @@
 /**
- * Lets suspicions and quarantines end.
- *
- * A suspect is paroled once it has run on another backend server past the point at which the first
- * was lost, and for a while: it need not be kept apart any more. Otherwise a batch of long answers
- * would be held apart until each has ended, and callers would miss their deadlines; and a request
- * that is by chance in progress at two unrelated losses would be quarantined. One that is lost again
- * after all has to run whole, apart, to be cleared.
- *
- * The bound: a request that crashes again within its probation costs two backend servers, one that
- * does so later costs three.
+ * Expires suspects and quarantines, and lifts the isolation of suspects. Isolation ends once a
+ * request has run again past the point of its crash; otherwise long answers would run one at a
+ * time and miss their deadlines. The price is that a poison request which crashes after that is
+ * identified only at its third crash. A suspect of two or more crashes stays isolated until its
+ * request completes or the suspect expires.
  */
 import type { MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 import type { Suspect } from './QuarantineState.js';
 
-const PROBATION_FACTOR = 1.5;
-const PROBATION_MILLISECONDS = 1000;
+/** A suspect must run for this multiple of its time before the crash, plus a margin. */
+const REQUIRED_RUN_FACTOR = 1.5;
+const REQUIRED_RUN_MARGIN_MILLISECONDS = 1000;
 
-/** Most time on probation: a longer one catches more, and names more by chance. */
-const MOST_PROBATION_MILLISECONDS = 2500;
+/**
+ * Upper limit of the time that a suspect must run before its isolation ends. A higher limit
+ * detects more poison requests, but also attributes more unrelated crashes to harmless ones.
+ */
+const MAX_REQUIRED_RUN_MILLISECONDS = 2500;
 
-/** Tokens that an engine may have computed at its crash beyond those that were relayed. */
-const TOKENS_UNSEEN = 16;
+/** Tokens that an engine may have generated before its crash and that the entry did not receive. */
+const MAX_UNRELAYED_TOKENS = 16;
 
-function hasPassed(state: EntryState, suspect: Suspect, now: MonotonicMilliseconds): boolean {
+function hasRunPastCrash(state: EntryState, suspect: Suspect, now: MonotonicMilliseconds): boolean {
   if (suspect.crashIds.size !== 1) return false;
-  const needed = Math.min(
-    MOST_PROBATION_MILLISECONDS,
-    suspect.exposure * PROBATION_FACTOR + PROBATION_MILLISECONDS,
+  const requiredRun = Math.min(
+    MAX_REQUIRED_RUN_MILLISECONDS,
+    suspect.exposure * REQUIRED_RUN_FACTOR + REQUIRED_RUN_MARGIN_MILLISECONDS,
   );
   return [...state.attempts.values()].some((attempt) => {
-    const accepted = state.requests.get(attempt.requestId);
-    if (accepted?.request.digest !== suspect.digest) return false;
+    const requestState = state.requests.get(attempt.requestId);
+    if (requestState?.request.digest !== suspect.digest) return false;
     return (
       attempt.firstTokenAt !== undefined &&
-      now - attempt.startedAt > needed &&
-      attempt.tokens > suspect.tokens + TOKENS_UNSEEN
+      now - attempt.startedAt > requiredRun &&
+      attempt.tokens > suspect.tokens + MAX_UNRELAYED_TOKENS
     );
   });
 }
 
 export function advanceSuspects(state: EntryState, now: MonotonicMilliseconds): void {
-  const { suspects, quarantined, massLost } = state.quarantine;
+  const { suspects, quarantined, massLossDigests } = state.quarantine;
   suspects.forEach((suspect, digest) => {
     if (suspect.until <= now) suspects.delete(digest);
-    else if (hasPassed(state, suspect, now)) suspect.paroled = true;
+    else if (hasRunPastCrash(state, suspect, now)) suspect.isolationLifted = true;
   });
-  massLost.forEach((until, digest) => {
-    if (until <= now) massLost.delete(digest);
+  massLossDigests.forEach((until, digest) => {
+    if (until <= now) massLossDigests.delete(digest);
   });
   quarantined.forEach(({ endsAt }, digest) => {
     if (endsAt <= now) quarantined.delete(digest);
--- a/packages/entry-core/src/quarantine/crashIdOf.ts
+++ b/packages/entry-core/src/quarantine/crashIdOf.ts
@@ -1,32 +1,36 @@
 /**
- * Names of crashes.
+ * Derives crash ids, which should be the same at all entries: a request in progress at two
+ * different crashes can be quarantined, so two ids for one crash could quarantine a harmless
+ * request.
  */
-import type { Timed } from '../entryEvents.js';
+import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
-import type { Loss } from './QuarantineState.js';
+import type { ConnectionLoss } from './QuarantineState.js';
 
-/** Crashes without a name of their own are told apart by their time; see `crashIdOf`. */
-const CRASH_SPAN_MILLISECONDS = 1000;
+/** Without an incarnation, losses within the same time bucket share one crash id. */
+const CRASH_TIME_BUCKET_MILLISECONDS = 1000;
 
-/** Connections reset so soon after a crash was judged were lost in that same crash. */
-const SAME_CRASH_MILLISECONDS = 1000;
+/** A loss that is recorded this soon after a crash was confirmed belongs to that crash. */
+const SAME_CRASH_WINDOW_MILLISECONDS = 1000;
 
 /**
- * Names a crash the same way at every entry that sees it: the backend server and its incarnation.
- * Without an incarnation the second in which the loss was seen stands in. A crash that two entries
- * see on either side of its end has two names; its suspects are then cleared by their parole only.
+ * Returns the id of the previous crash if that was confirmed just before this loss. Otherwise the
+ * id consists of the backend server and its last reported incarnation, or the wall-clock second of
+ * the loss if none was reported. Two entries that see one crash in different seconds derive
+ * different ids; attributing the crash under one id then does not exonerate the suspects recorded
+ * under the other.
  */
 export function crashIdOf(
   state: EntryState,
-  { instance, openedAt }: Loss,
-  { now, wallNow }: Timed,
+  { instance, openedAt }: ConnectionLoss,
+  { now, wallNow }: Timestamps,
 ): string {
   const last = state.quarantine.lastCrashes.get(instance);
-  if (last !== undefined && openedAt - last.judgedAt <= SAME_CRASH_MILLISECONDS) {
+  if (last !== undefined && openedAt - last.confirmedAt <= SAME_CRASH_WINDOW_MILLISECONDS) {
     return last.crashId;
   }
-  const incarnation =
+  const incarnationOrSecond =
     state.quarantine.incarnations.get(instance) ??
-    `second-${Math.floor((wallNow - now + openedAt) / CRASH_SPAN_MILLISECONDS)}`;
-  return `${instance}/${incarnation}`;
+    `second-${Math.floor((wallNow - now + openedAt) / CRASH_TIME_BUCKET_MILLISECONDS)}`;
+  return `${instance}/${incarnationOrSecond}`;
 }
--- a/packages/entry-core/src/quarantine/failAttemptsAt.ts
+++ b/packages/entry-core/src/quarantine/failAttemptsAt.ts
@@ -1,42 +1,55 @@
 /**
- * Ends the attempts at a dead backend server without waiting for each of their connections: those of
- * a host that vanished would take their whole time-out to be noticed.
+ * Fails the attempts at a crashed backend server immediately instead of waiting for each
+ * connection to time out: a host that disappears resets no connections.
  */
 import type { EntryEffect } from '../entryEffects.js';
-import type { Timed } from '../entryEvents.js';
+import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
 import type { AttemptState } from '../attempts/AttemptState.js';
 import { failAttempt } from '../attempts/failAttempt.js';
 
-/** Bytes of a plain service's answer cannot be continued by another. */
-function hasStartedPlainAnswer(state: EntryState, attempt: AttemptState): boolean {
-  const accepted = state.requests.get(attempt.requestId);
-  return accepted?.pool.kind === 'plainService' && attempt.firstTokenAt !== undefined;
+/**
+ * True if a plain service has sent part of its answer, which no other backend server can resume.
+ */
+function hasPartialPlainServiceAnswer(state: EntryState, attempt: AttemptState): boolean {
+  const requestState = state.requests.get(attempt.requestId);
+  return requestState?.pool.kind === 'plainService' && attempt.firstTokenAt !== undefined;
 }
 
-function failAsLost(state: EntryState, attempt: AttemptState, timed: Timed): EntryEffect[] {
+function failAsLost(
+  state: EntryState,
+  attempt: AttemptState,
+  timestamps: Timestamps,
+): EntryEffect[] {
   const { attemptId, tokens } = attempt;
-  const { now, wallNow } = timed;
-  const failed = {
+  const { now, wallNow } = timestamps;
+  const failedEvent = {
     type: 'attemptFailed',
     attemptId,
     failure: 'connectionLost',
     sent: 'maybe',
     tokens,
-    answerStarted: hasStartedPlainAnswer(state, attempt),
+    answerStarted: hasPartialPlainServiceAnswer(state, attempt),
     now,
     wallNow,
   } as const;
-  return [{ type: 'cancelAttempt', attemptId }, ...failAttempt(state, attempt, failed)];
+  return [{ type: 'cancelAttempt', attemptId }, ...failAttempt(state, attempt, failedEvent)];
 }
 
-/** A call that may not be repeated is left to its own connection, which alone can tell its outcome. */
-export function failAttemptsAt(state: EntryState, instance: string, timed: Timed): EntryEffect[] {
+/**
+ * Fails the attempts of idempotent requests only. Any other call keeps its connection, which alone
+ * can still deliver its outcome.
+ */
+export function failAttemptsAt(
+  state: EntryState,
+  instance: string,
+  timestamps: Timestamps,
+): EntryEffect[] {
   const attemptIds = [...(state.backendServers.get(instance)?.attemptIds ?? [])];
   return attemptIds.flatMap((attemptId) => {
     const attempt = state.attempts.get(attemptId);
-    const accepted = attempt && state.requests.get(attempt.requestId);
-    if (attempt === undefined || accepted?.route.idempotent !== true) return [];
-    return failAsLost(state, attempt, timed);
+    const requestState = attempt && state.requests.get(attempt.requestId);
+    if (attempt === undefined || requestState?.route.idempotent !== true) return [];
+    return failAsLost(state, attempt, timestamps);
   });
 }
--- a/packages/entry-core/src/quarantine/hasRestarted.ts
+++ b/packages/entry-core/src/quarantine/hasRestarted.ts
@@ -1,39 +1,50 @@
 /**
- * Tells a backend server that lost a connection from one that crashed and is back already.
+ * Distinguishes a backend server that lost a connection from one that crashed and has already
+ * restarted.
  */
 import type { EntryState } from '../EntryState.js';
-import type { Loss } from './QuarantineState.js';
-import { priorSuspects } from './suspects.js';
+import type { ConnectionLoss } from './QuarantineState.js';
+import { findPriorSuspects } from './suspects.js';
 
-/** What a probe's answer says. */
+/** Outcome of a probe. */
 export interface ProbeResult {
   readonly answered: boolean;
   readonly incarnation?: string;
 }
 
 /**
- * A backend server that answers can still have crashed and been restarted within the probe. Its
- * incarnation tells; without one, it is taken for restarted if most connections were reset at once,
- * or if one that was reset carried a suspect of an earlier crash, or was reset once before. A bad
- * request that is alone on engines that restart at once costs one more of them for that.
+ * True if a backend server that answers its probe has crashed and restarted meanwhile. If
+ * incarnations are missing, a restart is assumed if at least two and most of the requests in
+ * progress lost their connection to a reset, if one of these had a reset before, or if a reset
+ * occurred while a suspect of an earlier crash was in progress. A single request that crashes a
+ * server without incarnations is therefore detected one crash later.
  */
-export function hasRestarted(state: EntryState, loss: Loss, { incarnation }: ProbeResult): boolean {
-  const before = state.quarantine.incarnations.get(loss.instance);
-  if (before !== undefined && incarnation !== undefined) return before !== incarnation;
-  if (loss.reset.size === 0) return false;
-  const mostReset = loss.reset.size > 1 && loss.reset.size * 2 > loss.members.size;
-  const again = [...loss.reset].some(
+export function hasRestarted(
+  state: EntryState,
+  loss: ConnectionLoss,
+  { incarnation }: ProbeResult,
+): boolean {
+  const lastIncarnation = state.quarantine.incarnations.get(loss.instance);
+  if (lastIncarnation !== undefined && incarnation !== undefined)
+    return lastIncarnation !== incarnation;
+  if (loss.resetDigests.size === 0) return false;
+  const isMajorityReset =
+    loss.resetDigests.size > 1 && loss.resetDigests.size * 2 > loss.requestsInProgress.size;
+  const hasRepeatedReset = [...loss.resetDigests].some(
     (digest) => state.quarantine.suspects.get(digest)?.resetBefore === true,
   );
-  return mostReset || again || priorSuspects(state, loss).length > 0;
+  return isMajorityReset || hasRepeatedReset || findPriorSuspects(state, loss).length > 0;
 }
 
-/** Remembers whose connection was reset although the backend server answers. */
-export function rememberReset(state: EntryState, loss: Loss): void {
-  loss.reset.forEach((digest) => {
+/**
+ * Marks requests whose connection was reset although the backend server did not crash, and lifts
+ * their isolation.
+ */
+export function recordResetsWithoutCrash(state: EntryState, loss: ConnectionLoss): void {
+  loss.resetDigests.forEach((digest) => {
     const suspect = state.quarantine.suspects.get(digest);
     if (suspect === undefined) return;
-    suspect.paroled = true;
+    suspect.isolationLifted = true;
     suspect.resetBefore = true;
   });
 }
--- a/packages/entry-core/src/quarantine/quarantineDigest.ts
+++ b/packages/entry-core/src/quarantine/quarantineDigest.ts
@@ -1,62 +1,86 @@
 /**
- * Keeps a request that crashed backend servers from all of them for a while, at every entry.
+ * Quarantines the digest of a request that crashed backend servers. Until the quarantine ends,
+ * requests with this digest are failed and sent to no backend server. Peers apply it when they
+ * receive the next report of this entry.
  */
-import type { QuarantineEntry } from '@hornbeampond/schema';
+import type { QuarantineRecord } from '@hornbeampond/schema';
 import { cancelAttempt } from '../attempts/releaseAttempts.js';
 import type { EntryEffect } from '../entryEffects.js';
-import type { Timed } from '../entryEvents.js';
+import type { Timestamps } from '../entryEvents.js';
 import type { EntryState } from '../EntryState.js';
-import { reportSoon } from '../membership/reportToEntries.js';
+import { reportSoon } from '../membership/advanceReports.js';
 import { failRequest } from '../requests/endRequest.js';
-import { ranOf } from '../requests/ranOf.js';
+import { determineRan } from '../requests/determineRan.js';
 import type { RequestState } from '../requests/RequestState.js';
-import { clearExplained, crashesOf } from './suspects.js';
+import { exonerateSuspectsOf, collectCrashIds } from './suspects.js';
 
-/** Until the store's own word on it comes, this entry keeps the digest out for so long. */
-const OWN_QUARANTINE_MILLISECONDS = 600_000;
+/** How long a quarantine that this entry starts lasts, unless the store sets a later end. */
+const LOCAL_QUARANTINE_MILLISECONDS = 600_000;
 
 /**
- * Ends a request that is quarantined now. What runs is cancelled: it may take down its backend
- * server at any moment.
+ * Fails a request whose digest is now quarantined. The attempt of an idempotent request is
+ * cancelled, since it may crash its backend server at any moment.
  */
-function endQuarantined(state: EntryState, accepted: RequestState, endsAt: number, { now }: Timed) {
-  const refusal = { type: 'count', metric: 'retriesRefused', label: 'quarantined' } as const;
-  const detail = 'This request crashed backend servers and is kept from them for a while';
-  const cancelled = accepted.route.idempotent ? cancelAttempt(state, accepted) : [];
-  const problem = { ran: ranOf(accepted), retryAfterMilliseconds: endsAt - now };
-  return [refusal, ...cancelled, ...failRequest(state, accepted, 'quarantined', detail, problem)];
+function failQuarantinedRequest(
+  state: EntryState,
+  requestState: RequestState,
+  endsAt: number,
+  { now }: Timestamps,
+) {
+  const refusalCount = { type: 'count', metric: 'retriesRefused', label: 'quarantined' } as const;
+  const detail = 'This request crashed backend servers and is quarantined for a limited time';
+  const cancelled = requestState.route.idempotent ? cancelAttempt(state, requestState) : [];
+  const problem = { ran: determineRan(requestState), retryAfterMilliseconds: endsAt - now };
+  return [
+    refusalCount,
+    ...cancelled,
+    ...failRequest(state, requestState, 'quarantined', detail, problem),
+  ];
 }
 
-function endAllOf(state: EntryState, digest: string, endsAt: number, timed: Timed): EntryEffect[] {
+function failRequestsWithDigest(
+  state: EntryState,
+  digest: string,
+  endsAt: number,
+  timestamps: Timestamps,
+): EntryEffect[] {
   return [...state.requests.values()]
     .filter(({ request }) => request.digest === digest)
-    .flatMap((accepted) => endQuarantined(state, accepted, endsAt, timed));
+    .flatMap((requestState) => failQuarantinedRequest(state, requestState, endsAt, timestamps));
 }
 
-export function quarantineDigest(state: EntryState, digest: string, timed: Timed): EntryEffect[] {
-  const endsAt = timed.now + OWN_QUARANTINE_MILLISECONDS;
-  const until = timed.wallNow + OWN_QUARANTINE_MILLISECONDS;
+export function quarantineDigest(
+  state: EntryState,
+  digest: string,
+  timestamps: Timestamps,
+): EntryEffect[] {
+  const endsAt = timestamps.now + LOCAL_QUARANTINE_MILLISECONDS;
+  const until = timestamps.wallNow + LOCAL_QUARANTINE_MILLISECONDS;
   state.quarantine.quarantined.set(digest, { until, endsAt });
   state.quarantine.suspects.delete(digest);
   reportSoon(state);
   return [
     { type: 'log', event: 'requestQuarantined', fields: { digest, until } },
-    ...endAllOf(state, digest, endsAt, timed),
+    ...failRequestsWithDigest(state, digest, endsAt, timestamps),
   ];
 }
 
-/** Takes in the store's list. It only adds: what this entry found itself stays in force. */
+/**
+ * Applies the quarantines of the store or of a peer. They only add to or extend those of this
+ * entry. Other suspects of the same crashes are exonerated.
+ */
 export function receiveQuarantine(
   state: EntryState,
-  entries: readonly QuarantineEntry[],
-  timed: Timed,
+  entries: readonly QuarantineRecord[],
+  timestamps: Timestamps,
 ): EntryEffect[] {
   return entries.flatMap(({ digest, until }) => {
-    const endsAt = timed.now + until - timed.wallNow;
-    const known = state.quarantine.quarantined.get(digest);
-    if (endsAt <= timed.now || (known !== undefined && known.endsAt >= endsAt)) return [];
+    const endsAt = timestamps.now + until - timestamps.wallNow;
+    const existing = state.quarantine.quarantined.get(digest);
+    if (endsAt <= timestamps.now || (existing !== undefined && existing.endsAt >= endsAt))
+      return [];
     state.quarantine.quarantined.set(digest, { until, endsAt });
-    clearExplained(state, crashesOf(state, digest));
-    return endAllOf(state, digest, endsAt, timed);
+    exonerateSuspectsOf(state, collectCrashIds(state, digest));
+    return failRequestsWithDigest(state, digest, endsAt, timestamps);
   });
 }
--- a/packages/entry-core/src/quarantine/suspects.ts
+++ b/packages/entry-core/src/quarantine/suspects.ts
@@ -1,153 +1,188 @@
 /**
- * Requests that ran on a backend server when it was lost. One of them may have crashed it; until
- * it is known which, they are run apart from each other, so that a second crash names one.
+ * Tracks suspects: requests that were in progress on a backend server when it was lost, any of
+ * which may have crashed it. They run isolated from each other, so that a second crash can be
+ * attributed to one of them.
  */
 import type { Milliseconds, MonotonicMilliseconds, PeerSuspect } from '@hornbeampond/schema';
 import type { EntryState } from '../EntryState.js';
 import { livePeers } from '../membership/livePeers.js';
-import { reportSoon } from '../membership/reportToEntries.js';
-import type { Loss, Suspect } from './QuarantineState.js';
+import { reportSoon } from '../membership/advanceReports.js';
+import type { ConnectionLoss, Suspect } from './QuarantineState.js';
 
-/** Suspicion ends after this, if the caller does not send the request again. */
-export const SUSPICION_MILLISECONDS = 600_000;
+/** How long a request stays a suspect, and how long the digests of a mass loss are kept. */
+export const SUSPECT_LIFETIME_MILLISECONDS = 600_000;
 
-/** By then a report sent with the next tick has reached the peers. */
-const ANNOUNCE_MILLISECONDS = 250;
+/** Time within which a report sent with the next tick reaches the peers. */
+const ANNOUNCEMENT_DELAY_MILLISECONDS = 250;
 
-/** How long a new suspect waits for peers to learn of it; not at all if there are none. */
-export function announceSpan(state: EntryState): Milliseconds {
-  return livePeers(state).length === 0 ? 0 : ANNOUNCE_MILLISECONDS;
+/** Returns how long a new suspect waits for its report to reach the peers; 0 if there are none. */
+export function getAnnouncementDelay(state: EntryState): Milliseconds {
+  return livePeers(state).length === 0 ? 0 : ANNOUNCEMENT_DELAY_MILLISECONDS;
 }
 
-/** What peers suspect. A silent peer's suspicions stay; where it runs them it no longer tells. */
-function peerSuspects(state: EntryState): PeerSuspect[] {
-  return [...state.membership.peers.values()].flatMap(({ report, live }) =>
+/**
+ * Returns the suspects of all peers. Suspects of an unreachable peer are kept, without the
+ * instance on which they run, which is no longer known.
+ */
+function listPeerSuspects(state: EntryState): PeerSuspect[] {
+  return [...state.membership.peers.values()].flatMap(({ report, isReachable: live }) =>
     live
       ? report.suspects
       : report.suspects.map((suspect) => ({ ...suspect, runningAt: undefined })),
   );
 }
 
-/** The crashes that a digest was in progress at, by what this entry and its peers saw. */
-export function crashesOf(state: EntryState, digest: string): Set<string> {
+/**
+ * Returns the ids of all crashes at which a request with this digest was in progress, as seen by
+ * this entry and its peers.
+ */
+export function collectCrashIds(state: EntryState, digest: string): Set<string> {
   const crashes = new Set(state.quarantine.suspects.get(digest)?.crashIds);
-  peerSuspects(state)
+  listPeerSuspects(state)
     .filter((suspect) => suspect.digest === digest && suspect.crashes > 0)
     .forEach(({ crashIds = ['unnamed'] }) => crashIds.forEach((crashId) => crashes.add(crashId)));
   return crashes;
 }
 
+/** True if the request must run isolated from other suspects. */
 export function isSuspect(state: EntryState, digest: string): boolean {
   const own = state.quarantine.suspects.get(digest);
   return (
-    (own !== undefined && (own.paroled !== true || own.lossOf !== undefined)) ||
-    peerSuspects(state).some((suspect) => suspect.digest === digest)
+    (own !== undefined && (own.isolationLifted !== true || own.lossInstance !== undefined)) ||
+    listPeerSuspects(state).some((suspect) => suspect.digest === digest)
   );
 }
 
 /**
- * A request known as a suspect only from peers' reports becomes one here too. It waits until its own
- * presence here has been reported, so that of several entries with the same one only one runs it.
+ * Returns the suspect with this digest. One that only peers have reported becomes a suspect of
+ * this entry too, and is held until this entry has reported it, so that only one of several
+ * entries runs it.
  */
-function adoptSuspect(state: EntryState, digest: string, now: MonotonicMilliseconds): Suspect {
-  const known = state.quarantine.suspects.get(digest);
-  if (known !== undefined) return known;
-  const told = peerSuspects(state).filter((suspect) => suspect.digest === digest);
+function getOrAdoptSuspect(state: EntryState, digest: string, now: MonotonicMilliseconds): Suspect {
+  const existing = state.quarantine.suspects.get(digest);
+  if (existing !== undefined) return existing;
+  const reported = listPeerSuspects(state).filter((suspect) => suspect.digest === digest);
   const adopted = {
     digest,
-    crashIds: crashesOf(state, digest),
-    lossOf: undefined,
-    exposure: Math.max(...told.map(({ exposure = 0 }) => exposure)),
-    tokens: Math.max(...told.map(({ tokens = 0 }) => tokens)),
-    until: now + SUSPICION_MILLISECONDS,
-    heldUntil: now + announceSpan(state),
+    crashIds: collectCrashIds(state, digest),
+    lossInstance: undefined,
+    exposure: Math.max(...reported.map(({ exposure = 0 }) => exposure)),
+    tokens: Math.max(...reported.map(({ tokens = 0 }) => tokens)),
+    until: now + SUSPECT_LIFETIME_MILLISECONDS,
+    heldUntil: now + getAnnouncementDelay(state),
   };
   state.quarantine.suspects.set(digest, adopted);
   reportSoon(state);
   return adopted;
 }
 
-/** Of the live entries that have the same suspect pending, the first by name runs it. */
+/**
+ * True if a reachable peer whose name sorts before that of this entry has the same suspect
+ * pending; that peer runs it.
+ */
 function isPendingAtEarlierPeer(state: EntryState, digest: string): boolean {
   return [...state.membership.peers.values()].some(
-    ({ live, report }) =>
+    ({ isReachable: live, report }) =>
       live &&
       report.instance < state.identity.instance &&
       report.suspects.some((suspect) => suspect.digest === digest && suspect.pending === true),
   );
 }
 
-/** True if a live peer lost this request and does not know yet whether it was a crash. */
+/** True if a reachable peer is still probing a loss that affected this request. */
 function isProbedByPeer(state: EntryState, digest: string): boolean {
   return [...state.membership.peers.values()].some(
-    ({ live, report }) =>
+    ({ isReachable: live, report }) =>
       live &&
       report.suspects.some((suspect) => suspect.digest === digest && suspect.judging === true),
   );
 }
 
 /**
- * True if a suspect must not run anywhere now: the probe that tells whether its backend server
- * crashed is still out, or it runs already, here or at a peer. A bad request would otherwise take down
- * one backend server after the other before the first crash is judged, and one that its caller
- * sends again would run beside itself.
+ * True if the request is a suspect and must not start now: its loss is being probed, its report
+ * has not reached the peers, another entry runs it first, or it is already running. Otherwise a
+ * poison request could crash several servers before its first crash is classified, and a resend
+ * could run concurrently with the original. Adopts suspects that only peers have reported.
  */
-export function isHeld(state: EntryState, digest: string, now: MonotonicMilliseconds): boolean {
+export function mustDelaySuspect(
+  state: EntryState,
+  digest: string,
+  now: MonotonicMilliseconds,
+): boolean {
   if (!isSuspect(state, digest)) return false;
-  const { lossOf, heldUntil = 0 } = adoptSuspect(state, digest, now);
-  if (lossOf !== undefined && state.quarantine.losses.has(lossOf)) return true;
+  const { lossInstance, heldUntil = 0 } = getOrAdoptSuspect(state, digest, now);
+  if (lossInstance !== undefined && state.quarantine.unresolvedLosses.has(lossInstance))
+    return true;
   if (heldUntil > now || isPendingAtEarlierPeer(state, digest)) return true;
   if (isProbedByPeer(state, digest)) return true;
   const runsHere = [...state.attempts.values()].some(
-    ({ requestId, givenUp }) =>
+    ({ requestId, timedOut: givenUp }) =>
       !givenUp && state.requests.get(requestId)?.request.digest === digest,
   );
-  const runsAtPeer = peerSuspects(state).some(
+  const runsAtPeer = listPeerSuspects(state).some(
     (suspect) => suspect.digest === digest && suspect.runningAt !== undefined,
   );
   return runsHere || runsAtPeer;
 }
 
-/** Where suspects other than this request run now, here and by the peers' reports. */
-export function suspectHosts(state: EntryState, exceptRequestId: string): Set<string> {
-  const hosts = new Set<string>();
+/**
+ * Returns the instances on which suspects other than this request are running, here or at peers.
+ */
+export function listInstancesRunningSuspects(
+  state: EntryState,
+  excludedRequestId: string,
+): Set<string> {
+  const instances = new Set<string>();
   state.attempts.forEach(({ requestId, instance }) => {
     const digest = state.requests.get(requestId)?.request.digest;
-    if (digest === undefined || requestId === exceptRequestId) return;
-    if (isSuspect(state, digest)) hosts.add(instance);
+    if (digest === undefined || requestId === excludedRequestId) return;
+    if (isSuspect(state, digest)) instances.add(instance);
   });
-  peerSuspects(state).forEach(({ runningAt }) => {
-    if (runningAt !== undefined) hosts.add(runningAt);
+  listPeerSuspects(state).forEach(({ runningAt }) => {
+    if (runningAt !== undefined) instances.add(runningAt);
   });
-  return hosts;
+  return instances;
 }
 
-/** A suspect that ran whole is none any more. */
-export function clearSuspect(state: EntryState, digest: string): void {
+/** Removes the suspect, because its request completed without crashing its backend server. */
+export function exonerateSuspect(state: EntryState, digest: string): void {
   state.quarantine.suspects.delete(digest);
 }
 
-/** Once a crash has its culprit, all others that were in it, and in no other, are cleared. */
-export function clearExplained(state: EntryState, crashIds: ReadonlySet<string>): void {
+/**
+ * Exonerates suspects that were in progress at these crashes only, because another cause is known.
+ */
+export function exonerateSuspectsOf(state: EntryState, crashIds: ReadonlySet<string>): void {
   state.quarantine.suspects.forEach((suspect, digest) => {
-    const explained = [...suspect.crashIds].every((crashId) => crashIds.has(crashId));
-    if (suspect.crashIds.size > 0 && explained) state.quarantine.suspects.delete(digest);
+    const isExplained = [...suspect.crashIds].every((crashId) => crashIds.has(crashId));
+    if (suspect.crashIds.size > 0 && isExplained) state.quarantine.suspects.delete(digest);
   });
 }
 
-function isParoled(state: EntryState, digest: string): boolean {
-  return state.quarantine.suspects.get(digest)?.paroled === true;
+function isIsolationLifted(state: EntryState, digest: string): boolean {
+  return state.quarantine.suspects.get(digest)?.isolationLifted === true;
 }
 
-/** Members of the loss that were in progress at an earlier crash, one other than `crashId`. */
-export function priorSuspects(state: EntryState, loss: Loss, crashId?: string): string[] {
+/**
+ * Returns the requests of the loss that were also in progress at a crash other than `crashId`,
+ * except those whose isolation was lifted.
+ */
+export function findPriorSuspects(
+  state: EntryState,
+  loss: ConnectionLoss,
+  crashId?: string,
+): string[] {
   const isOther = (other: string) => other !== crashId;
-  return [...loss.members.keys()].filter(
-    (digest) => !isParoled(state, digest) && [...crashesOf(state, digest)].some(isOther),
+  return [...loss.requestsInProgress.keys()].filter(
+    (digest) =>
+      !isIsolationLifted(state, digest) && [...collectCrashIds(state, digest)].some(isOther),
   );
 }
 
-/** True if a peer runs a suspect there: this entry alone cannot then name one. */
+/**
+ * True if a peer last reported that a suspect runs on the instance; this entry alone cannot
+ * attribute a crash then.
+ */
 export function peerHasSuspectAt(state: EntryState, instance: string): boolean {
   return [...state.membership.peers.values()].some(({ report }) =>
     report.suspects.some(({ runningAt }) => runningAt === instance),
