--- a/packages/testing/src/EngineModel.ts
+++ b/packages/testing/src/EngineModel.ts
@@ -1,7 +1,7 @@
 /**
- * A small model of an engine that batches continuously: so many requests run at a time, the rest
- * wait in order of arrival; prompts are computed one after the other; each running answer makes
- * tokens, the slower the fuller the batch; prefixes are kept in a cache of limited size.
+ * A simulation of an engine with continuous batching, in virtual time. A bounded number of
+ * requests runs and the rest wait in order of arrival. Prefill is sequential, decoding slows down
+ * as the batch fills, and the prefix cache evicts the least recently stored prefixes.
  */
 import type { Milliseconds, MonotonicMilliseconds } from '@hornbeampond/schema';
 import type { VirtualTimeline } from './VirtualTimeline.js';
@@ -9,9 +9,9 @@
 export interface EngineSpeed {
   readonly concurrency: number;
   readonly prefillMillisecondsPerToken: Milliseconds;
-  /** For one token of one answer when nothing else runs; three times so with a full batch. */
+  /** Time per output token of an idle engine; three times as long with a full batch. */
   readonly decodeMillisecondsPerToken: Milliseconds;
-  /** Prefixes that fit in the cache. */
+  /** Maximum number of prefixes in the cache. */
   readonly cachedPrefixes: number;
 }
 
@@ -19,20 +19,20 @@
   readonly promptTokens: number;
   readonly answerTokens: number;
   readonly prefixDigests: readonly string[];
-  /** Called once the prompt is computed. */
-  firstToken(): void;
-  finished(): void;
+  /** Called when prefill ends. */
+  onFirstToken(): void;
+  onFinished(): void;
 }
 
-const FULL_BATCH_SLOWDOWN = 2;
+const FULL_BATCH_ADDED_SLOWDOWN = 2;
 
 export class EngineModel {
   running = 0;
 
-  /** Prompt tokens that were computed although this or another engine had computed them before. */
+  /** Uncached prompt tokens that this or another engine has computed before. */
   recomputedTokens = 0;
 
-  /** Prefixes that were stored since this was last asked for. */
+  /** Prefixes stored since the caller last replaced this list. */
   newlyStored: string[] = [];
 
   private readonly queue: EngineJob[] = [];
@@ -45,7 +45,7 @@
     readonly instance: string,
     private readonly timeline: VirtualTimeline,
     public speed: EngineSpeed,
-    /** Prefixes that some engine has computed; shared by all engines of a run. */
+    /** Prefixes that any engine has computed; shared by all engines of a simulation. */
     private readonly everComputed: Set<string>,
   ) {}
 
@@ -64,39 +64,43 @@
 
   private start(job: EngineJob): void {
     this.running += 1;
-    const cached = this.cachedShare(job);
-    const uncachedTokens = job.promptTokens * (1 - cached);
-    this.recomputedTokens += this.countRecomputed(job, cached);
+    const cachedFraction = this.getCachedFraction(job);
+    const uncachedTokens = job.promptTokens * (1 - cachedFraction);
+    this.recomputedTokens += this.countRecomputed(job, cachedFraction);
     const { timeline, speed } = this;
     const startedAt = Math.max(timeline.now, this.prefillFreeAt);
     this.prefillFreeAt = startedAt + uncachedTokens * speed.prefillMillisecondsPerToken;
-    const crowding = 1 + (FULL_BATCH_SLOWDOWN * this.running) / speed.concurrency;
-    const decode = job.answerTokens * speed.decodeMillisecondsPerToken * crowding;
+    const slowdown = 1 + (FULL_BATCH_ADDED_SLOWDOWN * this.running) / speed.concurrency;
+    const decodeMilliseconds = job.answerTokens * speed.decodeMillisecondsPerToken * slowdown;
     timeline.after(this.prefillFreeAt - timeline.now, () => {
       this.store(job.prefixDigests);
-      job.firstToken();
-      timeline.after(decode, () => this.finish(job));
+      job.onFirstToken();
+      timeline.after(decodeMilliseconds, () => this.finish(job));
     });
   }
 
   private finish(job: EngineJob): void {
     this.running -= 1;
-    job.finished();
+    job.onFinished();
     const next = this.queue.shift();
     if (next !== undefined) this.start(next);
   }
 
-  private cachedShare({ prefixDigests }: EngineJob): number {
+  private getCachedFraction({ prefixDigests }: EngineJob): number {
     let { length } = prefixDigests;
     while (length > 0 && !this.cache.has(prefixDigests[length - 1] ?? '')) length -= 1;
     return length === 0 ? 0 : length / prefixDigests.length;
   }
 
-  private countRecomputed({ prefixDigests, promptTokens }: EngineJob, cached: number): number {
-    let known = prefixDigests.length;
-    while (known > 0 && !this.everComputed.has(prefixDigests[known - 1] ?? '')) known -= 1;
-    if (known === 0) return 0;
-    return Math.max(0, known / prefixDigests.length - cached) * promptTokens;
+  private countRecomputed(
+    { prefixDigests, promptTokens }: EngineJob,
+    cachedFraction: number,
+  ): number {
+    let computedLength = prefixDigests.length;
+    while (computedLength > 0 && !this.everComputed.has(prefixDigests[computedLength - 1] ?? ''))
+      computedLength -= 1;
+    if (computedLength === 0) return 0;
+    return Math.max(0, computedLength / prefixDigests.length - cachedFraction) * promptTokens;
   }
 
   private store(digests: readonly string[]): void {
--- a/packages/testing/src/adapters/HttpPlatformAdapter.test.ts
+++ b/packages/testing/src/adapters/HttpPlatformAdapter.test.ts
@@ -15,7 +15,7 @@
   startToken: 'token-1',
 };
 
-async function meet(t: TestContext, options: FakePlatformOptions = {}) {
+async function startPlatform(t: TestContext, options: FakePlatformOptions = {}) {
   const timers = new ManualTimerService();
   const platform = await FakePlatform.start({ timers, ...options });
   const adapter = new HttpPlatformAdapter(platform.url);
@@ -26,10 +26,10 @@
   return { timers, platform, adapter };
 }
 
-test('an instance is bought, listed with a lag, given notice and gone', async (t) => {
-  const { timers, platform, adapter } = await meet(t, { listLag: 2000, startDelay: 5000 });
+test('an instance is bought, listed with a lag, given notice and removed', async (t) => {
+  const { timers, platform, adapter } = await startPlatform(t, { listLag: 2000, startDelay: 5000 });
   const states: unknown[] = [];
-  const note = async (when: string) => {
+  const recordState = async (when: string) => {
     const instances = await adapter.listInstances(signal);
     const notices = await adapter.readNotices(signal);
     const listed = instances.map(({ instance, state, goneAt }) => ({ instance, state, goneAt }));
@@ -37,22 +37,22 @@
   };
   const bought = await adapter.startInstance(start, signal);
   assert.equal(bought.type, 'started');
-  await note('just bought');
+  await recordState('just bought');
   timers.advance(2000);
-  await note('listed');
+  await recordState('listed');
   timers.advance(5000);
-  await note('started');
+  await recordState('started');
   platform.giveNotice('appraisers-wien-a-1', 3000);
-  await note('on notice, not yet in the list');
+  await recordState('on notice, still listed as live');
   timers.advance(2000);
-  await note('leaving');
+  await recordState('leaving');
   timers.advance(3000);
-  await note('gone');
+  await recordState('gone');
   await matchSnapshot(import.meta.url, 'life of an instance', states);
 });
 
-test('a start whose answer was lost buys one instance, however often it is resent', async (t) => {
-  const { platform, adapter } = await meet(t);
+test('concurrent starts with the same token buy one instance', async (t) => {
+  const { platform, adapter } = await startPlatform(t);
   const answers = await Promise.all([1, 2, 3].map(() => adapter.startInstance(start, signal)));
   assert.deepEqual(answers[1], answers[0]);
   assert.deepEqual(answers[2], answers[0]);
@@ -60,7 +60,7 @@
 });
 
 test('a refused start buys nothing, and the same token may succeed later', async (t) => {
-  const { platform, adapter } = await meet(t);
+  const { platform, adapter } = await startPlatform(t);
   platform.refuseStarts([{ dataCentre: 'wien-a', reason: 'no capacity' }]);
   const refused = { type: 'refused', reason: 'no capacity' };
   assert.deepEqual(await adapter.startInstance(start, signal), refused);
@@ -71,20 +71,18 @@
   assert.deepEqual([platform.refusedCount, platform.purchases.length], [1, 2]);
 });
 
-test('a notice that reached one asker only is true all the same', async (t) => {
-  // The platform tells one of two entries of a reclaim, and the instance goes when it said. The
-  // other learns of it from the lagging list or from its peers, or meets a dead server.
+test('an instance is removed on notice even if a later read omits the notice', async (t) => {
   const engines: FakeEngine[] = [];
   const launch = async () => {
     const engine = await FakeEngine.start();
     engines.push(engine);
     return engine;
   };
-  const { timers, platform, adapter } = await meet(t, { launch });
+  const { timers, platform, adapter } = await startPlatform(t, { launch });
   await adapter.startInstance(start, signal);
   const [engine] = engines;
   assert.ok(engine?.alive);
-  platform.setNoticeReads(1);
+  platform.limitNoticeReads(1);
   platform.giveNotice('appraisers-wien-a-1', 1000);
   assert.equal((await adapter.readNotices(signal)).length, 1);
   assert.equal((await adapter.readNotices(signal)).length, 0);
@@ -93,15 +91,15 @@
   assert.deepEqual(await adapter.listInstances(signal), []);
 });
 
-test('an instance is ended, and ending it again is no fault', async (t) => {
-  const { adapter } = await meet(t);
+test('ending an instance twice is not an error', async (t) => {
+  const { adapter } = await startPlatform(t);
   await adapter.startInstance(start, signal);
   await adapter.endInstance('appraisers-wien-a-1', signal);
   await adapter.endInstance('appraisers-wien-a-1', signal);
   assert.deepEqual(await adapter.listInstances(signal), []);
 });
 
-test('the weight store grants a burst, then at its rate', async (t) => {
+test('the weight store grants a burst of loads, then limits loads to its rate', async (t) => {
   const timers = new ManualTimerService();
   const store = await FakeWeightStore.start({ timers, loadsPerMinute: 6, burst: 1 });
   const adapter = new HttpWeightStoreAdapter(store.url);
@@ -116,5 +114,5 @@
   timers.advance(10_000);
   assert.deepEqual(await adapter.readRate(signal), { loadsPerMinute: 6, available: 1 });
   assert.deepEqual(await adapter.requestLoad(load, signal), { type: 'granted' });
-  assert.equal(store.granted.length, 2);
+  assert.equal(store.grantedLoads.length, 2);
 });
--- a/packages/testing/src/examples.test.ts
+++ b/packages/testing/src/examples.test.ts
@@ -4,7 +4,7 @@
 import { test } from 'node:test';
 import { fileURLToPath } from 'node:url';
 import {
-  checkJoin,
+  checkPoolReferences,
   checkPools,
   checkRoutes,
   controllerSettingsSchema,
@@ -52,7 +52,7 @@
   return entrySettingsSchema.parse(parse(readText(deployment, file)));
 }
 
-function digest(key: string): string {
+function hashKey(key: string): string {
   return createHash('sha256').update(key).digest('hex');
 }
 
@@ -66,7 +66,7 @@
   };
 }
 
-test('the routes and deadlines of all deployments are the ones reviewed', async () => {
+test('the routes and deadlines of all deployments match the reviewed snapshot', async () => {
   const summaries = Object.keys(deployments).map((deployment) => [
     deployment,
     readTables(deployment).routes.map(summarize),
@@ -75,23 +75,23 @@
 });
 
 Object.entries(deployments).forEach(([deployment, dataCentres]) => {
-  test(`${deployment}: the tables are valid and join`, () => {
+  test(`${deployment}: the tables are valid and their references resolve`, () => {
     const { routes, pools } = readTables(deployment);
-    assert.deepEqual(checkJoin(routes, pools), []);
+    assert.deepEqual(checkPoolReferences(routes, pools), []);
     pools.forEach((pool) => assert.deepEqual(pool.dataCentres, dataCentres));
     const workspaces = readEntry(deployment).workspaces.map(({ name }) => name);
-    const named = routes.flatMap((route) => [
+    const referencedWorkspaces = routes.flatMap((route) => [
       ...route.match.workspaces,
       ...Object.keys(route.limits.workspaces),
     ]);
     assert.deepEqual(
-      named.filter((name) => !workspaces.includes(name)),
+      referencedWorkspaces.filter((name) => !workspaces.includes(name)),
       [],
     );
   });
 
   test(`${deployment}: the settings of each kind are valid`, () => {
-    const seen = findFiles(deployment).flatMap((file) => {
+    const kinds = findFiles(deployment).flatMap((file) => {
       const kind = file.split('-')[0] ?? '';
       const schema = settingsSchemas[kind];
       if (schema === undefined || !file.endsWith('.toml')) return [];
@@ -99,25 +99,29 @@
       assert.ok(parsed.success, `${file}: ${parsed.error?.message}`);
       return [kind];
     });
-    assert.deepEqual(seen, ['controller', 'entry', 'store']);
+    assert.deepEqual(kinds, ['controller', 'entry', 'store']);
   });
 
-  test(`${deployment}: the entry knows the documented keys and all peers`, () => {
+  test(`${deployment}: the keys are the documented ones and no data centre has a majority of stores`, () => {
     const entry = readEntry(deployment);
     const documented = readText(deployment, 'README.md');
     const keys = entry.workspaces.map((_, position) => `${deployment}-example-key-${position + 1}`);
     keys.forEach((key) => assert.ok(documented.includes(`\`${key}\``), key));
     assert.deepEqual(
       entry.workspaces.map(({ keySha256 }) => keySha256),
-      keys.map(digest),
+      keys.map(hashKey),
     );
-    const operatorKey = digest(`${deployment}-example-operator-key`);
+    const operatorKey = hashKey(`${deployment}-example-operator-key`);
     assert.equal(entry.operatorKeys[0]?.keySha256, operatorKey);
     assert.equal(entry.entries.length, 7);
-    // Without an operator key nobody can found the cluster: every ask is answered 401.
+    // Without an operator key, every request to bootstrap the cluster is answered with 401.
     const { operatorKeys } = storeSettingsSchema.parse(parse(readText(deployment, 'store-1.toml')));
     assert.equal(operatorKeys[0]?.keySha256, operatorKey);
-    const homes = entry.stores.map((store) => store.dataCentre);
-    assert.equal(new Set(homes).size, homes.length, 'no data centre may hold a majority');
+    const storeDataCentres = entry.stores.map((store) => store.dataCentre);
+    assert.equal(
+      new Set(storeDataCentres).size,
+      storeDataCentres.length,
+      'no data centre may hold a majority',
+    );
   });
 });
--- a/packages/testing/src/fakes/FakeEngine.ts
+++ b/packages/testing/src/fakes/FakeEngine.ts
@@ -1,7 +1,7 @@
 /**
- * A fake model engine, which speaks what `HttpEngineAdapter` speaks. It batches continuously with
- * bounded concurrency, keeps a limited prefix cache, resumes, cancels, exports and imports KV
- * cache, takes orders, and counts what it computes. Plain calls make it misbehave.
+ * A fake model engine that serves the HTTP interface of `HttpEngineAdapter`: completions in a
+ * bounded batch, resume, cancel, prefix cache events, KV cache export and import, load reports and
+ * orders. It counts what it computes, and its methods inject faults.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import {
@@ -14,59 +14,59 @@
 import { FakeBackendServer, type FakeBackendServerOptions } from './FakeBackendServer.js';
 import { FakeBatch } from './FakeBatch.js';
 import { FakeKvCaches } from './FakeKvCaches.js';
-import { FakeOrderDesk, type EngineRole } from './FakeOrderDesk.js';
+import { FakeOrderHandler, type EngineRole } from './FakeOrderHandler.js';
 import { FakePrefixCache } from './FakePrefixCache.js';
 import { answerJson, readRequestBody } from './FakeServer.js';
 import { FakeStream, type FakeStreamLimits } from './FakeStream.js';
 import { digestPrompt, generateText } from './generateToken.js';
 
 const DEFAULT_CONCURRENCY = 8;
-const DEFAULT_QUEUE = 64;
+const DEFAULT_MAX_QUEUED = 64;
 const DEFAULT_ANSWER_TOKENS = 32;
 const DEFAULT_CACHE_BLOCKS = 1024;
 const DEFAULT_CACHE_BYTES_PER_TOKEN = 16;
 
 export interface FakeEngineOptions extends FakeBackendServerOptions {
-  /** What it has loaded at the start. */
+  /** Model that is loaded at the start. */
   readonly model?: string;
-  /** Streams in the batch at a time. */
+  /** Maximum number of streams in the batch. */
   readonly concurrency?: number;
-  /** Calls that wait for the batch; more are refused as busy. */
-  readonly mostQueued?: number;
-  /** Time from one token to the next; 0, the default, needs no timer to move. */
+  /** Maximum number of calls that wait for a slot; further calls are refused with status 429. */
+  readonly maxQueued?: number;
+  /** Time from one token to the next; with 0, the default, no timer is used. */
   readonly tokenDelay?: Milliseconds;
-  /** Share by which each other stream in the batch makes a token take longer. */
-  readonly slowdown?: number;
-  /** Time to compute one token of a prompt that is not cached. */
+  /** Fraction of `tokenDelay` that each other stream in the batch adds to it. */
+  readonly slowdownPerStream?: number;
+  /** Prefill time for one uncached token. */
   readonly prefillDelay?: Milliseconds;
-  /** Length of an answer whose request names no `max_tokens`. */
+  /** Length of an answer whose request has no `max_tokens`. */
   readonly answerTokens?: number;
-  /** Size of the prefix cache. */
+  /** Maximum number of blocks in the prefix cache. */
   readonly cacheBlocks?: number;
-  /** Size of an exported KV cache. */
+  /** Size of an exported KV cache per token. */
   readonly cacheBytesPerToken?: number;
-  /** False: takes orders with old fencing numbers as well. */
+  /** If false, orders with old fencing numbers are accepted as well. */
   readonly checksFencing?: boolean;
-  /** How long an order takes. */
+  /** Time from the arrival of an order to its effect. */
   readonly orderDelay?: Milliseconds;
 }
 
-/** What the engine has done since it was made, deaths included. */
+/** Totals since the engine was constructed; a restart does not reset them. */
 export interface FakeEngineCounts {
   /** Completions that began to run. */
   runs: number;
-  /** Answers sent to their end. */
+  /** Answers sent completely. */
   finished: number;
-  /** Answers that ended before, by a cancel, a cut or a caller that left. */
+  /** Running answers that ended early: cancelled, cut or abandoned by the caller. */
   stopped: number;
-  /** Cancels of an attempt that was there. */
+  /** Cancels that found their attempt. */
   cancelled: number;
   generatedTokens: number;
-  /** Tokens of prompts and resumed texts that were computed, not found in a cache. */
+  /** Tokens of prompts and resumed texts that were computed because no cache had them. */
   prefilledTokens: number;
-  /** Those of them in resumed runs, which another run had computed before. */
+  /** The part of `prefilledTokens` that belongs to resumed runs. */
   recomputedTokens: number;
-  /** Resumed runs whose text is not what this prompt generates. */
+  /** Resumed requests refused because their text is not what the prompt generates. */
   wrongResumes: number;
 }
 
@@ -96,7 +96,7 @@
     wrongResumes: 0,
   };
 
-  /** Runs by prompt digest; `digestPrompt` names a prompt. */
+  /** Runs by prompt digest, see `digestPrompt`. */
   readonly runsByPrompt = new Map<string, number>();
 
   readonly prefixCache: FakePrefixCache;
@@ -109,7 +109,7 @@
 
   private limits: FakeStreamLimits = {};
 
-  private readonly orderDesk: FakeOrderDesk;
+  private readonly orderHandler: FakeOrderHandler;
 
   private unnamedAttempts = 0;
 
@@ -119,12 +119,12 @@
     this.prefixCache = new FakePrefixCache(this.instance, cacheBlocks, this.timers);
     this.kvCaches = new FakeKvCaches(options.cacheBytesPerToken ?? DEFAULT_CACHE_BYTES_PER_TOKEN);
     this.batch = this.makeBatch();
-    this.orderDesk = new FakeOrderDesk({
+    this.orderHandler = new FakeOrderHandler({
       timers: this.timers,
       model: options.model,
       checksFencing: options.checksFencing ?? true,
       orderDelay: options.orderDelay ?? 0,
-      onChange: () => this.changed(),
+      onChange: () => this.notifyWaiters(),
     });
   }
 
@@ -143,42 +143,42 @@
   }
 
   get role(): EngineRole {
-    return this.orderDesk.role;
+    return this.orderHandler.role;
   }
 
-  /** Orders that were carried out, in that order. */
+  /** Executed orders, in order of execution. */
   get orders(): readonly Order[] {
-    return this.orderDesk.orders;
+    return this.orderHandler.orders;
   }
 
-  /** Streams stop for good after this many tokens of their own; `undefined` lets them go on. */
+  /** Stalls each stream once it has sent this many tokens itself; `undefined` resumes all. */
   stallStreamsAfter(tokens: number | undefined): void {
-    this.limits = { ...this.limits, stallAfter: tokens };
+    this.limits = { ...this.limits, stallAfterTokens: tokens };
     this.streams.forEach((stream) => stream.setLimits(this.limits));
   }
 
-  /** Streams lose their connection after this many tokens of their own. */
+  /** Closes the connection of each stream once it has sent this many tokens itself. */
   cutStreamsAfter(tokens: number | undefined): void {
-    this.limits = { ...this.limits, cutAfter: tokens };
+    this.limits = { ...this.limits, cutAfterTokens: tokens };
     this.streams.forEach((stream) => stream.setLimits(this.limits));
   }
 
   setChecksFencing(checks: boolean): void {
-    this.orderDesk.checksFencing = checks;
+    this.orderHandler.checksFencing = checks;
   }
 
   setOrdersFail(fail: boolean): void {
-    this.orderDesk.ordersFail = fail;
+    this.orderHandler.ordersFail = fail;
   }
 
-  protected override forget(): void {
-    super.forget();
+  protected override resetState(): void {
+    super.resetState();
     this.streams.forEach((stream) => stream.stop());
     this.streams.clear();
     this.kvCaches.clear();
     this.prefixCache.clear();
     this.batch = this.makeBatch();
-    this.orderDesk.forget();
+    this.orderHandler.resetFencing();
   }
 
   protected override async handle(
@@ -189,7 +189,7 @@
     const body = await readRequestBody(request);
     switch (`${request.method} ${url.pathname}`) {
       case 'POST /v1/chat/completions':
-        await this.complete(request, response, body);
+        await this.handleCompletion(request, response, body);
         break;
       case 'POST /engine/cancel':
         this.cancel(response, body);
@@ -219,14 +219,14 @@
   }
 
   private makeBatch(): FakeBatch {
-    const { concurrency = DEFAULT_CONCURRENCY, mostQueued = DEFAULT_QUEUE } = this.options;
-    const batch: FakeBatch = new FakeBatch(concurrency, mostQueued, () => {
-      if (batch === this.batch) this.noteLoad(batch.running, batch.queued);
+    const { concurrency = DEFAULT_CONCURRENCY, maxQueued = DEFAULT_MAX_QUEUED } = this.options;
+    const batch: FakeBatch = new FakeBatch(concurrency, maxQueued, () => {
+      if (batch === this.batch) this.recordLoad(batch.running, batch.queued);
     });
     return batch;
   }
 
-  private async complete(
+  private async handleCompletion(
     request: IncomingMessage,
     response: ServerResponse,
     bytes: Buffer,
@@ -243,7 +243,7 @@
     }
     const promptDigest = digestPrompt(body.messages);
     if (!this.checkResume(promptDigest, body.resume)) {
-      answerJson(response, 400, { error: 'the resumed text is not of this prompt' });
+      answerJson(response, 400, { error: 'the resumed text does not match the prompt' });
       return;
     }
     await this.runStream(request, response, body, promptDigest);
@@ -269,14 +269,14 @@
       attemptId,
       promptDigest,
       promptTokens: splitPrompt(body.messages).length,
-      firstToken: body.resume?.generated_tokens ?? 0,
-      lastToken: body.max_tokens ?? this.options.answerTokens ?? DEFAULT_ANSWER_TOKENS,
-      model: body.model ?? this.orderDesk.loaded.model ?? '',
+      startPosition: body.resume?.generated_tokens ?? 0,
+      endPosition: body.max_tokens ?? this.options.answerTokens ?? DEFAULT_ANSWER_TOKENS,
+      model: body.model ?? this.orderHandler.loaded.model ?? '',
       readTokenDelay: () => this.readTokenDelay(),
       timers: this.timers,
       onToken: () => {
         this.counts.generatedTokens += 1;
-        this.changed();
+        this.notifyWaiters();
       },
     });
     stream.setLimits(this.limits);
@@ -284,7 +284,7 @@
     response.once('close', () => stream.stop());
     stream.open(response);
     const priority = Number(request.headers['x-request-priority'] ?? 0);
-    const release = await this.batch.takeSlot(priority, stream.signal);
+    const release = await this.batch.acquireSlot(priority, stream.signal);
     try {
       if (release === undefined) return;
       this.countRun(promptDigest);
@@ -298,34 +298,34 @@
   }
 
   private readTokenDelay(): Milliseconds {
-    const { tokenDelay = 0, slowdown = 0 } = this.options;
+    const { tokenDelay = 0, slowdownPerStream: slowdown = 0 } = this.options;
     return tokenDelay * (1 + slowdown * (this.batch.running - 1));
   }
 
   private countRun(promptDigest: string): void {
     this.counts.runs += 1;
     this.runsByPrompt.set(promptDigest, (this.runsByPrompt.get(promptDigest) ?? 0) + 1);
-    this.changed();
+    this.notifyWaiters();
   }
 
-  /** Computes the prompt and the resumed text; returns the number of tokens that took. */
+  /** Computes the prompt and the resumed text; returns the number of uncached tokens. */
   private prefill({ messages, resume }: WireCompletion, stream: FakeStream): number {
     const digests = digestPrefixes(messages);
     const cachedPrompt = this.prefixCache.countCached(digests) * TOKENS_PER_BLOCK;
     const imported = this.kvCaches.countImported(stream.promptDigest);
-    const wanted = stream.promptTokens + (resume?.generated_tokens ?? 0);
-    const computed = Math.max(0, wanted - Math.max(cachedPrompt, imported));
+    const neededTokens = stream.promptTokens + (resume?.generated_tokens ?? 0);
+    const computedTokens = Math.max(0, neededTokens - Math.max(cachedPrompt, imported));
     this.prefixCache.store(digests);
-    this.counts.prefilledTokens += computed;
-    if (resume !== undefined) this.counts.recomputedTokens += computed;
-    return computed;
+    this.counts.prefilledTokens += computedTokens;
+    if (resume !== undefined) this.counts.recomputedTokens += computedTokens;
+    return computedTokens;
   }
 
   private endStream(attemptId: string, stream: FakeStream): void {
     if (this.streams.get(attemptId) !== stream) return;
     this.streams.delete(attemptId);
-    this.kvCaches.keep(attemptId, stream.promptDigest, stream.computedTokens);
-    this.changed();
+    this.kvCaches.store(attemptId, stream.promptDigest, stream.computedTokens);
+    this.notifyWaiters();
   }
 
   private cancel(response: ServerResponse, body: Buffer): void {
@@ -343,7 +343,7 @@
   private exportCache(response: ServerResponse, attemptId: string): void {
     const stream = this.streams.get(attemptId);
     if (stream !== undefined) {
-      this.kvCaches.keep(attemptId, stream.promptDigest, stream.computedTokens);
+      this.kvCaches.store(attemptId, stream.promptDigest, stream.computedTokens);
     }
     const cache = this.kvCaches.export(attemptId);
     if (cache === undefined) {
@@ -363,7 +363,7 @@
     } = this.options;
     const tokensPerSecond = tokenDelay > 0 ? (report.running * 1000) / tokenDelay : undefined;
     const firstTokenDelay = (report.queued * answerTokens * tokenDelay) / concurrency;
-    return { ...report, ...this.orderDesk.loaded, tokensPerSecond, firstTokenDelay };
+    return { ...report, ...this.orderHandler.loaded, tokensPerSecond, firstTokenDelay };
   }
 
   private answerCacheEvents(response: ServerResponse, afterSequence: number): void {
@@ -371,7 +371,7 @@
   }
 
   private async answerOrder(response: ServerResponse, order: Order): Promise<void> {
-    const result = await this.orderDesk.take(order, () => response.destroyed);
+    const result = await this.orderHandler.handleOrder(order, () => response.destroyed);
     if (!response.destroyed) answerJson(response, 200, { result });
   }
 }
--- a/packages/testing/src/fakes/FakeKvCaches.ts
+++ b/packages/testing/src/fakes/FakeKvCaches.ts
@@ -1,19 +1,19 @@
-/** KV caches that a fake engine holds for attempts, its own and imported ones. */
+/** The KV caches of a fake engine: its own by attempt, and imported ones by prompt. */
 
-/** Caches kept; the oldest leave first. */
-const MOST_CACHES = 64;
+/** Limit for own and for imported caches each; the oldest is evicted first. */
+const MAX_CACHES = 64;
 
 interface KvCache {
   readonly promptDigest: string;
   readonly tokens: number;
 }
 
-/** Sets an entry as the newest; the oldest leaves where there are too many. */
+/** Sets a key as the newest and evicts the oldest if the map exceeds `MAX_CACHES`. */
 function setNewest<Value>(map: Map<string, Value>, key: string, value: Value): void {
   map.delete(key);
   map.set(key, value);
   const oldest = map.keys().next().value;
-  if (map.size > MOST_CACHES && oldest !== undefined) map.delete(oldest);
+  if (map.size > MAX_CACHES && oldest !== undefined) map.delete(oldest);
 }
 
 export class FakeKvCaches {
@@ -24,27 +24,27 @@
 
   constructor(private readonly bytesPerToken: number) {}
 
-  keep(attemptId: string, promptDigest: string, tokens: number): void {
+  store(attemptId: string, promptDigest: string, tokens: number): void {
     setNewest(this.caches, attemptId, { promptDigest, tokens });
   }
 
-  /** Tokens of a prompt and its answer that were imported and need not be computed. */
+  /** Number of tokens of a prompt and its answer in an imported cache. */
   countImported(promptDigest: string): number {
     return this.imported.get(promptDigest) ?? 0;
   }
 
-  /** A line of JSON, filled up to the size that the tokens take. */
+  /** Encodes a cache as a line of JSON, padded to `bytesPerToken` for each token. */
   export(attemptId: string): { readonly tokens: number; readonly bytes: Buffer } | undefined {
     const cache = this.caches.get(attemptId);
     if (cache === undefined) return undefined;
-    const head = Buffer.from(`${JSON.stringify(cache)}\n`);
-    const filling = Buffer.alloc(Math.max(0, cache.tokens * this.bytesPerToken - head.length));
-    return { tokens: cache.tokens, bytes: Buffer.concat([head, filling]) };
+    const header = Buffer.from(`${JSON.stringify(cache)}\n`);
+    const padding = Buffer.alloc(Math.max(0, cache.tokens * this.bytesPerToken - header.length));
+    return { tokens: cache.tokens, bytes: Buffer.concat([header, padding]) };
   }
 
   import(bytes: Buffer): void {
-    const head = bytes.subarray(0, bytes.indexOf('\n')).toString();
-    const { promptDigest, tokens } = JSON.parse(head) as KvCache;
+    const header = bytes.subarray(0, bytes.indexOf('\n')).toString();
+    const { promptDigest, tokens } = JSON.parse(header) as KvCache;
     setNewest(this.imported, promptDigest, tokens);
   }
 
--- a/packages/testing/src/fakes/FakePlatform.ts
+++ b/packages/testing/src/fakes/FakePlatform.ts
@@ -1,6 +1,7 @@
 /**
- * A fake platform, which speaks what `HttpPlatformAdapter` speaks. Its list of instances lags;
- * starts can be refused; a notice says when an instance will be gone, and then it is.
+ * A fake platform that serves the HTTP interface of `HttpPlatformAdapter`. It sells instances, one
+ * for each start token, lists them with a configurable lag, refuses starts on request, and removes
+ * an instance at the time stated in its reclaim notice.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { InstanceStart, ReclaimNotice } from '@hornbeampond/adapters';
@@ -8,29 +9,29 @@
 import type { EpochMilliseconds, Milliseconds, PlatformInstance } from '@hornbeampond/schema';
 import { answerJson, FakeServer, readRequestBody, type FakeServerOptions } from './FakeServer.js';
 
-/** Lists kept for lagging answers. */
-const MOST_LISTS = 1000;
+/** Instance lists kept for delayed answers. */
+const MAX_RECORDED_LISTS = 1000;
 
-/** What runs on a bought instance. */
+/** The server that runs on an instance. */
 export interface LaunchedServer {
   readonly host: string;
   readonly port: number;
   close(): Promise<void>;
 }
 
-export type Launch = (start: InstanceStart, instance: string) => Promise<LaunchedServer>;
+export type LaunchServer = (start: InstanceStart, instance: string) => Promise<LaunchedServer>;
 
 export interface FakePlatformOptions extends FakeServerOptions {
   readonly timers?: TimerService;
-  /** How old the list of instances is. */
+  /** Age of the list of instances in an answer. */
   readonly listLag?: Milliseconds;
-  /** How long a bought instance is `starting`. */
+  /** Time that a bought instance stays in state `starting`. */
   readonly startDelay?: Milliseconds;
   /** Starts the backend server of a bought instance; without it nothing listens there. */
-  readonly launch?: Launch;
+  readonly launch?: LaunchServer;
 }
 
-/** Which starts to refuse: all that match each key given. */
+/** Refuses the starts that match all keys present here. */
 export interface StartRefusal {
   readonly pool?: string;
   readonly dataCentre?: string;
@@ -44,10 +45,10 @@
 }
 
 export class FakePlatform extends FakeServer {
-  /** Purchases made, one for each start token. */
+  /** Accepted starts, one for each start token. */
   readonly purchases: InstanceStart[] = [];
 
-  /** Starts that were refused. */
+  /** Number of refused starts. */
   refusedCount = 0;
 
   private readonly timers: TimerService;
@@ -64,7 +65,7 @@
 
   private listLag: Milliseconds;
 
-  private noticeReads = Infinity;
+  private remainingNoticeReads = Infinity;
 
   constructor(private readonly options: FakePlatformOptions = {}) {
     super(options);
@@ -78,14 +79,14 @@
     return platform;
   }
 
-  /** Adds an instance that nobody has to buy. */
+  /** Adds an instance without a purchase, or replaces its record. */
   add(instance: PlatformInstance, server?: LaunchedServer): void {
     this.instances.set(instance.instance, instance);
     if (server !== undefined) this.servers.set(instance.instance, server);
-    this.noteList();
+    this.recordList();
   }
 
-  /** Refuses the starts that match one of these; an empty list refuses none. */
+  /** Refuses starts that match any of `refusals`, which replace the previous ones. */
   refuseStarts(refusals: readonly StartRefusal[]): void {
     this.refusals = refusals;
   }
@@ -94,12 +95,12 @@
     this.listLag = lag;
   }
 
-  /** Tells only the next so many askers of notices; the instances go all the same. */
-  setNoticeReads(count: number): void {
-    this.noticeReads = count;
+  /** Returns notices only in the next `count` reads; later reads omit them, without other effect. */
+  limitNoticeReads(count: number): void {
+    this.remainingNoticeReads = count;
   }
 
-  /** Says that an instance will be gone after `notice`; then it is. */
+  /** Announces that an instance is removed after `notice`, and removes it then. */
   giveNotice(instance: string, notice: Milliseconds): void {
     const found = this.instances.get(instance);
     if (found === undefined) return;
@@ -110,16 +111,16 @@
     });
   }
 
-  /** Takes an instance away at once. */
+  /** Removes an instance immediately and closes its server. */
   async remove(instance: string): Promise<void> {
     this.instances.delete(instance);
     const server = this.servers.get(instance);
     this.servers.delete(instance);
-    this.noteList();
+    this.recordList();
     await server?.close();
   }
 
-  /** The list as it is now, without the lag. */
+  /** The current list, without the lag. */
   listNow(): readonly PlatformInstance[] {
     return [...this.instances.values()];
   }
@@ -129,8 +130,8 @@
     await super.close();
   }
 
-  /** The platform's own records outlive its API servers. */
-  protected override forget(): void {}
+  /** The platform keeps its records when its API server dies. */
+  protected override resetState(): void {}
 
   protected override async handle(
     request: IncomingMessage,
@@ -138,27 +139,27 @@
   ): Promise<void> {
     const [path, name] = (request.url ?? '').split('/').slice(1);
     const route = `${request.method} ${path}`;
-    if (route === 'GET instances') answerJson(response, 200, { instances: this.listLagging() });
+    if (route === 'GET instances') answerJson(response, 200, { instances: this.listWithLag() });
     else if (route === 'GET notices') answerJson(response, 200, { notices: this.listNotices() });
     else if (route === 'POST instances') await this.answerStart(request, response);
     else if (route === 'DELETE instances') await this.answerEnd(response, name);
     else answerJson(response, 404, { error: 'not found' });
   }
 
-  private noteList(): void {
+  private recordList(): void {
     this.lists.push({ since: this.timers.wallNow(), instances: this.listNow() });
-    if (this.lists.length > MOST_LISTS) this.lists.shift();
-    this.changed();
+    if (this.lists.length > MAX_RECORDED_LISTS) this.lists.shift();
+    this.notifyWaiters();
   }
 
-  private listLagging(): readonly PlatformInstance[] {
+  private listWithLag(): readonly PlatformInstance[] {
     const asOf = this.timers.wallNow() - this.listLag;
     return this.lists.findLast(({ since }) => since <= asOf)?.instances ?? [];
   }
 
   private listNotices(): ReclaimNotice[] {
-    if (this.noticeReads <= 0) return [];
-    this.noticeReads -= 1;
+    if (this.remainingNoticeReads <= 0) return [];
+    this.remainingNoticeReads -= 1;
     return this.listNow().flatMap(({ instance, goneAt }) =>
       goneAt === undefined ? [] : [{ instance, goneAt }],
     );
@@ -175,14 +176,14 @@
 
   private async answerStart(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const start = JSON.parse(String(await readRequestBody(request))) as InstanceStart;
-    const known = this.startsByToken.get(start.startToken);
-    const refusal = known === undefined ? this.findRefusal(start) : undefined;
+    const existing = this.startsByToken.get(start.startToken);
+    const refusal = existing === undefined ? this.findRefusal(start) : undefined;
     if (refusal !== undefined) {
       this.refusedCount += 1;
       answerJson(response, 409, { refused: refusal.reason });
       return;
     }
-    const bought = known ?? this.buy(start);
+    const bought = existing ?? this.buy(start);
     this.startsByToken.set(start.startToken, bought);
     answerJson(response, 200, { instance: await bought });
   }
--- a/packages/testing/src/fakes/FakeWeightStore.ts
+++ b/packages/testing/src/fakes/FakeWeightStore.ts
@@ -1,4 +1,7 @@
-/** A fake weight store, which speaks what `HttpWeightStoreAdapter` speaks: a token bucket. */
+/**
+ * A fake weight store that serves the HTTP interface of `HttpWeightStoreAdapter`. A token bucket
+ * limits the rate of granted loads.
+ */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { LoadRequest } from '@hornbeampond/adapters';
 import { SystemTimerService, type TimerService } from '@hornbeampond/runtime';
@@ -6,17 +9,17 @@
 
 const DEFAULT_LOADS_PER_MINUTE = 6;
 const DEFAULT_BURST = 2;
-const MINUTE = 60_000;
+const MINUTE_MILLISECONDS = 60_000;
 
 export interface FakeWeightStoreOptions extends FakeServerOptions {
   readonly timers?: TimerService;
   readonly loadsPerMinute?: number;
-  /** Loads that may come at once. */
+  /** Capacity of the token bucket, in loads. */
   readonly burst?: number;
 }
 
 export class FakeWeightStore extends FakeServer {
-  readonly granted: LoadRequest[] = [];
+  readonly grantedLoads: LoadRequest[] = [];
 
   refusedCount = 0;
 
@@ -28,7 +31,7 @@
 
   private available: number;
 
-  private filledAt: number;
+  private refilledAt: number;
 
   constructor(options: FakeWeightStoreOptions = {}) {
     super(options);
@@ -36,7 +39,7 @@
     this.loadsPerMinute = options.loadsPerMinute ?? DEFAULT_LOADS_PER_MINUTE;
     this.burst = options.burst ?? DEFAULT_BURST;
     this.available = this.burst;
-    this.filledAt = this.timers.monotonicNow();
+    this.refilledAt = this.timers.monotonicNow();
   }
 
   static async start(options: FakeWeightStoreOptions = {}): Promise<FakeWeightStore> {
@@ -45,13 +48,13 @@
     return store;
   }
 
-  protected override forget(): void {}
+  protected override resetState(): void {}
 
   protected override async handle(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    this.fill();
+    this.refill();
     switch (`${request.method} ${request.url}`) {
       case 'GET /rate': {
         const { loadsPerMinute } = this;
@@ -60,7 +63,7 @@
       }
       case 'POST /loads': {
         const load = JSON.parse(String(await readRequestBody(request))) as LoadRequest;
-        answerJson(response, 200, this.takeLoad(load));
+        answerJson(response, 200, this.grantOrRefuseLoad(load));
         break;
       }
       default:
@@ -68,24 +71,24 @@
     }
   }
 
-  private fill(): void {
+  private refill(): void {
     const now = this.timers.monotonicNow();
-    const added = ((now - this.filledAt) * this.loadsPerMinute) / MINUTE;
+    const added = ((now - this.refilledAt) * this.loadsPerMinute) / MINUTE_MILLISECONDS;
     this.available = Math.min(this.burst, this.available + added);
-    this.filledAt = now;
+    this.refilledAt = now;
   }
 
-  private takeLoad(load: LoadRequest): object {
+  private grantOrRefuseLoad(load: LoadRequest): object {
     if (this.available >= 1) {
       this.available -= 1;
-      this.granted.push(load);
+      this.grantedLoads.push(load);
       return { granted: true };
     }
     this.refusedCount += 1;
     const missing = 1 - this.available;
     return {
       granted: false,
-      retryAfterMilliseconds: Math.ceil((missing * MINUTE) / this.loadsPerMinute),
+      retryAfterMilliseconds: Math.ceil((missing * MINUTE_MILLISECONDS) / this.loadsPerMinute),
     };
   }
 }
--- a/packages/transport/src/ConfigurationFollower.ts
+++ b/packages/transport/src/ConfigurationFollower.ts
@@ -1,37 +1,38 @@
 /**
- * Builds the newest configuration from what stores send: whole ones and deltas. It is the only
- * judge of what is newer, so whoever listens sees revisions grow, whichever store sends them.
+ * Maintains the newest configuration from the complete configurations and deltas that stores send.
+ * Its revision never decreases, whichever store sends an update.
  */
 import { applyDelta, type Configuration, type ConfigurationDelta } from '@hornbeampond/schema';
 
-/** `gap`: changes were missed, and a whole configuration has to be asked for. */
-export type FollowResult = 'newer' | 'old' | 'gap';
+/**
+ * Effect of an update. `gap`: changes are missing, so a complete configuration must be requested.
+ */
+export type ConfigurationUpdateResult = 'newer' | 'old' | 'gap';
 
 export class ConfigurationFollower {
-  private held: Configuration | undefined;
+  private current: Configuration | undefined;
 
   get newest(): Configuration | undefined {
-    return this.held;
+    return this.current;
   }
 
   /**
-   * A store that has just come back may be behind; a client that moves to it would go back to
-   * tables that the operators have replaced. What is older is dropped, and the store sends what
-   * follows as soon as it has caught up. The same revision again is handed on: it says that
-   * stores can be reached.
+   * Drops an older configuration: a store that has just restarted may be behind, and sends newer
+   * changes once it has caught up. The same revision again counts as `newer`, because it shows that
+   * stores are reachable.
    */
-  takeWhole(configuration: Configuration): FollowResult {
-    if (this.held !== undefined && configuration.revision < this.held.revision) return 'old';
-    this.held = configuration;
+  applyConfiguration(configuration: Configuration): ConfigurationUpdateResult {
+    if (this.current !== undefined && configuration.revision < this.current.revision) return 'old';
+    this.current = configuration;
     return 'newer';
   }
 
-  takeDelta(delta: ConfigurationDelta): FollowResult {
-    if (this.held === undefined) return 'gap';
-    if (delta.toRevision <= this.held.revision) return 'old';
-    const joined = applyDelta(this.held, delta);
-    if (joined === undefined) return 'gap';
-    this.held = joined;
+  applyConfigurationDelta(delta: ConfigurationDelta): ConfigurationUpdateResult {
+    if (this.current === undefined) return 'gap';
+    if (delta.toRevision <= this.current.revision) return 'old';
+    const updated = applyDelta(this.current, delta);
+    if (updated === undefined) return 'gap';
+    this.current = updated;
     return 'newer';
   }
 }
--- a/packages/transport/src/OperatorServer.ts
+++ b/packages/transport/src/OperatorServer.ts
@@ -1,6 +1,7 @@
 /**
- * The operators' port, the same on every process: `/livez`, `/readyz`, `/metrics` and `/status`,
- * and what else the process adds.
+ * HTTP server on the operators' port of a process. It serves `/livez`, `/readyz`, `/metrics` and
+ * `/status`, and further paths that the process handles itself. Errors are counted by kind and
+ * answered as problem documents.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -11,9 +12,9 @@
 export interface OperatorServerOptions {
   readonly metrics: Metrics;
   isReady(): boolean;
-  /** What `/status` answers, as JSON. */
+  /** Returns the body of `/status`, which is sent as JSON. */
   readStatus(): Promise<unknown>;
-  /** Serves further paths; says whether the path was one of them. */
+  /** Serves further paths; resolves with false if it does not serve the path. */
   handle?(request: IncomingMessage, response: ServerResponse, url: URL): Promise<boolean>;
 }
 
@@ -27,7 +28,7 @@
 
   constructor(private readonly options: OperatorServerOptions) {
     this.server = createServer((request, response) => {
-      this.answer(request, response).catch((error: unknown) => {
+      this.respond(request, response).catch((error: unknown) => {
         const kind = error instanceof HornbeampondError ? error.kind : 'internalError';
         options.metrics.count({ metric: 'refusals', label: kind });
         if (response.headersSent) response.destroy();
@@ -51,7 +52,7 @@
     });
   }
 
-  private async answer(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  private async respond(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const url = new URL(request.url ?? '/', 'http://operators');
     switch (url.pathname) {
       case '/livez':
@@ -63,7 +64,7 @@
         return;
       case '/metrics':
         response.writeHead(200, { 'content-type': this.options.metrics.registry.contentType });
-        response.end(await this.options.metrics.print());
+        response.end(await this.options.metrics.toPrometheusText());
         return;
       case '/status':
         writeJson(response, 200, await this.options.readStatus());
--- a/packages/transport/src/sharedInstances.ts
+++ b/packages/transport/src/sharedInstances.ts
@@ -1,7 +1,10 @@
-/** Instances as processes tell them to each other: times are told as spans, since clocks differ. */
+/**
+ * Converts instances to and from the form that processes exchange, in which end times are remaining
+ * durations, because the clocks of processes differ.
+ */
 import type { EpochMilliseconds, PlatformInstance, SharedInstance } from '@hornbeampond/schema';
 
-export function toShared(
+export function toSharedInstances(
   instances: readonly PlatformInstance[],
   wallNow: EpochMilliseconds,
 ): SharedInstance[] {
@@ -10,7 +13,7 @@
   );
 }
 
-export function fromShared(
+export function fromSharedInstances(
   instances: readonly SharedInstance[],
   wallNow: EpochMilliseconds,
 ): PlatformInstance[] {
